--- a/src/main/java/firstage/Brain.java
+++ b/src/main/java/firstage/Brain.java
@@ -10,77 +10,130 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * All decisions of one workload manager. Callers tell it news through {@link WorkloadManager} and end each
- * moment with {@link #turn}; it acts through {@link Host}. Interface and types stand in firstage.door; times
- * are whole tenths of a millisecond.
- * On the ordinary path (docs/design.md) each batch reserves its grant on our slice of one engine's memory and
- * its threads under an adaptive bound, or waits in a bounded FIFO queue until there is room.
+ * All decisions of one workload manager. Callers tell it news through {@link WorkloadManager} and
+ * end each moment with {@link #turn}; it acts through {@link Host}. Interface and types stand in
+ * firstage.door; times are whole tenths of a millisecond. On the ordinary path (docs/design.md)
+ * each batch reserves its grant on our slice of one engine's memory and its threads under an
+ * adaptive bound, or waits in a bounded FIFO queue until there is room.
  */
 public final class Brain implements WorkloadManager {
     // ---- Constants: unit, and why this size. Times are in tenths of a millisecond.
-    private static final double POOL_SHARE = 0.75; // of an engine's memory: a lone process in RFC 0058 3.2
-    private static final double THREADS_PER_CORE = 2; // all bounds together (design): past it less gets done
+    private static final double POOL_SHARE =
+            0.75; // of an engine's memory: a lone process in RFC 0058 3.2
+    private static final double THREADS_PER_CORE =
+            2; // all bounds together (design): past it less gets done
     private static final double FIRST_MARGIN = 0.25; // over a memory figure (design): a quarter
     private static final double MARGIN_UP = 0.14; // for a short grant, against ...
-    private static final double MARGIN_DOWN = 0.02; // ... for an ample one: one in eight comes out short
-    private static final double EARLY = 6; // answers: the first of few must teach more than one of many
-    private static final double LEAST_MARGIN = -0.25; // much below the figure, spilling feeds on itself
+    private static final double MARGIN_DOWN =
+            0.02; // ... for an ample one: one in eight comes out short
+    private static final double EARLY =
+            6; // answers: the first of few must teach more than one of many
+    private static final double LEAST_MARGIN =
+            -0.25; // much below the figure, spilling feeds on itself
     private static final double MOST_MARGIN = 3; // estimates may lie low by four times
-    private static final double SLOW = 1.6; // times the best latency: pressed, still short of the knee
+    private static final double SLOW =
+            1.6; // times the best latency: pressed, still short of the knee
     private static final double CALM = 1.25; // times the best latency: slice and bound may grow
-    private static final double SHRINK = 0.8; // a step's factor: three halve, one bad second closes nothing
-    private static final double LEAST_PER_CORE = 1.3; // threads, all bounds together: just short of the knee
-    private static final long SHRINK_GAP = 7_000; // between steps: the last one must show in answers first
-    private static final double GROW = 0.5; // of a clean answer's threads and grant: doubles in seconds
-    private static final long PRESSED = 40_000; // pressure outlives its last sign: no flood when a jam eases
-    private static final double HELD_PER_CORE = 4; // batches, on our part of the cores: what a goal clears
-    private static final double NOTES_MISSED = 2.6; // paces without a word: two may be late, three are not
-    private static final long SILENT_WITHOUT_NOTES = 40_000; // long against usual work, short against limits
+    private static final double SHRINK =
+            0.8; // a step's factor: three halve, one bad second closes nothing
+    private static final double LEAST_PER_CORE =
+            1.3; // threads, all bounds together: just short of the knee
+    private static final long SHRINK_GAP =
+            7_000; // between steps: the last one must show in answers first
+    private static final double GROW =
+            0.5; // of a clean answer's threads and grant: doubles in seconds
+    private static final long PRESSED =
+            40_000; // pressure outlives its last sign: no flood when a jam eases
+    private static final double HELD_PER_CORE =
+            4; // batches, on our part of the cores: what a goal clears
+    private static final double NOTES_MISSED =
+            2.6; // paces without a word: two may be late, three are not
+    private static final long SILENT_WITHOUT_NOTES =
+            40_000; // long against usual work, short against limits
     private static final int ERRORS_IN_A_ROW = 3; // close an engine: one batch may err, not three
-    private static final int ERRORS_OF_ONE = 2; // engines that a batch may err at: a third would say the same
-    private static final long FIRST_REST = 10_000; // before the first trial of an engine; doubled up to ...
+    private static final int ERRORS_OF_ONE =
+            2; // engines that a batch may err at: a third would say the same
+    private static final long FIRST_REST =
+            10_000; // before the first trial of an engine; doubled up to ...
     private static final long MOST_REST = 80_000; // ... this: a trial costs one batch
-    private static final double COLD_SAFETY = 0.9; // of the cold budget: others and chance need the rest
-    private static final double COLD_LOTS = 0.4; // of the budget a window: two may meet, and lots scatter
-    private static final double COLD_SHORT = 0.05; // of the budget: of such batches one too many does no harm
-    private static final double GOLDEN = 0.618034; // strews the managers' numbers evenly over the lots
-    private static final double WARMING = 0.8; // of a straight line: how an engine warms is not told
-    private static final double FULL = 0.85; // busy share of the cores at capacity, as the cold rule reckons
-    private static final double RUNAWAY = 5; // times a fresh run still ahead: estimates scatter by half of it
-    private static final long BEAT = 100; // between looks at our own timers: a hundredth of a note's patience
+    private static final double COLD_SAFETY =
+            0.9; // of the cold budget: others and chance need the rest
+    private static final double COLD_LOTS =
+            0.4; // of the budget a window: two may meet, and lots scatter
+    private static final double COLD_SHORT =
+            0.05; // of the budget: of such batches one too many does no harm
+    private static final double GOLDEN =
+            0.618034; // strews the managers' numbers evenly over the lots
+    private static final double WARMING =
+            0.8; // of a straight line: how an engine warms is not told
+    private static final double FULL =
+            0.85; // busy share of the cores at capacity, as the cold rule reckons
+    private static final double RUNAWAY =
+            5; // times a fresh run still ahead: estimates scatter by half of it
+    private static final long BEAT =
+            100; // between looks at our own timers: a hundredth of a note's patience
     private static final long RELEASE = 500; // between looks at the held without news
     private static final long LAST_CALL = 800; // before its limit a held batch is answered
-    private static final double ROOM_STEPS = 4; // of a slice that count as alike: there nearness decides
-    private static final double OVER_SHARE_ROOM = 0.2; // of the queue for customers beyond their share
+    private static final double ROOM_STEPS =
+            4; // of a slice that count as alike: there nearness decides
+    private static final double OVER_SHARE_ROOM =
+            0.2; // of the queue for customers beyond their share
     private static final int FIRST_RANK = 3; // the priority of what pays best for its work
-    private static final double READERS_FROM = 0.67; // of the engines in a table's order: a third reads it
-    private static final int LOOKS = 3; // engines asked before a batch goes: two choices, and one to spare
+    private static final double READERS_FROM =
+            0.67; // of the engines in a table's order: a third reads it
+    private static final int LOOKS =
+            3; // engines asked before a batch goes: two choices, and one to spare
     private static final double LOOK_SHARE = 0.01; // of a batch's utility that one probe may cost
     private static final long LOOK_WAIT = 200; // for the answers: many times a way there and back
-    private static final long LOOK_AGAIN = 5_000; // where all were full: reports are tenths of a second old
-    private static final double CROWDING = 500; // of a full engine, in steps of rank: above any own room
-    private static final long FRESH = 50_000; // what an engine told fades over this: about a long batch
-    private static final double OWN_PLACE = 30; // in steps of rank: above any free room, below fitting
+    private static final long LOOK_AGAIN =
+            5_000; // where all were full: reports are tenths of a second old
+    private static final double CROWDING =
+            500; // of a full engine, in steps of rank: above any own room
+    private static final long FRESH =
+            50_000; // what an engine told fades over this: about a long batch
+    private static final double OWN_PLACE =
+            30; // in steps of rank: above any free room, below fitting
     private static final long TURN_REST = 500; // until a pushback out of turn is with its client
-    private static final long COME_BACK = 5_000; // a client should stay away: half a queue clears in it
-    private static final long FADE = 10_000; // between halvings of slowness: old samples are gone in seconds
-    private static final long CUSTOMER_SPAN = 50_000; // of its share may be used at once: bursts are no abuse
-    private static final double ENOUGH = 12; // samples before an engine's own median counts, not the fleet's
+    private static final long COME_BACK =
+            5_000; // a client should stay away: half a queue clears in it
+    private static final long FADE =
+            10_000; // between halvings of slowness: old samples are gone in seconds
+    private static final long CUSTOMER_SPAN =
+            50_000; // of its share may be used at once: bursts are no abuse
+    private static final double ENOUGH =
+            12; // samples before an engine's own median counts, not the fleet's
     private static final int GROUP_SAMPLES = 64; // after which a group's measurements are halved
-    private static final double FIRST_BEST = 2.5; // latency over estimate: a first jam must not pass as calm
-    private static final double BEST_OF_TRUTH = 1.2; // the same over the told true work: a core to a thread
-    private static final double BEST_DRIFT = 1.002; // a FADE: an old best fades in minutes, after any jam
-    private static final long KEPT = 600_000; // an engine that left: it may come back, and mostly does not
-    private static final int PIECES = 20; // of a rule's window: what is in doubt is counted on the safe side
+    private static final double FIRST_BEST =
+            2.5; // latency over estimate: a first jam must not pass as calm
+    private static final double BEST_OF_TRUTH =
+            1.2; // the same over the told true work: a core to a thread
+    private static final double BEST_DRIFT =
+            1.002; // a FADE: an old best fades in minutes, after any jam
+    private static final long KEPT =
+            600_000; // an engine that left: it may come back, and mostly does not
+    private static final int PIECES =
+            20; // of a rule's window: what is in doubt is counted on the safe side
 
     // ---- Tables.
-    private enum News { ANSWER, SIGN, REFUSED, UNREACHED, BROKE, QUIET, RESTED, RESTARTED }
-
-    private enum Act { NONE, REST, CLEAR }
+    private enum News {
+        ANSWER,
+        SIGN,
+        REFUSED,
+        UNREACHED,
+        BROKE,
+        QUIET,
+        RESTED,
+        RESTARTED
+    }
 
-    private record Row(Health state, News news, Health next, Act act) {
+    private enum Act {
+        NONE,
+        REST,
+        CLEAR
     }
 
+    private record Row(Health state, News news, Health next, Act act) {}
+
     /** State (null: any), input, next state, effect. What leaves the state as it is is no news. */
     private static final Row[] HEALTH = {
         new Row(null, News.ANSWER, Health.READY, Act.CLEAR),
@@ -93,17 +146,35 @@
         new Row(null, News.RESTED, Health.TRIAL, Act.NONE),
     };
 
-    /** What an outcome tells of the engine; a time-out, a call-off and what was not sent tell nothing. */
-    private static final Map<Outcome, News> TELLS = Map.of(Outcome.RETURNED, News.ANSWER,
-            Outcome.ERRORED, News.SIGN, Outcome.NO_CONNECTION, News.UNREACHED, Outcome.BROKEN, News.BROKE,
-            Outcome.TURNED_AWAY, News.REFUSED);
-
-    private enum Again { ANYWHERE, IN_SCOPE, NO }
-
-    private record Leave(Effect effect, boolean mayHaveRun, Again again, boolean pushBack) {
+    /**
+     * What an outcome tells of the engine; a time-out, a call-off and what was not sent tell
+     * nothing.
+     */
+    private static final Map<Outcome, News> TELLS =
+            Map.of(
+                    Outcome.RETURNED,
+                    News.ANSWER,
+                    Outcome.ERRORED,
+                    News.SIGN,
+                    Outcome.NO_CONNECTION,
+                    News.UNREACHED,
+                    Outcome.BROKEN,
+                    News.BROKE,
+                    Outcome.TURNED_AWAY,
+                    News.REFUSED);
+
+    private enum Again {
+        ANYWHERE,
+        IN_SCOPE,
+        NO
     }
 
-    /** Rule 2: where a batch may go again, and whether it may be pushed back (referenced: scope ALL only). */
+    private record Leave(Effect effect, boolean mayHaveRun, Again again, boolean pushBack) {}
+
+    /**
+     * Rule 2: where a batch may go again, and whether it may be pushed back (referenced: scope ALL
+     * only).
+     */
     private static final Leave[] LEAVES = {
         new Leave(Effect.REPEATABLE, false, Again.ANYWHERE, true),
         new Leave(Effect.REPEATABLE, true, Again.ANYWHERE, true),
@@ -147,8 +218,10 @@
     private long nextRelease;
     private long nextFade;
     private boolean crowded;
+
     /** The last batch looked at met an engine that was open to it. */
     private boolean roomless;
+
     private boolean subscribe;
     private boolean stirred;
     private long closesAt = Long.MAX_VALUE;
@@ -171,13 +244,17 @@
         zone = deployment.zone();
         nearby = deployment.crossingCosts();
         largestGrant = deployment.largestGrant();
-        // A probe whose answer tells no load would be paid for and waited on, and would never let a batch go.
+        // A probe whose answer tells no load would be paid for and waited on, and would never let a
+        // batch go.
         probePrice = deployment.probesTell() ? deployment.probePrice() : -1;
         int cores = machines.stream().mapToInt(Deployment.Machine::cores).max().orElse(1);
         part = cores * THREADS_PER_CORE * share;
         notePace = deployment.notePace();
         subscribe = deployment.asksForList();
-        quotas = deployment.customerRates().stream().map(r -> new Quota(r * share, CUSTOMER_SPAN)).toList();
+        quotas =
+                deployment.customerRates().stream()
+                        .map(r -> new Quota(r * share, CUSTOMER_SPAN))
+                        .toList();
         for (ServiceGroup is : deployment.groups()) {
             groups.add(new Group(is, FIRST_MARGIN, FIRST_BEST, GROUP_SAMPLES));
         }
@@ -197,8 +274,10 @@
         }
         ServiceGroup is = b.group.is;
         b.goalAt = now + is.goal() + (long) (is.stretch() * b.expectedWork() / is.threads());
-        b.overShare = arrival.customer() >= 0 && arrival.customer() < quotas.size()
-                && !quotas.get(arrival.customer()).take();
+        b.overShare =
+                arrival.customer() >= 0
+                        && arrival.customer() < quotas.size()
+                        && !quotas.get(arrival.customer()).take();
         worth.add(is.utility());
         if (arrival.estimate() > 0) {
             b.group.told.add(arrival.estimate());
@@ -208,8 +287,10 @@
         taken.add(now, 1);
         b.band = Demand.band(is.utility(), b.expectedWork(), b.overShare);
         demand.came(b.band, b.expectedWork());
-        if (b.key >= 0 && arrival.turnUnknown() || b.band == cut && chance.nextDouble() >= cutPart) {
-            // Run in the wrong turn it would break its key's order unseen; not run, it harms nobody.
+        if (b.key >= 0 && arrival.turnUnknown()
+                || b.band == cut && chance.nextDouble() >= cutPart) {
+            // Run in the wrong turn it would break its key's order unseen; not run, it harms
+            // nobody.
             giveUp(b);
         } else {
             held.put(b.order, b);
@@ -285,8 +366,10 @@
             }
             case SPILLS -> f.shortGrant = true;
             case WAITS_FOR_MEMORY -> {
-                // Memory that others wait for was granted too freely: margins give way before batches do.
-                b.group.margin = Math.max(LEAST_MARGIN, b.group.margin - (f.waited ? 0 : MARGIN_DOWN * 2));
+                // Memory that others wait for was granted too freely: margins give way before
+                // batches do.
+                b.group.margin =
+                        Math.max(LEAST_MARGIN, b.group.margin - (f.waited ? 0 : MARGIN_DOWN * 2));
                 f.waited = true;
                 press(now, e);
                 shrink(now, e, false);
@@ -324,7 +407,8 @@
     @Override
     public Demand demand(long now) {
         List<Engine> used = engines.values().stream().filter(Brain::usable).toList();
-        demand.runs(used.stream().mapToInt(e -> e.threads).sum(),
+        demand.runs(
+                used.stream().mapToInt(e -> e.threads).sum(),
                 used.stream().mapToDouble(e -> e.cores * THREADS_PER_CORE * cold(now, e)).sum());
         return demand;
     }
@@ -360,7 +444,10 @@
         }
     }
 
-    /** Slice and bound at their start: this manager's part of the engine. Untold sizes count as one core. */
+    /**
+     * Slice and bound at their start: this manager's part of the engine. Untold sizes count as one
+     * core.
+     */
     private void measure(Engine e, int kind) {
         Deployment.Machine m = kind >= 0 && kind < machines.size() ? machines.get(kind) : null;
         e.kind = kind;
@@ -425,9 +512,9 @@
     }
 
     /**
-     * Within one release room only shrinks: a first dispatch like one that found no engine, with no less
-     * memory, finds none either. Asking again cost every held batch a look at every engine at each event, and
-     * a long queue on a large fleet ran out of processor time.
+     * Within one release room only shrinks: a first dispatch like one that found no engine, with no
+     * less memory, finds none either. Asking again cost every held batch a look at every engine at
+     * each event, and a long queue on a large fleet ran out of processor time.
      */
     private void release(long now) {
         nextRelease = now + RELEASE;
@@ -440,9 +527,14 @@
             boolean below = b.dispatches == 0 && b.band < cut;
             boolean mayGo = !below && !b.away && now < lastMoment(b) && myTurn(now, b);
             boolean byTables = b.group.is.yieldsToLoads() || b.group.is.load();
-            long like = !mayGo || b.dispatches > 0 || b.key >= 0 || looks(b) ? -1
-                    : ((byTables ? b.is.tables() + 1L : 0) * groups.size() + b.is.group()) * 4 + priority(b);
-            boolean vain = like >= 0 && failed.getOrDefault(like, Double.MAX_VALUE) <= b.memoryFigure();
+            long like =
+                    !mayGo || b.dispatches > 0 || b.key >= 0 || looks(b)
+                            ? -1
+                            : ((byTables ? b.is.tables() + 1L : 0) * groups.size() + b.is.group())
+                                            * 4
+                                    + priority(b);
+            boolean vain =
+                    like >= 0 && failed.getOrDefault(like, Double.MAX_VALUE) <= b.memoryFigure();
             roomless = vain;
             Engine e = mayGo && !vain ? choose(now, b) : null;
             crowded |= mayGo && e == null;
@@ -452,8 +544,11 @@
             }
             if (e != null) {
                 send(now, b, e);
-            } else if (below || now >= giveUpAt(b) || b.dispatches == 0
-                    && held.size() > room * (b.overShare && cut == 0 ? OVER_SHARE_ROOM : 1)) {
+            } else if (below
+                    || now >= giveUpAt(b)
+                    || b.dispatches == 0
+                            && held.size()
+                                    > room * (b.overShare && cut == 0 ? OVER_SHARE_ROOM : 1)) {
                 held.remove(b.order);
                 if (b.out.isEmpty()) {
                     demand.lost(below ? 0 : b.expectedWork());
@@ -465,14 +560,18 @@
     }
 
     private int room() {
-        int all = engines.values().stream().mapToInt(e -> e.standing == Standing.ACTIVE ? e.cores : 0).sum();
+        int all =
+                engines.values().stream()
+                        .mapToInt(e -> e.standing == Standing.ACTIVE ? e.cores : 0)
+                        .sum();
         return (int) Math.max(HELD_PER_CORE, all * share * HELD_PER_CORE);
     }
 
     /**
-     * The queue's time-out: the last moment at which a dispatch could still earn something. Where no estimate
-     * blurs the goal, what is paid late is given up by its goal while the queue is long: else all of it would
-     * be sent late. A single estimate scatters too much to say that a goal is past.
+     * The queue's time-out: the last moment at which a dispatch could still earn something. Where
+     * no estimate blurs the goal, what is paid late is given up by its goal while the queue is
+     * long: else all of it would be sent late. A single estimate scatters too much to say that a
+     * goal is past.
      */
     private long giveUpAt(Batch b) {
         boolean told = b.is.estimate() > 0;
@@ -481,7 +580,10 @@
         return Math.min(lastMoment(b), (byGoal ? b.goalAt : b.is.notAfter()) - (long) run);
     }
 
-    /** The last moment at which it may be sent: before its limit, and to be over before the program ends. */
+    /**
+     * The last moment at which it may be sent: before its limit, and to be over before the program
+     * ends.
+     */
     private long lastMoment(Batch b) {
         return Math.min(b.is.notAfter() - LAST_CALL, closesAt - b.expectedRun());
     }
@@ -503,21 +605,30 @@
     }
 
     private int priority(Batch b) {
-        double top = groups.stream().mapToDouble(g -> g.is.utility() / g.usualWork()).max().orElse(1);
+        double top =
+                groups.stream().mapToDouble(g -> g.is.utility() / g.usualWork()).max().orElse(1);
         double rate = b.group.is.utility() / Math.max(1, b.expectedWork()) / top;
-        return rate >= 0.6 ? FIRST_RANK : rate >= 0.1 || b.group.is.load() ? 2 : rate >= 0.03 ? 1 : 0;
+        return rate >= 0.6
+                ? FIRST_RANK
+                : rate >= 0.1 || b.group.is.load() ? 2 : rate >= 0.03 ? 1 : 0;
     }
 
-    /** The told estimate or the mean true memory, with the margin; else half a core's memory a thread. */
+    /**
+     * The told estimate or the mean true memory, with the margin; else half a core's memory a
+     * thread.
+     */
     private double grant(Batch b, Engine e) {
         Group g = b.group;
         double figure = b.memoryFigure();
-        double want = figure > 0 ? figure * (1 + g.margin) : e.memory / e.cores / 2 * g.is.threads();
+        double want =
+                figure > 0 ? figure * (1 + g.margin) : e.memory / e.cores / 2 * g.is.threads();
         return Math.max(1, Math.min(want, largestGrant * e.memory));
     }
 
     // ---- Choice of engine.
-    /** The fitting engine with the most free room; where none fits, one without pressure; else none. */
+    /**
+     * The fitting engine with the most free room; where none fits, one without pressure; else none.
+     */
     private Engine choose(long now, Batch b) {
         if (b.dispatches > 0 && !mayGoAgain(now, b)) {
             return null;
@@ -548,26 +659,40 @@
             double warm = cold(now, e);
             double grant = grant(b, e);
             int threads = b.group.is.threads();
-            // Many managers with one lone batch each would fill an engine: all bounds together still hold.
-            // One of the first rank may run past the bound: many short ones would starve behind long ones.
+            // Many managers with one lone batch each would fill an engine: all bounds together
+            // still hold.
+            // One of the first rank may run past the bound: many short ones would starve behind
+            // long ones.
             boolean only = first && !e.runs(FIRST_RANK);
-            boolean lone = e.flights.isEmpty() && (out == 0 || out + threads <= bounds)
-                    || small && only && allowed.priorities() && top.quantile(0.5) < SLOW;
-            // One batch of the fleet's is spent on it now: all would wait until this manager has room.
+            boolean lone =
+                    e.flights.isEmpty() && (out == 0 || out + threads <= bounds)
+                            || small && only && allowed.priorities() && top.quantile(0.5) < SLOW;
+            // One batch of the fleet's is spent on it now: all would wait until this manager has
+            // room.
             boolean trial = e.triesForAll && e.health == Health.TRIAL;
-            boolean fits = lone || trial || e.reserved + grant <= e.slice * warm
-                    && (e.threads + threads <= e.bound * warm || only);
-            boolean easy = warm >= 1 && !pressed(now, e) && e.reserved + grant <= e.memory
-                    && e.threads + threads <= e.cores * THREADS_PER_CORE;
+            boolean fits =
+                    lone
+                            || trial
+                            || e.reserved + grant <= e.slice * warm
+                                    && (e.threads + threads <= e.bound * warm || only);
+            boolean easy =
+                    warm >= 1
+                            && !pressed(now, e)
+                            && e.reserved + grant <= e.memory
+                            && e.threads + threads <= e.cores * THREADS_PER_CORE;
             boolean told = looks && e.toldAt >= b.lookedAt && e.crowd < 1;
             if (looks && !told || !fits && !easy && !(told && e.noLine && e.flights.isEmpty())) {
                 continue;
             }
             double free = (e.slice * warm - e.reserved) / (e.memory * POOL_SHARE * share);
-            double merit = (trial ? CROWDING : 0) + (fits ? 100 : 0)
-                    + Math.max(-20, Math.floor(free * ROOM_STEPS)) * 2
-                    + (nearby && e.zone == zone ? 1 : 0) + nearness(b, e, loadOrder)
-                    - (small ? CROWDING * crowd(now, e) : 0) - (e == b.last ? 50 : 0);
+            double merit =
+                    (trial ? CROWDING : 0)
+                            + (fits ? 100 : 0)
+                            + Math.max(-20, Math.floor(free * ROOM_STEPS)) * 2
+                            + (nearby && e.zone == zone ? 1 : 0)
+                            + nearness(b, e, loadOrder)
+                            - (small ? CROWDING * crowd(now, e) : 0)
+                            - (e == b.last ? 50 : 0);
             if (merit > most) {
                 most = merit;
                 best = e;
@@ -576,7 +701,9 @@
         return best;
     }
 
-    /** How crowded an engine is held to be: as it told, and the older that is, the more as all tell. */
+    /**
+     * How crowded an engine is held to be: as it told, and the older that is, the more as all tell.
+     */
     private double crowd(long now, Engine e) {
         double all = usual.or(0);
         return all + (e.crowd - all) * Math.max(0, 1 - (double) (now - e.toldAt) / FRESH);
@@ -584,22 +711,28 @@
 
     /** Whether this batch looks at some engines before it goes. */
     private boolean looks(Batch b) {
-        return probePrice >= 0 && b.group.is.utility() * LOOK_SHARE >= probePrice * worth.or(1)
-                && part < b.group.is.threads() && fleet.quantile(0.5) >= CALM;
+        return probePrice >= 0
+                && b.group.is.utility() * LOOK_SHARE >= probePrice * worth.or(1)
+                && part < b.group.is.threads()
+                && fleet.quantile(0.5) >= CALM;
     }
 
     private void look(long now, Batch b) {
         b.lookedAt = now;
-        List<Engine> from = new ArrayList<>(engines.values().stream().filter(e -> open(now, b, e)).toList());
-        b.looked = chance.ints(Math.min(LOOKS, from.size()), 0, Integer.MAX_VALUE)
-                .mapToObj(i -> from.remove(i % from.size())).toList();
+        List<Engine> from =
+                new ArrayList<>(engines.values().stream().filter(e -> open(now, b, e)).toList());
+        b.looked =
+                chance.ints(Math.min(LOOKS, from.size()), 0, Integer.MAX_VALUE)
+                        .mapToObj(i -> from.remove(i % from.size()))
+                        .toList();
         b.looked.forEach(e -> host.probe(e.index));
     }
 
     /**
-     * Readers of the same tables go to the same engines, which keep them warm. Loads of the same tables stand
-     * still for each other, and readers behind them: managers divide the engines, the coldest for the tables
-     * first, by their numbers. Where our part of an engine is under this batch, chance keeps managers apart.
+     * Readers of the same tables go to the same engines, which keep them warm. Loads of the same
+     * tables stand still for each other, and readers behind them: managers divide the engines, the
+     * coldest for the tables first, by their numbers. Where our part of an engine is under this
+     * batch, chance keeps managers apart.
      */
     private double nearness(Batch b, Engine e, double[] loadOrder) {
         double affinity = e.affinity(b.is.tables());
@@ -612,9 +745,13 @@
 
     /** The active engines' affinities to a load's tables, coldest first; null for other batches. */
     private double[] loadOrder(Batch b) {
-        return !b.group.is.load() || b.is.tables() < 0 ? null
-                : engines.values().stream().filter(e -> e.standing == Standing.ACTIVE)
-                        .mapToDouble(e -> e.affinity(b.is.tables())).sorted().toArray();
+        return !b.group.is.load() || b.is.tables() < 0
+                ? null
+                : engines.values().stream()
+                        .filter(e -> e.standing == Standing.ACTIVE)
+                        .mapToDouble(e -> e.affinity(b.is.tables()))
+                        .sorted()
+                        .toArray();
     }
 
     @Override
@@ -624,7 +761,8 @@
 
     @Override
     public boolean closed(int engine) {
-        return engines.containsKey(engine) && engine(engine).standing == Standing.ACTIVE
+        return engines.containsKey(engine)
+                && engine(engine).standing == Standing.ACTIVE
                 && Set.of(Health.DOWN, Health.SILENT, Health.TRIAL).contains(engine(engine).health);
     }
 
@@ -638,7 +776,10 @@
         return engines.containsKey(engine) ? engine(engine).heard : 0;
     }
 
-    /** A batch that tries a sick engine is lost with it: of a fleet one manager tries, the others follow. */
+    /**
+     * A batch that tries a sick engine is lost with it: of a fleet one manager tries, the others
+     * follow.
+     */
     @Override
     public void othersTry(long now, int engine, boolean others, boolean restIsOver) {
         engine(engine).othersTry = others;
@@ -648,21 +789,27 @@
     }
 
     private static boolean usable(Engine e) {
-        return e.standing == Standing.ACTIVE && !e.othersTry
+        return e.standing == Standing.ACTIVE
+                && !e.othersTry
                 && (e.health == Health.READY || e.health == Health.TRIAL);
     }
 
     /** Whether rules and health let this batch go to this engine at all. */
     private boolean open(long now, Batch b, Engine e) {
         ServiceGroup is = b.group.is;
-        if (!usable(e) || !allows(is.zones(), e.zone) || !allows(is.kinds(), e.kind)
+        if (!usable(e)
+                || !allows(is.zones(), e.zone)
+                || !allows(is.kinds(), e.kind)
                 || b.out.stream().anyMatch(f -> f.engine == e)) {
             return false;
         }
         // A trial costs one repeatable batch at most; a once-only one would be lost with it.
-        // Who tries for all has lost some there before, which are out still: only its trial must be one.
-        boolean tried = e.triesForAll ? e.flights.stream().anyMatch(f -> f.sent >= e.restUntil)
-                : !e.flights.isEmpty();
+        // Who tries for all has lost some there before, which are out still: only its trial must be
+        // one.
+        boolean tried =
+                e.triesForAll
+                        ? e.flights.stream().anyMatch(f -> f.sent >= e.restUntil)
+                        : !e.flights.isEmpty();
         if (e.health == Health.TRIAL && (tried || is.effect() != Effect.REPEATABLE)) {
             return false;
         }
@@ -673,7 +820,9 @@
                 return false;
             }
         }
-        if ((is.yieldsToLoads() || is.load()) && b.is.tables() >= 0 && e.holdsLoad(now, b.is.tables())) {
+        if ((is.yieldsToLoads() || is.load())
+                && b.is.tables() >= 0
+                && e.holdsLoad(now, b.is.tables())) {
             return false;
         }
         return cold(now, e) >= 1 || coldRoom(now, b, e);
@@ -683,9 +832,13 @@
         return places.isEmpty() || places.contains(place);
     }
 
-    /** The share of its capacity an engine is sure to have: from the rule's start figure to 1 when warm. */
+    /**
+     * The share of its capacity an engine is sure to have: from the rule's start figure to 1 when
+     * warm.
+     */
     private double cold(long now, Engine e) {
-        // News of a start comes late: engines that were down, seen by many at once, would be pushed over.
+        // News of a start comes late: engines that were down, seen by many at once, would be pushed
+        // over.
         long age = now - e.start();
         if (e.start() <= 0 || age >= rules.warmAfter() || rules.coldFrom() <= 0) {
             return 1;
@@ -699,7 +852,8 @@
         if (rules.tipMultiple() <= 0) {
             return true;
         }
-        // What our life before sent it is forgotten, and counts still: it may have spent our whole part.
+        // What our life before sent it is forgotten, and counts still: it may have spent our whole
+        // part.
         if (e.start() < startedAt && now < startedAt + rules.fall()) {
             return false;
         }
@@ -711,13 +865,16 @@
         // Where each part is under any batch, short ones draw lots, which all managers know alike.
         double lot = (rank * GOLDEN + e.affinity((int) ((now - e.start()) / rules.fall()))) % 1;
         return sent + work <= stands * own * COLD_SAFETY
-                || sent == 0 && work <= stands * COLD_SHORT && lot < stands * own * COLD_LOTS / work;
+                || sent == 0
+                        && work <= stands * COLD_SHORT
+                        && lot < stands * own * COLD_LOTS / work;
     }
 
     // ---- Learning and health.
     /**
-     * An engine that errs at once is always free and would draw every batch: a few in a row close it. A batch
-     * that may go elsewhere is tried there first: one that errs there, too, tells nothing of engines.
+     * An engine that errs at once is always free and would draw every batch: a few in a row close
+     * it. A batch that may go elsewhere is tried there first: one that errs there, too, tells
+     * nothing of engines.
      */
     private void blame(long now, Batch b, Engine e, Outcome how) {
         Engine blamed = null;
@@ -740,8 +897,10 @@
         Engine e = f.engine;
         int threads = g.is.threads();
         // Neither told nor estimated: a usual batch should need no more than half its goal.
-        double truth = ending.work() > 0 ? ending.work()
-                : b.is.estimate() > 0 ? b.is.estimate() : g.is.goal() * threads / 2.0;
+        double truth =
+                ending.work() > 0
+                        ? ending.work()
+                        : b.is.estimate() > 0 ? b.is.estimate() : g.is.goal() * threads / 2.0;
         double ratio = ending.took() * threads / truth;
         if (!f.waited) {
             g.ran(ratio, GROUP_SAMPLES);
@@ -802,27 +961,38 @@
         return now < e.pressedUntil || slowness(e) > SLOW;
     }
 
-    /** The median latency over the best; of all engines where this one has answered too little of late. */
+    /**
+     * The median latency over the best; of all engines where this one has answered too little of
+     * late.
+     */
     private double slowness(Engine e) {
         return (e.slow.total() >= ENOUGH ? e.slow : fleet).quantile(0.5);
     }
 
     private void health(long now, Engine e, News news) {
         for (Row row : HEALTH) {
-            if ((row.state == null || row.state == e.health) && row.news == news && row.next != e.health) {
+            if ((row.state == null || row.state == e.health)
+                    && row.news == news
+                    && row.next != e.health) {
                 e.health = row.next;
                 e.downAt = row.next == Health.DOWN ? now : e.downAt;
                 e.othersTry &= row.next != Health.READY;
                 e.triesForAll &= row.next != Health.READY;
                 boolean rests = row.act == Act.REST;
                 e.restUntil = rests ? now + e.rest : e.restUntil;
-                e.rest = rests ? Math.min(MOST_REST, e.rest * 2) : row.act == Act.CLEAR ? FIRST_REST : e.rest;
+                e.rest =
+                        rests
+                                ? Math.min(MOST_REST, e.rest * 2)
+                                : row.act == Act.CLEAR ? FIRST_REST : e.rest;
                 return;
             }
         }
     }
 
-    /** Looks after what no event tells: silent engines, rests that are over, dispatches that get nowhere. */
+    /**
+     * Looks after what no event tells: silent engines, rests that are over, dispatches that get
+     * nowhere.
+     */
     private void watch(long now) {
         boolean fade = now >= nextFade;
         if (fade) {
@@ -833,8 +1003,10 @@
             nextFade = now + FADE;
         }
         if (now >= closesAt) {
-            // What ends with the program gets no answer here, while another manager can still run it.
-            List.copyOf(batches.values()).stream().filter(b -> !b.closed && leave(b).pushBack)
+            // What ends with the program gets no answer here, while another manager can still run
+            // it.
+            List.copyOf(batches.values()).stream()
+                    .filter(b -> !b.closed && leave(b).pushBack)
                     .forEach(this::giveUp);
         }
         for (Engine e : engines.values()) {
@@ -843,7 +1015,8 @@
                     press(now, e);
                     shrink(now, e, true);
                 } else if (crowded && pressed(now, e)) {
-                    // While batches wait, growth ends it: opened at once, the queue floods the engine.
+                    // While batches wait, growth ends it: opened at once, the queue floods the
+                    // engine.
                     press(now, e);
                 }
                 e.slow.halve();
@@ -860,28 +1033,43 @@
             }
         }
         // With each release engines leave for good: what is known of them would pile up.
-        List<Integer> left = engines.keySet().stream().filter(id -> engine(id).leftFor(now) > KEPT).toList();
+        List<Integer> left =
+                engines.keySet().stream().filter(id -> engine(id).leftFor(now) > KEPT).toList();
         left.forEach(engines::remove);
         left.forEach(host::forgetEngine);
-        List<Integer> over = turns.keySet().stream().filter(key -> turns.get(key).isOver(now)).toList();
+        List<Integer> over =
+                turns.keySet().stream().filter(key -> turns.get(key).isOver(now)).toList();
         over.forEach(turns::remove);
         over.forEach(host::forgetKey);
     }
 
-    /** How long an engine may be mute with this dispatch out: a few note paces, else well over its run. */
+    /**
+     * How long an engine may be mute with this dispatch out: a few note paces, else well over its
+     * run.
+     */
     private long patience(Flight f) {
-        return notePace > 0 ? (long) (notePace * NOTES_MISSED)
+        return notePace > 0
+                ? (long) (notePace * NOTES_MISSED)
                 : SILENT_WITHOUT_NOTES + 2 * f.batch.expectedRun();
     }
 
-    /** A dispatch that gets nowhere is called off, or a copy is sent beside it, where both are allowed. */
+    /**
+     * A dispatch that gets nowhere is called off, or a copy is sent beside it, where both are
+     * allowed.
+     */
     private void rescue(long now, Flight f) {
         Batch b = f.batch;
-        // Lost, too, is a dispatch without notes on an engine that speaks of others: dropped somewhere.
-        boolean lost = f.engine.health == Health.SILENT || f.engine.health == Health.DOWN
-                || notePace > 0 && !f.inLine && now - f.heard > patience(f);
-        if (b.closed || f.givenUp || !(lost || f.standsStill || runaway(now, f))
-                || b.dispatches >= allowed.dispatches() || leave(b).again == Again.NO) {
+        // Lost, too, is a dispatch without notes on an engine that speaks of others: dropped
+        // somewhere.
+        boolean lost =
+                f.engine.health == Health.SILENT
+                        || f.engine.health == Health.DOWN
+                        || notePace > 0 && !f.inLine && now - f.heard > patience(f);
+        if (b.closed
+                || f.givenUp
+                || !(lost || f.standsStill || runaway(now, f))
+                || b.dispatches >= allowed.dispatches()
+                || leave(b).again == Again.NO) {
             return;
         }
         if (allowed.callOff() && (b.group.is.effect() == Effect.REPEATABLE || lost)) {
@@ -893,24 +1081,34 @@
         }
     }
 
-    /** Far behind its estimate by its own notes, while a fresh dispatch could still make the goal. */
+    /**
+     * Far behind its estimate by its own notes, while a fresh dispatch could still make the goal.
+     */
     private boolean runaway(long now, Flight f) {
         Batch b = f.batch;
         double fresh = b.expectedRun();
-        return allowed.callOff() && b.is.estimate() > 0 && f.share > 0 && !f.waited
-                && (now - f.sent) / f.share * (1 - f.share) > RUNAWAY * fresh && now + fresh < b.goalAt;
+        return allowed.callOff()
+                && b.is.estimate() > 0
+                && f.share > 0
+                && !f.waited
+                && (now - f.sent) / f.share * (1 - f.share) > RUNAWAY * fresh
+                && now + fresh < b.goalAt;
     }
 
     // ---- Rules.
     private Leave leave(Batch b) {
         boolean ran = b.mayHaveRun || !b.out.isEmpty();
-        return Arrays.stream(LEAVES).filter(l -> l.effect == b.group.is.effect() && l.mayHaveRun == ran)
-                .findFirst().orElseThrow();
+        return Arrays.stream(LEAVES)
+                .filter(l -> l.effect == b.group.is.effect() && l.mayHaveRun == ran)
+                .findFirst()
+                .orElseThrow();
     }
 
     private boolean mayGoAgain(long now, Batch b) {
         Again again = leave(b).again;
-        return again != Again.NO && b.dispatches < allowed.dispatches() && b.errors < ERRORS_OF_ONE
+        return again != Again.NO
+                && b.dispatches < allowed.dispatches()
+                && b.errors < ERRORS_OF_ONE
                 && (b.out.isEmpty() || allowed.secondCopies())
                 && (again != Again.IN_SCOPE || now < b.firstSent(now) + b.group.is.window())
                 && (b.dispatches == 0 || withinBudget(now));
@@ -918,8 +1116,9 @@
 
     /** Rule 7. */
     private boolean withinBudget(long now) {
-        return rules.furtherRatio() < 0 || further.touching(now) + 1
-                <= rules.furtherFree() + rules.furtherRatio() * taken.within(now);
+        return rules.furtherRatio() < 0
+                || further.touching(now) + 1
+                        <= rules.furtherFree() + rules.furtherRatio() * taken.within(now);
     }
 
     /** Rule 5: the first in its key's line goes, after the rest an earlier one left behind. */
@@ -954,6 +1153,7 @@
     }
 
     private Engine engine(int id) {
-        return engines.computeIfAbsent(id, i -> new Engine(i, FIRST_REST, new Tally(rules.fall(), PIECES)));
+        return engines.computeIfAbsent(
+                id, i -> new Engine(i, FIRST_REST, new Tally(rules.fall(), PIECES)));
     }
 }
--- a/src/main/java/firstage/app/Fleet.java
+++ b/src/main/java/firstage/app/Fleet.java
@@ -21,11 +21,21 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code fleet}: plays a modelled fleet, and compares two choices on it. */
-@Command(name = "fleet", mixinStandardHelpOptions = true, subcommands = {Fleet.Run.class, Fleet.Compare.class},
-        description = "Plays a modelled fleet in virtual time; docs/operators/fleet.md says how to read it.",
-        exitCodeListHeading = "%nExit codes:%n", exitCodeList = {"0:done, or no verdict",
-                "2:a file or a choice can't be used",
-            "3:a rule broke", "10:the left choice is better", "11:the right choice is better"})
+@Command(
+        name = "fleet",
+        mixinStandardHelpOptions = true,
+        subcommands = {Fleet.Run.class, Fleet.Compare.class},
+        description =
+                "Plays a modelled fleet in virtual time; docs/operators/fleet.md says how to read"
+                        + " it.",
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {
+            "0:done, or no verdict",
+            "2:a file or a choice can't be used",
+            "3:a rule broke",
+            "10:the left choice is better",
+            "11:the right choice is better"
+        })
 final class Fleet implements Callable<Integer> {
     private static final int FAULT = 2;
     private static final int BROKEN = 3;
@@ -47,11 +57,23 @@
     static class Runs {
         @Parameters(index = "0", paramLabel = "FILE", description = "the fleet file")
         private Path file;
-        @Option(names = "--seeds", defaultValue = "8", description = "how many runs of each choice (${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--seeds",
+                defaultValue = "8",
+                description = "how many runs of each choice (${DEFAULT-VALUE})")
         private int seeds;
-        @Option(names = "--seed", defaultValue = "1", description = "the first seed (${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
+                description = "the first seed (${DEFAULT-VALUE})")
         private long seed;
-        @Option(names = "--out", paramLabel = "DIR", description = "writes tables (CSV, JSON) and a chart there")
+
+        @Option(
+                names = "--out",
+                paramLabel = "DIR",
+                description = "writes tables (CSV, JSON) and a chart there")
         private Path out;
 
         FleetPlan plan() throws IOException {
@@ -72,14 +94,20 @@
             AtomicInteger done = new AtomicInteger();
             int all = seeds * choices.size();
             boolean shows = System.console() != null;
-            return IntStream.range(0, all).parallel().mapToObj(i -> {
-                FleetResult result = FleetRun.play(plan, choices.get(i / seeds), seed + i % seeds);
-                int n = done.incrementAndGet();
-                if (shows) {
-                    System.err.printf("\r%d of %d runs", n, all);
-                }
-                return result;
-            }).toList();
+            return IntStream.range(0, all)
+                    .parallel()
+                    .mapToObj(
+                            i -> {
+                                FleetResult result =
+                                        FleetRun.play(
+                                                plan, choices.get(i / seeds), seed + i % seeds);
+                                int n = done.incrementAndGet();
+                                if (shows) {
+                                    System.err.printf("\r%d of %d runs", n, all);
+                                }
+                                return result;
+                            })
+                    .toList();
         }
 
         int seeds() {
@@ -91,8 +119,15 @@
         }
 
         String origin(FleetPlan plan) {
-            return plan.name() + ", " + file.getFileName() + ", seeds " + seed + " to " + (seed + seeds - 1)
-                    + ", firstage " + version();
+            return plan.name()
+                    + ", "
+                    + file.getFileName()
+                    + ", seeds "
+                    + seed
+                    + " to "
+                    + (seed + seeds - 1)
+                    + ", firstage "
+                    + version();
         }
 
         private static String version() {
@@ -102,9 +137,15 @@
     }
 
     /** {@code fleet run}. */
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays one choice and prints its figures.")
+    @Command(
+            name = "run",
+            mixinStandardHelpOptions = true,
+            description = "Plays one choice and prints its figures.")
     static final class Run extends Runs implements Callable<Integer> {
-        @Option(names = "--choice", defaultValue = "brain", description = "what decides (${DEFAULT-VALUE})")
+        @Option(
+                names = "--choice",
+                defaultValue = "brain",
+                description = "what decides (${DEFAULT-VALUE})")
         private String choice;
 
         @Override
@@ -121,11 +162,16 @@
     }
 
     /** {@code fleet compare}. */
-    @Command(name = "compare", mixinStandardHelpOptions = true,
-            description = "Plays two choices on the same seeds and says which is better, or that nobody can tell.")
+    @Command(
+            name = "compare",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Plays two choices on the same seeds and says which is better, or that nobody"
+                            + " can tell.")
     static final class Compare extends Runs implements Callable<Integer> {
         @Option(names = "--left", required = true, description = "one choice")
         private String left;
+
         @Option(names = "--right", required = true, description = "the other")
         private String right;
 
@@ -133,17 +179,29 @@
         public Integer call() throws IOException {
             FleetPlan plan = plan();
             if (seeds() < 2) {
-                throw new FleetFault(0, "--seeds " + seeds() + " is too few to compare; 2 or more would do");
+                throw new FleetFault(
+                        0, "--seeds " + seeds() + " is too few to compare; 2 or more would do");
             }
             List<FleetResult> results = play(plan, List.of(Choice.of(left), Choice.of(right)));
-            Comparison comparison = new Comparison(results.subList(0, seeds()), results.subList(seeds(), 2 * seeds()));
-            System.out.println(origin(plan) + ": left " + left + ", right " + right + " (engines simulated)");
+            Comparison comparison =
+                    new Comparison(
+                            results.subList(0, seeds()), results.subList(seeds(), 2 * seeds()));
+            System.out.println(
+                    origin(plan) + ": left " + left + ", right " + right + " (engines simulated)");
             FleetTables.print(System.out, comparison);
             if (out() != null) {
                 FleetTables.write(out(), origin(plan), results, comparison);
             }
-            return Map.of(Comparison.Verdict.LEFT, LEFT, Comparison.Verdict.RIGHT, RIGHT, Comparison.Verdict.NONE, 0,
-                    Comparison.Verdict.BROKEN, BROKEN).get(comparison.verdict());
+            return Map.of(
+                            Comparison.Verdict.LEFT,
+                            LEFT,
+                            Comparison.Verdict.RIGHT,
+                            RIGHT,
+                            Comparison.Verdict.NONE,
+                            0,
+                            Comparison.Verdict.BROKEN,
+                            BROKEN)
+                    .get(comparison.verdict());
         }
     }
 }
--- a/src/main/java/firstage/app/FleetTables.java
+++ b/src/main/java/firstage/app/FleetTables.java
@@ -21,30 +21,52 @@
     private static final int WIDE = 900;
     private static final int HIGH = 500;
 
-    private FleetTables() {
-    }
+    private FleetTables() {}
 
     static void print(PrintStream to, List<FleetResult> results) {
         to.printf("%-28s %10s %10s%n", "figure", "mean", "deviation");
         for (String name : results.get(0).figures().keySet()) {
             SummaryStatistics all = new SummaryStatistics();
             results.forEach(r -> all.addValue(r.figures().get(name)));
-            to.printf(Locale.ROOT, "%-28s %10.4f %10.4f%n", name, all.getMean(),
+            to.printf(
+                    Locale.ROOT,
+                    "%-28s %10.4f %10.4f%n",
+                    name,
+                    all.getMean(),
                     results.size() > 1 ? all.getStandardDeviation() : 0);
         }
-        results.stream().filter(r -> !r.broken().isEmpty())
-                .forEach(r -> to.println("RULE BROKEN, seed " + r.seed() + ": " + r.broken().get(0)));
+        results.stream()
+                .filter(r -> !r.broken().isEmpty())
+                .forEach(
+                        r ->
+                                to.println(
+                                        "RULE BROKEN, seed "
+                                                + r.seed()
+                                                + ": "
+                                                + r.broken().get(0)));
     }
 
     static void print(PrintStream to, Comparison comparison) {
-        to.printf("%-28s %10s %10s %12s %10s  %s%n", "figure", "left", "right", "right - left", "bar", "verdict");
+        to.printf(
+                "%-28s %10s %10s %12s %10s  %s%n",
+                "figure", "left", "right", "right - left", "bar", "verdict");
         for (Comparison.Row row : comparison.rows()) {
-            to.printf(Locale.ROOT, "%-28s %10.4f %10.4f %+12.4f %10.4f  %s%n", row.figure(), row.left(), row.right(),
-                    row.difference(), row.bar(), words(row));
+            to.printf(
+                    Locale.ROOT,
+                    "%-28s %10.4f %10.4f %+12.4f %10.4f  %s%n",
+                    row.figure(),
+                    row.left(),
+                    row.right(),
+                    row.difference(),
+                    row.bar(),
+                    words(row));
         }
         comparison.broken().forEach(what -> to.println("RULE BROKEN, no verdict: " + what));
-        to.println("verdict by service: " + (comparison.verdict() == Comparison.Verdict.BROKEN ? "none, a rule broke"
-                : words(comparison.rows().get(0))));
+        to.println(
+                "verdict by service: "
+                        + (comparison.verdict() == Comparison.Verdict.BROKEN
+                                ? "none, a rule broke"
+                                : words(comparison.rows().get(0))));
     }
 
     private static String words(Comparison.Row row) {
@@ -57,10 +79,12 @@
     }
 
     /** Writes runs.csv, result.json and chart.png into a folder that it makes. */
-    static void write(Path folder, String origin, List<FleetResult> results, Comparison comparison) throws IOException {
+    static void write(Path folder, String origin, List<FleetResult> results, Comparison comparison)
+            throws IOException {
         Files.createDirectories(folder);
         List<String> names = List.copyOf(results.get(0).figures().keySet());
-        List<String> lines = new ArrayList<>(List.of("choice,seed,batches," + String.join(",", names)));
+        List<String> lines =
+                new ArrayList<>(List.of("choice,seed,batches," + String.join(",", names)));
         for (FleetResult r : results) {
             StringBuilder line = new StringBuilder(r.choice() + "," + r.seed() + "," + r.batches());
             names.forEach(name -> line.append(',').append(r.figures().get(name)));
@@ -71,14 +95,16 @@
         chart(folder.resolve("chart.png"), origin, results, comparison);
     }
 
-    private static void json(Path file, String origin, List<FleetResult> results, Comparison comparison)
+    private static void json(
+            Path file, String origin, List<FleetResult> results, Comparison comparison)
             throws IOException {
         try (JsonGenerator out = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
             out.useDefaultPrettyPrinter();
             out.writeStartObject();
             out.writeStringField("made of", origin);
             if (comparison != null) {
-                out.writeStringField("verdict", comparison.verdict().name().toLowerCase(Locale.ROOT));
+                out.writeStringField(
+                        "verdict", comparison.verdict().name().toLowerCase(Locale.ROOT));
                 out.writeArrayFieldStart("rows");
                 for (Comparison.Row row : comparison.rows()) {
                     out.writeStartObject();
@@ -110,22 +136,30 @@
         }
     }
 
-    private static void chart(Path file, String origin, List<FleetResult> results, Comparison comparison)
+    private static void chart(
+            Path file, String origin, List<FleetResult> results, Comparison comparison)
             throws IOException {
         System.setProperty("java.awt.headless", "true");
-        CategoryChart chart = new CategoryChartBuilder().width(WIDE).height(HIGH).title(origin + " (engines simulated)")
-                .yAxisTitle("share of utility").build();
+        CategoryChart chart =
+                new CategoryChartBuilder()
+                        .width(WIDE)
+                        .height(HIGH)
+                        .title(origin + " (engines simulated)")
+                        .yAxisTitle("share of utility")
+                        .build();
         chart.getStyler().setYAxisMin(0.0).setYAxisMax(1.0).setXAxisLabelRotation(30);
-        List<String> shares = results.get(0).figures().keySet().stream()
-                .filter(Comparison::moreIsBetter).toList();
+        List<String> shares =
+                results.get(0).figures().keySet().stream()
+                        .filter(Comparison::moreIsBetter)
+                        .toList();
         for (String choice : results.stream().map(FleetResult::choice).distinct().toList()) {
             List<Double> means = new ArrayList<>();
             List<Double> bars = new ArrayList<>();
             for (String name : shares) {
                 SummaryStatistics all = new SummaryStatistics();
-                results.stream().filter(r -> r.choice().equals(choice)).forEach(r -> all.addValue(r.figures().get(name))
-                        )
-                        ;
+                results.stream()
+                        .filter(r -> r.choice().equals(choice))
+                        .forEach(r -> all.addValue(r.figures().get(name)));
                 means.add(all.getMean());
                 bars.add(all.getN() > 1 ? all.getStandardDeviation() : 0);
             }
--- a/src/main/java/firstage/app/Hostile.java
+++ b/src/main/java/firstage/app/Hostile.java
@@ -6,26 +6,35 @@
 import java.util.List;
 import java.util.Map;
 
-/** {@code hostile FIRST COUNT [FAULT]}: plays seeded hostile schedules, and says which broke what. */
+/**
+ * {@code hostile FIRST COUNT [FAULT]}: plays seeded hostile schedules, and says which broke what.
+ */
 final class Hostile {
     private static final int SHOWN = 10;
 
-    private Hostile() {
-    }
+    private Hostile() {}
 
     /** The exit code: 0 where nothing broke, 1 where something did. */
     static int run(List<String> args) {
         long from = whole(args.get(0));
         long count = whole(args.get(1));
         if (count < 1) {
-            throw new IllegalArgumentException(count + " schedules prove nothing; 1 or more would do");
+            throw new IllegalArgumentException(
+                    count + " schedules prove nothing; 1 or more would do");
         }
         Fault fault = args.size() > 2 ? fault(args.get(2)) : Fault.NONE;
         long start = System.nanoTime();
         Map<Long, List<String>> broken = HostileSchedules.play(from, count, fault, SHOWN);
-        broken.forEach((seed, what) -> System.out.println("seed " + seed + ": " + String.join("; ", what)));
-        System.out.printf("%d schedules from seed %d in %.1f s, fault %s: %s%n", count, from,
-                (System.nanoTime() - start) / 1e9, fault, broken.isEmpty() ? "all kept" : "broken");
+        broken.forEach(
+                (seed, what) ->
+                        System.out.println("seed " + seed + ": " + String.join("; ", what)));
+        System.out.printf(
+                "%d schedules from seed %d in %.1f s, fault %s: %s%n",
+                count,
+                from,
+                (System.nanoTime() - start) / 1e9,
+                fault,
+                broken.isEmpty() ? "all kept" : "broken");
         return broken.isEmpty() ? 0 : 1;
     }
 
@@ -33,13 +42,20 @@
         try {
             return Long.parseLong(text);
         } catch (NumberFormatException fault) {
-            throw new IllegalArgumentException(text + " is no whole number; FIRST and COUNT are seeds and a count");
+            throw new IllegalArgumentException(
+                    text + " is no whole number; FIRST and COUNT are seeds and a count");
         }
     }
 
     private static Fault fault(String text) {
-        return Arrays.stream(Fault.values()).filter(f -> f.name().equals(text)).findFirst()
-                .orElseThrow(() -> new IllegalArgumentException(text + " is no fault; there are "
-                        + Arrays.toString(Fault.values())));
+        return Arrays.stream(Fault.values())
+                .filter(f -> f.name().equals(text))
+                .findFirst()
+                .orElseThrow(
+                        () ->
+                                new IllegalArgumentException(
+                                        text
+                                                + " is no fault; there are "
+                                                + Arrays.toString(Fault.values())));
     }
 }
--- a/src/main/java/firstage/app/Lines.java
+++ b/src/main/java/firstage/app/Lines.java
@@ -7,12 +7,14 @@
 import java.util.Map;
 import picocli.CommandLine;
 
-/** Runs a sub-command of several words: one line on standard error and status 2 where something can't be used. */
+/**
+ * Runs a sub-command of several words: one line on standard error and status 2 where something
+ * can't be used.
+ */
 final class Lines {
     private static final int FAULT = 2;
 
-    private Lines() {
-    }
+    private Lines() {}
 
     /** What a parser that stands in a JSON object finds there, as text, up to the object's end. */
     static Map<String, String> fields(JsonParser in) throws IOException {
@@ -27,10 +29,11 @@
 
     static int run(Object command, String name, String[] args) {
         CommandLine line = new CommandLine(command);
-        line.setExecutionExceptionHandler((fault, failed, parsed) -> {
-            System.err.println(name + ": " + Main.oneLine(fault));
-            return FAULT;
-        });
+        line.setExecutionExceptionHandler(
+                (fault, failed, parsed) -> {
+                    System.err.println(name + ": " + Main.oneLine(fault));
+                    return FAULT;
+                });
         return line.execute(args);
     }
 }
--- a/src/main/java/firstage/app/Main.java
+++ b/src/main/java/firstage/app/Main.java
@@ -7,8 +7,7 @@
 
 /** The command line. */
 public final class Main {
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) throws IOException {
         if (args.length == 1 && args[0].equals("benchlink")) {
@@ -42,8 +41,9 @@
                 end("hostile: " + oneLine(fault));
             }
         } else {
-            end("usage: java -jar firstage.jar benchlink | serve [--peers FILE] | rehearse"
-                    + " | hostile FIRST COUNT [FAULT] | fleet | yard | scale | peers | zones");
+            end(
+                    "usage: java -jar firstage.jar benchlink | serve [--peers FILE] | rehearse |"
+                        + " hostile FIRST COUNT [FAULT] | fleet | yard | scale | peers | zones");
         }
     }
 
--- a/src/main/java/firstage/app/PeersFile.java
+++ b/src/main/java/firstage/app/PeersFile.java
@@ -29,8 +29,10 @@
 /** Reads a peers file; what can't be used is told with file, line and what would do. */
 final class PeersFile {
     private static final Pattern TIME = Pattern.compile("\\s*([0-9]+)\\s*(ms|s)\\s*");
-    private static final Set<String> KEYS = Set.of("fleet", "name", "zone", "weight", "listen", "probe", "peer",
-            "plan", "spread", "cell", "before");
+    private static final Set<String> KEYS =
+            Set.of(
+                    "fleet", "name", "zone", "weight", "listen", "probe", "peer", "plan", "spread",
+                    "cell", "before");
     private static final Set<String> PEER_KEYS = Set.of("name", "address");
     private static final Set<String> CELL_KEYS = Set.of("name", "zone", "hosts", "serves");
     private static final Set<String> BEFORE_KEYS = Set.of("plan", "cells");
@@ -41,8 +43,11 @@
     private static final int MOST_SLOTS = 250;
     private static final int MOST_SPREAD = 64;
     private static final int MOST_PLAN = 1_000_000_000;
+
     /** Four numbers, the last of them a range perhaps, and a port. */
-    private static final Pattern HOSTS = Pattern.compile("([0-9.]+\\.)([0-9]{1,3})(?:-([0-9]{1,3}))?(:[0-9]{1,5})");
+    private static final Pattern HOSTS =
+            Pattern.compile("([0-9.]+\\.)([0-9]{1,3})(?:-([0-9]{1,3}))?(:[0-9]{1,5})");
+
     private final Path file;
     private final TomlParseResult toml;
 
@@ -61,14 +66,18 @@
     }
 
     /**
-     * Notes on the disk which plan this manager holds, before it tells anybody. The harm prevented: one that is started
-     * anew with an older file would use engines that others have taken over by its own word.
+     * Notes on the disk which plan this manager holds, before it tells anybody. The harm prevented:
+     * one that is started anew with an older file would use engines that others have taken over by
+     * its own word.
      */
     static void hold(PeerList list) throws IOException {
         if (list.in() == null) {
             return;
         }
-        Path held = list.mark().resolveSibling(list.mark().getFileName().toString().replace(".withdrew", ".plan"));
+        Path held =
+                list.mark()
+                        .resolveSibling(
+                                list.mark().getFileName().toString().replace(".withdrew", ".plan"));
         int number = list.in().plan().number();
         int before = 0;
         if (Files.exists(held)) {
@@ -76,12 +85,21 @@
             before = text.matches("[0-9]{1,9}") ? Integer.parseInt(text) : 0;
         }
         if (before > number) {
-            throw new MalformedLine(held.resolveSibling(held.getFileName().toString().replace(".plan", "")) + ": plan: "
-                    + number + " is older than " + before + ", which this manager held; give it the newer file");
+            throw new MalformedLine(
+                    held.resolveSibling(held.getFileName().toString().replace(".plan", ""))
+                            + ": plan: "
+                            + number
+                            + " is older than "
+                            + before
+                            + ", which this manager held; give it the newer file");
         }
         if (before < number) {
-            try (FileChannel file = FileChannel.open(held, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                    StandardOpenOption.TRUNCATE_EXISTING)) {
+            try (FileChannel file =
+                    FileChannel.open(
+                            held,
+                            StandardOpenOption.CREATE,
+                            StandardOpenOption.WRITE,
+                            StandardOpenOption.TRUNCATE_EXISTING)) {
                 file.write(ByteBuffer.wrap((number + "\n").getBytes(StandardCharsets.US_ASCII)));
                 file.force(true);
             }
@@ -117,42 +135,59 @@
 
     private PeerList read(String name) {
         if (toml.hasErrors()) {
-            throw fault(toml.errors().get(0).position(),
+            throw fault(
+                    toml.errors().get(0).position(),
                     toml.errors().get(0).getMessage().lines().findFirst().orElse(""));
         }
         for (String key : toml.keySet()) {
             if (!KEYS.contains(key)) {
-                throw fault(key, "is unknown; known are fleet, name, zone, weight, listen, probe, peer, plan, spread,"
-                        + " cell, before");
+                throw fault(
+                        key,
+                        "is unknown; known are fleet, name, zone, weight, listen, probe, peer,"
+                                + " plan, spread, cell, before");
             }
         }
         Object probe = toml.get(List.of("probe"));
         Matcher time = TIME.matcher(probe == null ? "200 ms" : String.valueOf(probe));
-        long period = !time.matches() ? -1 : Long.parseLong(time.group(1)) * (time.group(2).equals("s") ? 10_000 : 10);
+        long period =
+                !time.matches()
+                        ? -1
+                        : Long.parseLong(time.group(1)) * (time.group(2).equals("s") ? 10_000 : 10);
         if (period < LEAST_PERIOD || period > MOST_PERIOD) {
-            throw fault("probe", "'" + probe + "' is no time from 50 ms to 10 s; \"200 ms\" would do");
+            throw fault(
+                    "probe", "'" + probe + "' is no time from 50 ms to 10 s; \"200 ms\" would do");
         }
         Object weight = toml.get(List.of("weight"));
-        if (weight != null && !(weight instanceof Number n && n.doubleValue() > 0 && n.doubleValue() <= 100)) {
+        if (weight != null
+                && !(weight instanceof Number n && n.doubleValue() > 0 && n.doubleValue() <= 100)) {
             throw fault("weight", weight + " is no number above 0, up to 100; 1.0 would do");
         }
-        InetSocketAddress listen = address(toml.inputPositionOf(List.of("listen")), "listen", text("listen", null));
+        InetSocketAddress listen =
+                address(toml.inputPositionOf(List.of("listen")), "listen", text("listen", null));
         PeerList.InCells in = toml.get(List.of("cell")) == null ? null : inCells(listen);
         if (in == null) {
             for (String key : List.of("plan", "spread", "before")) {
                 if (toml.get(List.of(key)) != null) {
-                    throw fault(key, "is of a fleet in cells; write [[cell]] with name, zone and hosts, or leave"
-                            + " it out");
+                    throw fault(
+                            key,
+                            "is of a fleet in cells; write [[cell]] with name, zone and hosts, or"
+                                    + " leave it out");
                 }
             }
         } else if (toml.get(List.of("peer")) != null) {
-            throw fault("peer", "the hosts of the cells name the peers already; leave [[peer]] out");
+            throw fault(
+                    "peer", "the hosts of the cells name the peers already; leave [[peer]] out");
         }
-        return new PeerList(text("fleet", null), text("name", name),
+        return new PeerList(
+                text("fleet", null),
+                text("name", name),
                 in == null ? text("zone", "-") : in.plan().cells().get(in.cell()).zone(),
-                weight == null ? 1 : ((Number) weight).doubleValue(), listen, period,
+                weight == null ? 1 : ((Number) weight).doubleValue(),
+                listen,
+                period,
                 in == null ? peers() : in.addresses().get(in.cell()),
-                file.resolveSibling(file.getFileName() + ".withdrew"), in);
+                file.resolveSibling(file.getFileName() + ".withdrew"),
+                in);
     }
 
     private int whole(String key, Object value, TomlPosition at, int most) {
@@ -164,11 +199,25 @@
 
     private PeerList.InCells inCells(InetSocketAddress listen) {
         if (!(toml.get(List.of("cell")) instanceof TomlArray array) || array.size() > MOST_CELLS) {
-            throw fault("cell", "is no list of sections, or one of over " + MOST_CELLS + "; write [[cell]]");
+            throw fault(
+                    "cell",
+                    "is no list of sections, or one of over " + MOST_CELLS + "; write [[cell]]");
         }
-        int number = whole("plan", toml.get(List.of("plan")), toml.inputPositionOf(List.of("plan")), MOST_PLAN);
+        int number =
+                whole(
+                        "plan",
+                        toml.get(List.of("plan")),
+                        toml.inputPositionOf(List.of("plan")),
+                        MOST_PLAN);
         Object told = toml.get(List.of("spread"));
-        int spread = told == null ? 1 : whole("spread", told, toml.inputPositionOf(List.of("spread")), MOST_SPREAD);
+        int spread =
+                told == null
+                        ? 1
+                        : whole(
+                                "spread",
+                                told,
+                                toml.inputPositionOf(List.of("spread")),
+                                MOST_SPREAD);
         List<CellPlan.Cell> cells = new ArrayList<>();
         List<List<InetSocketAddress>> addresses = new ArrayList<>();
         Set<InetSocketAddress> all = new HashSet<>();
@@ -189,12 +238,22 @@
             List<InetSocketAddress> hosts = hosts(cell, at);
             for (InetSocketAddress host : hosts) {
                 if (!all.add(host)) {
-                    throw fault(at, "cell.hosts: " + host.getAddress().getHostAddress() + ":" + host.getPort()
-                            + " stands twice; one place an address");
+                    throw fault(
+                            at,
+                            "cell.hosts: "
+                                    + host.getAddress().getHostAddress()
+                                    + ":"
+                                    + host.getPort()
+                                    + " stands twice; one place an address");
                 }
             }
             addresses.add(hosts);
-            cells.add(new CellPlan.Cell(of, word(cell, at, "cell", "zone"), hosts.size(), serves != Boolean.FALSE));
+            cells.add(
+                    new CellPlan.Cell(
+                            of,
+                            word(cell, at, "cell", "zone"),
+                            hosts.size(),
+                            serves != Boolean.FALSE));
         }
         CellPlan plan = new CellPlan(number, spread, List.copyOf(cells));
         wideEnough(plan, "spread");
@@ -210,10 +269,20 @@
     /** Fewer cells than the spread would leave a part of each engine to nobody. */
     private void wideEnough(CellPlan plan, String key) {
         for (CellPlan.Cell c : plan.cells()) {
-            long serve = plan.cells().stream().filter(o -> o.serves() && o.zone().equals(c.zone())).count();
+            long serve =
+                    plan.cells().stream()
+                            .filter(o -> o.serves() && o.zone().equals(c.zone()))
+                            .count();
             if (serve < plan.spread()) {
-                throw fault(key, "zone " + c.zone() + " has " + serve + " cells that serve; a spread of up to "
-                        + Math.max(1, serve) + " would do");
+                throw fault(
+                        key,
+                        "zone "
+                                + c.zone()
+                                + " has "
+                                + serve
+                                + " cells that serve; a spread of up to "
+                                + Math.max(1, serve)
+                                + " would do");
             }
         }
     }
@@ -238,22 +307,43 @@
         }
         for (String of : served) {
             if (plan.index(of) < 0) {
-                throw fault(at, "before.cells: '" + of + "' is no cell of this plan; keep it, with serves = false");
+                throw fault(
+                        at,
+                        "before.cells: '"
+                                + of
+                                + "' is no cell of this plan; keep it, with serves = false");
             }
         }
         if (served.isEmpty()) {
-            throw fault(at, "before.cells: names none; write the cells that served by plan " + number);
+            throw fault(
+                    at, "before.cells: names none; write the cells that served by plan " + number);
         }
-        CellPlan before = new CellPlan(number, plan.spread(), plan.cells().stream().map(c ->
-                new CellPlan.Cell(c.name(), c.zone(), c.slots(), served.contains(c.name()))).toList());
+        CellPlan before =
+                new CellPlan(
+                        number,
+                        plan.spread(),
+                        plan.cells().stream()
+                                .map(
+                                        c ->
+                                                new CellPlan.Cell(
+                                                        c.name(),
+                                                        c.zone(),
+                                                        c.slots(),
+                                                        served.contains(c.name())))
+                                .toList());
         return before;
     }
 
     private void known(TomlTable table, String path, Set<String> keys) {
         for (String key : table.keySet()) {
             if (!keys.contains(key)) {
-                throw fault(table.inputPositionOf(List.of(key)), path + "." + key + " is unknown; known are "
-                        + String.join(", ", new TreeSet<>(keys)));
+                throw fault(
+                        table.inputPositionOf(List.of(key)),
+                        path
+                                + "."
+                                + key
+                                + " is unknown; known are "
+                                + String.join(", ", new TreeSet<>(keys)));
             }
         }
     }
@@ -261,7 +351,9 @@
     private String word(TomlTable table, TomlPosition at, String path, String key) {
         Object value = table.get(List.of(key));
         if (!(value instanceof String text && text.matches("[!-~]{1,64}"))) {
-            throw fault(at, path + "." + key + ": '" + value + "' is no name of 1 to 64 plain characters");
+            throw fault(
+                    at,
+                    path + "." + key + ": '" + value + "' is no name of 1 to 64 plain characters");
         }
         return text;
     }
@@ -276,15 +368,23 @@
             int first = m.matches() ? Integer.parseInt(m.group(2)) : 1;
             int last = m.matches() && m.group(3) != null ? Integer.parseInt(m.group(3)) : first;
             if (!m.matches() || last < first || last > 255) {
-                throw fault(at, "cell.hosts: '" + each + "' is no address; \"10.0.0.1:7946\" or \"10.0.0.1-40:7946\""
-                        + " would do");
+                throw fault(
+                        at,
+                        "cell.hosts: '"
+                                + each
+                                + "' is no address; \"10.0.0.1:7946\" or \"10.0.0.1-40:7946\""
+                                + " would do");
             }
             for (int n = first; n <= last; n++) {
                 hosts.add(address(at, "cell.hosts", m.group(1) + n + m.group(4)));
             }
         }
         if (hosts.size() > MOST_SLOTS) {
-            throw fault(at, "cell.hosts: " + hosts.size() + " managers are too many for a cell; 30 to 60 would do");
+            throw fault(
+                    at,
+                    "cell.hosts: "
+                            + hosts.size()
+                            + " managers are too many for a cell; 30 to 60 would do");
         }
         return hosts;
     }
@@ -292,7 +392,11 @@
     private List<InetSocketAddress> peers() {
         Object all = toml.get(List.of("peer"));
         if (!(all instanceof TomlArray array) || array.isEmpty() || array.size() > MOST_PEERS) {
-            throw fault("peer", "there are none, or over " + MOST_PEERS + "; write [[peer]] with address = \"...\"");
+            throw fault(
+                    "peer",
+                    "there are none, or over "
+                            + MOST_PEERS
+                            + "; write [[peer]] with address = \"...\"");
         }
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
@@ -301,14 +405,19 @@
             }
             for (String key : peer.keySet()) {
                 if (!PEER_KEYS.contains(key)) {
-                    throw fault(peer.inputPositionOf(List.of(key)), "peer." + key
-                            + " is unknown; known are name, address");
+                    throw fault(
+                            peer.inputPositionOf(List.of(key)),
+                            "peer." + key + " is unknown; known are name, address");
                 }
             }
             TomlPosition at = array.inputPositionOf(i);
             InetSocketAddress address = address(at, "peer.address", peer.get(List.of("address")));
             if (addresses.contains(address)) {
-                throw fault(at, "peer.address: " + peer.get(List.of("address")) + " stands twice; one peer an address");
+                throw fault(
+                        at,
+                        "peer.address: "
+                                + peer.get(List.of("address"))
+                                + " stands twice; one peer an address");
             }
             addresses.add(address);
         }
--- a/src/main/java/firstage/app/PeersView.java
+++ b/src/main/java/firstage/app/PeersView.java
@@ -19,17 +19,29 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code peers}: asks a manager of this machine for its view of the others. */
-@Command(name = "peers", mixinStandardHelpOptions = true,
-        description = "Asks a running manager on loopback whom it holds for here; docs/operators/members.md.",
-        exitCodeListHeading = "%nExit codes:%n", exitCodeList = {"0:its view is agreed", "1:it is not",
-            "2:it can't be reached, or the address can't be used"})
+@Command(
+        name = "peers",
+        mixinStandardHelpOptions = true,
+        description =
+                "Asks a running manager on loopback whom it holds for here;"
+                        + " docs/operators/members.md.",
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {
+            "0:its view is agreed",
+            "1:it is not",
+            "2:it can't be reached, or the address can't be used"
+        })
 final class PeersView implements Callable<Integer> {
     private static final int ANSWER_MS = 400;
     private static final int TRIES = 5;
     private static final int MOST = 64 * 1024;
-    @Parameters(index = "0", paramLabel = "ADDRESS",
+
+    @Parameters(
+            index = "0",
+            paramLabel = "ADDRESS",
             description = "where its datagrams come in: listen of its peers file")
     private String address;
+
     @Option(names = "--json", description = "the answer as it came")
     private boolean json;
 
@@ -52,7 +64,8 @@
     /** Sends it until an answer comes: the manager's view. */
     static String ask(InetSocketAddress at, String what) throws IOException {
         if (!at.getAddress().isLoopbackAddress()) {
-            throw new IOException(at.getAddress().getHostAddress() + " is not on this machine; ask there");
+            throw new IOException(
+                    at.getAddress().getHostAddress() + " is not on this machine; ask there");
         }
         byte[] asked = what.getBytes(StandardCharsets.UTF_8);
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
@@ -62,14 +75,19 @@
                 socket.send(new DatagramPacket(asked, asked.length, at));
                 try {
                     socket.receive(answer);
-                    return new String(answer.getData(), 0, answer.getLength(), StandardCharsets.UTF_8);
+                    return new String(
+                            answer.getData(), 0, answer.getLength(), StandardCharsets.UTF_8);
                 } catch (SocketTimeoutException again) {
                     // Datagrams may be lost, and a manager may be busy.
                 }
             }
         }
-        throw new IOException("no answer from " + at.getAddress().getHostAddress() + ":" + at.getPort()
-                + "; is it up, and started with --peers?");
+        throw new IOException(
+                "no answer from "
+                        + at.getAddress().getHostAddress()
+                        + ":"
+                        + at.getPort()
+                        + "; is it up, and started with --peers?");
     }
 
     private static void print(String answer) throws IOException {
@@ -81,12 +99,20 @@
                 JsonToken value = in.nextToken();
                 if (value == JsonToken.START_ARRAY) {
                     System.out.println(top);
-                    System.out.printf("%-12s %-10s %-9s %-8s %-8s %-14s %s%n", "name", "zone", "standing", "in view",
-                            "link", "since", "version");
+                    System.out.printf(
+                            "%-12s %-10s %-9s %-8s %-8s %-14s %s%n",
+                            "name", "zone", "standing", "in view", "link", "since", "version");
                     while (in.nextToken() == JsonToken.START_OBJECT) {
                         Map<String, String> m = Lines.fields(in);
-                        System.out.printf("%-12s %-10s %-9s %-8s %-8s %-14s %s%n", m.get("name"), m.get("zone"),
-                                m.get("standing"), m.get("in view"), m.get("link"), m.get("since"), m.get("version"));
+                        System.out.printf(
+                                "%-12s %-10s %-9s %-8s %-8s %-14s %s%n",
+                                m.get("name"),
+                                m.get("zone"),
+                                m.get("standing"),
+                                m.get("in view"),
+                                m.get("link"),
+                                m.get("since"),
+                                m.get("version"));
                     }
                 } else if (value == JsonToken.START_OBJECT) {
                     System.out.println(name + ": " + Lines.fields(in));
--- a/src/main/java/firstage/app/Scale.java
+++ b/src/main/java/firstage/app/Scale.java
@@ -24,12 +24,20 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code scale}: what control costs a manager of a large fleet. */
-@Command(name = "scale", mixinStandardHelpOptions = true,
+@Command(
+        name = "scale",
+        mixinStandardHelpOptions = true,
         subcommands = {Scale.Run.class, Scale.OfSizes.class, Scale.Choices.class, Scale.Host.class},
-        description = "Starts hollow managers beside real ones, or plays a fleet's control in virtual time, and tells"
-                + " what it costs; docs/operators/scale.md says how to read it.",
-        exitCodeListHeading = "%nExit codes:%n", exitCodeList = {"0:played", "1:void: the machine was too busy",
-            "2:a file or an order can't be used, or the machine can't bear it"})
+        description =
+                "Starts hollow managers beside real ones, or plays a fleet's control in virtual"
+                        + " time, and tells what it costs; docs/operators/scale.md says how to read"
+                        + " it.",
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {
+            "0:played",
+            "1:void: the machine was too busy",
+            "2:a file or an order can't be used, or the machine can't bear it"
+        })
 final class Scale implements Callable<Integer> {
     private static final int FAULT = 2;
 
@@ -55,42 +63,88 @@
         List<String> names = rows.stream().flatMap(r -> r.keySet().stream()).distinct().toList();
         List<String> lines = new ArrayList<>(List.of("\"" + String.join("\",\"", names) + "\""));
         for (Map<String, Double> r : rows) {
-            lines.add(String.join(",", names.stream().map(n -> r.containsKey(n)
-                    ? String.format(Locale.ROOT, "%.4f", r.get(n)) : "").toList()));
+            lines.add(
+                    String.join(
+                            ",",
+                            names.stream()
+                                    .map(
+                                            n ->
+                                                    r.containsKey(n)
+                                                            ? String.format(
+                                                                    Locale.ROOT, "%.4f", r.get(n))
+                                                            : "")
+                                    .toList()));
         }
         Files.write(file, lines);
     }
 
     private static void json(Path file, Map<String, Double> row) throws IOException {
-        List<String> lines = row.entrySet().stream().map(e -> "  \"" + e.getKey() + "\": "
-                + String.format(Locale.ROOT, "%.4f", e.getValue())).toList();
+        List<String> lines =
+                row.entrySet().stream()
+                        .map(
+                                e ->
+                                        "  \""
+                                                + e.getKey()
+                                                + "\": "
+                                                + String.format(Locale.ROOT, "%.4f", e.getValue()))
+                        .toList();
         Files.writeString(file, "{\n" + String.join(",\n", lines) + "\n}\n");
     }
 
     /** {@code scale run}. */
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays a plan on processes.")
+    @Command(
+            name = "run",
+            mixinStandardHelpOptions = true,
+            description = "Plays a plan on processes.")
     static final class Run implements Callable<Integer> {
-        @Parameters(index = "0", paramLabel = "FILE", description = "the plan; deploy/scale has some")
+        @Parameters(
+                index = "0",
+                paramLabel = "FILE",
+                description = "the plan; deploy/scale has some")
         private Path file;
-        @Option(names = "--hollow", paramLabel = "N", description = "another number of hollow managers")
+
+        @Option(
+                names = "--hollow",
+                paramLabel = "N",
+                description = "another number of hollow managers")
         private Integer hollow;
+
         @Option(names = "--real", paramLabel = "N", description = "another number of real ones")
         private Integer real;
-        @Option(names = "--cell", paramLabel = "N", description = "managers in a cell; 0: the fleet is one")
+
+        @Option(
+                names = "--cell",
+                paramLabel = "N",
+                description = "managers in a cell; 0: the fleet is one")
         private Integer cell;
+
         @Option(names = "--engines", paramLabel = "N", description = "another number of engines")
         private Integer engines;
-        @Option(names = "--seed", defaultValue = "1", description = "what chance draws (${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
+                description = "what chance draws (${DEFAULT-VALUE})")
         private long seed;
-        @Option(names = "--out", paramLabel = "DIR", description = "where the figures go (a new folder in"
-                + " target/scale)")
+
+        @Option(
+                names = "--out",
+                paramLabel = "DIR",
+                description = "where the figures go (a new folder in" + " target/scale)")
         private Path out;
-        @Option(names = "--jar", defaultValue = "target/firstage.jar", description = "the program (${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--jar",
+                defaultValue = "target/firstage.jar",
+                description = "the program (${DEFAULT-VALUE})")
         private Path jar;
 
         private static String with(String text, String section, String key, Integer value) {
-            return value == null ? text : text.replaceFirst("(?m)(^\\[" + section + "\\][^\\[]*?^" + key + "\\s*=\\s*)"
-                    + "\\d+", "$1" + value);
+            return value == null
+                    ? text
+                    : text.replaceFirst(
+                            "(?m)(^\\[" + section + "\\][^\\[]*?^" + key + "\\s*=\\s*)" + "\\d+",
+                            "$1" + value);
         }
 
         @Override
@@ -101,58 +155,120 @@
             } catch (NoSuchFileException fault) {
                 throw new FleetFault(0, file + " does not exist; deploy/scale has plans");
             }
-            text = with(with(with(with(text, "managers", "hollow", hollow), "managers", "real", real), "managers",
-                    "cell", cell), "engines", "count", engines);
+            text =
+                    with(
+                            with(
+                                    with(
+                                            with(text, "managers", "hollow", hollow),
+                                            "managers",
+                                            "real",
+                                            real),
+                                    "managers",
+                                    "cell",
+                                    cell),
+                            "engines",
+                            "count",
+                            engines);
             if (cell != null && cell == 0) {
                 text = with(text, "managers", "spread", 1);
             }
             ScalePlan plan = read(file, text);
             ScaleRun.check(plan);
             String command = ServeCommand.of(jar);
-            Path folder = (out != null ? out : Path.of("target", "scale", plan.name() + "-" + plan.managers() + "-"
-                    + ProcessHandle.current().pid())).toAbsolutePath();
+            Path folder =
+                    (out != null
+                                    ? out
+                                    : Path.of(
+                                            "target",
+                                            "scale",
+                                            plan.name()
+                                                    + "-"
+                                                    + plan.managers()
+                                                    + "-"
+                                                    + ProcessHandle.current().pid()))
+                            .toAbsolutePath();
             Files.createDirectories(folder);
             Path inForce = Files.writeString(folder.resolve("plan.toml"), text);
             boolean shows = System.console() != null;
-            ScaleRun.Result result = ScaleRun.play(new ScaleRun.Order(plan, inForce, seed, folder,
-                    jar.toAbsolutePath(), command, line -> {
-                        if (shows) {
-                            System.err.println(line);
-                        }
-                    }));
+            ScaleRun.Result result =
+                    ScaleRun.play(
+                            new ScaleRun.Order(
+                                    plan,
+                                    inForce,
+                                    seed,
+                                    folder,
+                                    jar.toAbsolutePath(),
+                                    command,
+                                    line -> {
+                                        if (shows) {
+                                            System.err.println(line);
+                                        }
+                                    }));
             json(folder.resolve("figures.json"), result.figures());
             csv(folder.resolve("figures.csv"), List.of(result.figures()));
             System.out.println(result.isVoid() == null ? "played" : "void: " + result.isVoid());
-            result.figures().forEach((n, v) -> System.out.printf(Locale.ROOT, "%-50s %12.3f%n", n, v));
+            result.figures()
+                    .forEach((n, v) -> System.out.printf(Locale.ROOT, "%-50s %12.3f%n", n, v));
             System.out.println("figures: " + folder);
             return result.isVoid() == null ? 0 : 1;
         }
     }
 
     /** {@code scale slopes}. */
-    @Command(name = "slopes", mixinStandardHelpOptions = true,
-            description = "Plays a fleet's control in virtual time at several sizes, and fits what grows.")
+    @Command(
+            name = "slopes",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Plays a fleet's control in virtual time at several sizes, and fits what"
+                            + " grows.")
     static final class OfSizes implements Callable<Integer> {
-        @Option(names = "--sizes", split = ",", defaultValue = "80,160,320", paramLabel = "N",
+        @Option(
+                names = "--sizes",
+                split = ",",
+                defaultValue = "80,160,320",
+                paramLabel = "N",
                 description = "managers, rising (${DEFAULT-VALUE})")
         private List<Integer> sizes;
-        @Option(names = "--cell", defaultValue = "40", description = "managers in a cell; 0: the fleet is one"
-                + " (${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--cell",
+                defaultValue = "40",
+                description = "managers in a cell; 0: the fleet is one" + " (${DEFAULT-VALUE})")
         private int cell;
-        @Option(names = "--zones", defaultValue = "2", description = "zones in which cells lie by turns"
-                + " (${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--zones",
+                defaultValue = "2",
+                description = "zones in which cells lie by turns" + " (${DEFAULT-VALUE})")
         private int zones;
-        @Option(names = "--seed", defaultValue = "1", description = "what chance draws (${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
+                description = "what chance draws (${DEFAULT-VALUE})")
         private long seed;
+
         @Option(names = "--deep", description = "a mass restart and a day's restarts, too")
         private boolean deep;
-        @Option(names = "--bare", description = "the membership alone, without the words of the rooms above")
+
+        @Option(
+                names = "--bare",
+                description = "the membership alone, without the words of the rooms above")
         private boolean bare;
-        @Option(names = "--region", paramLabel = "MIN",
-                description = "plays two regions that lose each other for so many minutes, and nothing else")
+
+        @Option(
+                names = "--region",
+                paramLabel = "MIN",
+                description =
+                        "plays two regions that lose each other for so many minutes, and nothing"
+                                + " else")
         private Integer region;
-        @Option(names = "--heap", description = "what a manager's state takes of the heap, and nothing else")
+
+        @Option(
+                names = "--heap",
+                description = "what a manager's state takes of the heap, and nothing else")
         private boolean heap;
+
         @Option(names = "--out", paramLabel = "DIR", description = "slopes.csv goes there")
         private Path out;
 
@@ -168,23 +284,51 @@
             List<Map<String, Double>> rows = new ArrayList<>();
             for (int size : sizes) {
                 if (size < 2 || size > 4_000 || cell < 0 || cell > 0 && size % cell != 0) {
-                    throw new FleetFault(0, "--sizes: " + size + " is impossible; up to 4000, whole cells of " + cell
-                            + ", would do");
+                    throw new FleetFault(
+                            0,
+                            "--sizes: "
+                                    + size
+                                    + " is impossible; up to 4000, whole cells of "
+                                    + cell
+                                    + ", would do");
                 }
                 if (region != null && (region < 1 || region > 1_440)) {
-                    throw new FleetFault(0, "--region " + region + " is impossible; 1 to 1440 minutes would do");
+                    throw new FleetFault(
+                            0, "--region " + region + " is impossible; 1 to 1440 minutes would do");
                 }
-                Shape shape = new Shape(size, cell, zones, 1, !bare, region != null ? 400 : 200, Cells.Fault.NONE);
-                rows.add(heap ? heap(shape) : region != null ? Slopes.region(shape, seed, region * 600_000L)
-                        : Slopes.play(shape, seed, deep));
+                Shape shape =
+                        new Shape(
+                                size,
+                                cell,
+                                zones,
+                                1,
+                                !bare,
+                                region != null ? 400 : 200,
+                                Cells.Fault.NONE);
+                rows.add(
+                        heap
+                                ? heap(shape)
+                                : region != null
+                                        ? Slopes.region(shape, seed, region * 600_000L)
+                                        : Slopes.play(shape, seed, deep));
                 System.out.println("simulated, " + size + " managers");
-                rows.get(rows.size() - 1).forEach((n, v) -> System.out.printf(Locale.ROOT, "  %-56s %12.3f%n", n, v));
+                rows.get(rows.size() - 1)
+                        .forEach(
+                                (n, v) -> System.out.printf(Locale.ROOT, "  %-56s %12.3f%n", n, v));
             }
             System.out.println("slopes, for a thousand managers more, and their standard error");
-            rows.get(0).keySet().stream().skip(1).forEach(n -> {
-                double[] slope = Slopes.slope(rows, n);
-                System.out.printf(Locale.ROOT, "  %-56s %12.3f +- %.3f%n", n, slope[0], slope[1]);
-            });
+            rows.get(0).keySet().stream()
+                    .skip(1)
+                    .forEach(
+                            n -> {
+                                double[] slope = Slopes.slope(rows, n);
+                                System.out.printf(
+                                        Locale.ROOT,
+                                        "  %-56s %12.3f +- %.3f%n",
+                                        n,
+                                        slope[0],
+                                        slope[1]);
+                            });
             if (out != null) {
                 Files.createDirectories(out);
                 csv(out.resolve("slopes.csv"), rows);
@@ -194,13 +338,24 @@
     }
 
     /** {@code scale choices}. */
-    @Command(name = "choices", mixinStandardHelpOptions = true,
-            description = "Tells what the decisions cost a batch by how many engines a manager knows.")
+    @Command(
+            name = "choices",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Tells what the decisions cost a batch by how many engines a manager knows.")
     static final class Choices implements Callable<Integer> {
-        @Option(names = "--engines", split = ",", defaultValue = "43,264,430,4300", paramLabel = "N",
+        @Option(
+                names = "--engines",
+                split = ",",
+                defaultValue = "43,264,430,4300",
+                paramLabel = "N",
                 description = "engines known (${DEFAULT-VALUE})")
         private List<Integer> engines;
-        @Option(names = "--managers", defaultValue = "160", paramLabel = "N",
+
+        @Option(
+                names = "--managers",
+                defaultValue = "160",
+                paramLabel = "N",
                 description = "over whom an engine is shared (${DEFAULT-VALUE})")
         private int managers;
 
@@ -208,8 +363,13 @@
         public Integer call() {
             for (int n : engines) {
                 if (n < 1 || n > 10_000 || managers < 1 || managers > 10_000) {
-                    throw new FleetFault(0, "--engines " + n + ", --managers " + managers
-                            + ": one is impossible; 1 to 10000 would do");
+                    throw new FleetFault(
+                            0,
+                            "--engines "
+                                    + n
+                                    + ", --managers "
+                                    + managers
+                                    + ": one is impossible; 1 to 10000 would do");
                 }
                 System.out.println(ChoiceCost.play(n, managers));
             }
@@ -218,14 +378,20 @@
     }
 
     /** {@code scale hollow}: what {@code run} starts. */
-    @Command(name = "hollow", hidden = true, description = "Hosts hollow managers; started by scale run.")
+    @Command(
+            name = "hollow",
+            hidden = true,
+            description = "Hosts hollow managers; started by scale run.")
     static final class Host implements Callable<Integer> {
         @Parameters(index = "0")
         private Path file;
+
         @Parameters(index = "1")
         private int port;
+
         @Parameters(index = "2")
         private int from;
+
         @Parameters(index = "3")
         private int to;
 
--- a/src/main/java/firstage/app/Serve.java
+++ b/src/main/java/firstage/app/Serve.java
@@ -18,18 +18,25 @@
 import sun.misc.SignalHandler;
 
 /**
- * {@code serve}: one workload manager, until SIGTERM. What passes by itself does not fail a start nor a SIGHUP: a
- * configuration that is cut or missing while it is replaced, an address that the manager before still holds. Each is
- * logged once and tried again for a stated time.
+ * {@code serve}: one workload manager, until SIGTERM. What passes by itself does not fail a start
+ * nor a SIGHUP: a configuration that is cut or missing while it is replaced, an address that the
+ * manager before still holds. Each is logged once and tried again for a stated time.
  */
 final class Serve {
     private static final Logger LOG = Logger.getLogger(Serve.class.getName());
     private static final String ASSIGNMENT = "ROUTER_CONFIG";
-    /** A file is replaced in milliseconds; on a full machine a writer may lose the processor for a second. */
+
+    /**
+     * A file is replaced in milliseconds; on a full machine a writer may lose the processor for a
+     * second.
+     */
     private static final long FILE_PATIENCE_MS = 3_000;
+
     /** A process that was killed under load holds its address until all it had is taken down. */
     private static final long ADDRESS_PATIENCE_MS = 10_000;
+
     private static final long AGAIN_MS = 25;
+
     /** Between looks at the file where SIGHUP is ignored: well under the least grace for drains. */
     private static final long LOOK_MS = 100;
 
@@ -39,10 +46,13 @@
 
     /** Calls that came before there was a manager to tell, or while one was read. */
     private final Semaphore hangUps = new Semaphore(0);
+
     /** Asked to end before it served: nothing was taken, nothing is owed. */
     private volatile boolean ending;
+
     private volatile boolean serves;
     private final Path file;
+
     /** Null where none are named: then nothing of them is read or loaded. */
     private final Path peers;
 
@@ -54,7 +64,8 @@
     /** Returns once it serves; the message of the exception names what did not pass. */
     static void run(List<String> options) throws IOException {
         if (!options.isEmpty() && !(options.size() == 2 && options.get(0).equals("--peers"))) {
-            throw new MalformedLine("serve takes --peers FILE and nothing else, not " + String.join(" ", options));
+            throw new MalformedLine(
+                    "serve takes --peers FILE and nothing else, not " + String.join(" ", options));
         }
         String file = System.getenv(ASSIGNMENT);
         if (file == null) {
@@ -65,28 +76,35 @@
 
     private void start() throws IOException {
         // By itself a JVM ends on SIGHUP; one that ignores it once can't be told to listen again.
-        boolean deaf = Signal.handle(new Signal("HUP"), signal -> hangUps.release()) == SignalHandler.SIG_IGN;
+        boolean deaf =
+                Signal.handle(new Signal("HUP"), signal -> hangUps.release())
+                        == SignalHandler.SIG_IGN;
         Assignment told = read();
         PeerList list = peers == null ? null : PeersFile.read(peers, told.name());
         if (list != null) {
             PeersFile.hold(list);
         }
         Node node = new Node(told, list);
-        Signal.handle(new Signal("TERM"), signal -> {
-            ending = true;
-            if (serves) {
-                node.close();
-            }
-        });
-        patiently(ADDRESS_PATIENCE_MS, () -> {
-            if (ending) {
-                // The harm prevented: the end needs a listener, and there is none; the program would never end.
-                LOG.info("asked to end before it served");
-                System.exit(0);
-            }
-            node.start();
-            return null;
-        });
+        Signal.handle(
+                new Signal("TERM"),
+                signal -> {
+                    ending = true;
+                    if (serves) {
+                        node.close();
+                    }
+                });
+        patiently(
+                ADDRESS_PATIENCE_MS,
+                () -> {
+                    if (ending) {
+                        // The harm prevented: the end needs a listener, and there is none; the
+                        // program would never end.
+                        LOG.info("asked to end before it served");
+                        System.exit(0);
+                    }
+                    node.start();
+                    return null;
+                });
         serves = true;
         if (ending) {
             node.close();
@@ -100,23 +118,31 @@
     }
 
     /**
-     * Started with SIGHUP ignored (by nohup, or from a script that is), a JVM stays deaf to it. The harm prevented: a
-     * manager that follows its old coordinator for good and sends to engines that were told to drain. So it looks
-     * itself whether the file is another.
+     * Started with SIGHUP ignored (by nohup, or from a script that is), a JVM stays deaf to it. The
+     * harm prevented: a manager that follows its old coordinator for good and sends to engines that
+     * were told to drain. So it looks itself whether the file is another.
      */
     private void watch() {
-        LOG.warning("started with SIGHUP ignored: " + file + " is looked at each " + LOOK_MS + " ms instead");
-        Thread watcher = new Thread(() -> {
-            String before = stamp();
-            while (true) {
-                rest(LOOK_MS);
-                String now = stamp();
-                if (!now.equals(before)) {
-                    before = now;
-                    hangUps.release();
-                }
-            }
-        }, "configuration's file");
+        LOG.warning(
+                "started with SIGHUP ignored: "
+                        + file
+                        + " is looked at each "
+                        + LOOK_MS
+                        + " ms instead");
+        Thread watcher =
+                new Thread(
+                        () -> {
+                            String before = stamp();
+                            while (true) {
+                                rest(LOOK_MS);
+                                String now = stamp();
+                                if (!now.equals(before)) {
+                                    before = now;
+                                    hangUps.release();
+                                }
+                            }
+                        },
+                        "configuration's file");
         watcher.setDaemon(true);
         watcher.start();
     }
@@ -154,7 +180,8 @@
     }
 
     private static boolean passes(IOException fault) {
-        return fault instanceof JsonProcessingException || fault instanceof FileNotFoundException
+        return fault instanceof JsonProcessingException
+                || fault instanceof FileNotFoundException
                 || fault instanceof BindException;
     }
 
@@ -166,7 +193,9 @@
         }
     }
 
-    /** On a thread of its own, since it may wait for a file: one that can't be read changes nothing. */
+    /**
+     * On a thread of its own, since it may wait for a file: one that can't be read changes nothing.
+     */
     private void readAnew(Node node, Assignment first) {
         while (true) {
             hangUps.acquireUninterruptibly();
@@ -178,7 +207,11 @@
                 if (next.name().equals(first.name()) && next.listen().equals(first.listen())) {
                     node.told(next);
                 } else {
-                    LOG.warning("the new configuration is another manager's: " + next.name() + " at " + next.listen());
+                    LOG.warning(
+                            "the new configuration is another manager's: "
+                                    + next.name()
+                                    + " at "
+                                    + next.listen());
                 }
             } catch (IOException | RuntimeException fault) {
                 LOG.warning("the new configuration can't be read: " + Main.oneLine(fault));
--- a/src/main/java/firstage/app/ServeCommand.java
+++ b/src/main/java/firstage/app/ServeCommand.java
@@ -8,11 +8,11 @@
 
 /** How tools start managers: by the deploy file's {@code run}, where there is one. */
 final class ServeCommand {
-    private static final String FALLBACK = "java -Xmx64m -Xss512k -XX:+UseSerialGC -XX:TieredStopAtLevel=1"
-            + " -jar target/firstage.jar serve";
+    private static final String FALLBACK =
+            "java -Xmx64m -Xss512k -XX:+UseSerialGC -XX:TieredStopAtLevel=1"
+                    + " -jar target/firstage.jar serve";
 
-    private ServeCommand() {
-    }
+    private ServeCommand() {}
 
     /** The command with this program in it, which must be there. */
     static String of(Path jar) throws IOException {
@@ -20,6 +20,8 @@
             throw new FleetFault(0, jar + " does not exist; mvn -q -DskipTests package makes it");
         }
         Path deploy = Path.of("deploy", "balancer.toml");
-        return Files.exists(deploy) ? Toml.parse(deploy).getString("run", () -> FALLBACK) : FALLBACK;
+        return Files.exists(deploy)
+                ? Toml.parse(deploy).getString("run", () -> FALLBACK)
+                : FALLBACK;
     }
 }
--- a/src/main/java/firstage/app/Yard.java
+++ b/src/main/java/firstage/app/Yard.java
@@ -23,12 +23,19 @@
 import picocli.CommandLine.Parameters;
 
 /** {@code yard}: plays a plan on real processes of the program, and tells what happened. */
-@Command(name = "yard", mixinStandardHelpOptions = true,
+@Command(
+        name = "yard",
+        mixinStandardHelpOptions = true,
         subcommands = {Yard.Run.class, Yard.Show.class, Yard.Plans.class},
-        description = "Starts many processes of the program beside stand-ins, breaks things between them, and judges;"
-                + " docs/operators/yard.md says how to read it.",
-        exitCodeListHeading = "%nExit codes:%n", exitCodeList = {"0:kept (or void: nothing proven)",
-            "1:a rule broke or an expectation was missed", "2:a file or an order can't be used"})
+        description =
+                "Starts many processes of the program beside stand-ins, breaks things between them,"
+                        + " and judges; docs/operators/yard.md says how to read it.",
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {
+            "0:kept (or void: nothing proven)",
+            "1:a rule broke or an expectation was missed",
+            "2:a file or an order can't be used"
+        })
 final class Yard implements Callable<Integer> {
     private static final int FAULT = 2;
 
@@ -44,21 +51,47 @@
     }
 
     /** {@code yard run}. */
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays a plan and says what came of it.")
+    @Command(
+            name = "run",
+            mixinStandardHelpOptions = true,
+            description = "Plays a plan and says what came of it.")
     static final class Run implements Callable<Integer> {
-        @Parameters(index = "0", paramLabel = "FILE", description = "the plan; deploy/yard has some")
+        @Parameters(
+                index = "0",
+                paramLabel = "FILE",
+                description = "the plan; deploy/yard has some")
         private Path file;
-        @Option(names = "--seed", defaultValue = "1", description = "what chance draws (${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
+                description = "what chance draws (${DEFAULT-VALUE})")
         private long seed;
-        @Option(names = "--managers", paramLabel = "N", description = "another number of managers than the plan's")
+
+        @Option(
+                names = "--managers",
+                paramLabel = "N",
+                description = "another number of managers than the plan's")
         private Integer managers;
-        @Option(names = "--out", paramLabel = "DIR",
+
+        @Option(
+                names = "--out",
+                paramLabel = "DIR",
                 description = "where the record goes (a new folder in target/yard)")
         private Path out;
-        @Option(names = "--jar", defaultValue = "target/firstage.jar", description = "the program (${DEFAULT-VALUE})")
+
+        @Option(
+                names = "--jar",
+                defaultValue = "target/firstage.jar",
+                description = "the program (${DEFAULT-VALUE})")
         private Path jar;
-        @Option(names = "--against", paramLabel = "JAR", description = "plays the same with this jar, too")
+
+        @Option(
+                names = "--against",
+                paramLabel = "JAR",
+                description = "plays the same with this jar, too")
         private Path against;
+
         @Option(names = "--peers", description = "tells the managers of each other")
         private boolean peers;
 
@@ -66,15 +99,21 @@
         public Integer call() throws IOException {
             FleetPlan plan = plan();
             Leftovers.sweep().forEach(line -> System.err.println("yard: " + line));
-            Path folder = out != null ? out : Path.of("target", "yard", plan.name() + "-" + seed + "-"
-                    + ProcessHandle.current().pid());
+            Path folder =
+                    out != null
+                            ? out
+                            : Path.of(
+                                    "target",
+                                    "yard",
+                                    plan.name() + "-" + seed + "-" + ProcessHandle.current().pid());
             YardRun.Result mine = play(plan, folder, jar);
             if (against == null) {
                 print(mine, null);
                 System.out.println("record: " + folder);
                 return code(mine);
             }
-            YardRun.Result theirs = play(plan, folder.resolveSibling(folder.getFileName() + "-against"), against);
+            YardRun.Result theirs =
+                    play(plan, folder.resolveSibling(folder.getFileName() + "-against"), against);
             print(mine, theirs);
             return code(mine);
         }
@@ -85,16 +124,23 @@
 
         private FleetPlan plan() throws IOException {
             if (managers != null && (managers < 1 || managers > 100)) {
-                throw new FleetFault(0, "--managers " + managers + " is impossible; 1 to 100 would do");
+                throw new FleetFault(
+                        0, "--managers " + managers + " is impossible; 1 to 100 would do");
             }
             try {
                 // Numbers in the plan are checked against as many managers as are to be started.
                 String text = Files.readString(file);
-                FleetPlan plan = FleetFile.read(managers == null ? text
-                        : text.replaceFirst("(?m)(^\\[managers\\][^\\[]*?^count\\s*=\\s*)\\d+", "$1" + managers));
+                FleetPlan plan =
+                        FleetFile.read(
+                                managers == null
+                                        ? text
+                                        : text.replaceFirst(
+                                                "(?m)(^\\[managers\\][^\\[]*?^count\\s*=\\s*)\\d+",
+                                                "$1" + managers));
                 YardRun.check(plan);
                 if (plan.cells() != null && !peers) {
-                    throw new FleetFault(0, " managers.cell: cells are told with the peers; --peers would do");
+                    throw new FleetFault(
+                            0, " managers.cell: cells are told with the peers; --peers would do");
                 }
                 return plan;
             } catch (NoSuchFileException fault) {
@@ -108,13 +154,24 @@
             String run = ServeCommand.of(program);
             boolean shows = System.console() != null;
             Files.createDirectories(folder);
-            Files.copy(file, folder.resolve("plan.toml"), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
-            YardRun.Result result = YardRun.play(new YardRun.Order(plan, seed, folder.toAbsolutePath(),
-                    program.toAbsolutePath(), run, peers, line -> {
-                        if (shows) {
-                            System.err.print("\r" + line + "   ");
-                        }
-                    }));
+            Files.copy(
+                    file,
+                    folder.resolve("plan.toml"),
+                    java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+            YardRun.Result result =
+                    YardRun.play(
+                            new YardRun.Order(
+                                    plan,
+                                    seed,
+                                    folder.toAbsolutePath(),
+                                    program.toAbsolutePath(),
+                                    run,
+                                    peers,
+                                    line -> {
+                                        if (shows) {
+                                            System.err.print("\r" + line + "   ");
+                                        }
+                                    }));
             if (shows) {
                 System.err.println();
             }
@@ -131,50 +188,73 @@
         }
 
         private static void print(YardRun.Result mine, YardRun.Result theirs) {
-            System.out.println(first(mine) + (theirs == null ? "" : "   |   against: " + first(theirs)));
-            Stream.concat(mine.broken().stream(), mine.missed().stream()).skip(mine.verdict().equals("void") ? 0 : 1)
+            System.out.println(
+                    first(mine) + (theirs == null ? "" : "   |   against: " + first(theirs)));
+            Stream.concat(mine.broken().stream(), mine.missed().stream())
+                    .skip(mine.verdict().equals("void") ? 0 : 1)
                     .forEach(line -> System.out.println("also: " + line));
             for (Map.Entry<String, Double> f : mine.figures().entrySet()) {
-                System.out.printf(Locale.ROOT, "%-28s %10.4f%s%n", f.getKey(), f.getValue(), theirs == null ? ""
-                        : String.format(Locale.ROOT, " %10.4f", theirs.figures().get(f.getKey())));
+                System.out.printf(
+                        Locale.ROOT,
+                        "%-28s %10.4f%s%n",
+                        f.getKey(),
+                        f.getValue(),
+                        theirs == null
+                                ? ""
+                                : String.format(
+                                        Locale.ROOT, " %10.4f", theirs.figures().get(f.getKey())));
             }
         }
     }
 
     /** {@code yard show}. */
-    @Command(name = "show", mixinStandardHelpOptions = true,
-            description = "Prints the story of a batch, an engine, a manager or a moment over all processes.")
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Prints the story of a batch, an engine, a manager or a moment over all"
+                            + " processes.")
     static final class Show implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "DIR", description = "the record of a run")
         private Path folder;
+
         @Option(names = "--batch", paramLabel = "ID", description = "events of this batch")
         private String batch;
+
         @Option(names = "--engine", paramLabel = "N", description = "events at this engine")
         private String engine;
+
         @Option(names = "--manager", paramLabel = "N", description = "events at this manager")
         private String manager;
-        @Option(names = "--at", paramLabel = "S", description = "events within half a second of this second")
+
+        @Option(
+                names = "--at",
+                paramLabel = "S",
+                description = "events within half a second of this second")
         private Double at;
 
         @Override
         public Integer call() throws IOException {
             Path file = folder.resolve("timeline.jsonl");
             if (!Files.exists(file)) {
-                throw new FleetFault(0, file + " does not exist; name the folder that yard run printed");
+                throw new FleetFault(
+                        0, file + " does not exist; name the folder that yard run printed");
             }
             int shown = 0;
             for (String line : Files.readAllLines(file)) {
                 Map<String, String> event = event(line);
                 double ms = Double.parseDouble(event.get("ms"));
-                boolean fits = (batch == null || batch.equals(event.get("batch")))
-                        && (engine == null || engine.equals(event.get("engine")))
-                        && (manager == null || manager.equals(event.get("manager")))
-                        && (at == null || Math.abs(ms - at * 1_000) <= 500);
+                boolean fits =
+                        (batch == null || batch.equals(event.get("batch")))
+                                && (engine == null || engine.equals(event.get("engine")))
+                                && (manager == null || manager.equals(event.get("manager")))
+                                && (at == null || Math.abs(ms - at * 1_000) <= 500);
                 boolean told = batch == null && engine == null && manager == null && at == null;
                 if (fits && (!told || !event.containsKey("batch"))) {
                     shown++;
                     event.remove("ms");
-                    System.out.printf(Locale.ROOT, "%10.1f ms  %-12s %s%n", ms, event.remove("what"), event);
+                    System.out.printf(
+                            Locale.ROOT, "%10.1f ms  %-12s %s%n", ms, event.remove("what"), event);
                 }
             }
             if (shown == 0) {
@@ -192,20 +272,28 @@
     }
 
     /** {@code yard list}. */
-    @Command(name = "list", mixinStandardHelpOptions = true, description = "Names the plans in deploy/yard.")
+    @Command(
+            name = "list",
+            mixinStandardHelpOptions = true,
+            description = "Names the plans in deploy/yard.")
     static final class Plans implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
             Path folder = Path.of("deploy", "yard");
             if (!Files.isDirectory(folder)) {
-                throw new FleetFault(0, folder + " does not exist; call it from the program's root");
+                throw new FleetFault(
+                        0, folder + " does not exist; call it from the program's root");
             }
             List<Path> files = new ArrayList<>();
             try (Stream<Path> all = Files.list(folder)) {
                 all.filter(p -> p.toString().endsWith(".toml")).sorted().forEach(files::add);
             }
             for (Path p : files) {
-                String first = Files.readAllLines(p).stream().findFirst().orElse("").replaceFirst("^#\\s*", "");
+                String first =
+                        Files.readAllLines(p).stream()
+                                .findFirst()
+                                .orElse("")
+                                .replaceFirst("^#\\s*", "");
                 System.out.printf("%-34s %s%n", p, first);
             }
             return 0;
--- a/src/main/java/firstage/app/ZonesOrder.java
+++ b/src/main/java/firstage/app/ZonesOrder.java
@@ -7,20 +7,40 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code zones}: an operator's word on a zone, told to one manager of this machine and by it to all. */
-@Command(name = "zones", mixinStandardHelpOptions = true,
-        description = "Has the fleet leave a zone, hold it in whatever its health, or go by its health again; "
-                + "docs/operators/zones.md.",
-        exitCodeListHeading = "%nExit codes:%n", exitCodeList = {"0:the manager took it and tells the others",
-            "2:it can't be reached, or knows no such zone"})
+/**
+ * {@code zones}: an operator's word on a zone, told to one manager of this machine and by it to
+ * all.
+ */
+@Command(
+        name = "zones",
+        mixinStandardHelpOptions = true,
+        description =
+                "Has the fleet leave a zone, hold it in whatever its health, or go by its health"
+                        + " again; docs/operators/zones.md.",
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {
+            "0:the manager took it and tells the others",
+            "2:it can't be reached, or knows no such zone"
+        })
 final class ZonesOrder implements Callable<Integer> {
-    private enum Wanted { leave, hold, health }
+    private enum Wanted {
+        leave,
+        hold,
+        health
+    }
 
-    @Parameters(index = "0", paramLabel = "ADDRESS",
+    @Parameters(
+            index = "0",
+            paramLabel = "ADDRESS",
             description = "where a manager's datagrams come in: listen of its peers file")
     private String address;
-    @Parameters(index = "1", paramLabel = "leave|hold|health", description = "what is wanted: ${COMPLETION-CANDIDATES}")
+
+    @Parameters(
+            index = "1",
+            paramLabel = "leave|hold|health",
+            description = "what is wanted: ${COMPLETION-CANDIDATES}")
     private Wanted wanted;
+
     @Parameters(index = "2", paramLabel = "ZONE", description = "its name in the settings")
     private String zone;
 
@@ -31,12 +51,20 @@
     @Override
     public Integer call() throws IOException {
         String order = wanted == Wanted.health ? "none" : wanted.name();
-        String answer = PeersView.ask(Assignment.address(address), Peers.ORDERED + " " + order + " " + zone);
+        String answer =
+                PeersView.ask(
+                        Assignment.address(address), Peers.ORDERED + " " + order + " " + zone);
         if (answer.equals(Peers.NO_ORDER)) {
-            throw new IOException("the manager at " + address + " knows no zone '" + zone
-                    + "'; see areas in its settings");
+            throw new IOException(
+                    "the manager at "
+                            + address
+                            + " knows no zone '"
+                            + zone
+                            + "'; see areas in its settings");
         }
-        System.out.println(answer.replaceAll(".*(\"zones left\":\"[^\"]*\",\"zones ordered\":\"[^\"]*\").*", "$1"));
+        System.out.println(
+                answer.replaceAll(
+                        ".*(\"zones left\":\"[^\"]*\",\"zones ordered\":\"[^\"]*\").*", "$1"));
         return 0;
     }
 }
--- a/src/main/java/firstage/benchlink/BenchLink.java
+++ b/src/main/java/firstage/benchlink/BenchLink.java
@@ -17,15 +17,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads rounds of events from the wire, hands them to their managers and writes one reply a round. */
+/**
+ * Reads rounds of events from the wire, hands them to their managers and writes one reply a round.
+ */
 public final class BenchLink {
     private final BufferedReader in;
     private final Writer out;
     private final PrintStream err;
     private final Map<String, Seat> seats = new HashMap<>();
     private final Map<Integer, List<Fields>> lists = new HashMap<>();
+
     /** The managers with news in this round, in the order of their first event. */
     private final Map<String, Seat> called = new LinkedHashMap<>();
+
     private final StringBuilder faults = new StringBuilder();
     private List<Fields> filling;
     private int expected;
--- a/src/main/java/firstage/benchlink/Seat.java
+++ b/src/main/java/firstage/benchlink/Seat.java
@@ -20,36 +20,60 @@
 import java.util.List;
 import java.util.Map;
 
-/** One workload manager on the wire: its ids, its pending reply lines, and the host it acts through. */
+/**
+ * One workload manager on the wire: its ids, its pending reply lines, and the host it acts through.
+ */
 final class Seat implements Host {
-    private static final Map<String, Outcome> OUTCOMES = Map.of("delivered", Outcome.RETURNED,
-            "app_error", Outcome.ERRORED, "shed", Outcome.TURNED_AWAY, "expired", Outcome.TIMED_OUT,
-            "dial_failed", Outcome.NO_CONNECTION, "dropped", Outcome.BROKEN, "revoked", Outcome.CALLED_OFF,
-            "unused", Outcome.NOT_SENT);
+    private static final Map<String, Outcome> OUTCOMES =
+            Map.of(
+                    "delivered",
+                    Outcome.RETURNED,
+                    "app_error",
+                    Outcome.ERRORED,
+                    "shed",
+                    Outcome.TURNED_AWAY,
+                    "expired",
+                    Outcome.TIMED_OUT,
+                    "dial_failed",
+                    Outcome.NO_CONNECTION,
+                    "dropped",
+                    Outcome.BROKEN,
+                    "revoked",
+                    Outcome.CALLED_OFF,
+                    "unused",
+                    Outcome.NOT_SENT);
+
     /** The token of the wake-up for a look at the level; the decisions use others. */
     private static final long LOOK = 1L << 20;
+
     private final String number;
     private final StringBuilder reply = new StringBuilder();
     private final Indices<String> batches = new Indices<>();
     private final Indices<String> keys = new Indices<>();
     private final Indices<Long> engines = new Indices<>();
     private final WorkloadManager manager;
+
     /** Null where managers may not talk to each other. */
     private final Circle circle;
+
     private boolean looks;
 
     Seat(String number, Fields setup) {
         this.number = number;
         Deployment deployment = Setup.read(setup);
         this.manager = new Brain(deployment, this);
-        circle = !setup.flag("limits.peers") ? null
-                : new Circle(deployment.rank(), deployment.shortestGoal(), manager::cut);
+        circle =
+                !setup.flag("limits.peers")
+                        ? null
+                        : new Circle(deployment.rank(), deployment.shortestGoal(), manager::cut);
     }
 
     private void look(long now) {
         byte[] words = circle.look(now, manager.demand(now));
         if (words.length > 0) {
-            line("WRITE_PEER").append(" dst=all payload=").append(Base64.getEncoder().encodeToString(words))
+            line("WRITE_PEER")
+                    .append(" dst=all payload=")
+                    .append(Base64.getEncoder().encodeToString(words))
                     .append('\n');
         }
         wakeIn(Circle.LOOK, LOOK);
@@ -58,11 +82,20 @@
     /** Tells the manager of one event; an unknown one is an error of the caller's line. */
     void tell(long now, String event, Fields f, Map<Integer, List<Fields>> lists) {
         switch (event) {
-            case "INBOUND" -> manager.taken(now, new Arrival(batches.of(f.need("request_id")),
-                    (int) f.needWhole("tier_class"), f.index("org", 0),
-                    f.has("table") ? keys.of(f.need("table")) : -1,
-                    Fields.tenths(f.needNumber("not_after")), f.time("plan_cost"), (int) f.number("mem_mb", 0),
-                    f.index("tables", -1), f.flag("retry"), false));
+            case "INBOUND" ->
+                    manager.taken(
+                            now,
+                            new Arrival(
+                                    batches.of(f.need("request_id")),
+                                    (int) f.needWhole("tier_class"),
+                                    f.index("org", 0),
+                                    f.has("table") ? keys.of(f.need("table")) : -1,
+                                    Fields.tenths(f.needNumber("not_after")),
+                                    f.time("plan_cost"),
+                                    (int) f.number("mem_mb", 0),
+                                    f.index("tables", -1),
+                                    f.flag("retry"),
+                                    false));
             case "SETTLED" -> settled(now, f);
             case "PROGRESS" -> progress(now, f);
             case "TIMED_OUT_CLIENT" -> {
@@ -72,8 +105,8 @@
                 }
             }
             case "ENDPOINTS" -> manager.listed(now, list(f, lists));
-            case "PING_RESULT" -> manager.probed(now, engines.of(f.needWhole("engine")),
-                    outcome(f), report(f));
+            case "PING_RESULT" ->
+                    manager.probed(now, engines.of(f.needWhole("engine")), outcome(f), report(f));
             case "DATAGRAM" -> {
                 if (circle != null) {
                     circle.heard(now, f.index("by", 0), words(f.text("payload", "-")));
@@ -86,7 +119,7 @@
                     manager.woken(now, f.whole("nonce", 0));
                 }
             }
-            case "FLOWING" -> { }
+            case "FLOWING" -> {}
             default -> throw new MalformedLine("unknown event " + event);
         }
     }
@@ -112,33 +145,51 @@
             return;
         }
         long stats = f.whole("stats", 0);
-        manager.ended(now, new Ending(batch, f.index("attempt", 0),
-                engines.of(f.needWhole("engine")), outcome(f), f.time("delay_seen"), (stats >> 12) * 10,
-                (int) (stats & 4095) * 4, f.flag("terminal"), report(f), 0));
+        manager.ended(
+                now,
+                new Ending(
+                        batch,
+                        f.index("attempt", 0),
+                        engines.of(f.needWhole("engine")),
+                        outcome(f),
+                        f.time("delay_seen"),
+                        (stats >> 12) * 10,
+                        (int) (stats & 4095) * 4,
+                        f.flag("terminal"),
+                        report(f),
+                        0));
     }
 
     private void progress(long now, Fields f) {
         int batch = batches.find(f.need("request_id"));
         double amount = f.number("amount", 0);
-        Note.Kind kind = switch (f.index("what", 0)) {
-            case 1 -> Note.Kind.DONE;
-            case 2 -> Note.Kind.SPILLS;
-            case 3 -> amount == 1 ? Note.Kind.WAITS_FOR_MEMORY : Note.Kind.WAITS_FOR_LOAD;
-            default -> null;
-        };
+        Note.Kind kind =
+                switch (f.index("what", 0)) {
+                    case 1 -> Note.Kind.DONE;
+                    case 2 -> Note.Kind.SPILLS;
+                    case 3 -> amount == 1 ? Note.Kind.WAITS_FOR_MEMORY : Note.Kind.WAITS_FOR_LOAD;
+                    default -> null;
+                };
         if (batch >= 0 && kind != null) {
-            manager.noted(now, new Note(batch, f.index("attempt", 0),
-                    engines.of(f.needWhole("engine")), kind, amount));
+            manager.noted(
+                    now,
+                    new Note(
+                            batch,
+                            f.index("attempt", 0),
+                            engines.of(f.needWhole("engine")),
+                            kind,
+                            amount));
         }
     }
 
     private EngineList list(Fields f, Map<Integer, List<Fields>> lists) {
-        EngineList.Kind kind = switch (f.need("mode")) {
-            case "incr" -> EngineList.Kind.CHANGES;
-            case "total" -> EngineList.Kind.WHOLE;
-            case "warm_copy" -> EngineList.Kind.REMEMBERED;
-            default -> EngineList.Kind.FAILED;
-        };
+        EngineList.Kind kind =
+                switch (f.need("mode")) {
+                    case "incr" -> EngineList.Kind.CHANGES;
+                    case "total" -> EngineList.Kind.WHOLE;
+                    case "warm_copy" -> EngineList.Kind.REMEMBERED;
+                    default -> EngineList.Kind.FAILED;
+                };
         List<EngineList.Entry> entries = new ArrayList<>();
         if (kind != EngineList.Kind.FAILED) {
             List<Fields> items = lists.get(f.index("ref", 0));
@@ -147,14 +198,22 @@
             }
             for (Fields item : items) {
                 long id = item.needWhole("engine");
-                EngineList.Standing standing = switch (item.text("health", "active")) {
-                    case "active" -> EngineList.Standing.ACTIVE;
-                    case "leaving" -> EngineList.Standing.LEAVING;
-                    default -> EngineList.Standing.LEFT;
-                };
-                entries.add(new EngineList.Entry(engines.of(id), id, item.index("locality", 0),
-                        item.index("class_of_host", 0), item.index("cell", 0), standing,
-                        item.number("heft", 1), item.time("since")));
+                EngineList.Standing standing =
+                        switch (item.text("health", "active")) {
+                            case "active" -> EngineList.Standing.ACTIVE;
+                            case "leaving" -> EngineList.Standing.LEAVING;
+                            default -> EngineList.Standing.LEFT;
+                        };
+                entries.add(
+                        new EngineList.Entry(
+                                engines.of(id),
+                                id,
+                                item.index("locality", 0),
+                                item.index("class_of_host", 0),
+                                item.index("cell", 0),
+                                standing,
+                                item.number("heft", 1),
+                                item.time("since")));
             }
         }
         return new EngineList(kind, entries);
@@ -173,8 +232,12 @@
             return null;
         }
         Fields g = new Fields(" " + f.need("gauge").replace(':', '=').replace(',', ' '));
-        return new Report(g.number("active", Double.NaN), g.number("waiting", Double.NaN),
-                g.number("cpu", Double.NaN), g.number("x0", Double.NaN), g.number("x1", Double.NaN));
+        return new Report(
+                g.number("active", Double.NaN),
+                g.number("waiting", Double.NaN),
+                g.number("cpu", Double.NaN),
+                g.number("x0", Double.NaN),
+                g.number("x1", Double.NaN));
     }
 
     private static byte[] words(String base64) {
@@ -191,14 +254,22 @@
 
     @Override
     public void provide(int batch, int grantMb, int priority) {
-        line("PROVIDE", batch).append(" workspace_mb=").append(grantMb).append(" rank=").append(priority)
+        line("PROVIDE", batch)
+                .append(" workspace_mb=")
+                .append(grantMb)
+                .append(" rank=")
+                .append(priority)
                 .append('\n');
     }
 
     @Override
     public void dispatch(int batch, int engine, long within) {
-        line("DISPATCH", batch).append(" engine=").append(engines.id(engine)).append(" within=")
-                .append(Fields.seconds(within)).append('\n');
+        line("DISPATCH", batch)
+                .append(" engine=")
+                .append(engines.id(engine))
+                .append(" within=")
+                .append(Fields.seconds(within))
+                .append('\n');
     }
 
     @Override
@@ -243,7 +314,12 @@
 
     @Override
     public void wakeIn(long delay, long token) {
-        line("ARM").append(" in=").append(Fields.seconds(delay)).append(" nonce=").append(token).append('\n');
+        line("ARM")
+                .append(" in=")
+                .append(Fields.seconds(delay))
+                .append(" nonce=")
+                .append(token)
+                .append('\n');
     }
 
     @Override
--- a/src/main/java/firstage/benchlink/package-info.java
+++ b/src/main/java/firstage/benchlink/package-info.java
@@ -1,2 +1,5 @@
-/** The bench adapter: the wire's lines on one side, many workload managers on the other. No decisions. */
+/**
+ * The bench adapter: the wire's lines on one side, many workload managers on the other. No
+ * decisions.
+ */
 package firstage.benchlink;
--- a/src/main/java/firstage/cells/CellPlan.java
+++ b/src/main/java/firstage/cells/CellPlan.java
@@ -6,58 +6,86 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Which cells there are and which engines each serves, as all managers have it from their files. An engine belongs to
- * so many cells of its own zone ({@code spread}), the first by rendezvous of its id and the cells' names: who holds the
- * same plan answers alike without a word, and a cell that comes or goes moves no engine between two others.
+ * Which cells there are and which engines each serves, as all managers have it from their files. An
+ * engine belongs to so many cells of its own zone ({@code spread}), the first by rendezvous of its
+ * id and the cells' names: who holds the same plan answers alike without a word, and a cell that
+ * comes or goes moves no engine between two others.
  *
  * <p>{@code number}: a later plan has a higher one.
  */
 public record CellPlan(int number, int spread, List<Cell> cells) {
-    /** Of what a cold engine bears, for cells that gain it: what others gave up is known by their word alone. */
+    /**
+     * Of what a cold engine bears, for cells that gain it: what others gave up is known by their
+     * word alone.
+     */
     private static final double FOR_GAINERS = 0.125;
 
-    /** {@code slots}: managers in it; {@code serves}: false for one whose engines are taken over by others. */
-    public record Cell(String name, String zone, int slots, boolean serves) {
-    }
+    /**
+     * {@code slots}: managers in it; {@code serves}: false for one whose engines are taken over by
+     * others.
+     */
+    public record Cell(String name, String zone, int slots, boolean serves) {}
 
     /** What makes two plans the same; equal numbers with different marks are an operator's slip. */
     public int mark() {
         StringBuilder text = new StringBuilder().append(number).append(' ').append(spread);
-        cells.forEach(c -> text.append(' ').append(c.name).append(' ').append(c.zone).append(' ').append(c.slots)
-                .append(' ').append(c.serves));
+        cells.forEach(
+                c ->
+                        text.append(' ')
+                                .append(c.name)
+                                .append(' ')
+                                .append(c.zone)
+                                .append(' ')
+                                .append(c.slots)
+                                .append(' ')
+                                .append(c.serves));
         return (int) LongHashFunction.xx3().hashChars(text);
     }
 
     /** The place of a cell; -1 where there is none of the name. */
     public int index(String name) {
-        return IntStream.range(0, cells.size()).filter(c -> cells.get(c).name.equals(name)).findFirst().orElse(-1);
+        return IntStream.range(0, cells.size())
+                .filter(c -> cells.get(c).name.equals(name))
+                .findFirst()
+                .orElse(-1);
     }
 
-    /** The part of each engine that one manager of this cell has: over all that serve an engine they make one. */
+    /**
+     * The part of each engine that one manager of this cell has: over all that serve an engine they
+     * make one.
+     */
     public double part(int cell) {
         return 1.0 / (spread * cells.get(cell).slots);
     }
 
     /**
-     * Of what an engine bears while it is cold, the part of one manager of this cell, which it serves. It rests on the
-     * two plans alone, as the rule on cold engines rests on nobody's word: those that have an engine by the plan before
-     * share seven eighths of that, also such as lose it and have not heard; those that gain it, the rest.
-     * {@code before}: the plan that this one replaces, or null.
+     * Of what an engine bears while it is cold, the part of one manager of this cell, which it
+     * serves. It rests on the two plans alone, as the rule on cold engines rests on nobody's word:
+     * those that have an engine by the plan before share seven eighths of that, also such as lose
+     * it and have not heard; those that gain it, the rest. {@code before}: the plan that this one
+     * replaces, or null.
      */
     public double coldPart(CellPlan before, int cell, long engine, String zone) {
         if (before == null) {
             return part(cell) * (1 - FOR_GAINERS);
         }
         return before.serves(cell, engine, zone)
-                ? Math.min(part(cell), before.part(cell)) * (1 - FOR_GAINERS) : part(cell) * FOR_GAINERS;
+                ? Math.min(part(cell), before.part(cell)) * (1 - FOR_GAINERS)
+                : part(cell) * FOR_GAINERS;
     }
 
     /** The cells that serve an engine, by place; none where its zone has none. */
     public List<Integer> serving(long engine, String zone) {
-        return IntStream.range(0, cells.size()).filter(c -> serves(c, engine, zone)).boxed().toList();
+        return IntStream.range(0, cells.size())
+                .filter(c -> serves(c, engine, zone))
+                .boxed()
+                .toList();
     }
 
-    /** Whether this cell is among those that serve the engine: fewer than the spread of its zone come before it. */
+    /**
+     * Whether this cell is among those that serve the engine: fewer than the spread of its zone
+     * come before it.
+     */
     public boolean serves(int cell, long engine, String zone) {
         Cell mine = cells.get(cell);
         if (!mine.serves || !mine.zone.equals(zone)) {
@@ -68,8 +96,11 @@
         for (Cell c : cells) {
             if (c != mine && c.serves && c.zone.equals(zone)) {
                 long other = Rendezvous.rank(engine, c.name);
-                before += Long.compareUnsigned(other, rank) > 0
-                        || other == rank && c.name.compareTo(mine.name) < 0 ? 1 : 0;
+                before +=
+                        Long.compareUnsigned(other, rank) > 0
+                                        || other == rank && c.name.compareTo(mine.name) < 0
+                                ? 1
+                                : 0;
             }
         }
         return before < spread;
--- a/src/main/java/firstage/cells/Cells.java
+++ b/src/main/java/firstage/cells/Cells.java
@@ -12,34 +12,45 @@
 /**
  * What one manager knows of the other cells, and which engines it may use.
  *
- * <p><b>Rows.</b> A cell tells one row of fixed size of itself: a stamp, the least plan that its managers hold, how
- * many are here, what it sheds. Its deputies, the first three by rendezvous over its view, renew it; each of them
- * sends all rows it knows to one manager of one other cell, drawn anew each second. Within a cell rows go on with
- * the messages of the membership, a few in each, newer ones first, others by turns. So what a manager sends and holds
- * is the same whatever the size of the fleet but for the rows themselves, 12 bytes a cell; with many cells rows only
- * get older.
+ * <p><b>Rows.</b> A cell tells one row of fixed size of itself: a stamp, the least plan that its
+ * managers hold, how many are here, what it sheds. Its deputies, the first three by rendezvous over
+ * its view, renew it; each of them sends all rows it knows to one manager of one other cell, drawn
+ * anew each second. Within a cell rows go on with the messages of the membership, a few in each,
+ * newer ones first, others by turns. So what a manager sends and holds is the same whatever the
+ * size of the fleet but for the rows themselves, 12 bytes a cell; with many cells rows only get
+ * older.
  *
- * <p><b>Engines.</b> A manager holds one plan for its whole life, and the one before it while it is being replaced. Of
- * an engine that both give to its cell it uses its part; of one that only the old plan gives, nothing; one that only
- * the new plan gives it uses once all managers of all cells that give it up hold the new plan, by their rows. Each
- * of those gave up before it said so, and never goes back. So the parts of an engine never pass the whole, in whatever
- * order managers are started anew and words are lost, late or doubled; a cell that can't be heard keeps what it had.
+ * <p><b>Engines.</b> A manager holds one plan for its whole life, and the one before it while it is
+ * being replaced. Of an engine that both give to its cell it uses its part; of one that only the
+ * old plan gives, nothing; one that only the new plan gives it uses once all managers of all cells
+ * that give it up hold the new plan, by their rows. Each of those gave up before it said so, and
+ * never goes back. So the parts of an engine never pass the whole, in whatever order managers are
+ * started anew and words are lost, late or doubled; a cell that can't be heard keeps what it had.
  *
  * <p>Times are tenths of a millisecond of a clock that only goes forward.
  */
 public final class Cells {
-    private static final int DEPUTIES = 3; // of a cell at once: two may die in one second, the next view has others
-    private static final long TELL_EVERY = 10_000; // a deputy's datagram: some 1 KB a second, whatever the fleet
-    private static final long ROW_EVERY = 50_000; // a row that does not change: 65 cells make 13 newer rows a second
-    private static final long SILENT_AFTER = 250_000; // of a row not renewed: five renewals, some on their way
-    private static final long LEAST_BETWEEN = 5_000; // two renewals: a view that changes often is no flood
+    private static final int DEPUTIES =
+            3; // of a cell at once: two may die in one second, the next view has others
+    private static final long TELL_EVERY =
+            10_000; // a deputy's datagram: some 1 KB a second, whatever the fleet
+    private static final long ROW_EVERY =
+            50_000; // a row that does not change: 65 cells make 13 newer rows a second
+    private static final long SILENT_AFTER =
+            250_000; // of a row not renewed: five renewals, some on their way
+    private static final long LEAST_BETWEEN =
+            5_000; // two renewals: a view that changes often is no flood
     private static final long LOOK_EVERY = 5_000; // at what has grown old
     private static final int ROWS_A_MESSAGE = 6; // 72 bytes on each message of the membership
-    private static final int TELLINGS = 2; // of a newer row by each manager: one of seven hears of it by turns only
-    private static final int BY_TURNS = 2; // of a message, newer or not: none stays unheard by chance
-    private static final int MOST = 1_200; // bytes of a datagram: under the least MTU of IPv6 with its heads
+    private static final int TELLINGS =
+            2; // of a newer row by each manager: one of seven hears of it by turns only
+    private static final int BY_TURNS =
+            2; // of a message, newer or not: none stays unheard by chance
+    private static final int MOST =
+            1_200; // bytes of a datagram: under the least MTU of IPv6 with its heads
     private static final int HEAD = 1 + 3 * Integer.BYTES; // version, fleet, plan's number and mark
-    private static final int ROW = Short.BYTES + 2 * Integer.BYTES + 2; // cell, stamp, plan, here, cut
+    private static final int ROW =
+            Short.BYTES + 2 * Integer.BYTES + 2; // cell, stamp, plan, here, cut
     private static final int VERSION = 1;
     private static final int MOST_BYTE = 255;
     private static final long NEVER = Long.MIN_VALUE / 4;
@@ -61,19 +72,36 @@
 
     /** Faults put back one at a time. */
     public enum Fault {
-        NONE, TOLD_TO_ALL, DEPUTIES_FOR_GOOD, GAINS_AT_ONCE, LEAST_OF_THE_HEARD, OLDER_ROW_WINS, GAINS_COLD_PART
+        NONE,
+        TOLD_TO_ALL,
+        DEPUTIES_FOR_GOOD,
+        GAINS_AT_ONCE,
+        LEAST_OF_THE_HEARD,
+        OLDER_ROW_WINS,
+        GAINS_COLD_PART
     }
 
     /** How a cell is held. */
-    public enum Standing { UNHEARD, HEARD, SILENT }
-
-    private enum Event { NEWER, OLD }
+    public enum Standing {
+        UNHEARD,
+        HEARD,
+        SILENT
+    }
 
-    private enum Effect { NONE, MET, LOST, BACK }
+    private enum Event {
+        NEWER,
+        OLD
+    }
 
-    private record Rule(Standing state, Event event, Standing next, Effect effect) {
+    private enum Effect {
+        NONE,
+        MET,
+        LOST,
+        BACK
     }
 
+    private record Rule(Standing state, Event event, Standing next, Effect effect) {}
+
     /** State, event, next state, effect; what is not here changes nothing. */
     private static final Rule[] TABLE = {
         new Rule(Standing.UNHEARD, Event.NEWER, Standing.HEARD, Effect.MET),
@@ -82,9 +110,19 @@
         new Rule(Standing.SILENT, Event.NEWER, Standing.HEARD, Effect.BACK),
     };
 
-    /** A cell as it is known. {@code age}: since a newer row came, -1 for never; {@code plan}: the least in it. */
-    public record Known(String name, String zone, Standing standing, long age, int plan, int here, int slots, int cut) {
-    }
+    /**
+     * A cell as it is known. {@code age}: since a newer row came, -1 for never; {@code plan}: the
+     * least in it.
+     */
+    public record Known(
+            String name,
+            String zone,
+            Standing standing,
+            long age,
+            int plan,
+            int here,
+            int slots,
+            int cut) {}
 
     private static final class Row {
         private Standing standing = Standing.UNHEARD;
@@ -108,13 +146,19 @@
     private final Effects effects;
     private final Fault fault;
     private final Row[] rows;
-    /** By place in this cell, the plan that the manager there holds, as it told; 0 where none did. */
+
+    /**
+     * By place in this cell, the plan that the manager there holds, as it told; 0 where none did.
+     */
     private final int[] plans;
+
     private final ArrayDeque<Integer> fresh = new ArrayDeque<>();
     private final Map<String, Long> refused = new HashMap<>();
     private List<String> view;
+
     /** The largest view so far, for a fault put back. */
     private List<String> first = List.of();
+
     private boolean changed;
     private long startedAt = NEVER;
     private long nextTell;
@@ -125,11 +169,21 @@
     private boolean noted;
 
     /**
-     * {@code before}: the plan that this one replaces, or null; {@code mine}, {@code slot}: this manager's cell and its
-     * place there; {@code fleet}: a name that all of it have; {@code life}: Unix ms of this start.
+     * {@code before}: the plan that this one replaces, or null; {@code mine}, {@code slot}: this
+     * manager's cell and its place there; {@code fleet}: a name that all of it have; {@code life}:
+     * Unix ms of this start.
      */
-    public Cells(CellPlan plan, CellPlan before, int mine, int slot, String name, String fleet, long life,
-                 RandomGenerator chance, Effects effects, Fault fault) {
+    public Cells(
+            CellPlan plan,
+            CellPlan before,
+            int mine,
+            int slot,
+            String name,
+            String fleet,
+            long life,
+            RandomGenerator chance,
+            Effects effects,
+            Fault fault) {
         this.plan = plan;
         this.before = before;
         mark = plan.mark();
@@ -151,11 +205,17 @@
     // ---- Which engines.
     /** Whether this manager may use its part of an engine at this moment. */
     public boolean uses(long engine, String zone) {
-        return plan.serves(mine, engine, zone) && (before == null || before.serves(mine, engine, zone)
-                || fault == Fault.GAINS_AT_ONCE || givenUp(engine, zone));
+        return plan.serves(mine, engine, zone)
+                && (before == null
+                        || before.serves(mine, engine, zone)
+                        || fault == Fault.GAINS_AT_ONCE
+                        || givenUp(engine, zone));
     }
 
-    /** Of what an engine that this manager uses bears while it is cold, its part; {@link CellPlan#coldPart}. */
+    /**
+     * Of what an engine that this manager uses bears while it is cold, its part; {@link
+     * CellPlan#coldPart}.
+     */
     public double coldPart(long engine, String zone) {
         return plan.coldPart(fault == Fault.GAINS_COLD_PART ? null : before, mine, engine, zone);
     }
@@ -194,8 +254,16 @@
         for (int c = 0; c < rows.length; c++) {
             CellPlan.Cell of = plan.cells().get(c);
             Row r = rows[c];
-            all.add(new Known(of.name(), of.zone(), r.standing, r.at == NEVER ? -1 : now - r.at, r.plan, r.here,
-                    of.slots(), r.cut));
+            all.add(
+                    new Known(
+                            of.name(),
+                            of.zone(),
+                            r.standing,
+                            r.at == NEVER ? -1 : now - r.at,
+                            r.plan,
+                            r.here,
+                            of.slots(),
+                            r.cut));
         }
         return all;
     }
@@ -232,7 +300,8 @@
             nextRow = now + LEAST_BETWEEN;
             long place = place();
             // The second and the third deputy renew it only where those before them do not.
-            if (place < DEPUTIES && (changed || now - rows[mine].at >= ROW_EVERY + place * TELL_EVERY)) {
+            if (place < DEPUTIES
+                    && (changed || now - rows[mine].at >= ROW_EVERY + place * TELL_EVERY)) {
                 renew(now);
             }
             changed = false;
@@ -252,16 +321,28 @@
         return Rendezvous.before(mine, of, name);
     }
 
-    /** Only what each manager of the cell has said itself counts: a silent one may hold the old plan and use it. */
+    /**
+     * Only what each manager of the cell has said itself counts: a silent one may hold the old plan
+     * and use it.
+     */
     private int least() {
-        return Math.min(plan.number(), Arrays.stream(plans).filter(p -> p > 0 || fault != Fault.LEAST_OF_THE_HEARD)
-                .min().orElse(0));
+        return Math.min(
+                plan.number(),
+                Arrays.stream(plans)
+                        .filter(p -> p > 0 || fault != Fault.LEAST_OF_THE_HEARD)
+                        .min()
+                        .orElse(0));
     }
 
     private void renew(long now) {
         Row r = rows[mine];
         int clock = (int) (lifeS + (now - startedAt) / TELL_EVERY);
-        newer(now, mine, r.at != NEVER && r.stamp - clock >= 0 ? r.stamp + 1 : clock, least(), view.size(),
+        newer(
+                now,
+                mine,
+                r.at != NEVER && r.stamp - clock >= 0 ? r.stamp + 1 : clock,
+                least(),
+                view.size(),
                 effects.cut());
     }
 
@@ -305,7 +386,10 @@
         if (least > r.plan) {
             r.plan = least;
             if (before != null && least >= plan.number()) {
-                effects.noteOfCell(now, "follows", plan.cells().get(cell).name(),
+                effects.noteOfCell(
+                        now,
+                        "follows",
+                        plan.cells().get(cell).name(),
                         "all of it hold plan " + plan.number());
                 effects.freed(now);
             }
@@ -321,11 +405,16 @@
                 r.standing = rule.next;
                 String of = plan.cells().get(cell).name();
                 switch (rule.effect) {
-                    case NONE -> { }
+                    case NONE -> {}
                     case MET -> effects.noteOfCell(now, "met", of, r.here + " of it are here");
-                    case LOST -> effects.noteOfCell(now, "silent", of,
-                            "no row for " + SILENT_AFTER / TELL_EVERY + " s");
-                    case BACK -> effects.noteOfCell(now, "heard again", of, r.here + " of it are here");
+                    case LOST ->
+                            effects.noteOfCell(
+                                    now,
+                                    "silent",
+                                    of,
+                                    "no row for " + SILENT_AFTER / TELL_EVERY + " s");
+                    case BACK ->
+                            effects.noteOfCell(now, "heard again", of, r.here + " of it are here");
                 }
                 return;
             }
@@ -333,12 +422,19 @@
     }
 
     private Bytes head(int bytes) {
-        return new Bytes(new byte[HEAD + bytes]).put(VERSION, 1).put(fleet, 4).put(plan.number(), 4).put(mark, 4);
+        return new Bytes(new byte[HEAD + bytes])
+                .put(VERSION, 1)
+                .put(fleet, 4)
+                .put(plan.number(), 4)
+                .put(mark, 4);
     }
 
     private void put(Bytes out, int cell) {
         Row r = rows[cell];
-        out.put(cell, 2).put(r.stamp, 4).put(r.plan, 4).put(Math.min(MOST_BYTE, r.here), 1)
+        out.put(cell, 2)
+                .put(r.stamp, 4)
+                .put(r.plan, 4)
+                .put(Math.min(MOST_BYTE, r.here), 1)
                 .put(Math.min(MOST_BYTE, r.cut), 1);
     }
 
@@ -380,14 +476,18 @@
         return out.put(rest).all();
     }
 
-    /** A digest told by the manager at this place of the cell: takes its own part, gives that of the rooms above. */
+    /**
+     * A digest told by the manager at this place of the cell: takes its own part, gives that of the
+     * rooms above.
+     */
     public byte[] digested(long now, int from, byte[] bytes) {
         Bytes in = new Bytes(bytes);
         int number = opened(now, in);
         if (number < 0 || in.left() == 0) {
             return new byte[0];
         }
-        // A manager never goes back to an older plan: a message from before, told again, takes nothing away.
+        // A manager never goes back to an older plan: a message from before, told again, takes
+        // nothing away.
         plans[from] = Math.max(plans[from], number);
         int count = in.take(1);
         if (in.left() < count * ROW) {
@@ -431,8 +531,13 @@
             refuse("another plan of this number");
             if (!noted) {
                 noted = true;
-                effects.noteOfCell(now, "differs", plan.cells().get(mine).name(), "two plans have the number " + number
-                        + "; give the later one a higher number");
+                effects.noteOfCell(
+                        now,
+                        "differs",
+                        plan.cells().get(mine).name(),
+                        "two plans have the number "
+                                + number
+                                + "; give the later one a higher number");
             }
             return -1;
         }
--- a/src/main/java/firstage/cells/Sieve.java
+++ b/src/main/java/firstage/cells/Sieve.java
@@ -9,9 +9,9 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Of the list of engines what this manager may use. What its cell gains and others may not have given up is kept until
- * they have; what its cell does not serve is not kept at all, so that a manager holds its cell's engines and no more,
- * however many there are.
+ * Of the list of engines what this manager may use. What its cell gains and others may not have
+ * given up is kept until they have; what its cell does not serve is not kept at all, so that a
+ * manager holds its cell's engines and no more, however many there are.
  */
 public final class Sieve<T> {
     private final Cells cells;
@@ -49,8 +49,10 @@
 
     /** What was kept and may be used now. */
     public List<T> freed() {
-        List<T> passed = awaited.values().stream()
-                .filter(e -> cells.uses(id.applyAsLong(e), zone.apply(e))).toList();
+        List<T> passed =
+                awaited.values().stream()
+                        .filter(e -> cells.uses(id.applyAsLong(e), zone.apply(e)))
+                        .toList();
         passed.forEach(e -> awaited.remove(id.applyAsLong(e)));
         return passed;
     }
--- a/src/main/java/firstage/door/Ending.java
+++ b/src/main/java/firstage/door/Ending.java
@@ -1,9 +1,18 @@
 package firstage.door;
 
 /**
- * How a dispatch ended. {@code work} and {@code memoryMb} are what the batch truly needed, 0 if untold; {@code mayHold}
- * is how much longer its engine may hold it, 0 where its end is proven or the deployment's own rest says it all.
+ * How a dispatch ended. {@code work} and {@code memoryMb} are what the batch truly needed, 0 if
+ * untold; {@code mayHold} is how much longer its engine may hold it, 0 where its end is proven or
+ * the deployment's own rest says it all.
  */
-public record Ending(int batch, int dispatch, int engine, Outcome outcome, long took, long work,
-                     int memoryMb, boolean closed, Report report, long mayHold) {
-}
+public record Ending(
+        int batch,
+        int dispatch,
+        int engine,
+        Outcome outcome,
+        long took,
+        long work,
+        int memoryMb,
+        boolean closed,
+        Report report,
+        long mayHold) {}
--- a/src/main/java/firstage/door/Host.java
+++ b/src/main/java/firstage/door/Host.java
@@ -5,7 +5,9 @@
     /** Names the memory grant (MB) and priority for the batch's next dispatch. */
     void provide(int batch, int grantMb, int priority);
 
-    /** Sends the batch to the engine; {@code within} 0 leaves the time-out to the client's limit. */
+    /**
+     * Sends the batch to the engine; {@code within} 0 leaves the time-out to the client's limit.
+     */
     void dispatch(int batch, int engine, long within);
 
     void callOff(int batch, int dispatch);
@@ -26,8 +28,7 @@
     void probe(int engine);
 
     /** A host whose list comes unasked leaves it. */
-    default void subscribe() {
-    }
+    default void subscribe() {}
 
     void wakeIn(long delay, long token);
 
--- a/src/main/java/firstage/door/Report.java
+++ b/src/main/java/firstage/door/Report.java
@@ -1,5 +1,5 @@
 package firstage.door;
 
 /** An engine's load report; a figure it does not tell is NaN. Shares run from 0 to 1. */
-public record Report(double active, double waiting, double cpuShare, double memoryShare, double diskShare) {
-}
+public record Report(
+        double active, double waiting, double cpuShare, double memoryShare, double diskShare) {}
--- a/src/main/java/firstage/door/WorkloadManager.java
+++ b/src/main/java/firstage/door/WorkloadManager.java
@@ -1,6 +1,8 @@
 package firstage.door;
 
-/** What a workload manager is told. Calls carry the clock; {@link #turn} ends each round of news. */
+/**
+ * What a workload manager is told. Calls carry the clock; {@link #turn} ends each round of news.
+ */
 public interface WorkloadManager {
     void taken(long now, Arrival arrival);
 
@@ -12,21 +14,23 @@
     void clientLeft(long now, int batch);
 
     /** The client is not there, and may have left: its batch is not to be sent until it is back. */
-    default void clientAway(long now, int batch, boolean away) {
-    }
+    default void clientAway(long now, int batch, boolean away) {}
 
     void listed(long now, EngineList list);
 
     void probed(long now, int engine, Outcome outcome, Report report);
 
     /**
-     * The part of each engine that it may use now: its own share by the settings, less while it hears too few of the
-     * others, more where those have given it up. Where nobody shares, it is never told.
+     * The part of each engine that it may use now: its own share by the settings, less while it
+     * hears too few of the others, more where those have given it up. Where nobody shares, it is
+     * never told.
      */
-    default void allotted(long now, double share) {
-    }
+    default void allotted(long now, double share) {}
 
-    /** Whether it holds this engine for down or silent, and when it last sent a batch there; 0 for never. */
+    /**
+     * Whether it holds this engine for down or silent, and when it last sent a batch there; 0 for
+     * never.
+     */
     default boolean closed(int engine) {
         return false;
     }
@@ -41,11 +45,11 @@
     }
 
     /**
-     * Others hold this engine for sick and try it, and it is to keep away; or no longer. Where {@code restIsOver}, it
-     * may be tried now: they found it well, or this manager tries it for all. Where nobody shares, it is never told.
+     * Others hold this engine for sick and try it, and it is to keep away; or no longer. Where
+     * {@code restIsOver}, it may be tried now: they found it well, or this manager tries it for
+     * all. Where nobody shares, it is never told.
      */
-    default void othersTry(long now, int engine, boolean others, boolean restIsOver) {
-    }
+    default void othersTry(long now, int engine, boolean others, boolean restIsOver) {}
 
     /** What it was asked for and what it sent; null where it keeps no count. */
     default Demand demand(long now) {
@@ -53,13 +57,16 @@
     }
 
     /**
-     * The fleet has no room for what is worth less: batches of a lower {@link Demand#band} are to be answered at once,
-     * and of those in it all but this part. Where nobody shares, it is never told.
+     * The fleet has no room for what is worth less: batches of a lower {@link Demand#band} are to
+     * be answered at once, and of those in it all but this part. Where nobody shares, it is never
+     * told.
      */
-    default void cut(long now, int band, double part) {
-    }
+    default void cut(long now, int band, double part) {}
 
-    /** It takes batches for a short while yet, and what has no answer at {@code endsAt} never gets one. */
+    /**
+     * It takes batches for a short while yet, and what has no answer at {@code endsAt} never gets
+     * one.
+     */
     void closing(long now, long endsAt);
 
     void woken(long now, long token);
--- a/src/main/java/firstage/evacuation/Together.java
+++ b/src/main/java/firstage/evacuation/Together.java
@@ -11,25 +11,37 @@
 import java.util.stream.Stream;
 
 /**
- * What one manager works out together with the others: who tries a sick engine, the level of shedding, and the zones in
- * use. One piece for all that carry it, so that the fleet model plays what {@code serve} does. Times are tenths of a
- * millisecond.
+ * What one manager works out together with the others: who tries a sick engine, the level of
+ * shedding, and the zones in use. One piece for all that carry it, so that the fleet model plays
+ * what {@code serve} does. Times are tenths of a millisecond.
  */
 public final class Together {
     /** Faults put back, one for each part. */
     public record Faults(Trials.Fault trials, Level.Fault level, Zones.Fault zones) {
-        public static final Faults NONE = new Faults(Trials.Fault.NONE, Level.Fault.NONE, Zones.Fault.NONE);
+        public static final Faults NONE =
+                new Faults(Trials.Fault.NONE, Level.Fault.NONE, Zones.Fault.NONE);
 
-        /** By its name in lower case with dashes, of the first part that has it; null where none has. */
+        /**
+         * By its name in lower case with dashes, of the first part that has it; null where none
+         * has.
+         */
         public static Faults of(String name) {
-            Stream<Faults> all = Stream.of(
-                    Arrays.stream(Trials.Fault.values()).map(f -> new Faults(f, NONE.level, NONE.zones)),
-                    Arrays.stream(Level.Fault.values()).map(f -> new Faults(NONE.trials, f, NONE.zones)),
-                    Arrays.stream(Zones.Fault.values()).map(f -> new Faults(NONE.trials, NONE.level, f)))
-                    .flatMap(part -> part);
+            Stream<Faults> all =
+                    Stream.of(
+                                    Arrays.stream(Trials.Fault.values())
+                                            .map(f -> new Faults(f, NONE.level, NONE.zones)),
+                                    Arrays.stream(Level.Fault.values())
+                                            .map(f -> new Faults(NONE.trials, f, NONE.zones)),
+                                    Arrays.stream(Zones.Fault.values())
+                                            .map(f -> new Faults(NONE.trials, NONE.level, f)))
+                            .flatMap(part -> part);
             String word = name.toUpperCase(Locale.ROOT).replace('-', '_');
-            return all.filter(f -> List.of(f.trials.name(), f.level.name(), f.zones.name()).contains(word))
-                    .findFirst().orElse(null);
+            return all.filter(
+                            f ->
+                                    List.of(f.trials.name(), f.level.name(), f.zones.name())
+                                            .contains(word))
+                    .findFirst()
+                    .orElse(null);
         }
     }
 
@@ -38,11 +50,20 @@
     private final Zones zones;
 
     /**
-     * {@code zone}: this manager's, of so many; {@code goal}: the shortest response goal; {@code warm}: how long
-     * engines take to warm up; {@code period} between two probes of the membership, which carries the digests.
+     * {@code zone}: this manager's, of so many; {@code goal}: the shortest response goal; {@code
+     * warm}: how long engines take to warm up; {@code period} between two probes of the membership,
+     * which carries the digests.
      */
-    public Together(String me, int zone, int zoneCount, long goal, long warm, long period, Zones.Effects away,
-                    Level.Effects cut, Faults faults) {
+    public Together(
+            String me,
+            int zone,
+            int zoneCount,
+            long goal,
+            long warm,
+            long period,
+            Zones.Effects away,
+            Level.Effects cut,
+            Faults faults) {
         zones = new Zones(me, zone, zoneCount, warm, away, faults.zones);
         trials = new Trials(me, period, zones::othersTry, faults.trials);
         level = new Level(me, goal, cut, faults.level);
@@ -56,8 +77,8 @@
     }
 
     /**
-     * How this manager's decisions hold an engine of the list; {@code triedAt}, {@code heardAt}: when a batch last went
-     * there, when it last spoke.
+     * How this manager's decisions hold an engine of the list; {@code triedAt}, {@code heardAt}:
+     * when a batch last went there, when it last spoke.
      */
     public void holds(long now, int zone, long engine, boolean closed, long triedAt, long heardAt) {
         trials.holds(now, engine, closed, triedAt, heardAt);
@@ -70,7 +91,10 @@
         zones.forget(engine);
     }
 
-    /** Works all of it out, each tenth of a second or so, from what this manager was asked for and the others told. */
+    /**
+     * Works all of it out, each tenth of a second or so, from what this manager was asked for and
+     * the others told.
+     */
     public void look(long now, Demand demand) {
         trials.look(now);
         level.measure(now, demand);
