--- a/src/main/java/firstage/evacuation/Zones.java
+++ b/src/main/java/firstage/evacuation/Zones.java
@@ -11,51 +11,84 @@
 import java.util.stream.IntStream;
 
 /**
- * Which zones the fleet uses. Each manager by itself finds out engine by engine that a zone is gone, by batches that
- * are lost at each, and comes back to all of it the moment the list says so. Here each tells what share of each zone's
- * engines it holds closed, of those it knows of late; a zone that most observers of most other zones hold for bad is
- * left by all, engines it was not tried at included. One manager for each of its engines goes on trying it; when these
- * are well for a while, managers come back one after another over the time that engines take to warm up. A zone that
- * fails again is held out for twice as long each time.
+ * Which zones the fleet uses. Each manager by itself finds out engine by engine that a zone is
+ * gone, by batches that are lost at each, and comes back to all of it the moment the list says so.
+ * Here each tells what share of each zone's engines it holds closed, of those it knows of late; a
+ * zone that most observers of most other zones hold for bad is left by all, engines it was not
+ * tried at included. One manager for each of its engines goes on trying it; when these are well for
+ * a while, managers come back one after another over the time that engines take to warm up. A zone
+ * that fails again is held out for twice as long each time.
  *
- * <p>A zone is never left by the evidence of one other zone where there are more: that is the way between the two, and
- * each engine's own health deals with it. Nor is one left where too few would stay in use: if all is bad, leaving
- * makes it worse. Who stood still or was cut off has no voice until it looked around again. Times are tenths of a
- * millisecond.
+ * <p>A zone is never left by the evidence of one other zone where there are more: that is the way
+ * between the two, and each engine's own health deals with it. Nor is one left where too few would
+ * stay in use: if all is bad, leaving makes it worse. Who stood still or was cut off has no voice
+ * until it looked around again. Times are tenths of a millisecond.
  */
 public final class Zones {
     /** What is told of a zone that one knows nothing of. */
     public static final int UNKNOWN = 255;
-    /** Of one that it left, and whose engines others try: so one whose own evidence came too late goes along. */
+
+    /**
+     * Of one that it left, and whose engines others try: so one whose own evidence came too late
+     * goes along.
+     */
     private static final int LEFT = 250;
+
     /** Of one that it is on its way back to, and has not met yet: so all set out together. */
     private static final int RETURNING = 240;
+
     private static final int ALL = 100; // per cent: what is told beyond is one of the above
-    private static final int BAD = 60; // per cent of its known engines closed: a release or a rack is less
-    private static final int WELL = 50; // per cent: those that are closed still are engine health's matter
+    private static final int BAD =
+            60; // per cent of its known engines closed: a release or a rack is less
+    private static final int WELL =
+            50; // per cent: those that are closed still are engine health's matter
     private static final int LEAST_KNOWN = 2; // engines: one alone tells of itself
-    private static final long LATELY = 30_000; // since an engine spoke: what is older says nothing of now
-    private static final long ANSWERS = 20_000; // within this a usual batch comes back: before, a trial says nothing
-    private static final long SURE = 5_000; // a verdict lasts before it is acted on: one late answer passes
-    private static final long WELL_FOR = 20_000; // before the way back: a flap of 3 s does not look like it
-    private static final long FIRST_HOLD = 100_000; // out at least: four flaps in two minutes; doubled up to ...
-    private static final long MOST_HOLD = 600_000; // ... this: a zone that is well is back within a minute
-    private static final long FORGIVEN = 600_000; // in use so long, and the next failure counts as the first
-    private static final long LEAST_RAMP = 20_000; // for the way back; else as long as engines take to warm up
-    private static final long TRY_EVERY = 20_000; // by an engine's owner: a batch in two seconds, whatever the fleet
+    private static final long LATELY =
+            30_000; // since an engine spoke: what is older says nothing of now
+    private static final long ANSWERS =
+            20_000; // within this a usual batch comes back: before, a trial says nothing
+    private static final long SURE =
+            5_000; // a verdict lasts before it is acted on: one late answer passes
+    private static final long WELL_FOR =
+            20_000; // before the way back: a flap of 3 s does not look like it
+    private static final long FIRST_HOLD =
+            100_000; // out at least: four flaps in two minutes; doubled up to ...
+    private static final long MOST_HOLD =
+            600_000; // ... this: a zone that is well is back within a minute
+    private static final long FORGIVEN =
+            600_000; // in use so long, and the next failure counts as the first
+    private static final long LEAST_RAMP =
+            20_000; // for the way back; else as long as engines take to warm up
+    private static final long TRY_EVERY =
+            20_000; // by an engine's owner: a batch in two seconds, whatever the fleet
     private static final double USED = 1 / 3.0; // of all zones stay in use at least
     private static final long STOOD_STILL = 10_000; // between two looks: then what is known is old
 
-    private enum State { IN, OUT, BACK }
-
-    private enum Event { BAD, WELL, DUE, ORDERED }
+    private enum State {
+        IN,
+        OUT,
+        BACK
+    }
 
-    /** What an operator wants of a zone: by its health, out whatever its health, or in whatever it is. */
-    public enum Order { NONE, LEAVE, HOLD }
+    private enum Event {
+        BAD,
+        WELL,
+        DUE,
+        ORDERED
+    }
 
-    private record Row(State state, Event event, State next) {
+    /**
+     * What an operator wants of a zone: by its health, out whatever its health, or in whatever it
+     * is.
+     */
+    public enum Order {
+        NONE,
+        LEAVE,
+        HOLD
     }
 
+    private record Row(State state, Event event, State next) {}
+
     private static final Row[] TABLE = {
         new Row(State.IN, Event.BAD, State.OUT),
         new Row(State.IN, Event.ORDERED, State.OUT),
@@ -66,21 +99,31 @@
     };
 
     /** What is told of a zone of which nothing is seen, by its state. */
-    private static final Map<State, Integer> TELLS = Map.of(State.IN, UNKNOWN, State.OUT, LEFT, State.BACK, RETURNING);
+    private static final Map<State, Integer> TELLS =
+            Map.of(State.IN, UNKNOWN, State.OUT, LEFT, State.BACK, RETURNING);
 
     /** What is decided; none of it calls back. */
     public interface Effects {
-        /** Whether this manager keeps away from an engine; where {@code restIsOver}, it is to be tried now. */
+        /**
+         * Whether this manager keeps away from an engine; where {@code restIsOver}, it is to be
+         * tried now.
+         */
         void keepAway(long engine, boolean away, boolean restIsOver);
 
         /** A zone is left, or used again: for the log of who keeps one. */
-        default void turned(int zone, String state) {
-        }
+        default void turned(int zone, String state) {}
     }
 
     /** Faults put back one at a time. */
     public enum Fault {
-        NONE, ONE_IS_ENOUGH, ALL_MAY_GO, ALL_AT_ONCE, NO_HOLD, STILL_COUNTS, NOBODY_TRIES, ORDER_FORGOTTEN
+        NONE,
+        ONE_IS_ENOUGH,
+        ALL_MAY_GO,
+        ALL_AT_ONCE,
+        NO_HOLD,
+        STILL_COUNTS,
+        NOBODY_TRIES,
+        ORDER_FORGOTTEN
     }
 
     private static final class Known {
@@ -103,7 +146,10 @@
         private long wellSince = -1;
         private long hold = FIRST_HOLD;
         private Order order = Order.NONE;
-        /** Of the clock of the manager that was asked, in steps of 10 ms; 0 where nobody ever was. */
+
+        /**
+         * Of the clock of the manager that was asked, in steps of 10 ms; 0 where nobody ever was.
+         */
         private int orderedAt;
     }
 
@@ -135,8 +181,8 @@
     }
 
     /**
-     * How this manager itself holds an engine of the list; {@code triedAt}, {@code heardAt}: when a batch last went
-     * there, when it last spoke.
+     * How this manager itself holds an engine of the list; {@code triedAt}, {@code heardAt}: when a
+     * batch last went there, when it last spoke.
      */
     public void holds(int zone, long engine, boolean closed, long triedAt, long heardAt) {
         if (zone >= 0 && zone < zones.length) {
@@ -152,7 +198,10 @@
         engines.remove(engine);
     }
 
-    /** The engine by itself is left to others to try, or no longer ({@link firstage.overload.Trials}). */
+    /**
+     * The engine by itself is left to others to try, or no longer ({@link
+     * firstage.overload.Trials}).
+     */
     public void othersTry(long engine, boolean others, boolean restIsOver) {
         Known k = engines.get(engine);
         if (k == null) {
@@ -172,10 +221,14 @@
         zones[zone].orderedAt = Level.stamp(now);
     }
 
-    /** The orders that are known, to be told with the rest; three figures each: zone, order, when. */
+    /**
+     * The orders that are known, to be told with the rest; three figures each: zone, order, when.
+     */
     public int[] orders() {
-        return IntStream.range(0, zones.length).filter(z -> zones[z].orderedAt != 0)
-                .flatMap(z -> IntStream.of(z, zones[z].order.ordinal(), zones[z].orderedAt)).toArray();
+        return IntStream.range(0, zones.length)
+                .filter(z -> zones[z].orderedAt != 0)
+                .flatMap(z -> IntStream.of(z, zones[z].order.ordinal(), zones[z].orderedAt))
+                .toArray();
     }
 
     /** The later order counts: so one that was asked and started anew hears its own again. */
@@ -185,7 +238,11 @@
                 int zone = r.orders()[i];
                 int order = r.orders()[i + 1];
                 int at = r.orders()[i + 2];
-                boolean known = zone >= 0 && zone < zones.length && order >= 0 && order < Order.values().length;
+                boolean known =
+                        zone >= 0
+                                && zone < zones.length
+                                && order >= 0
+                                && order < Order.values().length;
                 if (known && (zones[zone].orderedAt == 0 || at - zones[zone].orderedAt > 0)) {
                     zones[zone].order = Order.values()[order];
                     zones[zone].orderedAt = at;
@@ -194,22 +251,30 @@
         }
     }
 
-    /** What this manager tells: by zone, per cent of the engines it knows of late that it holds closed. */
+    /**
+     * What this manager tells: by zone, per cent of the engines it knows of late that it holds
+     * closed.
+     */
     public int[] sees(long now) {
         awake(now);
         int[] closed = new int[zones.length];
         int[] known = new int[zones.length];
         int[] all = new int[zones.length];
-        engines.forEach((engine, k) -> {
-            Zone z = zones[k.zone];
-            // Of a zone that was left those count that this manager tries, and what came of it since.
-            boolean counts = z.state == State.IN || !k.away;
-            boolean spoke = k.heardAt > (z.state == State.IN ? now - LATELY : z.since);
-            boolean shut = k.closed && (z.state != State.BACK || k.triedAt > z.since && now - k.triedAt > ANSWERS);
-            all[k.zone]++;
-            known[k.zone] += counts && (shut || spoke) ? 1 : 0;
-            closed[k.zone] += counts && shut ? 1 : 0;
-        });
+        engines.forEach(
+                (engine, k) -> {
+                    Zone z = zones[k.zone];
+                    // Of a zone that was left those count that this manager tries, and what came of
+                    // it since.
+                    boolean counts = z.state == State.IN || !k.away;
+                    boolean spoke = k.heardAt > (z.state == State.IN ? now - LATELY : z.since);
+                    boolean shut =
+                            k.closed
+                                    && (z.state != State.BACK
+                                            || k.triedAt > z.since && now - k.triedAt > ANSWERS);
+                    all[k.zone]++;
+                    known[k.zone] += counts && (shut || spoke) ? 1 : 0;
+                    closed[k.zone] += counts && shut ? 1 : 0;
+                });
         int[] told = new int[zones.length];
         for (int z = 0; z < zones.length; z++) {
             int least = zones[z].state == State.OUT ? 1 : Math.min(LEAST_KNOWN, all[z]);
@@ -219,7 +284,10 @@
         return told;
     }
 
-    /** Who stood still knows nothing of now: what it holds is from before, or fell due in one instant on waking. */
+    /**
+     * Who stood still knows nothing of now: what it holds is from before, or fell due in one
+     * instant on waking.
+     */
     private void awake(long now) {
         if (lookedAt >= 0 && now - lookedAt > STOOD_STILL && fault != Fault.STILL_COUNTS) {
             blindUntil = now + LATELY;
@@ -231,7 +299,10 @@
         return fault != Fault.NOBODY_TRIES && Rendezvous.before(engine, view, me) == 0;
     }
 
-    /** Looks at all zones, each tenth of a second or so; {@code rows}: of all that are fresh, its own included. */
+    /**
+     * Looks at all zones, each tenth of a second or so; {@code rows}: of all that are fresh, its
+     * own included.
+     */
     public void look(long now, List<Level.Row> rows) {
         awake(now);
         heed(rows);
@@ -241,14 +312,23 @@
             bad[z] = bad(z, rows);
             worst += bad[z] || zones[z].state == State.OUT ? 1 : 0;
         }
-        boolean tooMany = zones.length - worst < Math.max(1, USED * zones.length) && fault != Fault.ALL_MAY_GO;
+        boolean tooMany =
+                zones.length - worst < Math.max(1, USED * zones.length)
+                        && fault != Fault.ALL_MAY_GO;
         for (int z = 0; z < zones.length; z++) {
-            look(now, z, bad[z] && !(tooMany && zones[z].state == State.IN) && now >= blindUntil, rows);
+            look(
+                    now,
+                    z,
+                    bad[z] && !(tooMany && zones[z].state == State.IN) && now >= blindUntil,
+                    rows);
         }
         engines.forEach((engine, k) -> keep(now, engine, k));
     }
 
-    /** Whether most observers of most other zones, and of two where there are so many, hold it for bad. */
+    /**
+     * Whether most observers of most other zones, and of two where there are so many, hold it for
+     * bad.
+     */
     private boolean bad(int zone, List<Level.Row> rows) {
         // Of one that was left only what is seen counts, not who is away.
         int also = zones[zone].state == State.IN ? LEFT : ALL;
@@ -257,8 +337,12 @@
         for (int from = 0; from < zones.length; from++) {
             int is = from;
             if (is != zone) {
-                int[] told = rows.stream().filter(r -> r.zone() == is).mapToInt(r -> sees(r, zone))
-                        .filter(s -> s <= ALL || s == also).toArray();
+                int[] told =
+                        rows.stream()
+                                .filter(r -> r.zone() == is)
+                                .mapToInt(r -> sees(r, zone))
+                                .filter(s -> s <= ALL || s == also)
+                                .toArray();
                 long hold = Arrays.stream(told).filter(s -> s >= BAD).count();
                 voices += told.length > 0 ? 1 : 0;
                 say += 2 * hold > told.length || fault == Fault.ONE_IS_ENOUGH && hold > 0 ? 1 : 0;
@@ -274,8 +358,12 @@
 
     /** Whether those that try its engines find most of them well. */
     private static boolean well(int zone, List<Level.Row> rows) {
-        int[] told = rows.stream().mapToInt(r -> sees(r, zone)).filter(s -> s <= ALL || s == RETURNING)
-                .map(s -> s == RETURNING ? 0 : s).toArray();
+        int[] told =
+                rows.stream()
+                        .mapToInt(r -> sees(r, zone))
+                        .filter(s -> s <= ALL || s == RETURNING)
+                        .map(s -> s == RETURNING ? 0 : s)
+                        .toArray();
         return told.length > 0 && Arrays.stream(told).average().orElse(ALL) <= WELL;
     }
 
@@ -285,17 +373,32 @@
         z.badSince = !bad ? -1 : z.badSince < 0 ? now : z.badSince;
         z.wellSince = !well ? -1 : z.wellSince < 0 ? now : z.wellSince;
         boolean held = now - z.since < z.hold && fault != Fault.NO_HOLD;
-        Event event = z.order == Order.LEAVE ? Event.ORDERED
-                : z.order == Order.HOLD && z.state == State.OUT ? Event.WELL
-                : bad && now - z.badSince >= SURE && z.order != Order.HOLD ? Event.BAD
-                : z.state == State.OUT && well && now - z.wellSince >= WELL_FOR && !held ? Event.WELL
-                : z.state == State.BACK && now - z.since >= ramp ? Event.DUE : null;
+        Event event =
+                z.order == Order.LEAVE
+                        ? Event.ORDERED
+                        : z.order == Order.HOLD && z.state == State.OUT
+                                ? Event.WELL
+                                : bad && now - z.badSince >= SURE && z.order != Order.HOLD
+                                        ? Event.BAD
+                                        : z.state == State.OUT
+                                                        && well
+                                                        && now - z.wellSince >= WELL_FOR
+                                                        && !held
+                                                ? Event.WELL
+                                                : z.state == State.BACK && now - z.since >= ramp
+                                                        ? Event.DUE
+                                                        : null;
         for (Row row : TABLE) {
             if (row.state == z.state && row.event == event) {
                 if (row.next == State.OUT) {
-                    // Failed on its way back, or soon after: longer out. In use for long, it is forgiven.
-                    boolean again = row.state == State.BACK || z.since > 0 && now - z.since < FORGIVEN;
-                    z.hold = event == Event.ORDERED ? 0 : again ? Math.min(MOST_HOLD, 2 * z.hold) : FIRST_HOLD;
+                    // Failed on its way back, or soon after: longer out. In use for long, it is
+                    // forgiven.
+                    boolean again =
+                            row.state == State.BACK || z.since > 0 && now - z.since < FORGIVEN;
+                    z.hold =
+                            event == Event.ORDERED
+                                    ? 0
+                                    : again ? Math.min(MOST_HOLD, 2 * z.hold) : FIRST_HOLD;
                 }
                 z.state = row.next;
                 z.since = now;
@@ -310,11 +413,15 @@
     private void keep(long now, long engine, Known k) {
         Zone z = zones[k.zone];
         boolean owned = z.state != State.IN && owns(engine);
-        boolean away = switch (z.state) {
-            case IN -> k.othersTry;
-            case OUT -> !owned;
-            case BACK -> !owned && now < z.since + place(k.zone) * ramp && fault != Fault.ALL_AT_ONCE;
-        };
+        boolean away =
+                switch (z.state) {
+                    case IN -> k.othersTry;
+                    case OUT -> !owned;
+                    case BACK ->
+                            !owned
+                                    && now < z.since + place(k.zone) * ramp
+                                    && fault != Fault.ALL_AT_ONCE;
+                };
         boolean tries = owned && k.closed && now - k.triedAt >= TRY_EVERY;
         if (away != k.away || tries) {
             k.away = away;
@@ -340,7 +447,10 @@
 
     /** The zones that are left, or on the way back. */
     public List<Integer> out() {
-        return IntStream.range(0, zones.length).filter(z -> zones[z].state != State.IN).boxed().toList();
+        return IntStream.range(0, zones.length)
+                .filter(z -> zones[z].state != State.IN)
+                .boxed()
+                .toList();
     }
 
     /** This manager's own zone. */
--- a/src/main/java/firstage/fleet/Calendar.java
+++ b/src/main/java/firstage/fleet/Calendar.java
@@ -5,13 +5,14 @@
 import java.util.List;
 
 /**
- * Virtual time in tenths of a millisecond: what is due first happens first; of two due at once, the one set first.
+ * Virtual time in tenths of a millisecond: what is due first happens first; of two due at once, the
+ * one set first.
  *
- * <p>A wheel of three levels of 1,024 slots (a slot of the first is one tenth, of the second a tenth of a second,
- * of the
- * third 105 s), with a bit for each slot that is filled, so that setting costs the same however much is set, and empty
- * time costs next to nothing. A fleet sets mostly what is due within a few seconds, and most of that happens: there a
- * heap pays the logarithm twice. What is due beyond 30 hours waits in a list.
+ * <p>A wheel of three levels of 1,024 slots (a slot of the first is one tenth, of the second a
+ * tenth of a second, of the third 105 s), with a bit for each slot that is filled, so that setting
+ * costs the same however much is set, and empty time costs next to nothing. A fleet sets mostly
+ * what is due within a few seconds, and most of that happens: there a heap pays the logarithm
+ * twice. What is due beyond 30 hours waits in a list.
  */
 public final class Calendar {
     private static final int BITS = 10;
@@ -36,8 +37,10 @@
     private final Entry[][] last = new Entry[LEVELS][SLOTS];
     private final long[][] filled = new long[LEVELS][SLOTS / Long.SIZE];
     private Entry beyond;
+
     /** All slots before this moment are empty. */
     private long at;
+
     private long now;
     private long order;
     private int size;
@@ -64,9 +67,13 @@
 
     private void place(Entry e) {
         e.next = null;
-        // The level whose slot holds it and no slot of now's turn before it: what differs from `at` decides.
+        // The level whose slot holds it and no slot of now's turn before it: what differs from `at`
+        // decides.
         long differs = e.due ^ at;
-        int level = differs < SLOTS ? 0 : differs < 1L << 2 * BITS ? 1 : differs < 1L << 3 * BITS ? 2 : LEVELS;
+        int level =
+                differs < SLOTS
+                        ? 0
+                        : differs < 1L << 2 * BITS ? 1 : differs < 1L << 3 * BITS ? 2 : LEVELS;
         if (level == LEVELS) {
             e.next = beyond;
             beyond = e;
@@ -110,7 +117,8 @@
         while (size > 0 && advance(until)) {
             int slot = (int) at & MASK;
             now = at;
-            // What is set for this very moment while it is played comes behind it, in the same slot.
+            // What is set for this very moment while it is played comes behind it, in the same
+            // slot.
             while (first[0][slot] != null) {
                 Entry e = sorted(empty(0, slot));
                 while (e != null) {
@@ -150,7 +158,9 @@
             int here = (int) (at >> level * BITS) & MASK;
             int slot = next(level, here);
             if (slot >= 0) {
-                long begins = at >> (level + 1) * BITS << (level + 1) * BITS | (long) slot << level * BITS;
+                long begins =
+                        at >> (level + 1) * BITS << (level + 1) * BITS
+                                | (long) slot << level * BITS;
                 if (begins > until) {
                     return false;
                 }
@@ -177,7 +187,7 @@
     }
 
     private void again(Entry all) {
-        for (Entry e = all; e != null;) {
+        for (Entry e = all; e != null; ) {
             Entry after = e.next;
             place(e);
             e = after;
--- a/src/main/java/firstage/fleet/Choice.java
+++ b/src/main/java/firstage/fleet/Choice.java
@@ -9,18 +9,25 @@
 import java.util.Locale;
 
 /**
- * What decides in a run: the real decisions, or a textbook policy. {@code bounds} tells the decisions that each engine
- * has so many times its cores and memory, which opens their bounds as a wrong setting would. {@code peers}, null where
- * there are none: managers know each other, by the truth, tell each other what takes its time on its way, and these
- * faults are put back.
+ * What decides in a run: the real decisions, or a textbook policy. {@code bounds} tells the
+ * decisions that each engine has so many times its cores and memory, which opens their bounds as a
+ * wrong setting would. {@code peers}, null where there are none: managers know each other, by the
+ * truth, tell each other what takes its time on its way, and these faults are put back.
  */
-public record Choice(String name, PlainPolicy.Kind plain, double bounds, Together.Faults peers,
-                     boolean coldBySettings) {
+public record Choice(
+        String name,
+        PlainPolicy.Kind plain,
+        double bounds,
+        Together.Faults peers,
+        boolean coldBySettings) {
     private static final String BRAIN = "brain";
     private static final String COLD = BRAIN + ":cold=settings";
     private static final String PEERS = BRAIN + ":peers";
 
-    /** {@code brain}, {@code brain:bounds=4}, {@code random}, {@code round-robin}, ...; a fault names what would do. */
+    /**
+     * {@code brain}, {@code brain:bounds=4}, {@code random}, {@code round-robin}, ...; a fault
+     * names what would do.
+     */
     public static Choice of(String text) {
         if (text.equals(BRAIN)) {
             return new Choice(text, null, 1, null, false);
@@ -31,9 +38,10 @@
         if (text.equals(PEERS)) {
             return new Choice(text, null, 1, Together.Faults.NONE, false);
         }
-        if (text.startsWith(PEERS + "=") && Together.Faults.of(text.substring(PEERS.length() + 1)) != null) {
-            return new Choice(text, null, 1, Together.Faults.of(text.substring(PEERS.length() + 1)),
-                    false);
+        if (text.startsWith(PEERS + "=")
+                && Together.Faults.of(text.substring(PEERS.length() + 1)) != null) {
+            return new Choice(
+                    text, null, 1, Together.Faults.of(text.substring(PEERS.length() + 1)), false);
         }
         if (text.startsWith(BRAIN + ":bounds=")) {
             try {
@@ -44,23 +52,35 @@
             } catch (NumberFormatException fault) {
                 // Told below.
             }
-            throw new FleetFault(0, "'" + text + "': bounds takes a number above 0, such as brain:bounds=4");
+            throw new FleetFault(
+                    0, "'" + text + "': bounds takes a number above 0, such as brain:bounds=4");
         }
         for (PlainPolicy.Kind kind : PlainPolicy.Kind.values()) {
             if (kind.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(text)) {
                 return new Choice(text, kind, 1, null, false);
             }
         }
-        throw new FleetFault(0, "'" + text + "' is no choice; there are " + String.join(", ", names()));
+        throw new FleetFault(
+                0, "'" + text + "' is no choice; there are " + String.join(", ", names()));
     }
 
     /** What {@link #of} knows. */
     public static List<String> names() {
-        return List.of(BRAIN, COLD, PEERS, PEERS + "=FAULT", BRAIN + ":bounds=N", "random", "round-robin",
-                "least-outstanding", "two-choices");
+        return List.of(
+                BRAIN,
+                COLD,
+                PEERS,
+                PEERS + "=FAULT",
+                BRAIN + ":bounds=N",
+                "random",
+                "round-robin",
+                "least-outstanding",
+                "two-choices");
     }
 
     WorkloadManager start(Deployment deployment, Host host) {
-        return plain == null ? new Brain(deployment, host) : new PlainPolicy(plain, deployment, host);
+        return plain == null
+                ? new Brain(deployment, host)
+                : new PlainPolicy(plain, deployment, host);
     }
 }
--- a/src/main/java/firstage/fleet/Clients.java
+++ b/src/main/java/firstage/fleet/Clients.java
@@ -2,7 +2,10 @@
 
 import java.util.random.RandomGenerator;
 
-/** How clients spread over the managers and ask again: for the model's in virtual time and the yard's on sockets. */
+/**
+ * How clients spread over the managers and ask again: for the model's in virtual time and the
+ * yard's on sockets.
+ */
 public final class Clients {
     private final FleetPlan plan;
     private final RandomGenerator chance;
@@ -22,8 +25,11 @@
 
     /** The manager of a batch; those of one key have one. */
     public int manager(Work is) {
-        double at = is.key >= 0 ? Math.floorMod(is.key * 0x9E3779B97F4A7C15L, 1L << 40) / (double) (1L << 40)
-                : chance.nextDouble();
+        double at =
+                is.key >= 0
+                        ? Math.floorMod(is.key * 0x9E3779B97F4A7C15L, 1L << 40)
+                                / (double) (1L << 40)
+                        : chance.nextDouble();
         at *= ends[ends.length - 1];
         int m = 0;
         while (m < ends.length - 1 && ends[m] <= at) {
@@ -32,7 +38,10 @@
         return m;
     }
 
-    /** After how long it is asked for again, told to come back after {@code comeBack}, 0 for nothing; -1 for never. */
+    /**
+     * After how long it is asked for again, told to come back after {@code comeBack}, 0 for
+     * nothing; -1 for never.
+     */
     public long again(Work is, long now, long comeBack, boolean may) {
         FleetPlan.Clients like = plan.clients();
         long wait = like.pause().drawTime(chance);
--- a/src/main/java/firstage/fleet/Comparison.java
+++ b/src/main/java/firstage/fleet/Comparison.java
@@ -6,21 +6,32 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * Two choices on the same seeds. For each figure the difference is taken seed by seed, and its interval is Student's at
- * 95%, widened for the many figures shown (Bonferroni): all the bars of a table hold together. A verdict is given where
- * the bar does not touch zero; else nobody can tell, and it is said how many runs would be likely to.
+ * Two choices on the same seeds. For each figure the difference is taken seed by seed, and its
+ * interval is Student's at 95%, widened for the many figures shown (Bonferroni): all the bars of a
+ * table hold together. A verdict is given where the bar does not touch zero; else nobody can tell,
+ * and it is said how many runs would be likely to.
  */
 public final class Comparison {
     private static final double SURE = 0.95;
     private static final int MOST_RUNS = 100_000;
 
     /** Who is better by a figure. */
-    public enum Verdict { LEFT, RIGHT, NONE, BROKEN }
+    public enum Verdict {
+        LEFT,
+        RIGHT,
+        NONE,
+        BROKEN
+    }
 
     /** {@code bar}: half the width of the interval round {@code difference} (right less left). */
-    public record Row(String figure, double left, double right, double difference, double bar, Verdict verdict,
-                      int runsNeeded) {
-    }
+    public record Row(
+            String figure,
+            double left,
+            double right,
+            double difference,
+            double bar,
+            Verdict verdict,
+            int runsNeeded) {}
 
     private final List<Row> rows = new ArrayList<>();
     private final List<String> broken = new ArrayList<>();
@@ -40,15 +51,21 @@
             add(right.get(i));
         }
         List<String> names = List.copyOf(left.get(0).figures().keySet());
-        double wide = new TDistribution(runs - 1).inverseCumulativeProbability(1 - (1 - SURE) / 2 / names.size());
+        double wide =
+                new TDistribution(runs - 1)
+                        .inverseCumulativeProbability(1 - (1 - SURE) / 2 / names.size());
         for (String name : names) {
             rows.add(row(name, left, right, wide));
         }
     }
 
     private void add(FleetResult result) {
-        result.broken().stream().limit(1).forEach(what ->
-                broken.add(result.choice() + ", seed " + result.seed() + ": " + what));
+        result.broken().stream()
+                .limit(1)
+                .forEach(
+                        what ->
+                                broken.add(
+                                        result.choice() + ", seed " + result.seed() + ": " + what));
     }
 
     private Row row(String name, List<FleetResult> left, List<FleetResult> right, double wide) {
@@ -65,17 +82,36 @@
         double mean = differences.getMean();
         double bar = wide * differences.getStandardDeviation() / Math.sqrt(runs);
         boolean told = Math.abs(mean) > bar && mean != 0;
-        Verdict verdict = !broken.isEmpty() ? Verdict.BROKEN : !told ? Verdict.NONE
-                : mean > 0 == moreIsBetter(name) ? Verdict.RIGHT : Verdict.LEFT;
-        double needed = mean == 0 ? MOST_RUNS : Math.pow(wide * differences.getStandardDeviation() / mean, 2);
-        return new Row(name, lefts.getMean(), rights.getMean(), mean, bar, verdict,
+        Verdict verdict =
+                !broken.isEmpty()
+                        ? Verdict.BROKEN
+                        : !told
+                                ? Verdict.NONE
+                                : mean > 0 == moreIsBetter(name) ? Verdict.RIGHT : Verdict.LEFT;
+        double needed =
+                mean == 0
+                        ? MOST_RUNS
+                        : Math.pow(wide * differences.getStandardDeviation() / mean, 2);
+        return new Row(
+                name,
+                lefts.getMean(),
+                rights.getMean(),
+                mean,
+                bar,
+                verdict,
                 told ? runs : (int) Math.min(MOST_RUNS, Math.max(runs + 1, Math.ceil(needed))));
     }
 
-    /** Shares of utility, of which more is better; of latencies, pushbacks, errors and late answers less is. */
+    /**
+     * Shares of utility, of which more is better; of latencies, pushbacks, errors and late answers
+     * less is.
+     */
     public static boolean moreIsBetter(String name) {
-        return !name.contains(" ms ") && !name.startsWith("pushed back") && !name.startsWith("errored")
-                && !name.startsWith("to a sick") && !name.startsWith("late");
+        return !name.contains(" ms ")
+                && !name.startsWith("pushed back")
+                && !name.startsWith("errored")
+                && !name.startsWith("to a sick")
+                && !name.startsWith("late");
     }
 
     public List<Row> rows() {
--- a/src/main/java/firstage/fleet/EngineModel.java
+++ b/src/main/java/firstage/fleet/EngineModel.java
@@ -12,22 +12,33 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A modelled engine: all that it is sent runs at once and shares cores, disks and memory. Less gets done in total past
- * a number of threads; what is short of memory spills; what passes the memory waits in line; tables last read are warm;
- * loads hold theirs; one that has started is cold, and falls over when pushed.
+ * A modelled engine: all that it is sent runs at once and shares cores, disks and memory. Less gets
+ * done in total past a number of threads; what is short of memory spills; what passes the memory
+ * waits in line; tables last read are warm; loads hold theirs; one that has started is cold, and
+ * falls over when pushed.
  */
 public final class EngineModel {
     private static final double[] WEIGHTS = {1, 4, 8, 16};
     private static final double FULL = 0.85;
-    /** Slack for chance on the cold budget, and the part of the work that must come from managers that were told. */
+
+    /**
+     * Slack for chance on the cold budget, and the part of the work that must come from managers
+     * that were told.
+     */
     private static final double CHANCE = 1.1;
+
     private static final double TOLD = 2.0 / 3;
 
-    private record Push(long at, Job job, boolean told) {
-    }
+    private record Push(long at, Job job, boolean told) {}
 
     /** How it stands. */
-    public enum Standing { UP, DRAINING, DOWN, SILENT, HANGING }
+    public enum Standing {
+        UP,
+        DRAINING,
+        DOWN,
+        SILENT,
+        HANGING
+    }
 
     /** Told of a job that is out; the way back is the listener's. */
     public interface Listener {
@@ -53,7 +64,13 @@
         private boolean inLine;
         private boolean over;
 
-        public Job(Work is, FleetPlan.Group group, Listener listener, int manager, double grant, int priority) {
+        public Job(
+                Work is,
+                FleetPlan.Group group,
+                Listener listener,
+                int manager,
+                double grant,
+                int priority) {
             this.is = is;
             this.manager = manager;
             this.group = group;
@@ -78,8 +95,10 @@
     private final List<Job> line = new ArrayList<>();
     private final Map<Integer, Job> loads = new LinkedHashMap<>();
     private final List<Integer> warm = new ArrayList<>();
+
     /** What was sent of late, within the fall window. */
     private final ArrayDeque<Push> pressure = new ArrayDeque<>();
+
     private Standing standing = Standing.UP;
     private double reserved;
     private long at;
@@ -87,7 +106,8 @@
     private int turn;
     private double slower = 1;
 
-    public EngineModel(int number, FleetPlan plan, Calendar calendar, Streams streams, RuleWatch rules) {
+    public EngineModel(
+            int number, FleetPlan plan, Calendar calendar, Streams streams, RuleWatch rules) {
         this.number = number;
         this.kind = plan.engines();
         this.calendar = calendar;
@@ -130,11 +150,15 @@
         again();
     }
 
-    /** Dies, goes silent, drains or is back; with a death all that it had ends, unseen where it went silent. */
+    /**
+     * Dies, goes silent, drains or is back; with a death all that it had ends, unseen where it went
+     * silent.
+     */
     public void becomes(Standing next) {
         advance();
         boolean dies = next == Standing.DOWN || next == Standing.SILENT;
-        boolean starts = next == Standing.UP && standing != Standing.UP && standing != Standing.HANGING;
+        boolean starts =
+                next == Standing.UP && standing != Standing.UP && standing != Standing.HANGING;
         standing = next;
         if (dies) {
             List<Job> all = new ArrayList<>(running);
@@ -171,7 +195,8 @@
     /** The share of its capacity that it has. */
     private double cold() {
         long age = calendar.now() - startedAt;
-        return startedAt == 0 || age >= warmAfter ? 1
+        return startedAt == 0 || age >= warmAfter
+                ? 1
                 : kind.coldFrom() + (1 - kind.coldFrom()) * age / warmAfter;
     }
 
@@ -204,7 +229,10 @@
         again();
     }
 
-    /** All work that comes here counts, also what is refused; work that came before the start does not. */
+    /**
+     * All work that comes here counts, also what is refused; work that came before the start does
+     * not.
+     */
     private void push(Job job) {
         long now = calendar.now();
         pressure.add(new Push(now, job, rules.knowsStart(job.manager, number, startedAt)));
@@ -215,14 +243,27 @@
         if (share < 1 && limits.tipMultiple() > 0 && standing == Standing.UP) {
             double sent = pressed(p -> true);
             double told = pressed(Push::told);
-            if (sent > limits.tipMultiple() * share * kind.cores() * speed * FULL * limits.fall() * CHANCE) {
+            if (sent
+                    > limits.tipMultiple()
+                            * share
+                            * kind.cores()
+                            * speed
+                            * FULL
+                            * limits.fall()
+                            * CHANCE) {
                 if (told >= sent * TOLD) {
                     // Who pushed it: what to look for in a report of this rule.
-                    rules.fell(number, now, String.format(Locale.ROOT,
-                            "of the work in the window %.0f%% came from lives of managers that had ended, "
-                                    + "%.0f%% from managers told of its start, %d ms before",
-                            100 * pressed(p -> !p.job.listener.alive()) / sent, 100 * told / sent,
-                            (now - startedAt) / 10));
+                    rules.fell(
+                            number,
+                            now,
+                            String.format(
+                                    Locale.ROOT,
+                                    "of the work in the window %.0f%% came from lives of managers"
+                                        + " that had ended, %.0f%% from managers told of its start,"
+                                        + " %d ms before",
+                                    100 * pressed(p -> !p.job.listener.alive()) / sent,
+                                    100 * told / sent,
+                                    (now - startedAt) / 10));
                 }
                 becomes(Standing.DOWN);
             }
@@ -242,7 +283,11 @@
         }
         double missing = kind.grants() ? Math.max(0, 1 - job.grant / job.is.memoryMb) : 0;
         double bad = chance.nextDouble() < job.group.badPlans() ? 8 + 17 * chance.nextDouble() : 1;
-        job.whole = job.is.work * bad * (1 + spill * missing) * (1 - (isWarm ? job.group.io() * kind.warmGain() : 0));
+        job.whole =
+                job.is.work
+                        * bad
+                        * (1 + spill * missing)
+                        * (1 - (isWarm ? job.group.io() * kind.warmGain() : 0));
         job.left = job.whole;
         running.add(job);
         if (missing > 0) {
@@ -272,7 +317,9 @@
     /** What came or went changes everybody's pace: works it out again and sets the next end. */
     private void again() {
         ends();
-        if (standing == Standing.HANGING || standing == Standing.SILENT || standing == Standing.DOWN) {
+        if (standing == Standing.HANGING
+                || standing == Standing.SILENT
+                || standing == Standing.DOWN) {
             turn++;
             return;
         }
@@ -307,12 +354,14 @@
         if (first < Double.MAX_VALUE) {
             // A cold engine gets faster by itself: it is looked at again before long.
             long due = (long) Math.ceil(cold() < 1 ? Math.min(first, 5_000) : first);
-            calendar.in(Math.max(1, due), () -> {
-                if (mine == turn) {
-                    advance();
-                    again();
-                }
-            });
+            calendar.in(
+                    Math.max(1, due),
+                    () -> {
+                        if (mine == turn) {
+                            advance();
+                            again();
+                        }
+                    });
         }
     }
 
@@ -324,8 +373,10 @@
             double open = 0;
             for (Job job : running) {
                 if (job.rate >= 0 && job.rate < job.group.threads()) {
-                    double part = Math.min(job.group.threads() - job.rate,
-                            left * weight(job) * job.group.threads() / weights);
+                    double part =
+                            Math.min(
+                                    job.group.threads() - job.rate,
+                                    left * weight(job) * job.group.threads() / weights);
                     job.rate += part;
                     given += part;
                     open += job.rate < job.group.threads() ? weight(job) * job.group.threads() : 0;
@@ -347,7 +398,9 @@
                 running.remove(i--);
                 leave(job);
                 rules.stops(job.is);
-                job.listener.ended(job, chance.nextDouble() < kind.errs() ? Outcome.ERRORED : Outcome.RETURNED);
+                job.listener.ended(
+                        job,
+                        chance.nextDouble() < kind.errs() ? Outcome.ERRORED : Outcome.RETURNED);
             }
         }
         admit();
@@ -403,24 +456,32 @@
         if (kind.notePace() <= 0) {
             return;
         }
-        calendar.in(kind.notePace(), () -> {
-            if (job.over || standing == Standing.SILENT || standing == Standing.DOWN) {
-                return;
-            }
-            if (standing != Standing.HANGING) {
-                advance();
-                if (job.inLine) {
-                    job.listener.noted(job, Note.Kind.WAITS_FOR_MEMORY, 0);
-                } else if (stands(job)) {
-                    job.listener.noted(job, Note.Kind.WAITS_FOR_LOAD, 0);
-                } else {
-                    double share = 1 - job.left / job.whole;
-                    job.listener.noted(job, Note.Kind.DONE,
-                            Math.max(0, Math.min(1, share * (0.85 + 0.3 * chance.nextDouble()))));
-                }
-                again();
-            }
-            note(job);
-        });
+        calendar.in(
+                kind.notePace(),
+                () -> {
+                    if (job.over || standing == Standing.SILENT || standing == Standing.DOWN) {
+                        return;
+                    }
+                    if (standing != Standing.HANGING) {
+                        advance();
+                        if (job.inLine) {
+                            job.listener.noted(job, Note.Kind.WAITS_FOR_MEMORY, 0);
+                        } else if (stands(job)) {
+                            job.listener.noted(job, Note.Kind.WAITS_FOR_LOAD, 0);
+                        } else {
+                            double share = 1 - job.left / job.whole;
+                            job.listener.noted(
+                                    job,
+                                    Note.Kind.DONE,
+                                    Math.max(
+                                            0,
+                                            Math.min(
+                                                    1,
+                                                    share * (0.85 + 0.3 * chance.nextDouble()))));
+                        }
+                        again();
+                    }
+                    note(job);
+                });
     }
 }
--- a/src/main/java/firstage/fleet/FleetFile.java
+++ b/src/main/java/firstage/fleet/FleetFile.java
@@ -12,13 +12,11 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * Reads a fleet file: TOML, every figure that has a unit with its unit. What can't be used is told with its line
- * and what
- * would do; nothing is guessed, and no key is skipped.
+ * Reads a fleet file: TOML, every figure that has a unit with its unit. What can't be used is told
+ * with its line and what would do; nothing is guessed, and no key is skipped.
  */
 public final class FleetFile {
-    private FleetFile() {
-    }
+    private FleetFile() {}
 
     /** The plan that this text sets; {@link FleetFault} names line and cure. */
     public static FleetPlan read(String text) {
@@ -31,11 +29,23 @@
         List<String> zones = zones(top);
         FleetPlan.Managers managers = managers(top.table("managers"), zones.size());
         FleetPlan.Engines engines = engines(top.table("engines"));
-        FleetPlan plan = new FleetPlan(top.text("name", "fleet"), top.time("length", null), managers, engines,
-                net(top.table("net")), clients(top.table("clients")), rules(top.table("rules")),
-                goal(top.table("goal")), groups(top.tables("group")), customers(top.tables("customer")),
-                traffic(top.table("traffic")), troubles(top), zones,
-                faults(top, zones, managers.count(), engines.count()), expects(top));
+        FleetPlan plan =
+                new FleetPlan(
+                        top.text("name", "fleet"),
+                        top.time("length", null),
+                        managers,
+                        engines,
+                        net(top.table("net")),
+                        clients(top.table("clients")),
+                        rules(top.table("rules")),
+                        goal(top.table("goal")),
+                        groups(top.tables("group")),
+                        customers(top.tables("customer")),
+                        traffic(top.table("traffic")),
+                        troubles(top),
+                        zones,
+                        faults(top, zones, managers.count(), engines.count()),
+                        expects(top));
         top.done();
         return plan;
     }
@@ -45,34 +55,65 @@
     }
 
     private static List<String> zones(Section top) {
-        List<String> zones = Arrays.stream(top.text("zones", "a").split(",")).map(String::trim).toList();
+        List<String> zones =
+                Arrays.stream(top.text("zones", "a").split(",")).map(String::trim).toList();
         if (zones.contains("") || Set.copyOf(zones).size() < zones.size()) {
-            throw top.fault("zones", "'" + String.join(", ", zones) + "' has an empty or doubled name; "
-                    + "\"north, south\" would do");
+            throw top.fault(
+                    "zones",
+                    "'"
+                            + String.join(", ", zones)
+                            + "' has an empty or doubled name; "
+                            + "\"north, south\" would do");
         }
         return zones;
     }
 
-    private static List<FleetPlan.Fault> faults(Section top, List<String> zones, int managers, int engines) {
+    private static List<FleetPlan.Fault> faults(
+            Section top, List<String> zones, int managers, int engines) {
         List<FleetPlan.Fault> faults = new ArrayList<>();
-        List<String> kinds = Arrays.stream(FleetPlan.Fault.Kind.values())
-                .map(k -> k.name().toLowerCase(Locale.ROOT)).toList();
+        List<String> kinds =
+                Arrays.stream(FleetPlan.Fault.Kind.values())
+                        .map(k -> k.name().toLowerCase(Locale.ROOT))
+                        .toList();
         for (Section s : top.tables("fault")) {
-            FleetPlan.Fault.Kind kind = FleetPlan.Fault.Kind.valueOf(
-                    s.oneOf("kind", null, kinds).toUpperCase(Locale.ROOT));
-            boolean way = List.of(FleetPlan.Fault.Kind.CUT, FleetPlan.Fault.Kind.LOSS, FleetPlan.Fault.Kind.DELAY)
-                    .contains(kind);
+            FleetPlan.Fault.Kind kind =
+                    FleetPlan.Fault.Kind.valueOf(
+                            s.oneOf("kind", null, kinds).toUpperCase(Locale.ROOT));
+            boolean way =
+                    List.of(
+                                    FleetPlan.Fault.Kind.CUT,
+                                    FleetPlan.Fault.Kind.LOSS,
+                                    FleetPlan.Fault.Kind.DELAY)
+                            .contains(kind);
             boolean nobody = kind == FleetPlan.Fault.Kind.TRAFFIC;
             Who who = nobody ? null : who(s, way ? "from" : "who", zones, managers, engines);
             Who to = way ? who(s, "to", zones, managers, engines) : null;
-            boolean toEngines = kind == FleetPlan.Fault.Kind.DIE || kind == FleetPlan.Fault.Kind.SILENCE
-                    || kind == FleetPlan.Fault.Kind.HANG || kind == FleetPlan.Fault.Kind.DRAIN;
+            boolean toEngines =
+                    kind == FleetPlan.Fault.Kind.DIE
+                            || kind == FleetPlan.Fault.Kind.SILENCE
+                            || kind == FleetPlan.Fault.Kind.HANG
+                            || kind == FleetPlan.Fault.Kind.DRAIN;
             if (who != null && !way && who.isEngines() != toEngines) {
-                throw s.fault("who", "a " + kind.name().toLowerCase(Locale.ROOT) + " strikes "
-                        + (toEngines ? "engines; \"engines 25%\" would do" : "managers; \"managers 25%\" would do"));
+                throw s.fault(
+                        "who",
+                        "a "
+                                + kind.name().toLowerCase(Locale.ROOT)
+                                + " strikes "
+                                + (toEngines
+                                        ? "engines; \"engines 25%\" would do"
+                                        : "managers; \"managers 25%\" would do"));
             }
-            faults.add(new FleetPlan.Fault(s.line(), kind, s.time("at", null), s.time("length", "0 s"), who, to,
-                    s.flag("one_way", false), s.figure("size", 0, 100_000, 1.0), s.time("every", "0 s")));
+            faults.add(
+                    new FleetPlan.Fault(
+                            s.line(),
+                            kind,
+                            s.time("at", null),
+                            s.time("length", "0 s"),
+                            who,
+                            to,
+                            s.flag("one_way", false),
+                            s.figure("size", 0, 100_000, 1.0),
+                            s.time("every", "0 s")));
             s.done();
         }
         return faults;
@@ -89,8 +130,12 @@
     private static List<FleetPlan.Expect> expects(Section top) {
         List<FleetPlan.Expect> expects = new ArrayList<>();
         for (Section s : top.tables("expect")) {
-            expects.add(new FleetPlan.Expect(s.line(), s.text("figure", null), s.figure("least", -1e9, 1e9, -1e9),
-                    s.figure("most", -1e9, 1e9, 1e9)));
+            expects.add(
+                    new FleetPlan.Expect(
+                            s.line(),
+                            s.text("figure", null),
+                            s.figure("least", -1e9, 1e9, -1e9),
+                            s.figure("most", -1e9, 1e9, 1e9)));
             s.done();
         }
         return expects;
@@ -105,25 +150,54 @@
             throw s.fault("of", of + " is under count; " + count + " and more would do");
         }
         if (cell > 0 && (count % (cell * zones) != 0 || spread > count / cell / zones)) {
-            throw s.fault(count % (cell * zones) != 0 ? "cell" : "spread", count + " managers are not " + spread
-                    + " or more whole cells of " + cell + " in each zone; count = " + spread * cell * zones
-                    + " would do");
+            throw s.fault(
+                    count % (cell * zones) != 0 ? "cell" : "spread",
+                    count
+                            + " managers are not "
+                            + spread
+                            + " or more whole cells of "
+                            + cell
+                            + " in each zone; count = "
+                            + spread * cell * zones
+                            + " would do");
         }
-        FleetPlan.Managers m = new FleetPlan.Managers(count, of, cell, spread, s.share("unequal", 0.0),
-                s.times("list_delay", "1 s to 3 s"), s.flag("probes", false), s.flag("second_copies", false),
-                s.flag("call_off", false), s.whole("dispatches", 1, 100, 6), s.times("restart", "500 ms to 1500 ms"));
+        FleetPlan.Managers m =
+                new FleetPlan.Managers(
+                        count,
+                        of,
+                        cell,
+                        spread,
+                        s.share("unequal", 0.0),
+                        s.times("list_delay", "1 s to 3 s"),
+                        s.flag("probes", false),
+                        s.flag("second_copies", false),
+                        s.flag("call_off", false),
+                        s.whole("dispatches", 1, 100, 6),
+                        s.times("restart", "500 ms to 1500 ms"));
         s.done();
         return m;
     }
 
     private static FleetPlan.Engines engines(Section s) {
-        FleetPlan.Engines e = new FleetPlan.Engines(s.whole("count", 1, 10_000, null), s.whole("cores", 1, 1_024, null),
-                s.size("memory", null), s.figures("speed", 0.01, 100, "1"), s.figures("knee", 0.1, 100, "1.3 to 2.2"),
-                s.figures("thrash", 0, 10, "0.3 to 0.6"), s.figure("disks", 0.1, 1_000, 0.5),
-                s.figures("spill", 0, 100, "1.5 to 3"), s.whole("sessions", 1, 10_000, 64),
-                s.whole("warm_tables", 0, 1_000, 4), s.share("warm_gain", 0.5), s.share("cold_from", 0.3),
-                s.times("warm_after", "13 s"), s.flag("grants", true), s.flag("priorities", true),
-                s.time("notes", "500 ms"), s.share("errs", 0.0));
+        FleetPlan.Engines e =
+                new FleetPlan.Engines(
+                        s.whole("count", 1, 10_000, null),
+                        s.whole("cores", 1, 1_024, null),
+                        s.size("memory", null),
+                        s.figures("speed", 0.01, 100, "1"),
+                        s.figures("knee", 0.1, 100, "1.3 to 2.2"),
+                        s.figures("thrash", 0, 10, "0.3 to 0.6"),
+                        s.figure("disks", 0.1, 1_000, 0.5),
+                        s.figures("spill", 0, 100, "1.5 to 3"),
+                        s.whole("sessions", 1, 10_000, 64),
+                        s.whole("warm_tables", 0, 1_000, 4),
+                        s.share("warm_gain", 0.5),
+                        s.share("cold_from", 0.3),
+                        s.times("warm_after", "13 s"),
+                        s.flag("grants", true),
+                        s.flag("priorities", true),
+                        s.time("notes", "500 ms"),
+                        s.share("errs", 0.0));
         s.done();
         return e;
     }
@@ -135,30 +209,48 @@
     }
 
     private static FleetPlan.Clients clients(Section s) {
-        FleetPlan.Clients c = new FleetPlan.Clients(s.whole("retries", 0, 100, 1), s.times("wait", "100 ms to 500 ms"),
-                s.share("try_share", 1.0), s.share("honour", 0.7));
+        FleetPlan.Clients c =
+                new FleetPlan.Clients(
+                        s.whole("retries", 0, 100, 1),
+                        s.times("wait", "100 ms to 500 ms"),
+                        s.share("try_share", 1.0),
+                        s.share("honour", 0.7));
         s.done();
         return c;
     }
 
     private static FleetPlan.Rules rules(Section s) {
-        FleetPlan.Rules r = new FleetPlan.Rules(s.time("drain_grace", "500 ms"), s.figure("tip_multiple", 0, 100, 2.0),
-                s.time("fall", "2 s"), s.time("key_rest", "0 s"));
+        FleetPlan.Rules r =
+                new FleetPlan.Rules(
+                        s.time("drain_grace", "500 ms"),
+                        s.figure("tip_multiple", 0, 100, 2.0),
+                        s.time("fall", "2 s"),
+                        s.time("key_rest", "0 s"));
         s.done();
         return r;
     }
 
     private static FleetPlan.Goal goal(Section s) {
-        FleetPlan.Goal g = new FleetPlan.Goal(s.share("whole", 0.5), s.share("worst_span", 0.2),
-                s.share("worst_group", 0.2), s.share("worst_customer", 0.1));
+        FleetPlan.Goal g =
+                new FleetPlan.Goal(
+                        s.share("whole", 0.5),
+                        s.share("worst_span", 0.2),
+                        s.share("worst_group", 0.2),
+                        s.share("worst_customer", 0.1));
         s.done();
         return g;
     }
 
     private static FleetPlan.Traffic traffic(Section s) {
-        FleetPlan.Traffic t = new FleetPlan.Traffic(s.oneOf("kind", "steady", TrafficShape.NAMES),
-                s.figure("rate", 0.001, 1e6, null), s.share("swing", 0.2), s.whole("keys", 0, 1_000_000, 0),
-                s.figure("key_heat", 0, 3, 0.8), s.whole("tables", 1, 100_000, 20), s.figure("table_heat", 0, 3, 0.7));
+        FleetPlan.Traffic t =
+                new FleetPlan.Traffic(
+                        s.oneOf("kind", "steady", TrafficShape.NAMES),
+                        s.figure("rate", 0.001, 1e6, null),
+                        s.share("swing", 0.2),
+                        s.whole("keys", 0, 1_000_000, 0),
+                        s.figure("key_heat", 0, 3, 0.8),
+                        s.whole("tables", 1, 100_000, 20),
+                        s.figure("table_heat", 0, 3, 0.7));
         s.done();
         return t;
     }
@@ -166,21 +258,42 @@
     private static List<FleetPlan.Group> groups(List<Section> all) {
         List<FleetPlan.Group> groups = new ArrayList<>();
         for (Section s : all) {
-            groups.add(new FleetPlan.Group(s.text("name", null), s.share("share", null), s.time("work", null),
-                    s.figure("spread", 0, 5, 0.8), s.share("io", 0.3), s.whole("threads", 1, 256, 1),
-                    s.size("memory", null), s.time("goal", null), s.figure("stretch", 0, 100, 0.0), s.time("limit",
-                            null),
-                    s.figure("utility", 0, 1e6, 1.0), s.share("late_value", 0.0),
-                    effect(s.oneOf("effect", null, List.of("repeatable", "referenced", "once-only"))),
-                    Scope.valueOf(s.oneOf("scope", "all", List.of("all", "zone", "cell")).toUpperCase(Locale.ROOT)),
-                    s.time("window", "5 s"), s.flag("ordered", false), s.flag("load", false), s.flag("yields", false),
-                    s.share("bad_plans", 0.0), s.figure("estimate_low", 0.01, 100, 1.0),
-                    s.figure("estimate_scatter", 0, 5, 0.4)));
+            groups.add(
+                    new FleetPlan.Group(
+                            s.text("name", null),
+                            s.share("share", null),
+                            s.time("work", null),
+                            s.figure("spread", 0, 5, 0.8),
+                            s.share("io", 0.3),
+                            s.whole("threads", 1, 256, 1),
+                            s.size("memory", null),
+                            s.time("goal", null),
+                            s.figure("stretch", 0, 100, 0.0),
+                            s.time("limit", null),
+                            s.figure("utility", 0, 1e6, 1.0),
+                            s.share("late_value", 0.0),
+                            effect(
+                                    s.oneOf(
+                                            "effect",
+                                            null,
+                                            List.of("repeatable", "referenced", "once-only"))),
+                            Scope.valueOf(
+                                    s.oneOf("scope", "all", List.of("all", "zone", "cell"))
+                                            .toUpperCase(Locale.ROOT)),
+                            s.time("window", "5 s"),
+                            s.flag("ordered", false),
+                            s.flag("load", false),
+                            s.flag("yields", false),
+                            s.share("bad_plans", 0.0),
+                            s.figure("estimate_low", 0.01, 100, 1.0),
+                            s.figure("estimate_scatter", 0, 5, 0.4)));
             s.done();
         }
         if (groups.isEmpty()) {
-            throw new FleetFault(0,
-                    "no service group; write [[group]] with name, share, work, memory, goal, limit, effect");
+            throw new FleetFault(
+                    0,
+                    "no service group; write [[group]] with name, share, work, memory, goal, limit,"
+                            + " effect");
         }
         return groups;
     }
@@ -200,13 +313,25 @@
 
     private static List<FleetPlan.Trouble> troubles(Section top) {
         List<FleetPlan.Trouble> troubles = new ArrayList<>();
-        List<String> kinds = Arrays.stream(FleetPlan.Trouble.Kind.values())
-                .map(k -> k.name().toLowerCase(Locale.ROOT).replace('_', '-')).toList();
+        List<String> kinds =
+                Arrays.stream(FleetPlan.Trouble.Kind.values())
+                        .map(k -> k.name().toLowerCase(Locale.ROOT).replace('_', '-'))
+                        .toList();
         for (Section s : top.tables("trouble")) {
-            FleetPlan.Trouble.Kind kind = FleetPlan.Trouble.Kind.valueOf(
-                    s.oneOf("kind", null, kinds).toUpperCase(Locale.ROOT).replace('-', '_'));
-            troubles.add(new FleetPlan.Trouble(kind, s.time("at", null), s.time("length", "0 s"), s.share("part", 1.0),
-                    s.figure("size", 0, 1_000, 1.0), s.share("extra", 0.01), s.whole("group", 0, 1_000, 0)));
+            FleetPlan.Trouble.Kind kind =
+                    FleetPlan.Trouble.Kind.valueOf(
+                            s.oneOf("kind", null, kinds)
+                                    .toUpperCase(Locale.ROOT)
+                                    .replace('-', '_'));
+            troubles.add(
+                    new FleetPlan.Trouble(
+                            kind,
+                            s.time("at", null),
+                            s.time("length", "0 s"),
+                            s.share("part", 1.0),
+                            s.figure("size", 0, 1_000, 1.0),
+                            s.share("extra", 0.01),
+                            s.whole("group", 0, 1_000, 0)));
             s.done();
         }
         return troubles;
--- a/src/main/java/firstage/fleet/FleetRun.java
+++ b/src/main/java/firstage/fleet/FleetRun.java
@@ -15,15 +15,18 @@
 import java.util.stream.IntStream;
 
 /**
- * One run of a fleet: the same plan, choice and seed give the same result, and two choices of one seed meet the same
- * traffic, engines and troubles.
+ * One run of a fleet: the same plan, choice and seed give the same result, and two choices of one
+ * seed meet the same traffic, engines and troubles.
  */
 public final class FleetRun implements ManagerModel.Answers {
     private static final long START = 1_000_000;
+
     /** After the last arrival a run goes on until all is answered. */
     private static final long DRAIN = 10_000;
+
     private static final long DRAINS_FOR = 30_000;
     private static final long DOWN_FOR = 20_000;
+
     /** Silence is noticed so many times later than a death. */
     private static final int SILENCE_LATER = 3;
 
@@ -36,10 +39,13 @@
     private final Clients clients;
     private final List<EngineModel> engines = new ArrayList<>();
     private final List<ManagerModel> managers = new ArrayList<>();
+
     /** The managers cell by cell; all of them, where there are no cells. */
     private final List<List<ManagerModel>> together;
+
     /** By engine, how often the list changed its word on it. */
     private final int[] versions;
+
     private final List<Trouble> dear = new ArrayList<>();
     private double boost = 1;
     private long toSick;
@@ -58,11 +64,23 @@
         versions = new int[engines.size()];
         int count = plan.managers().count();
         for (int m = 0; m < count; m++) {
-            managers.add(new ManagerModel(m, plan, choice, calendar, streams, rules, engines, this));
+            managers.add(
+                    new ManagerModel(m, plan, choice, calendar, streams, rules, engines, this));
         }
-        together = List.copyOf(IntStream.range(0, count).boxed().collect(Collectors.groupingBy(
-                m -> plan.managers().cell() == 0 ? 0 : plan.cellOf(m), TreeMap::new,
-                Collectors.mapping(managers::get, Collectors.toList()))).values());
+        together =
+                List.copyOf(
+                        IntStream.range(0, count)
+                                .boxed()
+                                .collect(
+                                        Collectors.groupingBy(
+                                                m ->
+                                                        plan.managers().cell() == 0
+                                                                ? 0
+                                                                : plan.cellOf(m),
+                                                TreeMap::new,
+                                                Collectors.mapping(
+                                                        managers::get, Collectors.toList())))
+                                .values());
     }
 
     /** Plays it; the progress of a long run is nobody's matter here. */
@@ -82,8 +100,11 @@
         }
         for (FleetPlan.Fault f : plan.faults()) {
             if (!f.modelled()) {
-                throw new FleetFault(f.line(), "fault: the fleet model has no "
-                        + f.kind().name().toLowerCase(Locale.ROOT) + "; play this plan on processes (yard run)");
+                throw new FleetFault(
+                        f.line(),
+                        "fault: the fleet model has no "
+                                + f.kind().name().toLowerCase(Locale.ROOT)
+                                + "; play this plan on processes (yard run)");
             }
             RandomGenerator chance = streams.of("fault", number++);
             calendar.in(f.at(), () -> strike(f, chance));
@@ -93,15 +114,21 @@
         long happened = calendar.play(START + plan.length() + longest + DRAIN);
         Map<String, Double> figures = score.figures();
         figures.put("to a sick engine a s", sickSeconds > 0 ? toSick / sickSeconds : 0);
-        return new FleetResult(choice.name(), seed, figures, rules.broken(), score.batches(), happened);
+        return new FleetResult(
+                choice.name(), seed, figures, rules.broken(), score.batches(), happened);
     }
 
-    /** Each tells one other of its cell by chance and hears it, as the membership's probes and their answers do. */
+    /**
+     * Each tells one other of its cell by chance and hears it, as the membership's probes and their
+     * answers do.
+     */
     private void gossip(RandomGenerator chance) {
         for (List<ManagerModel> cell : together) {
-            List<String> up = cell.stream().filter(ManagerModel::up).map(ManagerModel::name).toList();
+            List<String> up =
+                    cell.stream().filter(ManagerModel::up).map(ManagerModel::name).toList();
             for (int m = 0; m < cell.size() && cell.size() > 1; m++) {
-                ManagerModel other = cell.get((m + 1 + chance.nextInt(cell.size() - 1)) % cell.size());
+                ManagerModel other =
+                        cell.get((m + 1 + chance.nextInt(cell.size() - 1)) % cell.size());
                 cell.get(m).viewed(up);
                 cell.get(m).tells(other);
                 other.tells(cell.get(m));
@@ -181,20 +208,56 @@
 
     private void strike(Trouble t, RandomGenerator chance) {
         switch (t.kind()) {
-            case CRASH -> struck(engines.size(), t.part(), chance).forEach(e -> down(e, EngineModel.Standing.DOWN,
-                    t.length() / 2 + chance.nextLong(t.length() / 2 + 1), 1, chance));
-            case SILENCE -> struck(engines.size(), t.part(), chance).forEach(e -> down(e, EngineModel.Standing.SILENT,
-                    t.length() / 2 + chance.nextLong(t.length() / 2 + 1), SILENCE_LATER, chance));
-            case HANG -> struck(engines.size(), t.part(), chance).forEach(e -> {
-                engines.get(e).becomes(EngineModel.Standing.HANGING);
-                calendar.in(t.length(), () -> engines.get(e).becomes(EngineModel.Standing.UP));
-            });
+            case CRASH ->
+                    struck(engines.size(), t.part(), chance)
+                            .forEach(
+                                    e ->
+                                            down(
+                                                    e,
+                                                    EngineModel.Standing.DOWN,
+                                                    t.length() / 2
+                                                            + chance.nextLong(t.length() / 2 + 1),
+                                                    1,
+                                                    chance));
+            case SILENCE ->
+                    struck(engines.size(), t.part(), chance)
+                            .forEach(
+                                    e ->
+                                            down(
+                                                    e,
+                                                    EngineModel.Standing.SILENT,
+                                                    t.length() / 2
+                                                            + chance.nextLong(t.length() / 2 + 1),
+                                                    SILENCE_LATER,
+                                                    chance));
+            case HANG ->
+                    struck(engines.size(), t.part(), chance)
+                            .forEach(
+                                    e -> {
+                                        engines.get(e).becomes(EngineModel.Standing.HANGING);
+                                        calendar.in(
+                                                t.length(),
+                                                () ->
+                                                        engines.get(e)
+                                                                .becomes(EngineModel.Standing.UP));
+                                    });
             case RELEASE -> release(t, chance);
-            case RESTART -> struck(managers.size(), t.part(), chance).forEach(m -> calendar.in(
-                    t.length() > 0 ? chance.nextLong(t.length()) : 0, () -> {
-                        managers.get(m).kill();
-                        calendar.in(plan.managers().restart().drawTime(chance), () -> managers.get(m).start());
-                    }));
+            case RESTART ->
+                    struck(managers.size(), t.part(), chance)
+                            .forEach(
+                                    m ->
+                                            calendar.in(
+                                                    t.length() > 0
+                                                            ? chance.nextLong(t.length())
+                                                            : 0,
+                                                    () -> {
+                                                        managers.get(m).kill();
+                                                        calendar.in(
+                                                                plan.managers()
+                                                                        .restart()
+                                                                        .drawTime(chance),
+                                                                () -> managers.get(m).start());
+                                                    }));
             case BURST -> {
                 boost = t.size();
                 calendar.in(t.length(), () -> boost = 1);
@@ -211,28 +274,47 @@
                 managers.forEach(m -> m.reportsLater(Math.round(t.size() * 10_000)));
                 calendar.in(t.length(), () -> managers.forEach(m -> m.reportsLater(0)));
             }
-            case COLD -> struck(engines.size(), t.part(), chance).forEach(e -> {
-                engines.get(e).cools();
-                tell(e, Standing.ACTIVE, calendar.now(), 1, chance);
-            });
+            case COLD ->
+                    struck(engines.size(), t.part(), chance)
+                            .forEach(
+                                    e -> {
+                                        engines.get(e).cools();
+                                        tell(e, Standing.ACTIVE, calendar.now(), 1, chance);
+                                    });
         }
     }
 
     private void strike(FleetPlan.Fault f, RandomGenerator chance) {
         List<Integer> struck = f.who() == null ? List.of() : f.who().among(plan, chance);
         switch (f.kind()) {
-            case DIE -> struck.forEach(e -> down(e, EngineModel.Standing.DOWN, f.length(), 1, chance));
-            case SILENCE -> struck.forEach(e -> down(e, EngineModel.Standing.SILENT, f.length(), SILENCE_LATER,
-                    chance));
-            case HANG -> struck.forEach(e -> {
-                sickSeconds += f.length() / 1e4;
-                engines.get(e).becomes(EngineModel.Standing.HANGING);
-                calendar.in(f.length(), () -> engines.get(e).becomes(EngineModel.Standing.UP));
-            });
-            case KILL -> struck.forEach(m -> {
-                managers.get(m).kill();
-                calendar.in(plan.managers().restart().drawTime(chance), () -> managers.get(m).start());
-            });
+            case DIE ->
+                    struck.forEach(e -> down(e, EngineModel.Standing.DOWN, f.length(), 1, chance));
+            case SILENCE ->
+                    struck.forEach(
+                            e ->
+                                    down(
+                                            e,
+                                            EngineModel.Standing.SILENT,
+                                            f.length(),
+                                            SILENCE_LATER,
+                                            chance));
+            case HANG ->
+                    struck.forEach(
+                            e -> {
+                                sickSeconds += f.length() / 1e4;
+                                engines.get(e).becomes(EngineModel.Standing.HANGING);
+                                calendar.in(
+                                        f.length(),
+                                        () -> engines.get(e).becomes(EngineModel.Standing.UP));
+                            });
+            case KILL ->
+                    struck.forEach(
+                            m -> {
+                                managers.get(m).kill();
+                                calendar.in(
+                                        plan.managers().restart().drawTime(chance),
+                                        () -> managers.get(m).start());
+                            });
             default -> {
                 boost = f.size();
                 calendar.in(f.length(), () -> boost = 1);
@@ -240,25 +322,30 @@
         }
     }
 
-    private void down(int e, EngineModel.Standing how, long length, int later, RandomGenerator chance) {
+    private void down(
+            int e, EngineModel.Standing how, long length, int later, RandomGenerator chance) {
         sickSeconds += length / 1e4;
         engines.get(e).becomes(how);
         tell(e, Standing.LEFT, 0, later, chance);
-        calendar.in(length, () -> {
-            engines.get(e).becomes(EngineModel.Standing.UP);
-            tell(e, Standing.ACTIVE, calendar.now(), 1, chance);
-        });
+        calendar.in(
+                length,
+                () -> {
+                    engines.get(e).becomes(EngineModel.Standing.UP);
+                    tell(e, Standing.ACTIVE, calendar.now(), 1, chance);
+                });
     }
 
     /** Each manager hears it when its own list comes round. */
     private void tell(int e, Standing standing, long since, int later, RandomGenerator chance) {
         int said = ++versions[e];
         for (ManagerModel m : managers) {
-            calendar.in(later * plan.managers().listDelay().drawTime(chance), () -> {
-                if (versions[e] == said || later == 1) {
-                    m.listed(e, standing, since);
-                }
-            });
+            calendar.in(
+                    later * plan.managers().listDelay().drawTime(chance),
+                    () -> {
+                        if (versions[e] == said || later == 1) {
+                            m.listed(e, standing, since);
+                        }
+                    });
         }
     }
 
@@ -268,11 +355,15 @@
         int steps = (all.size() + each - 1) / each;
         for (int i = 0; i < all.size(); i++) {
             int e = all.get(i);
-            calendar.in(i / each * (t.length() / Math.max(1, steps)), () -> {
-                engines.get(e).becomes(EngineModel.Standing.DRAINING);
-                tell(e, Standing.LEAVING, 0, 1, chance);
-                calendar.in(DRAINS_FOR, () -> down(e, EngineModel.Standing.DOWN, DOWN_FOR, 1, chance));
-            });
+            calendar.in(
+                    i / each * (t.length() / Math.max(1, steps)),
+                    () -> {
+                        engines.get(e).becomes(EngineModel.Standing.DRAINING);
+                        tell(e, Standing.LEAVING, 0, 1, chance);
+                        calendar.in(
+                                DRAINS_FOR,
+                                () -> down(e, EngineModel.Standing.DOWN, DOWN_FOR, 1, chance));
+                    });
         }
     }
 }
--- a/src/main/java/firstage/fleet/ManagerModel.java
+++ b/src/main/java/firstage/fleet/ManagerModel.java
@@ -23,14 +23,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One manager of the fleet: the decisions behind their door, and what carries them in virtual time. It hands the
- * decisions
- * estimates and what is observed, never what a batch truly costs.
+ * One manager of the fleet: the decisions behind their door, and what carries them in virtual time.
+ * It hands the decisions estimates and what is observed, never what a batch truly costs.
  */
 final class ManagerModel implements Host {
     private static final long CONNECT = 2_500;
-    /** Between two probes of the membership that would carry the words, and between looks at what is sick. */
+
+    /**
+     * Between two probes of the membership that would carry the words, and between looks at what is
+     * sick.
+     */
     static final long PERIOD = 2_000;
+
     private static final long LOOK = 1_000;
 
     /** What becomes of a try, told to its client. */
@@ -73,8 +77,14 @@
             this.b = b;
             this.engine = engine;
             this.number = number;
-            job = new Job(b.is.is, plan.groups().get(b.is.is.group), this, ManagerModel.this.number,
-                    b.grant > 0 ? b.grant : b.is.is.memoryTold * 1.25, b.priority);
+            job =
+                    new Job(
+                            b.is.is,
+                            plan.groups().get(b.is.is.group),
+                            this,
+                            ManagerModel.this.number,
+                            b.grant > 0 ? b.grant : b.is.is.memoryTold * 1.25,
+                            b.priority);
         }
 
         @Override
@@ -84,12 +94,16 @@
 
         @Override
         public void noted(Job noted, Note.Kind what, double amount) {
-            calendar.in(way(), () -> {
-                if (!over && mine == life) {
-                    manager.noted(calendar.now(), new Note(b.index, number, engine.number(), what, amount));
-                    stir();
-                }
-            });
+            calendar.in(
+                    way(),
+                    () -> {
+                        if (!over && mine == life) {
+                            manager.noted(
+                                    calendar.now(),
+                                    new Note(b.index, number, engine.number(), what, amount));
+                            stir();
+                        }
+                    });
         }
 
         @Override
@@ -109,8 +123,19 @@
                 rules.answered(calendar.now(), b.is, false);
                 answers.returned(b.is.is);
             }
-            manager.ended(calendar.now(), new Ending(b.index, number, engine.number(), how, calendar.now() - at, 0, 0,
-                    b.over, null, 0));
+            manager.ended(
+                    calendar.now(),
+                    new Ending(
+                            b.index,
+                            number,
+                            engine.number(),
+                            how,
+                            calendar.now() - at,
+                            0,
+                            0,
+                            b.over,
+                            null,
+                            0));
             stir();
         }
     }
@@ -124,8 +149,10 @@
     private final List<EngineModel> engines;
     private final Answers answers;
     private final RandomGenerator chance;
+
     /** Null where all managers use all engines. */
     private final CellPlan cells;
+
     private WorkloadManager manager;
     private Indices<Open> batches = new Indices<>();
     private Indices<Integer> keys = new Indices<>();
@@ -135,11 +162,19 @@
     private Together together;
     private long reportsLater;
     private final Set<Open> open = new LinkedHashSet<>();
+
     /** The list as it last had it: by engine, standing and start. */
     private final Map<Integer, EngineList.Entry> list = new HashMap<>();
 
-    ManagerModel(int number, FleetPlan plan, Choice choice, Calendar calendar, Streams streams, RuleWatch rules,
-                 List<EngineModel> engines, Answers answers) {
+    ManagerModel(
+            int number,
+            FleetPlan plan,
+            Choice choice,
+            Calendar calendar,
+            Streams streams,
+            RuleWatch rules,
+            List<EngineModel> engines,
+            Answers answers) {
         this.number = number;
         this.plan = plan;
         this.choice = choice;
@@ -175,25 +210,40 @@
         up = true;
         batches = new Indices<>();
         keys = new Indices<>();
-        Deployment deployment = FleetDeployment.of(plan, number, streams.seed("manager-life", number * 1_000L + life),
-                choice.bounds());
+        Deployment deployment =
+                FleetDeployment.of(
+                        plan,
+                        number,
+                        streams.seed("manager-life", number * 1_000L + life),
+                        choice.bounds());
         manager = choice.start(deployment, this);
         if (cells != null) {
             manager.allotted(calendar.now(), cells.part(plan.cellOf(number)));
         }
         if (choice.peers() != null) {
-            together = new Together(name(), plan.zoneOf(number), plan.zones().size(), deployment.shortestGoal(),
-                    deployment.rules().warmAfter(), PERIOD, (engine, away, restIsOver) -> {
-                        manager.othersTry(calendar.now(), (int) engine, away, restIsOver);
-                        stir();
-                    }, (now, band, part) -> {
-                        manager.cut(now, band, part);
-                        stir();
-                    }, choice.peers());
+            together =
+                    new Together(
+                            name(),
+                            plan.zoneOf(number),
+                            plan.zones().size(),
+                            deployment.shortestGoal(),
+                            deployment.rules().warmAfter(),
+                            PERIOD,
+                            (engine, away, restIsOver) -> {
+                                manager.othersTry(calendar.now(), (int) engine, away, restIsOver);
+                                stir();
+                            },
+                            (now, band, part) -> {
+                                manager.cut(now, band, part);
+                                stir();
+                            },
+                            choice.peers());
             look(life);
         }
         list.values().forEach(e -> rules.toldStart(number, e.engine(), e.since()));
-        manager.listed(calendar.now(), new EngineList(EngineList.Kind.REMEMBERED, List.copyOf(list.values())));
+        manager.listed(
+                calendar.now(),
+                new EngineList(EngineList.Kind.REMEMBERED, List.copyOf(list.values())));
         stir();
     }
 
@@ -204,7 +254,12 @@
     private void look(int mine) {
         if (mine == life && up) {
             for (int e : list.keySet()) {
-                together.holds(calendar.now(), plan.zoneOf(e), e, manager.closed(e), manager.triedAt(e),
+                together.holds(
+                        calendar.now(),
+                        plan.zoneOf(e),
+                        e,
+                        manager.closed(e),
+                        manager.triedAt(e),
                         manager.heardAt(e));
             }
             together.look(calendar.now(), manager.demand(calendar.now()));
@@ -216,11 +271,13 @@
     void tells(ManagerModel other) {
         if (together != null && up) {
             byte[] digest = together.digest(calendar.now());
-            calendar.in(way(), () -> {
-                if (other.up && other.together != null) {
-                    other.together.digested(calendar.now(), name(), digest);
-                }
-            });
+            calendar.in(
+                    way(),
+                    () -> {
+                        if (other.up && other.together != null) {
+                            other.together.digested(calendar.now(), name(), digest);
+                        }
+                    });
         }
     }
 
@@ -259,12 +316,14 @@
         if (!turnDue) {
             turnDue = true;
             int mine = life;
-            calendar.in(0, () -> {
-                turnDue = false;
-                if (mine == life && up) {
-                    manager.turn(calendar.now());
-                }
-            });
+            calendar.in(
+                    0,
+                    () -> {
+                        turnDue = false;
+                        if (mine == life && up) {
+                            manager.turn(calendar.now());
+                        }
+                    });
         }
     }
 
@@ -277,8 +336,19 @@
         int mine = life;
         calendar.in(notAfter - calendar.now(), () -> timeUp(b, mine));
         calendar.in(notAfter - calendar.now() + 250, () -> rules.due(calendar.now(), b.is));
-        manager.taken(calendar.now(), new Arrival(b.index, is.group, plan.customers().size() > 1 ? is.customer : 0,
-                is.key < 0 ? -1 : keys.of(is.key), notAfter, is.estimate, is.memoryTold, is.tables, false, false));
+        manager.taken(
+                calendar.now(),
+                new Arrival(
+                        b.index,
+                        is.group,
+                        plan.customers().size() > 1 ? is.customer : 0,
+                        is.key < 0 ? -1 : keys.of(is.key),
+                        notAfter,
+                        is.estimate,
+                        is.memoryTold,
+                        is.tables,
+                        false,
+                        false));
         stir();
     }
 
@@ -292,13 +362,15 @@
             }
             s.over(Outcome.TIMED_OUT);
         }
-        calendar.in(100, () -> {
-            if (mine == life && !b.over) {
-                error(b.index);
-                manager.clientLeft(calendar.now(), b.index);
-                stir();
-            }
-        });
+        calendar.in(
+                100,
+                () -> {
+                    if (mine == life && !b.over) {
+                        error(b.index);
+                        manager.clientLeft(calendar.now(), b.index);
+                        stir();
+                    }
+                });
     }
 
     /** What the list service says of an engine, as it comes here. */
@@ -317,8 +389,10 @@
     }
 
     private EngineList.Entry entry(int engine, Standing standing, long since) {
-        double coldPart = cells == null || choice.coldBySettings() ? 0
-                : cells.coldPart(null, plan.cellOf(number), mark(engine), zone(engine));
+        double coldPart =
+                cells == null || choice.coldBySettings()
+                        ? 0
+                        : cells.coldPart(null, plan.cellOf(number), mark(engine), zone(engine));
         return new EngineList.Entry(engine, mark(engine), 0, 0, 0, standing, 1, since, coldPart);
     }
 
@@ -343,14 +417,16 @@
         Open b = batches.id(batch);
         EngineModel e = engines.get(engine);
         rules.dispatched(calendar.now(), b.is, engine);
-        if (e.standing() != EngineModel.Standing.UP && e.standing() != EngineModel.Standing.DRAINING) {
+        if (e.standing() != EngineModel.Standing.UP
+                && e.standing() != EngineModel.Standing.DRAINING) {
             answers.toSick();
         }
         Sent s = new Sent(b, e, b.dispatches++);
         b.out.add(s);
         boolean fresh = e.standing() == EngineModel.Standing.SILENT && chance.nextBoolean();
         if (fresh) {
-            // A new connection to a machine that is gone never comes up; what goes out on an old one is lost.
+            // A new connection to a machine that is gone never comes up; what goes out on an old
+            // one is lost.
             calendar.in(CONNECT, () -> s.over(Outcome.NO_CONNECTION));
         } else {
             calendar.in(way(), () -> e.send(s.job));
@@ -407,26 +483,35 @@
     public void probe(int engine) {
         EngineModel e = engines.get(engine);
         int mine = life;
-        boolean answers = e.standing() == EngineModel.Standing.UP || e.standing() == EngineModel.Standing.DRAINING;
+        boolean answers =
+                e.standing() == EngineModel.Standing.UP
+                        || e.standing() == EngineModel.Standing.DRAINING;
         Report report = new Report(Double.NaN, e.waiting(), Double.NaN, Double.NaN, Double.NaN);
-        calendar.in(answers ? 2 * way() + reportsLater : CONNECT, () -> {
-            if (mine == life) {
-                manager.probed(calendar.now(), engine, answers ? Outcome.RETURNED : Outcome.TIMED_OUT,
-                        answers ? report : null);
-                stir();
-            }
-        });
+        calendar.in(
+                answers ? 2 * way() + reportsLater : CONNECT,
+                () -> {
+                    if (mine == life) {
+                        manager.probed(
+                                calendar.now(),
+                                engine,
+                                answers ? Outcome.RETURNED : Outcome.TIMED_OUT,
+                                answers ? report : null);
+                        stir();
+                    }
+                });
     }
 
     @Override
     public void wakeIn(long delay, long token) {
         int mine = life;
-        calendar.in(Math.max(1, delay), () -> {
-            if (mine == life && up) {
-                manager.woken(calendar.now(), token);
-                stir();
-            }
-        });
+        calendar.in(
+                Math.max(1, delay),
+                () -> {
+                    if (mine == life && up) {
+                        manager.woken(calendar.now(), token);
+                        stir();
+                    }
+                });
     }
 
     @Override
--- a/src/main/java/firstage/fleet/PlainPolicy.java
+++ b/src/main/java/firstage/fleet/PlainPolicy.java
@@ -20,13 +20,17 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Textbook policies behind the same door, as baselines: each batch goes at once to an engine that is up, batches
- * of a key
- * one at a time. None sends anything again, holds grants or watches health.
+ * Textbook policies behind the same door, as baselines: each batch goes at once to an engine that
+ * is up, batches of a key one at a time. None sends anything again, holds grants or watches health.
  */
 final class PlainPolicy implements WorkloadManager {
     /** How the engine is chosen. */
-    enum Kind { RANDOM, ROUND_ROBIN, LEAST_OUTSTANDING, TWO_CHOICES }
+    enum Kind {
+        RANDOM,
+        ROUND_ROBIN,
+        LEAST_OUTSTANDING,
+        TWO_CHOICES
+    }
 
     private static final class Open {
         private final Arrival is;
@@ -64,7 +68,8 @@
             ArrayDeque<Open> line = keys.computeIfAbsent(arrival.key(), k -> new ArrayDeque<>());
             line.add(b);
             if (line.size() > 1 || rests.getOrDefault(arrival.key(), 0L) > now) {
-                host.wakeIn(Math.max(1, rests.getOrDefault(arrival.key(), 0L) - now), arrival.key());
+                host.wakeIn(
+                        Math.max(1, rests.getOrDefault(arrival.key(), 0L) - now), arrival.key());
                 return;
             }
         }
@@ -118,7 +123,8 @@
         }
         boolean rests = ending.outcome() != Outcome.RETURNED && ending.outcome().mayHaveRun;
         if (rests && b.is.key() >= 0) {
-            this.rests.put(b.is.key(), now + Math.max(deployment.rules().keyRest(), ending.mayHold()));
+            this.rests.put(
+                    b.is.key(), now + Math.max(deployment.rules().keyRest(), ending.mayHold()));
         }
         close(b);
         follow(now, b.is.key());
--- a/src/main/java/firstage/fleet/RuleWatch.java
+++ b/src/main/java/firstage/fleet/RuleWatch.java
@@ -8,11 +8,12 @@
 import java.util.Map;
 
 /**
- * The rules, by what crosses between managers, engines and clients; it never asks what a manager remembers. What it can
- * see of each: 1 one answer for each try, in time; 2 once-only batches at engines once, pushed back only while none may
- * have run, referenced ones within their window; 3 nothing to an engine past the grace after its drain was told; 4 no
- * cold engine pushed over; 5 one at a time and in turn for each key and manager, with its rest. A fleet file states
- * neither places (6) nor a budget (7).
+ * The rules, by what crosses between managers, engines and clients; it never asks what a manager
+ * remembers. What it can see of each: 1 one answer for each try, in time; 2 once-only batches at
+ * engines once, pushed back only while none may have run, referenced ones within their window; 3
+ * nothing to an engine past the grace after its drain was told; 4 no cold engine pushed over; 5 one
+ * at a time and in turn for each key and manager, with its rest. A fleet file states neither places
+ * (6) nor a budget (7).
  */
 public final class RuleWatch {
     private static final long SLACK = 200;
@@ -75,6 +76,7 @@
     private long count;
     private final Map<Long, Integer> runs = new HashMap<>();
     private final List<Map<Integer, Key>> keys = new ArrayList<>();
+
     /** By manager and engine, when it was told of a drain or an end; absent while it is up. */
     private final List<Map<Integer, Long>> drains = new ArrayList<>();
 
@@ -84,7 +86,10 @@
         this(plan, SLACK, 0);
     }
 
-    /** {@code slack} for answers, {@code sent} for what is seen at engines after it was sent; both tenths of ms. */
+    /**
+     * {@code slack} for answers, {@code sent} for what is seen at engines after it was sent; both
+     * tenths of ms.
+     */
     public RuleWatch(FleetPlan plan, long slack, long sent) {
         this.plan = plan;
         this.slack = slack;
@@ -139,7 +144,10 @@
         dispatched(now, t, engine, false);
     }
 
-    /** {@code held}: the way may have kept it back; when it was sent is not known, only that it came now. */
+    /**
+     * {@code held}: the way may have kept it back; when it was sent is not known, only that it came
+     * now.
+     */
     public void dispatched(long now, Try t, int engine, boolean held) {
         Effect effect = plan.groups().get(t.is.group).effect();
         if (t.answers > 0 && !held) {
@@ -148,14 +156,22 @@
         if (effect == Effect.ONCE_ONLY && (t.mayHaveRun || t.out > 0)) {
             breaks(now, 2, t, "sent again, and may have run");
         }
-        if (effect == Effect.REFERENCED && t.firstRan >= 0
+        if (effect == Effect.REFERENCED
+                && t.firstRan >= 0
                 && now > t.firstRan + plan.groups().get(t.is.group).window()) {
             breaks(now, 2, t, "sent again past its window");
         }
         Long drain = drains.get(t.manager).get(engine);
         if (drain != null && !held && now > drain + plan.rules().drainGrace() + sent) {
-            breaks(now, 3, t, "sent to engine " + engine + ", whose drain was told " + (now - drain) / 10
-                    + " ms before");
+            breaks(
+                    now,
+                    3,
+                    t,
+                    "sent to engine "
+                            + engine
+                            + ", whose drain was told "
+                            + (now - drain) / 10
+                            + " ms before");
         }
         t.out++;
         t.sent = true;
@@ -168,7 +184,10 @@
                 breaks(now, 5, t, "sent out of turn");
             }
             // Where answers are seen later than statements, one that is on its way is no break.
-            key.open.stream().takeWhile(a -> a != t).filter(a -> a.overtakenAt == 0).forEach(a -> a.overtakenAt = now);
+            key.open.stream()
+                    .takeWhile(a -> a != t)
+                    .filter(a -> a.overtakenAt == 0)
+                    .forEach(a -> a.overtakenAt = now);
             if (key.running == null && now < key.restUntil && t.firstRan == now) {
                 breaks(now, 5, t, "sent while its key rests");
             }
@@ -196,13 +215,20 @@
             breaks(now, 1, t, "answered twice");
         }
         if (sent > 0 && t.overtakenAt > 0 && now > t.overtakenAt + sent) {
-            breaks(now, 5, t, "overtaken by a later one of its key, and answered " + (now - t.overtakenAt) / 10
-                    + " ms after that");
+            breaks(
+                    now,
+                    5,
+                    t,
+                    "overtaken by a later one of its key, and answered "
+                            + (now - t.overtakenAt) / 10
+                            + " ms after that");
         }
         if (now > t.notAfter + slack + t.excused) {
             breaks(now, 1, t, "answered " + (now - t.notAfter) / 10 + " ms late");
         }
-        if (pushedBack && plan.groups().get(t.is.group).effect() == Effect.ONCE_ONLY && (t.mayHaveRun || t.out > 0)) {
+        if (pushedBack
+                && plan.groups().get(t.is.group).effect() == Effect.ONCE_ONLY
+                && (t.mayHaveRun || t.out > 0)) {
             breaks(now, 2, t, "pushed back, and may have run");
         }
         Key key = t.is.key >= 0 ? keys.get(t.manager).get(t.is.key) : null;
@@ -220,7 +246,8 @@
 
     /** A run begins at an engine. */
     void runs(Work is, long now) {
-        if (runs.merge(is.id, 1, Integer::sum) > 1 && plan.groups().get(is.group).effect() == Effect.ONCE_ONLY) {
+        if (runs.merge(is.id, 1, Integer::sum) > 1
+                && plan.groups().get(is.group).effect() == Effect.ONCE_ONLY) {
             breaks(now, 2, new Try(is, -1, 0), "runs twice");
         }
     }
@@ -239,7 +266,17 @@
 
     private void breaks(long now, int rule, Try t, String how) {
         count++;
-        keep("rule " + rule + " at " + now / 10 + " ms: batch " + t.is.id + " at manager " + t.manager + " " + how);
+        keep(
+                "rule "
+                        + rule
+                        + " at "
+                        + now / 10
+                        + " ms: batch "
+                        + t.is.id
+                        + " at manager "
+                        + t.manager
+                        + " "
+                        + how);
     }
 
     /** What a carrier sees by itself. */
--- a/src/main/java/firstage/fleet/Scoreboard.java
+++ b/src/main/java/firstage/fleet/Scoreboard.java
@@ -7,10 +7,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Service as the brief counts it: the utility answered within each response goal over the utility asked for, a client's
- * retries with its first try, a late answer at its group's late value; over the whole run, its worst 10 s, the
- * worst-served
- * group and customer, and all of them by the goal's weights.
+ * Service as the brief counts it: the utility answered within each response goal over the utility
+ * asked for, a client's retries with its first try, a late answer at its group's late value; over
+ * the whole run, its worst 10 s, the worst-served group and customer, and all of them by the goal's
+ * weights.
  */
 public final class Scoreboard {
     private static final long SPAN = 100_000;
@@ -86,8 +86,10 @@
             all += asked[i];
             got += served[i];
             // A last piece of a span has too few batches to be anybody's worst.
-            worst = i == asked.length - 1 && plan.length() % SPAN < SPAN / 2 ? worst
-                    : Math.min(worst, share(served[i], asked[i]));
+            worst =
+                    i == asked.length - 1 && plan.length() % SPAN < SPAN / 2
+                            ? worst
+                            : Math.min(worst, share(served[i], asked[i]));
         }
         Map<String, Double> figures = new LinkedHashMap<>();
         double worstGroup = 1;
@@ -100,17 +102,25 @@
         }
         FleetPlan.Goal goal = plan.goal();
         double weights = goal.whole() + goal.worstSpan() + goal.worstGroup() + goal.worstCustomer();
-        figures.put("service", (goal.whole() * share(got, all) + goal.worstSpan() * worst
-                + goal.worstGroup() * worstGroup + goal.worstCustomer() * worstCustomer) / weights);
+        figures.put(
+                "service",
+                (goal.whole() * share(got, all)
+                                + goal.worstSpan() * worst
+                                + goal.worstGroup() * worstGroup
+                                + goal.worstCustomer() * worstCustomer)
+                        / weights);
         figures.put("whole run", share(got, all));
         figures.put("worst 10 s", worst);
         figures.put("worst group", worstGroup);
         figures.put("worst customer", worstCustomer);
         for (int g = 0; g < byGroup.length; g++) {
-            figures.put("group " + plan.groups().get(g).name(), share(byGroup[g][1], byGroup[g][0]));
+            figures.put(
+                    "group " + plan.groups().get(g).name(), share(byGroup[g][1], byGroup[g][0]));
         }
         for (int c = 0; c < byCustomer.length; c++) {
-            figures.put("customer " + plan.customers().get(c).name(), share(byCustomer[c][1], byCustomer[c][0]));
+            figures.put(
+                    "customer " + plan.customers().get(c).name(),
+                    share(byCustomer[c][1], byCustomer[c][0]));
         }
         for (int g = 0; g < byGroup.length; g++) {
             String name = plan.groups().get(g).name();
--- a/src/main/java/firstage/fleet/Section.java
+++ b/src/main/java/firstage/fleet/Section.java
@@ -12,8 +12,10 @@
 
 /** One table of the file, and which of its keys were asked for. */
 public final class Section {
-    private static final Pattern FIGURE = Pattern.compile("\\s*([0-9]+(?:\\.[0-9]+)?)\\s*([a-zA-Z%]*)\\s*");
-    private static final Map<String, Double> TIMES = Map.of("ms", 10.0, "s", 10_000.0, "min", 600_000.0, "h", 3.6e7);
+    private static final Pattern FIGURE =
+            Pattern.compile("\\s*([0-9]+(?:\\.[0-9]+)?)\\s*([a-zA-Z%]*)\\s*");
+    private static final Map<String, Double> TIMES =
+            Map.of("ms", 10.0, "s", 10_000.0, "min", 600_000.0, "h", 3.6e7);
     private static final Map<String, Double> SIZES = Map.of("MB", 1.0, "GB", 1_024.0);
     private final TomlTable table;
     private final String path;
@@ -34,16 +36,24 @@
         known.add(key);
         Object value = table == null ? null : table.get(List.of(key));
         if (value == null && absent == null) {
-            throw new FleetFault(line, (path.isEmpty() ? "" : path + " ") + "has no " + key + "; write " + key
-                    + " = "
-                    + unit);
+            throw new FleetFault(
+                    line,
+                    (path.isEmpty() ? "" : path + " ")
+                            + "has no "
+                            + key
+                            + "; write "
+                            + key
+                            + " = "
+                            + unit);
         }
         return value == null ? absent : value;
     }
 
     public FleetFault fault(String key, String what) {
-        int at = table == null || table.inputPositionOf(List.of(key)) == null ? line
-                : table.inputPositionOf(List.of(key)).line();
+        int at =
+                table == null || table.inputPositionOf(List.of(key)) == null
+                        ? line
+                        : table.inputPositionOf(List.of(key)).line();
         return new FleetFault(at, (path.isEmpty() ? "" : path + ".") + key + ": " + what);
     }
 
@@ -72,7 +82,11 @@
     }
 
     public int whole(String key, int least, int most, Integer absent) {
-        Object value = value(key, absent == null ? null : (Object) Long.valueOf(absent), String.valueOf(least));
+        Object value =
+                value(
+                        key,
+                        absent == null ? null : (Object) Long.valueOf(absent),
+                        String.valueOf(least));
         if (!(value instanceof Long whole)) {
             throw fault(key, value + " is no whole number");
         }
@@ -113,7 +127,8 @@
 
     Range figures(String key, double least, double most, String absent) {
         Object value = value(key, absent, "a number");
-        String text = value instanceof Number ? value.toString() : value instanceof String t ? t : "?";
+        String text =
+                value instanceof Number ? value.toString() : value instanceof String t ? t : "?";
         Range range = range(key, text, Map.of("", 1.0), "\"1 to 2\"");
         bounded(key, range.low(), least, most);
         bounded(key, range.high(), least, most);
@@ -150,8 +165,15 @@
         }
         Double unit = units.get(m.group(2));
         if (unit == null) {
-            throw fault(key, "'" + value + "' " + (m.group(2).isEmpty() ? "has no unit" : "has an unknown unit")
-                    + "; " + would + " would do");
+            throw fault(
+                    key,
+                    "'"
+                            + value
+                            + "' "
+                            + (m.group(2).isEmpty() ? "has no unit" : "has an unknown unit")
+                            + "; "
+                            + would
+                            + " would do");
         }
         return Double.parseDouble(m.group(1)) * unit;
     }
@@ -162,7 +184,10 @@
         if (value != null && !(value instanceof TomlTable)) {
             throw fault(key, "is no section; write [" + key + "]");
         }
-        return new Section((TomlTable) value, key, value == null ? 0 : table.inputPositionOf(List.of(key)).line());
+        return new Section(
+                (TomlTable) value,
+                key,
+                value == null ? 0 : table.inputPositionOf(List.of(key)).line());
     }
 
     public List<Section> tables(String key) {
@@ -171,12 +196,17 @@
         if (value == null) {
             return List.of();
         }
-        if (!(value instanceof TomlArray array) || !array.toList().stream().allMatch(TomlTable.class::isInstance)) {
+        if (!(value instanceof TomlArray array)
+                || !array.toList().stream().allMatch(TomlTable.class::isInstance)) {
             throw fault(key, "is no list of sections; write [[" + key + "]]");
         }
         List<Section> all = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
-            all.add(new Section(array.getTable(i), key + " " + (i + 1), array.inputPositionOf(i).line()));
+            all.add(
+                    new Section(
+                            array.getTable(i),
+                            key + " " + (i + 1),
+                            array.inputPositionOf(i).line()));
         }
         return all;
     }
--- a/src/main/java/firstage/fleet/Streams.java
+++ b/src/main/java/firstage/fleet/Streams.java
@@ -4,12 +4,13 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * A stream of chance for each actor, told by its kind and number: adding an actor shifts no other's draws, so two
- * choices
- * played on one seed meet the same traffic and the same troubles (common random numbers).
+ * A stream of chance for each actor, told by its kind and number: adding an actor shifts no other's
+ * draws, so two choices played on one seed meet the same traffic and the same troubles (common
+ * random numbers).
  */
 public final class Streams {
-    private static final RandomGeneratorFactory<RandomGenerator> KIND = RandomGeneratorFactory.of("L64X128MixRandom");
+    private static final RandomGeneratorFactory<RandomGenerator> KIND =
+            RandomGeneratorFactory.of("L64X128MixRandom");
     private final long seed;
 
     public Streams(long seed) {
--- a/src/main/java/firstage/fleet/TrafficShape.java
+++ b/src/main/java/firstage/fleet/TrafficShape.java
@@ -3,7 +3,10 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** How traffic rises and falls over a run: a factor on the mean rate, by the share of the run that is over. */
+/**
+ * How traffic rises and falls over a run: a factor on the mean rate, by the share of the run that
+ * is over.
+ */
 enum TrafficShape {
     /** The same all the time. */
     STEADY("steady") {
@@ -19,7 +22,10 @@
             return 1 + swing * Math.sin(2 * Math.PI * at);
         }
     },
-    /** Seven nights that peak before dawn and after sunset, days that sag between: a week pressed into the run. */
+    /**
+     * Seven nights that peak before dawn and after sunset, days that sag between: a week pressed
+     * into the run.
+     */
     RAMADAN_WEEK("ramadan-week") {
         @Override
         double factor(double at, double swing) {
--- a/src/main/java/firstage/fleet/TrafficSource.java
+++ b/src/main/java/firstage/fleet/TrafficSource.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Draws what clients ask for: unequal customers, keys and tables of unequal heat, work and estimates that scatter. */
+/**
+ * Draws what clients ask for: unequal customers, keys and tables of unequal heat, work and
+ * estimates that scatter.
+ */
 public final class TrafficSource {
     private final FleetPlan plan;
     private final TrafficShape shape;
@@ -20,7 +23,8 @@
         shape = TrafficShape.of(plan.traffic().kind());
         chance = streams.of("traffic", 0);
         groupEnds = ends(plan.groups().stream().mapToDouble(FleetPlan.Group::share).toArray());
-        customerEnds = ends(plan.customers().stream().mapToDouble(FleetPlan.Customer::share).toArray());
+        customerEnds =
+                ends(plan.customers().stream().mapToDouble(FleetPlan.Customer::share).toArray());
         keyEnds = ends(heat(plan.traffic().keys(), plan.traffic().keyHeat()));
         tableEnds = ends(heat(plan.traffic().tables(), plan.traffic().tableHeat()));
         double high = 0;
@@ -70,7 +74,9 @@
         do {
             at += Math.max(1, Math.round(-Math.log(1 - chance.nextDouble()) * mean));
         } while (chance.nextDouble() * most
-                > shape.factor(Math.min(1, (double) (at - start) / plan.length()), plan.traffic().swing()));
+                > shape.factor(
+                        Math.min(1, (double) (at - start) / plan.length()),
+                        plan.traffic().swing()));
         return at;
     }
 
@@ -79,7 +85,8 @@
         int g = pick(groupEnds);
         FleetPlan.Group group = plan.groups().get(g);
         double z = chance.nextGaussian();
-        double work = group.work() * Math.exp(group.spread() * z - group.spread() * group.spread() / 2);
+        double work =
+                group.work() * Math.exp(group.spread() * z - group.spread() * group.spread() / 2);
         double told = work;
         double lot = chance.nextDouble();
         for (FleetPlan.Trouble t : dear) {
@@ -93,7 +100,17 @@
         double memoryOff = Math.exp(group.scatter() * chance.nextGaussian());
         int customer = pick(customerEnds);
         int key = group.ordered() && plan.traffic().keys() > 0 ? pick(keyEnds) : -1;
-        return new Work(ids++, g, customer, key, pick(tableEnds), now, now + group.limit(), Math.max(1, work), memory,
-                Math.max(1, Math.round(told * off)), (int) Math.max(1, memory * memoryOff));
+        return new Work(
+                ids++,
+                g,
+                customer,
+                key,
+                pick(tableEnds),
+                now,
+                now + group.limit(),
+                Math.max(1, work),
+                memory,
+                Math.max(1, Math.round(told * off)),
+                (int) Math.max(1, memory * memoryOff));
     }
 }
--- a/src/main/java/firstage/fleet/Who.java
+++ b/src/main/java/firstage/fleet/Who.java
@@ -10,12 +10,15 @@
 import java.util.stream.IntStream;
 
 /**
- * Whom a fault strikes, as a plan writes it: {@code managers} or {@code engines}, then nothing (all), numbers from 0
- * ({@code managers 1, 4}), a share drawn by the seed ({@code engines 25%}), or a zone ({@code managers of north}).
+ * Whom a fault strikes, as a plan writes it: {@code managers} or {@code engines}, then nothing
+ * (all), numbers from 0 ({@code managers 1, 4}), a share drawn by the seed ({@code engines 25%}),
+ * or a zone ({@code managers of north}).
  */
 public final class Who {
-    private static final Pattern FORM = Pattern.compile(
-            "(managers|engines)\\s*(?:of\\s+(\\S+)|(\\d+(?:\\.\\d+)?)%|(\\d+(?:\\s*,\\s*\\d+)*))?");
+    private static final Pattern FORM =
+            Pattern.compile(
+                    "(managers|engines)\\s*"
+                            + "(?:of\\s+(\\S+)|(\\d+(?:\\.\\d+)?)%|(\\d+(?:\\s*,\\s*\\d+)*))?");
     private final String text;
     private final boolean engines;
     private final int zone;
@@ -34,23 +37,41 @@
     static Who of(String text, List<String> zones, int managers, int engineCount) {
         Matcher m = FORM.matcher(text.trim());
         if (!m.matches()) {
-            throw new IllegalArgumentException("'" + text + "' names nobody; \"managers 1, 4\", \"engines 25%\", "
-                    + "\"managers of " + zones.get(0) + "\" or \"engines\" would do");
+            throw new IllegalArgumentException(
+                    "'"
+                            + text
+                            + "' names nobody; \"managers 1, 4\", \"engines 25%\", "
+                            + "\"managers of "
+                            + zones.get(0)
+                            + "\" or \"engines\" would do");
         }
         boolean engines = m.group(1).equals("engines");
         int zone = m.group(2) == null ? -1 : zones.indexOf(m.group(2));
         if (m.group(2) != null && zone < 0) {
-            throw new IllegalArgumentException("zone '" + m.group(2) + "' is unknown; zones are "
-                    + String.join(", ", zones));
+            throw new IllegalArgumentException(
+                    "zone '" + m.group(2) + "' is unknown; zones are " + String.join(", ", zones));
         }
-        List<Integer> numbers = m.group(4) == null ? null : Pattern.compile(",").splitAsStream(m.group(4))
-                .map(n -> Integer.valueOf(n.trim())).toList();
+        List<Integer> numbers =
+                m.group(4) == null
+                        ? null
+                        : Pattern.compile(",")
+                                .splitAsStream(m.group(4))
+                                .map(n -> Integer.valueOf(n.trim()))
+                                .toList();
         int count = engines ? engineCount : managers;
         if (numbers != null && numbers.stream().anyMatch(n -> n >= count)) {
-            throw new IllegalArgumentException("'" + text + "' names one that the plan does not have; 0 to "
-                    + (count - 1) + " would do");
+            throw new IllegalArgumentException(
+                    "'"
+                            + text
+                            + "' names one that the plan does not have; 0 to "
+                            + (count - 1)
+                            + " would do");
         }
-        return new Who(text.trim(), engines, zone, m.group(3) == null ? -1 : Double.parseDouble(m.group(3)) / 100,
+        return new Who(
+                text.trim(),
+                engines,
+                zone,
+                m.group(3) == null ? -1 : Double.parseDouble(m.group(3)) / 100,
                 numbers);
     }
 
@@ -61,14 +82,19 @@
     /** Those it names, of so many; a share is drawn. */
     public List<Integer> among(FleetPlan plan, RandomGenerator chance) {
         int count = engines ? plan.engines().count() : plan.managers().count();
-        List<Integer> all = new ArrayList<>(IntStream.range(0, count)
-                .filter(n -> zone < 0 || plan.zoneOf(n) == zone).boxed().toList());
+        List<Integer> all =
+                new ArrayList<>(
+                        IntStream.range(0, count)
+                                .filter(n -> zone < 0 || plan.zoneOf(n) == zone)
+                                .boxed()
+                                .toList());
         if (numbers != null) {
             return numbers.stream().filter(n -> n < count).toList();
         }
         if (share >= 0) {
             Collections.shuffle(all, new Random(chance.nextLong()));
-            return List.copyOf(all.subList(0, (int) Math.min(count, Math.max(1, Math.round(count * share)))));
+            return List.copyOf(
+                    all.subList(0, (int) Math.min(count, Math.max(1, Math.round(count * share)))));
         }
         return all;
     }
--- a/src/main/java/firstage/fleet/Work.java
+++ b/src/main/java/firstage/fleet/Work.java
@@ -1,9 +1,9 @@
 package firstage.fleet;
 
 /**
- * A batch as it truly is: what its client wants, and what it costs. Only estimates and what is observed ever pass
- * to the
- * decisions ({@link ManagerModel} hands those on). Indices are -1 where there is none; times tenths of a millisecond.
+ * A batch as it truly is: what its client wants, and what it costs. Only estimates and what is
+ * observed ever pass to the decisions ({@link ManagerModel} hands those on). Indices are -1 where
+ * there is none; times tenths of a millisecond.
  */
 public final class Work {
     public final long id;
@@ -11,20 +11,36 @@
     public final int customer;
     public final int key;
     public final int tables;
+
     /** First asked for, and when its client gives up for good. */
     public final long asked;
+
     public final long limit;
+
     /** Truly needed: the time of one thread on one core at speed 1, and MB. */
     public final double work;
+
     public final double memoryMb;
+
     /** As told. */
     public final long estimate;
+
     public final int memoryTold;
     public int tries;
     public boolean done;
 
-    Work(long id, int group, int customer, int key, int tables, long asked, long limit, double work, double memoryMb,
-         long estimate, int memoryTold) {
+    Work(
+            long id,
+            int group,
+            int customer,
+            int key,
+            int tables,
+            long asked,
+            long limit,
+            double work,
+            double memoryMb,
+            long estimate,
+            int memoryTold) {
         this.id = id;
         this.group = group;
         this.customer = customer;
--- a/src/main/java/firstage/lab/CellsField.java
+++ b/src/main/java/firstage/lab/CellsField.java
@@ -25,29 +25,44 @@
 import java.util.stream.IntStream;
 
 /**
- * A fleet's control in virtual time, without clients and engines: the membership, leases, level, trials, zones and
- * cells of each manager as they are, their datagrams delayed, lost and cut. Every figure of it is simulated. It plays a
- * fleet in cells, and the same fleet as one. Times are tenths of a millisecond.
+ * A fleet's control in virtual time, without clients and engines: the membership, leases, level,
+ * trials, zones and cells of each manager as they are, their datagrams delayed, lost and cut. Every
+ * figure of it is simulated. It plays a fleet in cells, and the same fleet as one. Times are tenths
+ * of a millisecond.
  */
 public final class CellsField {
     /** Between two probes of one manager. */
     public static final long PERIOD = 2_000;
+
     private static final long START = 1_000_000;
     private static final long LOOK = 1_000;
     private static final int MOST = 1_200;
     private static final long GOAL = 10_000;
     private static final long WARM = 130_000;
-    /** Rates of a manager that serves 462 batches a second in four bands of worth: rows as long as in service. */
+
+    /**
+     * Rates of a manager that serves 462 batches a second in four bands of worth: rows as long as
+     * in service.
+     */
     private static final int BANDS = 4;
+
     private static final double WORK = 460;
     private static final RandomGeneratorFactory<RandomGenerator> CHANCES =
             RandomGeneratorFactory.of("L64X128MixRandom");
 
     /**
-     * {@code cell}: managers in one, 0 for a fleet that is one; {@code zones}: cells lie in them by turns;
-     * {@code rooms}: whether the level's and the trials' words ride along; {@code tick}: between two looks.
+     * {@code cell}: managers in one, 0 for a fleet that is one; {@code zones}: cells lie in them by
+     * turns; {@code rooms}: whether the level's and the trials' words ride along; {@code tick}:
+     * between two looks.
      */
-    public record Shape(int managers, int cell, int zones, int spread, boolean rooms, long tick, Cells.Fault fault) {
+    public record Shape(
+            int managers,
+            int cell,
+            int zones,
+            int spread,
+            boolean rooms,
+            long tick,
+            Cells.Fault fault) {
         /** How many cells there are. */
         public int cells() {
             return cell == 0 ? 1 : managers / cell;
@@ -55,7 +70,15 @@
     }
 
     /** What one manager sent, by kind of message. */
-    public enum Kind { PING, ACK, ASK, VOUCH, SYNC, SYNC_BACK, ROWS }
+    public enum Kind {
+        PING,
+        ACK,
+        ASK,
+        VOUCH,
+        SYNC,
+        SYNC_BACK,
+        ROWS
+    }
 
     /** One place at which a manager runs, one life after another. */
     public final class Place implements Members.Carrier, Cells.Effects {
@@ -116,32 +139,80 @@
             up = true;
             int mine = ++life;
             int peers = shape.cell == 0 ? places.size() : shape.cell;
-            leases = new Leases(peers, shape.cell == 0 ? 1.0 / peers : next.part(cell), PERIOD, lentBefore, () -> {
-                lentBefore = true;
-                calendar.in(50, () -> {
-                    if (life == mine) {
-                        leases.kept();
-                    }
-                });
-            }, Leases.Fault.NONE);
-            members = new Members("field", new Entry(name(number), zone(cell), calendar.now() + 1, Standing.HERE, "1",
-                    1), peers, PERIOD, MOST, CHANCES.create(chance.nextLong()), leases, this, Members.Fault.NONE);
+            leases =
+                    new Leases(
+                            peers,
+                            shape.cell == 0 ? 1.0 / peers : next.part(cell),
+                            PERIOD,
+                            lentBefore,
+                            () -> {
+                                lentBefore = true;
+                                calendar.in(
+                                        50,
+                                        () -> {
+                                            if (life == mine) {
+                                                leases.kept();
+                                            }
+                                        });
+                            },
+                            Leases.Fault.NONE);
+            members =
+                    new Members(
+                            "field",
+                            new Entry(
+                                    name(number),
+                                    zone(cell),
+                                    calendar.now() + 1,
+                                    Standing.HERE,
+                                    "1",
+                                    1),
+                            peers,
+                            PERIOD,
+                            MOST,
+                            CHANCES.create(chance.nextLong()),
+                            leases,
+                            this,
+                            Members.Fault.NONE);
             CellPlan was = next.number() > holds.number() ? holds : null;
-            cells = shape.cell == 0 ? null : new Cells(next, was, cell, slot, name(number), "field",
-                    calendar.now() / 10, CHANCES.create(chance.nextLong()), this, shape.fault);
+            cells =
+                    shape.cell == 0
+                            ? null
+                            : new Cells(
+                                    next,
+                                    was,
+                                    cell,
+                                    slot,
+                                    name(number),
+                                    "field",
+                                    calendar.now() / 10,
+                                    CHANCES.create(chance.nextLong()),
+                                    this,
+                                    shape.fault);
             holds = next;
-            together = shape.rooms ? new Together(name(number), cell % shape.zones, shape.zones, GOAL, WARM, PERIOD,
-                    new Zones.Effects() {
-                        @Override
-                        public void keepAway(long engine, boolean away, boolean restIsOver) {
-                            // No engines stand behind it.
-                        }
-
-                        @Override
-                        public void turned(int zone, String state) {
-                            // The same.
-                        }
-                    }, (now, band, part) -> { }, Together.Faults.NONE) : null;
+            together =
+                    shape.rooms
+                            ? new Together(
+                                    name(number),
+                                    cell % shape.zones,
+                                    shape.zones,
+                                    GOAL,
+                                    WARM,
+                                    PERIOD,
+                                    new Zones.Effects() {
+                                        @Override
+                                        public void keepAway(
+                                                long engine, boolean away, boolean restIsOver) {
+                                            // No engines stand behind it.
+                                        }
+
+                                        @Override
+                                        public void turned(int zone, String state) {
+                                            // The same.
+                                        }
+                                    },
+                                    (now, band, part) -> {},
+                                    Together.Faults.NONE)
+                            : null;
             tick(mine);
             look(mine);
         }
@@ -192,11 +263,13 @@
             counted(Kind.valueOf(kind.name()), datagram);
             int to = shape.cell == 0 ? seed : cell * shape.cell + seed;
             int seat = slot;
-            pass(to, () -> {
-                Place there = places.get(to);
-                there.from = seat;
-                there.members.received(calendar.now(), seat, datagram);
-            });
+            pass(
+                    to,
+                    () -> {
+                        Place there = places.get(to);
+                        there.from = seat;
+                        there.members.received(calendar.now(), seat, datagram);
+                    });
         }
 
         @Override
@@ -210,12 +283,16 @@
 
         private void pass(int to, Runnable arrives) {
             Place there = places.get(to);
-            if (to != number && !(apart && side.test(number) != side.test(to)) && chance.nextDouble() >= loss) {
-                calendar.in(2 + chance.nextInt(18), () -> {
-                    if (there.up) {
-                        arrives.run();
-                    }
-                });
+            if (to != number
+                    && !(apart && side.test(number) != side.test(to))
+                    && chance.nextDouble() >= loss) {
+                calendar.in(
+                        2 + chance.nextInt(18),
+                        () -> {
+                            if (there.up) {
+                                arrives.run();
+                            }
+                        });
             }
         }
 
@@ -276,8 +353,10 @@
     public CellsField(Shape shape, long seed) {
         this.shape = shape;
         chance = CHANCES.create(seed);
-        plan = shape.cell == 0 ? new CellPlan(1, 1, List.of()) : plan(1, shape.spread, shape.cells(), shape.zones,
-                shape.cell);
+        plan =
+                shape.cell == 0
+                        ? new CellPlan(1, 1, List.of())
+                        : plan(1, shape.spread, shape.cells(), shape.zones, shape.cell);
         for (int p = 0; p < shape.managers; p++) {
             places.add(new Place(p));
         }
@@ -285,8 +364,12 @@
 
     /** So many cells of so many slots, by turns in the zones. */
     public static CellPlan plan(int number, int spread, int cells, int zones, int slots) {
-        return new CellPlan(number, spread, IntStream.range(0, cells)
-                .mapToObj(c -> new CellPlan.Cell("c" + c, "z" + c % zones, slots, true)).toList());
+        return new CellPlan(
+                number,
+                spread,
+                IntStream.range(0, cells)
+                        .mapToObj(c -> new CellPlan.Cell("c" + c, "z" + c % zones, slots, true))
+                        .toList());
     }
 
     private String zone(int cell) {
@@ -355,7 +438,8 @@
             }
         }
         Set<String> names = one == null ? Set.of() : new HashSet<>(one.names());
-        return names.size() == up && cell.stream().allMatch(p -> p.up == names.contains(name(p.number)));
+        return names.size() == up
+                && cell.stream().allMatch(p -> p.up == names.contains(name(p.number)));
     }
 
     /** Tenths of a millisecond until all cells agree, in steps of 0.1 s; -1 if not within this. */
@@ -369,9 +453,13 @@
         return -1;
     }
 
-    /** For each in whose view this one was, tenths of a millisecond until it is out of it; -1 for not within this. */
+    /**
+     * For each in whose view this one was, tenths of a millisecond until it is out of it; -1 for
+     * not within this.
+     */
     public List<Long> untilOut(int killed, long most) {
-        List<Place> to = places.stream().filter(p -> p.up && p.cell == places.get(killed).cell).toList();
+        List<Place> to =
+                places.stream().filter(p -> p.up && p.cell == places.get(killed).cell).toList();
         long[] known = new long[to.size()];
         Arrays.fill(known, -1);
         int left = to.size();
--- a/src/main/java/firstage/lab/Fault.java
+++ b/src/main/java/firstage/lab/Fault.java
@@ -1,6 +1,9 @@
 package firstage.lab;
 
-/** Old faults of the program, to be put back one at a time: a rig that does not find them proves nothing. */
+/**
+ * Old faults of the program, to be put back one at a time: a rig that does not find them proves
+ * nothing.
+ */
 public enum Fault {
     NONE,
     /** Batches are told as they are read, whatever the thread missed meanwhile. */
@@ -9,13 +12,22 @@
     ONE_ACCEPTED_A_LOOK,
     /** A refused call for news ends a dispatch for good, also at an engine that drains. */
     REFUSED_IS_OVER,
-    /** An engine that does not know a dispatch whose statement was never answered for will not take it up. */
+    /**
+     * An engine that does not know a dispatch whose statement was never answered for will not take
+     * it up.
+     */
     UNKNOWN_IS_OVER,
     /** The answer to a DELETE proves the end, also where it overtook the statement. */
     DELETED_IS_OVER,
-    /** A dispatch that is given up ends as soon as its time to hear of it is over, and its key goes on. */
+    /**
+     * A dispatch that is given up ends as soon as its time to hear of it is over, and its key goes
+     * on.
+     */
     GIVEN_UP_IS_OVER,
-    /** A key rests as if what ends unasked were over when it ends, not when that is written or forgotten. */
+    /**
+     * A key rests as if what ends unasked were over when it ends, not when that is written or
+     * forgotten.
+     */
     UNWRITTEN_END_IS_OVER,
     /** What ended with nobody to ask is taken for forgotten, and its DELETE is not given again. */
     UNWRITTEN_END_IS_FORGOTTEN,
--- a/src/main/java/firstage/lab/HostileSchedule.java
+++ b/src/main/java/firstage/lab/HostileSchedule.java
@@ -2,9 +2,9 @@
 
 import firstage.door.Deployment;
 import firstage.door.EngineList;
+import firstage.door.ServiceGroup;
 import firstage.door.ServiceGroup.Effect;
 import firstage.door.ServiceGroup.Scope;
-import firstage.door.ServiceGroup;
 import firstage.fleet.Calendar;
 import java.util.ArrayList;
 import java.util.List;
@@ -14,9 +14,9 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * One seeded schedule: a few engines, a dozen batches of two keys, and what goes wrong among them. The same seed plays
- * the same schedule. Batches of one key are written as far apart as clients promise: 60 ms, 250 ms after one on a new
- * connection.
+ * One seeded schedule: a few engines, a dozen batches of two keys, and what goes wrong among them.
+ * The same seed plays the same schedule. Batches of one key are written as far apart as clients
+ * promise: 60 ms, 250 ms after one on a new connection.
  */
 public final class HostileSchedule {
     private static final long SECOND = 10_000;
@@ -27,8 +27,7 @@
     private static final int KEYS = 2;
     private static final double[] ROUGHNESS = {0, 0.02, 0.1, 0.3};
 
-    private HostileSchedule() {
-    }
+    private HostileSchedule() {}
 
     /** What broke, in words; empty where all rules held and all tables are empty at the end. */
     public static List<String> play(long seed, Fault fault) {
@@ -43,11 +42,21 @@
         Deployment deployment = deployment(chance);
         double roughness = ROUGHNESS[chance.nextInt(ROUGHNESS.length)];
         boolean stalls = chance.nextBoolean();
-        Supplier<LabManager> starts = () -> {
-            LabManager next = new LabManager(calendar, chance, check, fault, deployment, engines, roughness, stalls);
-            next.knows(count);
-            return next;
-        };
+        Supplier<LabManager> starts =
+                () -> {
+                    LabManager next =
+                            new LabManager(
+                                    calendar,
+                                    chance,
+                                    check,
+                                    fault,
+                                    deployment,
+                                    engines,
+                                    roughness,
+                                    stalls);
+                    next.knows(count);
+                    return next;
+                };
         LabManager[] up = {starts.get()};
         traffic(chance, calendar, check, up);
         troubles(chance, calendar, up, engines);
@@ -59,39 +68,77 @@
     }
 
     /** Killed, and up again at once with a burst of what came meanwhile; or told to end. */
-    private static void restarts(RandomGenerator chance, Calendar calendar, RuleCheck check, LabManager[] up,
-                                 Supplier<LabManager> starts) {
+    private static void restarts(
+            RandomGenerator chance,
+            Calendar calendar,
+            RuleCheck check,
+            LabManager[] up,
+            Supplier<LabManager> starts) {
         long at = chance.nextLong(4 * SECOND);
         switch (chance.nextInt(5)) {
-            case 0 -> calendar.in(at, () -> {
-                up[0].die();
-                check.killed();
-                up[0] = starts.get();
-                up[0].thread().standStill(chance.nextLong(SECOND));
-            });
+            case 0 ->
+                    calendar.in(
+                            at,
+                            () -> {
+                                up[0].die();
+                                check.killed();
+                                up[0] = starts.get();
+                                up[0].thread().standStill(chance.nextLong(SECOND));
+                            });
             case 1 -> calendar.in(at, () -> up[0].closes(calendar.now() + 3 * SECOND));
             case 2 -> calendar.in(at, () -> up[0].listedAnew());
-            default -> { }
+            default -> {}
         }
     }
 
     private static Deployment deployment(RandomGenerator chance) {
         boolean copies = chance.nextBoolean();
-        List<ServiceGroup> groups = List.of(
-                group(Effect.REPEATABLE, false, 1), group(Effect.ONCE_ONLY, true, 2),
-                group(Effect.REPEATABLE, true, 1));
-        return new Deployment(chance.nextLong(), 1, 0, 0, groups, List.of(new Deployment.Machine(8, 16_000)), List.of(),
-                new Deployment.Allowed(chance.nextBoolean(), copies, true, true, true, 4, 2 * SECOND),
-                new Deployment.Rules(0, 0, 0, 2 * SECOND, chance.nextBoolean() ? 0 : SECOND / 2, -1, 0, SECOND), 0.5,
-                SECOND / 2, false, false, -1, true, false);
+        List<ServiceGroup> groups =
+                List.of(
+                        group(Effect.REPEATABLE, false, 1),
+                        group(Effect.ONCE_ONLY, true, 2),
+                        group(Effect.REPEATABLE, true, 1));
+        return new Deployment(
+                chance.nextLong(),
+                1,
+                0,
+                0,
+                groups,
+                List.of(new Deployment.Machine(8, 16_000)),
+                List.of(),
+                new Deployment.Allowed(
+                        chance.nextBoolean(), copies, true, true, true, 4, 2 * SECOND),
+                new Deployment.Rules(
+                        0, 0, 0, 2 * SECOND, chance.nextBoolean() ? 0 : SECOND / 2, -1, 0, SECOND),
+                0.5,
+                SECOND / 2,
+                false,
+                false,
+                -1,
+                true,
+                false);
     }
 
     private static ServiceGroup group(Effect effect, boolean ordered, int threads) {
-        return new ServiceGroup(2 * SECOND, 2, LIMIT, ordered ? 8 : 1, 0.5, effect, Scope.ALL, 6 * SECOND, ordered,
-                threads, false, false, Set.of(), Set.of());
+        return new ServiceGroup(
+                2 * SECOND,
+                2,
+                LIMIT,
+                ordered ? 8 : 1,
+                0.5,
+                effect,
+                Scope.ALL,
+                6 * SECOND,
+                ordered,
+                threads,
+                false,
+                false,
+                Set.of(),
+                Set.of());
     }
 
-    private static void traffic(RandomGenerator chance, Calendar calendar, RuleCheck check, LabManager[] up) {
+    private static void traffic(
+            RandomGenerator chance, Calendar calendar, RuleCheck check, LabManager[] up) {
         int batch = 0;
         for (int key = 0; key < KEYS; key++) {
             long at = chance.nextLong(SECOND);
@@ -105,29 +152,50 @@
             }
         }
         for (int i = 0; i < 4; i++) {
-            comes(chance, calendar, check, up, batch++, 0, -1, chance.nextLong(4 * SECOND), chance.nextBoolean());
+            comes(
+                    chance,
+                    calendar,
+                    check,
+                    up,
+                    batch++,
+                    0,
+                    -1,
+                    chance.nextLong(4 * SECOND),
+                    chance.nextBoolean());
         }
     }
 
-    private static void comes(RandomGenerator chance, Calendar calendar, RuleCheck check, LabManager[] up, int batch,
-                              int group, int key, long at, boolean fresh) {
+    private static void comes(
+            RandomGenerator chance,
+            Calendar calendar,
+            RuleCheck check,
+            LabManager[] up,
+            int batch,
+            int group,
+            int key,
+            long at,
+            boolean fresh) {
         long limit = START + at + SECOND / 2 + chance.nextLong(LIMIT);
         long runs = 50 + chance.nextLong(chance.nextInt(4) == 0 ? SECOND * 3 : SECOND / 4);
         LabManager.Taken b = new LabManager.Taken(batch, group, key, limit, runs);
-        calendar.in(at, () -> {
-            check.came(calendar.now(), batch, key, group == 1, limit);
-            up[0].comes(b, fresh);
-        });
+        calendar.in(
+                at,
+                () -> {
+                    check.came(calendar.now(), batch, key, group == 1, limit);
+                    up[0].comes(b, fresh);
+                });
         if (chance.nextInt(10) == 0) {
             calendar.in(at + chance.nextLong(SECOND), () -> up[0].leaves(b));
         }
     }
 
-    private static void troubles(RandomGenerator chance, Calendar calendar, LabManager[] up,
-                                 List<LabEngine> engines) {
+    private static void troubles(
+            RandomGenerator chance, Calendar calendar, LabManager[] up, List<LabEngine> engines) {
         int stalls = chance.nextInt(4);
         for (int i = 0; i < stalls; i++) {
-            calendar.in(chance.nextLong(4 * SECOND), () -> up[0].thread().standStill(500 + chance.nextLong(SECOND)));
+            calendar.in(
+                    chance.nextLong(4 * SECOND),
+                    () -> up[0].thread().standStill(500 + chance.nextLong(SECOND)));
         }
         for (int e = 0; e < engines.size(); e++) {
             int which = e;
@@ -136,18 +204,23 @@
             switch (chance.nextInt(6)) {
                 case 0 -> {
                     calendar.in(at, () -> engine.becomes(LabEngine.Standing.DOWN));
-                    calendar.in(at + chance.nextLong(2 * SECOND), () -> engine.becomes(LabEngine.Standing.UP));
+                    calendar.in(
+                            at + chance.nextLong(2 * SECOND),
+                            () -> engine.becomes(LabEngine.Standing.UP));
                 }
                 case 1 -> {
                     calendar.in(at, () -> engine.becomes(LabEngine.Standing.MUTE));
-                    calendar.in(at + chance.nextLong(4 * SECOND), () -> engine.becomes(LabEngine.Standing.UP));
+                    calendar.in(
+                            at + chance.nextLong(4 * SECOND),
+                            () -> engine.becomes(LabEngine.Standing.UP));
                 }
                 case 2 -> {
                     calendar.in(at, () -> engine.becomes(LabEngine.Standing.DRAINING));
-                    calendar.in(at + chance.nextLong(SECOND),
+                    calendar.in(
+                            at + chance.nextLong(SECOND),
                             () -> up[0].listed(which, EngineList.Standing.LEAVING));
                 }
-                default -> { }
+                default -> {}
             }
         }
     }
--- a/src/main/java/firstage/lab/HostileSchedules.java
+++ b/src/main/java/firstage/lab/HostileSchedules.java
@@ -8,26 +8,36 @@
 
 /** Many schedules, on all cores; the same seeds give the same verdict. */
 public final class HostileSchedules {
-    private HostileSchedules() {
-    }
+    private HostileSchedules() {}
 
-    /** Seeds of the schedules that broke something, with what; at most the first {@code show} are kept. */
+    /**
+     * Seeds of the schedules that broke something, with what; at most the first {@code show} are
+     * kept.
+     */
     public static Map<Long, List<String>> play(long from, long count, Fault fault, int show) {
         ConcurrentSkipListMap<Long, List<String>> broken = new ConcurrentSkipListMap<>();
-        LongStream.range(from, from + count).parallel().forEach(seed -> {
-            List<String> what;
-            try {
-                what = HostileSchedule.play(seed, fault);
-            } catch (RuntimeException thrown) {
-                what = List.of("thrown: " + thrown + " at " + thrown.getStackTrace()[0]);
-            }
-            if (!what.isEmpty()) {
-                broken.put(seed, what);
-                if (broken.size() > show) {
-                    broken.pollLastEntry();
-                }
-            }
-        });
+        LongStream.range(from, from + count)
+                .parallel()
+                .forEach(
+                        seed -> {
+                            List<String> what;
+                            try {
+                                what = HostileSchedule.play(seed, fault);
+                            } catch (RuntimeException thrown) {
+                                what =
+                                        List.of(
+                                                "thrown: "
+                                                        + thrown
+                                                        + " at "
+                                                        + thrown.getStackTrace()[0]);
+                            }
+                            if (!what.isEmpty()) {
+                                broken.put(seed, what);
+                                if (broken.size() > show) {
+                                    broken.pollLastEntry();
+                                }
+                            }
+                        });
         return new TreeMap<>(broken);
     }
 }
--- a/src/main/java/firstage/lab/LabEngine.java
+++ b/src/main/java/firstage/lab/LabEngine.java
@@ -7,14 +7,22 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** A modelled engine: takes statements, holds calls for news, ends what is not asked for, drains, dies, comes back. */
+/**
+ * A modelled engine: takes statements, holds calls for news, ends what is not asked for, drains,
+ * dies, comes back.
+ */
 final class LabEngine {
     private static final long HOLDS = 2_500;
     private static final long FORGETS = 20_000;
     private static final double ERRS = 0.02;
     private static final double TWO_PAGES = 0.2;
 
-    enum Standing { UP, DRAINING, DOWN, MUTE }
+    enum Standing {
+        UP,
+        DRAINING,
+        DOWN,
+        MUTE
+    }
 
     private final class Job {
         private final int id;
@@ -45,11 +53,15 @@
     private final Calendar calendar;
     private final RuleCheck check;
     private final RandomGenerator chance;
+
     /** By the dispatch's mark: what runs here or ended here. */
     private final Map<Integer, Job> jobs = new HashMap<>();
+
     private Standing standing = Standing.UP;
+
     /** When the manager was told that it drains; below 0 where it was not. */
     private long drainTold = -1;
+
     private int lives;
 
     LabEngine(Calendar calendar, RuleCheck check, RandomGenerator chance) {
@@ -80,7 +92,14 @@
     }
 
     /** A statement came whole. */
-    void post(int id, int mark, long sentSinceDrain, long grace, long runs, long limit, Consumer<Word> answer) {
+    void post(
+            int id,
+            int mark,
+            long sentSinceDrain,
+            long grace,
+            long runs,
+            long limit,
+            Consumer<Word> answer) {
         if (standing == Standing.DOWN) {
             return;
         }
@@ -96,20 +115,25 @@
     }
 
     private void forgetLater(Job job) {
-        // What ended of itself is out until that is written: with nobody to ask, until its client's limit.
+        // What ended of itself is out until that is written: with nobody to ask, until its client's
+        // limit.
         long due = forgottenAt(job) - calendar.now();
-        calendar.in(Math.max(1, due), () -> {
-            if (job.over || calendar.now() >= forgottenAt(job)) {
-                job.end();
-            } else {
-                forgetLater(job);
-            }
-        });
+        calendar.in(
+                Math.max(1, due),
+                () -> {
+                    if (job.over || calendar.now() >= forgottenAt(job)) {
+                        job.end();
+                    } else {
+                        forgetLater(job);
+                    }
+                });
     }
 
     private long forgottenAt(Job job) {
         boolean ran = job.endsAt <= calendar.now() && job.endsAt - job.asked < FORGETS;
-        return ran ? Math.max(Math.max(job.asked, job.endsAt) + FORGETS, job.limit) : job.asked + FORGETS;
+        return ran
+                ? Math.max(Math.max(job.asked, job.endsAt) + FORGETS, job.limit)
+                : job.asked + FORGETS;
     }
 
     void news(int mark, Consumer<Word> answer) {
@@ -130,20 +154,27 @@
         long held = Math.min(HOLDS, Math.max(0, job.endsAt - calendar.now()));
         job.asked = calendar.now() + held;
         int life = lives;
-        calendar.in(held, () -> {
-            if (life != lives) {
-                return;
-            }
-            boolean ended = job.over || calendar.now() >= job.endsAt;
-            if (ended) {
-                job.end();
-            }
-            if (ended && calendar.now() < job.endsAt) {
-                answer.accept(Word.ERROR);
-            } else {
-                answer.accept(!ended ? Word.NEWS : job.errs ? Word.ERROR : job.pages > 1 ? Word.PAGE : Word.LAST);
-            }
-        });
+        calendar.in(
+                held,
+                () -> {
+                    if (life != lives) {
+                        return;
+                    }
+                    boolean ended = job.over || calendar.now() >= job.endsAt;
+                    if (ended) {
+                        job.end();
+                    }
+                    if (ended && calendar.now() < job.endsAt) {
+                        answer.accept(Word.ERROR);
+                    } else {
+                        answer.accept(
+                                !ended
+                                        ? Word.NEWS
+                                        : job.errs
+                                                ? Word.ERROR
+                                                : job.pages > 1 ? Word.PAGE : Word.LAST);
+                    }
+                });
     }
 
     void page(int mark, Consumer<Word> answer) {
--- a/src/main/java/firstage/lab/LabManager.java
+++ b/src/main/java/firstage/lab/LabManager.java
@@ -9,10 +9,10 @@
 import firstage.door.Outcome;
 import firstage.fleet.Calendar;
 import firstage.life.CallLife;
+import firstage.life.DispatchLife;
 import firstage.life.DispatchLife.Alarm;
 import firstage.life.DispatchLife.Loss;
 import firstage.life.DispatchLife.Word;
-import firstage.life.DispatchLife;
 import firstage.life.TakingOrder;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -21,7 +21,10 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 
-/** A manager as the sockets make one up: the real Brain and the real lives; connections and engines are modelled. */
+/**
+ * A manager as the sockets make one up: the real Brain and the real lives; connections and engines
+ * are modelled.
+ */
 final class LabManager implements Host, TakingOrder.Carrier<LabManager.Taken> {
     private static final long GRACE = 1_000;
     private static final long OVERDUE = 350;
@@ -30,6 +33,7 @@
     private static final long CONNECT_PATIENCE = 2_500;
     private static final long LATEST = 1_500;
     private static final int MARKS = 100_000;
+
     /** By so much the rest once was too short: an engine's time to forget. */
     private static final long SHORTER = 20_500;
 
@@ -69,11 +73,19 @@
     private boolean turnDue;
     private int open;
     private int calls;
+
     /** Engines know each dispatch by its mark, also one of a manager that was killed. */
     private int marks;
 
-    LabManager(Calendar calendar, RandomGenerator chance, RuleCheck check, Fault fault, Deployment deployment,
-               List<LabEngine> engines, double roughness, boolean stalls) {
+    LabManager(
+            Calendar calendar,
+            RandomGenerator chance,
+            RuleCheck check,
+            Fault fault,
+            Deployment deployment,
+            List<LabEngine> engines,
+            double roughness,
+            boolean stalls) {
         this.calendar = calendar;
         this.chance = chance;
         this.check = check;
@@ -81,8 +93,14 @@
         this.engines = engines;
         this.roughness = roughness;
         marks = check.life() * MARKS;
-        thread = new LabThread(calendar, chance, check, stalls, fault == Fault.ONE_ACCEPTED_A_LOOK,
-                this::turn);
+        thread =
+                new LabThread(
+                        calendar,
+                        chance,
+                        check,
+                        stalls,
+                        fault == Fault.ONE_ACCEPTED_A_LOOK,
+                        this::turn);
         brain = new Brain(deployment, this);
     }
 
@@ -97,10 +115,11 @@
 
     /** SIGTERM: it takes batches for a while yet, and ends at {@code endsAt}. */
     void closes(long endsAt) {
-        thread.arrives(() -> {
-            brain.closing(calendar.now(), endsAt);
-            turnDue = true;
-        });
+        thread.arrives(
+                () -> {
+                    brain.closing(calendar.now(), endsAt);
+                    turnDue = true;
+                });
     }
 
     private void turn() {
@@ -113,17 +132,18 @@
     // ---- Clients.
     /** The last byte of a batch is at the machine now. */
     void comes(Taken b, boolean newConnection) {
-        Runnable read = () -> {
-            open++;
-            b.client = new Client(b);
-            b.client.life.start();
-            thread(b.limit - calendar.now(), () -> timeUp(b));
-            if (fault == Fault.TOLD_AS_READ) {
-                taken(b, true);
-            } else {
-                order.came(b, b.key >= 0 ? (Object) b.key : null);
-            }
-        };
+        Runnable read =
+                () -> {
+                    open++;
+                    b.client = new Client(b);
+                    b.client.life.start();
+                    thread(b.limit - calendar.now(), () -> timeUp(b));
+                    if (fault == Fault.TOLD_AS_READ) {
+                        taken(b, true);
+                    } else {
+                        order.came(b, b.key >= 0 ? (Object) b.key : null);
+                    }
+                };
         if (newConnection) {
             thread.connects(read);
         } else {
@@ -132,11 +152,12 @@
     }
 
     void leaves(Taken b) {
-        thread.arrives(() -> {
-            if (b.client != null) {
-                b.client.quits();
-            }
-        });
+        thread.arrives(
+                () -> {
+                    if (b.client != null) {
+                        b.client.quits();
+                    }
+                });
     }
 
     private void left(Taken b) {
@@ -153,8 +174,8 @@
     }
 
     /**
-     * A client and its call: it asks at the path that it is given, loses connections now and then, and asks again; some
-     * never do.
+     * A client and its call: it asks at the path that it is given, loses connections now and then,
+     * and asks again; some never do.
      */
     private final class Client implements CallLife.Carrier {
         private final Taken b;
@@ -186,28 +207,32 @@
 
         private void asksLater(long delay) {
             if (!vanishes && tries++ < 4) {
-                thread(delay, () -> {
-                    if (!gone) {
-                        check.present(b.batch);
-                        held++;
-                        life.asked();
-                        breaksLater();
-                    }
-                });
+                thread(
+                        delay,
+                        () -> {
+                            if (!gone) {
+                                check.present(b.batch);
+                                held++;
+                                life.asked();
+                                breaksLater();
+                            }
+                        });
             }
         }
 
         /** Its connection may break while the call is held. */
         private void breaksLater() {
             if (chance.nextDouble() < roughness) {
-                thread(chance.nextLong(5_000), () -> {
-                    if (!gone && held == 1 && !got) {
-                        check.absent(calendar.now(), b.batch);
-                        held = 0;
-                        life.lastBroke();
-                        asksLater(100);
-                    }
-                });
+                thread(
+                        chance.nextLong(5_000),
+                        () -> {
+                            if (!gone && held == 1 && !got) {
+                                check.absent(calendar.now(), b.batch);
+                                held = 0;
+                                life.lastBroke();
+                                asksLater(100);
+                            }
+                        });
             }
         }
 
@@ -234,11 +259,13 @@
         @Override
         public void arm(long delay) {
             int mine = ++timer;
-            thread(delay, () -> {
-                if (mine == timer) {
-                    life.due();
-                }
-            });
+            thread(
+                    delay,
+                    () -> {
+                        if (mine == timer) {
+                            life.due();
+                        }
+                    });
         }
 
         @Override
@@ -303,15 +330,17 @@
             return;
         }
         List.copyOf(b.out).forEach(s -> s.life.giveUp(calendar.now(), Outcome.TIMED_OUT));
-        thread(OVERDUE, () -> {
-            if (!b.over || fault == Fault.ANSWERED_TWICE) {
-                answer(b, false);
-                if (b.told) {
-                    brain.clientLeft(calendar.now(), b.batch);
-                    turnDue = true;
-                }
-            }
-        });
+        thread(
+                OVERDUE,
+                () -> {
+                    if (!b.over || fault == Fault.ANSWERED_TWICE) {
+                        answer(b, false);
+                        if (b.told) {
+                            brain.clientLeft(calendar.now(), b.batch);
+                            turnDue = true;
+                        }
+                    }
+                });
     }
 
     private void answer(Taken b, boolean pushedBack) {
@@ -342,31 +371,51 @@
         }
         b.told = true;
         batches.put(b.batch, b);
-        brain.taken(calendar.now(), new Arrival(b.batch, b.group, 0, b.key, b.limit, b.runs, 64, b.batch % 5, false,
-                !turnKnown));
+        brain.taken(
+                calendar.now(),
+                new Arrival(
+                        b.batch,
+                        b.group,
+                        0,
+                        b.key,
+                        b.limit,
+                        b.runs,
+                        64,
+                        b.batch % 5,
+                        false,
+                        !turnKnown));
     }
 
     void listed(int engine, EngineList.Standing standing) {
-        thread.arrives(() -> {
-            if (standing == EngineList.Standing.LEAVING) {
-                engines.get(engine).drainTold(calendar.now());
-            }
-            brain.listed(calendar.now(), new EngineList(EngineList.Kind.CHANGES, List.of(entry(engine, standing))));
-            turnDue = true;
-        });
+        thread.arrives(
+                () -> {
+                    if (standing == EngineList.Standing.LEAVING) {
+                        engines.get(engine).drainTold(calendar.now());
+                    }
+                    brain.listed(
+                            calendar.now(),
+                            new EngineList(
+                                    EngineList.Kind.CHANGES, List.of(entry(engine, standing))));
+                    turnDue = true;
+                });
     }
 
     /** The coordinator is another one and tells the whole list again, as it stands. */
     void listedAnew() {
-        thread.arrives(() -> {
-            List<EngineList.Entry> all = new ArrayList<>();
-            for (int e = 0; e < engines.size(); e++) {
-                all.add(entry(e, engines.get(e).sinceDrain(calendar.now()) >= 0 ? EngineList.Standing.LEAVING
-                        : EngineList.Standing.ACTIVE));
-            }
-            brain.listed(calendar.now(), new EngineList(EngineList.Kind.WHOLE, all));
-            turnDue = true;
-        });
+        thread.arrives(
+                () -> {
+                    List<EngineList.Entry> all = new ArrayList<>();
+                    for (int e = 0; e < engines.size(); e++) {
+                        all.add(
+                                entry(
+                                        e,
+                                        engines.get(e).sinceDrain(calendar.now()) >= 0
+                                                ? EngineList.Standing.LEAVING
+                                                : EngineList.Standing.ACTIVE));
+                    }
+                    brain.listed(calendar.now(), new EngineList(EngineList.Kind.WHOLE, all));
+                    turnDue = true;
+                });
     }
 
     void knows(int count) {
@@ -384,8 +433,7 @@
 
     // ---- Decisions.
     @Override
-    public void provide(int batch, int grantMb, int priority) {
-    }
+    public void provide(int batch, int grantMb, int priority) {}
 
     @Override
     public void dispatch(int batch, int engine, long within) {
@@ -397,7 +445,8 @@
 
     @Override
     public void callOff(int batch, int dispatch) {
-        List.copyOf(batches.get(batch).out).stream().filter(s -> s.number == dispatch)
+        List.copyOf(batches.get(batch).out).stream()
+                .filter(s -> s.number == dispatch)
                 .forEach(s -> s.life.giveUp(calendar.now(), Outcome.CALLED_OFF));
     }
 
@@ -423,32 +472,33 @@
     }
 
     @Override
-    public void forgetKey(int key) {
-    }
+    public void forgetKey(int key) {}
 
     @Override
-    public void forgetEngine(int engine) {
-    }
+    public void forgetEngine(int engine) {}
 
     @Override
     public void probe(int engine) {
-        thread(20, () -> {
-            brain.probed(calendar.now(), engine, Outcome.RETURNED, null);
-            turnDue = true;
-        });
+        thread(
+                20,
+                () -> {
+                    brain.probed(calendar.now(), engine, Outcome.RETURNED, null);
+                    turnDue = true;
+                });
     }
 
     @Override
     public void wakeIn(long delay, long token) {
-        thread(delay, () -> {
-            brain.woken(calendar.now(), token);
-            turnDue = true;
-        });
+        thread(
+                delay,
+                () -> {
+                    brain.woken(calendar.now(), token);
+                    turnDue = true;
+                });
     }
 
     @Override
-    public void log(String line) {
-    }
+    public void log(String line) {}
 
     /** What must be empty once all is over. */
     void close() {
@@ -494,30 +544,41 @@
         }
 
         private void tell(Runnable news) {
-            thread.arrives(() -> {
-                news.run();
-                turnDue = true;
-            });
+            thread.arrives(
+                    () -> {
+                        news.run();
+                        turnDue = true;
+                    });
         }
 
         @Override
         public void post() {
-            boolean refuses = engine.standing() == LabEngine.Standing.DOWN
-                    || engine.standing() == LabEngine.Standing.DRAINING && chance.nextBoolean();
+            boolean refuses =
+                    engine.standing() == LabEngine.Standing.DOWN
+                            || engine.standing() == LabEngine.Standing.DRAINING
+                                    && chance.nextBoolean();
             boolean mute = engine.standing() == LabEngine.Standing.MUTE && chance.nextBoolean();
             long up = chance.nextInt(10) == 0 ? chance.nextInt((int) CONNECT_PATIENCE) : 2 * way();
-            calendar.in(mute ? CONNECT_PATIENCE : up, () -> tell(() -> {
-                if (refuses || mute) {
-                    life.postFailed(calendar.now(), refuses ? Loss.REFUSED : Loss.UNREACHED);
-                } else if (rough()) {
-                    life.postFailed(calendar.now(), Loss.RESET);
-                } else if (!life.wanted() || b.away
-                        || engine.sinceDrain(calendar.now()) >= 0 && fault != Fault.DRAIN_UNHEEDED) {
-                    life.postFailed(calendar.now(), Loss.UNSENT);
-                } else {
-                    write();
-                }
-            }));
+            calendar.in(
+                    mute ? CONNECT_PATIENCE : up,
+                    () ->
+                            tell(
+                                    () -> {
+                                        if (refuses || mute) {
+                                            life.postFailed(
+                                                    calendar.now(),
+                                                    refuses ? Loss.REFUSED : Loss.UNREACHED);
+                                        } else if (rough()) {
+                                            life.postFailed(calendar.now(), Loss.RESET);
+                                        } else if (!life.wanted()
+                                                || b.away
+                                                || engine.sinceDrain(calendar.now()) >= 0
+                                                        && fault != Fault.DRAIN_UNHEEDED) {
+                                            life.postFailed(calendar.now(), Loss.UNSENT);
+                                        } else {
+                                            write();
+                                        }
+                                    }));
         }
 
         private void write() {
@@ -530,22 +591,40 @@
             // The bytes may lie on their way when the connection under them is gone.
             long late = breaks && chance.nextBoolean() ? chance.nextLong(LATEST) : way();
             if (reaches && engine.standing() != LabEngine.Standing.MUTE) {
-                calendar.in(late, () -> engine.post(b.batch, mark, sinceDrain, GRACE, b.runs, b.limit, word -> {
-                    if (!breaks) {
-                        back(answered, () -> {
-                            blind = false;
-                            life.posted(calendar.now(), word);
-                        }, loss -> life.postFailed(calendar.now(), loss));
-                    }
-                }));
+                calendar.in(
+                        late,
+                        () ->
+                                engine.post(
+                                        b.batch,
+                                        mark,
+                                        sinceDrain,
+                                        GRACE,
+                                        b.runs,
+                                        b.limit,
+                                        word -> {
+                                            if (!breaks) {
+                                                back(
+                                                        answered,
+                                                        () -> {
+                                                            blind = false;
+                                                            life.posted(calendar.now(), word);
+                                                        },
+                                                        loss ->
+                                                                life.postFailed(
+                                                                        calendar.now(), loss));
+                                            }
+                                        }));
             }
-            lossAfter(breaks ? 2 * way() : NEWS_PATIENCE, answered, loss -> {
-                if (fault == Fault.BROKEN_NEVER_RAN) {
-                    ended(Outcome.NO_CONNECTION, 0);
-                } else {
-                    life.postFailed(calendar.now(), loss);
-                }
-            });
+            lossAfter(
+                    breaks ? 2 * way() : NEWS_PATIENCE,
+                    answered,
+                    loss -> {
+                        if (fault == Fault.BROKEN_NEVER_RAN) {
+                            ended(Outcome.NO_CONNECTION, 0);
+                        } else {
+                            life.postFailed(calendar.now(), loss);
+                        }
+                    });
         }
 
         private interface Lost {
@@ -558,31 +637,42 @@
                 return;
             }
             boolean spoilt = rough();
-            calendar.in(way(), () -> tell(() -> {
-                if (!answered[0]) {
-                    answered[0] = true;
-                    if (spoilt) {
-                        lost.as(Loss.SPOILT);
-                    } else {
-                        whole.run();
-                    }
-                }
-            }));
+            calendar.in(
+                    way(),
+                    () ->
+                            tell(
+                                    () -> {
+                                        if (!answered[0]) {
+                                            answered[0] = true;
+                                            if (spoilt) {
+                                                lost.as(Loss.SPOILT);
+                                            } else {
+                                                whole.run();
+                                            }
+                                        }
+                                    }));
         }
 
         private void lossAfter(long patience, boolean[] answered, Lost lost) {
-            calendar.in(patience, () -> tell(() -> {
-                if (!answered[0]) {
-                    answered[0] = true;
-                    lost.as(Loss.LOST);
-                }
-            }));
+            calendar.in(
+                    patience,
+                    () ->
+                            tell(
+                                    () -> {
+                                        if (!answered[0]) {
+                                            answered[0] = true;
+                                            lost.as(Loss.LOST);
+                                        }
+                                    }));
         }
 
         private void call(long patience, boolean fresh, Consumer<boolean[]> reach, Lost lost) {
             boolean[] answered = {false};
-            boolean refuses = engine.standing() == LabEngine.Standing.DOWN
-                    || fresh && engine.standing() == LabEngine.Standing.DRAINING && chance.nextBoolean();
+            boolean refuses =
+                    engine.standing() == LabEngine.Standing.DOWN
+                            || fresh
+                                    && engine.standing() == LabEngine.Standing.DRAINING
+                                    && chance.nextBoolean();
             if (refuses) {
                 answered[0] = true;
                 calendar.in(2 * way(), () -> tell(() -> lost.as(Loss.REFUSED)));
@@ -597,15 +687,28 @@
 
         @Override
         public void ask(boolean fresh) {
-            call(NEWS_PATIENCE, fresh, answered -> engine.news(mark, word -> back(answered, () -> {
-                boolean unknown = blind && word == Word.ERROR;
-                blind &= word == Word.ERROR;
-                if (unknown && fault == Fault.UNKNOWN_IS_OVER) {
-                    ended(Outcome.ERRORED, 0);
-                } else {
-                    life.told(calendar.now(), word);
-                }
-            }, loss -> life.lost(calendar.now(), loss))), this::lost);
+            call(
+                    NEWS_PATIENCE,
+                    fresh,
+                    answered ->
+                            engine.news(
+                                    mark,
+                                    word ->
+                                            back(
+                                                    answered,
+                                                    () -> {
+                                                        boolean unknown =
+                                                                blind && word == Word.ERROR;
+                                                        blind &= word == Word.ERROR;
+                                                        if (unknown
+                                                                && fault == Fault.UNKNOWN_IS_OVER) {
+                                                            ended(Outcome.ERRORED, 0);
+                                                        } else {
+                                                            life.told(calendar.now(), word);
+                                                        }
+                                                    },
+                                                    loss -> life.lost(calendar.now(), loss))),
+                    this::lost);
         }
 
         private void lost(Loss loss) {
@@ -618,8 +721,18 @@
 
         @Override
         public void fetch(int page, boolean fresh) {
-            call(NEWS_PATIENCE, fresh, answered -> engine.page(mark, word -> back(answered,
-                    () -> life.told(calendar.now(), word), loss -> life.lost(calendar.now(), loss))), this::lost);
+            call(
+                    NEWS_PATIENCE,
+                    fresh,
+                    answered ->
+                            engine.page(
+                                    mark,
+                                    word ->
+                                            back(
+                                                    answered,
+                                                    () -> life.told(calendar.now(), word),
+                                                    loss -> life.lost(calendar.now(), loss))),
+                    this::lost);
         }
 
         @Override
@@ -627,21 +740,36 @@
             if (deletes++ > 0 && fault == Fault.UNWRITTEN_END_IS_FORGOTTEN) {
                 return;
             }
-            call(DELETE_PATIENCE, fresh, answered -> engine.delete(mark, () -> back(answered, () -> {
-                if (fault == Fault.DELETED_IS_OVER) {
-                    ended(Outcome.CALLED_OFF, 0);
-                } else {
-                    life.deleted(calendar.now());
-                }
-            }, loss -> life.deleteFailed(calendar.now(), loss))), loss -> life.deleteFailed(calendar.now(), loss));
+            call(
+                    DELETE_PATIENCE,
+                    fresh,
+                    answered ->
+                            engine.delete(
+                                    mark,
+                                    () ->
+                                            back(
+                                                    answered,
+                                                    () -> {
+                                                        if (fault == Fault.DELETED_IS_OVER) {
+                                                            ended(Outcome.CALLED_OFF, 0);
+                                                        } else {
+                                                            life.deleted(calendar.now());
+                                                        }
+                                                    },
+                                                    loss ->
+                                                            life.deleteFailed(
+                                                                    calendar.now(), loss))),
+                    loss -> life.deleteFailed(calendar.now(), loss));
         }
 
         @Override
         public void after(long delay, Alarm alarm) {
-            thread(delay, () -> {
-                life.rang(calendar.now(), alarm);
-                turnDue = true;
-            });
+            thread(
+                    delay,
+                    () -> {
+                        life.rang(calendar.now(), alarm);
+                        turnDue = true;
+                    });
         }
 
         @Override
@@ -652,18 +780,21 @@
 
         @Override
         public boolean awaited() {
-            return !b.over || fault == Fault.GIVEN_UP_IS_OVER || fault == Fault.UNWRITTEN_END_IS_OVER
+            return !b.over
+                    || fault == Fault.GIVEN_UP_IS_OVER
+                    || fault == Fault.UNWRITTEN_END_IS_OVER
                     || fault == Fault.UNWRITTEN_END_IS_FORGOTTEN;
         }
 
         @Override
         public long limit() {
-            return fault == Fault.UNWRITTEN_END_IS_OVER || fault == Fault.UNWRITTEN_END_IS_FORGOTTEN ? 0 : b.limit;
+            return fault == Fault.UNWRITTEN_END_IS_OVER || fault == Fault.UNWRITTEN_END_IS_FORGOTTEN
+                    ? 0
+                    : b.limit;
         }
 
         @Override
-        public void done() {
-        }
+        public void done() {}
 
         @Override
         public void ended(Outcome how, long rest) {
@@ -674,9 +805,23 @@
                 answer(b, false);
             }
             turnDue = true;
-            brain.ended(calendar.now(), new Ending(b.batch, number, index, how, calendar.now() - sent, 0, 0, b.over,
-                    null, fault == Fault.GIVEN_UP_IS_OVER ? 0
-                    : fault == Fault.UNWRITTEN_END_IS_OVER ? Math.max(0, rest - SHORTER) : rest));
+            brain.ended(
+                    calendar.now(),
+                    new Ending(
+                            b.batch,
+                            number,
+                            index,
+                            how,
+                            calendar.now() - sent,
+                            0,
+                            0,
+                            b.over,
+                            null,
+                            fault == Fault.GIVEN_UP_IS_OVER
+                                    ? 0
+                                    : fault == Fault.UNWRITTEN_END_IS_OVER
+                                            ? Math.max(0, rest - SHORTER)
+                                            : rest));
             if (how == Outcome.RETURNED) {
                 callOffAll(b);
             }
--- a/src/main/java/firstage/lab/LabThread.java
+++ b/src/main/java/firstage/lab/LabThread.java
@@ -7,9 +7,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The one thread of a modelled manager, as hostile as the machine allows: it looks at its sockets, reads what that look
- * found in any order, stands still at any moment in between, and only then looks again. A new connection takes one look
- * to be accepted and one more to be read.
+ * The one thread of a modelled manager, as hostile as the machine allows: it looks at its sockets,
+ * reads what that look found in any order, stands still at any moment in between, and only then
+ * looks again. A new connection takes one look to be accepted and one more to be read.
  */
 final class LabThread {
     private static final double STALL_BETWEEN = 0.004;
@@ -33,15 +33,22 @@
     private List<Runnable> ready = new ArrayList<>();
     private final List<Runnable> connecting = new ArrayList<>();
     private final ArrayDeque<Runnable> found = new ArrayDeque<>();
+
     /** Barriers that the look under way counts for, and those asked for since it began. */
     private final List<Waiting> under = new ArrayList<>();
+
     private final List<Waiting> next = new ArrayList<>();
     private boolean awake;
     private boolean dead;
     private long stillUntil;
 
-    LabThread(Calendar calendar, RandomGenerator chance, RuleCheck check, boolean stalls,
-              boolean oneAccepted, Runnable turn) {
+    LabThread(
+            Calendar calendar,
+            RandomGenerator chance,
+            RuleCheck check,
+            boolean stalls,
+            boolean oneAccepted,
+            Runnable turn) {
         this.calendar = calendar;
         this.chance = chance;
         this.check = check;
--- a/src/main/java/firstage/lab/MembersField.java
+++ b/src/main/java/firstage/lab/MembersField.java
@@ -16,8 +16,8 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Managers' membership in virtual time: the modules as they are, their datagrams lost, delayed and cut by a plan. Every
- * figure of it is simulated. Times are tenths of a millisecond.
+ * Managers' membership in virtual time: the modules as they are, their datagrams lost, delayed and
+ * cut by a plan. Every figure of it is simulated. Times are tenths of a millisecond.
  */
 public final class MembersField {
     public static final long PERIOD = 2_000;
@@ -62,17 +62,39 @@
         public void start() {
             up = true;
             int mine = ++life;
-            leases = new Leases(places.size(), PERIOD, lentBefore, () -> {
-                lentBefore = true;
-                calendar.in(50, () -> {
-                    if (life == mine) {
-                        leases.kept();
-                    }
-                });
-            }, leaseFault);
-            members = new Members("field", new Entry("m" + number, "z" + number % 2, calendar.now() + 1,
-                    Standing.HERE, "1",
-                    1), places.size(), PERIOD, MOST, CHANCES.create(chance.nextLong()), leases, this, fault);
+            leases =
+                    new Leases(
+                            places.size(),
+                            PERIOD,
+                            lentBefore,
+                            () -> {
+                                lentBefore = true;
+                                calendar.in(
+                                        50,
+                                        () -> {
+                                            if (life == mine) {
+                                                leases.kept();
+                                            }
+                                        });
+                            },
+                            leaseFault);
+            members =
+                    new Members(
+                            "field",
+                            new Entry(
+                                    "m" + number,
+                                    "z" + number % 2,
+                                    calendar.now() + 1,
+                                    Standing.HERE,
+                                    "1",
+                                    1),
+                            places.size(),
+                            PERIOD,
+                            MOST,
+                            CHANCES.create(chance.nextLong()),
+                            leases,
+                            this,
+                            fault);
             tick(mine);
         }
 
@@ -86,14 +108,16 @@
         public void pause(long length) {
             pausedUntil = calendar.now() + length;
             int mine = life;
-            calendar.in(length, () -> {
-                if (life == mine) {
-                    tickOnce();
-                    List<Runnable> all = List.copyOf(waiting);
-                    waiting.clear();
-                    all.forEach(Runnable::run);
-                }
-            });
+            calendar.in(
+                    length,
+                    () -> {
+                        if (life == mine) {
+                            tickOnce();
+                            List<Runnable> all = List.copyOf(waiting);
+                            waiting.clear();
+                            all.forEach(Runnable::run);
+                        }
+                    });
         }
 
         private void tick(int mine) {
@@ -115,11 +139,12 @@
                 return;
             }
             int mine = life;
-            Runnable reads = () -> {
-                if (life == mine) {
-                    members.received(calendar.now(), from, datagram);
-                }
-            };
+            Runnable reads =
+                    () -> {
+                        if (life == mine) {
+                            members.received(calendar.now(), from, datagram);
+                        }
+                    };
             if (calendar.now() < pausedUntil) {
                 waiting.add(reads);
             } else {
@@ -134,7 +159,9 @@
             if (seed != number && !cut[from][seed] && chance.nextDouble() >= loss) {
                 int copies = chance.nextDouble() < doubled ? 2 : 1;
                 for (int i = 0; i < copies; i++) {
-                    calendar.in(2 + chance.nextInt(18), () -> places.get(seed).receives(from, datagram));
+                    calendar.in(
+                            2 + chance.nextInt(18),
+                            () -> places.get(seed).receives(from, datagram));
                 }
             }
         }
@@ -150,7 +177,8 @@
             if (what.equals("gone")) {
                 int whom = Integer.parseInt(who.substring(1));
                 if (places.get(whom).up) {
-                    falselyGone.add(now / 10 + " ms: m" + number + " holds m" + whom + " for gone: " + why);
+                    falselyGone.add(
+                            now / 10 + " ms: m" + number + " holds m" + whom + " for gone: " + why);
                 }
             }
         }
@@ -201,7 +229,9 @@
         return chance;
     }
 
-    /** Starts all within a second, and plays until they know each other; how long that took, or -1. */
+    /**
+     * Starts all within a second, and plays until they know each other; how long that took, or -1.
+     */
     public long startAll() {
         for (Place p : places) {
             calendar.in(chance.nextInt(10_000), p::start);
@@ -236,7 +266,9 @@
             if (p.up) {
                 View v = p.members.view();
                 one = one == null ? v : one;
-                if (v.hash() != one.hash() || v.number() != one.number() || !up.equals(Set.copyOf(v.names()))) {
+                if (v.hash() != one.hash()
+                        || v.number() != one.number()
+                        || !up.equals(Set.copyOf(v.names()))) {
                     return false;
                 }
             }
@@ -244,7 +276,9 @@
         return true;
     }
 
-    /** Tenths of a millisecond until they agree, in steps of 10 ms; -1 if they do not within this. */
+    /**
+     * Tenths of a millisecond until they agree, in steps of 10 ms; -1 if they do not within this.
+     */
     public long untilAgreed(long most) {
         for (long t = 0; t <= most; t += 100) {
             if (agreed()) {
@@ -255,13 +289,22 @@
         return -1;
     }
 
-    /** Until each that is up has this one out of its view; by each, tenths of a millisecond; -1 for never. */
+    /**
+     * Until each that is up has this one out of its view; by each, tenths of a millisecond; -1 for
+     * never.
+     */
     public List<Long> untilKnown(int gone, long most) {
         TreeMap<Integer, Long> known = new TreeMap<>();
-        for (long t = 0; t <= most && known.size() < places.stream().filter(p -> p.up).count(); t += 100) {
+        for (long t = 0;
+                t <= most && known.size() < places.stream().filter(p -> p.up).count();
+                t += 100) {
             for (Place p : places) {
-                if (p.up && p.members.entries().stream().anyMatch(e -> e.name().equals("m" + gone)
-                        && e.standing() != Standing.HERE)) {
+                if (p.up
+                        && p.members.entries().stream()
+                                .anyMatch(
+                                        e ->
+                                                e.name().equals("m" + gone)
+                                                        && e.standing() != Standing.HERE)) {
                     known.putIfAbsent(p.number, t);
                 }
             }
--- a/src/main/java/firstage/lab/MembersFigures.java
+++ b/src/main/java/firstage/lab/MembersFigures.java
@@ -12,8 +12,7 @@
 public final class MembersFigures {
     private static final long SECOND = 10_000;
 
-    private MembersFigures() {
-    }
+    private MembersFigures() {}
 
     private static MembersField field(int count, long seed) {
         MembersField f = new MembersField(count, seed, Members.Fault.NONE, Leases.Fault.NONE);
@@ -34,14 +33,18 @@
         DescriptiveStatistics start = new DescriptiveStatistics();
         double never = 0;
         for (long seed = 0; seed < seeds; seed++) {
-            MembersField first = new MembersField(count, seed, Members.Fault.NONE, Leases.Fault.NONE);
+            MembersField first =
+                    new MembersField(count, seed, Members.Fault.NONE, Leases.Fault.NONE);
             long took = first.startAll();
             never += took < 0 ? 1 : 0;
             start.addValue(took / 1e4);
             MembersField f = field(count, seed);
             long before = f.places().stream().mapToLong(MembersField.Place::bytes).sum();
             f.pass(10 * SECOND);
-            bytes.addValue((f.places().stream().mapToLong(MembersField.Place::bytes).sum() - before) / 10.0 / count);
+            bytes.addValue(
+                    (f.places().stream().mapToLong(MembersField.Place::bytes).sum() - before)
+                            / 10.0
+                            / count);
             f.places().get(0).kill();
             f.untilKnown(0, 20 * SECOND).forEach(t -> known.addValue(t < 0 ? 99 : t / 1e4));
             f = field(count, seed);
@@ -85,12 +88,17 @@
         }
     }
 
-    /** Live ones held for gone in so many minutes of pauses up to {@code most}, each 2 s one, with 20% loss. */
+    /**
+     * Live ones held for gone in so many minutes of pauses up to {@code most}, each 2 s one, with
+     * 20% loss.
+     */
     public static int falselyGone(int count, long seed, int minutes, long most) {
         MembersField f = field(count, seed);
         f.loses(0.2);
         for (int i = 0; i < minutes * 30; i++) {
-            f.places().get(f.chance().nextInt(count)).pause(most / 5 + f.chance().nextLong(most * 4 / 5));
+            f.places()
+                    .get(f.chance().nextInt(count))
+                    .pause(most / 5 + f.chance().nextLong(most * 4 / 5));
             f.pass(2 * SECOND);
         }
         return f.falselyGone().size();
