--- a/src/main/java/firstage/lab/RuleCheck.java
+++ b/src/main/java/firstage/lab/RuleCheck.java
@@ -6,15 +6,17 @@
 import java.util.Map;
 
 /**
- * Reads what crosses between clients, one manager and engines, and says which rule breaks. It knows nothing of what the
- * manager remembers. Rule 1: one final answer in time. Rule 2: no once-only batch at an engine twice, none pushed back
- * that may have run. Rule 3: nothing to a draining engine past the grace. Rule 5: nothing comes to an engine while an
- * earlier one of its key is open, or any other of its key may run. And the users' term: nothing is sent later than
- * 0.3 s after its client was last there.
+ * Reads what crosses between clients, one manager and engines, and says which rule breaks. It knows
+ * nothing of what the manager remembers. Rule 1: one final answer in time. Rule 2: no once-only
+ * batch at an engine twice, none pushed back that may have run. Rule 3: nothing to a draining
+ * engine past the grace. Rule 5: nothing comes to an engine while an earlier one of its key is
+ * open, or any other of its key may run. And the users' term: nothing is sent later than 0.3 s
+ * after its client was last there.
  */
 public final class RuleCheck {
     /** Tenths of a millisecond after a client's limit in which its answer still counts. */
     private static final long SLACK = 500;
+
     /** After its client left nothing is sent for it later than this. */
     private static final long LEFT_FOR = 3_000;
 
@@ -29,8 +31,10 @@
         private int answers;
         private boolean over;
         private boolean left;
+
         /** Since when its client is not there; below 0 where it is. */
         private long absentSince = -1;
+
         private int ran;
 
         private Seen(int id, int key, boolean onceOnly, long came, long limit, int life) {
@@ -45,12 +49,16 @@
 
     private final List<String> broken = new ArrayList<>();
     private final Map<Integer, Seen> batches = new HashMap<>();
+
     /** By key, the batches that came, in the order of their last bytes. */
     private final Map<Integer, List<Seen>> byKey = new HashMap<>();
+
     /** By key, the batches whose runs are at engines now; once for each run. */
     private final Map<Integer, List<Seen>> atEngines = new HashMap<>();
+
     /** Which of the managers that follow each other is up. */
     private int life;
+
     /** Time that the thread stood still: no answer can be asked for within it. */
     private long stalls;
 
@@ -88,7 +96,10 @@
         }
     }
 
-    /** The manager was killed: what it held is no duty of anybody's, and the next one's orders begin anew. */
+    /**
+     * The manager was killed: what it held is no duty of anybody's, and the next one's orders begin
+     * anew.
+     */
     public void killed() {
         batches.values().stream().filter(b -> b.answers == 0).forEach(b -> left(b.id));
         byKey.clear();
@@ -121,12 +132,21 @@
     public void sent(long now, int id) {
         Seen b = batches.get(id);
         if (b.absentSince >= 0 && now - b.absentSince > LEFT_FOR + stalls) {
-            broken.add("at " + now + ": batch " + b.id + " is sent " + (now - b.absentSince)
-                    + " after its client left");
+            broken.add(
+                    "at "
+                            + now
+                            + ": batch "
+                            + b.id
+                            + " is sent "
+                            + (now - b.absentSince)
+                            + " after its client left");
         }
     }
 
-    /** A statement came whole to an engine that takes it up; {@code sinceDrain} below 0 where it does not drain. */
+    /**
+     * A statement came whole to an engine that takes it up; {@code sinceDrain} below 0 where it
+     * does not drain.
+     */
     public void runs(long now, int id, long sentSinceDrain, long grace) {
         Seen b = batches.get(id);
         if (sentSinceDrain > grace) {
@@ -152,7 +172,15 @@
                 break;
             }
             if (!earlier.over) {
-                breaks(now, 5, b, "runs before " + earlier.id + ", which came " + (b.came - earlier.came) + " earlier");
+                breaks(
+                        now,
+                        5,
+                        b,
+                        "runs before "
+                                + earlier.id
+                                + ", which came "
+                                + (b.came - earlier.came)
+                                + " earlier");
             }
         }
     }
@@ -180,7 +208,8 @@
     }
 
     private void breaks(long now, int rule, Seen b, String how) {
-        broken.add("rule " + rule + " at " + now + ": batch " + b.id + " (key " + b.key + ") " + how);
+        broken.add(
+                "rule " + rule + " at " + now + ": batch " + b.id + " (key " + b.key + ") " + how);
     }
 
     public List<String> broken() {
--- a/src/main/java/firstage/life/DispatchLife.java
+++ b/src/main/java/firstage/life/DispatchLife.java
@@ -5,40 +5,60 @@
 import java.util.Map;
 
 /**
- * What a dispatch does at its engine: its statement is sent, it is asked for without pause (an engine drops what nobody
- * asks for), its pages are fetched, and it ends once. It belongs to no connection: where one fails, another is asked.
+ * What a dispatch does at its engine: its statement is sent, it is asked for without pause (an
+ * engine drops what nobody asks for), its pages are fetched, and it ends once. It belongs to no
+ * connection: where one fails, another is asked.
  *
- * <p>Beside each outcome stands what the engine may still hold, for what can't be proven over is not over. It is
- * proven by the engine's own last word on it, or by its answer to a DELETE that came after the statement. Until then
- * the DELETE of a batch with a key is given again, and the next batch of its key waits, while its own client is
- * answered at once. What can't be proven is held until nobody asked for it in {@link #FORGETS}, counted from our last
- * call, and, where its engine could not even be told, until its client's limit, which that engine knows.
+ * <p>Beside each outcome stands what the engine may still hold, for what can't be proven over is
+ * not over. It is proven by the engine's own last word on it, or by its answer to a DELETE that
+ * came after the statement. Until then the DELETE of a batch with a key is given again, and the
+ * next batch of its key waits, while its own client is answered at once. What can't be proven is
+ * held until nobody asked for it in {@link #FORGETS}, counted from our last call, and, where its
+ * engine could not even be told, until its client's limit, which that engine knows.
  *
- * <p>Times are tenths of a millisecond. Every call is an event; effects go out by {@link Carrier}, which may call back
- * at once only where said.
+ * <p>Times are tenths of a millisecond. Every call is an event; effects go out by {@link Carrier},
+ * which may call back at once only where said.
  */
 public final class DispatchLife {
     /**
-     * An engine ends by itself what nobody asked for in 2 s. Our last call may have been held there for 250 ms first.
-     * What ends of itself meanwhile is out until that is written, which nobody asks for: 2 s more, and the rest is for
-     * calls that are late on their way. At 2.45 s orders broke (docs/incidents/the-last-connection.md).
+     * An engine ends by itself what nobody asked for in 2 s. Our last call may have been held there
+     * for 250 ms first. What ends of itself meanwhile is out until that is written, which nobody
+     * asks for: 2 s more, and the rest is for calls that are late on their way. At 2.45 s orders
+     * broke (docs/incidents/the-last-connection.md).
      */
     public static final long FORGETS = 45_000;
+
     /** So long a dispatch that is given up may take to end: the client's answer may wait for it. */
     private static final long GIVE_UP = 200;
+
     /** Between askings that fail at once: a lost connection is not worth a busy loop. */
     private static final long PAUSE = 500;
-    /** Until a connection that was just in use may carry a DELETE: it rests for 10 ms after an answer. */
+
+    /**
+     * Until a connection that was just in use may carry a DELETE: it rests for 10 ms after an
+     * answer.
+     */
     private static final long SOON = 120;
+
     /** An engine counts its limit from when the statement comes: that may be late by so much. */
     private static final long ON_ITS_WAY = 1_000;
-    /** Between DELETEs once nobody waits for them: a statement that lay unread may have come meanwhile. */
+
+    /**
+     * Between DELETEs once nobody waits for them: a statement that lay unread may have come
+     * meanwhile.
+     */
     private static final long NOW_AND_THEN = 5_000;
-    /** An engine that has nothing to tell and does not hold the call is asked again after a pause. */
+
+    /**
+     * An engine that has nothing to tell and does not hold the call is asked again after a pause.
+     */
     private static final long HELD = 100;
+
     private static final long NOT_HELD = 200;
+
     /** Answers in a row that can't be read: some are spoilt on their way, not so many. */
     private static final int MOST_UNREADABLE = 5;
+
     /** New connections in a row that are reset before the statement is written. */
     private static final int MOST_RESETS = 3;
 
@@ -59,10 +79,16 @@
         /** To be answered by {@link #rang} after so long. */
         void after(long delay, Alarm alarm);
 
-        /** Whether another connection to this engine is up: a process that died has reset all it had. */
+        /**
+         * Whether another connection to this engine is up: a process that died has reset all it
+         * had.
+         */
         boolean lives();
 
-        /** Whether somebody waits to be told how it ended: its client has no answer yet, or the program closes. */
+        /**
+         * Whether somebody waits to be told how it ended: its client has no answer yet, or the
+         * program closes.
+         */
         boolean awaited();
 
         /** When its client's time is up, as its engine was told. */
@@ -76,7 +102,12 @@
     }
 
     /** What a timer was set for. */
-    public enum Alarm { AGAIN, DUE, DELETE_AGAIN, FORGOTTEN }
+    public enum Alarm {
+        AGAIN,
+        DUE,
+        DELETE_AGAIN,
+        FORGOTTEN
+    }
 
     /** How a call to the engine failed. */
     public enum Loss {
@@ -94,26 +125,72 @@
         SPOILT
     }
 
-    /** What an engine answered. PAGE: a good end or a page, with more to come; LAST: with all pages here. */
-    public enum Word { NEWS, PAGE, LAST, TURNED_AWAY, ERROR }
+    /**
+     * What an engine answered. PAGE: a good end or a page, with more to come; LAST: with all pages
+     * here.
+     */
+    public enum Word {
+        NEWS,
+        PAGE,
+        LAST,
+        TURNED_AWAY,
+        ERROR
+    }
 
     enum State {
-        NEW, DROPPED, POSTING, UNHEARD, RUNNING, FETCHING, ENDING, ENDING_BLIND, LINGERING, LINGERING_BLIND, OVER
+        NEW,
+        DROPPED,
+        POSTING,
+        UNHEARD,
+        RUNNING,
+        FETCHING,
+        ENDING,
+        ENDING_BLIND,
+        LINGERING,
+        LINGERING_BLIND,
+        OVER
     }
 
     private enum Event {
-        WRITTEN, RESET, UNREACHED, UNSENT, NEWS, PAGE, LAST, TURNED_AWAY, ERROR, LOST, GONE, TOO_MANY, GIVE_UP, DELETED,
-        UNDELETED, DUE, DUE_ORDERED, FORGOTTEN
+        WRITTEN,
+        RESET,
+        UNREACHED,
+        UNSENT,
+        NEWS,
+        PAGE,
+        LAST,
+        TURNED_AWAY,
+        ERROR,
+        LOST,
+        GONE,
+        TOO_MANY,
+        GIVE_UP,
+        DELETED,
+        UNDELETED,
+        DUE,
+        DUE_ORDERED,
+        FORGOTTEN
     }
 
     /** SURE: it ends as the outcome says, nothing is held; HELD: the engine may hold it yet. */
     private enum Effect {
-        NONE, POST, ASK, ASK_AGAIN, FETCH, NEXT, END_IT, CONFIRM, DELETE_SOON, DELETE_AGAIN, DELETE_LATER, LINGER,
-        SURE, HELD
-    }
-
-    private record Row(State state, Event event, State next, Effect effect, Outcome how) {
-    }
+        NONE,
+        POST,
+        ASK,
+        ASK_AGAIN,
+        FETCH,
+        NEXT,
+        END_IT,
+        CONFIRM,
+        DELETE_SOON,
+        DELETE_AGAIN,
+        DELETE_LATER,
+        LINGER,
+        SURE,
+        HELD
+    }
+
+    private record Row(State state, Event event, State next, Effect effect, Outcome how) {}
 
     private static final Map<State, Map<Event, Row>> TABLE = new EnumMap<>(State.class);
 
@@ -142,7 +219,8 @@
         row(State.POSTING, Event.LOST, State.UNHEARD, Effect.ASK_AGAIN, null);
         row(State.POSTING, Event.TOO_MANY, State.ENDING_BLIND, Effect.END_IT, Outcome.ERRORED);
         row(State.POSTING, Event.GIVE_UP, State.ENDING_BLIND, Effect.END_IT, null);
-        // Its answer was lost. The statement may lie unread: that the engine does not know it proves nothing.
+        // Its answer was lost. The statement may lie unread: that the engine does not know it
+        // proves nothing.
         row(State.UNHEARD, Event.NEWS, State.RUNNING, Effect.ASK, null);
         row(State.UNHEARD, Event.PAGE, State.FETCHING, Effect.FETCH, null);
         row(State.UNHEARD, Event.LAST, State.OVER, Effect.SURE, Outcome.RETURNED);
@@ -171,7 +249,8 @@
         row(State.FETCHING, Event.GONE, State.OVER, Effect.SURE, Outcome.BROKEN);
         row(State.FETCHING, Event.TOO_MANY, State.ENDING, Effect.END_IT, Outcome.ERRORED);
         row(State.FETCHING, Event.GIVE_UP, State.ENDING, Effect.END_IT, null);
-        // Given up, and the engine had answered for it: its answer to the DELETE, or any last word, proves the end.
+        // Given up, and the engine had answered for it: its answer to the DELETE, or any last word,
+        // proves the end.
         row(State.ENDING, Event.DELETED, State.OVER, Effect.SURE, null);
         row(State.ENDING, Event.TURNED_AWAY, State.OVER, Effect.SURE, null);
         row(State.ENDING, Event.ERROR, State.OVER, Effect.SURE, null);
@@ -182,7 +261,8 @@
         row(State.ENDING, Event.UNDELETED, State.ENDING, Effect.DELETE_AGAIN, null);
         row(State.ENDING, Event.DUE, State.OVER, Effect.HELD, null);
         row(State.ENDING, Event.DUE_ORDERED, State.LINGERING, Effect.LINGER, null);
-        // Given up, and the DELETE may have overtaken the statement: only an answer to that proves anything.
+        // Given up, and the DELETE may have overtaken the statement: only an answer to that proves
+        // anything.
         row(State.ENDING_BLIND, Event.NEWS, State.ENDING, Effect.DELETE_SOON, null);
         row(State.ENDING_BLIND, Event.TURNED_AWAY, State.OVER, Effect.SURE, null);
         row(State.ENDING_BLIND, Event.ERROR, State.OVER, Effect.SURE, null);
@@ -192,7 +272,8 @@
         row(State.ENDING_BLIND, Event.UNDELETED, State.ENDING_BLIND, Effect.DELETE_AGAIN, null);
         row(State.ENDING_BLIND, Event.DUE, State.OVER, Effect.HELD, null);
         row(State.ENDING_BLIND, Event.DUE_ORDERED, State.LINGERING_BLIND, Effect.LINGER, null);
-        // Given up, its time to hear of it is over, and others of its key wait. The harm prevented: an engine that was
+        // Given up, its time to hear of it is over, and others of its key wait. The harm prevented:
+        // an engine that was
         // never told may run it on, and what ends there with nobody to ask is out until its limit.
         row(State.LINGERING, Event.DELETED, State.OVER, Effect.SURE, null);
         row(State.LINGERING, Event.TURNED_AWAY, State.OVER, Effect.SURE, null);
@@ -208,7 +289,12 @@
         row(State.LINGERING_BLIND, Event.PAGE, State.OVER, Effect.SURE, null);
         row(State.LINGERING_BLIND, Event.LAST, State.OVER, Effect.SURE, null);
         row(State.LINGERING_BLIND, Event.DELETED, State.LINGERING_BLIND, Effect.DELETE_LATER, null);
-        row(State.LINGERING_BLIND, Event.UNDELETED, State.LINGERING_BLIND, Effect.DELETE_AGAIN, null);
+        row(
+                State.LINGERING_BLIND,
+                Event.UNDELETED,
+                State.LINGERING_BLIND,
+                Effect.DELETE_AGAIN,
+                null);
         row(State.LINGERING_BLIND, Event.FORGOTTEN, State.OVER, Effect.SURE, null);
     }
 
@@ -217,22 +303,34 @@
     private State state = State.NEW;
     private Outcome how;
     private boolean postOut;
+
     /** Of a DELETE that may be given again. */
     private boolean deleteFresh;
+
     private boolean askFresh;
     private boolean again;
+
     /** Its engine said that it erred. */
     private boolean heardOver;
-    /** A DELETE was answered: its engine can be told, and is told again in case the statement comes yet. */
+
+    /**
+     * A DELETE was answered: its engine can be told, and is told again in case the statement comes
+     * yet.
+     */
     private boolean reached;
+
     /** Its end was told to who waits for it. */
     private boolean told;
+
     private int page;
     private int failures;
     private int unreadable;
     private long lastCall;
 
-    /** {@code ordered}: others may wait for it to be over, so its end is proven where that costs a call. */
+    /**
+     * {@code ordered}: others may wait for it to be over, so its end is proven where that costs a
+     * call.
+     */
     public DispatchLife(Carrier carrier, boolean ordered) {
         this.carrier = carrier;
         this.ordered = ordered;
@@ -253,7 +351,10 @@
         return written() && how == null && state != State.OVER;
     }
 
-    /** Whether it is given up and not over, and its end is not told yet: nobody waits for it but its key. */
+    /**
+     * Whether it is given up and not over, and its end is not told yet: nobody waits for it but its
+     * key.
+     */
     public boolean lingers() {
         return !told && (state == State.LINGERING || state == State.LINGERING_BLIND);
     }
@@ -321,7 +422,10 @@
         on(now, gone ? Event.GONE : unreadable >= MOST_UNREADABLE ? Event.TOO_MANY : Event.LOST);
     }
 
-    /** Ends it with this outcome, once the engine has heard of it or can't hear in time: until then it is out. */
+    /**
+     * Ends it with this outcome, once the engine has heard of it or can't hear in time: until then
+     * it is out.
+     */
     public void giveUp(long now, Outcome as) {
         if (state != State.OVER && how == null) {
             how = as;
@@ -331,7 +435,8 @@
 
     public void deleted(long now) {
         reached = true;
-        // A statement that lay unread for so long does not come any more, and what came before this is ended by it.
+        // A statement that lay unread for so long does not come any more, and what came before this
+        // is ended by it.
         boolean late = state == State.LINGERING_BLIND && now >= lastCall + FORGETS;
         on(now, late ? Event.FORGOTTEN : Event.DELETED);
     }
@@ -368,7 +473,7 @@
         state = row.next;
         how = row.how != null ? row.how : how;
         switch (row.effect) {
-            case NONE -> { }
+            case NONE -> {}
             case POST -> carrier.post();
             case ASK -> pace(now, before);
             case ASK_AGAIN -> retry(now);
@@ -438,11 +543,15 @@
     }
 
     private boolean ending() {
-        return state == State.ENDING || state == State.ENDING_BLIND || state == State.LINGERING
+        return state == State.ENDING
+                || state == State.ENDING_BLIND
+                || state == State.LINGERING
                 || state == State.LINGERING_BLIND;
     }
 
-    /** Whoever waits for its end is told at once, with the rest; else it is told when it is proven. */
+    /**
+     * Whoever waits for its end is told at once, with the rest; else it is told when it is proven.
+     */
     private void linger(long now) {
         long limit = heardOver || reached ? 0 : carrier.limit() + ON_ITS_WAY;
         long rest = Math.max(0, Math.max(lastCall + FORGETS, limit) - now);
--- a/src/main/java/firstage/life/KeyWatch.java
+++ b/src/main/java/firstage/life/KeyWatch.java
@@ -7,14 +7,15 @@
 import java.util.Map;
 
 /**
- * Watches what crosses of batches with a key, beside the decisions: no statement goes out while an earlier batch of its
- * key is open, or a dispatch of another one is out or may be held by its engine. It decides nothing; what it finds is
- * a fault of ours. Times are tenths of a millisecond.
+ * Watches what crosses of batches with a key, beside the decisions: no statement goes out while an
+ * earlier batch of its key is open, or a dispatch of another one is out or may be held by its
+ * engine. It decides nothing; what it finds is a fault of ours. Times are tenths of a millisecond.
  */
 public final class KeyWatch {
     private static final class Line {
         private final List<Object> open = new ArrayList<>();
         private final Map<Object, Integer> out = new HashMap<>();
+
         /** The batch whose engine may hold it, and until when. */
         private final Map<Object, Long> held = new HashMap<>();
 
@@ -36,8 +37,9 @@
         Line line = lines.computeIfAbsent(key, k -> new Line());
         line.over(now);
         boolean first = line.open.isEmpty() || line.open.get(0).equals(batch);
-        boolean alone = line.out.keySet().stream().allMatch(batch::equals)
-                && line.held.keySet().stream().allMatch(batch::equals);
+        boolean alone =
+                line.out.keySet().stream().allMatch(batch::equals)
+                        && line.held.keySet().stream().allMatch(batch::equals);
         line.out.merge(batch, 1, Integer::sum);
         return first && alone;
     }
@@ -63,7 +65,7 @@
 
     /** Drops the keys that nothing is known of any more; asked now and then. */
     public void sweep(long now) {
-        for (Iterator<Line> each = lines.values().iterator(); each.hasNext();) {
+        for (Iterator<Line> each = lines.values().iterator(); each.hasNext(); ) {
             if (each.next().over(now)) {
                 each.remove();
             }
--- a/src/main/java/firstage/members/Codec.java
+++ b/src/main/java/firstage/members/Codec.java
@@ -10,14 +10,14 @@
 import java.util.List;
 
 /**
- * A message as CBOR (RFC 8949): one array, its first item the form's version, further items at the end skipped, so
- * that a
- * newer program may tell more. What does not fit into a datagram is left out: entries last, the oldest rumours first
- * kept.
+ * A message as CBOR (RFC 8949): one array, its first item the form's version, further items at the
+ * end skipped, so that a newer program may tell more. What does not fit into a datagram is left
+ * out: entries last, the oldest rumours first kept.
  */
 public final class Codec {
     /** The most that goes into one datagram: under the least MTU of IPv6 with its heads. */
     public static final int MOST = 1_200;
+
     private static final int VERSION = 1;
     private static final int HEAD = 200;
     private static final int MOST_NAME = 64;
@@ -48,7 +48,7 @@
 
     /** The bytes, with as many entries as fit. */
     public byte[] write(Message m) {
-        for (int entries = Math.min(m.entries().size(), MOST_ENTRIES);; entries--) {
+        for (int entries = Math.min(m.entries().size(), MOST_ENTRIES); ; entries--) {
             byte[] bytes = write(m, entries);
             if (bytes.length <= most || entries == 0) {
                 return bytes;
@@ -101,7 +101,9 @@
         g.writeEndArray();
     }
 
-    /** Reads it; whatever is not whole and in form is refused with its cause in two or three words. */
+    /**
+     * Reads it; whatever is not whole and in form is refused with its cause in two or three words.
+     */
     public Message read(byte[] bytes) throws Unusable {
         if (bytes.length > most) {
             throw new Unusable("too long");
@@ -137,8 +139,21 @@
                 more = in.nextToken();
             }
             need(in.nextToken() == null && !from.isEmpty() && incarnation > 0);
-            return new Message(fleet, from, incarnation, Message.Kind.values()[kind], seq, target, view, hash, heardAgo,
-                    grants == JsonToken.VALUE_TRUE, lent, unheard, entries, digest);
+            return new Message(
+                    fleet,
+                    from,
+                    incarnation,
+                    Message.Kind.values()[kind],
+                    seq,
+                    target,
+                    view,
+                    hash,
+                    heardAgo,
+                    grants == JsonToken.VALUE_TRUE,
+                    lent,
+                    unheard,
+                    entries,
+                    digest);
         } catch (IOException fault) {
             throw new Unusable("spoilt");
         }
@@ -166,8 +181,10 @@
         need(in.nextToken() == JsonToken.START_ARRAY);
         List<String> names = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
-            need(in.currentToken() == JsonToken.VALUE_STRING && names.size() < MOST_NAMES
-                    && in.getText().length() <= MOST_NAME);
+            need(
+                    in.currentToken() == JsonToken.VALUE_STRING
+                            && names.size() < MOST_NAMES
+                            && in.getText().length() <= MOST_NAME);
             names.add(in.getText());
         }
         return names;
@@ -182,12 +199,18 @@
             String zone = text(in);
             long incarnation = whole(in);
             int standing = (int) whole(in);
-            need(standing >= 0 && standing < Standing.values().length && !name.isEmpty() && incarnation > 0);
+            need(
+                    standing >= 0
+                            && standing < Standing.values().length
+                            && !name.isEmpty()
+                            && incarnation > 0);
             String version = text(in);
             need(in.nextToken().isNumeric());
             double weight = in.getDoubleValue();
             need(weight >= 0 && weight <= 1_000);
-            entries.add(new Entry(name, zone, incarnation, Standing.values()[standing], version, weight));
+            entries.add(
+                    new Entry(
+                            name, zone, incarnation, Standing.values()[standing], version, weight));
             need(in.nextToken() == JsonToken.END_ARRAY);
         }
         return entries;
--- a/src/main/java/firstage/members/Entry.java
+++ b/src/main/java/firstage/members/Entry.java
@@ -1,11 +1,17 @@
 package firstage.members;
 
 /**
- * What is told of a member. {@code incarnation}: of its life (Unix ms of its start), raised by itself alone to deny a
- * doubt; the higher one counts, of equal ones the worse standing. {@code weight}: the share of traffic it wants, 1 is
- * usual.
+ * What is told of a member. {@code incarnation}: of its life (Unix ms of its start), raised by
+ * itself alone to deny a doubt; the higher one counts, of equal ones the worse standing. {@code
+ * weight}: the share of traffic it wants, 1 is usual.
  */
-public record Entry(String name, String zone, long incarnation, Standing standing, String version, double weight) {
+public record Entry(
+        String name,
+        String zone,
+        long incarnation,
+        Standing standing,
+        String version,
+        double weight) {
     /** Whether this says more than that: a newer life, or worse of the same. */
     boolean overrides(Entry other) {
         return incarnation > other.incarnation
--- a/src/main/java/firstage/members/Leases.java
+++ b/src/main/java/firstage/members/Leases.java
@@ -6,44 +6,58 @@
 import java.util.Map;
 
 /**
- * Who may use which part of the engines. Half of a manager's share, its floor, is its own for good. The other half it
- * uses
- * while enough managers have lately given it their word; where a majority has withdrawn that word, the others may use
- * it,
- * each the same fixed piece. Enough is what leaves no majority without it, so any two such sets have a member in
- * common; and
- * that one, having given its word, withdraws it only after a time longer than a word lasts, and gives it anew only
- * after a
- * time longer than a withdrawal lasts. So the parts in use never pass the whole, in whatever order messages are lost,
- * late
- * or doubled, and whoever is stopped or started anew.
+ * Who may use which part of the engines. Half of a manager's share, its floor, is its own for good.
+ * The other half it uses while enough managers have lately given it their word; where a majority
+ * has withdrawn that word, the others may use it, each the same fixed piece. Enough is what leaves
+ * no majority without it, so any two such sets have a member in common; and that one, having given
+ * its word, withdraws it only after a time longer than a word lasts, and gives it anew only after a
+ * time longer than a withdrawal lasts. So the parts in use never pass the whole, in whatever order
+ * messages are lost, late or doubled, and whoever is stopped or started anew.
  *
- * <p>Each word is reckoned from when the one who uses it asked, by its own clock; each wait from when the one who
- * gave it
- * answered, by its own. Clocks must run alike to a twentieth; they need not agree. A process that was stopped looks
- * at its
- * clock before it uses a word: {@link #share} is to be asked before each dispatch. Times are tenths of a millisecond.
+ * <p>Each word is reckoned from when the one who uses it asked, by its own clock; each wait from
+ * when the one who gave it answered, by its own. Clocks must run alike to a twentieth; they need
+ * not agree. A process that was stopped looks at its clock before it uses a word: {@link #share} is
+ * to be asked before each dispatch. Times are tenths of a millisecond.
  */
 public final class Leases {
     /** Of a manager's share that is its own for good: cut off from all, it still serves half. */
     static final double FLOOR = 0.5;
-    /** The least time that a word lasts: many probe rounds of a small fleet, so that loss alone seldom ends it. */
+
+    /**
+     * The least time that a word lasts: many probe rounds of a small fleet, so that loss alone
+     * seldom ends it.
+     */
     private static final long LEAST = 30_000;
+
     /** Rounds in which each is asked once: a word lasts so many. */
     private static final double ROUNDS = 1.5;
-    /** Clocks run alike to a twentieth; the rest is for what is between looking at a clock and acting. */
+
+    /**
+     * Clocks run alike to a twentieth; the rest is for what is between looking at a clock and
+     * acting.
+     */
     private static final double BETWEEN = 1.05;
+
     private static final long MARGIN = 1_500;
     private static final long LONG_AGO = Long.MIN_VALUE / 4;
 
-    /** Stores that this manager is about to withdraw words, so that its next life waits before it gives any. */
+    /**
+     * Stores that this manager is about to withdraw words, so that its next life waits before it
+     * gives any.
+     */
     public interface Keeper {
         /** To be answered by {@link #kept} once it is on the disk. */
         void keep();
     }
 
     /** Faults put back one at a time. */
-    public enum Fault { NONE, TOO_EARLY, FORGETS_ITS_LIFE_BEFORE, MINORITY_TAKES, FROM_THE_ANSWER }
+    public enum Fault {
+        NONE,
+        TOO_EARLY,
+        FORGETS_ITS_LIFE_BEFORE,
+        MINORITY_TAKES,
+        FROM_THE_ANSWER
+    }
 
     /** How this manager holds another. */
     private static final class Held {
@@ -61,10 +75,13 @@
     private final Fault fault;
     private final Keeper keeper;
     private final Map<String, Held> held = new HashMap<>();
+
     /** Until when each one's word to this manager counts. */
     private final Map<String, Long> words = new HashMap<>();
+
     /** By member, who withdrew its word from it, and until when that counts. */
     private final Map<String, Map<String, Long>> withdrawn = new HashMap<>();
+
     private final boolean lentBefore;
     private long startedAt = -1;
     private boolean asked;
@@ -73,18 +90,20 @@
     private long shareUntil;
 
     /**
-     * {@code all}: how many managers there are by the settings; {@code period} between two probes of one manager;
-     * {@code lentBefore}: the life before may have withdrawn words.
+     * {@code all}: how many managers there are by the settings; {@code period} between two probes
+     * of one manager; {@code lentBefore}: the life before may have withdrawn words.
      */
     public Leases(int all, long period, boolean lentBefore, Keeper keeper, Fault fault) {
         this(all, 1.0 / Math.max(1, all), period, lentBefore, keeper, fault);
     }
 
     /**
-     * In a fleet of cells: {@code all} in this manager's cell, {@code part} of each engine that is its own. Words are
-     * among those of a cell only, so their length and their majority do not grow with the fleet.
+     * In a fleet of cells: {@code all} in this manager's cell, {@code part} of each engine that is
+     * its own. Words are among those of a cell only, so their length and their majority do not grow
+     * with the fleet.
      */
-    public Leases(int all, double part, long period, boolean lentBefore, Keeper keeper, Fault fault) {
+    public Leases(
+            int all, double part, long period, boolean lentBefore, Keeper keeper, Fault fault) {
         this.all = Math.max(1, all);
         this.part = part;
         this.lentBefore = lentBefore && fault != Fault.FORGETS_ITS_LIFE_BEFORE;
@@ -100,7 +119,9 @@
         startedAt = startedAt < 0 ? now : startedAt;
     }
 
-    /** Whether so long after its start it may do what its life before may have done the opposite of. */
+    /**
+     * Whether so long after its start it may do what its life before may have done the opposite of.
+     */
     private boolean settled(long now) {
         return now - startedAt > wait || fault == Fault.FORGETS_ITS_LIFE_BEFORE;
     }
@@ -134,18 +155,19 @@
     List<String> lent(long now) {
         begin(now);
         List<String> names = new ArrayList<>();
-        held.forEach((name, h) -> {
-            if (h.silent && now - h.givenAt > wait && settled(now)) {
-                if (!asked) {
-                    asked = true;
-                    keeper.keep();
-                }
-                if (kept) {
-                    h.withdrawnAt = now;
-                    names.add(name);
-                }
-            }
-        });
+        held.forEach(
+                (name, h) -> {
+                    if (h.silent && now - h.givenAt > wait && settled(now)) {
+                        if (!asked) {
+                            asked = true;
+                            keeper.keep();
+                        }
+                        if (kept) {
+                            h.withdrawnAt = now;
+                            names.add(name);
+                        }
+                    }
+                });
         return names;
     }
 
@@ -178,18 +200,20 @@
         boolean whole = words.size() + 1 >= enough;
         share = base * (whole ? 1 : FLOOR);
         if (whole) {
-            withdrawn.forEach((name, by) -> {
-                by.values().removeIf(until -> until <= now);
-                by.values().forEach(until -> shareUntil = Math.min(shareUntil, until));
-                Held mine = held.get(name);
-                boolean own = mine != null && mine.silent && now - mine.withdrawnAt < lasts;
-                if (own) {
-                    shareUntil = Math.min(shareUntil, mine.withdrawnAt + lasts);
-                }
-                if (by.size() + (own ? 1 : 0) >= (fault == Fault.MINORITY_TAKES ? 1 : majority)) {
-                    share += base * (1 - FLOOR) / (all - 1);
-                }
-            });
+            withdrawn.forEach(
+                    (name, by) -> {
+                        by.values().removeIf(until -> until <= now);
+                        by.values().forEach(until -> shareUntil = Math.min(shareUntil, until));
+                        Held mine = held.get(name);
+                        boolean own = mine != null && mine.silent && now - mine.withdrawnAt < lasts;
+                        if (own) {
+                            shareUntil = Math.min(shareUntil, mine.withdrawnAt + lasts);
+                        }
+                        if (by.size() + (own ? 1 : 0)
+                                >= (fault == Fault.MINORITY_TAKES ? 1 : majority)) {
+                            share += base * (1 - FLOOR) / (all - 1);
+                        }
+                    });
             withdrawn.values().removeIf(Map::isEmpty);
         }
     }
--- a/src/main/java/firstage/members/Members.java
+++ b/src/main/java/firstage/members/Members.java
@@ -16,45 +16,71 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * One manager's knowledge of the others, by probing in turn (SWIM), a doubt that can be denied before it counts, and
- * care
- * about itself first (Lifeguard): who is slow, was stopped or hears nobody judges nobody. A doubt takes a member out
- * of the
- * view at once, so that nothing new is shared with it; gone for good it is only after a silence longer than any pause
- * that is
- * borne. Times are tenths of a millisecond of a clock that only goes forward.
+ * One manager's knowledge of the others, by probing in turn (SWIM), a doubt that can be denied
+ * before it counts, and care about itself first (Lifeguard): who is slow, was stopped or hears
+ * nobody judges nobody. A doubt takes a member out of the view at once, so that nothing new is
+ * shared with it; gone for good it is only after a silence longer than any pause that is borne.
+ * Times are tenths of a millisecond of a clock that only goes forward.
  */
 public final class Members {
     // ---- Constants: unit, and why this size. Times are in tenths of a millisecond.
-    private static final int HELPERS = 3; // asked to probe in our place: one cut way or one lost message is borne
-    private static final long ACK_PART = 4; // of a period until helpers are asked: many times a way there and back
-    private static final int MOST_STRAIN = 6; // of our own slowness: probes wait up to so many times longer
-    private static final long GONE_AFTER = 45_000; // of a doubt not denied: pauses of 3 s and 20% loss are borne
-    private static final long SETTLE = 2_500; // without a change before a view is made: a zone dies in one view
-    private static final long SETTLE_MOST = 8_000; // but no longer: a view must come while members flap, too
-    private static final long PAUSED = 4_000; // between two ticks: we were stopped; two probe periods
-    private static final long ALONE = 10_000; // without any answer: it is we who are cut off, and judge nobody
-    private static final long UNHEARD = 12_000; // by one way while others vouch: six periods, loss alone is borne
-    private static final double FLAP_FREE = 2; // returns that cost nothing: a restart and a chance doubt
-    private static final long FLAP_STEP = 5_000; // held out of the view after the third return, doubled with each
+    private static final int HELPERS =
+            3; // asked to probe in our place: one cut way or one lost message is borne
+    private static final long ACK_PART =
+            4; // of a period until helpers are asked: many times a way there and back
+    private static final int MOST_STRAIN =
+            6; // of our own slowness: probes wait up to so many times longer
+    private static final long GONE_AFTER =
+            45_000; // of a doubt not denied: pauses of 3 s and 20% loss are borne
+    private static final long SETTLE =
+            2_500; // without a change before a view is made: a zone dies in one view
+    private static final long SETTLE_MOST =
+            8_000; // but no longer: a view must come while members flap, too
+    private static final long PAUSED =
+            4_000; // between two ticks: we were stopped; two probe periods
+    private static final long ALONE =
+            10_000; // without any answer: it is we who are cut off, and judge nobody
+    private static final long UNHEARD =
+            12_000; // by one way while others vouch: six periods, loss alone is borne
+    private static final double FLAP_FREE =
+            2; // returns that cost nothing: a restart and a chance doubt
+    private static final long FLAP_STEP =
+            5_000; // held out of the view after the third return, doubled with each
     private static final long FLAP_MOST = 300_000; // but no longer
     private static final long FLAP_FADE = 300_000; // in which half of the returns is forgotten
     private static final int TELLINGS = 4; // times the logarithm of the fleet that a rumour is told
-    private static final long SYNC_EVERY = 100_000; // tells all to one: what rumours missed comes within this
-    private static final int LOST_PROBE = 3; // periods between probes of one that is gone: cut halves find each other
+    private static final long SYNC_EVERY =
+            100_000; // tells all to one: what rumours missed comes within this
+    private static final int LOST_PROBE =
+            3; // periods between probes of one that is gone: cut halves find each other
     private static final int MOST_MEMBERS = 2_048; // invented names must not fill the memory
     private static final int MOST_RUMOURS = 4_096; // pending at once: bounded against the same
-    private static final int FIRST = 32; // addresses asked at a start: enough to be known, no burst on a large fleet
+    private static final int FIRST =
+            32; // addresses asked at a start: enough to be known, no burst on a large fleet
     private static final int MOST_PENDING = 256; // probes out, ours and for others
 
-    private enum Event { UNANSWERED, DOUBT_TOLD, GONE_TOLD, LEFT_TOLD, NEWER_HERE, TIMED }
-
-    private enum Effect { NONE, TELL, DOUBT, RETURN }
+    private enum Event {
+        UNANSWERED,
+        DOUBT_TOLD,
+        GONE_TOLD,
+        LEFT_TOLD,
+        NEWER_HERE,
+        TIMED
+    }
 
-    private record Row(Standing state, Event event, Standing next, Effect effect) {
+    private enum Effect {
+        NONE,
+        TELL,
+        DOUBT,
+        RETURN
     }
 
-    /** State, event, next state, effect; what is not here changes nothing. Events that are told carry no older life. */
+    private record Row(Standing state, Event event, Standing next, Effect effect) {}
+
+    /**
+     * State, event, next state, effect; what is not here changes nothing. Events that are told
+     * carry no older life.
+     */
     private static final Row[] TABLE = {
         new Row(Standing.HERE, Event.UNANSWERED, Standing.DOUBTED, Effect.DOUBT),
         new Row(Standing.HERE, Event.DOUBT_TOLD, Standing.DOUBTED, Effect.DOUBT),
@@ -73,7 +99,10 @@
 
     /** Carries the effects out; none of them calls back before it returns. */
     public interface Carrier {
-        /** To the peer at this place of the seeds; {@code kind}: of the message, for what counts them. */
+        /**
+         * To the peer at this place of the seeds; {@code kind}: of the message, for what counts
+         * them.
+         */
         void send(int seed, Message.Kind kind, byte[] datagram);
 
         /** A new view is in force. */
@@ -90,7 +119,13 @@
 
     /** Faults put back one at a time: a test that does not find them proves nothing. */
     public enum Fault {
-        NONE, DENIAL_IGNORED, OLDER_LIFE_WINS, HOLD_DOWN_OFF, PAUSE_UNSEEN, NO_HELPERS, ALONE_JUDGES
+        NONE,
+        DENIAL_IGNORED,
+        OLDER_LIFE_WINS,
+        HOLD_DOWN_OFF,
+        PAUSE_UNSEEN,
+        NO_HELPERS,
+        ALONE_JUDGES
     }
 
     /** What is known of one other. */
@@ -148,8 +183,10 @@
     private final Leases leases;
     private Entry me;
     private final TreeMap<String, Peer> peers = new TreeMap<>();
+
     /** By place of the seeds, who answered there last. */
     private final String[] atSeed;
+
     private final ArrayDeque<Rumour> rumours = new ArrayDeque<>();
     private final Map<String, Rumour> rumoured = new HashMap<>();
     private final Map<Long, Probe> probes = new LinkedHashMap<>();
@@ -170,11 +207,19 @@
     private boolean leaving;
 
     /**
-     * {@code me} with a standing of HERE; {@code seeds}: how many addresses peers may be at; {@code period} between two
-     * probes. {@code leases} keeps who may use which part.
+     * {@code me} with a standing of HERE; {@code seeds}: how many addresses peers may be at; {@code
+     * period} between two probes. {@code leases} keeps who may use which part.
      */
-    public Members(String fleet, Entry me, int seeds, long period, int most, RandomGenerator chance, Leases leases,
-                   Carrier carrier, Fault fault) {
+    public Members(
+            String fleet,
+            Entry me,
+            int seeds,
+            long period,
+            int most,
+            RandomGenerator chance,
+            Leases leases,
+            Carrier carrier,
+            Fault fault) {
         this.fleet = fleet;
         this.me = me;
         this.seeds = seeds;
@@ -206,21 +251,31 @@
 
     /** Whether all that are here say the same view. */
     public boolean agreed() {
-        return view.names().stream().filter(n -> !n.equals(me.name()))
-                .allMatch(n -> peers.get(n).hash == view.hash() && peers.get(n).view == view.number());
+        return view.names().stream()
+                .filter(n -> !n.equals(me.name()))
+                .allMatch(
+                        n ->
+                                peers.get(n).hash == view.hash()
+                                        && peers.get(n).view == view.number());
     }
 
     /** Of the members of the view, the share heard lately: how sure it may be of itself. */
     public double sure(long now) {
         long others = view.names().size() - 1;
-        long heard = view.names().stream().filter(peers::containsKey)
-                .filter(n -> now - Math.max(peers.get(n).heardAt, peers.get(n).vouchedAt) < 5 * UNHEARD).count();
+        long heard =
+                view.names().stream()
+                        .filter(peers::containsKey)
+                        .filter(
+                                n ->
+                                        now - Math.max(peers.get(n).heardAt, peers.get(n).vouchedAt)
+                                                < 5 * UNHEARD)
+                        .count();
         return now - answeredAt > ALONE ? 0 : others == 0 ? 1 : (double) heard / others;
     }
 
     /**
-     * How the way to a member bears: ok, deaf (we do not hear it), unheard (it does not hear us), cut; none where
-     * gone.
+     * How the way to a member bears: ok, deaf (we do not hear it), unheard (it does not hear us),
+     * cut; none where gone.
      */
     public String link(long now, String name) {
         Peer p = peers.get(name);
@@ -228,7 +283,9 @@
             return "none";
         }
         boolean deaf = now - p.heardAt > UNHEARD;
-        boolean unheard = !deaf && (p.hearsUsAgo < 0 || p.hearsUsAgo > UNHEARD) || p.unheard.contains(me.name());
+        boolean unheard =
+                !deaf && (p.hearsUsAgo < 0 || p.hearsUsAgo > UNHEARD)
+                        || p.unheard.contains(me.name());
         return deaf && unheard ? "cut" : deaf ? "deaf" : unheard ? "unheard" : "ok";
     }
 
@@ -244,7 +301,8 @@
         if (tickedAt < 0) {
             answeredAt = now;
             nextSync = now + period;
-            // To all at once, so that a fleet that starts together need not wait for its rounds to come by.
+            // To all at once, so that a fleet that starts together need not wait for its rounds to
+            // come by.
             List<Integer> all = new ArrayList<>();
             for (int s = 0; s < seeds; s++) {
                 all.add(s);
@@ -281,11 +339,9 @@
     }
 
     /**
-     * This process was stopped, or the machine had no time for it. Others may have left, and may hold it for gone;
-     * all that
-     * it has out is answered late through its own fault. It judges nobody by what is from before, and denies at once
-     * what
-     * may have been said of it.
+     * This process was stopped, or the machine had no time for it. Others may have left, and may
+     * hold it for gone; all that it has out is answered late through its own fault. It judges
+     * nobody by what is from before, and denies at once what may have been said of it.
      */
     private void woke(long now, long gap) {
         probes.clear();
@@ -295,7 +351,9 @@
             p.heardAt += gap;
         }
         doubts.clear();
-        peers.values().stream().filter(p -> p.is.standing() == Standing.DOUBTED).forEach(p -> doubt(now, p));
+        peers.values().stream()
+                .filter(p -> p.is.standing() == Standing.DOUBTED)
+                .forEach(p -> doubt(now, p));
         me = me.with(me.incarnation() + 1, me.standing());
         rumour(me.name());
         carrier.note(now, "woke", me.name(), "stopped for " + gap / 10 + " ms");
@@ -324,7 +382,10 @@
                 p.helped = true;
                 if (fault != Fault.NO_HELPERS) {
                     for (Peer helper : somebody(now, HELPERS, p.target)) {
-                        send(now, helper.seed, message(now, helper, Message.Kind.ASK, p.seq, p.target));
+                        send(
+                                now,
+                                helper.seed,
+                                message(now, helper, Message.Kind.ASK, p.seq, p.target));
                     }
                 }
             } else if (p.helped && now - p.sent > 3 * patience() + period / 2) {
@@ -332,8 +393,12 @@
                 strain = Math.min(MOST_STRAIN, strain + (alone(now) ? 1 : 0));
                 boolean heardSince = Math.max(of.heardAt, of.vouchedAt) > p.sent;
                 if (!alone(now) && !heardSince) {
-                    on(now, of, Event.UNANSWERED, of.is.with(Standing.DOUBTED), "no answer, nor to " + HELPERS
-                            + " others");
+                    on(
+                            now,
+                            of,
+                            Event.UNANSWERED,
+                            of.is.with(Standing.DOUBTED),
+                            "no answer, nor to " + HELPERS + " others");
                 }
             }
         }
@@ -341,11 +406,14 @@
 
     // ---- Probing.
     private List<Peer> here() {
-        return peers.values().stream().filter(p -> p.is.standing() == Standing.HERE && p.seed >= 0).toList();
+        return peers.values().stream()
+                .filter(p -> p.is.standing() == Standing.HERE && p.seed >= 0)
+                .toList();
     }
 
     private List<Peer> somebody(long now, int count, String but) {
-        List<Peer> from = new ArrayList<>(here().stream().filter(p -> !p.is.name().equals(but)).toList());
+        List<Peer> from =
+                new ArrayList<>(here().stream().filter(p -> !p.is.name().equals(but)).toList());
         List<Peer> some = new ArrayList<>();
         while (some.size() < count && !from.isEmpty()) {
             some.add(from.remove(chance.nextInt(from.size())));
@@ -363,17 +431,25 @@
             ping(now, target.is.name(), target.seed, null, 0);
         }
         if (target == null || periods % LOST_PROBE == 0) {
-            // Addresses at which nobody is known to be, and those of who is gone, in turn by chance.
+            // Addresses at which nobody is known to be, and those of who is gone, in turn by
+            // chance.
             List<Integer> silent = new ArrayList<>();
             for (int s = 0; s < seeds; s++) {
                 Peer at = atSeed[s] == null ? null : peers.get(atSeed[s]);
-                if (at == null || at.is.standing() == Standing.GONE || at.is.standing() == Standing.LEFT) {
+                if (at == null
+                        || at.is.standing() == Standing.GONE
+                        || at.is.standing() == Standing.LEFT) {
                     silent.add(s);
                 }
             }
             for (int i = 0; i < (target == null ? 3 : 1) && !silent.isEmpty(); i++) {
                 int s = silent.remove(chance.nextInt(silent.size()));
-                ping(now, atSeed[s] == null || peers.get(atSeed[s]) == null ? null : atSeed[s], s, null, 0);
+                ping(
+                        now,
+                        atSeed[s] == null || peers.get(atSeed[s]) == null ? null : atSeed[s],
+                        s,
+                        null,
+                        0);
             }
         }
     }
@@ -383,8 +459,10 @@
         for (int round = 0; round < 2; round++) {
             while (!order.isEmpty()) {
                 Peer p = peers.get(order.poll());
-                if (p != null && p.seed >= 0
-                        && (p.is.standing() == Standing.HERE || p.is.standing() == Standing.DOUBTED)) {
+                if (p != null
+                        && p.seed >= 0
+                        && (p.is.standing() == Standing.HERE
+                                || p.is.standing() == Standing.DOUBTED)) {
                     return p;
                 }
             }
@@ -401,7 +479,10 @@
         }
         Probe p = new Probe(++nextSeq, target, seed, now, asker, askerSeq);
         Peer of = target == null ? null : peers.get(target);
-        boolean judged = of != null && (of.is.standing() == Standing.HERE || of.is.standing() == Standing.DOUBTED);
+        boolean judged =
+                of != null
+                        && (of.is.standing() == Standing.HERE
+                                || of.is.standing() == Standing.DOUBTED);
         probes.put(p.seq, judged || asker != null ? p : new Probe(p.seq, null, seed, now, null, 0));
         send(now, seed, message(now, of, Message.Kind.PING, p.seq, target == null ? "" : target));
     }
@@ -419,10 +500,24 @@
         int room = codec.room(carrier.digest(now).length);
         for (int from = 0; from < all.size(); from += room) {
             Message m = message(now, to, kind, 0, "");
-            send(now, to.seed, new Message(m.fleet(), m.from(), m.incarnation(), m.kind(), m.seq(), m.target(),
-                    m.view(),
-                    m.hash(), m.heardAgo(), false, m.lent(), m.unheard(),
-                    all.subList(from, Math.min(all.size(), from + room)), m.digest()));
+            send(
+                    now,
+                    to.seed,
+                    new Message(
+                            m.fleet(),
+                            m.from(),
+                            m.incarnation(),
+                            m.kind(),
+                            m.seq(),
+                            m.target(),
+                            m.view(),
+                            m.hash(),
+                            m.heardAgo(),
+                            false,
+                            m.lent(),
+                            m.unheard(),
+                            all.subList(from, Math.min(all.size(), from + room)),
+                            m.digest()));
         }
     }
 
@@ -451,15 +546,29 @@
             }
         }
         boolean grants = kind == Message.Kind.ACK && to != null && leases.grants(now, to.is.name());
-        return new Message(fleet, me.name(), me.incarnation(), kind, seq, target, view.number(), view.hash(), ago,
+        return new Message(
+                fleet,
+                me.name(),
+                me.incarnation(),
+                kind,
+                seq,
+                target,
+                view.number(),
+                view.hash(),
+                ago,
                 grants,
-                kind == Message.Kind.ACK ? leases.lent(now) : List.of(), unheard(now), told, digest);
+                kind == Message.Kind.ACK ? leases.lent(now) : List.of(),
+                unheard(now),
+                told,
+                digest);
     }
 
     private List<String> unheard(long now) {
         List<String> names = new ArrayList<>();
         for (Peer p : peers.values()) {
-            if (p.is.standing() == Standing.HERE && now - p.heardAt > UNHEARD && now - p.vouchedAt < UNHEARD
+            if (p.is.standing() == Standing.HERE
+                    && now - p.heardAt > UNHEARD
+                    && now - p.vouchedAt < UNHEARD
                     && names.size() < 8) {
                 names.add(p.is.name());
             }
@@ -489,7 +598,10 @@
         refused.merge(why, 1L, Long::sum);
     }
 
-    /** A datagram that came from the address at this place of the seeds; from any other, the carrier drops it. */
+    /**
+     * A datagram that came from the address at this place of the seeds; from any other, the carrier
+     * drops it.
+     */
     public void received(long now, int seed, byte[] bytes) {
         Message m;
         try {
@@ -510,15 +622,20 @@
         if (p != null && m.incarnation() < p.is.incarnation()) {
             refuse("an older life");
             if (now - p.heardAt > period && p.seed == seed && p.is.standing() != Standing.LEFT) {
-                // A clock set back gives a restart an older life: it learns by this and goes beyond.
+                // A clock set back gives a restart an older life: it learns by this and goes
+                // beyond.
                 send(now, seed, message(now, p, Message.Kind.VOUCH, 0, m.from()));
             }
             return;
         }
-        if (p != null && p.seed >= 0 && p.seed != seed && p.is.standing() == Standing.HERE
+        if (p != null
+                && p.seed >= 0
+                && p.seed != seed
+                && p.is.standing() == Standing.HERE
                 && now - p.heardAt < UNHEARD) {
             refuse("two of one name");
-            carrier.note(now, "doubled", m.from(), "two managers have this name; give each its own");
+            carrier.note(
+                    now, "doubled", m.from(), "two managers have this name; give each its own");
             return;
         }
         if (p == null) {
@@ -559,7 +676,7 @@
                 }
             }
             case SYNC -> tellAll(now, p, Message.Kind.SYNC_BACK);
-            case SYNC_BACK -> { }
+            case SYNC_BACK -> {}
         }
         if (m.view() > view.number() && m.hash() == view.hash()) {
             view = new View(m.view(), view.hash(), view.names());
@@ -595,7 +712,11 @@
         }
         rumour(e.name());
         stirred(now);
-        carrier.note(now, "joined", e.name(), "heard of, " + e.standing().name().toLowerCase(java.util.Locale.ROOT));
+        carrier.note(
+                now,
+                "joined",
+                e.name(),
+                "heard of, " + e.standing().name().toLowerCase(java.util.Locale.ROOT));
         return p;
     }
 
@@ -607,14 +728,18 @@
 
     private void told(long now, Entry e) {
         if (e.name().equals(me.name())) {
-            boolean denies = e.standing() != Standing.HERE && e.incarnation() >= me.incarnation() && !leaving
-                    || e.incarnation() > me.incarnation();
+            boolean denies =
+                    e.standing() != Standing.HERE && e.incarnation() >= me.incarnation() && !leaving
+                            || e.incarnation() > me.incarnation();
             if (denies && fault != Fault.DENIAL_IGNORED) {
                 me = me.with(e.incarnation() + 1, me.standing());
                 strain = Math.min(MOST_STRAIN, strain + 1);
                 rumour(me.name());
-                carrier.note(now, "denied", me.name(), "was told to be "
-                        + e.standing().name().toLowerCase(java.util.Locale.ROOT));
+                carrier.note(
+                        now,
+                        "denied",
+                        me.name(),
+                        "was told to be " + e.standing().name().toLowerCase(java.util.Locale.ROOT));
             }
             return;
         }
@@ -626,17 +751,31 @@
             return;
         }
         if (!e.overrides(p.is) && fault != Fault.OLDER_LIFE_WINS) {
-            if (e.incarnation() == p.is.incarnation() && p.is.zone().isEmpty() && !e.zone().isEmpty()) {
-                p.is = new Entry(e.name(), e.zone(), e.incarnation(), p.is.standing(), e.version(), e.weight());
+            if (e.incarnation() == p.is.incarnation()
+                    && p.is.zone().isEmpty()
+                    && !e.zone().isEmpty()) {
+                p.is =
+                        new Entry(
+                                e.name(),
+                                e.zone(),
+                                e.incarnation(),
+                                p.is.standing(),
+                                e.version(),
+                                e.weight());
             }
             return;
         }
-        on(now, p, switch (e.standing()) {
-            case HERE -> Event.NEWER_HERE;
-            case DOUBTED -> Event.DOUBT_TOLD;
-            case GONE -> Event.GONE_TOLD;
-            case LEFT -> Event.LEFT_TOLD;
-        }, e, "told");
+        on(
+                now,
+                p,
+                switch (e.standing()) {
+                    case HERE -> Event.NEWER_HERE;
+                    case DOUBTED -> Event.DOUBT_TOLD;
+                    case GONE -> Event.GONE_TOLD;
+                    case LEFT -> Event.LEFT_TOLD;
+                },
+                e,
+                "told");
     }
 
     private void on(long now, Peer p, Event event, Entry e, String why) {
@@ -645,7 +784,7 @@
                 Standing before = p.is.standing();
                 p.is = e.with(row.next);
                 switch (row.effect) {
-                    case NONE -> { }
+                    case NONE -> {}
                     case TELL -> rumour(e.name());
                     case DOUBT -> {
                         doubt(now, p);
@@ -657,9 +796,11 @@
                     }
                 }
                 if (before != row.next) {
-                    leases.silent(now, e.name(), row.next == Standing.GONE || row.next == Standing.LEFT);
+                    leases.silent(
+                            now, e.name(), row.next == Standing.GONE || row.next == Standing.LEFT);
                     stirred(now);
-                    carrier.note(now, row.next.name().toLowerCase(java.util.Locale.ROOT), e.name(), why);
+                    carrier.note(
+                            now, row.next.name().toLowerCase(java.util.Locale.ROOT), e.name(), why);
                 }
                 return;
             }
@@ -671,7 +812,14 @@
         p.flaps = p.flaps * Math.pow(0.5, (double) (now - p.flapsAt) / FLAP_FADE) + 1;
         p.flapsAt = now;
         if (p.flaps > FLAP_FREE && fault != Fault.HOLD_DOWN_OFF) {
-            p.outUntil = now + (long) Math.min(FLAP_MOST, FLAP_STEP * Math.pow(2, Math.min(10, p.flaps - FLAP_FREE)));
+            p.outUntil =
+                    now
+                            + (long)
+                                    Math.min(
+                                            FLAP_MOST,
+                                            FLAP_STEP
+                                                    * Math.pow(
+                                                            2, Math.min(10, p.flaps - FLAP_FREE)));
         }
     }
 
@@ -692,20 +840,36 @@
         }
         changedSince = -1;
         List<String> names = new ArrayList<>(List.of(me.name()));
-        peers.forEach((name, p) -> {
-            if (p.is.standing() == Standing.HERE && p.outUntil <= now) {
-                names.add(name);
-            }
-        });
+        peers.forEach(
+                (name, p) -> {
+                    if (p.is.standing() == Standing.HERE && p.outUntil <= now) {
+                        names.add(name);
+                    }
+                });
         Collections.sort(names);
         long hash = hash(names);
         if (hash == view.hash()) {
             return;
         }
-        long highest = peers.values().stream().filter(p -> p.hash != hash).mapToLong(p -> p.view).max().orElse(0);
-        long same = peers.values().stream().filter(p -> p.hash == hash).mapToLong(p -> p.view).max().orElse(0);
-        view = new View(same > Math.max(view.number(), highest) ? same : Math.max(view.number(), highest) + 1, hash,
-                List.copyOf(names));
+        long highest =
+                peers.values().stream()
+                        .filter(p -> p.hash != hash)
+                        .mapToLong(p -> p.view)
+                        .max()
+                        .orElse(0);
+        long same =
+                peers.values().stream()
+                        .filter(p -> p.hash == hash)
+                        .mapToLong(p -> p.view)
+                        .max()
+                        .orElse(0);
+        view =
+                new View(
+                        same > Math.max(view.number(), highest)
+                                ? same
+                                : Math.max(view.number(), highest) + 1,
+                        hash,
+                        List.copyOf(names));
         carrier.changed(now, view);
     }
 
--- a/src/main/java/firstage/members/Standing.java
+++ b/src/main/java/firstage/members/Standing.java
@@ -1,4 +1,12 @@
 package firstage.members;
 
-/** How a manager holds another: here, doubted (silent for now), gone (silent for good), or left by intent. */
-public enum Standing { HERE, DOUBTED, GONE, LEFT }
+/**
+ * How a manager holds another: here, doubted (silent for now), gone (silent for good), or left by
+ * intent.
+ */
+public enum Standing {
+    HERE,
+    DOUBTED,
+    GONE,
+    LEFT
+}
--- a/src/main/java/firstage/net/Assignment.java
+++ b/src/main/java/firstage/net/Assignment.java
@@ -18,37 +18,59 @@
 import java.util.Map;
 
 /**
- * What the platform tells a workload manager at its start: who it is, where it listens, its limits, where the
- * coordinator is, the engines known so far, and the deployment's settings.
+ * What the platform tells a workload manager at its start: who it is, where it listens, its limits,
+ * where the coordinator is, the engines known so far, and the deployment's settings.
  */
-public record Assignment(String name, InetSocketAddress listen, InetSocketAddress coordinator, int descriptors,
-                         int memoryMb, Map<?, ?> known, Fields settings, Deployment deployment) {
+public record Assignment(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress coordinator,
+        int descriptors,
+        int memoryMb,
+        Map<?, ?> known,
+        Fields settings,
+        Deployment deployment) {
 
-    /** Descriptors for what is no connection to an engine or a client: files, selectors, the coordinator. */
+    /**
+     * Descriptors for what is no connection to an engine or a client: files, selectors, the
+     * coordinator.
+     */
     private static final int RESERVE = 40;
+
     private static final int UNBIDDEN = 16;
     private static final int CLIENTS_PART = 8;
     private static final long LONGEST_COUNTED = 30_000;
     private static final long AFTER_LONGEST = 7_000;
 
-    /** How many connections clients may hold: they hold a third of the descriptors, and some should not be there. */
+    /**
+     * How many connections clients may hold: they hold a third of the descriptors, and some should
+     * not be there.
+     */
     public int clientConnections() {
         return descriptors > 0 ? descriptors / 3 + UNBIDDEN : Integer.MAX_VALUE / 2;
     }
 
-    /** How many bytes of statements and answers may be kept for clients: an eighth of the memory. */
+    /**
+     * How many bytes of statements and answers may be kept for clients: an eighth of the memory.
+     */
     public long clientBytes() {
         return memoryMb > 0 ? memoryMb * (1L << 20) / CLIENTS_PART : Long.MAX_VALUE / 2;
     }
 
     /** How many connections to engines may be held: what is left. */
     public int engineConnections() {
-        return descriptors > 0 ? Math.max(1, descriptors - RESERVE - clientConnections()) : Integer.MAX_VALUE / 2;
+        return descriptors > 0
+                ? Math.max(1, descriptors - RESERVE - clientConnections())
+                : Integer.MAX_VALUE / 2;
     }
 
-    /** After SIGTERM it is killed no sooner: the longest time limit, 3 s where it is longer, and 0.7 s more. */
+    /**
+     * After SIGTERM it is killed no sooner: the longest time limit, 3 s where it is longer, and 0.7
+     * s more.
+     */
     public long endsWithin() {
-        long longest = deployment.groups().stream().mapToLong(ServiceGroup::timeLimit).max().orElse(0);
+        long longest =
+                deployment.groups().stream().mapToLong(ServiceGroup::timeLimit).max().orElse(0);
         return Math.min(longest, LONGEST_COUNTED) + AFTER_LONGEST;
     }
 
@@ -58,17 +80,23 @@
             if (in.nextToken() == null) {
                 throw new JsonEOFException(in, null, file + " is empty");
             }
-            if (!(value(in) instanceof Map<?, ?> all) || !(all.get("settings") instanceof Map<?, ?> settings)) {
+            if (!(value(in) instanceof Map<?, ?> all)
+                    || !(all.get("settings") instanceof Map<?, ?> settings)) {
                 throw new MalformedLine("no settings");
             }
             Fields top = new Fields(all);
             Map<Object, Object> told = new LinkedHashMap<>(settings);
             told.put("init_seed", seed(top.text("seed", "0")));
             Fields fields = new Fields(told);
-            return new Assignment(top.text("name", "manager"), address(top.need("listen")),
+            return new Assignment(
+                    top.text("name", "manager"),
+                    address(top.need("listen")),
                     top.has("coordinator") ? address(top.need("coordinator")) : null,
-                    top.index("limits.sockets", 0), top.index("limits.memory_mb", 0),
-                    all.get("known") instanceof Map<?, ?> known ? known : Map.of(), fields, Setup.read(fields));
+                    top.index("limits.sockets", 0),
+                    top.index("limits.memory_mb", 0),
+                    all.get("known") instanceof Map<?, ?> known ? known : Map.of(),
+                    fields,
+                    Setup.read(fields));
         }
     }
 
@@ -111,6 +139,8 @@
             }
             return list;
         }
-        return in.currentToken() == JsonToken.VALUE_NULL || in.currentToken() == null ? null : in.getText();
+        return in.currentToken() == JsonToken.VALUE_NULL || in.currentToken() == null
+                ? null
+                : in.getText();
     }
 }
--- a/src/main/java/firstage/net/Barrier.java
+++ b/src/main/java/firstage/net/Barrier.java
@@ -13,11 +13,12 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Tells when all that had reached this machine at a moment has been read. A byte is written to a pipe of the thread's
- * own; the look at all sockets that finds it finds all that came before it, too, and once the thread is through with
- * what it found, that has been read. It takes two such looks: the first finds new connections, which are accepted and
- * joined to the others, the second what had come on them. Nothing of this depends on the order in which the selector
- * tells of what is ready, nor on how long the thread, or the process, stood still.
+ * Tells when all that had reached this machine at a moment has been read. A byte is written to a
+ * pipe of the thread's own; the look at all sockets that finds it finds all that came before it,
+ * too, and once the thread is through with what it found, that has been read. It takes two such
+ * looks: the first finds new connections, which are accepted and joined to the others, the second
+ * what had come on them. Nothing of this depends on the order in which the selector tells of what
+ * is ready, nor on how long the thread, or the process, stood still.
  */
 public final class Barrier {
     private static final Logger LOG = Logger.getLogger(Barrier.class.getName());
@@ -37,15 +38,18 @@
     private final StreamConnection from;
     private final StreamConnection to;
     private final ByteBuffer one = ByteBuffer.allocate(1);
+
     /** Those that the look under way counts for, and those that came since it began. */
     private List<Waiting> under = new ArrayList<>();
+
     private final ArrayDeque<Waiting> next = new ArrayDeque<>();
     private boolean looking;
 
     public Barrier(XnioIoThread io, Counters counters) throws IOException {
         this.io = io;
         this.counters = counters;
-        ChannelPipe<StreamConnection, StreamConnection> pipe = io.createFullDuplexPipeConnection(io);
+        ChannelPipe<StreamConnection, StreamConnection> pipe =
+                io.createFullDuplexPipeConnection(io);
         to = pipe.getLeftSide();
         from = pipe.getRightSide();
     }
--- a/src/main/java/firstage/net/Clock.java
+++ b/src/main/java/firstage/net/Clock.java
@@ -1,8 +1,9 @@
 package firstage.net;
 
 /**
- * The Unix clock in whole tenths of a millisecond as it stood at the start, carried on by the monotonic clock:
- * a step of the system's time neither stalls a decision nor makes all of them due at once.
+ * The Unix clock in whole tenths of a millisecond as it stood at the start, carried on by the
+ * monotonic clock: a step of the system's time neither stalls a decision nor makes all of them due
+ * at once.
  */
 public final class Clock {
     private static final long NANOS = 100_000;
--- a/src/main/java/firstage/net/Counters.java
+++ b/src/main/java/firstage/net/Counters.java
@@ -4,7 +4,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts by name, printed at the end; what must hold is asserted under -ea and else counted here. */
+/**
+ * Counts by name, printed at the end; what must hold is asserted under -ea and else counted here.
+ */
 public final class Counters {
     private final Map<String, Long> counts = new TreeMap<>();
     private final Recorder recorder = new Recorder();
--- a/src/main/java/firstage/net/Exchange.java
+++ b/src/main/java/firstage/net/Exchange.java
@@ -6,8 +6,8 @@
 import org.xnio.XnioExecutor;
 
 /**
- * One batch between its client and the engines: all that the two sides know of each other. What goes on
- * unchanged is kept as the bytes that came.
+ * One batch between its client and the engines: all that the two sides know of each other. What
+ * goes on unchanged is kept as the bytes that came.
  */
 public final class Exchange {
     /** The client's side: exactly one of the three is called, once. */
@@ -34,24 +34,34 @@
     public final String id;
     public final String group;
     public final byte[] statement;
+
     /** When the client's time is up, on the clock of the decisions. */
     public final long notAfter;
+
     public final List<Dispatch> out = new ArrayList<>();
+
     /** Its index, as the decisions know it. */
     public int batch = -1;
+
     /** Its key, or null: others with the same may wait for it to be over. */
     public String key;
+
     /** How old its client's connection was when it was read, in ms. */
     public long connectionAge;
+
     /** Rings when the client's time is up. */
     public XnioExecutor.Key timeUp;
+
     public int dispatches;
     public int grantMb;
     public int priority = 1;
+
     /** Its client may be gone: nothing is to be sent for it. */
     public boolean away;
+
     /** Since when its client is on no line of ours; below 0 while it is. */
     private long absentSince = -1;
+
     private final Reply reply;
     private boolean over;
 
--- a/src/main/java/firstage/net/Node.java
+++ b/src/main/java/firstage/net/Node.java
@@ -34,25 +34,37 @@
 import org.xnio.XnioWorker;
 
 /**
- * One workload manager: its peers and one Brain, all on one I/O thread. It carries what the peers tell to the
- * decisions and what these decide to the peers; it decides nothing itself.
+ * One workload manager: its peers and one Brain, all on one I/O thread. It carries what the peers
+ * tell to the decisions and what these decide to the peers; it decides nothing itself.
  */
 public final class Node implements Host, Tidings {
     private static final Logger LOG = Logger.getLogger(Node.class.getName());
+
     /** After a SIGTERM the front goes on sending for at most 0.6 s. */
     private static final long STILL_SENT_MS = 700;
+
     /** Tenths of a millisecond that the last answers may need on their way. */
     private static final long LAST_WORDS = 5_000;
+
     private static final long SWEEP_MS = 1_000;
     private static final long TOGETHER_MS = 100;
+
     /** After a client's time is up; its answer must be there 50 ms after it. */
     private static final long OVERDUE_MS = 35;
+
     /** Dispatches that are given up end within this. */
     private static final long LAST_MS = 50;
+
     /** Later than this the thread stood still: clients write batches of one key 60 ms apart. */
     private static final long STALL_US = 30_000;
-    private static final String[] ENDS = {"batches returned", "batches pushed back", "batches errored",
-        "batches errored at their limit", "batches left by their clients"};
+
+    private static final String[] ENDS = {
+        "batches returned",
+        "batches pushed back",
+        "batches errored",
+        "batches errored at their limit",
+        "batches left by their clients"
+    };
     private final Assignment assignment;
     private final Clock clock = new Clock();
     private final Counters counters = new Counters();
@@ -63,8 +75,10 @@
     private final ClientDoor door;
     private final Follower follower;
     private final Barrier barrier;
+
     /** Null where no peers are named. */
     private final Peers peers;
+
     private double share;
     private final Map<Integer, Integer> zoneOf = new HashMap<>();
     private final TakingOrder<Came> order = new TakingOrder<>(new Readings());
@@ -72,87 +86,126 @@
     private final Indices<Exchange> batches = new Indices<>();
     private final Indices<String> keys = new Indices<>();
     private final Indices<Long> ids = new Indices<>();
+
     /** Batches without an answer, and dispatches that are out. */
     private int open;
+
     private int out;
     private boolean turnDue;
+
     /** The thread stood still since the last turn. */
     private boolean stood;
+
     private boolean closing;
     private boolean stillSent;
+
     /** The end was asked for; a second call for it changes nothing. */
     private boolean ending;
 
-    /** {@code peers}: the other managers; null where they are not named, and nothing of them is loaded. */
+    /**
+     * {@code peers}: the other managers; null where they are not named, and nothing of them is
+     * loaded.
+     */
     public Node(Assignment assignment, PeerList peers) throws IOException {
         this.assignment = assignment;
-        worker = Xnio.getInstance(Node.class.getClassLoader()).createWorker(OptionMap.builder()
-                .set(Options.WORKER_NAME, "firstage").set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1).getMap());
+        worker =
+                Xnio.getInstance(Node.class.getClassLoader())
+                        .createWorker(
+                                OptionMap.builder()
+                                        .set(Options.WORKER_NAME, "firstage")
+                                        .set(Options.WORKER_IO_THREADS, 1)
+                                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                                        .getMap());
         io = worker.getIoThread();
         barrier = new Barrier(io, counters);
         engines = new Engines(io, clock, counters, this, assignment);
         door = new ClientDoor(io, clock, counters, this, assignment);
         follower = new Follower(io, clock, counters, this, assignment);
         manager = new Brain(assignment.deployment(), this);
-        this.peers = peers == null ? null : new Peers(peers, assignment, System.currentTimeMillis(), io, clock,
-                counters, this::keepAway, this::cut, freed -> tellListed(EngineList.Kind.CHANGES, freed));
+        this.peers =
+                peers == null
+                        ? null
+                        : new Peers(
+                                peers,
+                                assignment,
+                                System.currentTimeMillis(),
+                                io,
+                                clock,
+                                counters,
+                                this::keepAway,
+                                this::cut,
+                                freed -> tellListed(EngineList.Kind.CHANGES, freed));
         share = 1.0 / assignment.deployment().managers();
     }
 
-    /** Starts serving; returns once clients can connect. Where the address is held, it may be tried again. */
+    /**
+     * Starts serving; returns once clients can connect. Where the address is held, it may be tried
+     * again.
+     */
     public void start() throws IOException {
         door.listen(worker);
         if (peers != null) {
             peers.listen(worker);
         }
-        io.execute(() -> {
-            barrier.start();
-            if (peers != null) {
-                peers.start();
-                lookTogether();
-            }
-            follower.follow(assignment);
-            door.accept();
-            sweep();
-        });
+        io.execute(
+                () -> {
+                    barrier.start();
+                    if (peers != null) {
+                        peers.start();
+                        lookTogether();
+                    }
+                    follower.follow(assignment);
+                    door.accept();
+                    sweep();
+                });
         LOG.info(() -> assignment.name() + " listens on " + assignment.listen());
     }
 
     /** A new configuration: it reaches the list's follower only. */
     public void told(Assignment next) {
-        io.execute(() -> {
-            counters.count("configurations read anew");
-            LOG.info(() -> "the coordinator is at " + next.coordinator());
-            follower.follow(next);
-        });
+        io.execute(
+                () -> {
+                    counters.count("configurations read anew");
+                    LOG.info(() -> "the coordinator is at " + next.coordinator());
+                    follower.follow(next);
+                });
     }
 
     /** Serves on while the front still sends, answers all that was taken, then ends the program. */
     public void close() {
         // When the signal came: a thread that stands still just then has the less time left.
         long since = clock.now();
-        io.execute(() -> {
-            if (ending) {
-                // The harm prevented: a second SIGTERM counted the planned end anew, past the SIGKILL of the first.
-                counters.count("calls to end that came again");
-                return;
-            }
-            ending = true;
-            closing = true;
-            stillSent = true;
-            engines.closingSoon();
-            LOG.info(() -> "closing with " + open + " batches open");
-            if (peers != null) {
-                peers.leave();
-            }
-            tell("closing", () -> manager.closing(clock.now(), since + assignment.endsWithin() - LAST_WORDS));
-            later(STILL_SENT_MS, () -> {
-                stillSent = false;
-                door.closing(clock.now());
-                endIfIdle();
-            });
-        });
+        io.execute(
+                () -> {
+                    if (ending) {
+                        // The harm prevented: a second SIGTERM counted the planned end anew, past
+                        // the SIGKILL of the first.
+                        counters.count("calls to end that came again");
+                        return;
+                    }
+                    ending = true;
+                    closing = true;
+                    stillSent = true;
+                    engines.closingSoon();
+                    LOG.info(() -> "closing with " + open + " batches open");
+                    if (peers != null) {
+                        peers.leave();
+                    }
+                    tell(
+                            "closing",
+                            () ->
+                                    manager.closing(
+                                            clock.now(),
+                                            since + assignment.endsWithin() - LAST_WORDS));
+                    later(
+                            STILL_SENT_MS,
+                            () -> {
+                                stillSent = false;
+                                door.closing(clock.now());
+                                endIfIdle();
+                            });
+                });
     }
 
     private boolean idle() {
@@ -167,8 +220,9 @@
     }
 
     /**
-     * New connections are taken until here, and what came on any is read before the end. The harm prevented: the last
-     * answer is lost with its connection, and its client, which asks for it at once on a new one, is refused.
+     * New connections are taken until here, and what came on any is read before the end. The harm
+     * prevented: the last answer is lost with its connection, and its client, which asks for it at
+     * once on a new one, is refused.
      */
     private void closeDoor() {
         if (idle()) {
@@ -193,8 +247,10 @@
             check();
             engines.close();
             barrier.close();
-            counters.hold(out == engines.lingering(), "no dispatch is out at the end but what lingers");
-            counters.hold(counters.sum("batches taken") == counters.sum(ENDS), "each batch ends once");
+            counters.hold(
+                    out == engines.lingering(), "no dispatch is out at the end but what lingers");
+            counters.hold(
+                    counters.sum("batches taken") == counters.sum(ENDS), "each batch ends once");
             held = true;
         } finally {
             System.err.println("end: " + counters);
@@ -206,7 +262,9 @@
 
     private void check() {
         for (int engine = 0; engine < engines.count(); engine++) {
-            counters.hold(engines.out(engine) == manager.out(engine), "dispatches out are those that Brain holds");
+            counters.hold(
+                    engines.out(engine) == manager.out(engine),
+                    "dispatches out are those that Brain holds");
         }
         engines.check();
     }
@@ -217,10 +275,12 @@
         check();
         watch.sweep(clock.now());
         endIfIdle();
-        later(SWEEP_MS, () -> {
-            late("latest on the I/O thread, us", due);
-            sweep();
-        });
+        later(
+                SWEEP_MS,
+                () -> {
+                    late("latest on the I/O thread, us", due);
+                    sweep();
+                });
     }
 
     /** Notes how late the thread came; whether it stood still. */
@@ -243,17 +303,19 @@
         if (!turnDue) {
             turnDue = true;
             long due = System.nanoTime();
-            io.execute(() -> {
-                stood |= late("latest turn, us", due);
-                if (stood) {
-                    // What came meanwhile is read first: a client that left in that time must not be sent for.
-                    counters.count("stalls");
-                    stood = false;
-                    barrier.whenRead(this::turn);
-                } else {
-                    turn();
-                }
-            });
+            io.execute(
+                    () -> {
+                        stood |= late("latest turn, us", due);
+                        if (stood) {
+                            // What came meanwhile is read first: a client that left in that time
+                            // must not be sent for.
+                            counters.count("stalls");
+                            stood = false;
+                            barrier.whenRead(this::turn);
+                        } else {
+                            turn();
+                        }
+                    });
         }
     }
 
@@ -291,8 +353,14 @@
     private void lookTogether() {
         for (int engine = 0; engine < engines.count(); engine++) {
             if (engines.listed(engine)) {
-                peers.together().holds(clock.now(), zoneOf.getOrDefault(engine, -1), ids.id(engine),
-                        manager.closed(engine), manager.triedAt(engine), manager.heardAt(engine));
+                peers.together()
+                        .holds(
+                                clock.now(),
+                                zoneOf.getOrDefault(engine, -1),
+                                ids.id(engine),
+                                manager.closed(engine),
+                                manager.triedAt(engine),
+                                manager.heardAt(engine));
             }
         }
         peers.together().look(clock.now(), manager.demand(clock.now()));
@@ -323,11 +391,24 @@
     }
 
     /** What was read of a batch that is not told yet. */
-    private record Came(Exchange x, int group, int customer, String key, long estimate, int memoryMb, int tables) {
-    }
+    private record Came(
+            Exchange x,
+            int group,
+            int customer,
+            String key,
+            long estimate,
+            int memoryMb,
+            int tables) {}
 
     @Override
-    public void taken(Exchange x, int group, int customer, String key, long estimate, int memoryMb, int tables) {
+    public void taken(
+            Exchange x,
+            int group,
+            int customer,
+            String key,
+            long estimate,
+            int memoryMb,
+            int tables) {
         counters.count("batches taken");
         open++;
         x.key = key;
@@ -360,9 +441,22 @@
             if (x.key != null && turnKnown) {
                 watch.told(x.key, x.id);
             }
-            tell("taken", () -> manager.taken(clock.now(), new Arrival(x.batch, b.group, b.customer,
-                    b.key == null ? -1 : keys.of(b.key), x.notAfter, b.estimate, b.memoryMb, b.tables, false,
-                    !turnKnown)));
+            tell(
+                    "taken",
+                    () ->
+                            manager.taken(
+                                    clock.now(),
+                                    new Arrival(
+                                            x.batch,
+                                            b.group,
+                                            b.customer,
+                                            b.key == null ? -1 : keys.of(b.key),
+                                            x.notAfter,
+                                            b.estimate,
+                                            b.memoryMb,
+                                            b.tables,
+                                            false,
+                                            !turnKnown)));
             if (x.away) {
                 away(x, true);
             }
@@ -373,13 +467,16 @@
         for (Exchange.Dispatch d : List.copyOf(x.out)) {
             d.giveUp(Outcome.TIMED_OUT);
         }
-        // Neither a fault in the decisions nor an engine that hears of no DELETE may keep a client's answer back.
-        later(OVERDUE_MS, () -> {
-            if (x.errored()) {
-                over("batches errored at their limit", x);
-                leftTold("overdue", x);
-            }
-        });
+        // Neither a fault in the decisions nor an engine that hears of no DELETE may keep a
+        // client's answer back.
+        later(
+                OVERDUE_MS,
+                () -> {
+                    if (x.errored()) {
+                        over("batches errored at their limit", x);
+                        leftTold("overdue", x);
+                    }
+                });
     }
 
     @Override
@@ -432,12 +529,23 @@
 
     @Override
     public void noted(Exchange x, Exchange.Dispatch d, Note.Kind kind, double amount) {
-        tell("noted", () -> manager.noted(clock.now(), new Note(x.batch, d.number(), d.engine(), kind, amount)));
+        tell(
+                "noted",
+                () ->
+                        manager.noted(
+                                clock.now(),
+                                new Note(x.batch, d.number(), d.engine(), kind, amount)));
     }
 
     @Override
-    public void ended(Exchange x, Exchange.Dispatch d, Outcome how, long took, Report report, List<byte[]> pages,
-                      long rest) {
+    public void ended(
+            Exchange x,
+            Exchange.Dispatch d,
+            Outcome how,
+            long took,
+            Report report,
+            List<byte[]> pages,
+            long rest) {
         counters.hold(x.out.remove(d), "a dispatch ends once");
         out--;
         engines.ended(d.engine());
@@ -449,8 +557,22 @@
         if (how == Outcome.RETURNED && x.returned(pages)) {
             over("batches returned", x);
         }
-        tell("ended", () -> manager.ended(clock.now(),
-                new Ending(x.batch, d.number(), d.engine(), how, took, 0, 0, x.over(), report, rest)));
+        tell(
+                "ended",
+                () ->
+                        manager.ended(
+                                clock.now(),
+                                new Ending(
+                                        x.batch,
+                                        d.number(),
+                                        d.engine(),
+                                        how,
+                                        took,
+                                        0,
+                                        0,
+                                        x.over(),
+                                        report,
+                                        rest)));
         if (how == Outcome.RETURNED) {
             callOffAll(x);
         }
@@ -472,8 +594,17 @@
             int index = ids.of(e.id());
             zoneOf.put(index, e.zone());
             engines.listed(index, e);
-            told.add(new EngineList.Entry(index, e.id(), e.zone(), e.kind(), e.cell(), e.standing(), e.weight(),
-                    e.since(), peers == null ? 0 : peers.coldPart(e)));
+            told.add(
+                    new EngineList.Entry(
+                            index,
+                            e.id(),
+                            e.zone(),
+                            e.kind(),
+                            e.cell(),
+                            e.standing(),
+                            e.weight(),
+                            e.since(),
+                            peers == null ? 0 : peers.coldPart(e)));
         }
         if (kind == EngineList.Kind.WHOLE) {
             engines.keepOnly(told.stream().map(EngineList.Entry::engine).toList());
@@ -502,16 +633,20 @@
         out++;
         note(What.DISPATCHED, x, x.dispatches, engine);
         if (x.key != null) {
-            counters.hold(watch.sent(clock.now(), x.key, x.id), "batches of a key go one at a time and in turn");
+            counters.hold(
+                    watch.sent(clock.now(), x.key, x.id),
+                    "batches of a key go one at a time and in turn");
         }
         Exchange.Dispatch d = engines.dispatch(x, x.dispatches++, engine);
         x.out.add(d);
         if (within > 0) {
-            later(within / 10, () -> {
-                if (x.out.contains(d)) {
-                    d.giveUp(Outcome.TIMED_OUT);
-                }
-            });
+            later(
+                    within / 10,
+                    () -> {
+                        if (x.out.contains(d)) {
+                            d.giveUp(Outcome.TIMED_OUT);
+                        }
+                    });
         }
     }
 
@@ -544,7 +679,9 @@
     @Override
     public void forgetBatch(int batch) {
         Exchange x = batches.id(batch);
-        counters.hold(x.over() && x.out.isEmpty(), "a batch that is forgotten has its answer and nothing out");
+        counters.hold(
+                x.over() && x.out.isEmpty(),
+                "a batch that is forgotten has its answer and nothing out");
         x.timeUp.remove();
         batches.release(batch);
     }
@@ -572,10 +709,12 @@
     @Override
     public void wakeIn(long delay, long token) {
         long due = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Math.max(1, delay / 10));
-        later(Math.max(1, delay / 10), () -> {
-            stood |= late("latest wake, us", due);
-            tell("woken", () -> manager.woken(clock.now(), token));
-        });
+        later(
+                Math.max(1, delay / 10),
+                () -> {
+                    stood |= late("latest wake, us", due);
+                    tell("woken", () -> manager.woken(clock.now(), token));
+                });
     }
 
     @Override
--- a/src/main/java/firstage/net/Recorder.java
+++ b/src/main/java/firstage/net/Recorder.java
@@ -5,8 +5,9 @@
 import java.util.logging.Logger;
 
 /**
- * The last things that happened to batches with a key, and the thread's stalls, in a ring of fixed size: written to the
- * log when something that must hold does not. It costs a few stores an event, and no line until it is needed.
+ * The last things that happened to batches with a key, and the thread's stalls, in a ring of fixed
+ * size: written to the log when something that must hold does not. It costs a few stores an event,
+ * and no line until it is needed.
  */
 public final class Recorder {
     /** What happened; the two figures beside it are as said. */
@@ -32,10 +33,13 @@
     }
 
     private static final Logger LOG = Logger.getLogger(Recorder.class.getName());
+
     /** Some ten seconds of a manager in heavy traffic; 32 bytes each. */
     private static final int SIZE = 2_048;
+
     /** Between two dumps: one fault is told once, not with each of its consequences. */
     private static final long DUMP_GAP_NS = 10_000_000_000L;
+
     private final long[] times = new long[SIZE];
     private final What[] whats = new What[SIZE];
     private final String[] ids = new String[SIZE];
@@ -61,7 +65,11 @@
             return;
         }
         dumpedAt = now;
-        LOG.severe(() -> why + "; what happened before, in ms before now:\n" + String.join("\n", lines(now)));
+        LOG.severe(
+                () ->
+                        why
+                                + "; what happened before, in ms before now:\n"
+                                + String.join("\n", lines(now)));
     }
 
     /** The events that are kept, oldest first. */
@@ -69,8 +77,14 @@
         List<String> lines = new ArrayList<>();
         for (long i = Math.max(0, count - SIZE); i < count; i++) {
             int at = (int) (i % SIZE);
-            lines.add(String.format("%.1f %s %s %d %d", (times[at] - now) / 1e6, whats[at],
-                    ids[at] == null ? "-" : ids[at], first[at], second[at]));
+            lines.add(
+                    String.format(
+                            "%.1f %s %s %d %d",
+                            (times[at] - now) / 1e6,
+                            whats[at],
+                            ids[at] == null ? "-" : ids[at],
+                            first[at],
+                            second[at]));
         }
         return lines;
     }
--- a/src/main/java/firstage/net/clients/Callers.java
+++ b/src/main/java/firstage/net/clients/Callers.java
@@ -14,23 +14,31 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * The clients' open connections: never more than their part of the descriptors. With none left XNIO stops accepting
- * for a quarter of a second and longer, and a batch that waits unseen meanwhile is overtaken by the next of its key.
- * So one more connection costs the one that was silent longest, and never one with an open call.
+ * The clients' open connections: never more than their part of the descriptors. With none left XNIO
+ * stops accepting for a quarter of a second and longer, and a batch that waits unseen meanwhile is
+ * overtaken by the next of its key. So one more connection costs the one that was silent longest,
+ * and never one with an open call.
  */
 final class Callers {
     /** A client that connects asks at once; what says nothing whole for so long is turned away. */
     private static final long MOST_MUTE_MS = 2_000;
+
     /** Clients close their idle connections after 4 s; one that is kept for longer is nobody's. */
     private static final long MOST_IDLE_MS = 5_000;
+
     private static final long SWEEP_MS = 250;
     private final XnioIoThread io;
     private final Counters counters;
     private final int most;
+
     /** Each with when it was opened, in ms. */
     private final Map<StreamConnection, Long> all = new HashMap<>();
-    /** Since when, in ms: those that never made a whole call, and those between calls; oldest first. */
+
+    /**
+     * Since when, in ms: those that never made a whole call, and those between calls; oldest first.
+     */
     private final Map<StreamConnection, Long> mute = new LinkedHashMap<>();
+
     private final Map<StreamConnection, Long> idle = new LinkedHashMap<>();
 
     Callers(XnioIoThread io, Counters counters, int most) {
@@ -59,12 +67,13 @@
             return;
         }
         ChannelListener<? super StreamConnection> other = c.getCloseListener();
-        c.setCloseListener(end -> {
-            closed(c);
-            if (other != null) {
-                other.handleEvent(end);
-            }
-        });
+        c.setCloseListener(
+                end -> {
+                    closed(c);
+                    if (other != null) {
+                        other.handleEvent(end);
+                    }
+                });
     }
 
     /** It has an open call from here on. */
@@ -108,8 +117,9 @@
     }
 
     /**
-     * It is asked before it is closed: timers and new connections may come before what it wrote while the thread stood
-     * still, and that is a call that is ours and must not end without an answer.
+     * It is asked before it is closed: timers and new connections may come before what it wrote
+     * while the thread stood still, and that is a call that is ours and must not end without an
+     * answer.
      */
     private static boolean saysNothing(StreamConnection c, Map<StreamConnection, Long> silent) {
         Long since = silent.get(c);
--- a/src/main/java/firstage/net/clients/ClientDoor.java
+++ b/src/main/java/firstage/net/clients/ClientDoor.java
@@ -48,26 +48,43 @@
 /** Where clients come in: reads their calls, answers what can't be used, hands on the rest. */
 public final class ClientDoor {
     private static final int MOST_STATEMENT = 64 * 1024;
+
     /** Answered 431; beyond four times that it is taken for no HTTP. */
     private static final int MOST_HEAD = 16 * 1024;
+
     private static final int BACKLOG = 512;
+
     /** Accepted, and not yet handed over. */
     private static final int IN_HAND = 8;
+
     /** From the end of its head to the end of a statement. */
     private static final int MOST_PARSE_MS = 2_000;
-    /** After the last answer on a connection so much is read off for so long: a close at once could take it back. */
+
+    /**
+     * After the last answer on a connection so much is read off for so long: a close at once could
+     * take it back.
+     */
     private static final int READ_OFF_MS = 300;
+
     private static final int MOST_READ_OFF = 256 * 1024;
+
     /** A client that reads has a whole result in milliseconds; one on a bad path in seconds. */
     private static final int MOST_UNREAD_MS = 10_000;
+
     private static final int MOST_UNREAD_CLOSING_MS = 1_000;
     private static final int SWEEP_MS = 250;
-    /** A client that finds no room should stay away: a good part of what is kept is over by then. */
+
+    /**
+     * A client that finds no room should stay away: a good part of what is kept is over by then.
+     */
     private static final int BUSY_MS = 500;
+
     /** Work in ms or memory in MB: a year on one core, and a thousand engines' memory. */
     private static final double MOST_FIGURE = 3e10;
+
     /** Times its group's time limit: so long no client waits; clocks and rounding need far less. */
     private static final double PAST_LIMIT = 1.5;
+
     private static final Pattern FIGURE = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,15})?");
     private static final String NEWS = "/-/news/";
     private static final HttpString JOB = new HttpString("X-Job-Id");
@@ -88,22 +105,34 @@
     private final long mostBytes;
     private AcceptingChannel<StreamConnection> server;
     private HttpOpenListener http;
+
     /** By the path at which the client may ask. */
     private final Map<String, PendingCall> pending = new HashMap<>();
+
     /** The ids of batches whose clients are owed an answer. */
     private final Set<String> ids = new HashSet<>();
+
     /** Time limits of the groups in ms, by index. */
     private final List<Double> limits = new ArrayList<>();
+
     private long taken;
     private int unanswered;
+
     /** Answers that are not all written yet, and since when; oldest first. */
     private final Map<HttpServerExchange, Long> writes = new LinkedHashMap<>();
+
     /** Statements and answers that are kept for clients. */
     private long bytes;
+
     private long closingSince;
     private boolean closing;
 
-    public ClientDoor(XnioIoThread io, Clock clock, Counters counters, Tidings tidings, Assignment assignment) {
+    public ClientDoor(
+            XnioIoThread io,
+            Clock clock,
+            Counters counters,
+            Tidings tidings,
+            Assignment assignment) {
         this.io = io;
         this.clock = clock;
         this.counters = counters;
@@ -125,16 +154,27 @@
 
     public void listen(XnioWorker worker) throws IOException {
         ByteBufferPool buffers = new DefaultByteBufferPool(true, 16 * 1024, 256, 0);
-        http = new HttpOpenListener(buffers, OptionMap.builder()
-                .set(UndertowOptions.MAX_HEADER_SIZE, 4 * MOST_HEAD)
-                .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
-                .set(UndertowOptions.ALWAYS_SET_DATE, false).getMap());
+        http =
+                new HttpOpenListener(
+                        buffers,
+                        OptionMap.builder()
+                                .set(UndertowOptions.MAX_HEADER_SIZE, 4 * MOST_HEAD)
+                                .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
+                                .set(UndertowOptions.ALWAYS_SET_DATE, false)
+                                .getMap());
         http.setRootHandler(new HttpContinueReadHandler(this::call));
-        server = OneThreadServer.listen(worker, address, this::acceptAll,
-                OptionMap.builder().set(Options.REUSE_ADDRESSES, true).set(Options.BACKLOG, BACKLOG)
-                        .set(Options.CONNECTION_HIGH_WATER, mostConnections + IN_HAND)
-                        .set(Options.CONNECTION_LOW_WATER, mostConnections + IN_HAND - 1)
-                        .set(Options.TCP_NODELAY, true).getMap());
+        server =
+                OneThreadServer.listen(
+                        worker,
+                        address,
+                        this::acceptAll,
+                        OptionMap.builder()
+                                .set(Options.REUSE_ADDRESSES, true)
+                                .set(Options.BACKLOG, BACKLOG)
+                                .set(Options.CONNECTION_HIGH_WATER, mostConnections + IN_HAND)
+                                .set(Options.CONNECTION_LOW_WATER, mostConnections + IN_HAND - 1)
+                                .set(Options.TCP_NODELAY, true)
+                                .getMap());
     }
 
     /** Connections are taken in from here on; on the thread itself. */
@@ -144,7 +184,10 @@
         sweepWrites();
     }
 
-    /** All that wait: XNIO's own listener takes one a look, and a batch on the others would be read looks later. */
+    /**
+     * All that wait: XNIO's own listener takes one a look, and a batch on the others would be read
+     * looks later.
+     */
     private void acceptAll(AcceptingChannel<StreamConnection> from) {
         try {
             for (StreamConnection next = from.accept(); next != null; next = from.accept()) {
@@ -157,7 +200,9 @@
 
     private void opened(StreamConnection connection) {
         if (callers.opens(connection)) {
-            connection.getSinkChannel().setConduit(new FaultLine(connection.getSinkChannel().getConduit()));
+            connection
+                    .getSinkChannel()
+                    .setConduit(new FaultLine(connection.getSinkChannel().getConduit()));
             http.handleEvent(connection);
             callers.watch(connection);
         }
@@ -168,13 +213,15 @@
     }
 
     /**
-     * The front sends nothing more. New connections are taken still: the harm prevented is a client whose connection
-     * broke, or that gives up, and that is refused where its answer lies or its word is waited for.
+     * The front sends nothing more. New connections are taken still: the harm prevented is a client
+     * whose connection broke, or that gives up, and that is refused where its answer lies or its
+     * word is waited for.
      */
     public void closing(long now) {
         closing = true;
         closingSince = now;
-        // A batch on a connection that the machine took is ours, also where the thread had no time for it yet.
+        // A batch on a connection that the machine took is ours, also where the thread had no time
+        // for it yet.
         acceptAll(server);
     }
 
@@ -187,8 +234,9 @@
     }
 
     /**
-     * Whether all that was taken is answered, and the answers are written. A client that does not read its answer is
-     * waited for no longer than one that does needs: it must not keep a closing manager from ending.
+     * Whether all that was taken is answered, and the answers are written. A client that does not
+     * read its answer is waited for no longer than one that does needs: it must not keep a closing
+     * manager from ending.
      */
     public boolean idle() {
         endUnread(closing ? MOST_UNREAD_CLOSING_MS : MOST_UNREAD_MS);
@@ -232,7 +280,9 @@
     void kept(int more) {
         bytes += more;
         counters.peak("most bytes kept for clients", bytes);
-        counters.hold(bytes >= 0 && (bytes == 0 || !pending.isEmpty()), "bytes are kept for calls that are open");
+        counters.hold(
+                bytes >= 0 && (bytes == 0 || !pending.isEmpty()),
+                "bytes are kept for calls that are open");
     }
 
     long now() {
@@ -248,12 +298,16 @@
         HeaderValues lengths = x.getRequestHeaders().get(Headers.CONTENT_LENGTH);
         HeaderValues encodings = x.getRequestHeaders().get(Headers.TRANSFER_ENCODING);
         if (encodings != null) {
-            return lengths == null && encodings.size() == 1 && encodings.getFirst().equalsIgnoreCase("chunked");
+            return lengths == null
+                    && encodings.size() == 1
+                    && encodings.getFirst().equalsIgnoreCase("chunked");
         }
         return lengths == null || lengths.size() == 1 && lengths.getFirst().matches("[0-9]{1,18}");
     }
 
-    /** Whether the next call came before the answer to this one: a client makes one call at a time. */
+    /**
+     * Whether the next call came before the answer to this one: a client makes one call at a time.
+     */
     private static boolean crowded(HttpServerExchange x) {
         return ((AbstractServerConnection) x.getConnection()).getExtraBytes() != null;
     }
@@ -270,12 +324,14 @@
 
     private void call(HttpServerExchange x) {
         callers.calls(channel(x));
-        x.addExchangeCompleteListener((over, next) -> {
-            callers.rests(channel(over));
-            next.proceed();
-        });
+        x.addExchangeCompleteListener(
+                (over, next) -> {
+                    callers.rests(channel(over));
+                    next.proceed();
+                });
         if (!framed(x)) {
-            // One body might hide another call behind its end; nothing on this connection can be trusted.
+            // One body might hide another call behind its end; nothing on this connection can be
+            // trusted.
             endWith(x, 400, "length not usable");
             return;
         }
@@ -306,24 +362,30 @@
             turnDown(x, 413, "statement too long");
         } else {
             // A client that stops within a statement would hold its connection for ever.
-            XnioExecutor.Key late = io.executeAfter(() -> IoUtils.safeClose(x.getConnection()), MOST_PARSE_MS,
-                    TimeUnit.MILLISECONDS);
+            XnioExecutor.Key late =
+                    io.executeAfter(
+                            () -> IoUtils.safeClose(x.getConnection()),
+                            MOST_PARSE_MS,
+                            TimeUnit.MILLISECONDS);
             x.getRequestReceiver().setMaxBufferSize(MOST_STATEMENT);
-            x.getRequestReceiver().receiveFullBytes(
-                    (whole, bytes) -> {
-                        late.remove();
-                        whole.dispatch(SameThreadExecutor.INSTANCE, () -> take(whole, group, bytes));
-                    },
-                    (broken, fault) -> {
-                        late.remove();
-                        counters.count("calls not whole");
-                        if (fault instanceof Receiver.RequestToLargeException) {
-                            endWith(broken, 413, "statement too long");
-                        } else {
-                            IoUtils.safeClose(broken.getConnection());
-                            broken.endExchange();
-                        }
-                    });
+            x.getRequestReceiver()
+                    .receiveFullBytes(
+                            (whole, bytes) -> {
+                                late.remove();
+                                whole.dispatch(
+                                        SameThreadExecutor.INSTANCE,
+                                        () -> take(whole, group, bytes));
+                            },
+                            (broken, fault) -> {
+                                late.remove();
+                                counters.count("calls not whole");
+                                if (fault instanceof Receiver.RequestToLargeException) {
+                                    endWith(broken, 413, "statement too long");
+                                } else {
+                                    IoUtils.safeClose(broken.getConnection());
+                                    broken.endExchange();
+                                }
+                            });
         }
     }
 
@@ -355,8 +417,9 @@
     }
 
     /**
-     * The same, and the connection ends with it. Of what still comes little is read: Undertow would drain a body
-     * first, for as long as a client that never ends it sends, on the one thread that serves all others.
+     * The same, and the connection ends with it. Of what still comes little is read: Undertow would
+     * drain a body first, for as long as a client that never ends it sends, on the one thread that
+     * serves all others.
      */
     void endWith(HttpServerExchange x, int status, String why) {
         counters.count("calls answered " + status);
@@ -365,33 +428,45 @@
         x.getResponseHeaders().put(Headers.CONNECTION, "close");
         StreamConnection channel = channel(x);
         callers.rests(channel);
-        send(x, line(why), new IoCallback() {
-            @Override
-            public void onComplete(HttpServerExchange over, Sender sender) {
-                readOff((AbstractServerConnection) over.getConnection());
-            }
-
-            @Override
-            public void onException(HttpServerExchange over, Sender sender, IOException fault) {
-                IoUtils.safeClose(over.getConnection());
-            }
-        });
+        send(
+                x,
+                line(why),
+                new IoCallback() {
+                    @Override
+                    public void onComplete(HttpServerExchange over, Sender sender) {
+                        readOff((AbstractServerConnection) over.getConnection());
+                    }
+
+                    @Override
+                    public void onException(
+                            HttpServerExchange over, Sender sender, IOException fault) {
+                        IoUtils.safeClose(over.getConnection());
+                    }
+                });
     }
 
     private void readOff(AbstractServerConnection connection) {
         int[] left = {MOST_READ_OFF};
         io.executeAfter(() -> IoUtils.safeClose(connection), READ_OFF_MS, TimeUnit.MILLISECONDS);
-        connection.getChannel().getSourceChannel().setReadListener(source -> {
-            try (PooledByteBuffer pooled = connection.getByteBufferPool().allocate()) {
-                int n = connection.getOriginalSourceConduit().read(pooled.getBuffer());
-                left[0] -= n;
-                if (n < 0 || left[0] <= 0) {
-                    IoUtils.safeClose(connection);
-                }
-            } catch (IOException fault) {
-                IoUtils.safeClose(connection);
-            }
-        });
+        connection
+                .getChannel()
+                .getSourceChannel()
+                .setReadListener(
+                        source -> {
+                            try (PooledByteBuffer pooled =
+                                    connection.getByteBufferPool().allocate()) {
+                                int n =
+                                        connection
+                                                .getOriginalSourceConduit()
+                                                .read(pooled.getBuffer());
+                                left[0] -= n;
+                                if (n < 0 || left[0] <= 0) {
+                                    IoUtils.safeClose(connection);
+                                }
+                            } catch (IOException fault) {
+                                IoUtils.safeClose(connection);
+                            }
+                        });
         connection.getOriginalSourceConduit().resumeReads();
     }
 
@@ -405,10 +480,11 @@
 
     private void send(HttpServerExchange x, ByteBuffer body, IoCallback then) {
         writes.put(x, clock.now());
-        x.addExchangeCompleteListener((over, next) -> {
-            writes.remove(over);
-            next.proceed();
-        });
+        x.addExchangeCompleteListener(
+                (over, next) -> {
+                    writes.remove(over);
+                    next.proceed();
+                });
         x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
         x.getResponseHeaders().put(Headers.CONTENT_LENGTH, body.remaining());
         x.getResponseSender().send(body, then);
@@ -430,7 +506,8 @@
         } else if (id == null || !id.matches("[0-9a-fA-F]{16}")) {
             turnDown(x, 400, "X-Job-Id is missing or not usable");
         } else if (ids.contains(id)) {
-            // Engines know a batch by its id: another statement under it would get this one's answer.
+            // Engines know a batch by its id: another statement under it would get this one's
+            // answer.
             turnDown(x, 409, "X-Job-Id is of an open batch");
         } else if (!(allow > 0 && allow <= limits.get(index) * PAST_LIMIT)) {
             turnDown(x, 400, "X-Allow-Ms is missing or not usable");
@@ -451,7 +528,8 @@
         } else {
             ids.add(id);
             PendingCall call = new PendingCall(this, id, NEWS + taken++ + "-" + id);
-            // What lay there while the process was stopped has that much less time: counted from when it is read, its
+            // What lay there while the process was stopped has that much less time: counted from
+            // when it is read, its
             // answer would come after its client has gone.
             long notAfter = now + (long) (allow * 10) - tidings.stoodStill();
             Exchange batch = new Exchange(id, group, statement, notAfter, call);
@@ -460,7 +538,13 @@
             kept(statement.length);
             unanswered++;
             call.start(batch, x);
-            tidings.taken(batch, index, customer, key, (long) (estimate * 10), (int) memory,
+            tidings.taken(
+                    batch,
+                    index,
+                    customer,
+                    key,
+                    (long) (estimate * 10),
+                    (int) memory,
                     Statement.group(statement));
         }
     }
@@ -474,6 +558,8 @@
     /** A figure in a header, as people write it; not a number where it can't be read. */
     private static double number(HttpServerExchange x, HttpString header, double absent) {
         String text = field(x, header);
-        return text == null ? absent : FIGURE.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
+        return text == null
+                ? absent
+                : FIGURE.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
     }
 }
--- a/src/main/java/firstage/net/clients/PendingCall.java
+++ b/src/main/java/firstage/net/clients/PendingCall.java
@@ -18,24 +18,26 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Carries the life of a client's call over HTTP. The connection is read while a call is held, which Undertow does not
- * do by itself: a client that gives up closes it.
+ * Carries the life of a client's call over HTTP. The connection is read while a call is held, which
+ * Undertow does not do by itself: a client that gives up closes it.
  */
 final class PendingCall implements Exchange.Reply, CallLife.Carrier {
     static final HttpString WAIT = new HttpString("X-Wait-Ms");
-    private static final byte[] FAILED = "{\"err\":\"Failed\"}\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] FAILED =
+            "{\"err\":\"Failed\"}\n".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] BUSY = "{\"err\":\"Busy\"}\n".getBytes(StandardCharsets.US_ASCII);
 
-    private record Answer(int status, long comeBack, ByteBuffer body) {
-    }
+    private record Answer(int status, long comeBack, ByteBuffer body) {}
 
     private final ClientDoor door;
     private final String id;
     private final String path;
     private final CallLife life = new CallLife(this);
     private Exchange batch;
+
     /** The calls that are held: one, but where a client lost a connection and calls on another. */
     private final List<Held> held = new ArrayList<>();
+
     private Answer answer;
     private boolean given;
     private XnioExecutor.Key timer;
@@ -54,7 +56,10 @@
         return path;
     }
 
-    /** Bytes that are kept for this client: its statement until it is over, its answer until nobody asks any more. */
+    /**
+     * Bytes that are kept for this client: its statement until it is over, its answer until nobody
+     * asks any more.
+     */
     int bytes() {
         return batch.statement.length + (answer == null ? 0 : answer.body.remaining());
     }
@@ -141,7 +146,10 @@
     public void givePath() {
         HttpServerExchange x = held.get(0).release();
         batch.absent(door.now());
-        door.send(x, ByteBuffer.wrap(("{\"poll\":\"" + path + "\"}").getBytes(StandardCharsets.US_ASCII)));
+        door.send(
+                x,
+                ByteBuffer.wrap(
+                        ("{\"poll\":\"" + path + "\"}").getBytes(StandardCharsets.US_ASCII)));
     }
 
     @Override
--- a/src/main/java/firstage/net/clients/Statement.java
+++ b/src/main/java/firstage/net/clients/Statement.java
@@ -7,18 +7,24 @@
 import java.util.Set;
 
 /**
- * Finds the group of tables that a statement reads or writes: the number after the underscore in the name of
- * the schema (17 in {@code sales_17.orders}). What stands in strings and comments does not count, nor does the
- * schema {@code staging}; only a name in a place where a table may stand is one of a schema.
+ * Finds the group of tables that a statement reads or writes: the number after the underscore in
+ * the name of the schema (17 in {@code sales_17.orders}). What stands in strings and comments does
+ * not count, nor does the schema {@code staging}; only a name in a place where a table may stand is
+ * one of a schema.
  */
 final class Statement {
-    private static final Set<String> OPEN = Set.of("from", "join", "into", "update", "table", "using", "copy");
-    private static final Set<String> CLOSE = Set.of("select", "where", "on", "group", "order", "having", "set",
-            "values", "limit", "union");
+    private static final Set<String> OPEN =
+            Set.of("from", "join", "into", "update", "table", "using", "copy");
+    private static final Set<String> CLOSE =
+            Set.of(
+                    "select", "where", "on", "group", "order", "having", "set", "values", "limit",
+                    "union");
     private final String text;
     private int at;
+
     /** The token last read: a name (as written, without quotes), one sign, or null at the end. */
     private String token;
+
     private boolean name;
 
     private Statement(byte[] bytes) {
@@ -31,7 +37,8 @@
     }
 
     private int find() {
-        // Where tables may stand: after FROM and its like, in the statement or in a query within brackets.
+        // Where tables may stand: after FROM and its like, in the statement or in a query within
+        // brackets.
         boolean tables = false;
         boolean query = true;
         Deque<boolean[]> outer = new ArrayDeque<>();
@@ -54,8 +61,10 @@
                 elsewhere = elsewhere < 0 ? group : elsewhere;
             } else if (isName) {
                 query |= word.equalsIgnoreCase("select");
-                boolean opens = OPEN.contains(word.toLowerCase(Locale.ROOT)) && query
-                        && !before.equalsIgnoreCase("distinct");
+                boolean opens =
+                        OPEN.contains(word.toLowerCase(Locale.ROOT))
+                                && query
+                                && !before.equalsIgnoreCase("distinct");
                 tables = opens || tables && !CLOSE.contains(word.toLowerCase(Locale.ROOT));
             } else if (word.equals("(")) {
                 outer.push(new boolean[] {tables, query});
@@ -74,7 +83,9 @@
     /** The digits after the last underscore of a schema's name, or -1. */
     private static int number(String schema) {
         int underscore = schema.lastIndexOf('_');
-        if (underscore < 1 || underscore + 1 == schema.length() || schema.length() - underscore > 10) {
+        if (underscore < 1
+                || underscore + 1 == schema.length()
+                || schema.length() - underscore > 10) {
             return -1;
         }
         for (int i = underscore + 1; i < schema.length(); i++) {
--- a/src/main/java/firstage/net/engines/Connection.java
+++ b/src/main/java/firstage/net/engines/Connection.java
@@ -24,12 +24,16 @@
     private XnioExecutor.Key patience;
     private boolean closed;
     private long sentAt;
+
     /** When its last call ended. */
     long idleSince;
+
     /** Until when a second copy of its last answer may come. */
     long restsUntil;
+
     /** Until when the true answer behind what may be a copy could come. */
     long doubtUntil;
+
     /** Its last answer that was whole. */
     private Response last;
 
@@ -44,7 +48,10 @@
         channel.getSourceChannel().resumeReads();
     }
 
-    /** Whether nothing came since its last answer: what did would be taken for the answer to the next call. */
+    /**
+     * Whether nothing came since its last answer: what did would be taken for the answer to the
+     * next call.
+     */
     boolean quiet() {
         try {
             shared.clear();
@@ -59,7 +66,9 @@
         sentAt = link.now();
         reader = new ResponseReader();
         unsent = next.bytes(host);
-        patience = io.executeAfter(() -> fail(Call.Failure.SILENT), next.patienceMs, TimeUnit.MILLISECONDS);
+        patience =
+                io.executeAfter(
+                        () -> fail(Call.Failure.SILENT), next.patienceMs, TimeUnit.MILLISECONDS);
         writable(channel.getSinkChannel());
     }
 
@@ -111,8 +120,10 @@
                 }
             }
         } catch (IOException fault) {
-            fail(reader != null && channel.isOpen() && !isReset(fault)
-                    ? Call.Failure.MALFORMED : Call.Failure.BROKEN);
+            fail(
+                    reader != null && channel.isOpen() && !isReset(fault)
+                            ? Call.Failure.MALFORMED
+                            : Call.Failure.BROKEN);
         }
     }
 
@@ -125,8 +136,10 @@
         Call over = call;
         boolean more = shared.hasRemaining();
         // A second copy of the answer shows that the first was whole.
-        boolean copy = shared.remaining() >= VERSION.length
-                && ByteBuffer.wrap(VERSION).equals(shared.slice(shared.position(), VERSION.length));
+        boolean copy =
+                shared.remaining() >= VERSION.length
+                        && ByteBuffer.wrap(VERSION)
+                                .equals(shared.slice(shared.position(), VERSION.length));
         Response response = reader.response(more && !copy);
         forget();
         boolean doubtful = link.hasty(response, sentAt);
--- a/src/main/java/firstage/net/engines/Engines.java
+++ b/src/main/java/firstage/net/engines/Engines.java
@@ -31,13 +31,21 @@
     private int slots;
     private int lingering;
     private boolean closing;
+
     /** By the engine's index. */
     private final List<Link> links = new ArrayList<>();
+
     /** Those with connections, also such as were replaced and are still asked. */
     private final Set<Link> connected = new HashSet<>();
+
     private final List<Integer> out = new ArrayList<>();
 
-    public Engines(XnioIoThread io, Clock clock, Counters counters, Tidings tidings, Assignment assignment) {
+    public Engines(
+            XnioIoThread io,
+            Clock clock,
+            Counters counters,
+            Tidings tidings,
+            Assignment assignment) {
         this.io = io;
         this.clock = clock;
         this.counters = counters;
@@ -53,7 +61,9 @@
         return slots >= cap;
     }
 
-    /** Room for one more connection; where there is none, an idle one of another engine gives way. */
+    /**
+     * Room for one more connection; where there is none, an idle one of another engine gives way.
+     */
     boolean takeSlot() {
         if (full() && connected.stream().noneMatch(Link::closeOldest)) {
             counters.count("connections not had");
@@ -84,7 +94,9 @@
         }
         if (e.standing() == Standing.LEFT && link != null) {
             link.close();
-        } else if (link == null || link.closed() || link.isLeaving() && e.standing() == Standing.ACTIVE
+        } else if (link == null
+                || link.closed()
+                || link.isLeaving() && e.standing() == Standing.ACTIVE
                 || !link.address.equals(e.address())) {
             if (link != null) {
                 link.close();
@@ -162,18 +174,26 @@
 
     public void probe(int engine) {
         counters.count("probes");
-        links.get(engine).start(new Call("GET /busy", null, probeMs) {
-            @Override
-            void answered(Response r) {
-                tidings.probed(engine, r.status() == 200 ? Outcome.RETURNED : Outcome.ERRORED, report(r));
-            }
-
-            @Override
-            void failed(Failure f) {
-                boolean unreached = f == Failure.REFUSED || f == Failure.UNREACHED;
-                tidings.probed(engine, unreached ? Outcome.NO_CONNECTION : Outcome.TIMED_OUT, null);
-            }
-        });
+        links.get(engine)
+                .start(
+                        new Call("GET /busy", null, probeMs) {
+                            @Override
+                            void answered(Response r) {
+                                tidings.probed(
+                                        engine,
+                                        r.status() == 200 ? Outcome.RETURNED : Outcome.ERRORED,
+                                        report(r));
+                            }
+
+                            @Override
+                            void failed(Failure f) {
+                                boolean unreached = f == Failure.REFUSED || f == Failure.UNREACHED;
+                                tidings.probed(
+                                        engine,
+                                        unreached ? Outcome.NO_CONNECTION : Outcome.TIMED_OUT,
+                                        null);
+                            }
+                        });
     }
 
     /** The load report of an answer, or null without one. */
@@ -185,14 +205,15 @@
         double[] told = {Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN};
         for (String pair : meter.split(";")) {
             String[] parts = pair.split(":", 2);
-            int at = switch (parts[0].trim()) {
-                case "active", "inflight" -> 0;
-                case "waiting", "queue" -> 1;
-                case "cpu", "util" -> 2;
-                case "x0" -> 3;
-                case "x1" -> 4;
-                default -> -1;
-            };
+            int at =
+                    switch (parts[0].trim()) {
+                        case "active", "inflight" -> 0;
+                        case "waiting", "queue" -> 1;
+                        case "cpu", "util" -> 2;
+                        case "x0" -> 3;
+                        case "x1" -> 4;
+                        default -> -1;
+                    };
             try {
                 if (at >= 0 && parts.length == 2) {
                     told[at] = Double.parseDouble(parts[1].trim());
--- a/src/main/java/firstage/net/engines/Link.java
+++ b/src/main/java/firstage/net/engines/Link.java
@@ -16,27 +16,44 @@
 import org.xnio.StreamConnection;
 import org.xnio.XnioExecutor;
 
-/** The connections to one engine. They belong to its id: another may get its address when it is gone. */
+/**
+ * The connections to one engine. They belong to its id: another may get its address when it is
+ * gone.
+ */
 final class Link {
-    /** Tenths of a millisecond: engines answer a call for news after 250 ms, and the way there and back. */
+    /**
+     * Tenths of a millisecond: engines answer a call for news after 250 ms, and the way there and
+     * back.
+     */
     private static final long TRUSTED = 4_000;
+
     /**
-     * Tenths of a millisecond between a page and the next call: a second copy of it shows within that, and would pass
-     * for another's rows. What must not be mistaken (a statement, a DELETE) waits so long after any answer.
+     * Tenths of a millisecond between a page and the next call: a second copy of it shows within
+     * that, and would pass for another's rows. What must not be mistaken (a statement, a DELETE)
+     * waits so long after any answer.
      */
     private static final long REST = 100;
-    /** Tenths of a millisecond: engines hold a call for 250 ms, so the true answer behind a copy comes within this. */
+
+    /**
+     * Tenths of a millisecond: engines hold a call for 250 ms, so the true answer behind a copy
+     * comes within this.
+     */
     private static final long DOUBT = 3_000;
+
     private final Engines engines;
     private final Clock clock;
     final InetSocketAddress address;
     private final String host;
+
     /** The one that was used last is used next: the others age and are closed. */
     private final ArrayDeque<Connection> idle = new ArrayDeque<>();
+
     private final Set<Connection> all = new HashSet<>();
     private int connecting;
+
     /** Dispatches whose statement was written here and that are not over. */
     private int running;
+
     private long heard = Long.MIN_VALUE / 2;
     private boolean leaving;
     private boolean closed;
@@ -49,9 +66,9 @@
     }
 
     /**
-     * Starts something on an idle connection while the engine was heard of late, else on a new one: the open
-     * connections of a vanished machine stay open, and what is written there is lost without a trace, while a
-     * connection that does not come up proves that nothing ran.
+     * Starts something on an idle connection while the engine was heard of late, else on a new one:
+     * the open connections of a vanished machine stay open, and what is written there is lost
+     * without a trace, while a connection that does not come up proves that nothing ran.
      */
     void start(Call call) {
         call(call, clock.now() - heard > TRUSTED, true);
@@ -62,12 +79,17 @@
         heard = clock.now();
     }
 
-    /** Makes the call on an idle connection, else on a new one; {@code fresh} asks for a new one. */
+    /**
+     * Makes the call on an idle connection, else on a new one; {@code fresh} asks for a new one.
+     */
     void call(Call call, boolean fresh) {
         call(call, fresh, false);
     }
 
-    /** The same; {@code unmistaken}: only on a connection that was quiet for long enough since any answer. */
+    /**
+     * The same; {@code unmistaken}: only on a connection that was quiet for long enough since any
+     * answer.
+     */
     void call(Call call, boolean fresh, boolean unmistaken) {
         sweep();
         if (!call.wanted()) {
@@ -84,13 +106,20 @@
         }
     }
 
-    /** An idle connection; one that rests where it must be: a draining engine may take no new connections. */
+    /**
+     * An idle connection; one that rests where it must be: a draining engine may take no new
+     * connections.
+     */
     private Connection ready(boolean unmistaken) {
         Connection rested = latest(clock.now(), unmistaken);
-        return rested == null && (leaving || engines.full()) ? latest(Long.MAX_VALUE, unmistaken) : rested;
+        return rested == null && (leaving || engines.full())
+                ? latest(Long.MAX_VALUE, unmistaken)
+                : rested;
     }
 
-    /** The idle connection that was used last, of those that rest until then, with nothing amiss. */
+    /**
+     * The idle connection that was used last, of those that rest until then, with nothing amiss.
+     */
     private Connection latest(long restsUntil, boolean unmistaken) {
         Iterator<Connection> latest = idle.descendingIterator();
         while (latest.hasNext()) {
@@ -111,23 +140,37 @@
     private void connect(Call call) {
         connecting++;
         engines.opens(this);
-        IoFuture<? extends StreamConnection> coming = engines.io.openStreamConnection(address, null,
-                OptionMap.create(Options.TCP_NODELAY, true));
-        XnioExecutor.Key late = engines.io.executeAfter(coming::cancel, engines.connectMs, TimeUnit.MILLISECONDS);
-        // Told on this thread, after what is at hand: a refusal may be known before this call returns.
-        coming.addNotifier((future, none) -> engines.io.execute(() -> {
-            late.remove();
-            connecting--;
-            if (future.getStatus() == IoFuture.Status.DONE) {
-                up(call, future);
-            } else {
-                engines.freeSlot();
-                call.failed(future.getStatus() != IoFuture.Status.FAILED ? Call.Failure.UNREACHED
-                        : future.getException() instanceof ConnectException ? Call.Failure.REFUSED
-                        : future.getException() instanceof SocketException ? Call.Failure.RESET
-                        : Call.Failure.UNREACHED);
-            }
-        }), null);
+        IoFuture<? extends StreamConnection> coming =
+                engines.io.openStreamConnection(
+                        address, null, OptionMap.create(Options.TCP_NODELAY, true));
+        XnioExecutor.Key late =
+                engines.io.executeAfter(coming::cancel, engines.connectMs, TimeUnit.MILLISECONDS);
+        // Told on this thread, after what is at hand: a refusal may be known before this call
+        // returns.
+        coming.addNotifier(
+                (future, none) ->
+                        engines.io.execute(
+                                () -> {
+                                    late.remove();
+                                    connecting--;
+                                    if (future.getStatus() == IoFuture.Status.DONE) {
+                                        up(call, future);
+                                    } else {
+                                        engines.freeSlot();
+                                        call.failed(
+                                                future.getStatus() != IoFuture.Status.FAILED
+                                                        ? Call.Failure.UNREACHED
+                                                        : future.getException()
+                                                                        instanceof ConnectException
+                                                                ? Call.Failure.REFUSED
+                                                                : future.getException()
+                                                                                instanceof
+                                                                                SocketException
+                                                                        ? Call.Failure.RESET
+                                                                        : Call.Failure.UNREACHED);
+                                    }
+                                }),
+                null);
     }
 
     private void up(Call call, IoFuture<? extends StreamConnection> future) {
@@ -167,15 +210,18 @@
     }
 
     /**
-     * Whether it is the last connection while a dispatch runs here. It is not thrown away for a doubt: an engine that
-     * drains takes no new one, often before the list says so, and what runs there could never be asked for again; a
-     * once-only batch would be lost and its key held up.
+     * Whether it is the last connection while a dispatch runs here. It is not thrown away for a
+     * doubt: an engine that drains takes no new one, often before the list says so, and what runs
+     * there could never be asked for again; a once-only batch would be lost and its key held up.
      */
     boolean lastWhileRunning() {
         return running > 0 && all.size() == 1;
     }
 
-    /** Not to be used until the true answer behind a copy would have come; its stray bytes then close it. */
+    /**
+     * Not to be used until the true answer behind a copy would have come; its stray bytes then
+     * close it.
+     */
     void doubted(Connection c) {
         c.doubtUntil = clock.now() + DOUBT;
         idle(c, false);
@@ -199,7 +245,10 @@
         }
     }
 
-    /** An answer that came at once, where engines hold a call: it may be a second copy of the one before it. */
+    /**
+     * An answer that came at once, where engines hold a call: it may be a second copy of the one
+     * before it.
+     */
     boolean hasty(Response response, long since) {
         return response.status() == 202 && clock.now() - since < REST;
     }
--- a/src/main/java/firstage/net/engines/Response.java
+++ b/src/main/java/firstage/net/engines/Response.java
@@ -6,14 +6,17 @@
 import java.util.Arrays;
 import java.util.Map;
 
-/** An engine's answer to one call; header names in lower case. {@code more}: bytes came behind its end. */
+/**
+ * An engine's answer to one call; header names in lower case. {@code more}: bytes came behind its
+ * end.
+ */
 record Response(int status, Map<String, String> headers, byte[] body, boolean more) {
     private static final int TABS_IN_A_ROW = 2;
 
     /**
-     * Whether the body is a page: whole rows of three columns, in characters that can be read. What was cut short
-     * or overwritten on its way seldom is, and what has more behind it may have been told a wrong length; such
-     * a page must not reach a client, and the engine gives it again.
+     * Whether the body is a page: whole rows of three columns, in characters that can be read. What
+     * was cut short or overwritten on its way seldom is, and what has more behind it may have been
+     * told a wrong length; such a page must not reach a client, and the engine gives it again.
      */
     boolean isPage() {
         int tabs = 0;
@@ -51,7 +54,9 @@
 
     /** Whether it says the same to the letter: a second copy does. */
     boolean like(Response other) {
-        return status == other.status && headers.equals(other.headers) && Arrays.equals(body, other.body);
+        return status == other.status
+                && headers.equals(other.headers)
+                && Arrays.equals(body, other.body);
     }
 
     boolean closes() {
--- a/src/main/java/firstage/net/engines/ResponseReader.java
+++ b/src/main/java/firstage/net/engines/ResponseReader.java
@@ -12,9 +12,19 @@
 final class ResponseReader {
     /** Well over the 6,000 bytes that a page may hold. */
     private static final int MOST_BODY = 64 * 1024;
+
     private static final int MOST_HEAD = 16 * 1024;
 
-    private enum Part { STATUS, HEADERS, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, DONE }
+    private enum Part {
+        STATUS,
+        HEADERS,
+        BODY,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILERS,
+        DONE
+    }
 
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(64);
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(256);
@@ -24,7 +34,9 @@
     private int left;
     private int head;
 
-    /** Takes what is there; true once the response is whole. What follows it stays in the buffer. */
+    /**
+     * Takes what is there; true once the response is whole. What follows it stays in the buffer.
+     */
     boolean take(ByteBuffer in) throws IOException {
         while (part != Part.DONE && in.hasRemaining()) {
             if (part == Part.BODY || part == Part.CHUNK) {
@@ -106,7 +118,9 @@
             part = Part.STATUS;
         } else if (status == 204 || status == 304) {
             part = Part.DONE;
-        } else if (headers.getOrDefault("transfer-encoding", "").toLowerCase(Locale.ROOT).endsWith("chunked")) {
+        } else if (headers.getOrDefault("transfer-encoding", "")
+                .toLowerCase(Locale.ROOT)
+                .endsWith("chunked")) {
             part = Part.CHUNK_SIZE;
         } else if (headers.containsKey("content-length")) {
             left = number(headers.get("content-length"), 10);
--- a/src/main/java/firstage/net/engines/Run.java
+++ b/src/main/java/firstage/net/engines/Run.java
@@ -13,16 +13,27 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Carries a dispatch's life over HTTP: its calls, and what their answers say. It decides nothing. */
+/**
+ * Carries a dispatch's life over HTTP: its calls, and what their answers say. It decides nothing.
+ */
 final class Run implements Exchange.Dispatch, DispatchLife.Carrier {
-    /** Engines answer within 250 ms; another connection is tried well before they drop it after 2 s. */
+    /**
+     * Engines answer within 250 ms; another connection is tried well before they drop it after 2 s.
+     */
     private static final long NEWS_MS = 600;
+
     private static final long DELETE_MS = 200;
     private static final int MOST_PAGES = 64;
-    /** Tenths of a millisecond; by the users' term nothing is sent so long after its client left. For the counters. */
+
+    /**
+     * Tenths of a millisecond; by the users' term nothing is sent so long after its client left.
+     * For the counters.
+     */
     private static final long LEFT_FOR = 1_000;
+
     /** Some five times what a result may hold. */
     private static final int MOST_RESULT = 256 * 1024;
+
     private final Engines engines;
     private final Link link;
     private final Exchange x;
@@ -86,49 +97,61 @@
 
     @Override
     public void post() {
-        link.start(new Call("POST /x", x.statement, NEWS_MS) {
-            @Override
-            boolean wanted() {
-                // An engine may begin to drain, or the client leave, while the connection comes up.
-                return life.wanted() && !link.isLeaving() && !x.away;
-            }
+        link.start(
+                new Call("POST /x", x.statement, NEWS_MS) {
+                    @Override
+                    boolean wanted() {
+                        // An engine may begin to drain, or the client leave, while the connection
+                        // comes up.
+                        return life.wanted() && !link.isLeaving() && !x.away;
+                    }
 
-            @Override
-            String head() {
-                long now = now();
-                long absent = x.absentFor(now);
-                if (absent > 0) {
-                    engines.counters.peak("latest statement after its client left, us", absent * 100);
-                }
-                if (absent > LEFT_FOR) {
-                    engines.counters.count("statements sent later than 0.1 s after their client left");
-                }
-                life.written(now);
-                running = true;
-                link.runs();
-                note(What.WRITTEN, engine);
-                long left = Math.max(1, (x.notAfter - now) / 10);
-                return "X-Ticket: " + x.id + "\r\nX-Queue: " + x.group + "\r\nX-Max-Ms: " + left + "\r\n"
-                        + (x.grantMb > 0 ? "Grant-Mb: " + x.grantMb + "\r\n" : "")
-                        + "Rank: " + priority + "\r\n";
-            }
+                    @Override
+                    String head() {
+                        long now = now();
+                        long absent = x.absentFor(now);
+                        if (absent > 0) {
+                            engines.counters.peak(
+                                    "latest statement after its client left, us", absent * 100);
+                        }
+                        if (absent > LEFT_FOR) {
+                            engines.counters.count(
+                                    "statements sent later than 0.1 s after their client left");
+                        }
+                        life.written(now);
+                        running = true;
+                        link.runs();
+                        note(What.WRITTEN, engine);
+                        long left = Math.max(1, (x.notAfter - now) / 10);
+                        return "X-Ticket: "
+                                + x.id
+                                + "\r\nX-Queue: "
+                                + x.group
+                                + "\r\nX-Max-Ms: "
+                                + left
+                                + "\r\n"
+                                + (x.grantMb > 0 ? "Grant-Mb: " + x.grantMb + "\r\n" : "")
+                                + "Rank: "
+                                + priority
+                                + "\r\n";
+                    }
 
-            @Override
-            void answered(Response r) {
-                Word word = word(r, 0);
-                if (word != null) {
-                    life.posted(now(), word);
-                } else {
-                    engines.counters.count("answers that can't be used");
-                    life.postFailed(now(), Loss.SPOILT);
-                }
-            }
+                    @Override
+                    void answered(Response r) {
+                        Word word = word(r, 0);
+                        if (word != null) {
+                            life.posted(now(), word);
+                        } else {
+                            engines.counters.count("answers that can't be used");
+                            life.postFailed(now(), Loss.SPOILT);
+                        }
+                    }
 
-            @Override
-            void failed(Failure f) {
-                life.postFailed(now(), loss(f));
-            }
-        });
+                    @Override
+                    void failed(Failure f) {
+                        life.postFailed(now(), loss(f));
+                    }
+                });
     }
 
     @Override
@@ -142,26 +165,30 @@
     }
 
     private void get(int page, boolean fresh) {
-        link.call(new Call("GET /x/" + x.id + "/" + page, null, NEWS_MS) {
-            @Override
-            void answered(Response r) {
-                Word word = word(r, page);
-                if (word != null) {
-                    life.told(now(), word);
-                } else {
-                    engines.counters.count("answers that can't be used");
-                    life.lost(now(), Loss.SPOILT);
-                }
-            }
+        link.call(
+                new Call("GET /x/" + x.id + "/" + page, null, NEWS_MS) {
+                    @Override
+                    void answered(Response r) {
+                        Word word = word(r, page);
+                        if (word != null) {
+                            life.told(now(), word);
+                        } else {
+                            engines.counters.count("answers that can't be used");
+                            life.lost(now(), Loss.SPOILT);
+                        }
+                    }
 
-            @Override
-            void failed(Failure f) {
-                life.lost(now(), loss(f));
-            }
-        }, fresh);
+                    @Override
+                    void failed(Failure f) {
+                        life.lost(now(), loss(f));
+                    }
+                },
+                fresh);
     }
 
-    /** What an answer says, and keeps of it what goes on; null where it can't be one of an engine's. */
+    /**
+     * What an answer says, and keeps of it what goes on; null where it can't be one of an engine's.
+     */
     private Word word(Response r, int page) {
         note(What.ANSWERED, r.status());
         boolean runs = life.runs();
@@ -190,8 +217,12 @@
             took = took > 0 ? took : now() - sent;
             pageCount = r.whole("page-count", 0);
         }
-        boolean usable = pageCount > 0 && pageCount <= MOST_PAGES && r.isPage() && pages.size() == page
-                && (page == 0 || r.whole("page-no", -1) == page);
+        boolean usable =
+                pageCount > 0
+                        && pageCount <= MOST_PAGES
+                        && r.isPage()
+                        && pages.size() == page
+                        && (page == 0 || r.whole("page-no", -1) == page);
         if (!usable) {
             return null;
         }
@@ -202,12 +233,14 @@
 
     private void note(Response r) {
         double figure = r.number("figure", 0);
-        Note.Kind kind = switch (r.headers().getOrDefault("x-remark", "")) {
-            case "pct" -> Note.Kind.DONE;
-            case "overflow" -> Note.Kind.SPILLS;
-            case "queued" -> figure == 1 ? Note.Kind.WAITS_FOR_MEMORY : Note.Kind.WAITS_FOR_LOAD;
-            default -> null;
-        };
+        Note.Kind kind =
+                switch (r.headers().getOrDefault("x-remark", "")) {
+                    case "pct" -> Note.Kind.DONE;
+                    case "overflow" -> Note.Kind.SPILLS;
+                    case "queued" ->
+                            figure == 1 ? Note.Kind.WAITS_FOR_MEMORY : Note.Kind.WAITS_FOR_LOAD;
+                    default -> null;
+                };
         if (kind != null) {
             engines.tidings.noted(x, this, kind, figure);
         }
@@ -221,17 +254,19 @@
         priority = next;
         if (life.runs()) {
             byte[] body = String.valueOf(next).getBytes(StandardCharsets.US_ASCII);
-            link.call(new Call("PUT /x/" + x.id, body, NEWS_MS) {
-                @Override
-                void answered(Response r) {
-                    // Nothing depends on it.
-                }
+            link.call(
+                    new Call("PUT /x/" + x.id, body, NEWS_MS) {
+                        @Override
+                        void answered(Response r) {
+                            // Nothing depends on it.
+                        }
 
-                @Override
-                void failed(Failure f) {
-                    // Nothing depends on it.
-                }
-            }, false);
+                        @Override
+                        void failed(Failure f) {
+                            // Nothing depends on it.
+                        }
+                    },
+                    false);
         }
     }
 
@@ -242,28 +277,32 @@
 
     @Override
     public void delete(boolean fresh) {
-        link.call(new Call("DELETE /x/" + x.id, null, DELETE_MS) {
-            @Override
-            void answered(Response r) {
-                life.deleted(now());
-            }
+        link.call(
+                new Call("DELETE /x/" + x.id, null, DELETE_MS) {
+                    @Override
+                    void answered(Response r) {
+                        life.deleted(now());
+                    }
 
-            @Override
-            void failed(Failure f) {
-                life.deleteFailed(now(), loss(f));
-            }
-        }, fresh, true);
+                    @Override
+                    void failed(Failure f) {
+                        life.deleteFailed(now(), loss(f));
+                    }
+                },
+                fresh,
+                true);
     }
 
     @Override
     public void after(long delay, DispatchLife.Alarm alarm) {
-        Runnable rings = () -> {
-            life.rang(now(), alarm);
-            if (life.lingers() && !lingers) {
-                lingers = true;
-                engines.lingers(1);
-            }
-        };
+        Runnable rings =
+                () -> {
+                    life.rang(now(), alarm);
+                    if (life.lingers() && !lingers) {
+                        lingers = true;
+                        engines.lingers(1);
+                    }
+                };
         if (delay > 0) {
             engines.io.executeAfter(rings, delay / 10, TimeUnit.MILLISECONDS);
         } else {
--- a/src/main/java/firstage/net/list/Follower.java
+++ b/src/main/java/firstage/net/list/Follower.java
@@ -21,43 +21,77 @@
 import org.xnio.XnioIoThread;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
-/** Keeps a connection to the coordinator and tells what it hears; a connection that is mute is given up. */
+/**
+ * Keeps a connection to the coordinator and tells what it hears; a connection that is mute is given
+ * up.
+ */
 public final class Follower {
     private static final Logger LOG = Logger.getLogger(Follower.class.getName());
-    /** An empty frame follows each second: two missing, and another connection is tried. News is due in 7 s. */
+
+    /**
+     * An empty frame follows each second: two missing, and another connection is tried. News is due
+     * in 7 s.
+     */
     private static final long MUTE_MS = 2_300;
+
     private static final long CONNECT_MS = 1_000;
-    /** A connection comes up in a few ms; where its first packet is lost the system sends it again after 1 s only. */
+
+    /**
+     * A connection comes up in a few ms; where its first packet is lost the system sends it again
+     * after 1 s only.
+     */
     private static final long SECOND_TRY_MS = 150;
+
     private static final long AGAIN_MS = 200;
+
     /** At most so many at once: well before the first is given up, and few descriptors. */
     private static final int MOST_TRIES = 5;
-    /** From a start until its list is taken as it was told, where the coordinator says nothing: it does at once. */
+
+    /**
+     * From a start until its list is taken as it was told, where the coordinator says nothing: it
+     * does at once.
+     */
     private static final long UNHEARD_MS = 1_000;
+
     /** Engines that a line of the log names. */
     private static final int MOST_NAMED = 8;
+
     private final XnioIoThread io;
     private final Counters counters;
     private final Tidings tidings;
     private final Records records;
     private final Clock clock;
     private InetSocketAddress coordinator;
+
     /** When the configuration in force asked for its coordinator: for the log. */
     private long since;
+
     private boolean heard;
+
     /** The list was confirmed since the start, or is taken as it is. */
     private boolean confirmed;
+
     private final ByteBuffer buffer = ByteBuffer.allocate(16 * 1024);
     private long last;
     private StreamConnection channel;
     private Frames frames;
     private XnioExecutor.Key mute;
     private XnioExecutor.Key retry;
-    /** Counts what was given up: only a try of the present count may come up, and only the first of those. */
+
+    /**
+     * Counts what was given up: only a try of the present count may come up, and only the first of
+     * those.
+     */
     private long round;
+
     private boolean closed;
 
-    public Follower(XnioIoThread io, Clock clock, Counters counters, Tidings tidings, Assignment assignment) {
+    public Follower(
+            XnioIoThread io,
+            Clock clock,
+            Counters counters,
+            Tidings tidings,
+            Assignment assignment) {
         this.io = io;
         this.counters = counters;
         this.tidings = tidings;
@@ -66,9 +100,9 @@
     }
 
     /**
-     * Tells what a configuration knows and is not known yet, then follows its coordinator. Another one may come
-     * while this one is followed: its coordinator may be elsewhere and the old one tells nothing more, so that one
-     * is left at once. The numbers continue.
+     * Tells what a configuration knows and is not known yet, then follows its coordinator. Another
+     * one may come while this one is followed: its coordinator may be elsewhere and the old one
+     * tells nothing more, so that one is left at once. The numbers continue.
      */
     public void follow(Assignment assignment) {
         since = clock.now();
@@ -83,7 +117,8 @@
             last = Math.max(last, index == null ? 0 : Long.parseLong(String.valueOf(index)));
         } catch (RuntimeException fault) {
             counters.count("malformed lists");
-            LOG.warning("the list that the configuration knows can't be read: " + fault.getMessage());
+            LOG.warning(
+                    "the list that the configuration knows can't be read: " + fault.getMessage());
         }
         if (coordinator == null) {
             io.executeAfter(this::confirm, UNHEARD_MS, TimeUnit.MILLISECONDS);
@@ -94,8 +129,9 @@
     }
 
     /**
-     * Whether the list may be acted on. The harm prevented: a manager that was away starts with a list from before its
-     * coordinator's trouble, and sends to engines that were told to drain while it was not there to hear.
+     * Whether the list may be acted on. The harm prevented: a manager that was away starts with a
+     * list from before its coordinator's trouble, and sends to engines that were told to drain
+     * while it was not there to hear.
      */
     public boolean confirmed() {
         return confirmed || coordinator == null;
@@ -114,7 +150,9 @@
         }
         Map<?, ?> endpoints = (Map<?, ?>) update.get("endpoints");
         boolean whole = "true".equals(String.valueOf(endpoints.get("reset")));
-        tidings.listed(whole ? Kind.WHOLE : Kind.CHANGES, records.read((List<?>) endpoints.get("instances")));
+        tidings.listed(
+                whole ? Kind.WHOLE : Kind.CHANGES,
+                records.read((List<?>) endpoints.get("instances")));
         last = Long.parseLong(String.valueOf(update.get("index")));
     }
 
@@ -127,32 +165,41 @@
     }
 
     /**
-     * Opens a connection, and another beside it where the first is slow to come up. The harm prevented: a first
-     * packet that is lost is sent again after a second, and for all of it this manager sends to engines that were
-     * told to drain.
+     * Opens a connection, and another beside it where the first is slow to come up. The harm
+     * prevented: a first packet that is lost is sent again after a second, and for all of it this
+     * manager sends to engines that were told to drain.
      */
     private void open(long mine, int at) {
         if (mine != round || channel != null) {
             return;
         }
-        IoFuture<? extends StreamConnection> coming = io.openStreamConnection(coordinator, null, OptionMap.EMPTY);
+        IoFuture<? extends StreamConnection> coming =
+                io.openStreamConnection(coordinator, null, OptionMap.EMPTY);
         XnioExecutor.Key late = io.executeAfter(coming::cancel, CONNECT_MS, TimeUnit.MILLISECONDS);
-        XnioExecutor.Key second = at >= MOST_TRIES ? null
-                : io.executeAfter(() -> open(mine, at + 1), SECOND_TRY_MS, TimeUnit.MILLISECONDS);
-        coming.addNotifier((future, none) -> io.execute(() -> {
-            late.remove();
-            boolean done = future.getStatus() == IoFuture.Status.DONE;
-            if (mine != round || closed || channel != null) {
-                // Another coordinator is followed meanwhile, or the other try was the first.
-                IoUtils.safeClose(done ? result(future) : null);
-            } else if (done) {
-                up(result(future));
-            } else if (at == 1) {
-                second.remove();
-                counters.count("coordinator not reached");
-                again();
-            }
-        }), null);
+        XnioExecutor.Key second =
+                at >= MOST_TRIES
+                        ? null
+                        : io.executeAfter(
+                                () -> open(mine, at + 1), SECOND_TRY_MS, TimeUnit.MILLISECONDS);
+        coming.addNotifier(
+                (future, none) ->
+                        io.execute(
+                                () -> {
+                                    late.remove();
+                                    boolean done = future.getStatus() == IoFuture.Status.DONE;
+                                    if (mine != round || closed || channel != null) {
+                                        // Another coordinator is followed meanwhile, or the other
+                                        // try was the first.
+                                        IoUtils.safeClose(done ? result(future) : null);
+                                    } else if (done) {
+                                        up(result(future));
+                                    } else if (at == 1) {
+                                        second.remove();
+                                        counters.count("coordinator not reached");
+                                        again();
+                                    }
+                                }),
+                null);
     }
 
     private static StreamConnection result(IoFuture<? extends StreamConnection> done) {
@@ -165,11 +212,15 @@
 
     private void again() {
         long mine = ++round;
-        retry = io.executeAfter(() -> {
-            if (mine == round) {
-                connect();
-            }
-        }, AGAIN_MS, TimeUnit.MILLISECONDS);
+        retry =
+                io.executeAfter(
+                        () -> {
+                            if (mine == round) {
+                                connect();
+                            }
+                        },
+                        AGAIN_MS,
+                        TimeUnit.MILLISECONDS);
     }
 
     private void up(StreamConnection connection) {
@@ -198,7 +249,12 @@
     }
 
     private void lost() {
-        LOG.info(() -> "the connection to the coordinator at " + coordinator + " is lost after event " + last);
+        LOG.info(
+                () ->
+                        "the connection to the coordinator at "
+                                + coordinator
+                                + " is lost after event "
+                                + last);
         leave();
         counters.count("connections to the coordinator lost");
         again();
@@ -234,8 +290,13 @@
                 if (!heard) {
                     heard = true;
                     long tenths = clock.now() - since;
-                    LOG.info(() -> "the coordinator at " + coordinator + " is heard " + tenths / 10
-                            + " ms after the configuration was taken");
+                    LOG.info(
+                            () ->
+                                    "the coordinator at "
+                                            + coordinator
+                                            + " is heard "
+                                            + tenths / 10
+                                            + " ms after the configuration was taken");
                 }
                 for (Frames.Frame frame : frames.take(buffer.flip())) {
                     take(frame);
@@ -260,9 +321,18 @@
         }
         List<Tidings.Listed> entries = records.read(frame.payload());
         // Few in a run, and what a drain that was not kept is traced by.
-        LOG.info(() -> "event " + frame.number() + " tells of " + entries.stream()
-                .map(e -> e.id() + " " + e.standing()).limit(MOST_NAMED).toList()
-                + (entries.size() > MOST_NAMED ? " and " + (entries.size() - MOST_NAMED) + " more" : ""));
+        LOG.info(
+                () ->
+                        "event "
+                                + frame.number()
+                                + " tells of "
+                                + entries.stream()
+                                        .map(e -> e.id() + " " + e.standing())
+                                        .limit(MOST_NAMED)
+                                        .toList()
+                                + (entries.size() > MOST_NAMED
+                                        ? " and " + (entries.size() - MOST_NAMED) + " more"
+                                        : ""));
         tidings.listed(frame.kind() == 1 ? Kind.WHOLE : Kind.CHANGES, entries);
         last = frame.number();
         counters.count("changes of the list");
--- a/src/main/java/firstage/net/list/Frames.java
+++ b/src/main/java/firstage/net/list/Frames.java
@@ -9,13 +9,14 @@
 /** Cuts the coordinator's frames out of bytes that come in any pieces. */
 public final class Frames {
     /** Kind, number and payload of one frame. */
-    public record Frame(long number, int kind, ByteBuffer payload) {
-    }
+    public record Frame(long number, int kind, ByteBuffer payload) {}
 
     private static final int HEAD = 4;
     private static final int LEAST = 9;
+
     /** Some 38,000 records: well over any list. */
     private static final int MOST = 1 << 20;
+
     private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
 
     /** Whether the beginning of a frame is here and its rest is not. */
--- a/src/main/java/firstage/net/list/Records.java
+++ b/src/main/java/firstage/net/list/Records.java
@@ -39,19 +39,28 @@
             byte[] address = new byte[4];
             payload.get(address);
             int port = payload.getShort() & 0xFFFF;
-            Standing standing = switch (payload.get()) {
-                case 0 -> Standing.ACTIVE;
-                case 1 -> Standing.LEAVING;
-                case 2 -> Standing.LEFT;
-                default -> throw new IOException("an unknown state");
-            };
+            Standing standing =
+                    switch (payload.get()) {
+                        case 0 -> Standing.ACTIVE;
+                        case 1 -> Standing.LEAVING;
+                        case 2 -> Standing.LEFT;
+                        default -> throw new IOException("an unknown state");
+                    };
             int zone = payload.get() & 0xFF;
             int kind = payload.get() & 0xFF;
             int cell = payload.getShort() & 0xFFFF;
             double weight = (payload.getInt() & 0xFFFFFFFFL) / THOUSANDTHS;
             long started = payload.getLong();
-            engines.add(new Listed(id, new InetSocketAddress(InetAddress.getByAddress(address), port), zone, kind,
-                    cell, standing, weight, clock.of(started)));
+            engines.add(
+                    new Listed(
+                            id,
+                            new InetSocketAddress(InetAddress.getByAddress(address), port),
+                            zone,
+                            kind,
+                            cell,
+                            standing,
+                            weight,
+                            clock.of(started)));
         }
         return engines;
     }
@@ -60,15 +69,22 @@
         List<Listed> engines = new ArrayList<>();
         for (Object instance : instances) {
             Fields f = new Fields((Map<?, ?>) instance);
-            Standing standing = switch (f.text("lifecycle", "Ready")) {
-                case "Ready" -> Standing.ACTIVE;
-                case "Terminating" -> Standing.LEAVING;
-                default -> Standing.LEFT;
-            };
-            engines.add(new Listed(id(f.need("instanceId")), Assignment.address(f.need("hostPort")),
-                    zones.indexOf(Fields.plain(f.text("zone", ""))),
-                    kinds.indexOf(Fields.plain(f.text("machineType", ""))),
-                    f.index("cell", 0), standing, f.number("weight", 1), clock.of(f.whole("startedAtMs", 0))));
+            Standing standing =
+                    switch (f.text("lifecycle", "Ready")) {
+                        case "Ready" -> Standing.ACTIVE;
+                        case "Terminating" -> Standing.LEAVING;
+                        default -> Standing.LEFT;
+                    };
+            engines.add(
+                    new Listed(
+                            id(f.need("instanceId")),
+                            Assignment.address(f.need("hostPort")),
+                            zones.indexOf(Fields.plain(f.text("zone", ""))),
+                            kinds.indexOf(Fields.plain(f.text("machineType", ""))),
+                            f.index("cell", 0),
+                            standing,
+                            f.number("weight", 1),
+                            clock.of(f.whole("startedAtMs", 0))));
         }
         return engines;
     }
--- a/src/main/java/firstage/net/members/Peers.java
+++ b/src/main/java/firstage/net/members/Peers.java
@@ -52,20 +52,28 @@
 public final class Peers implements Members.Carrier, Cells.Effects {
     /** What a view is asked for by, from this machine only. */
     public static final String ASKED = "firstage view 1";
+
     /** What an order begins with; what is wanted and the zone's name follow. */
     public static final String ORDERED = "firstage zone 1";
+
     /** The answer to an order that can't be used. */
     public static final String NO_ORDER = "firstage zone 1 unknown";
+
     private static final Logger LOG = Logger.getLogger(Peers.class.getName());
     private static final int TICK_MS = 20;
     private static final int MOST = 1_200;
+
     /** Tenths of a millisecond: three ticks; less is a busy machine, not a stop. */
     private static final long STILL = 600;
+
     /** What lay there during a stop is read within this after it. */
     private static final long READS = 1_000;
+
     private static final int MOST_A_LOOK = 64;
+
     /** Cells that an answer names in each of its lists. */
     private static final int MOST_NAMED = 8;
+
     private final PeerList list;
     private final Clock clock;
     private final Counters counters;
@@ -74,44 +82,74 @@
     private final Leases leases;
     private final Together together;
     private final List<String> areas;
+
     /** Null where the fleet is one; so is the sieve. */
     private final Cells cells;
+
     private final Sieve<Listed> sieve;
     private final Consumer<List<Listed>> free;
     private final Map<InetSocketAddress, Integer> seeds = new HashMap<>();
+
     /** Where managers of other cells are. */
     private final Set<InetSocketAddress> others = new HashSet<>();
+
     private final ByteBuffer shared = ByteBuffer.allocateDirect(MOST + 1);
     private final SocketAddressBuffer from = new SocketAddressBuffer();
     private MulticastMessageChannel channel;
     private boolean closed;
+
     /** The place whose datagram is being read. */
     private int reading;
+
     private long tickedAt;
     private long wokeAt = Long.MIN_VALUE / 4;
     private long stoppedFor;
 
     /**
-     * {@code started}: Unix ms, the number of this life; {@code keepAway}, {@code cut}: what the managers together
-     * decide for this one; {@code free}: is told of engines that it may use from now on.
+     * {@code started}: Unix ms, the number of this life; {@code keepAway}, {@code cut}: what the
+     * managers together decide for this one; {@code free}: is told of engines that it may use from
+     * now on.
      */
-    public Peers(PeerList list, Assignment assignment, long started, XnioIoThread io, Clock clock, Counters counters,
-                 Trials.Effects keepAway, Level.Effects cut, Consumer<List<Listed>> free) {
+    public Peers(
+            PeerList list,
+            Assignment assignment,
+            long started,
+            XnioIoThread io,
+            Clock clock,
+            Counters counters,
+            Trials.Effects keepAway,
+            Level.Effects cut,
+            Consumer<List<Listed>> free) {
         this.list = list;
         Deployment deployment = assignment.deployment();
         areas = List.of(assignment.settings().text("areas", "").split(","));
-        together = new Together(list.name(), deployment.zone(), areas.size(), deployment.shortestGoal(),
-                deployment.rules().warmAfter(), list.period(), new Zones.Effects() {
-                    @Override
-                    public void keepAway(long engine, boolean away, boolean restIsOver) {
-                        keepAway.othersTry(engine, away, restIsOver);
-                    }
-
-                    @Override
-                    public void turned(int zone, String state) {
-                        LOG.info(() -> "zone {\"zone\":" + zone + ",\"is\":\"" + state + "\"}");
-                    }
-                }, cut, Together.Faults.NONE);
+        together =
+                new Together(
+                        list.name(),
+                        deployment.zone(),
+                        areas.size(),
+                        deployment.shortestGoal(),
+                        deployment.rules().warmAfter(),
+                        list.period(),
+                        new Zones.Effects() {
+                            @Override
+                            public void keepAway(long engine, boolean away, boolean restIsOver) {
+                                keepAway.othersTry(engine, away, restIsOver);
+                            }
+
+                            @Override
+                            public void turned(int zone, String state) {
+                                LOG.info(
+                                        () ->
+                                                "zone {\"zone\":"
+                                                        + zone
+                                                        + ",\"is\":\""
+                                                        + state
+                                                        + "\"}");
+                            }
+                        },
+                        cut,
+                        Together.Faults.NONE);
         int all = deployment.managers();
         long seed = deployment.seed();
         this.io = io;
@@ -120,21 +158,60 @@
         this.free = free;
         list.addresses().forEach(a -> seeds.put(a, seeds.size()));
         PeerList.InCells in = list.in();
-        RandomGeneratorFactory<RandomGenerator> chances = RandomGeneratorFactory.of("L64X128MixRandom");
-        cells = in == null ? null : new Cells(in.plan(), in.before(), in.cell(), in.slot(), list.name(), list.fleet(),
-                started, chances.create(~seed), this, Cells.Fault.NONE);
-        sieve = in == null ? null : new Sieve<>(cells, Listed::id, e -> area(e.zone()),
-                e -> e.standing() == EngineList.Standing.LEFT);
+        RandomGeneratorFactory<RandomGenerator> chances =
+                RandomGeneratorFactory.of("L64X128MixRandom");
+        cells =
+                in == null
+                        ? null
+                        : new Cells(
+                                in.plan(),
+                                in.before(),
+                                in.cell(),
+                                in.slot(),
+                                list.name(),
+                                list.fleet(),
+                                started,
+                                chances.create(~seed),
+                                this,
+                                Cells.Fault.NONE);
+        sieve =
+                in == null
+                        ? null
+                        : new Sieve<>(
+                                cells,
+                                Listed::id,
+                                e -> area(e.zone()),
+                                e -> e.standing() == EngineList.Standing.LEFT);
         if (in != null) {
             in.addresses().forEach(others::addAll);
             others.removeAll(list.addresses());
         }
         String version = Peers.class.getPackage().getImplementationVersion();
-        leases = new Leases(in == null ? all : list.addresses().size(), in == null ? 1.0 / all
-                : in.plan().part(in.cell()), list.period(), Files.exists(list.mark()), this::keep, Leases.Fault.NONE);
-        members = new Members(list.fleet(), new Entry(list.name(), list.zone(), started, Standing.HERE,
-                version == null ? "" : version, list.weight()), seeds.size(), list.period(), MOST,
-                chances.create(seed), leases, this, Members.Fault.NONE);
+        leases =
+                new Leases(
+                        in == null ? all : list.addresses().size(),
+                        in == null ? 1.0 / all : in.plan().part(in.cell()),
+                        list.period(),
+                        Files.exists(list.mark()),
+                        this::keep,
+                        Leases.Fault.NONE);
+        members =
+                new Members(
+                        list.fleet(),
+                        new Entry(
+                                list.name(),
+                                list.zone(),
+                                started,
+                                Standing.HERE,
+                                version == null ? "" : version,
+                                list.weight()),
+                        seeds.size(),
+                        list.period(),
+                        MOST,
+                        chances.create(seed),
+                        leases,
+                        this,
+                        Members.Fault.NONE);
     }
 
     private String area(int zone) {
@@ -146,7 +223,10 @@
         return sieve == null ? entries : sieve.pass(kind != EngineList.Kind.CHANGES, entries);
     }
 
-    /** Of what an engine bears while it is cold, this manager's part; 0, by the settings, where the fleet is one. */
+    /**
+     * Of what an engine bears while it is cold, this manager's part; 0, by the settings, where the
+     * fleet is one.
+     */
     public double coldPart(Listed e) {
         return cells == null ? 0 : cells.coldPart(e.id(), area(e.zone()));
     }
@@ -168,7 +248,10 @@
         return leases.share(clock.now());
     }
 
-    /** How long this process was stopped just now: since its last tick, or until the one that came late. */
+    /**
+     * How long this process was stopped just now: since its last tick, or until the one that came
+     * late.
+     */
     public long stoodStill() {
         long now = clock.now();
         long since = tickedAt == 0 ? 0 : now - tickedAt;
@@ -191,19 +274,35 @@
         }
     }
 
-    /** A life that withdraws its word says so to the next one first; a disk may block, so not on this thread. */
+    /**
+     * A life that withdraws its word says so to the next one first; a disk may block, so not on
+     * this thread.
+     */
     private void keep() {
-        Thread writer = new Thread(() -> {
-            try (FileChannel file = FileChannel.open(list.mark(), StandardOpenOption.CREATE,
-                    StandardOpenOption.WRITE)) {
-                file.write(ByteBuffer.wrap("withdrew\n".getBytes(StandardCharsets.US_ASCII)));
-                file.force(true);
-                io.execute(leases::kept);
-            } catch (IOException fault) {
-                // Then it withdraws nothing: the others' room stays unused, and no rule is at stake.
-                LOG.warning("no mark can be kept at " + list.mark() + ": " + fault.getMessage());
-            }
-        }, "mark of peers");
+        Thread writer =
+                new Thread(
+                        () -> {
+                            try (FileChannel file =
+                                    FileChannel.open(
+                                            list.mark(),
+                                            StandardOpenOption.CREATE,
+                                            StandardOpenOption.WRITE)) {
+                                file.write(
+                                        ByteBuffer.wrap(
+                                                "withdrew\n".getBytes(StandardCharsets.US_ASCII)));
+                                file.force(true);
+                                io.execute(leases::kept);
+                            } catch (IOException fault) {
+                                // Then it withdraws nothing: the others' room stays unused, and no
+                                // rule is at stake.
+                                LOG.warning(
+                                        "no mark can be kept at "
+                                                + list.mark()
+                                                + ": "
+                                                + fault.getMessage());
+                            }
+                        },
+                        "mark of peers");
         writer.setDaemon(true);
         writer.start();
     }
@@ -228,11 +327,13 @@
                     cells.received(clock.now(), bytes);
                 } else if (source.getAddress().isLoopbackAddress()
                         && Arrays.equals(bytes, ASKED.getBytes(StandardCharsets.US_ASCII))) {
-                    channel.sendTo(source, ByteBuffer.wrap(told().getBytes(StandardCharsets.UTF_8)));
+                    channel.sendTo(
+                            source, ByteBuffer.wrap(told().getBytes(StandardCharsets.UTF_8)));
                 } else if (source.getAddress().isLoopbackAddress()
                         && new String(bytes, StandardCharsets.UTF_8).startsWith(ORDERED + " ")) {
                     String answer = ordered(bytes) ? told() : NO_ORDER;
-                    channel.sendTo(source, ByteBuffer.wrap(answer.getBytes(StandardCharsets.UTF_8)));
+                    channel.sendTo(
+                            source, ByteBuffer.wrap(answer.getBytes(StandardCharsets.UTF_8)));
                 } else {
                     counters.count("datagrams from nobody");
                 }
@@ -242,7 +343,10 @@
         }
     }
 
-    /** An operator's order, {@code firstage zone 1 leave north}; false where it is none that can be used. */
+    /**
+     * An operator's order, {@code firstage zone 1 leave north}; false where it is none that can be
+     * used.
+     */
     private boolean ordered(byte[] bytes) {
         String[] words = new String(bytes, StandardCharsets.UTF_8).split(" ", 5);
         int zone = words.length < 5 ? -1 : areas.indexOf(words[4]);
@@ -273,11 +377,18 @@
             out.writeNumberField("share", leases.share(now));
             out.writeNumberField("trials withheld", together.withheld());
             out.writeNumberField("cut", together.cut());
-            out.writeStringField("zones left", together.zonesOut().stream().map(areas::get)
-                    .collect(Collectors.joining(" ")));
-            out.writeStringField("zones ordered", together.ordered().entrySet().stream()
-                    .map(e -> areas.get(e.getKey()) + " " + e.getValue().name().toLowerCase(Locale.ROOT))
-                    .collect(Collectors.joining(" ")));
+            out.writeStringField(
+                    "zones left",
+                    together.zonesOut().stream().map(areas::get).collect(Collectors.joining(" ")));
+            out.writeStringField(
+                    "zones ordered",
+                    together.ordered().entrySet().stream()
+                            .map(
+                                    e ->
+                                            areas.get(e.getKey())
+                                                    + " "
+                                                    + e.getValue().name().toLowerCase(Locale.ROOT))
+                            .collect(Collectors.joining(" ")));
             if (cells != null) {
                 tellCells(out, now);
             }
@@ -290,7 +401,9 @@
                 out.writeNumberField("since", e.incarnation());
                 out.writeStringField("version", e.version());
                 out.writeNumberField("weight", e.weight());
-                out.writeStringField("link", e.name().equals(list.name()) ? "self" : members.link(now, e.name()));
+                out.writeStringField(
+                        "link",
+                        e.name().equals(list.name()) ? "self" : members.link(now, e.name()));
                 out.writeBooleanField("in view", members.view().names().contains(e.name()));
                 out.writeEndObject();
             }
@@ -305,29 +418,53 @@
         return text.toString();
     }
 
-    /** The cells in two numbers and, where not all is well, by name: one answer must fit into a datagram. */
+    /**
+     * The cells in two numbers and, where not all is well, by name: one answer must fit into a
+     * datagram.
+     */
     private void tellCells(JsonGenerator out, long now) throws IOException {
         PeerList.InCells in = list.in();
         List<Cells.Known> known = cells.known(now);
         out.writeStringField("cell", in.plan().cells().get(in.cell()).name());
         out.writeNumberField("plan", in.plan().number());
         out.writeNumberField("cells", known.size());
-        out.writeNumberField("cells heard", known.stream().filter(k -> k.standing() == Cells.Standing.HEARD).count());
+        out.writeNumberField(
+                "cells heard",
+                known.stream().filter(k -> k.standing() == Cells.Standing.HEARD).count());
         out.writeNumberField("managers here", known.stream().mapToInt(Cells.Known::here).sum());
-        out.writeStringField("cells silent", some(known.stream().filter(k -> k.standing() == Cells.Standing.SILENT)
-                .map(Cells.Known::name).toList()));
-        out.writeStringField("cells short", some(known.stream().filter(k -> k.here() < k.slots()
-                && k.standing() == Cells.Standing.HEARD).map(k -> k.name() + ":" + k.here() + "/" + k.slots())
-                .toList()));
-        out.writeStringField("cells shedding", some(known.stream().filter(k -> k.cut() > 0)
-                .map(k -> k.name() + ":" + k.cut()).toList()));
+        out.writeStringField(
+                "cells silent",
+                some(
+                        known.stream()
+                                .filter(k -> k.standing() == Cells.Standing.SILENT)
+                                .map(Cells.Known::name)
+                                .toList()));
+        out.writeStringField(
+                "cells short",
+                some(
+                        known.stream()
+                                .filter(
+                                        k ->
+                                                k.here() < k.slots()
+                                                        && k.standing() == Cells.Standing.HEARD)
+                                .map(k -> k.name() + ":" + k.here() + "/" + k.slots())
+                                .toList()));
+        out.writeStringField(
+                "cells shedding",
+                some(
+                        known.stream()
+                                .filter(k -> k.cut() > 0)
+                                .map(k -> k.name() + ":" + k.cut())
+                                .toList()));
         out.writeStringField("plan not held by", some(cells.behind()));
         out.writeNumberField("engines waited for", sieve.awaited());
     }
 
     private static String some(List<String> names) {
         return String.join(" ", names.subList(0, Math.min(MOST_NAMED, names.size())))
-                + (names.size() > MOST_NAMED ? " and " + (names.size() - MOST_NAMED) + " more" : "");
+                + (names.size() > MOST_NAMED
+                        ? " and " + (names.size() - MOST_NAMED) + " more"
+                        : "");
     }
 
     /** It ends by intent; the others are told. */
@@ -388,18 +525,41 @@
         if (cells != null) {
             cells.viewed(view.names());
         }
-        LOG.info(() -> "view {\"number\":" + view.number() + ",\"members\":\"" + String.join(" ", view.names())
-                + "\",\"share\":" + String.format(Locale.ROOT, "%.4f", leases.share(now)) + "}");
+        LOG.info(
+                () ->
+                        "view {\"number\":"
+                                + view.number()
+                                + ",\"members\":\""
+                                + String.join(" ", view.names())
+                                + "\",\"share\":"
+                                + String.format(Locale.ROOT, "%.4f", leases.share(now))
+                                + "}");
     }
 
     @Override
     public void note(long now, String what, String who, String why) {
-        LOG.info(() -> "member {\"is\":\"" + what + "\",\"name\":\"" + who + "\",\"why\":\"" + why + "\"}");
+        LOG.info(
+                () ->
+                        "member {\"is\":\""
+                                + what
+                                + "\",\"name\":\""
+                                + who
+                                + "\",\"why\":\""
+                                + why
+                                + "\"}");
     }
 
     @Override
     public void noteOfCell(long now, String what, String cell, String why) {
-        LOG.info(() -> "cell {\"is\":\"" + what + "\",\"name\":\"" + cell + "\",\"why\":\"" + why + "\"}");
+        LOG.info(
+                () ->
+                        "cell {\"is\":\""
+                                + what
+                                + "\",\"name\":\""
+                                + cell
+                                + "\",\"why\":\""
+                                + why
+                                + "\"}");
     }
 
     @Override
--- a/src/main/java/firstage/net/members/package-info.java
+++ b/src/main/java/firstage/net/members/package-info.java
@@ -1,2 +1,5 @@
-/** Carries the membership over UDP on the I/O thread; decides nothing. Loaded only where peers are named. */
+/**
+ * Carries the membership over UDP on the I/O thread; decides nothing. Loaded only where peers are
+ * named.
+ */
 package firstage.net.members;
--- a/src/main/java/firstage/overload/Circle.java
+++ b/src/main/java/firstage/overload/Circle.java
@@ -7,15 +7,19 @@
 import java.util.Map;
 
 /**
- * The level where each message goes to all and nobody keeps a membership: who was heard of late is here, and each tells
- * its own row alone. Times are tenths of a millisecond.
+ * The level where each message goes to all and nobody keeps a membership: who was heard of late is
+ * here, and each tells its own row alone. Times are tenths of a millisecond.
  */
 public final class Circle {
     /** Between two looks. */
     public static final long LOOK = 1_000;
-    private static final long TELL = 2_500; // a cut that is a quarter of a second old; half of it would tell no more
-    private static final long HERE = 30_000; // a manager that told nothing so long is taken to be gone
-    private static final double STIR = 0.4; // of what engines bear: under it all is open whatever the others tell
+
+    private static final long TELL =
+            2_500; // a cut that is a quarter of a second old; half of it would tell no more
+    private static final long HERE =
+            30_000; // a manager that told nothing so long is taken to be gone
+    private static final double STIR =
+            0.4; // of what engines bear: under it all is open whatever the others tell
     private final int me;
     private final Level level;
     private final Map<Integer, Long> heardAt = new HashMap<>();
@@ -28,7 +32,10 @@
         level = new Level(String.valueOf(me), goal, effects, Level.Fault.NONE);
     }
 
-    /** Works out the cut, to be called each {@link #LOOK}; what all are to be told now, empty for nothing. */
+    /**
+     * Works out the cut, to be called each {@link #LOOK}; what all are to be told now, empty for
+     * nothing.
+     */
     public byte[] look(long now, Demand demand) {
         heardAt.values().removeIf(at -> now - at >= HERE);
         if (heardAt.size() != here) {
@@ -36,7 +43,8 @@
         }
         level.measure(now, demand);
         level.look(now);
-        boolean stirs = demand.runs() > STIR * demand.bears() / (heardAt.size() + 1) || demand.waits() > 0;
+        boolean stirs =
+                demand.runs() > STIR * demand.bears() / (heardAt.size() + 1) || demand.waits() > 0;
         if (!stirs || now - toldAt < TELL) {
             return new byte[0];
         }
