--- a/src/main/java/firstage/overload/Level.java
+++ b/src/main/java/firstage/overload/Level.java
@@ -13,34 +13,46 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * One level of shedding for the whole fleet. Each manager by itself sheds what its own queue has no room for: what
- * came last, whatever it is worth, and what is let in is mostly late when its turn comes. Here each tells what it is
- * asked for by worth, what it sends, what waits and what runs; rows are passed on, so that all have nearly the same
- * table and work out the same cut: what the fleet gets through, best worth first. Below the cut a batch is answered at
- * once by whoever has it; at it, a part is let in.
+ * One level of shedding for the whole fleet. Each manager by itself sheds what its own queue has no
+ * room for: what came last, whatever it is worth, and what is let in is mostly late when its turn
+ * comes. Here each tells what it is asked for by worth, what it sends, what waits and what runs;
+ * rows are passed on, so that all have nearly the same table and work out the same cut: what the
+ * fleet gets through, best worth first. Below the cut a batch is answered at once by whoever has
+ * it; at it, a part is let in.
  *
- * <p>What the fleet gets through is not known ahead; it is what it sends while there is enough of it, a little less
- * while work waits too long or more threads run than engines bear, and up to three times as much while neither is so.
- * No state is kept but smoothed rates, so a manager that starts or comes back agrees with the others as soon as it has
- * their rows.
+ * <p>What the fleet gets through is not known ahead; it is what it sends while there is enough of
+ * it, a little less while work waits too long or more threads run than engines bear, and up to
+ * three times as much while neither is so. No state is kept but smoothed rates, so a manager that
+ * starts or comes back agrees with the others as soon as it has their rows.
  *
- * <p>Words of others only make a manager refuse more, never less than its own queue does, and only so much: no one row
- * counts for more than a few times the others' mean. Without rows that are fresh there is no cut. Times are tenths of
- * a millisecond, rates seconds of expected work a second.
+ * <p>Words of others only make a manager refuse more, never less than its own queue does, and only
+ * so much: no one row counts for more than a few times the others' mean. Without rows that are
+ * fresh there is no cut. Times are tenths of a millisecond, rates seconds of expected work a
+ * second.
  */
 public final class Level {
-    private static final double SMOOTH = 3_000; // of rates: a storm shows in its first second, a lone report does not
-    private static final long FRESH = 30_000; // a row counts: some rounds of a small fleet, fewer than a restart takes
-    private static final double WAIT = 0.5; // of the shortest goal may be spent waiting: the rest is run and chance
-    private static final double LOST = 1; // second of what the queue gave up counts as waiting: it would have been
+    private static final double SMOOTH =
+            3_000; // of rates: a storm shows in its first second, a lone report does not
+    private static final long FRESH =
+            30_000; // a row counts: some rounds of a small fleet, fewer than a restart takes
+    private static final double WAIT =
+            0.5; // of the shortest goal may be spent waiting: the rest is run and chance
+    private static final double LOST =
+            1; // second of what the queue gave up counts as waiting: it would have been
     private static final double DRAIN = 2; // seconds in which what waits too long is to be gone
-    private static final double GROW = 2; // times what is sent that may come beside it while nothing waits
-    private static final double DROP = 0.5; // of what is sent at most held back: what runs ends by itself
-    private static final double BUSY = 0.8; // of the threads that engines bear: the first long ones are in by then
-    private static final double BY_BUSY = 1.5; // of what is sent held back for each whole of it beyond that
-    private static final double OUTSIZED = 4; // times the others' mean that one row counts for: a skewed fleet's most
+    private static final double GROW =
+            2; // times what is sent that may come beside it while nothing waits
+    private static final double DROP =
+            0.5; // of what is sent at most held back: what runs ends by itself
+    private static final double BUSY =
+            0.8; // of the threads that engines bear: the first long ones are in by then
+    private static final double BY_BUSY =
+            1.5; // of what is sent held back for each whole of it beyond that
+    private static final double OUTSIZED =
+            4; // times the others' mean that one row counts for: a skewed fleet's most
     private static final double TENTHS = 10_000;
-    private static final long STAMP = 100; // what is told is dated in steps of 10 ms: 32 bits are a year and more
+    private static final long STAMP =
+            100; // what is told is dated in steps of 10 ms: 32 bits are a year and more
 
     /** What is decided. */
     public interface Effects {
@@ -48,25 +60,44 @@
         void cut(long now, int band, double part);
     }
 
-    /** Up to so many members each message tells all rows; beyond, rows go by turns and cost the same for any size. */
+    /**
+     * Up to so many members each message tells all rows; beyond, rows go by turns and cost the same
+     * for any size.
+     */
     private static final int ALL_AT_ONCE = 24;
+
     private static final int BY_TURNS = 6;
 
     /** Faults put back one at a time. */
-    public enum Fault { NONE, NO_PEERS, NEVER_OLD, OLDER_WINS, NO_LIMIT, WAITS_UNSEEN, NO_WAY_BACK }
+    public enum Fault {
+        NONE,
+        NO_PEERS,
+        NEVER_OLD,
+        OLDER_WINS,
+        NO_LIMIT,
+        WAITS_UNSEEN,
+        NO_WAY_BACK
+    }
 
     /**
-     * What one manager tells of itself. {@code name}: a hash; {@code stamp}: of its own clock, the later is the newer;
-     * {@code came} by band, {@code sent}: rates; {@code waits}: seconds of work; {@code runs}: threads; {@code zone}:
-     * its own; {@code bad}: by zone, per cent of its engines that it holds closed; {@code orders}: what operators want
-     * of zones ({@link firstage.evacuation.Zones}).
+     * What one manager tells of itself. {@code name}: a hash; {@code stamp}: of its own clock, the
+     * later is the newer; {@code came} by band, {@code sent}: rates; {@code waits}: seconds of
+     * work; {@code runs}: threads; {@code zone}: its own; {@code bad}: by zone, per cent of its
+     * engines that it holds closed; {@code orders}: what operators want of zones ({@link
+     * firstage.evacuation.Zones}).
      */
-    public record Row(int name, int stamp, double[] came, double sent, double waits, double runs, int zone,
-                      int[] bad, int[] orders) {
-    }
+    public record Row(
+            int name,
+            int stamp,
+            double[] came,
+            double sent,
+            double waits,
+            double runs,
+            int zone,
+            int[] bad,
+            int[] orders) {}
 
-    private record Told(Row row, long at) {
-    }
+    private record Told(Row row, long at) {}
 
     private final int me;
     private final double target;
@@ -99,7 +130,9 @@
         this.fault = fault;
     }
 
-    /** A moment as it is told: the later is the greater by difference, for half of a year and more. */
+    /**
+     * A moment as it is told: the later is the greater by difference, for half of a year and more.
+     */
     public static int stamp(long now) {
         return (int) (now / STAMP);
     }
@@ -118,7 +151,8 @@
     public void heard(long now, List<Row> rows) {
         for (Row r : rows) {
             Told before = told.get(r.name);
-            boolean newer = before == null || r.stamp - before.row.stamp > 0 || fault == Fault.OLDER_WINS;
+            boolean newer =
+                    before == null || r.stamp - before.row.stamp > 0 || fault == Fault.OLDER_WINS;
             if (r.name != me && view.contains(r.name) && newer) {
                 told.put(r.name, new Told(r, now));
             }
@@ -129,7 +163,10 @@
         return now - t.at < FRESH || fault == Fault.NEVER_OLD;
     }
 
-    /** What this manager tells: its own row first, then those it was told, by turns where there is no room for all. */
+    /**
+     * What this manager tells: its own row first, then those it was told, by turns where there is
+     * no room for all.
+     */
     public List<Row> rows(long now, int room) {
         int most = view.size() > ALL_AT_ONCE ? Math.min(room, BY_TURNS) : room;
         List<Row> others = others(now);
@@ -190,13 +227,17 @@
         // Who is here and not heard is taken to be as the others are.
         double whole = Math.max(1, (double) view.size() / rows.size());
         double sends = rows.stream().mapToDouble(Row::sent).sum();
-        double delay = fault == Fault.WAITS_UNSEEN ? 0 : limited(rows, Row::waits).sum() / Math.max(0.01, sends);
+        double delay =
+                fault == Fault.WAITS_UNSEEN
+                        ? 0
+                        : limited(rows, Row::waits).sum() / Math.max(0.01, sends);
         double busy = limited(rows, Row::runs).sum() * whole / Math.max(1, bears);
         ToDoubleFunction<Row> asks = r -> Arrays.stream(r.came).sum();
         double[] all = rows.stream().mapToDouble(asks).toArray();
         double[] wants = limited(rows, asks).toArray();
         double byDelay = delay <= target ? GROW * (1 - delay / target) : (target - delay) / DRAIN;
-        double step = Math.max(-DROP, busy > BUSY ? Math.min(byDelay, (BUSY - busy) * BY_BUSY) : byDelay);
+        double step =
+                Math.max(-DROP, busy > BUSY ? Math.min(byDelay, (BUSY - busy) * BY_BUSY) : byDelay);
         double left = sends * (1 + (fault == Fault.NO_WAY_BACK ? Math.min(0, step) : step));
         int band = Demand.BANDS;
         double asked = 0;
@@ -221,14 +262,15 @@
     }
 
     /**
-     * By row what would make this manager refuse more, none of it more than a few times the mean of the others: what
-     * one alone claims, a mistake or a lie, moves the fleet no further. What one claims to send only makes it refuse
-     * less.
+     * By row what would make this manager refuse more, none of it more than a few times the mean of
+     * the others: what one alone claims, a mistake or a lie, moves the fleet no further. What one
+     * claims to send only makes it refuse less.
      */
     private DoubleStream limited(List<Row> rows, ToDoubleFunction<Row> figure) {
         double all = rows.stream().mapToDouble(figure).sum();
         boolean free = fault == Fault.NO_LIMIT || rows.size() < 2;
-        return rows.stream().mapToDouble(figure)
+        return rows.stream()
+                .mapToDouble(figure)
                 .map(f -> free ? f : Math.min(f, OUTSIZED * (all - f) / (rows.size() - 1)));
     }
 
--- a/src/main/java/firstage/overload/Rendezvous.java
+++ b/src/main/java/firstage/overload/Rendezvous.java
@@ -3,10 +3,12 @@
 import java.util.Collection;
 import net.openhft.hashing.LongHashFunction;
 
-/** An order of managers for each thing, which all know alike without a word (Thaler and Ravishankar 1998); XXH3. */
+/**
+ * An order of managers for each thing, which all know alike without a word (Thaler and Ravishankar
+ * 1998); XXH3.
+ */
 public final class Rendezvous {
-    private Rendezvous() {
-    }
+    private Rendezvous() {}
 
     /** The rank of a manager for this thing; the highest comes first. */
     public static long rank(long thing, String name) {
--- a/src/main/java/firstage/overload/Words.java
+++ b/src/main/java/firstage/overload/Words.java
@@ -11,36 +11,38 @@
 import java.util.List;
 
 /**
- * What one manager tells of engines, as CBOR in the membership's digest: an array, its first item the form's version,
- * what a
- * newer form adds at the end skipped. Empty where there is nothing to tell, so that calm costs no byte.
+ * What one manager tells of engines, as CBOR in the membership's digest: an array, its first item
+ * the form's version, what a newer form adds at the end skipped. Empty where there is nothing to
+ * tell, so that calm costs no byte.
  */
 public final class Words {
     private static final int VERSION = 1;
+
     /** So many engines fit beside the rest; the sickest of a zone's loss come by turns. */
     public static final int MOST = 24;
+
     /** Of a digest: half of a datagram and more is left to the membership. */
     private static final int BYTES = 560;
+
     private static final int WORD_BYTES = 14;
     private static final int ROW_BYTES = 26;
     private static final int LEAST_ROWS = 6;
     private static final int ROW_HEAD = 18;
+
     /** A thousandth of a core; with eight steps an octave a byte reaches four million. */
     private static final double LEAST = 0.001;
+
     private static final double STEPS = 8;
     private static final byte[] NOTHING = new byte[0];
     private static final CBORFactory CBOR = new CBORFactory();
 
     /**
-     * Of one engine, by the id that all know: whether it is held closed, or was opened after that; {@code ago}:
-     * tenths of a
-     * millisecond since it was last tried, or opened.
+     * Of one engine, by the id that all know: whether it is held closed, or was opened after that;
+     * {@code ago}: tenths of a millisecond since it was last tried, or opened.
      */
-    public record Word(long engine, boolean closed, long ago) {
-    }
+    public record Word(long engine, boolean closed, long ago) {}
 
-    private Words() {
-    }
+    private Words() {}
 
     /** What is told: of engines, and the rows of the level, as many as there is room for. */
     public record Told(List<Word> words, List<Level.Row> rows) {
@@ -76,8 +78,8 @@
     }
 
     /**
-     * Each: name, stamp, sent, waits, runs, a bit for each band that was asked for, its zone, what it sees
-     * of each, operators' orders, and those bands' figures.
+     * Each: name, stamp, sent, waits, runs, a bit for each band that was asked for, its zone, what
+     * it sees of each, operators' orders, and those bands' figures.
      */
     private static byte[] bytes(List<Level.Row> rows) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(rows.size() * ROW_BYTES);
@@ -132,7 +134,8 @@
             int next = at + ROW_HEAD;
             int[] bad = new int[Byte.toUnsignedInt(in[next - 2])];
             int[] orders = new int[Byte.toUnsignedInt(in[next - 1])];
-            if (in.length - next < bad.length + orders.length * Integer.BYTES + Integer.bitCount(asked)) {
+            if (in.length - next
+                    < bad.length + orders.length * Integer.BYTES + Integer.bitCount(asked)) {
                 return List.of();
             }
             for (int zone = 0; zone < bad.length; zone++) {
@@ -147,9 +150,17 @@
                 came[band] = (asked & 1 << band) != 0 ? fine(in[next++]) : 0;
             }
             int figures = at + 2 * Integer.BYTES;
-            rows.add(new Level.Row(number(in, at), number(in, at + Integer.BYTES), came, fine(in[figures]),
-                    fine(in[figures + 1]), fine(in[figures + 2]),
-                    Byte.toUnsignedInt(in[at + ROW_HEAD - 3]), bad, orders));
+            rows.add(
+                    new Level.Row(
+                            number(in, at),
+                            number(in, at + Integer.BYTES),
+                            came,
+                            fine(in[figures]),
+                            fine(in[figures + 1]),
+                            fine(in[figures + 2]),
+                            Byte.toUnsignedInt(in[at + ROW_HEAD - 3]),
+                            bad,
+                            orders));
             at = next;
         }
         return rows;
@@ -157,8 +168,12 @@
 
     /** A figure in one byte, in steps of an eighth of an octave; 0 for next to nothing. */
     private static byte coarse(double figure) {
-        return (byte) (figure < LEAST ? 0
-                : Math.min(255, 1 + Math.round(STEPS * Math.log(figure / LEAST) / Math.log(2))));
+        return (byte)
+                (figure < LEAST
+                        ? 0
+                        : Math.min(
+                                255,
+                                1 + Math.round(STEPS * Math.log(figure / LEAST) / Math.log(2))));
     }
 
     private static double fine(byte coarse) {
@@ -166,14 +181,17 @@
         return step == 0 ? 0 : LEAST * Math.pow(2, (step - 1) / STEPS);
     }
 
-    /** What was told; nothing where it can't be read: then this manager goes by its own news alone. */
+    /**
+     * What was told; nothing where it can't be read: then this manager goes by its own news alone.
+     */
     public static Told read(byte[] bytes) {
         if (bytes.length == 0) {
             return Told.NOTHING;
         }
         List<Word> words = new ArrayList<>();
         try (JsonParser in = CBOR.createParser(bytes)) {
-            if (in.nextToken() != JsonToken.START_ARRAY || in.nextToken() != JsonToken.VALUE_NUMBER_INT
+            if (in.nextToken() != JsonToken.START_ARRAY
+                    || in.nextToken() != JsonToken.VALUE_NUMBER_INT
                     || in.nextToken() != JsonToken.START_ARRAY) {
                 return Told.NOTHING;
             }
@@ -184,7 +202,11 @@
                         || in.nextToken() != JsonToken.VALUE_NUMBER_INT) {
                     return Told.NOTHING;
                 }
-                words.add(new Word(engine, closed == JsonToken.VALUE_TRUE, Math.max(0, in.getLongValue())));
+                words.add(
+                        new Word(
+                                engine,
+                                closed == JsonToken.VALUE_TRUE,
+                                Math.max(0, in.getLongValue())));
             }
             // One of an older form tells no rows.
             boolean more = in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT;
--- a/src/main/java/firstage/scale/ChoiceCost.java
+++ b/src/main/java/firstage/scale/ChoiceCost.java
@@ -20,13 +20,16 @@
 import java.util.Set;
 
 /**
- * What the decisions cost a batch in processor time by how many engines a manager knows: the real ones, all news by
- * calls, engines that return each batch after its work. Measured by this machine's clock, one thread.
+ * What the decisions cost a batch in processor time by how many engines a manager knows: the real
+ * ones, all news by calls, engines that return each batch after its work. Measured by this
+ * machine's clock, one thread.
  */
 public final class ChoiceCost implements Host {
     private static final long SECOND = 10_000;
+
     /** By the size of two years on: 462 batches a second at one manager. */
     private static final long BETWEEN = SECOND / 462;
+
     private static final long WORK = 2_000;
     private static final int WARM = 6_000;
     private static final int MEASURED = 6_000;
@@ -39,12 +42,44 @@
     private int pushedBack;
 
     private ChoiceCost(int engines, int managers) {
-        ServiceGroup lookup = new ServiceGroup(SECOND, 2, 5 * SECOND, 1, 0, Effect.REPEATABLE, Scope.ALL, 6 * SECOND,
-                false, 1, false, true, Set.of(), Set.of());
-        brain = new Brain(new Deployment(7, managers, 0, 0, List.of(lookup), List.of(new Deployment.Machine(CORES,
-                MEMORY_MB)), List.of(), new Deployment.Allowed(false, false, true, true, true, 4, 2 * SECOND),
-                new Deployment.Rules(0.3, 10 * SECOND, 2, 2 * SECOND, 0, -1, 1, 10 * SECOND), 0.5, SECOND / 2, false,
-                false, -1, false, false), this);
+        ServiceGroup lookup =
+                new ServiceGroup(
+                        SECOND,
+                        2,
+                        5 * SECOND,
+                        1,
+                        0,
+                        Effect.REPEATABLE,
+                        Scope.ALL,
+                        6 * SECOND,
+                        false,
+                        1,
+                        false,
+                        true,
+                        Set.of(),
+                        Set.of());
+        brain =
+                new Brain(
+                        new Deployment(
+                                7,
+                                managers,
+                                0,
+                                0,
+                                List.of(lookup),
+                                List.of(new Deployment.Machine(CORES, MEMORY_MB)),
+                                List.of(),
+                                new Deployment.Allowed(
+                                        false, false, true, true, true, 4, 2 * SECOND),
+                                new Deployment.Rules(
+                                        0.3, 10 * SECOND, 2, 2 * SECOND, 0, -1, 1, 10 * SECOND),
+                                0.5,
+                                SECOND / 2,
+                                false,
+                                false,
+                                -1,
+                                false,
+                                false),
+                        this);
         List<Entry> entries = new ArrayList<>();
         for (int e = 0; e < engines; e++) {
             entries.add(new Entry(e, e + 1L, 0, 0, e, Standing.ACTIVE, 1, 0));
@@ -57,10 +92,25 @@
         now += BETWEEN;
         while (!running.isEmpty() && running.peek()[0] <= now) {
             long[] over = running.poll();
-            brain.ended(now, new Ending((int) over[1], 0, (int) over[2], Outcome.RETURNED, WORK, 0, 0, true, null, 0));
+            brain.ended(
+                    now,
+                    new Ending(
+                            (int) over[1],
+                            0,
+                            (int) over[2],
+                            Outcome.RETURNED,
+                            WORK,
+                            0,
+                            0,
+                            true,
+                            null,
+                            0));
             brain.turn(now);
         }
-        brain.taken(now, new Arrival(number, 0, -1, -1, now + 5 * SECOND, WORK, 100, number % 20, false, false));
+        brain.taken(
+                now,
+                new Arrival(
+                        number, 0, -1, -1, now + 5 * SECOND, WORK, 100, number % 20, false, false));
         brain.turn(now);
     }
 
--- a/src/main/java/firstage/scale/Hollow.java
+++ b/src/main/java/firstage/scale/Hollow.java
@@ -26,8 +26,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * One process of a few hundred hollow managers, all on one thread. Orders come in lines on standard input, a line of
- * JSON goes out each second; where standard input ends, so does the process.
+ * One process of a few hundred hollow managers, all on one thread. Orders come in lines on standard
+ * input, a line of JSON goes out each second; where standard input ends, so does the process.
  */
 public final class Hollow implements HollowManager.Witness {
     private static final long TICK = 200;
@@ -62,7 +62,8 @@
     private long silentSince = Long.MAX_VALUE;
     private volatile boolean over;
 
-    private Hollow(ScalePlan plan, Places at, int from, int to, PrintStream out) throws IOException {
+    private Hollow(ScalePlan plan, Places at, int from, int to, PrintStream out)
+            throws IOException {
         this.plan = plan;
         this.out = out;
         for (int m = from; m < to; m++) {
@@ -72,9 +73,17 @@
         }
     }
 
-    /** Hosts the hollow ones of these managers until it is told to end, or nobody is there to tell. */
+    /**
+     * Hosts the hollow ones of these managers until it is told to end, or nobody is there to tell.
+     */
     public static void run(ScalePlan plan, int port, int from, int to) throws IOException {
-        new Hollow(plan, new Places(port), from, to, new PrintStream(System.out, true, StandardCharsets.UTF_8)).play();
+        new Hollow(
+                        plan,
+                        new Places(port),
+                        from,
+                        to,
+                        new PrintStream(System.out, true, StandardCharsets.UTF_8))
+                .play();
     }
 
     private long now() {
@@ -108,7 +117,8 @@
     }
 
     private void read() {
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
+        try (BufferedReader in =
+                new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 orders.add(line);
                 selector.wakeup();
@@ -122,8 +132,11 @@
 
     private void begin() throws IOException {
         long now = now();
-        List<HollowManager> due = starts.entrySet().stream().filter(e -> e.getValue() <= now).map(Map.Entry::getKey)
-                .toList();
+        List<HollowManager> due =
+                starts.entrySet().stream()
+                        .filter(e -> e.getValue() <= now)
+                        .map(Map.Entry::getKey)
+                        .toList();
         for (HollowManager m : due) {
             starts.remove(m);
             if (!m.up()) {
@@ -147,17 +160,36 @@
         switch (words[0]) {
             case "go" -> {
                 Random chance = new Random(managers.keySet().iterator().next());
-                managers.values().forEach(m -> starts.put(m, now() + (long) (chance.nextDouble() * SPREAD)));
-                await("one view", Long.parseLong(words[1]), -1, names -> names.size() == plan.together());
+                managers.values()
+                        .forEach(m -> starts.put(m, now() + (long) (chance.nextDouble() * SPREAD)));
+                await(
+                        "one view",
+                        Long.parseLong(words[1]),
+                        -1,
+                        names -> names.size() == plan.together());
             }
             case "kill" -> with(words[1], HollowManager::kill);
             case "leave" -> with(words[1], HollowManager::leave);
-            case "start" -> with(words[1], m -> starts.put(m, now() + Long.parseLong(words[2]) * 10));
-            case "gone" -> await(words[1], Long.parseLong(words[4]), Integer.parseInt(words[2]),
-                    names -> !names.contains(words[3]));
-            case "back" -> await(words[1], Long.parseLong(words[4]), Integer.parseInt(words[2]),
-                    names -> names.contains(words[3]));
-            case "whole" -> await(words[1], Long.parseLong(words[2]), -1, names -> names.size() == plan.together());
+            case "start" ->
+                    with(words[1], m -> starts.put(m, now() + Long.parseLong(words[2]) * 10));
+            case "gone" ->
+                    await(
+                            words[1],
+                            Long.parseLong(words[4]),
+                            Integer.parseInt(words[2]),
+                            names -> !names.contains(words[3]));
+            case "back" ->
+                    await(
+                            words[1],
+                            Long.parseLong(words[4]),
+                            Integer.parseInt(words[2]),
+                            names -> names.contains(words[3]));
+            case "whole" ->
+                    await(
+                            words[1],
+                            Long.parseLong(words[2]),
+                            -1,
+                            names -> names.size() == plan.together());
             case "silent" -> silentSince = Long.parseLong(words[1]);
             case "heap" -> {
                 System.gc();
@@ -182,7 +214,8 @@
 
     private void await(String label, long since, int cell, Predicate<List<String>> is) {
         Awaited a = new Awaited(label, since, is);
-        managers.values().stream().filter(m -> cell < 0 || plan.cellOf(m.number) == cell)
+        managers.values().stream()
+                .filter(m -> cell < 0 || plan.cellOf(m.number) == cell)
                 .forEach(m -> a.waiting.put(m.number, m));
         awaited.add(a);
         List.copyOf(a.waiting.values()).forEach(m -> look(a, m, m.view()));
@@ -219,7 +252,9 @@
 
     private void tell() throws IOException {
         StringWriter line = new StringWriter();
-        var system = (com.sun.management.OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
+        var system =
+                (com.sun.management.OperatingSystemMXBean)
+                        ManagementFactory.getOperatingSystemMXBean();
         List<HollowManager> up = managers.values().stream().filter(HollowManager::up).toList();
         try (JsonGenerator g = new JsonFactory().createGenerator(line)) {
             g.writeStartObject();
@@ -227,24 +262,41 @@
             figure(g, "managers", managers.size());
             figure(g, "up", up.size());
             figure(g, "cpu ms", system.getProcessCpuTime() / 1_000_000);
-            figure(g, "heap bytes", ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
+            figure(
+                    g,
+                    "heap bytes",
+                    ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
             long all = 0;
             for (int k = 0; k <= Message.Kind.values().length; k++) {
                 int kind = k;
                 long sum = managers.values().stream().mapToLong(m -> m.bytesOut[kind]).sum();
                 all += sum;
-                figure(g, "bytes " + (k < Message.Kind.values().length
-                        ? Message.Kind.values()[k].name().toLowerCase(Locale.ROOT) : "rows"), sum);
+                figure(
+                        g,
+                        "bytes "
+                                + (k < Message.Kind.values().length
+                                        ? Message.Kind.values()[k].name().toLowerCase(Locale.ROOT)
+                                        : "rows"),
+                        sum);
             }
             figure(g, "bytes out", all);
             figure(g, "bytes in", managers.values().stream().mapToLong(m -> m.bytesIn).sum());
-            figure(g, "datagrams out", managers.values().stream().mapToLong(m -> m.datagramsOut).sum());
-            figure(g, "list bytes in", managers.values().stream().mapToLong(m -> m.listBytes).sum());
+            figure(
+                    g,
+                    "datagrams out",
+                    managers.values().stream().mapToLong(m -> m.datagramsOut).sum());
+            figure(
+                    g,
+                    "list bytes in",
+                    managers.values().stream().mapToLong(m -> m.listBytes).sum());
             figure(g, "late 99th tenths", late.getValueAtPercentile(99));
             figure(g, "late most tenths", late.getMaxValue());
             figure(g, "whole views", up.stream().filter(m -> m.views() == plan.together()).count());
             g.writeNumberField("in force", up.stream().mapToDouble(HollowManager::inForce).sum());
-            figure(g, "fewest cells heard", up.stream().mapToInt(HollowManager::cellsHeard).min().orElse(0));
+            figure(
+                    g,
+                    "fewest cells heard",
+                    up.stream().mapToInt(HollowManager::cellsHeard).min().orElse(0));
             figure(g, "engines held", up.stream().mapToInt(HollowManager::enginesHeld).sum());
             g.writeObjectFieldStart("reached");
             for (Map.Entry<String, List<Long>> e : reached.entrySet()) {
--- a/src/main/java/firstage/scale/HollowEngines.java
+++ b/src/main/java/firstage/scale/HollowEngines.java
@@ -12,8 +12,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * All engines of a scale run behind one listener: each statement takes the time its head tells and returns one row,
- * whatever else runs. They answer probes, and hold a call for news as the protocol page has it.
+ * All engines of a scale run behind one listener: each statement takes the time its head tells and
+ * returns one row, whatever else runs. They answer probes, and hold a call for news as the protocol
+ * page has it.
  */
 final class HollowEngines implements AutoCloseable {
     private static final long HOLDS_MS = 250;
@@ -24,6 +25,7 @@
 
     /** By id, when each is over, in ms; on the listener's one thread. */
     private final Map<String, Long> statements = new HashMap<>();
+
     private final AtomicLong taken = new AtomicLong();
     private final AtomicLong probes = new AtomicLong();
     private final long workMs;
@@ -32,9 +34,14 @@
     /** {@code workMs}: of each statement. */
     HollowEngines(InetSocketAddress at, long workMs) {
         this.workMs = workMs;
-        server = Undertow.builder().addHttpListener(at.getPort(), at.getAddress().getHostAddress())
-                .setIoThreads(1).setWorkerThreads(1).setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
-                .setHandler(this::call).build();
+        server =
+                Undertow.builder()
+                        .addHttpListener(at.getPort(), at.getAddress().getHostAddress())
+                        .setIoThreads(1)
+                        .setWorkerThreads(1)
+                        .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
+                        .setHandler(this::call)
+                        .build();
         server.start();
     }
 
@@ -56,14 +63,19 @@
         String method = x.getRequestMethod().toString();
         String[] path = x.getRequestPath().split("/");
         if (method.equals("POST")) {
-            x.getRequestReceiver().receiveFullBytes((whole, body) -> {
-                String id = whole.getRequestHeaders().getFirst(TICKET);
-                statements.put(id, now() + workMs);
-                taken.incrementAndGet();
-                whole.getIoThread().executeAfter(() -> statements.remove(id), workMs + FORGETS_MS,
-                        TimeUnit.MILLISECONDS);
-                news(whole, statements.get(id));
-            });
+            x.getRequestReceiver()
+                    .receiveFullBytes(
+                            (whole, body) -> {
+                                String id = whole.getRequestHeaders().getFirst(TICKET);
+                                statements.put(id, now() + workMs);
+                                taken.incrementAndGet();
+                                whole.getIoThread()
+                                        .executeAfter(
+                                                () -> statements.remove(id),
+                                                workMs + FORGETS_MS,
+                                                TimeUnit.MILLISECONDS);
+                                news(whole, statements.get(id));
+                            });
         } else if (method.equals("GET") && path.length == 4) {
             news(x, statements.get(path[2]));
         } else if (method.equals("GET")) {
@@ -86,13 +98,20 @@
             row(x);
         } else {
             boolean ends = left <= HOLDS_MS;
-            x.dispatch(SameThreadExecutor.INSTANCE, () -> x.getIoThread().executeAfter(() -> {
-                if (ends) {
-                    row(x);
-                } else {
-                    answer(x, 202);
-                }
-            }, ends ? left : HOLDS_MS, TimeUnit.MILLISECONDS));
+            x.dispatch(
+                    SameThreadExecutor.INSTANCE,
+                    () ->
+                            x.getIoThread()
+                                    .executeAfter(
+                                            () -> {
+                                                if (ends) {
+                                                    row(x);
+                                                } else {
+                                                    answer(x, 202);
+                                                }
+                                            },
+                                            ends ? left : HOLDS_MS,
+                                            TimeUnit.MILLISECONDS));
         }
     }
 
--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -30,8 +30,9 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * One hollow manager: the modules of the membership and of what stands on it as {@code serve --peers} carries them, its
- * own address, real datagrams and a real watch of the list; no clients and no engines. On its process's one thread.
+ * One hollow manager: the modules of the membership and of what stands on it as {@code serve
+ * --peers} carries them, its own address, real datagrams and a real watch of the list; no clients
+ * and no engines. On its process's one thread.
  */
 final class HollowManager implements Members.Carrier, Cells.Effects {
     private static final int MOST = 1_200;
@@ -57,8 +58,7 @@
     }
 
     /** An engine as a record of the list has it. */
-    private record Listed(long id, String zone) {
-    }
+    private record Listed(long id, String zone) {}
 
     final int number;
     private final ScalePlan plan;
@@ -96,7 +96,13 @@
         long now();
     }
 
-    HollowManager(int number, ScalePlan plan, Places at, Selector selector, Clock clock, Witness witness) {
+    HollowManager(
+            int number,
+            ScalePlan plan,
+            Places at,
+            Selector selector,
+            Clock clock,
+            Witness witness) {
         this.number = number;
         this.plan = plan;
         this.at = at;
@@ -132,8 +138,12 @@
     }
 
     int cellsHeard() {
-        return cells == null ? 0 : (int) cells.known(clock.now()).stream()
-                .filter(k -> k.standing() == Cells.Standing.HEARD).count();
+        return cells == null
+                ? 0
+                : (int)
+                        cells.known(clock.now()).stream()
+                                .filter(k -> k.standing() == Cells.Standing.HEARD)
+                                .count();
     }
 
     int enginesHeld() {
@@ -144,30 +154,69 @@
         int mine = ++life;
         CellPlan cellPlan = plan.cellPlan();
         int cell = plan.cellOf(number);
-        RandomGeneratorFactory<RandomGenerator> chances = RandomGeneratorFactory.of("L64X128MixRandom");
+        RandomGeneratorFactory<RandomGenerator> chances =
+                RandomGeneratorFactory.of("L64X128MixRandom");
         long seed = number * 1_000_003L + mine;
-        leases = new Leases(plan.together(), plan.part(), plan.period(), lentBefore, () -> {
-            lentBefore = true;
-            leases.kept();
-        }, Leases.Fault.NONE);
+        leases =
+                new Leases(
+                        plan.together(),
+                        plan.part(),
+                        plan.period(),
+                        lentBefore,
+                        () -> {
+                            lentBefore = true;
+                            leases.kept();
+                        },
+                        Leases.Fault.NONE);
         long started = System.currentTimeMillis();
         startedMs = started;
         int zone = plan.zones().indexOf(plan.zoneOf(number));
-        together = new Together(name(), zone, plan.zones().size(), GOAL, WARM, plan.period(), new Zones.Effects() {
-            @Override
-            public void keepAway(long engine, boolean away, boolean restIsOver) {
-                // No engines stand behind it.
-            }
-
-            @Override
-            public void turned(int turned, String state) {
-                // The same.
-            }
-        }, (now, band, part) -> { }, Together.Faults.NONE);
-        members = new Members(plan.name(), new Entry(name(), plan.zoneOf(number), started, Standing.HERE, "", 1),
-                plan.together(), plan.period(), MOST, chances.create(seed), leases, this, Members.Fault.NONE);
-        cells = cellPlan == null ? null : new Cells(cellPlan, null, cell, plan.slotOf(number), name(), plan.name(),
-                started, chances.create(~seed), this, Cells.Fault.NONE);
+        together =
+                new Together(
+                        name(),
+                        zone,
+                        plan.zones().size(),
+                        GOAL,
+                        WARM,
+                        plan.period(),
+                        new Zones.Effects() {
+                            @Override
+                            public void keepAway(long engine, boolean away, boolean restIsOver) {
+                                // No engines stand behind it.
+                            }
+
+                            @Override
+                            public void turned(int turned, String state) {
+                                // The same.
+                            }
+                        },
+                        (now, band, part) -> {},
+                        Together.Faults.NONE);
+        members =
+                new Members(
+                        plan.name(),
+                        new Entry(name(), plan.zoneOf(number), started, Standing.HERE, "", 1),
+                        plan.together(),
+                        plan.period(),
+                        MOST,
+                        chances.create(seed),
+                        leases,
+                        this,
+                        Members.Fault.NONE);
+        cells =
+                cellPlan == null
+                        ? null
+                        : new Cells(
+                                cellPlan,
+                                null,
+                                cell,
+                                plan.slotOf(number),
+                                name(),
+                                plan.name(),
+                                started,
+                                chances.create(~seed),
+                                this,
+                                Cells.Fault.NONE);
         sieve = cells == null ? null : new Sieve<>(cells, Listed::id, Listed::zone, e -> false);
         mail = DatagramChannel.open();
         mail.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -256,7 +305,9 @@
                     return;
                 }
                 listBytes += n;
-                frames.take(buffer.flip()).stream().filter(f -> f.kind() != 0).forEach(f -> listed(f.payload()));
+                frames.take(buffer.flip()).stream()
+                        .filter(f -> f.kind() != 0)
+                        .forEach(f -> listed(f.payload()));
             } catch (IOException gone) {
                 lost();
             }
@@ -270,9 +321,13 @@
 
     private void listed(ByteBuffer payload) {
         for (int record = 0; record + RECORD <= payload.remaining(); record += RECORD) {
-            took(List.of(new Listed(payload.getInt(record) & 0xFFFFFFFFL,
-                    plan.zones().get(payload.get(record + ZONE_AT)))));
-            // What was told before this life began comes with its start, and says nothing of how soon news comes.
+            took(
+                    List.of(
+                            new Listed(
+                                    payload.getInt(record) & 0xFFFFFFFFL,
+                                    plan.zones().get(payload.get(record + ZONE_AT)))));
+            // What was told before this life began comes with its start, and says nothing of how
+            // soon news comes.
             if (payload.getLong(record + STARTED_AT) >= startedMs) {
                 witness.listed(this, payload.getLong(record + STARTED_AT));
             }
--- a/src/main/java/firstage/scale/HollowProcess.java
+++ b/src/main/java/firstage/scale/HollowProcess.java
@@ -15,9 +15,15 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 
-/** A process of hollow managers as the run sees it: orders go in, a line of figures comes out each second. */
+/**
+ * A process of hollow managers as the run sees it: orders go in, a line of figures comes out each
+ * second.
+ */
 final class HollowProcess implements AutoCloseable {
-    /** One line: figures by name, and by label how long each manager took to come to a moment, in ms. */
+    /**
+     * One line: figures by name, and by label how long each manager took to come to a moment, in
+     * ms.
+     */
     record Line(Map<String, Double> figures, Map<String, List<Double>> reached) {
         double figure(String name) {
             return figures.getOrDefault(name, 0.0);
@@ -35,7 +41,8 @@
                         continue;
                     }
                     while (in.nextToken() == JsonToken.FIELD_NAME) {
-                        List<Double> all = reached.computeIfAbsent(in.currentName(), l -> new ArrayList<>());
+                        List<Double> all =
+                                reached.computeIfAbsent(in.currentName(), l -> new ArrayList<>());
                         in.nextToken();
                         while (in.nextToken() != JsonToken.END_ARRAY) {
                             all.add(in.getDoubleValue());
@@ -65,8 +72,9 @@
     }
 
     private void read() {
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(process.getInputStream(),
-                StandardCharsets.UTF_8))) {
+        try (BufferedReader in =
+                new BufferedReader(
+                        new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 if (line.startsWith("{")) {
                     synchronized (this) {
--- a/src/main/java/firstage/scale/Places.java
+++ b/src/main/java/firstage/scale/Places.java
@@ -6,6 +6,7 @@
 record Places(int port) {
     /** Managers share the third number by so many where the fleet is one. */
     private static final int IN_A_ROW = 200;
+
     private static final int ROWS = 250;
 
     private InetSocketAddress at(int second, int third, int fourth) {
--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -12,25 +12,45 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * A run of many managers: TOML, read as fleet and yard plans are; what can't be used is told with its line and what
- * would do. {@code cell} 0 is a fleet that is one; {@code period} and times in tenths of a millisecond.
+ * A run of many managers: TOML, read as fleet and yard plans are; what can't be used is told with
+ * its line and what would do. {@code cell} 0 is a fleet that is one; {@code period} and times in
+ * tenths of a millisecond.
  */
-public record ScalePlan(String name, long settle, long length, List<String> zones, int hollow, int real, int cell,
-                        int spread, int engines, int inAProcess, long period, List<Load> loads,
-                        List<Event> events) {
+public record ScalePlan(
+        String name,
+        long settle,
+        long length,
+        List<String> zones,
+        int hollow,
+        int real,
+        int cell,
+        int spread,
+        int engines,
+        int inAProcess,
+        long period,
+        List<Load> loads,
+        List<Event> events) {
     /**
-     * Clients of the first real manager for so long: connections that stay open, statements a second over all.
-     * {@code counted}: goes into the slopes; a first one that only warms the program does not.
+     * Clients of the first real manager for so long: connections that stay open, statements a
+     * second over all. {@code counted}: goes into the slopes; a first one that only warms the
+     * program does not.
      */
-    public record Load(int connections, double rate, long length, boolean counted) {
-    }
+    public record Load(int connections, double rate, long length, boolean counted) {}
 
     /** What happens, and how long after all have settled. */
-    public record Event(Kind kind, long at, int line) {
-    }
+    public record Event(Kind kind, long at, int line) {}
 
-    /** Of hollow managers: one killed; one leaves and comes back; a zone's, seven in ten killed; a word of the list. */
-    public enum Kind { KILL, RESTART, LIST, ZONE, MASS }
+    /**
+     * Of hollow managers: one killed; one leaves and comes back; a zone's, seven in ten killed; a
+     * word of the list.
+     */
+    public enum Kind {
+        KILL,
+        RESTART,
+        LIST,
+        ZONE,
+        MASS
+    }
 
     private static final int MOST_MANAGERS = 4_000;
     private static final int MOST_REAL = 40;
@@ -46,29 +66,45 @@
     public static ScalePlan read(String text) {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
-            throw new FleetFault(toml.errors().get(0).position().line(),
+            throw new FleetFault(
+                    toml.errors().get(0).position().line(),
                     toml.errors().get(0).getMessage().lines().findFirst().orElse(""));
         }
         Section top = new Section(toml, "", 1);
-        List<String> zones = Arrays.stream(top.text("zones", "a").split(",")).map(String::trim).toList();
+        List<String> zones =
+                Arrays.stream(top.text("zones", "a").split(",")).map(String::trim).toList();
         Section managers = top.table("managers");
         Section engines = top.table("engines");
         List<Event> events = new ArrayList<>();
-        List<String> kinds = Arrays.stream(Kind.values()).map(k -> k.name().toLowerCase(Locale.ROOT)).toList();
+        List<String> kinds =
+                Arrays.stream(Kind.values()).map(k -> k.name().toLowerCase(Locale.ROOT)).toList();
         for (Section s : top.tables("event")) {
-            events.add(new Event(Kind.valueOf(s.oneOf("kind", null, kinds).toUpperCase(Locale.ROOT)),
-                    s.time("at", null), s.line()));
+            events.add(
+                    new Event(
+                            Kind.valueOf(s.oneOf("kind", null, kinds).toUpperCase(Locale.ROOT)),
+                            s.time("at", null),
+                            s.line()));
             s.done();
         }
         List<Load> loads = new ArrayList<>();
         for (Section s : top.tables("load")) {
             loads.add(load(s));
         }
-        ScalePlan plan = new ScalePlan(top.text("name", "scale"), top.time("settle", "12 s"), top.time("length", null),
-                zones, managers.whole("hollow", 1, MOST_MANAGERS, null), managers.whole("real", 0, MOST_REAL, 0),
-                managers.whole("cell", 0, MOST_CELL, 0), managers.whole("spread", 1, 64, 1),
-                engines.whole("count", 1, MOST_ENGINES, null),
-                managers.whole("in_a_process", 1, MOST_A_PROCESS, 200), top.time("probe", "200 ms"), loads, events);
+        ScalePlan plan =
+                new ScalePlan(
+                        top.text("name", "scale"),
+                        top.time("settle", "12 s"),
+                        top.time("length", null),
+                        zones,
+                        managers.whole("hollow", 1, MOST_MANAGERS, null),
+                        managers.whole("real", 0, MOST_REAL, 0),
+                        managers.whole("cell", 0, MOST_CELL, 0),
+                        managers.whole("spread", 1, 64, 1),
+                        engines.whole("count", 1, MOST_ENGINES, null),
+                        managers.whole("in_a_process", 1, MOST_A_PROCESS, 200),
+                        top.time("probe", "200 ms"),
+                        loads,
+                        events);
         top.done();
         managers.done();
         engines.done();
@@ -77,16 +113,32 @@
     }
 
     private static Load load(Section s) {
-        Load load = new Load(s.whole("connections", 1, MOST_CONNECTIONS, null), s.figure("rate", 0.1, MOST_RATE, null),
-                s.time("length", "10 s"), s.flag("counted", true));
+        Load load =
+                new Load(
+                        s.whole("connections", 1, MOST_CONNECTIONS, null),
+                        s.figure("rate", 0.1, MOST_RATE, null),
+                        s.time("length", "10 s"),
+                        s.flag("counted", true));
         if (load.connections > load.rate * LoadClients.MOST_REST_S) {
-            throw s.fault("rate", String.format(Locale.ROOT, "%d connections at %.1f statements a second rest over"
-                    + " %.0f s, and clients close such; %.1f would do", load.connections, load.rate,
-                    LoadClients.MOST_REST_S, load.connections / LoadClients.MOST_REST_S));
+            throw s.fault(
+                    "rate",
+                    String.format(
+                            Locale.ROOT,
+                            "%d connections at %.1f statements a second rest over"
+                                    + " %.0f s, and clients close such; %.1f would do",
+                            load.connections,
+                            load.rate,
+                            LoadClients.MOST_REST_S,
+                            load.connections / LoadClients.MOST_REST_S));
         }
         if (load.length < LEAST_LOAD || load.length > MOST_LENGTH) {
-            throw s.fault("length", "impossible; " + LEAST_LOAD / 10_000 + " s to " + MOST_LENGTH / 600_000
-                    + " min would do");
+            throw s.fault(
+                    "length",
+                    "impossible; "
+                            + LEAST_LOAD / 10_000
+                            + " s to "
+                            + MOST_LENGTH / 600_000
+                            + " min would do");
         }
         s.done();
         return load;
@@ -97,20 +149,29 @@
             throw managers.fault("real", "a load wants a real manager; 1 would do");
         }
         if (cell > 0 && managers() % cell != 0) {
-            throw managers.fault("hollow", managers() + " managers are no whole number of cells of " + cell + "; "
-                    + (managers() / cell + 1) * cell + " would do");
+            throw managers.fault(
+                    "hollow",
+                    managers()
+                            + " managers are no whole number of cells of "
+                            + cell
+                            + "; "
+                            + (managers() / cell + 1) * cell
+                            + " would do");
         }
         long fewest = IntStream.range(0, zones.size()).map(z -> cells(z)).min().orElse(0);
         if (cell > 0 && spread > fewest) {
-            throw managers.fault("spread", "a zone has " + fewest + " cells; up to " + Math.max(1, fewest)
-                    + " would do");
+            throw managers.fault(
+                    "spread",
+                    "a zone has " + fewest + " cells; up to " + Math.max(1, fewest) + " would do");
         }
         if (length > MOST_LENGTH || settle > MOST_LENGTH) {
             throw top.fault("length", "over " + MOST_LENGTH / 600_000 + " min; a run is bounded");
         }
         for (Event e : events) {
             if (e.at >= length) {
-                throw new FleetFault(e.line, "event.at: after the end; under " + length / 10_000 + " s would do");
+                throw new FleetFault(
+                        e.line,
+                        "event.at: after the end; under " + length / 10_000 + " s would do");
             }
         }
     }
@@ -148,13 +209,27 @@
     }
 
     public String zoneOf(int manager) {
-        return cell == 0 ? zones.get(manager % zones.size()) : zones.get(cellOf(manager) % zones.size());
+        return cell == 0
+                ? zones.get(manager % zones.size())
+                : zones.get(cellOf(manager) % zones.size());
     }
 
     /** Null where the fleet is one. */
     public CellPlan cellPlan() {
-        return cell == 0 ? null : new CellPlan(1, spread, IntStream.range(0, cells()).mapToObj(c ->
-                new CellPlan.Cell("c" + c, zones.get(c % zones.size()), cell, true)).toList());
+        return cell == 0
+                ? null
+                : new CellPlan(
+                        1,
+                        spread,
+                        IntStream.range(0, cells())
+                                .mapToObj(
+                                        c ->
+                                                new CellPlan.Cell(
+                                                        "c" + c,
+                                                        zones.get(c % zones.size()),
+                                                        cell,
+                                                        true))
+                                .toList());
     }
 
     /** The part of a slice that is a manager's own. */
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -30,18 +30,32 @@
 import org.apache.commons.math3.stat.regression.OLSMultipleLinearRegression;
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
-/** One run: hollow processes, real managers and the coordinator started, the plan's events played, figures taken. */
+/**
+ * One run: hollow processes, real managers and the coordinator started, the plan's events played,
+ * figures taken.
+ */
 public final class ScaleRun implements AutoCloseable {
     /** Of the machine's memory, and processes: what a run may take. */
     private static final double MOST_MEMORY = 0.5;
+
     private static final int MOST_PROCESSES = 300;
-    /** A hollow process: what a JVM takes, and what a manager does by who it knows; a real one. Rough, upwards. */
+
+    /**
+     * A hollow process: what a JVM takes, and what a manager does by who it knows; a real one.
+     * Rough, upwards.
+     */
     private static final double JVM_MB = 90;
+
     private static final double MANAGER_MB = 0.5;
     private static final double KNOWN_MB = 0.001;
     private static final double REAL_MB = 110;
-    /** A hollow process that is later proves nothing of the managers in it: the membership takes 400 ms for a stop. */
+
+    /**
+     * A hollow process that is later proves nothing of the managers in it: the membership takes 400
+     * ms for a stop.
+     */
     private static final double VOID_99TH_MS = 100;
+
     private static final int START_S = 60;
     private static final int STEADY_S = 6;
     private static final int AFTER_S = 12;
@@ -49,26 +63,47 @@
     private static final int BACK_MS = 3_000;
     private static final int AWAY_MS = 2_000;
     private static final double PERCENT = 99;
-    /** What a statement takes at a hollow engine: under what 279 a second leave it on eight cores. */
+
+    /**
+     * What a statement takes at a hollow engine: under what 279 a second leave it on eight cores.
+     */
     private static final long STATEMENT_MS = 20;
+
     private static final long RAMP_MS = 4_000;
+
     /** Loads from which a processor's two slopes can be told with an error. */
     private static final int FEWEST_LOADS = 4;
+
     private static final int SOCKETS = 1_024;
     private static final String CUSTOMER = "one";
-    private static final Map<String, List<String>> OF_PHASE = Map.of("kill", List.of("a kill"), "restart",
-            List.of("a leave", "a return"), "list", List.of("a change of the list"), "zone", List.of("a dead cell"),
-            "mass", List.of("whole after", "events: worst"));
+    private static final Map<String, List<String>> OF_PHASE =
+            Map.of(
+                    "kill",
+                    List.of("a kill"),
+                    "restart",
+                    List.of("a leave", "a return"),
+                    "list",
+                    List.of("a change of the list"),
+                    "zone",
+                    List.of("a dead cell"),
+                    "mass",
+                    List.of("whole after", "events: worst"));
     private static final Pattern DATAGRAMS = Pattern.compile("datagrams' bytes out=(\\d+)");
 
-    /** What is to be played; {@code run}: of the deploy file; {@code file}: of the plan in force. */
-    public record Order(ScalePlan plan, Path file, long seed, Path folder, Path jar, String run,
-                        Consumer<String> progress) {
-    }
+    /**
+     * What is to be played; {@code run}: of the deploy file; {@code file}: of the plan in force.
+     */
+    public record Order(
+            ScalePlan plan,
+            Path file,
+            long seed,
+            Path folder,
+            Path jar,
+            String run,
+            Consumer<String> progress) {}
 
     /** What came of it; {@code isVoid}: why it proves nothing, or null. */
-    public record Result(Map<String, Double> figures, String isVoid) {
-    }
+    public record Result(Map<String, Double> figures, String isVoid) {}
 
     private final Order order;
     private final ScalePlan plan;
@@ -79,10 +114,16 @@
     private final Managers real;
     private final List<HollowProcess> hollow = new ArrayList<>();
     private final Map<String, Double> figures = new LinkedHashMap<>();
-    /** What was going on from which second on, in order: each proves nothing where its managers came late. */
+
+    /**
+     * What was going on from which second on, in order: each proves nothing where its managers came
+     * late.
+     */
     private final Map<String, Integer> phases = new LinkedHashMap<>();
+
     private final Random chance;
-    private final Thread hook = new Thread(() -> hollow.forEach(HollowProcess::close), "end of the scale run");
+    private final Thread hook =
+            new Thread(() -> hollow.forEach(HollowProcess::close), "end of the scale run");
 
     private ScaleRun(Order order) throws IOException {
         this.order = order;
@@ -93,15 +134,21 @@
         at = new Places(lock.getLocalPort());
         watches = new Watches(at.coordinator());
         engines = new HollowEngines(at.engine(), STATEMENT_MS);
-        real = new Managers(order.folder, Managers.notes().resolve("scale-" + at.port() + ".held"),
-                Managers.command(order.run, order.jar), Math.max(1, plan.real()));
+        real =
+                new Managers(
+                        order.folder,
+                        Managers.notes().resolve("scale-" + at.port() + ".held"),
+                        Managers.command(order.run, order.jar),
+                        Math.max(1, plan.real()));
         Runtime.getRuntime().addShutdownHook(hook);
     }
 
     /** Memory in MB that such a run may take at most. */
     public static double memory(ScalePlan plan) {
         int processes = processes(plan);
-        return processes * JVM_MB + plan.hollow() * (MANAGER_MB + KNOWN_MB * plan.together()) + plan.real() * REAL_MB;
+        return processes * JVM_MB
+                + plan.hollow() * (MANAGER_MB + KNOWN_MB * plan.together())
+                + plan.real() * REAL_MB;
     }
 
     private static int processes(ScalePlan plan) {
@@ -110,16 +157,31 @@
 
     /** What this machine can't bear; the message says what would do. */
     public static void check(ScalePlan plan) {
-        double whole = ((com.sun.management.OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean())
-                .getTotalMemorySize() / 1048576.0;
+        double whole =
+                ((com.sun.management.OperatingSystemMXBean)
+                                        ManagementFactory.getOperatingSystemMXBean())
+                                .getTotalMemorySize()
+                        / 1048576.0;
         if (memory(plan) > whole * MOST_MEMORY) {
-            throw new FleetFault(0, String.format(Locale.ROOT, "%d managers that know %d each may take %.0f MB, over"
-                    + " half of this machine's %.0f; fewer, or in cells, would do", plan.managers(), plan.together(),
-                    memory(plan), whole));
+            throw new FleetFault(
+                    0,
+                    String.format(
+                            Locale.ROOT,
+                            "%d managers that know %d each may take %.0f MB, over"
+                                    + " half of this machine's %.0f; fewer, or in cells, would do",
+                            plan.managers(),
+                            plan.together(),
+                            memory(plan),
+                            whole));
         }
         if (processes(plan) + plan.real() > MOST_PROCESSES) {
-            throw new FleetFault(0, processes(plan) + plan.real() + " processes are over " + MOST_PROCESSES
-                    + "; more managers in_a_process would do");
+            throw new FleetFault(
+                    0,
+                    processes(plan)
+                            + plan.real()
+                            + " processes are over "
+                            + MOST_PROCESSES
+                            + "; more managers in_a_process would do");
         }
     }
 
@@ -167,11 +229,15 @@
         List<Map.Entry<String, Integer>> all = new ArrayList<>(phases.entrySet());
         for (int i = 0; i < all.size(); i++) {
             String phase = all.get(i).getKey();
-            double ms = late(all.get(i).getValue(), i + 1 < all.size() ? all.get(i + 1).getValue() : fewestLines());
+            double ms =
+                    late(
+                            all.get(i).getValue(),
+                            i + 1 < all.size() ? all.get(i + 1).getValue() : fewestLines());
             figure("late in " + phase + ", 99th, ms", ms);
             if (ms > VOID_99TH_MS) {
                 late.add(String.format(Locale.ROOT, "%s (%.0f ms)", phase, ms));
-                List<String> of = OF_PHASE.getOrDefault(phase.replaceAll(" \\d+$", ""), List.of(phase + ":"));
+                List<String> of =
+                        OF_PHASE.getOrDefault(phase.replaceAll(" \\d+$", ""), List.of(phase + ":"));
                 for (String name : List.copyOf(figures.keySet())) {
                     if (of.stream().anyMatch(name::startsWith)) {
                         figures.put("(void) " + name, figures.remove(name));
@@ -179,8 +245,11 @@
                 }
             }
         }
-        return late.isEmpty() ? null : "hollow managers came late (99th) in " + String.join(", ", late)
-                + "; the machine is too small or too busy for that";
+        return late.isEmpty()
+                ? null
+                : "hollow managers came late (99th) in "
+                        + String.join(", ", late)
+                        + "; the machine is too small or too busy for that";
     }
 
     // ---- Starting.
@@ -188,20 +257,44 @@
         double mb = JVM_MB + plan.inAProcess() * (MANAGER_MB + KNOWN_MB * plan.together());
         for (int from = 0; from < plan.managers(); from += plan.inAProcess()) {
             int to = Math.min(plan.managers(), from + plan.inAProcess());
-            List<String> command = List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                    "-Xmx" + (int) mb + "m", "-Xss512k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-                    "-jar", order.jar.toString(), "scale", "hollow", order.file.toString(),
-                    String.valueOf(at.port()), String.valueOf(from), String.valueOf(to));
-            hollow.add(new HollowProcess(command, from, to, order.folder.resolve("logs").resolve("hollow-" + from
-                    + ".log")));
+            List<String> command =
+                    List.of(
+                            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                            "-Xmx" + (int) mb + "m",
+                            "-Xss512k",
+                            "-XX:+UseSerialGC",
+                            "-XX:TieredStopAtLevel=1",
+                            "-jar",
+                            order.jar.toString(),
+                            "scale",
+                            "hollow",
+                            order.file.toString(),
+                            String.valueOf(at.port()),
+                            String.valueOf(from),
+                            String.valueOf(to));
+            hollow.add(
+                    new HollowProcess(
+                            command,
+                            from,
+                            to,
+                            order.folder.resolve("logs").resolve("hollow-" + from + ".log")));
         }
         long until = System.currentTimeMillis() + START_S * 1_000;
         while (hollow.stream().anyMatch(h -> h.told() == 0)) {
             for (HollowProcess h : hollow) {
                 if (!h.lives() || System.currentTimeMillis() > until) {
-                    throw new IOException("hollow managers from " + h.from + " did not start: " + h.lastWords()
-                            + Files.readString(order.folder.resolve("logs").resolve("hollow-" + h.from + ".log"))
-                            .lines().findFirst().orElse(""));
+                    throw new IOException(
+                            "hollow managers from "
+                                    + h.from
+                                    + " did not start: "
+                                    + h.lastWords()
+                                    + Files.readString(
+                                                    order.folder
+                                                            .resolve("logs")
+                                                            .resolve("hollow-" + h.from + ".log"))
+                                            .lines()
+                                            .findFirst()
+                                            .orElse(""));
                 }
             }
             rest();
@@ -210,15 +303,29 @@
     }
 
     private void startReal() throws IOException {
-        FleetPlan like = FleetFile.read(REAL_PLAN.replace("ZONES", String.join(", ", plan.zones()))
-                .replace("MANAGERS", String.valueOf(plan.managers())).replace("ENGINES",
-                        String.valueOf(plan.engines())));
+        FleetPlan like =
+                FleetFile.read(
+                        REAL_PLAN
+                                .replace("ZONES", String.join(", ", plan.zones()))
+                                .replace("MANAGERS", String.valueOf(plan.managers()))
+                                .replace("ENGINES", String.valueOf(plan.engines())));
         int started = 0;
         for (int m = 0; m < plan.managers(); m++) {
             if (plan.isReal(m)) {
-                Wiring.Place of = new Wiring.Place("m" + m, at.manager(started), at.coordinator(), m,
-                        plan.zones().indexOf(plan.zoneOf(m)), e -> at.engine());
-                Wiring.config(Managers.config(order.folder, started), like, of, order.seed * 1_009 + m, sockets());
+                Wiring.Place of =
+                        new Wiring.Place(
+                                "m" + m,
+                                at.manager(started),
+                                at.coordinator(),
+                                m,
+                                plan.zones().indexOf(plan.zoneOf(m)),
+                                e -> at.engine());
+                Wiring.config(
+                        Managers.config(order.folder, started),
+                        like,
+                        of,
+                        order.seed * 1_009 + m,
+                        sockets());
                 Files.write(Managers.peers(order.folder, started), peers(m));
                 real.start(started, true);
                 started++;
@@ -231,17 +338,27 @@
 
     /** Clients hold a third of the descriptors at most; each engine known may hold some. */
     private int sockets() {
-        return Math.max(SOCKETS, plan.loads().stream().mapToInt(l -> 3 * l.connections() + SOCKETS).max().orElse(0));
+        return Math.max(
+                SOCKETS,
+                plan.loads().stream().mapToInt(l -> 3 * l.connections() + SOCKETS).max().orElse(0));
     }
 
     private List<String> peers(int m) {
-        List<String> lines = new ArrayList<>(List.of("fleet = \"" + plan.name() + "\"", "name = \"m" + m + "\"",
-                "zone = \"" + plan.zoneOf(m) + "\"",
-                "listen = \"" + Addresses.text(at.mail(plan, m)) + "\"", "probe = \"" + plan.period() / 10 + " ms\""));
+        List<String> lines =
+                new ArrayList<>(
+                        List.of(
+                                "fleet = \"" + plan.name() + "\"",
+                                "name = \"m" + m + "\"",
+                                "zone = \"" + plan.zoneOf(m) + "\"",
+                                "listen = \"" + Addresses.text(at.mail(plan, m)) + "\"",
+                                "probe = \"" + plan.period() / 10 + " ms\""));
         if (plan.cell() == 0) {
             for (int p = 0; p < plan.managers(); p++) {
                 if (p != m) {
-                    lines.addAll(List.of("[[peer]]", "address = \"" + Addresses.text(at.mail(plan, p)) + "\""));
+                    lines.addAll(
+                            List.of(
+                                    "[[peer]]",
+                                    "address = \"" + Addresses.text(at.mail(plan, p)) + "\""));
                 }
             }
             return lines;
@@ -250,9 +367,18 @@
         for (int c = 0; c < plan.cells(); c++) {
             InetSocketAddress first = at.mail(plan, c * plan.cell());
             String host = first.getAddress().getHostAddress();
-            lines.addAll(List.of("[[cell]]", "name = \"c" + c + "\"",
-                    "zone = \"" + plan.zones().get(c % plan.zones().size()) + "\"",
-                    "hosts = [\"" + host + "-" + plan.cell() + ":" + first.getPort() + "\"]"));
+            lines.addAll(
+                    List.of(
+                            "[[cell]]",
+                            "name = \"c" + c + "\"",
+                            "zone = \"" + plan.zones().get(c % plan.zones().size()) + "\"",
+                            "hosts = [\""
+                                    + host
+                                    + "-"
+                                    + plan.cell()
+                                    + ":"
+                                    + first.getPort()
+                                    + "\"]"));
         }
         return lines;
     }
@@ -278,8 +404,8 @@
     }
 
     private void steady() {
-        Map<HollowProcess, HollowProcess.Line> before = hollow.stream().collect(Collectors.toMap(h -> h,
-                HollowProcess::last));
+        Map<HollowProcess, HollowProcess.Line> before =
+                hollow.stream().collect(Collectors.toMap(h -> h, HollowProcess::last));
         double[] cpu = new double[plan.real()];
         for (int r = 0; r < plan.real(); r++) {
             cpu[r] = cpuMs(r);
@@ -289,7 +415,9 @@
         rest(STEADY_S * 1_000);
         double up = sum("up");
         for (String name : before.values().iterator().next().figures().keySet()) {
-            if (name.startsWith("bytes ") || name.startsWith("datagrams") || name.startsWith("list bytes")
+            if (name.startsWith("bytes ")
+                    || name.startsWith("datagrams")
+                    || name.startsWith("list bytes")
                     || name.equals("cpu ms")) {
                 double rate = 0;
                 for (HollowProcess h : hollow) {
@@ -297,7 +425,9 @@
                     double seconds = (last.figure("at") - before.get(h).figure("at")) / 1e3;
                     rate += (last.figure(name) - before.get(h).figure(name)) / seconds;
                 }
-                figure("steady: " + (name.equals("cpu ms") ? "processor, ms a s" : name + " a s"), rate / up);
+                figure(
+                        "steady: " + (name.equals("cpu ms") ? "processor, ms a s" : name + " a s"),
+                        rate / up);
             }
         }
         double took = (System.currentTimeMillis() - since) / 1e3;
@@ -306,14 +436,22 @@
             cpu[r] = (cpuMs(r) - cpu[r]) / took;
         }
         figure("steady: processor of a real one, ms a s", Arrays.stream(cpu).average().orElse(0));
-        figure("steady: resident MB of a real one", IntStream.range(0, plan.real())
-                .mapToDouble(this::residentMb).average().orElse(0));
+        figure(
+                "steady: resident MB of a real one",
+                IntStream.range(0, plan.real()).mapToDouble(this::residentMb).average().orElse(0));
         figure("steady: engines held", sum("engines held") / up);
-        figure("steady: fewest cells heard", hollow.stream().mapToDouble(h -> h.last().figure("fewest cells heard"))
-                .min().orElse(0));
-    }
-
-    /** The first real manager under its clients, load by load; then what a statement and a connection cost it. */
+        figure(
+                "steady: fewest cells heard",
+                hollow.stream()
+                        .mapToDouble(h -> h.last().figure("fewest cells heard"))
+                        .min()
+                        .orElse(0));
+    }
+
+    /**
+     * The first real manager under its clients, load by load; then what a statement and a
+     * connection cost it.
+     */
     private void loads() throws IOException {
         if (plan.loads().isEmpty()) {
             return;
@@ -342,8 +480,14 @@
 
     /** What it came to: statements a second, connections, processor in ms a second, resident MB. */
     private double[] load(String name, LoadClients clients, ScalePlan.Load l) {
-        long[] before = {clients.returned(), clients.pushedBack(), clients.failed(), clients.opened(),
-                engines.taken(), engines.probes()};
+        long[] before = {
+            clients.returned(),
+            clients.pushedBack(),
+            clients.failed(),
+            clients.opened(),
+            engines.taken(),
+            engines.probes()
+        };
         double cpu = cpuMs(0);
         long since = System.nanoTime();
         clients.latency().reset();
@@ -369,11 +513,15 @@
         return new double[] {returned + pushedBack + failed, l.connections(), cpu, residentMb(0)};
     }
 
-    /** Least squares over the loads, with standard errors; memory by connections alone, as it does not shrink. */
+    /**
+     * Least squares over the loads, with standard errors; memory by connections alone, as it does
+     * not shrink.
+     */
     private void slopes(List<double[]> measured) {
         OLSMultipleLinearRegression fit = new OLSMultipleLinearRegression();
-        fit.newSampleData(measured.stream().mapToDouble(m -> m[2]).toArray(), measured.stream().map(m -> new double[] {
-                m[0], m[1]}).toArray(double[][]::new));
+        fit.newSampleData(
+                measured.stream().mapToDouble(m -> m[2]).toArray(),
+                measured.stream().map(m -> new double[] {m[0], m[1]}).toArray(double[][]::new));
         double[] slope = fit.estimateRegressionParameters();
         double[] error = fit.estimateRegressionParametersStandardErrors();
         figure("slope: us of processor a statement", slope[1] * 1e3);
@@ -392,9 +540,13 @@
 
     private double residentMb(int r) {
         try {
-            return Files.readAllLines(Path.of("/proc", String.valueOf(real.handle(r).pid()), "status")).stream()
-                    .filter(l -> l.startsWith("VmRSS")).mapToDouble(l -> Double.parseDouble(
-                            l.replaceAll("[^0-9]", "")) / 1_024).findFirst().orElse(0);
+            return Files.readAllLines(
+                            Path.of("/proc", String.valueOf(real.handle(r).pid()), "status"))
+                    .stream()
+                    .filter(l -> l.startsWith("VmRSS"))
+                    .mapToDouble(l -> Double.parseDouble(l.replaceAll("[^0-9]", "")) / 1_024)
+                    .findFirst()
+                    .orElse(0);
         } catch (IOException gone) {
             return 0;
         }
@@ -402,8 +554,10 @@
 
     private void events() {
         long begin = System.currentTimeMillis();
-        List<ScalePlan.Event> events = plan.events().stream().sorted(Comparator.comparingLong(
-                ScalePlan.Event::at)).toList();
+        List<ScalePlan.Event> events =
+                plan.events().stream()
+                        .sorted(Comparator.comparingLong(ScalePlan.Event::at))
+                        .toList();
         int number = 0;
         for (ScalePlan.Event e : events) {
             rest(begin + e.at() / 10 - System.currentTimeMillis());
@@ -436,7 +590,13 @@
                 all("start " + m + " " + AWAY_MS);
                 all("gone a_leave " + plan.cellOf(m) + " m" + m + " " + now);
                 rest(AWAY_MS);
-                all("back a_return " + plan.cellOf(m) + " m" + m + " " + System.currentTimeMillis());
+                all(
+                        "back a_return "
+                                + plan.cellOf(m)
+                                + " m"
+                                + m
+                                + " "
+                                + System.currentTimeMillis());
             }
             case LIST -> watches.tell(100_000 + number, number % plan.zones().size());
             case ZONE -> {
@@ -456,7 +616,10 @@
                 for (int m = 0; m < plan.managers(); m++) {
                     if (!plan.isReal(m) && chance.nextDouble() < RESTARTED) {
                         killed.append(killed.length() == 0 ? "" : ",").append(m);
-                        starts.append("start ").append(m).append(' ').append(chance.nextInt(BACK_MS) + 500)
+                        starts.append("start ")
+                                .append(m)
+                                .append(' ')
+                                .append(chance.nextInt(BACK_MS) + 500)
                                 .append('\n');
                     }
                 }
@@ -494,29 +657,48 @@
     }
 
     private double late(int from, int to) {
-        return hollow.stream().flatMap(h -> h.lines().stream().skip(from).limit(Math.max(1, to - from))).mapToDouble(
-                l -> l.figure("late 99th tenths") / 10).max().orElse(0);
+        return hollow.stream()
+                .flatMap(h -> h.lines().stream().skip(from).limit(Math.max(1, to - from)))
+                .mapToDouble(l -> l.figure("late 99th tenths") / 10)
+                .max()
+                .orElse(0);
+    }
+
+    private static void collect(
+            Map<String, DescriptiveStatistics> reached, String label, List<Double> all) {
+        DescriptiveStatistics of =
+                reached.computeIfAbsent(label.replace('_', ' '), k -> new DescriptiveStatistics());
+        all.forEach(of::addValue);
     }
 
     private void conclude(int mark) throws IOException {
         figure("events: worst second, bytes a manager", worstSecond("bytes out", mark));
         Map<String, DescriptiveStatistics> reached = new LinkedHashMap<>();
-        hollow.forEach(h -> h.lines().forEach(l -> l.reached().forEach((label, all) -> all.forEach(ms ->
-                reached.computeIfAbsent(label.replace('_', ' '), k -> new DescriptiveStatistics()).addValue(ms)))));
-        reached.forEach((label, ms) -> {
-            figure(label + ": by managers", ms.getN());
-            figure(label + ": median, s", ms.getPercentile(50) / 1e3);
-            figure(label + ": 99th, s", ms.getPercentile(PERCENT) / 1e3);
-            figure(label + ": last, s", ms.getMax() / 1e3);
-        });
+        for (HollowProcess h : hollow) {
+            h.lines()
+                    .forEach(
+                            l -> l.reached().forEach((label, all) -> collect(reached, label, all)));
+        }
+        reached.forEach(
+                (label, ms) -> {
+                    figure(label + ": by managers", ms.getN());
+                    figure(label + ": median, s", ms.getPercentile(50) / 1e3);
+                    figure(label + ": 99th, s", ms.getPercentile(PERCENT) / 1e3);
+                    figure(label + ": last, s", ms.getMax() / 1e3);
+                });
         figure("end: slices in force", sum("in force") / Math.max(1, sum("up")));
         figure("end: whole views, part of managers", sum("whole views") / Math.max(1, sum("up")));
         all("heap");
         rest(2_000);
-        figure("heap of a manager, KB", hollow.stream().mapToDouble(h -> h.last().figure("heap bytes")).sum() / 1_024
-                / plan.hollow());
-        figure("heap of a process, MB", hollow.stream().mapToDouble(h -> h.last().figure("heap bytes")).average()
-                .orElse(0) / 1048576);
+        figure(
+                "heap of a manager, KB",
+                hollow.stream().mapToDouble(h -> h.last().figure("heap bytes")).sum()
+                        / 1_024
+                        / plan.hollow());
+        figure(
+                "heap of a process, MB",
+                hollow.stream().mapToDouble(h -> h.last().figure("heap bytes")).average().orElse(0)
+                        / 1048576);
         double bytes = 0;
         for (int r = 0; r < plan.real(); r++) {
             real.signal(r, "TERM");
@@ -533,10 +715,12 @@
     /** The table of seconds and a chart of it. */
     private void seconds() throws IOException {
         Map<String, ToDoubleFunction<HollowProcess.Line>> columns = new LinkedHashMap<>();
-        for (String name : List.of("up", "bytes out", "datagrams out", "cpu ms", "whole views", "in force")) {
+        for (String name :
+                List.of("up", "bytes out", "datagrams out", "cpu ms", "whole views", "in force")) {
             columns.put(name, l -> l.figure(name));
         }
-        List<String> rows = new ArrayList<>(List.of("second," + String.join(",", columns.keySet())));
+        List<String> rows =
+                new ArrayList<>(List.of("second," + String.join(",", columns.keySet())));
         for (int s = 0; s < fewestLines(); s++) {
             StringBuilder row = new StringBuilder(String.valueOf(s));
             for (ToDoubleFunction<HollowProcess.Line> of : columns.values()) {
@@ -549,7 +733,10 @@
             rows.add(row.toString());
         }
         Files.write(order.folder.resolve("seconds.csv"), rows);
-        Chart.draw(order.folder.resolve("bytes.png"), plan.name() + ", " + plan.managers() + " managers", rows);
+        Chart.draw(
+                order.folder.resolve("bytes.png"),
+                plan.name() + ", " + plan.managers() + " managers",
+                rows);
     }
 
     @Override
@@ -562,8 +749,12 @@
         Runtime.getRuntime().removeShutdownHook(hook);
     }
 
-    /** What real managers are told beside their place: a deployment of one group, as small as the reader takes it. */
-    private static final String REAL_PLAN = """
+    /**
+     * What real managers are told beside their place: a deployment of one group, as small as the
+     * reader takes it.
+     */
+    private static final String REAL_PLAN =
+            """
             name = "scale"
             length = "10 s"
             zones = "ZONES"
--- a/src/main/java/firstage/scale/Slopes.java
+++ b/src/main/java/firstage/scale/Slopes.java
@@ -18,28 +18,34 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * What control costs a manager by the size of the fleet, played in virtual time: one row of figures a size, and the
- * slope of each against the managers with its error. All of it simulated. Times are tenths of a millisecond.
+ * What control costs a manager by the size of the fleet, played in virtual time: one row of figures
+ * a size, and the slope of each against the managers with its error. All of it simulated. Times are
+ * tenths of a millisecond.
  */
 public final class Slopes {
     /** Unit: tenths of a millisecond. */
     private static final long SECOND = 10_000;
+
     /** All are started within this, as a fleet that comes back from a power cut. */
     private static final long START = SECOND;
+
     /** A mass restart kills so many at once; they are back within {@link #BACK} of each other. */
     private static final double RESTARTED = 0.7;
+
     private static final long BACK = 3 * SECOND;
+
     /** 1,800 restarts a day are one in 48 s; a manager is away for so long. */
     private static final long ONE_IN = 48 * SECOND;
+
     private static final long AWAY = 2 * SECOND;
     private static final int KILLS = 3;
 
-    private Slopes() {
-    }
+    private Slopes() {}
 
     /**
-     * Heap that a manager's state takes, in KB, 30 s after all started: the difference of the whole heap with and
-     * without the fleet in it, so nothing else may run in the process. The engines it holds apart are in none of it.
+     * Heap that a manager's state takes, in KB, 30 s after all started: the difference of the whole
+     * heap with and without the fleet in it, so nothing else may run in the process. The engines it
+     * holds apart are in none of it.
      */
     public static double heap(Shape shape, long seed) {
         double before = used();
@@ -97,7 +103,9 @@
         for (int second = 1; second <= 20; second++) {
             for (int step = 0; step < 10; step++) {
                 f.pass(SECOND / 10);
-                if (agreed < 0 && f.calendar().now() - since >= START && f.agreed() == shape.cells()) {
+                if (agreed < 0
+                        && f.calendar().now() - since >= START
+                        && f.agreed() == shape.cells()) {
                     agreed = f.calendar().now() - since;
                 }
             }
@@ -129,7 +137,9 @@
         DescriptiveStatistics ages = new DescriptiveStatistics();
         for (Place p : f.places()) {
             if (p.up() && p.cells() != null) {
-                p.cells().known(f.calendar().now()).forEach(k -> ages.addValue(k.age() < 0 ? 99 : k.age() / 1e4));
+                p.cells()
+                        .known(f.calendar().now())
+                        .forEach(k -> ages.addValue(k.age() < 0 ? 99 : k.age() / 1e4));
             }
         }
         if (ages.getN() > 0) {
@@ -171,7 +181,9 @@
             least = Math.min(least, f.inForce());
         }
         long after = f.bytes().values().stream().mapToLong(b -> b).sum();
-        row.put("restarts at " + times + " times the pace: bytes a s", (after - before) / 60.0 / shape.managers());
+        row.put(
+                "restarts at " + times + " times the pace: bytes a s",
+                (after - before) / 60.0 / shape.managers());
         row.put("restarts at " + times + " times the pace: least slices in force", least);
         f.pass(5 * SECOND);
     }
@@ -179,7 +191,8 @@
     private static void massRestart(CellsField f, Shape shape, Map<String, Double> row) {
         List<Place> all = new ArrayList<>(f.places());
         Collections.shuffle(all, new Random(f.chance().nextLong()));
-        List<Place> killed = all.subList(0, (int) (all.size() * RESTARTED)).stream().filter(Place::up).toList();
+        List<Place> killed =
+                all.subList(0, (int) (all.size() * RESTARTED)).stream().filter(Place::up).toList();
         killed.forEach(Place::kill);
         for (Place p : killed) {
             f.calendar().in(SECOND / 2 + f.chance().nextLong(BACK), p::start);
@@ -197,8 +210,14 @@
                 sum = now;
             }
             boolean back = f.calendar().now() - since > BACK + SECOND / 2;
-            agreed = agreed < 0 && back && f.agreed() == shape.cells() ? f.calendar().now() - since : agreed;
-            inForce = inForce < 0 && back && f.inForce() > 0.999 ? f.calendar().now() - since : inForce;
+            agreed =
+                    agreed < 0 && back && f.agreed() == shape.cells()
+                            ? f.calendar().now() - since
+                            : agreed;
+            inForce =
+                    inForce < 0 && back && f.inForce() > 0.999
+                            ? f.calendar().now() - since
+                            : inForce;
         }
         row.put("seven in ten restarted: worst second, bytes", worst);
         row.put("seven in ten restarted: one view after, s", agreed / 1e4);
@@ -228,8 +247,7 @@
         long heard = -1;
         for (int s = 1; s <= 60; s++) {
             worst = Math.max(worst, rate(f, 1) / shape.managers());
-            boolean all = f.places().stream().allMatch(p -> p.cells() == null || p.cells().known(f.calendar().now())
-                    .stream().allMatch(k -> k.standing() == Cells.Standing.HEARD));
+            boolean all = f.places().stream().allMatch(p -> hearsAll(p, f.calendar().now()));
             heard = heard < 0 && all ? s : heard;
         }
         row.put("worst second after, bytes", worst);
@@ -238,6 +256,12 @@
         return row;
     }
 
+    private static boolean hearsAll(CellsField.Place p, long now) {
+        return p.cells() == null
+                || p.cells().known(now).stream()
+                        .allMatch(k -> k.standing() == Cells.Standing.HEARD);
+    }
+
     private static double rate(CellsField f, int seconds) {
         long before = f.bytes().values().stream().mapToLong(b -> b).sum();
         f.pass(seconds * SECOND);
@@ -247,8 +271,9 @@
     /** The slope of a figure against the managers, a thousand of them, and its standard error. */
     public static double[] slope(List<Map<String, Double>> rows, String figure) {
         SimpleRegression fit = new SimpleRegression();
-        rows.stream().filter(r -> r.containsKey(figure)).forEach(r -> fit.addData(r.get("managers") / 1e3,
-                r.get(figure)));
+        rows.stream()
+                .filter(r -> r.containsKey(figure))
+                .forEach(r -> fit.addData(r.get("managers") / 1e3, r.get(figure)));
         return new double[] {fit.getSlope(), fit.getSlopeStdErr()};
     }
 }
--- a/src/main/java/firstage/scale/Watches.java
+++ b/src/main/java/firstage/scale/Watches.java
@@ -17,8 +17,8 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * The coordinator for a whole fleet: thousands of watches on one thread. Numbered events from 2 on (the first is in
- * each manager's configuration), an empty frame each second.
+ * The coordinator for a whole fleet: thousands of watches on one thread. Numbered events from 2 on
+ * (the first is in each manager's configuration), an empty frame each second.
  */
 final class Watches implements AutoCloseable {
     private static final int RECORD = 27;
@@ -60,12 +60,22 @@
         return bytes;
     }
 
-    /** Tells that an engine changed; its start is the moment of the telling, so that who hears it knows how late. */
+    /**
+     * Tells that an engine changed; its start is the moment of the telling, so that who hears it
+     * knows how late.
+     */
     void tell(int id, int zone) {
         ByteBuffer frame = ByteBuffer.allocate(4 + HEAD + RECORD);
         frame.putInt(HEAD + RECORD).putLong(0).put((byte) 2);
-        frame.putInt(id).putInt(0x7F3E0001).putShort((short) 1).put((byte) 0).put((byte) zone).put((byte) 0)
-                .putShort((short) 0).putInt(1_000).putLong(System.currentTimeMillis());
+        frame.putInt(id)
+                .putInt(0x7F3E0001)
+                .putShort((short) 1)
+                .put((byte) 0)
+                .put((byte) zone)
+                .put((byte) 0)
+                .putShort((short) 0)
+                .putInt(1_000)
+                .putLong(System.currentTimeMillis());
         told.add(frame.array());
         selector.wakeup();
     }
@@ -112,7 +122,9 @@
         } else if (key.isValid() && key.isReadable()) {
             Watch w = (Watch) key.attachment();
             try {
-                int n = ((SocketChannel) key.channel()).read(w.next < 0 ? w.hello : ByteBuffer.allocate(64));
+                int n =
+                        ((SocketChannel) key.channel())
+                                .read(w.next < 0 ? w.hello : ByteBuffer.allocate(64));
                 if (n < 0) {
                     end(key);
                 } else if (w.next < 0 && !w.hello.hasRemaining()) {
--- a/src/main/java/firstage/setup/Fields.java
+++ b/src/main/java/firstage/setup/Fields.java
@@ -24,7 +24,10 @@
         }
     }
 
-    /** Takes nested values, as JSON holds them, under their paths with dots; lists of scalars with commas. */
+    /**
+     * Takes nested values, as JSON holds them, under their paths with dots; lists of scalars with
+     * commas.
+     */
     public Fields(Map<?, ?> nested) {
         put("", nested);
     }
@@ -44,7 +47,11 @@
                 put(dot + i, list.get(i));
             }
         } else if (value instanceof List<?> list) {
-            parts.put(path, list.stream().map(part -> plain(String.valueOf(part))).collect(Collectors.joining(",")));
+            parts.put(
+                    path,
+                    list.stream()
+                            .map(part -> plain(String.valueOf(part)))
+                            .collect(Collectors.joining(",")));
         } else if (value != null) {
             parts.put(path, value.toString());
         }
--- a/src/main/java/firstage/setup/package-info.java
+++ b/src/main/java/firstage/setup/package-info.java
@@ -1,2 +1,5 @@
-/** What every adapter needs at the door: settings turned into a Deployment, ids mapped to small indices. */
+/**
+ * What every adapter needs at the door: settings turned into a Deployment, ids mapped to small
+ * indices.
+ */
 package firstage.setup;
--- a/src/main/java/firstage/standin/Crowd.java
+++ b/src/main/java/firstage/standin/Crowd.java
@@ -35,21 +35,27 @@
 import java.util.regex.Pattern;
 
 /**
- * Clients that keep to their schedule, whatever is answered, and a front that spreads them over the managers and goes
- * on
- * sending to a dead one until it notices. They retry as the plan says; batches of one key are written well apart.
+ * Clients that keep to their schedule, whatever is answered, and a front that spreads them over the
+ * managers and goes on sending to a dead one until it notices. They retry as the plan says; batches
+ * of one key are written well apart.
  */
 public final class Crowd implements AutoCloseable {
     private static final Pattern POLL = Pattern.compile("\"poll\":\"([^\"]+)\"");
+
     /**
-     * Between batches of one key at one manager: it may be a new connection each time, which the protocol wants
-     * apart.
+     * Between batches of one key at one manager: it may be a new connection each time, which the
+     * protocol wants apart.
      */
     private static final long KEY_GAP = 3_000;
-    /** After its time is up a client waits so much longer: an answer in it is late, none is lost. */
+
+    /**
+     * After its time is up a client waits so much longer: an answer in it is late, none is lost.
+     */
     private static final long LAST_WAIT = 5_000;
+
     /** The front hears of a death, or of a new life, after about this. */
     private static final long NOTICE = 15_000;
+
     private static final int POLL_TRIES = 3;
     private static final int CONNECT_MS = 1_000;
 
@@ -78,13 +84,21 @@
     private final Set<Integer> known = new HashSet<>();
     private final long[] lifeChanged;
     private final boolean[] down;
-    /** Until when each stands still; a process that is stopped runs no batch's time down by its own fault. */
+
+    /**
+     * Until when each stands still; a process that is stopped runs no batch's time down by its own
+     * fault.
+     */
     private final long[] stoppedUntil;
-    private final ExecutorService threads = Executors.newFixedThreadPool(3, r -> {
-        Thread thread = new Thread(r, "clients");
-        thread.setDaemon(true);
-        return thread;
-    });
+
+    private final ExecutorService threads =
+            Executors.newFixedThreadPool(
+                    3,
+                    r -> {
+                        Thread thread = new Thread(r, "clients");
+                        thread.setDaemon(true);
+                        return thread;
+                    });
     private final HttpClient http;
     private double boost = 1;
     private long begin;
@@ -92,8 +106,14 @@
     private long ids;
     private final long origin;
 
-    public Crowd(Stage stage, FleetPlan plan, Streams streams, RuleWatch rules, Scoreboard score,
-                 List<InetSocketAddress> managers, Witness witness) {
+    public Crowd(
+            Stage stage,
+            FleetPlan plan,
+            Streams streams,
+            RuleWatch rules,
+            Scoreboard score,
+            List<InetSocketAddress> managers,
+            Witness witness) {
         System.setProperty("jdk.httpclient.keepalive.timeout", "3");
         this.stage = stage;
         this.plan = plan;
@@ -104,8 +124,12 @@
         traffic = new TrafficSource(plan, streams);
         chance = streams.of("clients", 0);
         origin = streams.seed("tickets", 0) & 0xFFFFFFFFL;
-        http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).executor(threads)
-                .connectTimeout(Duration.ofMillis(CONNECT_MS)).build();
+        http =
+                HttpClient.newBuilder()
+                        .version(HttpClient.Version.HTTP_1_1)
+                        .executor(threads)
+                        .connectTimeout(Duration.ofMillis(CONNECT_MS))
+                        .build();
         clients = new Clients(plan, chance);
         lifeChanged = new long[managers.size()];
         down = new boolean[managers.size()];
@@ -134,21 +158,25 @@
 
     private void next() {
         long now = stage.calendar().now();
-        stage.calendar().in(traffic.next(now, begin, boost) - now, () -> {
-            if (stage.calendar().now() < until) {
-                Work is = traffic.draw(stage.calendar().now(), List.of());
-                score.asked(is);
-                int m = manager(is);
-                witness.asked(is, m);
-                goes(is, m);
-                next();
-            }
-        });
+        stage.calendar()
+                .in(
+                        traffic.next(now, begin, boost) - now,
+                        () -> {
+                            if (stage.calendar().now() < until) {
+                                Work is = traffic.draw(stage.calendar().now(), List.of());
+                                score.asked(is);
+                                int m = manager(is);
+                                witness.asked(is, m);
+                                goes(is, m);
+                                next();
+                            }
+                        });
     }
 
     /** Whether nothing is asked for any more. */
     public boolean idle() {
-        return stage.now() > until && open.stream().flatMap(Set::stream).allMatch(t -> t.answers() > 0 || t.nobodys());
+        return stage.now() > until
+                && open.stream().flatMap(Set::stream).allMatch(t -> t.answers() > 0 || t.nobodys());
     }
 
     /** A manager's process is ended: what it holds is nobody's. */
@@ -164,13 +192,16 @@
     public void changed(int manager, boolean up) {
         down[manager] &= !up;
         long mine = ++lifeChanged[manager];
-        stage.calendar().in(up ? 0 : NOTICE / 2 + chance.nextLong(NOTICE), () -> {
-            if (lifeChanged[manager] == mine && up) {
-                known.add(manager);
-            } else if (lifeChanged[manager] == mine) {
-                known.remove(manager);
-            }
-        });
+        stage.calendar()
+                .in(
+                        up ? 0 : NOTICE / 2 + chance.nextLong(NOTICE),
+                        () -> {
+                            if (lifeChanged[manager] == mine && up) {
+                                known.add(manager);
+                            } else if (lifeChanged[manager] == mine) {
+                                known.remove(manager);
+                            }
+                        });
     }
 
     /** A manager's process stands still until then. */
@@ -221,7 +252,10 @@
             return;
         }
         is.tries++;
-        long patience = Math.min(left, Math.max(1, Math.round((is.limit - is.asked) * plan.clients().tryShare())));
+        long patience =
+                Math.min(
+                        left,
+                        Math.max(1, Math.round((is.limit - is.asked) * plan.clients().tryShare())));
         Try t = new Try(is, m, now + patience);
         String id = String.format(Locale.ROOT, "%08x%08x", origin, ++ids);
         tickets.put(id, t);
@@ -229,25 +263,34 @@
         rules.took(t);
         witness.tried(t);
         FleetPlan.Group group = plan.groups().get(is.group);
-        HttpRequest.Builder call = HttpRequest.newBuilder(uri(m, "/ops/" + group.name()))
-                .timeout(Duration.ofMillis((patience + LAST_WAIT) / 10))
-                .header("X-Job-Id", id).header("X-Allow-Ms", String.valueOf(Math.max(1, patience / 10)))
-                .header("X-Team", plan.customers().get(is.customer).name())
-                .header("X-Size-Ms", String.format(Locale.ROOT, "%.1f", is.estimate / 10.0))
-                .header("X-Memory", String.valueOf(is.memoryTold));
+        HttpRequest.Builder call =
+                HttpRequest.newBuilder(uri(m, "/ops/" + group.name()))
+                        .timeout(Duration.ofMillis((patience + LAST_WAIT) / 10))
+                        .header("X-Job-Id", id)
+                        .header("X-Allow-Ms", String.valueOf(Math.max(1, patience / 10)))
+                        .header("X-Team", plan.customers().get(is.customer).name())
+                        .header("X-Size-Ms", String.format(Locale.ROOT, "%.1f", is.estimate / 10.0))
+                        .header("X-Memory", String.valueOf(is.memoryTold));
         if (is.key >= 0) {
             call.header("X-Item", String.format(Locale.ROOT, "%016x", is.key + 1));
         }
-        call.POST(HttpRequest.BodyPublishers.ofString((group.load() ? "INSERT INTO sales_" : "SELECT a FROM sales_")
-                + is.tables + ".orders"));
+        call.POST(
+                HttpRequest.BodyPublishers.ofString(
+                        (group.load() ? "INSERT INTO sales_" : "SELECT a FROM sales_")
+                                + is.tables
+                                + ".orders"));
         ask(t, id, call.build(), POLL_TRIES, true);
-        // One that stands still can't know how long the batch lay there: it counts its time from when it reads it.
+        // One that stands still can't know how long the batch lay there: it counts its time from
+        // when it reads it.
         t.excuse(Math.max(0, stoppedUntil[m] - now));
         stage.calendar().in(patience + LAST_WAIT / 2, () -> judge(t));
-        stage.calendar().in(patience + 2 * LAST_WAIT, () -> {
-            open.get(m).remove(t);
-            tickets.remove(id);
-        });
+        stage.calendar()
+                .in(
+                        patience + 2 * LAST_WAIT,
+                        () -> {
+                            open.get(m).remove(t);
+                            tickets.remove(id);
+                        });
     }
 
     private URI uri(int m, String path) {
@@ -256,45 +299,90 @@
     }
 
     private void ask(Try t, String id, HttpRequest call, int tries, boolean first) {
-        http.sendAsync(call, HttpResponse.BodyHandlers.ofString()).whenComplete((answer, fault) -> stage.news(() -> {
-            if (fault != null) {
-                failed(t, id, call, tries, first, fault instanceof CompletionException ? fault.getCause() : fault);
-                return;
-            }
-            Matcher poll = POLL.matcher(answer.body());
-            if (answer.statusCode() == 200 && poll.find()) {
-                long left = Math.max(10, t.notAfter + LAST_WAIT - stage.now()) / 10;
-                ask(t, id, HttpRequest.newBuilder(uri(t.manager, poll.group(1))).timeout(Duration.ofMillis(left))
-                        .build(), POLL_TRIES, false);
-            } else {
-                answered(t, answer);
-            }
-        }));
+        http.sendAsync(call, HttpResponse.BodyHandlers.ofString())
+                .whenComplete(
+                        (answer, fault) ->
+                                stage.news(
+                                        () -> {
+                                            if (fault != null) {
+                                                failed(
+                                                        t,
+                                                        id,
+                                                        call,
+                                                        tries,
+                                                        first,
+                                                        fault instanceof CompletionException
+                                                                ? fault.getCause()
+                                                                : fault);
+                                                return;
+                                            }
+                                            Matcher poll = POLL.matcher(answer.body());
+                                            if (answer.statusCode() == 200 && poll.find()) {
+                                                long left =
+                                                        Math.max(
+                                                                        10,
+                                                                        t.notAfter
+                                                                                + LAST_WAIT
+                                                                                - stage.now())
+                                                                / 10;
+                                                ask(
+                                                        t,
+                                                        id,
+                                                        HttpRequest.newBuilder(
+                                                                        uri(
+                                                                                t.manager,
+                                                                                poll.group(1)))
+                                                                .timeout(Duration.ofMillis(left))
+                                                                .build(),
+                                                        POLL_TRIES,
+                                                        false);
+                                            } else {
+                                                answered(t, answer);
+                                            }
+                                        }));
     }
 
-    private void failed(Try t, String id, HttpRequest call, int tries, boolean first, Throwable fault) {
-        boolean unreached = fault instanceof ConnectException || fault instanceof HttpConnectTimeoutException;
+    private void failed(
+            Try t, String id, HttpRequest call, int tries, boolean first, Throwable fault) {
+        boolean unreached =
+                fault instanceof ConnectException || fault instanceof HttpConnectTimeoutException;
         // What was written to a process that is on its way out was taken by nobody.
         if (first && (unreached || down[t.manager])) {
             rules.untaken(t);
             witness.ended(t, "refused");
             score.errored();
-            // By the protocol page others than repeatable ones come again only after a pushback, or where their manager
-            // could not be reached. Under a connection that broke it may have run: asked again, it would run twice.
-            again(t.is, 0, unreached || plan.groups().get(t.is.group).effect() == Effect.REPEATABLE);
-        } else if (!first && tries > 1 && stage.now() < t.notAfter && fault instanceof IOException) {
+            // By the protocol page others than repeatable ones come again only after a pushback, or
+            // where their manager
+            // could not be reached. Under a connection that broke it may have run: asked again, it
+            // would run twice.
+            again(
+                    t.is,
+                    0,
+                    unreached || plan.groups().get(t.is.group).effect() == Effect.REPEATABLE);
+        } else if (!first
+                && tries > 1
+                && stage.now() < t.notAfter
+                && fault instanceof IOException) {
             ask(t, id, call, tries - 1, false);
         } else {
             // Rule 1 is judged when its time is up; what a manager that died held is nobody's.
             witness.ended(t, "lost");
             score.errored();
             if (!t.nobodys() && !t.excused() && !(fault instanceof HttpTimeoutException)) {
-                stage.calendar().in(2_000, () -> {
-                    if (!t.nobodys()) {
-                        rules.broken("rule 1: batch " + t.is.id + " at manager " + t.manager
-                                + " got no answer that can be read: " + fault);
-                    }
-                });
+                stage.calendar()
+                        .in(
+                                2_000,
+                                () -> {
+                                    if (!t.nobodys()) {
+                                        rules.broken(
+                                                "rule 1: batch "
+                                                        + t.is.id
+                                                        + " at manager "
+                                                        + t.manager
+                                                        + " got no answer that can be read: "
+                                                        + fault);
+                                    }
+                                });
             }
             again(t.is, 0, plan.groups().get(t.is.group).effect() == Effect.REPEATABLE);
         }
@@ -302,8 +390,10 @@
 
     private void answered(Try t, HttpResponse<String> answer) {
         long now = stage.now();
-        boolean busy = answer.statusCode() == 429 || answer.statusCode() == 503
-                || answer.body().contains("\"err\":\"Busy\"");
+        boolean busy =
+                answer.statusCode() == 429
+                        || answer.statusCode() == 503
+                        || answer.body().contains("\"err\":\"Busy\"");
         boolean good = answer.statusCode() == 200 && !answer.body().contains("\"err\"");
         rules.answered(now, t, busy);
         if (good) {
--- a/src/main/java/firstage/standin/EngineServer.java
+++ b/src/main/java/firstage/standin/EngineServer.java
@@ -28,9 +28,9 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * An engine behind a socket: the fleet model's engine on the wall clock, spoken to by the platform's protocol. A
- * statement
- * runs until it ends, is deleted, or was not asked for in 2 s; a call for news is held for 250 ms.
+ * An engine behind a socket: the fleet model's engine on the wall clock, spoken to by the
+ * platform's protocol. A statement runs until it ends, is deleted, or was not asked for in 2 s; a
+ * call for news is held for 250 ms.
  */
 public final class EngineServer implements AutoCloseable {
     private static final long HOLDS = 2_500;
@@ -51,7 +51,9 @@
 
         void probed(int engine);
 
-        /** Whether the way from this manager to this engine may have kept something back of late. */
+        /**
+         * Whether the way from this manager to this engine may have kept something back of late.
+         */
         boolean heldBack(int manager, int engine);
     }
 
@@ -98,32 +100,46 @@
                 answer(held, 202);
             }
             held = x;
-            x.dispatch(SameThreadExecutor.INSTANCE, () -> { });
+            x.dispatch(SameThreadExecutor.INSTANCE, () -> {});
             if (end != null || note != null) {
                 give();
                 return;
             }
-            stage.calendar().in(HOLDS, () -> {
-                if (mine == calls && held != null) {
-                    asked = stage.now();
-                    HttpServerExchange empty = held;
-                    held = null;
-                    answer(empty, 202);
-                }
-            });
+            stage.calendar()
+                    .in(
+                            HOLDS,
+                            () -> {
+                                if (mine == calls && held != null) {
+                                    asked = stage.now();
+                                    HttpServerExchange empty = held;
+                                    held = null;
+                                    answer(empty, 202);
+                                }
+                            });
         }
 
         private void give() {
-            if (held == null || model.standing() == Standing.HANGING || model.standing() == Standing.SILENT) {
+            if (held == null
+                    || model.standing() == Standing.HANGING
+                    || model.standing() == Standing.SILENT) {
                 return;
             }
             HttpServerExchange x = held;
             held = null;
             asked = stage.now();
             if (end == null) {
-                x.getResponseHeaders().put(REMARK, note == Note.Kind.DONE ? "pct" : note == Note.Kind.SPILLS
-                        ? "overflow" : "queued").put(FIGURE, String.valueOf(note == Note.Kind.DONE
-                        || note == Note.Kind.SPILLS ? amount : note == Note.Kind.WAITS_FOR_MEMORY ? 1 : 2));
+                x.getResponseHeaders()
+                        .put(
+                                REMARK,
+                                note == Note.Kind.DONE
+                                        ? "pct"
+                                        : note == Note.Kind.SPILLS ? "overflow" : "queued")
+                        .put(
+                                FIGURE,
+                                String.valueOf(
+                                        note == Note.Kind.DONE || note == Note.Kind.SPILLS
+                                                ? amount
+                                                : note == Note.Kind.WAITS_FOR_MEMORY ? 1 : 2));
                 note = null;
                 answer(x, 202);
                 return;
@@ -152,16 +168,19 @@
         }
 
         private void forgetLater() {
-            stage.calendar().in(Math.max(1, asked + FORGETS - stage.now()), () -> {
-                if (statements.get(id) != this) {
-                    return;
-                }
-                if (stage.now() - asked >= FORGETS && held == null) {
-                    gone(Outcome.TIMED_OUT);
-                } else {
-                    forgetLater();
-                }
-            });
+            stage.calendar()
+                    .in(
+                            Math.max(1, asked + FORGETS - stage.now()),
+                            () -> {
+                                if (statements.get(id) != this) {
+                                    return;
+                                }
+                                if (stage.now() - asked >= FORGETS && held == null) {
+                                    gone(Outcome.TIMED_OUT);
+                                } else {
+                                    forgetLater();
+                                }
+                            });
         }
 
         private void gone(Outcome how) {
@@ -188,8 +207,16 @@
     private final Map<String, Statement> statements = new HashMap<>();
 
     /** {@code tickets}: the try that an id belongs to; null where no client sent it. */
-    public EngineServer(Stage stage, FleetPlan plan, int number, InetSocketAddress at, Streams streams, RuleWatch rules,
-                        Function<String, Try> tickets, Witness witness) throws IOException {
+    public EngineServer(
+            Stage stage,
+            FleetPlan plan,
+            int number,
+            InetSocketAddress at,
+            Streams streams,
+            RuleWatch rules,
+            Function<String, Try> tickets,
+            Witness witness)
+            throws IOException {
         this.stage = stage;
         this.plan = plan;
         this.rules = rules;
@@ -197,24 +224,39 @@
         this.witness = witness;
         this.number = number;
         model = new EngineModel(number, plan, stage.calendar(), streams, rules);
-        HttpOpenListener http = new HttpOpenListener(new DefaultByteBufferPool(true, 8 * 1024, 256, 0),
-                OptionMap.builder().set(UndertowOptions.ALWAYS_SET_DATE, false)
-                        .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false).getMap());
-        http.setRootHandler(x -> {
-            stage.calendar().play(stage.now());
-            call(x);
-        });
-        server = stage.worker().createStreamConnectionServer(at, (ChannelListener<AcceptingChannel<StreamConnection>>)
-                from -> {
-                    try {
-                        for (StreamConnection c = from.accept(); c != null; c = from.accept()) {
-                            http.handleEvent(c);
-                        }
-                    } catch (IOException gone) {
-                        // The next one may come in.
-                    }
-                }, OptionMap.builder().set(Options.TCP_NODELAY, true).set(Options.BACKLOG, 512)
-                .set(Options.REUSE_ADDRESSES, true).getMap());
+        HttpOpenListener http =
+                new HttpOpenListener(
+                        new DefaultByteBufferPool(true, 8 * 1024, 256, 0),
+                        OptionMap.builder()
+                                .set(UndertowOptions.ALWAYS_SET_DATE, false)
+                                .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
+                                .getMap());
+        http.setRootHandler(
+                x -> {
+                    stage.calendar().play(stage.now());
+                    call(x);
+                });
+        server =
+                stage.worker()
+                        .createStreamConnectionServer(
+                                at,
+                                (ChannelListener<AcceptingChannel<StreamConnection>>)
+                                        from -> {
+                                            try {
+                                                for (StreamConnection c = from.accept();
+                                                        c != null;
+                                                        c = from.accept()) {
+                                                    http.handleEvent(c);
+                                                }
+                                            } catch (IOException gone) {
+                                                // The next one may come in.
+                                            }
+                                        },
+                                OptionMap.builder()
+                                        .set(Options.TCP_NODELAY, true)
+                                        .set(Options.BACKLOG, 512)
+                                        .set(Options.REUSE_ADDRESSES, true)
+                                        .getMap());
         server.resumeAccepts();
     }
 
@@ -240,9 +282,10 @@
     private void call(HttpServerExchange x) {
         String path = x.getRequestPath();
         String method = x.getRequestMethod().toString();
-        if (model.standing() == Standing.SILENT || model.standing() == Standing.HANGING && !method.equals("POST")) {
+        if (model.standing() == Standing.SILENT
+                || model.standing() == Standing.HANGING && !method.equals("POST")) {
             // Its connections stay open, and nobody is there.
-            x.dispatch(SameThreadExecutor.INSTANCE, () -> { });
+            x.dispatch(SameThreadExecutor.INSTANCE, () -> {});
             return;
         }
         if (path.equals("/busy")) {
@@ -261,12 +304,16 @@
                     }
                     answer(x, 204);
                 }
-                case "PUT" -> x.getRequestReceiver().receiveFullString((whole, rank) -> {
-                    if (s != null && s.job != null) {
-                        model.priority(s.job, Integer.parseInt(rank.trim()));
-                    }
-                    answer(whole, 204);
-                });
+                case "PUT" ->
+                        x.getRequestReceiver()
+                                .receiveFullString(
+                                        (whole, rank) -> {
+                                            if (s != null && s.job != null) {
+                                                model.priority(
+                                                        s.job, Integer.parseInt(rank.trim()));
+                                            }
+                                            answer(whole, 204);
+                                        });
                 default -> {
                     if (s == null) {
                         answer(x, 500);
@@ -292,8 +339,14 @@
         statements.put(id, s);
         double grant = Double.parseDouble(header(x, GRANT, "0"));
         FleetPlan.Group group = plan.groups().get(t.is.group);
-        s.job = new Job(t.is, group, s, t.manager, grant > 0 ? grant : t.is.memoryTold * 1.25,
-                Integer.parseInt(header(x, RANK, "1")));
+        s.job =
+                new Job(
+                        t.is,
+                        group,
+                        s,
+                        t.manager,
+                        grant > 0 ? grant : t.is.memoryTold * 1.25,
+                        Integer.parseInt(header(x, RANK, "1")));
         s.asks(x);
         s.forgetLater();
         model.send(s.job);
--- a/src/main/java/firstage/standin/Relay.java
+++ b/src/main/java/firstage/standin/Relay.java
@@ -23,34 +23,40 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What lies between the parties: each pair has an address of its own here, so that each direction of each pair can be
- * cut,
- * delayed or made lossy by itself. One thread of its own. A connection to a party that is gone is refused; to one
- * that is
- * silent or cut off it never comes up (a listener whose line is full, as the kernel drops what comes then).
+ * What lies between the parties: each pair has an address of its own here, so that each direction
+ * of each pair can be cut, delayed or made lossy by itself. One thread of its own. A connection to
+ * a party that is gone is refused; to one that is silent or cut off it never comes up (a listener
+ * whose line is full, as the kernel drops what comes then).
  */
 public final class Relay implements AutoCloseable {
     private static final int BACKLOG = 256;
     private static final int PIECE = 16 * 1024;
+
     /** A source that is so far ahead is not read on: its own window must fill. */
     private static final int MOST_QUEUED = 64;
+
     /** Into the line of a listener that takes one, and none is accepted: it holds two. */
     private static final int FILLERS = 4;
+
     private final Selector selector;
     private final RandomGenerator chance;
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final PriorityQueue<Timed> timers = new PriorityQueue<>(Comparator.comparingLong(t -> t.due));
+    private final PriorityQueue<Timed> timers =
+            new PriorityQueue<>(Comparator.comparingLong(t -> t.due));
     private final ByteBuffer shared = ByteBuffer.allocateDirect(PIECE);
     private final List<Door> doors = new ArrayList<>();
     private final Thread thread;
     private volatile boolean closed;
     private volatile Exception fault;
 
-    private record Timed(long due, Runnable what) {
-    }
+    private record Timed(long due, Runnable what) {}
 
     /** How a door answers. */
-    public enum Answer { OPEN, REFUSES, SILENT }
+    public enum Answer {
+        OPEN,
+        REFUSES,
+        SILENT
+    }
 
     public Relay(RandomGenerator chance) throws IOException {
         this.chance = chance;
@@ -152,21 +158,23 @@
 
         /** How the party behind it stands; {@code resets} what is open, as a dying process does. */
         public void answers(Answer next, boolean resets) {
-            soon(() -> {
-                told = next;
-                if (resets) {
-                    List.copyOf(pairs).forEach(Pair::reset);
-                }
-                settle();
-            });
+            soon(
+                    () -> {
+                        told = next;
+                        if (resets) {
+                            List.copyOf(pairs).forEach(Pair::reset);
+                        }
+                        settle();
+                    });
         }
 
         /** A way was cut or healed. */
         public void changed() {
-            soon(() -> {
-                settle();
-                List.copyOf(pairs).forEach(Pair::go);
-            });
+            soon(
+                    () -> {
+                        settle();
+                        List.copyOf(pairs).forEach(Pair::go);
+                    });
         }
 
         private void settle() {
@@ -217,7 +225,9 @@
         }
 
         private void accept() throws IOException {
-            for (SocketChannel c = listener == null ? null : listener.accept(); c != null; c = listener.accept()) {
+            for (SocketChannel c = listener == null ? null : listener.accept();
+                    c != null;
+                    c = listener.accept()) {
                 new Pair(this, c);
             }
         }
@@ -304,8 +314,7 @@
 
     /** One direction of a connection. */
     private final class Flow {
-        private record Chunk(long due, ByteBuffer bytes) {
-        }
+        private record Chunk(long due, ByteBuffer bytes) {}
 
         private final Pair pair;
         private final SocketChannel from;
@@ -375,39 +384,55 @@
     }
 
     /**
-     * Datagrams between two parties: {@code first} reaches the second at {@code atFirst}, and is seen by it as coming
-     * from {@code atSecond}, where the second reaches the first.
+     * Datagrams between two parties: {@code first} reaches the second at {@code atFirst}, and is
+     * seen by it as coming from {@code atSecond}, where the second reaches the first.
      */
-    public void mail(InetSocketAddress first, InetSocketAddress second, InetSocketAddress atFirst,
-                     InetSocketAddress atSecond, Way there, Way back) throws IOException {
+    public void mail(
+            InetSocketAddress first,
+            InetSocketAddress second,
+            InetSocketAddress atFirst,
+            InetSocketAddress atSecond,
+            Way there,
+            Way back)
+            throws IOException {
         DatagramChannel one = DatagramChannel.open().bind(atFirst);
         DatagramChannel two = DatagramChannel.open().bind(atSecond);
         one.configureBlocking(false);
         two.configureBlocking(false);
-        soon(() -> {
-            carry(one, two, second, there);
-            carry(two, one, first, back);
-        });
+        soon(
+                () -> {
+                    carry(one, two, second, there);
+                    carry(two, one, first, back);
+                });
     }
 
     private void carry(DatagramChannel in, DatagramChannel out, SocketAddress to, Way way) {
         try {
-            in.register(selector, SelectionKey.OP_READ, (Ready) key -> {
-                shared.clear();
-                for (SocketAddress from = receive(in); from != null; from = receive(in)) {
-                    shared.flip();
-                    if (way.passes()) {
-                        ByteBuffer copy = ByteBuffer.allocate(shared.remaining()).put(shared).flip();
-                        long later = way.later(true);
-                        if (later > 0) {
-                            after(later, () -> send(out, copy, to));
-                        } else {
-                            send(out, copy, to);
-                        }
-                    }
-                    shared.clear();
-                }
-            });
+            in.register(
+                    selector,
+                    SelectionKey.OP_READ,
+                    (Ready)
+                            key -> {
+                                shared.clear();
+                                for (SocketAddress from = receive(in);
+                                        from != null;
+                                        from = receive(in)) {
+                                    shared.flip();
+                                    if (way.passes()) {
+                                        ByteBuffer copy =
+                                                ByteBuffer.allocate(shared.remaining())
+                                                        .put(shared)
+                                                        .flip();
+                                        long later = way.later(true);
+                                        if (later > 0) {
+                                            after(later, () -> send(out, copy, to));
+                                        } else {
+                                            send(out, copy, to);
+                                        }
+                                    }
+                                    shared.clear();
+                                }
+                            });
         } catch (IOException fault) {
             throw new IllegalStateException(fault);
         }
--- a/src/main/java/firstage/standin/Stage.java
+++ b/src/main/java/firstage/standin/Stage.java
@@ -11,13 +11,14 @@
 import org.xnio.XnioWorker;
 
 /**
- * One thread on which all stand-ins live, and the fleet model's calendar moved on by the wall clock: what is modelled
- * in
- * virtual time plays here in real time. Times are tenths of a millisecond; {@link #START} is when the stage was set up.
+ * One thread on which all stand-ins live, and the fleet model's calendar moved on by the wall
+ * clock: what is modelled in virtual time plays here in real time. Times are tenths of a
+ * millisecond; {@link #START} is when the stage was set up.
  */
 public final class Stage implements AutoCloseable {
     /** The calendar's time at the start: above 0, which stands for long ago. */
     public static final long START = 1_000_000;
+
     private static final long TICK_MS = 1;
     private static final long MOST_LATE_US = 60_000_000;
     private final XnioWorker worker;
@@ -29,9 +30,15 @@
     private volatile boolean closed;
 
     public Stage() throws IOException {
-        worker = Xnio.getInstance(Stage.class.getClassLoader()).createWorker(OptionMap.builder()
-                .set(Options.WORKER_NAME, "stand-ins").set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1).getMap());
+        worker =
+                Xnio.getInstance(Stage.class.getClassLoader())
+                        .createWorker(
+                                OptionMap.builder()
+                                        .set(Options.WORKER_NAME, "stand-ins")
+                                        .set(Options.WORKER_IO_THREADS, 1)
+                                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                                        .getMap());
         io = worker.getIoThread();
         tick(System.nanoTime());
     }
@@ -55,12 +62,16 @@
         return calendar;
     }
 
-    /** Something happened elsewhere: it is played on this thread, at the moment at which it comes here. */
+    /**
+     * Something happened elsewhere: it is played on this thread, at the moment at which it comes
+     * here.
+     */
     public void news(Runnable what) {
-        io.execute(() -> {
-            calendar.play(now());
-            what.run();
-        });
+        io.execute(
+                () -> {
+                    calendar.play(now());
+                    what.run();
+                });
     }
 
     private void tick(long due) {
@@ -73,7 +84,9 @@
         io.executeAfter(() -> tick(next), TICK_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** How late this thread came, in microseconds: a machine that has no time for it proves nothing. */
+    /**
+     * How late this thread came, in microseconds: a machine that has no time for it proves nothing.
+     */
     public Histogram late() {
         return late;
     }
--- a/src/main/java/firstage/standin/Way.java
+++ b/src/main/java/firstage/standin/Way.java
@@ -6,8 +6,10 @@
 public final class Way {
     /** A lost segment on a connection is sent again after about this; tenths of a millisecond. */
     private static final long SENT_AGAIN = 2_000;
+
     /** Of the loss of datagrams: so much of the pieces of a connection stand still for that. */
     private static final double OF_LOSS = 0.1;
+
     private final RandomGenerator chance;
     private volatile boolean cut;
     private volatile double loss;
@@ -53,6 +55,7 @@
     /** How much later the next piece comes; one thread asks. */
     long later(boolean datagram) {
         long by = delay <= 0 ? 0 : delay + chance.nextLong(delay + 1);
-        return by + (!datagram && loss > 0 && chance.nextDouble() < loss * OF_LOSS ? SENT_AGAIN : 0);
+        return by
+                + (!datagram && loss > 0 && chance.nextDouble() < loss * OF_LOSS ? SENT_AGAIN : 0);
     }
 }
--- a/src/main/java/firstage/standin/package-info.java
+++ b/src/main/java/firstage/standin/package-info.java
@@ -1,2 +1,5 @@
-/** Stand-ins of what workload managers talk to, on loopback: engines, coordinator, clients, and the ways between. */
+/**
+ * Stand-ins of what workload managers talk to, on loopback: engines, coordinator, clients, and the
+ * ways between.
+ */
 package firstage.standin;
--- a/src/main/java/firstage/state/Batch.java
+++ b/src/main/java/firstage/state/Batch.java
@@ -8,29 +8,44 @@
 public final class Batch {
     public final Arrival is;
     public final Group group;
+
     /** Place in the order of arrival at this manager. */
     public final long order;
+
     public final long taken;
+
     /** Its key where its group keeps order, else -1. */
     public final int key;
+
     public long goalAt;
     public int dispatches;
     public boolean overShare;
+
     /** Of its worth (door.Demand). */
     public int band;
-    /** Of the dispatches that are over, one may have run; the first such was sent then, to that engine. */
+
+    /**
+     * Of the dispatches that are over, one may have run; the first such was sent then, to that
+     * engine.
+     */
     public boolean mayHaveRun;
+
     public long firstRun;
     public Engine firstEngine;
     public Engine last;
+
     /** Engines that it erred at, and the first of them. */
     public int errors;
+
     public Engine erredAt;
     public boolean closed;
+
     /** Its client may have left: it is not to be sent. */
     public boolean away;
+
     /** The engines asked for their load before it goes, and when. */
     public List<Engine> looked = List.of();
+
     public long lookedAt;
     public final List<Flight> out = new ArrayList<>();
 
@@ -51,7 +66,10 @@
         mayHaveRun = true;
     }
 
-    /** When the earliest dispatch was sent that may have run or is still out; {@code now} without any. */
+    /**
+     * When the earliest dispatch was sent that may have run or is still out; {@code now} without
+     * any.
+     */
     public long firstSent(long now) {
         long first = mayHaveRun ? firstRun : now;
         for (Flight f : out) {
--- a/src/main/java/firstage/state/Bins.java
+++ b/src/main/java/firstage/state/Bins.java
@@ -5,8 +5,10 @@
     private static final int COUNT = 17;
     private final double[] weight = new double[COUNT];
     private double total;
+
     /** The quantile last asked for, until the next change. */
     private double asked = -1;
+
     private double answer;
 
     public void add(double ratio) {
@@ -29,7 +31,10 @@
         return total;
     }
 
-    /** The ratio below which this share of the samples lies, straight within a bin; 1 without samples. */
+    /**
+     * The ratio below which this share of the samples lies, straight within a bin; 1 without
+     * samples.
+     */
     public double quantile(double share) {
         if (share != asked) {
             answer = find(share);
--- a/src/main/java/firstage/state/Engine.java
+++ b/src/main/java/firstage/state/Engine.java
@@ -16,43 +16,65 @@
     public int cell;
     public Standing standing = Standing.LEFT;
     public long since;
+
     /** Of what it bears while it is cold, this manager's part; 0: by the settings. */
     public double coldPart;
+
     /** Since when it is known to have left, with nothing out; 0 if it has not. */
     private long leftSince;
+
     public int cores;
     public double memory;
     public double slice;
     public double bound;
+
     /** What this manager has reserved here: MB and threads. */
     public double reserved;
+
     public int threads;
     public final List<Flight> flights = new ArrayList<>();
     public Health health = Health.READY;
+
     /** Another manager tries it, and tells when it is well. */
     public boolean othersTry;
-    /** It is tried for all others, or they found it well: what was lost there before does not keep from trying. */
+
+    /**
+     * It is tried for all others, or they found it well: what was lost there before does not keep
+     * from trying.
+     */
     public boolean triesForAll;
+
     /** When a batch last went there; 0 for never. */
     public long sentAt;
+
     public long rest;
     public long restUntil;
     public long heard;
+
     /** When it last seemed to have gone down, and may have started anew; 0 if it did not. */
     public long downAt;
+
     /** Errors since it last returned a batch. */
     public int errors;
+
     public long pressedUntil;
+
     /** When it last told of its load, and how crowded it said it was: 1 is full. */
     public long toldAt = Long.MIN_VALUE / 2;
+
     public double crowd;
+
     /** It told that no batch waits in its line for memory. */
     public boolean noLine;
+
     public long shrunk;
+
     /** Latency over the best of its group. */
     public final Bins slow = new Bins();
+
     /** Tables that a load holds here, and until when it is taken so. */
     public final Map<Integer, Long> loaded = new HashMap<>();
+
     /** Work sent while cold, over the fall window. */
     public final Tally cold;
 
@@ -77,7 +99,10 @@
         return restarted;
     }
 
-    /** One of its dispatches was spoken of; what was out before it seemed to go down proves that it did not. */
+    /**
+     * One of its dispatches was spoken of; what was out before it seemed to go down proves that it
+     * did not.
+     */
     public void spoke(long now, Flight f) {
         heard = now;
         f.heard = now;
@@ -89,7 +114,10 @@
         return Math.max(since, downAt);
     }
 
-    /** How long it has been off the list with nothing out; asked now and then, it counts from the first time. */
+    /**
+     * How long it has been off the list with nothing out; asked now and then, it counts from the
+     * first time.
+     */
     public long leftFor(long now) {
         boolean left = standing == Standing.LEFT && flights.isEmpty();
         leftSince = !left ? 0 : leftSince == 0 ? now : leftSince;
--- a/src/main/java/firstage/state/Flight.java
+++ b/src/main/java/firstage/state/Flight.java
@@ -8,15 +8,20 @@
     public final long sent;
     public final double grant;
     public final int priority;
+
     /** When it was sent or last spoken of. */
     public long heard;
+
     /** Share done, by its latest note. */
     public double share;
+
     public boolean shortGrant;
     public boolean waited;
     public boolean standsStill;
+
     /** It waits in the engine's line for memory, from where no further notes come. */
     public boolean inLine;
+
     /** Nothing more is expected of it: it was called off, or a copy was asked for. */
     public boolean givenUp;
 
--- a/src/main/java/firstage/state/Group.java
+++ b/src/main/java/firstage/state/Group.java
@@ -6,14 +6,20 @@
 public final class Group {
     public final ServiceGroup is;
     public final Mean work;
+
     /** The estimates of what came, whether it was answered or not. */
     public final Mean told;
+
     public final Mean memory;
+
     /** Latency x threads over the batch's figure of work. */
     public final Bins pace = new Bins();
+
     /** The lowest median pace of late. */
     public double best;
+
     public double margin;
+
     /** Answers that taught the margin. */
     public int taught;
 
@@ -40,8 +46,9 @@
     }
 
     /**
-     * Work of a usual batch as the cold rule weighs it. The first answers after a start are those of the short ones: a
-     * mean of them alone pushed cold engines over, so it is no less than the mean of what was told of all that came.
+     * Work of a usual batch as the cold rule weighs it. The first answers after a start are those
+     * of the short ones: a mean of them alone pushed cold engines over, so it is no less than the
+     * mean of what was told of all that came.
      */
     public double weight() {
         return Math.max(usualWork(), told.or(0));
--- a/src/main/java/firstage/state/Health.java
+++ b/src/main/java/firstage/state/Health.java
@@ -1,4 +1,12 @@
 package firstage.state;
 
-/** How an engine is judged from what passes through. FULL refuses, TRIAL lets one batch find out. */
-public enum Health { READY, FULL, TRIAL, SILENT, DOWN }
+/**
+ * How an engine is judged from what passes through. FULL refuses, TRIAL lets one batch find out.
+ */
+public enum Health {
+    READY,
+    FULL,
+    TRIAL,
+    SILENT,
+    DOWN
+}
--- a/src/main/java/firstage/state/package-info.java
+++ b/src/main/java/firstage/state/package-info.java
@@ -1,2 +1,4 @@
-/** What one workload manager remembers. Plain state: it decides nothing and holds no tuned value. */
+/**
+ * What one workload manager remembers. Plain state: it decides nothing and holds no tuned value.
+ */
 package firstage.state;
--- a/src/main/java/firstage/yard/Addresses.java
+++ b/src/main/java/firstage/yard/Addresses.java
@@ -5,16 +5,17 @@
 import java.net.ServerSocket;
 
 /**
- * Who is where, all on loopback and all on one port, so that two yards at once need only another port. A manager and
- * what
- * it reaches by a way of its own share the second number of the address.
+ * Who is where, all on loopback and all on one port, so that two yards at once need only another
+ * port. A manager and what it reaches by a way of its own share the second number of the address.
  */
 public record Addresses(int port) {
     private static final int FIRST = 21_000;
     private static final int STEP = 3;
     private static final int TRIES = 2_000;
+
     /** A yard holds its port as long as it runs. */
     private static final String LOCK = "127.1.9.1";
+
     private static final int WAYS = 10;
 
     /** The first port that no other yard holds, from one that differs by process. */
@@ -30,7 +31,8 @@
                 last = taken;
             }
         }
-        throw new IOException("no port is free for a yard: " + (last == null ? "" : last.getMessage()));
+        throw new IOException(
+                "no port is free for a yard: " + (last == null ? "" : last.getMessage()));
     }
 
     private InetSocketAddress at(int second, int third, int fourth) {
--- a/src/main/java/firstage/yard/Leftovers.java
+++ b/src/main/java/firstage/yard/Leftovers.java
@@ -5,8 +5,7 @@
 
 /** What a yard that was killed left behind. */
 public final class Leftovers {
-    private Leftovers() {
-    }
+    private Leftovers() {}
 
     /** Ends the processes that it had started, by id and time of start, and says which. */
     public static List<String> sweep() throws IOException {
--- a/src/main/java/firstage/yard/Managers.java
+++ b/src/main/java/firstage/yard/Managers.java
@@ -13,7 +13,10 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** The processes of the program: started, signalled, ended by id, also when the tool itself is interrupted. */
+/**
+ * The processes of the program: started, signalled, ended by id, also when the tool itself is
+ * interrupted.
+ */
 public final class Managers implements AutoCloseable {
     private static final int READY_MS = 20_000;
     private static final int LAST_LINES = 8;
@@ -36,9 +39,13 @@
         Runtime.getRuntime().addShutdownHook(hook);
     }
 
-    /** {@code run} of the deploy file, with another jar; without {@code exec}, as no shell stands between. */
+    /**
+     * {@code run} of the deploy file, with another jar; without {@code exec}, as no shell stands
+     * between.
+     */
     public static List<String> command(String run, Path jar) {
-        List<String> words = new ArrayList<>(Arrays.asList(run.replaceFirst("^exec ", "").trim().split("\\s+")));
+        List<String> words =
+                new ArrayList<>(Arrays.asList(run.replaceFirst("^exec ", "").trim().split("\\s+")));
         for (int i = 0; i < words.size(); i++) {
             if (words.get(i).equals("target/firstage.jar")) {
                 words.set(i, jar.toString());
@@ -71,8 +78,11 @@
         }
         ProcessBuilder builder = new ProcessBuilder(words);
         builder.environment().put("ROUTER_CONFIG", config(folder, m).toString());
-        processes.set(m, builder.redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log(m).toFile())).start());
+        processes.set(
+                m,
+                builder.redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(log(m).toFile()))
+                        .start());
         lives.set(m, lives.get(m) + 1);
         note();
     }
@@ -80,7 +90,10 @@
     /** Who is to be ended, for a yard that finds this one killed. */
     private synchronized void note() throws IOException {
         List<String> lines = new ArrayList<>();
-        lines.add(String.valueOf(ProcessHandle.current().pid()) + " " + started(ProcessHandle.current()));
+        lines.add(
+                String.valueOf(ProcessHandle.current().pid())
+                        + " "
+                        + started(ProcessHandle.current()));
         for (Process p : processes) {
             if (p != null && p.isAlive()) {
                 lines.add(p.pid() + " " + started(p.toHandle()));
@@ -94,7 +107,10 @@
         return p.info().startInstant().map(Instant::toEpochMilli).orElse(0L);
     }
 
-    /** Ends what yards that were killed left behind, and says so; ids that are somebody else's now are left alone. */
+    /**
+     * Ends what yards that were killed left behind, and says so; ids that are somebody else's now
+     * are left alone.
+     */
     static List<String> sweep(Path notes) throws IOException {
         List<String> found = new ArrayList<>();
         if (!Files.isDirectory(notes)) {
@@ -105,8 +121,11 @@
             all = listed.filter(p -> p.getFileName().toString().endsWith(".held")).toList();
         }
         for (Path each : all) {
-            List<ProcessHandle> alive = Files.readAllLines(each).stream().map(Managers::find).flatMap(Optional::stream)
-                    .toList();
+            List<ProcessHandle> alive =
+                    Files.readAllLines(each).stream()
+                            .map(Managers::find)
+                            .flatMap(Optional::stream)
+                            .toList();
             List<String> lines = Files.readAllLines(each);
             if (!lines.isEmpty() && find(lines.get(0)).isPresent()) {
                 continue;
@@ -131,14 +150,25 @@
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
         while (true) {
             if (!processes.get(m).isAlive()) {
-                throw new IOException("manager " + m + " ended at its start with " + processes.get(m).exitValue()
-                        + ": " + lastWords(m));
+                throw new IOException(
+                        "manager "
+                                + m
+                                + " ended at its start with "
+                                + processes.get(m).exitValue()
+                                + ": "
+                                + lastWords(m));
             }
             if (isReady(at)) {
                 return;
             }
             if (System.nanoTime() > until) {
-                throw new IOException("manager " + m + " did not serve within " + READY_MS + " ms: " + lastWords(m));
+                throw new IOException(
+                        "manager "
+                                + m
+                                + " did not serve within "
+                                + READY_MS
+                                + " ms: "
+                                + lastWords(m));
             }
             pause(20);
         }
@@ -146,8 +176,11 @@
 
     static boolean isReady(InetSocketAddress at) {
         try {
-            HttpURLConnection c = (HttpURLConnection) URI.create("http://" + Addresses.text(at) + "/alive").toURL()
-                    .openConnection();
+            HttpURLConnection c =
+                    (HttpURLConnection)
+                            URI.create("http://" + Addresses.text(at) + "/alive")
+                                    .toURL()
+                                    .openConnection();
             c.setConnectTimeout(200);
             c.setReadTimeout(500);
             boolean ready = c.getResponseCode() == 200;
@@ -160,8 +193,10 @@
 
     private String lastWords(int m) throws IOException {
         List<String> lines = Files.exists(log(m)) ? Files.readAllLines(log(m)) : List.of();
-        return lines.isEmpty() ? "it said nothing"
-                : String.join(" | ", lines.subList(Math.max(0, lines.size() - LAST_LINES), lines.size()));
+        return lines.isEmpty()
+                ? "it said nothing"
+                : String.join(
+                        " | ", lines.subList(Math.max(0, lines.size() - LAST_LINES), lines.size()));
     }
 
     private static void pause(long ms) {
@@ -218,7 +253,14 @@
 
     /** Processor time used by each life that runs, s; 0 where it is not told. */
     double processorSeconds(int m) {
-        return lives(m) ? processes.get(m).toHandle().info().totalCpuDuration().map(d -> d.toMillis() / 1e3).orElse(0.0)
+        return lives(m)
+                ? processes
+                        .get(m)
+                        .toHandle()
+                        .info()
+                        .totalCpuDuration()
+                        .map(d -> d.toMillis() / 1e3)
+                        .orElse(0.0)
                 : 0;
     }
 
--- a/src/main/java/firstage/yard/Recording.java
+++ b/src/main/java/firstage/yard/Recording.java
@@ -17,15 +17,20 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** What happened, as files: a line of JSON for each event, a row for each second, charts. One thread. */
+/**
+ * What happened, as files: a line of JSON for each event, a row for each second, charts. One
+ * thread.
+ */
 final class Recording implements AutoCloseable {
     private static final int WIDE = 1_000;
     private static final int HIGH = 420;
     private final Path folder;
     private final Writer lines;
     private final JsonFactory json = new JsonFactory();
+
     /** By second and name. */
     private final List<Map<String, Double>> seconds = new ArrayList<>();
+
     private final Map<String, Integer> names = new TreeMap<>();
     private final Map<String, Double> sums = new TreeMap<>();
 
@@ -35,7 +40,10 @@
         lines = Files.newBufferedWriter(folder.resolve("timeline.jsonl"));
     }
 
-    /** One event; {@code at} in tenths of a millisecond since traffic began; pairs of name and value. */
+    /**
+     * One event; {@code at} in tenths of a millisecond since traffic began; pairs of name and
+     * value.
+     */
     void event(long at, String what, Object... pairs) {
         try (JsonGenerator out = json.createGenerator(lines)) {
             out.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
@@ -45,7 +53,10 @@
             for (int i = 0; i < pairs.length; i += 2) {
                 out.writeFieldName((String) pairs[i]);
                 if (pairs[i + 1] instanceof Number n) {
-                    out.writeNumber(n.doubleValue() == n.longValue() ? String.valueOf(n.longValue()) : n.toString());
+                    out.writeNumber(
+                            n.doubleValue() == n.longValue()
+                                    ? String.valueOf(n.longValue())
+                                    : n.toString());
                 } else {
                     out.writeString(String.valueOf(pairs[i + 1]));
                 }
@@ -91,22 +102,43 @@
         System.setProperty("java.awt.headless", "true");
         XYChart served = chart(title, "share of utility");
         for (String zone : zones) {
-            series(served, zone, s -> second(s, "asked " + zone) == 0 ? Double.NaN
-                    : second(s, "earned " + zone) / second(s, "asked " + zone));
+            series(
+                    served,
+                    zone,
+                    s ->
+                            second(s, "asked " + zone) == 0
+                                    ? Double.NaN
+                                    : second(s, "earned " + zone) / second(s, "asked " + zone));
         }
-        series(served, "fault", s -> faults.stream().anyMatch(f -> s >= f[0] && s < f[1]) ? 0.02 : Double.NaN);
-        BitmapEncoder.saveBitmap(served, folder.resolve("served.png").toString(), BitmapEncoder.BitmapFormat.PNG);
+        series(
+                served,
+                "fault",
+                s -> faults.stream().anyMatch(f -> s >= f[0] && s < f[1]) ? 0.02 : Double.NaN);
+        BitmapEncoder.saveBitmap(
+                served, folder.resolve("served.png").toString(), BitmapEncoder.BitmapFormat.PNG);
         XYChart calls = chart(title, "a second");
-        for (String name : List.of("first dispatches", "further dispatches", "probes", "pushed-back", "errored",
-                "client retries")) {
+        for (String name :
+                List.of(
+                        "first dispatches",
+                        "further dispatches",
+                        "probes",
+                        "pushed-back",
+                        "errored",
+                        "client retries")) {
             series(calls, name, s -> second(s, name));
         }
-        BitmapEncoder.saveBitmap(calls, folder.resolve("calls.png").toString(), BitmapEncoder.BitmapFormat.PNG);
+        BitmapEncoder.saveBitmap(
+                calls, folder.resolve("calls.png").toString(), BitmapEncoder.BitmapFormat.PNG);
     }
 
     private static XYChart chart(String title, String y) {
-        return new XYChartBuilder().width(WIDE).height(HIGH).title(title + " (engines simulated)").xAxisTitle("second")
-                .yAxisTitle(y).build();
+        return new XYChartBuilder()
+                .width(WIDE)
+                .height(HIGH)
+                .title(title + " (engines simulated)")
+                .xAxisTitle("second")
+                .yAxisTitle(y)
+                .build();
     }
 
     private interface BySecond {
--- a/src/main/java/firstage/yard/Wiring.java
+++ b/src/main/java/firstage/yard/Wiring.java
@@ -15,30 +15,46 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Writes what each manager is told at its start: its configuration by the platform's page, and its peers. */
+/**
+ * Writes what each manager is told at its start: its configuration by the platform's page, and its
+ * peers.
+ */
 public final class Wiring {
     private static final double SECOND = 10_000;
 
-    private Wiring() {
-    }
+    private Wiring() {}
 
     static String engineId(int e) {
         return String.format(Locale.ROOT, "s-%08x", e + 1);
     }
 
     /** Its configuration; the seed differs by manager and run. */
-    static void config(Path file, FleetPlan plan, Addresses at, int m, long seed) throws IOException {
-        config(file, plan, new Place("m" + m, at.manager(m), at.coordinator(m), m, plan.zoneOf(m),
-                e -> at.engineFrom(m, e)), seed);
+    static void config(Path file, FleetPlan plan, Addresses at, int m, long seed)
+            throws IOException {
+        config(
+                file,
+                plan,
+                new Place(
+                        "m" + m,
+                        at.manager(m),
+                        at.coordinator(m),
+                        m,
+                        plan.zoneOf(m),
+                        e -> at.engineFrom(m, e)),
+                seed);
     }
 
     /**
-     * A manager's: its name, where it listens, whom it asks for the list (nobody where null), its number, its zone, and
-     * where it reaches each engine.
+     * A manager's: its name, where it listens, whom it asks for the list (nobody where null), its
+     * number, its zone, and where it reaches each engine.
      */
-    public record Place(String name, InetSocketAddress listen, InetSocketAddress coordinator, int rank, int zone,
-                        IntFunction<InetSocketAddress> engine) {
-    }
+    public record Place(
+            String name,
+            InetSocketAddress listen,
+            InetSocketAddress coordinator,
+            int rank,
+            int zone,
+            IntFunction<InetSocketAddress> engine) {}
 
     /** The configuration of a manager at this place. */
     public static void config(Path file, FleetPlan plan, Place of, long seed) throws IOException {
@@ -46,7 +62,8 @@
     }
 
     /** The same; {@code sockets}: the limit that it is told. */
-    public static void config(Path file, FleetPlan plan, Place of, long seed, int sockets) throws IOException {
+    public static void config(Path file, FleetPlan plan, Place of, long seed, int sockets)
+            throws IOException {
         try (JsonGenerator out = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
             out.writeStartObject();
             out.writeStringField("name", of.name);
@@ -65,7 +82,8 @@
         }
     }
 
-    private static void known(JsonGenerator out, FleetPlan plan, IntFunction<InetSocketAddress> engine)
+    private static void known(
+            JsonGenerator out, FleetPlan plan, IntFunction<InetSocketAddress> engine)
             throws IOException {
         out.writeObjectFieldStart("known");
         out.writeNumberField("index", 1);
@@ -103,7 +121,8 @@
         out.writeEndArray();
     }
 
-    private static void settings(JsonGenerator out, FleetPlan plan, int m, int zone) throws IOException {
+    private static void settings(JsonGenerator out, FleetPlan plan, int m, int zone)
+            throws IOException {
         out.writeObjectFieldStart("settings");
         array(out, "areas", plan.zones());
         array(out, "kinds", List.of("std"));
@@ -114,11 +133,13 @@
         for (FleetPlan.Group g : plan.groups()) {
             out.writeStartObject();
             out.writeStringField("name", g.name());
-            out.writeStringField("effect", switch (g.effect()) {
-                case REPEATABLE -> "retryable";
-                case REFERENCED -> "dedup";
-                case ONCE_ONLY -> "fragile";
-            });
+            out.writeStringField(
+                    "effect",
+                    switch (g.effect()) {
+                        case REPEATABLE -> "retryable";
+                        case REFERENCED -> "dedup";
+                        case ONCE_ONLY -> "fragile";
+                    });
             out.writeStringField("group", g.scope().name().toLowerCase(Locale.ROOT));
             out.writeNumberField("target", g.goal() / SECOND);
             out.writeNumberField("aim_stretch", g.stretch());
@@ -135,8 +156,15 @@
         for (FleetPlan.Customer c : plan.customers()) {
             out.writeStartObject();
             out.writeStringField("name", c.name());
-            out.writeNumberField("quota_per_s", plan.customers().size() < 2 ? 1e9
-                    : plan.traffic().rate() * plan.managers().of() / plan.managers().count() * c.share() / shares);
+            out.writeNumberField(
+                    "quota_per_s",
+                    plan.customers().size() < 2
+                            ? 1e9
+                            : plan.traffic().rate()
+                                    * plan.managers().of()
+                                    / plan.managers().count()
+                                    * c.share()
+                                    / shares);
             out.writeEndObject();
         }
         out.writeEndArray();
@@ -189,11 +217,13 @@
         if (cells != null) {
             lines.addAll(List.of("plan = " + cells.number(), "spread = " + cells.spread()));
             for (CellPlan.Cell c : cells.cells()) {
-                lines.addAll(List.of("", "[[cell]]", "name = \"" + c.name() + "\"", "zone = \"" + c.zone() + "\"",
-                        "hosts = [" + IntStream.range(0, plan.managers().count())
-                        .filter(p -> plan.cellOf(p) == cells.index(c.name()))
-                        .mapToObj(p -> "\"" + Addresses.text(p == m ? at.mail(m) : at.peerFrom(m, p)) + "\"")
-                        .collect(Collectors.joining(", ")) + "]"));
+                lines.addAll(
+                        List.of(
+                                "",
+                                "[[cell]]",
+                                "name = \"" + c.name() + "\"",
+                                "zone = \"" + c.zone() + "\"",
+                                "hosts = [" + hosts(plan, at, m, cells.index(c.name())) + "]"));
             }
             Files.write(file, lines);
             return;
@@ -209,4 +239,13 @@
         }
         Files.write(file, lines);
     }
+
+    /** The managers of a cell, each at the address at which this one reaches it. */
+    private static String hosts(FleetPlan plan, Addresses at, int m, int cell) {
+        return IntStream.range(0, plan.managers().count())
+                .filter(p -> plan.cellOf(p) == cell)
+                .mapToObj(p -> p == m ? at.mail(m) : at.peerFrom(m, p))
+                .map(address -> "\"" + Addresses.text(address) + "\"")
+                .collect(Collectors.joining(", "));
+    }
 }
