--- a/src/main/java/firstage/yard/YardRun.java
+++ b/src/main/java/firstage/yard/YardRun.java
@@ -34,34 +34,63 @@
 import java.util.function.IntConsumer;
 import java.util.random.RandomGenerator;
 
-/** One run: processes, stand-ins and ways set up, the plan's faults played, what came of it told. */
+/**
+ * One run: processes, stand-ins and ways set up, the plan's faults played, what came of it told.
+ */
 public final class YardRun implements AutoCloseable, Crowd.Witness, EngineServer.Witness {
-    /** The page's 50 ms, and what the stand-ins' own threads may be late; tenths of a millisecond. */
+    /**
+     * The page's 50 ms, and what the stand-ins' own threads may be late; tenths of a millisecond.
+     */
     private static final long SLACK = 1_500;
+
     /** A statement is seen so much later than it was sent, an answer than it was given. */
     private static final long SEEN_LATER = 1_000;
+
     /** What a way kept back comes so soon after it is mended; tenths of a millisecond. */
     private static final long HELD_BACK = 20_000;
+
     private static final int AT_ONCE = 8;
     private static final double VOID_99TH_MS = 25;
     private static final int DRAINED_DOWN = 10_000;
     private static final int SILENCE_LATER = 3;
     private static final long ENDS_WITHIN_MS = 8_000;
     private static final double QUIET = 0.9;
-    private static final List<String> OWN = List.of("further a first", "retries a batch", "probes an engine and s",
-            "lost",
-            "late", "quiet after s", "processor s a manager", "late 99th ms", "late most ms");
-
-    /** What is to be played. {@code jar}: of the program; {@code peers}: managers are told of each other. */
-    public record Order(FleetPlan plan, long seed, Path folder, Path jar, String run, boolean peers,
-                        Consumer<String> progress) {
-    }
+    private static final List<String> OWN =
+            List.of(
+                    "further a first",
+                    "retries a batch",
+                    "probes an engine and s",
+                    "lost",
+                    "late",
+                    "quiet after s",
+                    "processor s a manager",
+                    "late 99th ms",
+                    "late most ms");
+
+    /**
+     * What is to be played. {@code jar}: of the program; {@code peers}: managers are told of each
+     * other.
+     */
+    public record Order(
+            FleetPlan plan,
+            long seed,
+            Path folder,
+            Path jar,
+            String run,
+            boolean peers,
+            Consumer<String> progress) {}
 
     /** What came of it. */
-    public record Result(Map<String, Double> figures, List<String> broken, List<String> missed, String isVoid) {
-        /** kept, broken, missed or void: a machine without time proves nothing, least of all that all was kept. */
+    public record Result(
+            Map<String, Double> figures, List<String> broken, List<String> missed, String isVoid) {
+        /**
+         * kept, broken, missed or void: a machine without time proves nothing, least of all that
+         * all was kept.
+         */
         public String verdict() {
-            return isVoid != null ? "void" : !broken.isEmpty() ? "broken" : !missed.isEmpty() ? "missed" : "kept";
+            return isVoid != null
+                    ? "void"
+                    : !broken.isEmpty() ? "broken" : !missed.isEmpty() ? "missed" : "kept";
         }
     }
 
@@ -82,11 +111,13 @@
     private final Way[][] fromEngine;
     private final Way[][] toPeer;
     private final boolean[] meant;
-    private final ExecutorService helpers = Executors.newCachedThreadPool(r -> {
-        Thread thread = new Thread(r, "yard");
-        thread.setDaemon(true);
-        return thread;
-    });
+    private final ExecutorService helpers =
+            Executors.newCachedThreadPool(
+                    r -> {
+                        Thread thread = new Thread(r, "yard");
+                        thread.setDaemon(true);
+                        return thread;
+                    });
     private Crowd crowd;
     private Scoreboard score;
     private long began = Long.MAX_VALUE / 2;
@@ -95,15 +126,21 @@
     /** What of a plan can't be played here; the message names line and cure. */
     public static void check(FleetPlan plan) {
         if (!plan.troubles().isEmpty()) {
-            throw new FleetFault(0, "[[trouble]] is for the fleet model; write [[fault]] for what the yard plays");
+            throw new FleetFault(
+                    0,
+                    "[[trouble]] is for the fleet model; write [[fault]] for what the yard plays");
         }
         List<String> known = new ArrayList<>(new Scoreboard(plan, 0).figures().keySet());
         plan.zones().forEach(z -> known.add("zone " + z));
         known.addAll(OWN);
         for (FleetPlan.Expect x : plan.expects()) {
             if (!known.contains(x.figure())) {
-                throw new FleetFault(x.line(), "expect: no figure '" + x.figure() + "'; known: "
-                        + String.join(", ", known));
+                throw new FleetFault(
+                        x.line(),
+                        "expect: no figure '"
+                                + x.figure()
+                                + "'; known: "
+                                + String.join(", ", known));
             }
         }
     }
@@ -121,8 +158,12 @@
         stage = new Stage();
         relay = new Relay(streams.of("relay", 0));
         rules = new RuleWatch(plan, SLACK, SEEN_LATER);
-        managers = new Managers(order.folder, Managers.notes().resolve(at.port() + ".held"),
-                command(order), m);
+        managers =
+                new Managers(
+                        order.folder,
+                        Managers.notes().resolve(at.port() + ".held"),
+                        command(order),
+                        m);
         doors = new Relay.Door[m][e];
         toEngine = new Way[m][e];
         fromEngine = new Way[m][e];
@@ -147,13 +188,14 @@
 
     private <T> T on(java.util.concurrent.Callable<T> what) throws IOException {
         CompletableFuture<T> done = new CompletableFuture<>();
-        stage.news(() -> {
-            try {
-                done.complete(what.call());
-            } catch (Exception fault) {
-                done.completeExceptionally(fault);
-            }
-        });
+        stage.news(
+                () -> {
+                    try {
+                        done.complete(what.call());
+                    } catch (Exception fault) {
+                        done.completeExceptionally(fault);
+                    }
+                });
         try {
             return done.get();
         } catch (ExecutionException fault) {
@@ -168,25 +210,51 @@
         setUp();
         order.progress.accept("starting " + plan.managers().count() + " managers");
         startAll();
-        long end = on(() -> {
-            score = new Scoreboard(plan, stage.calendar().now());
-            crowd = new Crowd(stage, plan, streams, rules, score, java.util.stream.IntStream
-                    .range(0, plan.managers().count()).mapToObj(at::manager).toList(), this);
-            began = stage.calendar().now();
-            recording.event(0, "begins", "plan", plan.name(), "seed", order.seed, "peers", order.peers);
-            crowd.start();
-            int number = 0;
-            for (Fault f : plan.faults()) {
-                RandomGenerator chance = streams.of("fault", number++);
-                stage.calendar().in(f.at(), () -> strike(f, chance));
-            }
-            long limit = plan.groups().stream().mapToLong(FleetPlan.Group::limit).max().orElse(0);
-            return began + plan.length() + limit + SLACK;
-        });
+        long end =
+                on(
+                        () -> {
+                            score = new Scoreboard(plan, stage.calendar().now());
+                            crowd =
+                                    new Crowd(
+                                            stage,
+                                            plan,
+                                            streams,
+                                            rules,
+                                            score,
+                                            java.util.stream.IntStream.range(
+                                                            0, plan.managers().count())
+                                                    .mapToObj(at::manager)
+                                                    .toList(),
+                                            this);
+                            began = stage.calendar().now();
+                            recording.event(
+                                    0,
+                                    "begins",
+                                    "plan",
+                                    plan.name(),
+                                    "seed",
+                                    order.seed,
+                                    "peers",
+                                    order.peers);
+                            crowd.start();
+                            int number = 0;
+                            for (Fault f : plan.faults()) {
+                                RandomGenerator chance = streams.of("fault", number++);
+                                stage.calendar().in(f.at(), () -> strike(f, chance));
+                            }
+                            long limit =
+                                    plan.groups().stream()
+                                            .mapToLong(FleetPlan.Group::limit)
+                                            .max()
+                                            .orElse(0);
+                            return began + plan.length() + limit + SLACK;
+                        });
         while (stage.now() < end && !(since() > plan.length() + 10_000 && on(() -> crowd.idle()))) {
             pause(500);
             watchProcesses();
-            order.progress.accept(String.format(Locale.ROOT, "%.0f of %.0f s", since() / 1e4, plan.length() / 1e4));
+            order.progress.accept(
+                    String.format(
+                            Locale.ROOT, "%.0f of %.0f s", since() / 1e4, plan.length() / 1e4));
         }
         return conclude();
     }
@@ -204,14 +272,29 @@
         int count = plan.managers().count();
         for (int e = 0; e < plan.engines().count(); e++) {
             int number = e;
-            engines.add(on(() -> new EngineServer(stage, plan, number, at.engine(number), streams, rules,
-                    id -> crowd == null ? null : crowd.ticket(id), this)));
+            engines.add(
+                    on(
+                            () ->
+                                    new EngineServer(
+                                            stage,
+                                            plan,
+                                            number,
+                                            at.engine(number),
+                                            streams,
+                                            rules,
+                                            id -> crowd == null ? null : crowd.ticket(id),
+                                            this)));
         }
         for (int m = 0; m < count; m++) {
             for (int e = 0; e < plan.engines().count(); e++) {
                 toEngine[m][e] = relay.way();
                 fromEngine[m][e] = relay.way();
-                doors[m][e] = relay.door(at.engineFrom(m, e), at.engine(e), toEngine[m][e], fromEngine[m][e]);
+                doors[m][e] =
+                        relay.door(
+                                at.engineFrom(m, e),
+                                at.engine(e),
+                                toEngine[m][e],
+                                fromEngine[m][e]);
                 doors[m][e].answers(Relay.Answer.OPEN, false);
             }
             for (int p = 0; p < count; p++) {
@@ -220,13 +303,20 @@
         }
         for (int m = 0; order.peers && m < count; m++) {
             for (int p = m + 1; p < count; p++) {
-                relay.mail(at.mail(m), at.mail(p), at.peerFrom(m, p), at.peerFrom(p, m), toPeer[m][p], toPeer[p][m]);
+                relay.mail(
+                        at.mail(m),
+                        at.mail(p),
+                        at.peerFrom(m, p),
+                        at.peerFrom(p, m),
+                        toPeer[m][p],
+                        toPeer[p][m]);
             }
         }
         relay.start();
         for (int m = 0; m < count; m++) {
             coordinators.add(new Coordinator(at.coordinator(m)));
-            Wiring.config(Managers.config(order.folder, m), plan, at, m, streams.seed("manager", m));
+            Wiring.config(
+                    Managers.config(order.folder, m), plan, at, m, streams.seed("manager", m));
             if (order.peers) {
                 Wiring.peers(Managers.peers(order.folder, m), plan, at, m);
             }
@@ -250,7 +340,13 @@
         for (int m = 0; m < meant.length; m++) {
             if (!managers.lives(m) && !meant[m]) {
                 meant[m] = true;
-                crashed.add("manager " + m + " ended by itself at " + since() / 10 + " ms with " + managers.exit(m));
+                crashed.add(
+                        "manager "
+                                + m
+                                + " ended by itself at "
+                                + since() / 10
+                                + " ms with "
+                                + managers.exit(m));
                 int gone = m;
                 stage.news(() -> crowd.died(gone));
             }
@@ -260,34 +356,76 @@
     // ---- Faults.
     private void strike(Fault f, RandomGenerator chance) {
         List<Integer> struck = f.who() == null ? List.of() : f.who().among(plan, chance);
-        recording.event(since(), "fault", "kind", f.kind().name().toLowerCase(Locale.ROOT), "who",
-                f.who() == null ? "clients" : f.who() + " " + struck, "to", String.valueOf(f.to()),
-                "length_ms", f.length() / 10);
+        recording.event(
+                since(),
+                "fault",
+                "kind",
+                f.kind().name().toLowerCase(Locale.ROOT),
+                "who",
+                f.who() == null ? "clients" : f.who() + " " + struck,
+                "to",
+                String.valueOf(f.to()),
+                "length_ms",
+                f.length() / 10);
         switch (f.kind()) {
             case KILL -> inTurn(f, struck, m -> kill(m, chance));
             case STOP -> inTurn(f, struck, m -> stop(m, chance));
-            case PAUSE -> inTurn(f, struck, m -> {
-                signal(m, "STOP");
-                crowd.stopped(m, stage.calendar().now() + f.length());
-                stage.calendar().in(f.length(), () -> signal(m, "CONT"));
-            });
+            case PAUSE ->
+                    inTurn(
+                            f,
+                            struck,
+                            m -> {
+                                signal(m, "STOP");
+                                crowd.stopped(m, stage.calendar().now() + f.length());
+                                stage.calendar().in(f.length(), () -> signal(m, "CONT"));
+                            });
             case RELOAD -> inTurn(f, struck, m -> signal(m, "HUP"));
-            case DIE -> struck.forEach(e -> down(e, EngineModel.Standing.DOWN, f.length(), 1, chance));
-            case SILENCE -> struck.forEach(e -> down(e, EngineModel.Standing.SILENT, f.length(), SILENCE_LATER,
-                    chance));
-            case HANG -> struck.forEach(e -> {
-                engines.get(e).becomes(EngineModel.Standing.HANGING);
-                stage.calendar().in(f.length(), () -> engines.get(e).becomes(EngineModel.Standing.UP));
-            });
-            case DRAIN -> struck.forEach(e -> {
-                engines.get(e).becomes(EngineModel.Standing.DRAINING);
-                doors(e, Relay.Answer.REFUSES, false);
-                tell(e, Standing.LEAVING, 0, 1, chance);
-                stage.calendar().in(f.length(), () -> down(e, EngineModel.Standing.DOWN, DRAINED_DOWN, 1, chance));
-            });
+            case DIE ->
+                    struck.forEach(e -> down(e, EngineModel.Standing.DOWN, f.length(), 1, chance));
+            case SILENCE ->
+                    struck.forEach(
+                            e ->
+                                    down(
+                                            e,
+                                            EngineModel.Standing.SILENT,
+                                            f.length(),
+                                            SILENCE_LATER,
+                                            chance));
+            case HANG ->
+                    struck.forEach(
+                            e -> {
+                                engines.get(e).becomes(EngineModel.Standing.HANGING);
+                                stage.calendar()
+                                        .in(
+                                                f.length(),
+                                                () ->
+                                                        engines.get(e)
+                                                                .becomes(EngineModel.Standing.UP));
+                            });
+            case DRAIN ->
+                    struck.forEach(
+                            e -> {
+                                engines.get(e).becomes(EngineModel.Standing.DRAINING);
+                                doors(e, Relay.Answer.REFUSES, false);
+                                tell(e, Standing.LEAVING, 0, 1, chance);
+                                stage.calendar()
+                                        .in(
+                                                f.length(),
+                                                () ->
+                                                        down(
+                                                                e,
+                                                                EngineModel.Standing.DOWN,
+                                                                DRAINED_DOWN,
+                                                                1,
+                                                                chance));
+                            });
             case CUT -> onWays(f, chance, (way, heals) -> way.cut(!heals));
             case LOSS -> onWays(f, chance, (way, heals) -> way.loss(heals ? 0 : f.size()));
-            case DELAY -> onWays(f, chance, (way, heals) -> way.delay(heals ? 0 : Math.round(f.size() * 10)));
+            case DELAY ->
+                    onWays(
+                            f,
+                            chance,
+                            (way, heals) -> way.delay(heals ? 0 : Math.round(f.size() * 10)));
             case TRAFFIC -> {
                 crowd.boost(f.size());
                 stage.calendar().in(f.length(), () -> crowd.boost(1));
@@ -295,7 +433,9 @@
         }
     }
 
-    /** All at once; or, with {@code every}, one each so long, round and round until the plan's end. */
+    /**
+     * All at once; or, with {@code every}, one each so long, round and round until the plan's end.
+     */
     private void inTurn(Fault f, List<Integer> struck, IntConsumer what) {
         if (f.every() <= 0) {
             struck.forEach(what::accept);
@@ -335,35 +475,54 @@
             meant[m] = true;
             signal(m, "TERM");
             stage.calendar().in(3_000, () -> crowd.changed(m, false));
-            helpers.execute(() -> {
-                boolean ended = managers.awaitEnd(m, 30_000);
-                stage.news(() -> {
-                    if (!ended || managers.exit(m) != 0) {
-                        crashed.add("manager " + m + " did not end well after SIGTERM: "
-                                + (ended ? "status " + managers.exit(m) : "still there after 30 s"));
-                    }
-                    recording.event(since(), "ended", "manager", m);
-                    again(m, chance);
-                });
-            });
+            helpers.execute(
+                    () -> {
+                        boolean ended = managers.awaitEnd(m, 30_000);
+                        stage.news(
+                                () -> {
+                                    if (!ended || managers.exit(m) != 0) {
+                                        crashed.add(
+                                                "manager "
+                                                        + m
+                                                        + " did not end well after SIGTERM: "
+                                                        + (ended
+                                                                ? "status " + managers.exit(m)
+                                                                : "still there after 30 s"));
+                                    }
+                                    recording.event(since(), "ended", "manager", m);
+                                    again(m, chance);
+                                });
+                    });
         }
     }
 
     /** Starts it again after the plan's time. */
     private void again(int m, RandomGenerator chance) {
-        stage.calendar().in(plan.managers().restart().drawTime(chance), () -> helpers.execute(() -> {
-            try {
-                managers.start(m, order.peers);
-                managers.awaitReady(m, at.manager(m));
-                stage.news(() -> {
-                    meant[m] = false;
-                    crowd.changed(m, true);
-                    recording.event(since(), "serves", "manager", m, "life", managers.life(m));
-                });
-            } catch (IOException fault) {
-                stage.news(() -> crashed.add(fault.getMessage()));
-            }
-        }));
+        stage.calendar()
+                .in(
+                        plan.managers().restart().drawTime(chance),
+                        () ->
+                                helpers.execute(
+                                        () -> {
+                                            try {
+                                                managers.start(m, order.peers);
+                                                managers.awaitReady(m, at.manager(m));
+                                                stage.news(
+                                                        () -> {
+                                                            meant[m] = false;
+                                                            crowd.changed(m, true);
+                                                            recording.event(
+                                                                    since(),
+                                                                    "serves",
+                                                                    "manager",
+                                                                    m,
+                                                                    "life",
+                                                                    managers.life(m));
+                                                        });
+                                            } catch (IOException fault) {
+                                                stage.news(() -> crashed.add(fault.getMessage()));
+                                            }
+                                        }));
     }
 
     private void doors(int e, Relay.Answer answer, boolean resets) {
@@ -372,18 +531,22 @@
         }
     }
 
-    private void down(int e, EngineModel.Standing how, long length, int later, RandomGenerator chance) {
+    private void down(
+            int e, EngineModel.Standing how, long length, int later, RandomGenerator chance) {
         engines.get(e).becomes(how);
         recording.event(since(), "engine", "engine", e, "is", how.name().toLowerCase(Locale.ROOT));
         boolean silent = how == EngineModel.Standing.SILENT;
         doors(e, silent ? Relay.Answer.SILENT : Relay.Answer.REFUSES, !silent);
         tell(e, Standing.LEFT, 0, later, chance);
-        stage.calendar().in(length, () -> {
-            engines.get(e).becomes(EngineModel.Standing.UP);
-            recording.event(since(), "engine", "engine", e, "is", "up");
-            doors(e, Relay.Answer.OPEN, silent);
-            tell(e, Standing.ACTIVE, stage.calendar().now(), 1, chance);
-        });
+        stage.calendar()
+                .in(
+                        length,
+                        () -> {
+                            engines.get(e).becomes(EngineModel.Standing.UP);
+                            recording.event(since(), "engine", "engine", e, "is", "up");
+                            doors(e, Relay.Answer.OPEN, silent);
+                            tell(e, Standing.ACTIVE, stage.calendar().now(), 1, chance);
+                        });
     }
 
     /** Each manager hears it when its own list comes round. */
@@ -391,16 +554,33 @@
         int state = standing == Standing.ACTIVE ? 0 : standing == Standing.LEAVING ? 1 : 2;
         for (int m = 0; m < coordinators.size(); m++) {
             int manager = m;
-            stage.calendar().in(later * plan.managers().listDelay().drawTime(chance), () -> {
-                boolean stale = standing == Standing.LEFT
-                        && engines.get(e).model().standing() == EngineModel.Standing.UP;
-                if (!stale) {
-                    rules.listed(stage.now(), manager, e, standing == Standing.ACTIVE);
-                    rules.toldStart(manager, e, since);
-                    coordinators.get(manager).tell(List.of(new Coordinator.Listed(e + 1, at.engineFrom(manager, e),
-                            state, plan.zoneOf(e), since == 0 ? 0 : stage.unixMs(since))));
-                }
-            });
+            stage.calendar()
+                    .in(
+                            later * plan.managers().listDelay().drawTime(chance),
+                            () -> {
+                                boolean stale =
+                                        standing == Standing.LEFT
+                                                && engines.get(e).model().standing()
+                                                        == EngineModel.Standing.UP;
+                                if (!stale) {
+                                    rules.listed(
+                                            stage.now(), manager, e, standing == Standing.ACTIVE);
+                                    rules.toldStart(manager, e, since);
+                                    coordinators
+                                            .get(manager)
+                                            .tell(
+                                                    List.of(
+                                                            new Coordinator.Listed(
+                                                                    e + 1,
+                                                                    at.engineFrom(manager, e),
+                                                                    state,
+                                                                    plan.zoneOf(e),
+                                                                    since == 0
+                                                                            ? 0
+                                                                            : stage.unixMs(
+                                                                                    since))));
+                                }
+                            });
         }
     }
 
@@ -408,13 +588,20 @@
         List<Integer> from = f.who().among(plan, chance);
         List<Integer> to = f.to().among(plan, chance);
         ways(f, from, to, way -> does.accept(way, false));
-        stage.calendar().in(f.length(), () -> {
-            ways(f, from, to, way -> does.accept(way, true));
-            recording.event(since(), "healed", "kind", f.kind().name().toLowerCase(Locale.ROOT));
-            if (f.every() > 0 && since() + f.every() < plan.length()) {
-                stage.calendar().in(f.every(), () -> onWays(f, chance, does));
-            }
-        });
+        stage.calendar()
+                .in(
+                        f.length(),
+                        () -> {
+                            ways(f, from, to, way -> does.accept(way, true));
+                            recording.event(
+                                    since(),
+                                    "healed",
+                                    "kind",
+                                    f.kind().name().toLowerCase(Locale.ROOT));
+                            if (f.every() > 0 && since() + f.every() < plan.length()) {
+                                stage.calendar().in(f.every(), () -> onWays(f, chance, does));
+                            }
+                        });
     }
 
     private void ways(Fault f, List<Integer> from, List<Integer> to, Consumer<Way> does) {
@@ -430,7 +617,8 @@
                 boolean peers = !fromEngines && !toEngines;
                 does.accept(peers ? toPeer[a][b] : fromEngines ? fromEngine[m][e] : toEngine[m][e]);
                 if (!f.oneWay()) {
-                    does.accept(peers ? toPeer[b][a] : fromEngines ? toEngine[m][e] : fromEngine[m][e]);
+                    does.accept(
+                            peers ? toPeer[b][a] : fromEngines ? toEngine[m][e] : fromEngine[m][e]);
                 }
                 if (!peers) {
                     doors[m][e].changed();
@@ -445,15 +633,25 @@
         double utility = plan.groups().get(is.group).utility();
         recording.add(since(), "asked " + plan.zones().get(plan.zoneOf(manager)), utility);
         recording.add(since(), "asked", utility);
-        recording.event(since(), "asked", "batch", is.id, "group", plan.groups().get(is.group).name(), "manager",
-                manager, "key", is.key);
+        recording.event(
+                since(),
+                "asked",
+                "batch",
+                is.id,
+                "group",
+                plan.groups().get(is.group).name(),
+                "manager",
+                manager,
+                "key",
+                is.key);
     }
 
     @Override
     public void tried(Try t) {
         recording.add(since(), "tries", 1);
         recording.add(since(), "client retries", t.is.tries > 1 ? 1 : 0);
-        recording.event(since(), "tried", "batch", t.is.id, "manager", t.manager, "try", t.is.tries);
+        recording.event(
+                since(), "tried", "batch", t.is.id, "manager", t.manager, "try", t.is.tries);
     }
 
     @Override
@@ -462,7 +660,8 @@
         recording.event(since(), how, "batch", t.is.id, "manager", t.manager);
         if (how.equals("returned") && !t.is.done) {
             FleetPlan.Group g = plan.groups().get(t.is.group);
-            boolean inTime = stage.now() - t.is.asked <= g.goal() + g.stretch() * t.is.work / g.threads();
+            boolean inTime =
+                    stage.now() - t.is.asked <= g.goal() + g.stretch() * t.is.work / g.threads();
             // Booked to the second in which it was asked for: what that second's batches came to.
             long asked = t.is.asked - began;
             double earned = g.utility() * (inTime ? 1 : g.lateValue());
@@ -474,7 +673,16 @@
     @Override
     public void dispatched(Try t, int engine, boolean further) {
         recording.add(since(), further ? "further dispatches" : "first dispatches", 1);
-        recording.event(since(), "dispatched", "batch", t.is.id, "manager", t.manager, "engine", engine, "further",
+        recording.event(
+                since(),
+                "dispatched",
+                "batch",
+                t.is.id,
+                "manager",
+                t.manager,
+                "engine",
+                engine,
+                "further",
                 further ? 1 : 0);
     }
 
@@ -501,7 +709,8 @@
         for (int m = 0; m < meant.length; m++) {
             long left = (until - System.nanoTime()) / 1_000_000;
             if (!managers.awaitEnd(m, Math.max(1, left))) {
-                crashed.add("manager " + m + " had not ended " + ENDS_WITHIN_MS + " ms after SIGTERM");
+                crashed.add(
+                        "manager " + m + " had not ended " + ENDS_WITHIN_MS + " ms after SIGTERM");
             } else if (managers.exit(m) != 0) {
                 crashed.add("manager " + m + " ended with " + managers.exit(m) + " after SIGTERM");
             }
@@ -513,14 +722,20 @@
     private Result judge(double processor) throws IOException {
         Map<String, Double> figures = new LinkedHashMap<>(score.figures());
         for (String zone : plan.zones()) {
-            figures.put("zone " + zone, recording.sum("earned " + zone)
-                    / Math.max(1e-9, recording.sum("asked " + zone)));
+            figures.put(
+                    "zone " + zone,
+                    recording.sum("earned " + zone)
+                            / Math.max(1e-9, recording.sum("asked " + zone)));
         }
         double first = Math.max(1, recording.sum("first dispatches"));
         double seconds = plan.length() / 1e4;
         figures.put("further a first", recording.sum("further dispatches") / first);
-        figures.put("retries a batch", recording.sum("client retries") / Math.max(1, recording.sum("tries")));
-        figures.put("probes an engine and s", recording.sum("probes") / plan.engines().count() / seconds);
+        figures.put(
+                "retries a batch",
+                recording.sum("client retries") / Math.max(1, recording.sum("tries")));
+        figures.put(
+                "probes an engine and s",
+                recording.sum("probes") / plan.engines().count() / seconds);
         figures.put("lost", recording.sum("lost"));
         figures.put("late", recording.sum("late"));
         figures.put("quiet after s", quietAfter());
@@ -533,23 +748,50 @@
         for (FleetPlan.Expect x : plan.expects()) {
             Double is = figures.get(x.figure());
             if (is < x.least() || is > x.most()) {
-                missed.add(String.format(Locale.ROOT, "%s is %.4f, wanted %s", x.figure(), is, is < x.least()
-                        ? "at least " + x.least() : "at most " + x.most()));
+                missed.add(
+                        String.format(
+                                Locale.ROOT,
+                                "%s is %.4f, wanted %s",
+                                x.figure(),
+                                is,
+                                is < x.least() ? "at least " + x.least() : "at most " + x.most()));
             }
         }
         double late = stage.late().getValueAtPercentile(99) / 1e3;
-        String isVoid = relay.fault() != null ? "the relay ended: " + relay.fault() : late <= VOID_99TH_MS ? null
-                : String.format(Locale.ROOT,
-                "the stand-ins came %.0f ms late (99th); %.0f would do: fewer managers, or a machine with more time",
-                late, VOID_99TH_MS);
+        String isVoid =
+                relay.fault() != null
+                        ? "the relay ended: " + relay.fault()
+                        : late <= VOID_99TH_MS
+                                ? null
+                                : String.format(
+                                        Locale.ROOT,
+                                        "the stand-ins came %.0f ms late (99th); %.0f would do:"
+                                                + " fewer managers, or a machine with more time",
+                                        late,
+                                        VOID_99TH_MS);
         recording.event(since(), "ends", "broken", broken.size(), "missed", missed.size());
-        List<double[]> faults = plan.faults().stream().map(f -> new double[] {f.at() / 1e4,
-            f.every() > 0 ? seconds : (f.at() + Math.max(10_000, f.length())) / 1e4}).toList();
-        recording.tables(plan.name() + ", seed " + order.seed + (order.peers ? ", peers" : ""), faults, plan.zones());
+        List<double[]> faults =
+                plan.faults().stream()
+                        .map(
+                                f ->
+                                        new double[] {
+                                            f.at() / 1e4,
+                                            f.every() > 0
+                                                    ? seconds
+                                                    : (f.at() + Math.max(10_000, f.length())) / 1e4
+                                        })
+                        .toList();
+        recording.tables(
+                plan.name() + ", seed " + order.seed + (order.peers ? ", peers" : ""),
+                faults,
+                plan.zones());
         return new Result(figures, broken, missed, isVoid);
     }
 
-    /** Seconds from the last fault's end until three seconds in a row earn nine tenths; -1 if they never do. */
+    /**
+     * Seconds from the last fault's end until three seconds in a row earn nine tenths; -1 if they
+     * never do.
+     */
     private double quietAfter() {
         long ends = 0;
         for (Fault f : plan.faults()) {
--- a/src/test/java/firstage/BrainStoriesTest.java
+++ b/src/test/java/firstage/BrainStoriesTest.java
@@ -66,7 +66,9 @@
     @Test
     void anEngineThatLeftLongAgoIsForgottenOnceNothingIsOutThere() {
         host.start(2).take(1, LOOKUP);
-        host.change(host.on(1), Standing.LEFT, 0).change(1 - host.on(1), Standing.LEAVING, 0).pass(90 * SECOND);
+        host.change(host.on(1), Standing.LEFT, 0)
+                .change(1 - host.on(1), Standing.LEAVING, 0)
+                .pass(90 * SECOND);
         assertThat(host.acts).noneMatch(a -> a.startsWith("forgetEngine"));
         host.end(1, Outcome.RETURNED);
         for (int batch = 2; batch < 6; batch++) {
@@ -121,7 +123,8 @@
         for (int beat = 0; beat < 9; beat++) {
             host.note(1, Note.Kind.DONE, 0.1).pass(SECOND / 2);
         }
-        // The copy breaks within its own window of 6 s, but past that of the first, which never came back.
+        // The copy breaks within its own window of 6 s, but past that of the first, which never
+        // came back.
         host.end(1, Outcome.BROKEN).pass(SECOND);
         assertThat(host.sent(1)).isEqualTo(2);
     }
@@ -218,14 +221,20 @@
             one.managers = 200;
             one.rank = rank;
             one.start(2).take(0, LOOKUP).end(0, Outcome.RETURNED);
-            one.change(0, Standing.LEFT, 0).change(1, Standing.ACTIVE, one.now).take(1, LOOKUP).take(2, LOOKUP);
+            one.change(0, Standing.LEFT, 0)
+                    .change(1, Standing.ACTIVE, one.now)
+                    .take(1, LOOKUP)
+                    .take(2, LOOKUP);
             sent += one.sent(1) + one.sent(2);
         }
         // It stands 8.2 s of work in any 2 s, which is 41 lookups of 0.2 s.
         assertThat(sent).isBetween(8, 30);
     }
 
-    /** Of 2,600 managers 160 share an engine, and warm it by their parts; by the settings' it would stand idle. */
+    /**
+     * Of 2,600 managers 160 share an engine, and warm it by their parts; by the settings' it would
+     * stand idle.
+     */
     @Test
     void inCellsAColdEngineIsWarmedByThePartOfThoseThatShareIt() {
         int bySettings = 0;
@@ -247,7 +256,10 @@
         one.start(2);
         one.brain.allotted(one.now, 1.0 / 160);
         one.take(0, LOOKUP).end(0, Outcome.RETURNED);
-        one.change(0, Standing.LEFT, 0).change(1, Standing.ACTIVE, one.now).take(1, LOOKUP).take(2, LOOKUP);
+        one.change(0, Standing.LEFT, 0)
+                .change(1, Standing.ACTIVE, one.now)
+                .take(1, LOOKUP)
+                .take(2, LOOKUP);
         return one.sent(1) + one.sent(2);
     }
 
@@ -302,7 +314,11 @@
     @Test
     void aBoundGroupWaitsRatherThanLeaveItsZone() {
         host.lookupZones = Set.of(1);
-        host.start(4).change(2, Standing.LEFT, 0).change(3, Standing.LEFT, 0).take(1, LOOKUP).pass(5 * SECOND);
+        host.start(4)
+                .change(2, Standing.LEFT, 0)
+                .change(3, Standing.LEFT, 0)
+                .take(1, LOOKUP)
+                .pass(5 * SECOND);
         assertThat(host.sent(1)).isZero();
         assertThat(host.answered(1)).isTrue();
     }
@@ -328,7 +344,10 @@
 
     @Test
     void aSpilledGrantTeachesALargerMargin() {
-        host.start(1).take(1, LOOKUP, -1, 400, -1).note(1, Note.Kind.SPILLS, 40).end(1, Outcome.RETURNED);
+        host.start(1)
+                .take(1, LOOKUP, -1, 400, -1)
+                .note(1, Note.Kind.SPILLS, 40)
+                .end(1, Outcome.RETURNED);
         host.take(2, LOOKUP, -1, 400, -1);
         assertThat(host.acts).doesNotContain("provide 2 500");
     }
@@ -412,7 +431,8 @@
         for (int b = 10; b < 14; b++) {
             host.take(b, REPORT);
         }
-        assertThat(List.of(host.on(10), host.on(11), host.on(12), host.on(13))).doesNotHaveDuplicates();
+        assertThat(List.of(host.on(10), host.on(11), host.on(12), host.on(13)))
+                .doesNotHaveDuplicates();
     }
 
     @Test
@@ -428,7 +448,10 @@
 
     @Test
     void theNextOfAKeyWaitsWhileAnEngineMayHoldTheFirst() {
-        host.start(2).take(1, LOAD, 7, 0, -1).take(2, LOAD, 7, 0, -1).endHeld(1, Outcome.ERRORED, 2 * SECOND);
+        host.start(2)
+                .take(1, LOAD, 7, 0, -1)
+                .take(2, LOAD, 7, 0, -1)
+                .endHeld(1, Outcome.ERRORED, 2 * SECOND);
         assertThat(host.acts).contains("error 1");
         assertThat(host.pass(SECOND * 19 / 10).sent(2)).isZero();
         assertThat(host.pass(SECOND / 5).sent(2)).isEqualTo(1);
@@ -446,7 +469,8 @@
     @Test
     void aJamDoesNotBecomeTheNewNormal() {
         host.start(1);
-        // Answers ten times over the estimate, from the first on: the gate must bind, not take them as calm.
+        // Answers ten times over the estimate, from the first on: the gate must bind, not take them
+        // as calm.
         for (int b = 0; b < 60; b++) {
             host.take(b, LOOKUP);
             if (host.sent(b) > 0) {
@@ -497,7 +521,8 @@
         for (int e = 0; e < 4; e++) {
             host.brain.probed(host.now, e, Outcome.RETURNED, new Report(0, 5, 0, 0, 0));
         }
-        // Four engines with a bound of one thread each: two reports of two threads, not one on every engine.
+        // Four engines with a bound of one thread each: two reports of two threads, not one on
+        // every engine.
         for (int b = 10; b < 14; b++) {
             host.take(b, REPORT, -1, 100, -1);
         }
@@ -507,7 +532,10 @@
     @Test
     void aLoadTakesNoPlaceKeptForShortBatches() {
         host.managers = 8;
-        host.start(1).take(1, LOAD, -1, 100, -1).note(1, Note.Kind.WAITS_FOR_MEMORY, 0).take(2, LOOKUP, -1, 100, -1);
+        host.start(1)
+                .take(1, LOAD, -1, 100, -1)
+                .note(1, Note.Kind.WAITS_FOR_MEMORY, 0)
+                .take(2, LOOKUP, -1, 100, -1);
         assertThat(host.sent(2)).isEqualTo(1);
     }
 
@@ -515,7 +543,8 @@
     void aReportIsGivenUpByItsGoalWhileTheQueueIsLong() {
         host.estimate = false;
         host.start(1).change(0, Standing.LEFT, 0).take(1, REPORT).pass(4 * SECOND);
-        // Its goal is 9 s off and its usual run takes 3 s; its late part could have waited until 17 s.
+        // Its goal is 9 s off and its usual run takes 3 s; its late part could have waited until 17
+        // s.
         assertThat(host.answered(1)).isFalse();
         host.pass(4 * SECOND);
         assertThat(host.acts).contains("pushBack 1");
@@ -550,13 +579,20 @@
         host.managers = 64;
         host.probePrice = 0.01;
         host.start(3).take(9, REPORT);
-        assertThat(host.acts).as("while all is calm a probe earns nothing").noneMatch(act -> act.startsWith("probe"));
-        host.end(9, Outcome.RETURNED).take(10, LOOKUP).slowly(10, 30_000).take(11, LOOKUP).slowly(11, 30_000);
+        assertThat(host.acts)
+                .as("while all is calm a probe earns nothing")
+                .noneMatch(act -> act.startsWith("probe"));
+        host.end(9, Outcome.RETURNED)
+                .take(10, LOOKUP)
+                .slowly(10, 30_000)
+                .take(11, LOOKUP)
+                .slowly(11, 30_000);
         host.take(1, REPORT);
         assertThat(host.acts).contains("probe 0", "probe 1", "probe 2");
         assertThat(host.sent(1)).isZero();
         for (int e = 0; e < 3; e++) {
-            host.brain.probed(host.now, e, Outcome.RETURNED, new Report(0, e == 1 ? 0 : 4, 0, 0, 0));
+            host.brain.probed(
+                    host.now, e, Outcome.RETURNED, new Report(0, e == 1 ? 0 : 4, 0, 0, 0));
         }
         host.brain.turn(host.now);
         assertThat(host.on(1)).isEqualTo(1);
--- a/src/test/java/firstage/FakeHost.java
+++ b/src/test/java/firstage/FakeHost.java
@@ -18,7 +18,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A tiny host: it remembers what a brain did, and tells the story's events. Times are tenths of ms. */
+/**
+ * A tiny host: it remembers what a brain did, and tells the story's events. Times are tenths of ms.
+ */
 final class FakeHost implements Host {
     static final long SECOND = 10_000;
     static final int LOOKUP = 0;
@@ -49,15 +51,48 @@
     boolean pages;
 
     FakeHost start(int engines) {
-        List<ServiceGroup> groups = List.of(
-                group(SECOND, 5 * SECOND, 1, 0, Effect.REPEATABLE, false, 1, lookupZones),
-                group(3 * SECOND, 20 * SECOND, 3, 0.3, Effect.REPEATABLE, false, 2, Set.of()),
-                group(3 * SECOND, 25 * SECOND, 8, 0.5, loadEffect, true, 2, Set.of()));
-        brain = new Brain(new Deployment(seed, managers, rank, 0, groups,
-                List.of(new Deployment.Machine(8, memoryMb)), rates.stream().map(r -> r / SECOND).toList(),
-                new Deployment.Allowed(callOff, secondCopies, true, true, true, 4, 2 * SECOND),
-                new Deployment.Rules(0.3, 10 * SECOND, 2, 2 * SECOND, SECOND / 2, furtherRatio, 1, 10 * SECOND),
-                0.5, notePace, false, false, probePrice, probesTell, pages), this);
+        List<ServiceGroup> groups =
+                List.of(
+                        group(SECOND, 5 * SECOND, 1, 0, Effect.REPEATABLE, false, 1, lookupZones),
+                        group(
+                                3 * SECOND,
+                                20 * SECOND,
+                                3,
+                                0.3,
+                                Effect.REPEATABLE,
+                                false,
+                                2,
+                                Set.of()),
+                        group(3 * SECOND, 25 * SECOND, 8, 0.5, loadEffect, true, 2, Set.of()));
+        brain =
+                new Brain(
+                        new Deployment(
+                                seed,
+                                managers,
+                                rank,
+                                0,
+                                groups,
+                                List.of(new Deployment.Machine(8, memoryMb)),
+                                rates.stream().map(r -> r / SECOND).toList(),
+                                new Deployment.Allowed(
+                                        callOff, secondCopies, true, true, true, 4, 2 * SECOND),
+                                new Deployment.Rules(
+                                        0.3,
+                                        10 * SECOND,
+                                        2,
+                                        2 * SECOND,
+                                        SECOND / 2,
+                                        furtherRatio,
+                                        1,
+                                        10 * SECOND),
+                                0.5,
+                                notePace,
+                                false,
+                                false,
+                                probePrice,
+                                probesTell,
+                                pages),
+                        this);
         List<Entry> entries = new ArrayList<>();
         for (int e = 0; e < engines; e++) {
             entries.add(entry(e, Standing.ACTIVE, 0));
@@ -67,19 +102,42 @@
         return this;
     }
 
-    private ServiceGroup group(long goal, long limit, double utility, double late, Effect effect, boolean load,
-                               int threads, Set<Integer> zones) {
-        return new ServiceGroup(goal, 2, limit, utility, late, effect, scope, 6 * SECOND, load, threads, load,
-                !load, zones, Set.of());
+    private ServiceGroup group(
+            long goal,
+            long limit,
+            double utility,
+            double late,
+            Effect effect,
+            boolean load,
+            int threads,
+            Set<Integer> zones) {
+        return new ServiceGroup(
+                goal,
+                2,
+                limit,
+                utility,
+                late,
+                effect,
+                scope,
+                6 * SECOND,
+                load,
+                threads,
+                load,
+                !load,
+                zones,
+                Set.of());
     }
 
     /** Engines 0 and 1 stand in zone and cell 0, 2 and 3 in 1, and so on. */
     Entry entry(int engine, Standing standing, long since) {
-        return new Entry(engine, engine + 1, engine / 2, 0, engine / 2, standing, 1, since, coldPart);
+        return new Entry(
+                engine, engine + 1, engine / 2, 0, engine / 2, standing, 1, since, coldPart);
     }
 
     FakeHost change(int engine, Standing standing, long since) {
-        brain.listed(now, new EngineList(EngineList.Kind.CHANGES, List.of(entry(engine, standing, since))));
+        brain.listed(
+                now,
+                new EngineList(EngineList.Kind.CHANGES, List.of(entry(engine, standing, since))));
         brain.turn(now);
         return this;
     }
@@ -90,21 +148,38 @@
 
     FakeHost take(int batch, int group, int key, int memory, int customer) {
         long limit = group == LOOKUP ? 5 * SECOND : 20 * SECOND;
-        brain.taken(now, new Arrival(batch, group, customer, key, now + limit,
-                !estimate ? 0 : group == LOOKUP ? 2_000 : 20_000, memory, batch, false, false));
+        brain.taken(
+                now,
+                new Arrival(
+                        batch,
+                        group,
+                        customer,
+                        key,
+                        now + limit,
+                        !estimate ? 0 : group == LOOKUP ? 2_000 : 20_000,
+                        memory,
+                        batch,
+                        false,
+                        false));
         brain.turn(now);
         return this;
     }
 
     /** Whether it came before or after another of its key can't be told. */
     FakeHost takeOutOfTurn(int batch, int key) {
-        brain.taken(now, new Arrival(batch, LOAD, -1, key, now + 20 * SECOND, 20_000, 0, batch, false, true));
+        brain.taken(
+                now,
+                new Arrival(
+                        batch, LOAD, -1, key, now + 20 * SECOND, 20_000, 0, batch, false, true));
         brain.turn(now);
         return this;
     }
 
     FakeHost takeReading(int batch, int group, int tables) {
-        brain.taken(now, new Arrival(batch, group, -1, -1, now + 20 * SECOND, 2_000, 0, tables, false, false));
+        brain.taken(
+                now,
+                new Arrival(
+                        batch, group, -1, -1, now + 20 * SECOND, 2_000, 0, tables, false, false));
         brain.turn(now);
         return this;
     }
@@ -120,29 +195,53 @@
 
     /** The batch's dispatch ends, and its engine may hold it for so long. */
     FakeHost endHeld(int batch, Outcome outcome, long mayHold) {
-        brain.ended(now, new Ending(batch, dispatches.get(batch) - 1, lastEngine.get(batch), outcome, 2_000, 0, 0,
-                false, null, mayHold));
+        brain.ended(
+                now,
+                new Ending(
+                        batch,
+                        dispatches.get(batch) - 1,
+                        lastEngine.get(batch),
+                        outcome,
+                        2_000,
+                        0,
+                        0,
+                        false,
+                        null,
+                        mayHold));
         brain.turn(now);
         return this;
     }
 
     private FakeHost end(int batch, Outcome outcome, long took) {
         int number = dispatches.get(batch) - 1;
-        brain.ended(now, new Ending(batch, number, lastEngine.get(batch), outcome, took, 0, 0,
-                outcome == Outcome.RETURNED, null, 0));
+        brain.ended(
+                now,
+                new Ending(
+                        batch,
+                        number,
+                        lastEngine.get(batch),
+                        outcome,
+                        took,
+                        0,
+                        0,
+                        outcome == Outcome.RETURNED,
+                        null,
+                        0));
         brain.turn(now);
         return this;
     }
 
     FakeHost note(int batch, Note.Kind kind, double amount) {
-        brain.noted(now, new Note(batch, dispatches.get(batch) - 1, lastEngine.get(batch), kind, amount));
+        brain.noted(
+                now,
+                new Note(batch, dispatches.get(batch) - 1, lastEngine.get(batch), kind, amount));
         brain.turn(now);
         return this;
     }
 
     /** Lets time pass in beats of 10 ms. */
     FakeHost pass(long time) {
-        for (long until = now + time; now < until;) {
+        for (long until = now + time; now < until; ) {
             now += 100;
             brain.woken(now, 0);
             brain.turn(now);
--- a/src/test/java/firstage/cells/CellsFieldTest.java
+++ b/src/test/java/firstage/cells/CellsFieldTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Cells in virtual time: deputies killed, cells dead and cut, a region alone, plans changed under loss. */
+/**
+ * Cells in virtual time: deputies killed, cells dead and cut, a region alone, plans changed under
+ * loss.
+ */
 class CellsFieldTest {
     private static final long SECOND = 10_000;
 
@@ -44,21 +47,30 @@
     void allKnowAllCellsAndHowManyAreHere() {
         CellsField f = field(32, 8, Fault.NONE);
         for (Place p : f.places()) {
-            assertThat(p.cells().known(f.calendar().now())).allMatch(k -> k.standing() == Standing.HEARD
-                    && k.here() == 8);
+            assertThat(p.cells().known(f.calendar().now()))
+                    .allMatch(k -> k.standing() == Standing.HEARD && k.here() == 8);
         }
     }
 
-    /** The deputies by rendezvous, all killed at once: others take their place, and with the fault nobody does. */
+    /**
+     * The deputies by rendezvous, all killed at once: others take their place, and with the fault
+     * nobody does.
+     */
     @ParameterizedTest
-    @EnumSource(value = Fault.class, names = {"NONE", "DEPUTIES_FOR_GOOD"})
+    @EnumSource(
+            value = Fault.class,
+            names = {"NONE", "DEPUTIES_FOR_GOOD"})
     void whereAllDeputiesAreKilledTheCellIsHeardStill(Fault fault) {
         CellsField f = field(32, 8, fault);
         List<String> names = of(f, 1).stream().map(p -> p.members().name()).toList();
-        of(f, 1).stream().sorted(Comparator.comparing(p -> Rendezvous.before(1, names, p.members().name()))).limit(3)
-                .toList().forEach(Place::kill);
+        of(f, 1).stream()
+                .sorted(Comparator.comparing(p -> Rendezvous.before(1, names, p.members().name())))
+                .limit(3)
+                .toList()
+                .forEach(Place::kill);
         f.pass(45 * SECOND);
-        assertThat(known(f, 0, 1).standing()).isEqualTo(fault == Fault.NONE ? Standing.HEARD : Standing.SILENT);
+        assertThat(known(f, 0, 1).standing())
+                .isEqualTo(fault == Fault.NONE ? Standing.HEARD : Standing.SILENT);
         if (fault == Fault.NONE) {
             assertThat(known(f, 0, 1).here()).isEqualTo(5);
         }
@@ -66,21 +78,34 @@
 
     /** With the fault old rows, told on and on, keep a dead cell alive. */
     @ParameterizedTest
-    @EnumSource(value = Fault.class, names = {"NONE", "OLDER_ROW_WINS"})
+    @EnumSource(
+            value = Fault.class,
+            names = {"NONE", "OLDER_ROW_WINS"})
     void aCellThatDiesAsOneIsSilentToAllAndHeardAgain(Fault fault) {
         CellsField f = field(32, 8, fault);
         of(f, 1).forEach(Place::kill);
         f.pass(60 * SECOND);
         List<Place> others = f.places().stream().filter(Place::up).toList();
         if (fault != Fault.NONE) {
-            assertThat(others).anyMatch(p -> p.cells().known(f.calendar().now()).get(1).standing()
-                    == Standing.HEARD);
+            assertThat(others)
+                    .anyMatch(
+                            p ->
+                                    p.cells().known(f.calendar().now()).get(1).standing()
+                                            == Standing.HEARD);
             return;
         }
-        assertThat(others).allMatch(p -> p.cells().known(f.calendar().now()).get(1).standing() == Standing.SILENT);
+        assertThat(others)
+                .allMatch(
+                        p ->
+                                p.cells().known(f.calendar().now()).get(1).standing()
+                                        == Standing.SILENT);
         of(f, 1).forEach(Place::start);
         f.pass(20 * SECOND);
-        assertThat(others).allMatch(p -> p.cells().known(f.calendar().now()).get(1).standing() == Standing.HEARD);
+        assertThat(others)
+                .allMatch(
+                        p ->
+                                p.cells().known(f.calendar().now()).get(1).standing()
+                                        == Standing.HEARD);
     }
 
     /** No part takes what the other uses; healed, they are one again. */
@@ -91,9 +116,11 @@
         f.cut(p -> p < apart, true);
         for (int i = 0; i < 120; i++) {
             f.pass(SECOND / 2);
-            assertThat(of(f, 0).stream().mapToDouble(Place::share).sum()).isLessThanOrEqualTo(1 + 1e-9);
+            assertThat(of(f, 0).stream().mapToDouble(Place::share).sum())
+                    .isLessThanOrEqualTo(1 + 1e-9);
         }
-        // Of eight, four are enough to keep all, fewer keep half, and five take of the other half what they may.
+        // Of eight, four are enough to keep all, fewer keep half, and five take of the other half
+        // what they may.
         assertThat(of(f, 0).stream().mapToDouble(Place::share).sum()).isGreaterThan(0.9);
         assertThat(of(f, 0).get(0).share()).isEqualTo(apart < 4 ? 0.0625 : 0.125);
         assertThat(of(f, 1).stream().mapToDouble(Place::share).sum()).isEqualTo(1);
@@ -103,7 +130,10 @@
         assertThat(of(f, 0).stream().mapToDouble(Place::share).sum()).isGreaterThan(1 - 1e-9);
     }
 
-    /** Majorities lie within cells, so a region that is alone keeps all of its slices; coming back costs no burst. */
+    /**
+     * Majorities lie within cells, so a region that is alone keeps all of its slices; coming back
+     * costs no burst.
+     */
     @Test
     void aRegionAloneKeepsItsSlicesAndComesBackWithoutABurst() {
         CellsField f = field(48, 8, Fault.NONE);
@@ -117,7 +147,8 @@
         f.cut(p -> false, false);
         assertThat(seconds(f, 10)).isLessThan(usual * 6 / 5);
         f.pass(20 * SECOND);
-        assertThat(IntStream.range(0, 6)).allMatch(c -> known(f, 0, c).standing() == Standing.HEARD);
+        assertThat(IntStream.range(0, 6))
+                .allMatch(c -> known(f, 0, c).standing() == Standing.HEARD);
     }
 
     private static long seconds(CellsField f, int count) {
@@ -126,9 +157,14 @@
         return f.bytes().values().stream().mapToLong(b -> b).sum() - before;
     }
 
-    /** Managers are killed and started anew with the next plan, under loss and cuts: parts by leases stay within. */
+    /**
+     * Managers are killed and started anew with the next plan, under loss and cuts: parts by leases
+     * stay within.
+     */
     @ParameterizedTest
-    @EnumSource(value = Fault.class, names = {"NONE", "GAINS_AT_ONCE"})
+    @EnumSource(
+            value = Fault.class,
+            names = {"NONE", "GAINS_AT_ONCE"})
     void whilePlansChangeTheSlicesOfNoEnginePassTheWhole(Fault fault) {
         double worst = 0;
         double last = 0;
@@ -138,8 +174,19 @@
             f.pass(10 * SECOND);
             f.loses(0.2);
             // Six cells; the one before the last goes, so its engines are taken over.
-            CellPlan next = new CellPlan(2, 2, CellsField.plan(2, 2, 6, 2, 4).cells().stream().map(c ->
-                    new CellPlan.Cell(c.name(), c.zone(), c.slots(), !c.name().equals("c4"))).toList());
+            CellPlan next =
+                    new CellPlan(
+                            2,
+                            2,
+                            CellsField.plan(2, 2, 6, 2, 4).cells().stream()
+                                    .map(
+                                            c ->
+                                                    new CellPlan.Cell(
+                                                            c.name(),
+                                                            c.zone(),
+                                                            c.slots(),
+                                                            !c.name().equals("c4")))
+                                    .toList());
             List<Place> order = new ArrayList<>(f.places());
             Collections.shuffle(order, new Random(seed));
             for (Place p : order) {
--- a/src/test/java/firstage/cells/CellsTest.java
+++ b/src/test/java/firstage/cells/CellsTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Who serves which engine, and how an engine goes from one cell to another: all orders of few events. */
+/**
+ * Who serves which engine, and how an engine goes from one cell to another: all orders of few
+ * events.
+ */
 class CellsTest {
     private static final long SECOND = 10_000;
     private static final CellPlan OLD = plan(1, true, true, false);
@@ -23,8 +26,13 @@
 
     /** Three cells of one zone, the first of two managers. */
     private static CellPlan plan(int number, boolean a, boolean b, boolean c) {
-        return new CellPlan(number, 1, List.of(new Cell("a", "z", 2, a), new Cell("b", "z", 1, b),
-                new Cell("c", "z", 1, c)));
+        return new CellPlan(
+                number,
+                1,
+                List.of(
+                        new Cell("a", "z", 2, a),
+                        new Cell("b", "z", 1, b),
+                        new Cell("c", "z", 1, c)));
     }
 
     /** A manager without a membership: what it tells is kept, and heard by whom a test wants. */
@@ -45,8 +53,18 @@
         }
 
         private void start(CellPlan plan, CellPlan before) {
-            cells = new Cells(plan, before, cell, slot, name, "f", 1_000_000,
-                    RandomGeneratorFactory.of("L64X128MixRandom").create(name.hashCode()), this, fault);
+            cells =
+                    new Cells(
+                            plan,
+                            before,
+                            cell,
+                            slot,
+                            name,
+                            "f",
+                            1_000_000,
+                            RandomGeneratorFactory.of("L64X128MixRandom").create(name.hashCode()),
+                            this,
+                            fault);
             cells.viewed(cell == 0 ? List.of("a0", "a1") : List.of(name));
         }
 
@@ -76,8 +94,12 @@
         private long now = 100 * SECOND;
 
         private Group(Fault fault) {
-            all = List.of(new Manager("a0", 0, 0, fault), new Manager("a1", 0, 1, fault),
-                    new Manager("b0", 1, 0, fault), new Manager("c0", 2, 0, fault));
+            all =
+                    List.of(
+                            new Manager("a0", 0, 0, fault),
+                            new Manager("a1", 0, 1, fault),
+                            new Manager("b0", 1, 0, fault),
+                            new Manager("c0", 2, 0, fault));
             all.forEach(m -> m.start(OLD, null));
             pass();
         }
@@ -90,7 +112,9 @@
         }
 
         private void within(int from, int to) {
-            all.get(to).cells.digested(now, all.get(from).slot, all.get(from).cells.digest(new byte[0]));
+            all.get(to)
+                    .cells
+                    .digested(now, all.get(from).slot, all.get(from).cells.digest(new byte[0]));
         }
 
         /** All that this one ever told, or the last of it, comes now. */
@@ -130,25 +154,40 @@
     }
 
     /** Some that move from the first cell to the third, and some that stay. */
-    private static final long[] ENGINES = LongStream.range(1, 40)
-            .filter(e -> !OLD.serving(e, "z").equals(NEW.serving(e, "z"))).limit(3).toArray();
+    private static final long[] ENGINES =
+            LongStream.range(1, 40)
+                    .filter(e -> !OLD.serving(e, "z").equals(NEW.serving(e, "z")))
+                    .limit(3)
+                    .toArray();
 
     private static double worst(int depth, Fault fault) {
-        return IntStream.range(0, 1 << 3 * depth).parallel().mapToDouble(order -> {
-            Group g = new Group(fault);
-            double worst = 0;
-            for (int i = 0; i < depth; i++) {
-                g.play(order >> 3 * i & 7);
-                worst = Math.max(worst, Arrays.stream(ENGINES).mapToDouble(g::sum).max().orElse(0));
-            }
-            return worst;
-        }).max().orElse(0);
+        return IntStream.range(0, 1 << 3 * depth)
+                .parallel()
+                .mapToDouble(
+                        order -> {
+                            Group g = new Group(fault);
+                            double worst = 0;
+                            for (int i = 0; i < depth; i++) {
+                                g.play(order >> 3 * i & 7);
+                                worst =
+                                        Math.max(
+                                                worst,
+                                                Arrays.stream(ENGINES)
+                                                        .mapToDouble(g::sum)
+                                                        .max()
+                                                        .orElse(0));
+                            }
+                            return worst;
+                        })
+                .max()
+                .orElse(0);
     }
 
     @Test
     void inNoOrderOfFiveEventsAreThePartsOfAMovingEngineMoreThanTheWhole() {
         assertThat(ENGINES).hasSize(3);
-        assertThat(worst(Integer.getInteger("firstage.cells", 5), Fault.NONE)).isLessThanOrEqualTo(1 + 1e-9);
+        assertThat(worst(Integer.getInteger("firstage.cells", 5), Fault.NONE))
+                .isLessThanOrEqualTo(1 + 1e-9);
     }
 
     @ParameterizedTest
@@ -157,15 +196,28 @@
         assertThat(worst(4, fault)).isGreaterThan(1 + 1e-9);
     }
 
-    /** Each manager holds whichever plan it likes, and believes whatever it heard: the rule rests on nobody's word. */
+    /**
+     * Each manager holds whichever plan it likes, and believes whatever it heard: the rule rests on
+     * nobody's word.
+     */
     private static double coldParts(CellPlan was, CellPlan is, long engine, Fault fault) {
         double sum = 0;
         for (int c = 0; c < is.cells().size(); c++) {
             double old = was.serves(c, engine, "n") ? was.coldPart(null, c, engine, "n") : 0;
             double now = 0;
             if (is.serves(c, engine, "n")) {
-                Cells cells = new Cells(is, was, c, 0, "x", "f", 1, RandomGeneratorFactory.of("L64X128MixRandom")
-                        .create(c), new Manager("x", c, 0, fault), fault);
+                Cells cells =
+                        new Cells(
+                                is,
+                                was,
+                                c,
+                                0,
+                                "x",
+                                "f",
+                                1,
+                                RandomGeneratorFactory.of("L64X128MixRandom").create(c),
+                                new Manager("x", c, 0, fault),
+                                fault);
                 now = cells.coldPart(engine, "n");
             }
             sum += is.cells().get(c).slots() * Math.max(old, now);
@@ -190,7 +242,14 @@
             was.add(new Cell("new", "n", more, false));
             is.add(new Cell("new", "n", more, true));
             for (long e = 1; e <= 20; e++) {
-                worst = Math.max(worst, coldParts(new CellPlan(1, spread, was), new CellPlan(2, spread, is), e, fault));
+                worst =
+                        Math.max(
+                                worst,
+                                coldParts(
+                                        new CellPlan(1, spread, was),
+                                        new CellPlan(2, spread, is),
+                                        e,
+                                        fault));
             }
         }
         return worst;
@@ -205,8 +264,14 @@
     @Test
     void onceAllThatLoseAnEngineHoldTheNewPlanItIsTakenOver() {
         Group g = new Group(Fault.NONE);
-        long moves = LongStream.range(1, 100).filter(e -> OLD.serving(e, "z").equals(List.of(0))
-                && NEW.serving(e, "z").equals(List.of(2))).findFirst().orElseThrow();
+        long moves =
+                LongStream.range(1, 100)
+                        .filter(
+                                e ->
+                                        OLD.serving(e, "z").equals(List.of(0))
+                                                && NEW.serving(e, "z").equals(List.of(2)))
+                        .findFirst()
+                        .orElseThrow();
         assertThat(g.all.get(0).cells.uses(moves, "z")).isTrue();
         for (int e = 0; e < 4; e++) {
             g.play(e);
@@ -226,8 +291,13 @@
 
     @Test
     void theCellsOfAZoneShareItsEnginesAndTheirPartsMakeOne() {
-        CellPlan plan = new CellPlan(1, 4, IntStream.range(0, 26).mapToObj(c ->
-                new Cell("c" + c, c % 2 == 0 ? "n" : "s", 40, true)).toList());
+        CellPlan plan =
+                new CellPlan(
+                        1,
+                        4,
+                        IntStream.range(0, 26)
+                                .mapToObj(c -> new Cell("c" + c, c % 2 == 0 ? "n" : "s", 40, true))
+                                .toList());
         int[] served = new int[26];
         for (long e = 1; e <= 1_720; e++) {
             String zone = e % 2 == 0 ? "n" : "s";
@@ -279,11 +349,23 @@
             bad[chance.nextInt(13)] ^= (byte) (1 << chance.nextInt(8));
             a.received(g.now, bad);
         }
-        assertThat(a.refused()).containsKeys("another form", "another fleet", "another plan of this number");
-        Cells other = new Cells(plan(1, true, true, true), null, 1, 0, "b0", "f", 1_000_000,
-                RandomGeneratorFactory.of("L64X128MixRandom").create(1), g.all.get(2), Fault.NONE);
+        assertThat(a.refused())
+                .containsKeys("another form", "another fleet", "another plan of this number");
+        Cells other =
+                new Cells(
+                        plan(1, true, true, true),
+                        null,
+                        1,
+                        0,
+                        "b0",
+                        "f",
+                        1_000_000,
+                        RandomGeneratorFactory.of("L64X128MixRandom").create(1),
+                        g.all.get(2),
+                        Fault.NONE);
         assertThat(other.digested(g.now, 0, a.digest(new byte[] {7}))).isEmpty();
-        assertThat(a.digested(g.now, 1, g.all.get(1).cells.digest(new byte[] {7}))).containsExactly(7);
+        assertThat(a.digested(g.now, 1, g.all.get(1).cells.digest(new byte[] {7})))
+                .containsExactly(7);
     }
 
     @Test
@@ -293,7 +375,8 @@
         c.start(NEW, OLD);
         Sieve<Long> sieve = new Sieve<>(c.cells, e -> e, e -> "z", e -> false);
         List<Long> engines = LongStream.range(1, 200).boxed().toList();
-        List<Long> mine = engines.stream().filter(e -> NEW.serving(e, "z").equals(List.of(2))).toList();
+        List<Long> mine =
+                engines.stream().filter(e -> NEW.serving(e, "z").equals(List.of(2))).toList();
         assertThat(sieve.pass(true, engines)).isEmpty();
         assertThat(sieve.awaited()).isEqualTo(mine.size()).isBetween(60, 140);
         for (int e = 0; e < 3; e++) {
--- a/src/test/java/firstage/evacuation/ZonesTest.java
+++ b/src/test/java/firstage/evacuation/ZonesTest.java
@@ -16,19 +16,26 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Three zones with managers and engines, ways between them that break: who leaves which, and who comes back when. */
+/**
+ * Three zones with managers and engines, ways between them that break: who leaves which, and who
+ * comes back when.
+ */
 class ZonesTest {
     private static final long SECOND = 10_000;
     private static final long STEP = 1_000;
     private static final int ZONES = 3;
     private static final int ENGINES = 12;
     private static final long WARM = 5 * SECOND;
+
     /** After which a manager by itself closes an engine that does not answer. */
     private static final long NOTICES = SECOND;
+
     private final RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(3);
     private final List<One> all = new ArrayList<>();
+
     /** From a manager's zone to an engine's; and between managers. */
     private final boolean[][] bears = new boolean[ZONES][ZONES];
+
     private final boolean[][] talks = new boolean[ZONES][ZONES];
     private long now = 100 * SECOND;
 
@@ -49,22 +56,30 @@
         private One(int number, Zones.Fault fault) {
             name = "m" + number;
             zone = number % ZONES;
-            level = new Level(name, SECOND, (at, band, part) -> { }, Level.Fault.NONE);
-            zones = new Zones(name, zone, ZONES, WARM, new Zones.Effects() {
-                @Override
-                public void keepAway(long engine, boolean keepsAway, boolean restIsOver) {
-                    away.put(engine, keepsAway);
-                    if (restIsOver) {
-                        use((int) engine);
-                    }
-                }
+            level = new Level(name, SECOND, (at, band, part) -> {}, Level.Fault.NONE);
+            zones =
+                    new Zones(
+                            name,
+                            zone,
+                            ZONES,
+                            WARM,
+                            new Zones.Effects() {
+                                @Override
+                                public void keepAway(
+                                        long engine, boolean keepsAway, boolean restIsOver) {
+                                    away.put(engine, keepsAway);
+                                    if (restIsOver) {
+                                        use((int) engine);
+                                    }
+                                }
 
-                @Override
-                public void turned(int which, String state) {
-                    turns.add(which + " " + state);
-                    turnedAt.put(which, now);
-                }
-            }, fault);
+                                @Override
+                                public void turned(int which, String state) {
+                                    turns.add(which + " " + state);
+                                    turnedAt.put(which, now);
+                                }
+                            },
+                            fault);
         }
 
         private boolean isAway(int engine) {
@@ -109,10 +124,11 @@
             all.add(new One(m, fault));
         }
         List<String> names = all.stream().map(o -> o.name).toList();
-        all.forEach(o -> {
-            o.level.viewed(names);
-            o.zones.viewed(names);
-        });
+        all.forEach(
+                o -> {
+                    o.level.viewed(names);
+                    o.zones.viewed(names);
+                });
         for (int from = 0; from < ZONES; from++) {
             for (int to = 0; to < ZONES; to++) {
                 bears[from][to] = true;
@@ -134,8 +150,13 @@
                 for (One o : all) {
                     One other = all.get(chance.nextInt(all.size()));
                     if (other != o && o.runs && other.runs && talks[o.zone][other.zone]) {
-                        other.level.heard(now, Words.read(Words.write(List.of(), o.level.rows(now, 20))).rows());
-                        o.level.heard(now, Words.read(Words.write(List.of(), other.level.rows(now, 20))).rows());
+                        other.level.heard(
+                                now,
+                                Words.read(Words.write(List.of(), o.level.rows(now, 20))).rows());
+                        o.level.heard(
+                                now,
+                                Words.read(Words.write(List.of(), other.level.rows(now, 20)))
+                                        .rows());
                     }
                 }
             }
@@ -143,7 +164,10 @@
     }
 
     private long leavings() {
-        return all.stream().mapToLong(o -> o.turns.stream().filter(t -> t.endsWith(" out")).count()).max().orElse(0);
+        return all.stream()
+                .mapToLong(o -> o.turns.stream().filter(t -> t.endsWith(" out")).count())
+                .max()
+                .orElse(0);
     }
 
     /** Soon, by all in nearly the same moment, with a manager that goes on trying each engine. */
@@ -155,14 +179,17 @@
         long died = now;
         pass(5);
         assertThat(all).allMatch(o -> o.zones.out().equals(List.of(1)));
-        assertThat(all.stream().mapToLong(o -> o.turnedAt.get(1) - died)).allMatch(t -> t <= 2.5 * SECOND);
+        assertThat(all.stream().mapToLong(o -> o.turnedAt.get(1) - died))
+                .allMatch(t -> t <= 2.5 * SECOND);
         long first = all.stream().mapToLong(o -> o.turnedAt.get(1)).min().orElse(0);
-        assertThat(all.stream().mapToLong(o -> o.turnedAt.get(1) - first)).allMatch(t -> t <= 0.7 * SECOND);
+        assertThat(all.stream().mapToLong(o -> o.turnedAt.get(1) - first))
+                .allMatch(t -> t <= 0.7 * SECOND);
         assertThat(all.stream().mapToInt(o -> o.used(1)).sum()).isEqualTo(ENGINES / ZONES);
         assertThat(all).allMatch(o -> o.used(0) + o.used(2) == 2 * ENGINES / ZONES);
         pass(10);
         engines(1, true);
-        // How many managers use all of it, second by second: it grows over the time that engines take to warm up.
+        // How many managers use all of it, second by second: it grows over the time that engines
+        // take to warm up.
         Set<Integer> seen = new HashSet<>();
         for (int s = 0; s < 15; s++) {
             pass(1);
@@ -197,7 +224,12 @@
             talks[2][z] = false;
         }
         pass(10);
-        assertThat(all).allMatch(o -> o.zone == 2 ? !o.zones.out().contains(2) : o.zones.out().equals(List.of(2)));
+        assertThat(all)
+                .allMatch(
+                        o ->
+                                o.zone == 2
+                                        ? !o.zones.out().contains(2)
+                                        : o.zones.out().equals(List.of(2)));
     }
 
     @Test
@@ -218,7 +250,8 @@
         engines(0, false);
         engines(1, false);
         pass(10);
-        assertThat(all).allMatch(o -> o.zones.out().equals(List.of(0, 1)) && o.used(2) == ENGINES / ZONES);
+        assertThat(all)
+                .allMatch(o -> o.zones.out().equals(List.of(0, 1)) && o.used(2) == ENGINES / ZONES);
         engines(2, false);
         pass(10);
         assertThat(all).allMatch(o -> o.used(2) == ENGINES / ZONES);
@@ -243,29 +276,34 @@
     void someBadEnginesAreNoZone() {
         fleet(12, Zones.Fault.NONE);
         pass(5);
-        all.forEach(o -> {
-            o.closed[1] = true;
-            o.closed[4] = true;
-            o.triedAt[1] = now + 30 * SECOND;
-            o.triedAt[4] = now + 30 * SECOND;
-        });
+        all.forEach(
+                o -> {
+                    o.closed[1] = true;
+                    o.closed[4] = true;
+                    o.triedAt[1] = now + 30 * SECOND;
+                    o.triedAt[4] = now + 30 * SECOND;
+                });
         pass(20);
         assertThat(all).allMatch(o -> o.turns.isEmpty());
     }
 
-    /** All managers of two zones stood still; on waking they hold all engines of the third for closed. */
+    /**
+     * All managers of two zones stood still; on waking they hold all engines of the third for
+     * closed.
+     */
     private void paused() {
         pass(5);
         List<One> still = all.stream().filter(o -> o.zone != 2).toList();
         still.forEach(o -> o.runs = false);
         pass(3);
-        still.forEach(o -> {
-            o.runs = true;
-            for (int e = 2; e < ENGINES; e += ZONES) {
-                o.closed[e] = true;
-                o.triedAt[e] = now - SECOND / 2;
-            }
-        });
+        still.forEach(
+                o -> {
+                    o.runs = true;
+                    for (int e = 2; e < ENGINES; e += ZONES) {
+                        o.closed[e] = true;
+                        o.triedAt[e] = now - SECOND / 2;
+                    }
+                });
         pass(1.4);
     }
 
--- a/src/test/java/firstage/fleet/CalendarTest.java
+++ b/src/test/java/firstage/fleet/CalendarTest.java
@@ -13,8 +13,7 @@
 
 /** The wheel against a plain heap, over delays from none to days. */
 class CalendarTest {
-    private record Due(long due, int order) {
-    }
+    private record Due(long due, int order) {}
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
@@ -22,32 +21,36 @@
         RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         long start = chance.nextLong(1L << 40);
         Calendar calendar = new Calendar(start);
-        PriorityQueue<Due> heap = new PriorityQueue<>(
-                Comparator.comparingLong(Due::due).thenComparingInt(Due::order));
+        PriorityQueue<Due> heap =
+                new PriorityQueue<>(
+                        Comparator.comparingLong(Due::due).thenComparingInt(Due::order));
         List<Due> happened = new ArrayList<>();
         int[] order = {0};
         class Setter {
             void set() {
-                long delay = switch (chance.nextInt(6)) {
-                    case 0 -> 0;
-                    case 1 -> chance.nextLong(20);
-                    case 2 -> chance.nextLong(2_000);
-                    case 3 -> chance.nextLong(3_000_000);
-                    case 4 -> chance.nextLong(1L << 31);
-                    default -> chance.nextLong(1L << 33);
-                };
+                long delay =
+                        switch (chance.nextInt(6)) {
+                            case 0 -> 0;
+                            case 1 -> chance.nextLong(20);
+                            case 2 -> chance.nextLong(2_000);
+                            case 3 -> chance.nextLong(3_000_000);
+                            case 4 -> chance.nextLong(1L << 31);
+                            default -> chance.nextLong(1L << 33);
+                        };
                 Due due = new Due(calendar.now() + delay, order[0]++);
                 heap.add(due);
-                calendar.in(delay, () -> {
-                    assertThat(calendar.now()).isEqualTo(due.due);
-                    happened.add(due);
-                    if (order[0] < 5_000) {
-                        set();
-                        if (chance.nextBoolean()) {
-                            set();
-                        }
-                    }
-                });
+                calendar.in(
+                        delay,
+                        () -> {
+                            assertThat(calendar.now()).isEqualTo(due.due);
+                            happened.add(due);
+                            if (order[0] < 5_000) {
+                                set();
+                                if (chance.nextBoolean()) {
+                                    set();
+                                }
+                            }
+                        });
             }
         }
         Setter setter = new Setter();
--- a/src/test/java/firstage/fleet/FleetRunTest.java
+++ b/src/test/java/firstage/fleet/FleetRunTest.java
@@ -13,13 +13,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Fleets of seconds: the same bytes for the same seed, choices told apart or not, rules watched, files refused. */
+/**
+ * Fleets of seconds: the same bytes for the same seed, choices told apart or not, rules watched,
+ * files refused.
+ */
 class FleetRunTest {
     private static String shop() {
         try {
-            return Files.readString(Path.of("deploy", "fleet", "shop.toml")).replace("length = \"60 s\"",
-                    "length = \"20 s\"")
-                    .replace("at = \"15 s\"", "at = \"4 s\"").replace("at = \"35 s\"", "at = \"10 s\"");
+            return Files.readString(Path.of("deploy", "fleet", "shop.toml"))
+                    .replace("length = \"60 s\"", "length = \"20 s\"")
+                    .replace("at = \"15 s\"", "at = \"4 s\"")
+                    .replace("at = \"35 s\"", "at = \"10 s\"");
         } catch (IOException fault) {
             throw new IllegalStateException(fault);
         }
@@ -27,18 +31,23 @@
 
     private static List<FleetResult> play(String file, String choice, int runs, int from) {
         FleetPlan plan = FleetFile.read(file);
-        return IntStream.range(0, runs).parallel()
-                .mapToObj(i -> FleetRun.play(plan, Choice.of(choice), from + i)).toList();
+        return IntStream.range(0, runs)
+                .parallel()
+                .mapToObj(i -> FleetRun.play(plan, Choice.of(choice), from + i))
+                .toList();
     }
 
     @Test
     void theSameSeedGivesTheSameResult() {
         assertThat(play(shop(), "brain", 3, 1)).isEqualTo(play(shop(), "brain", 3, 1));
-        assertThat(play(shop(), "brain", 2, 1).get(0).figures()).isNotEqualTo(play(shop(), "brain", 2,
-                1).get(1).figures());
+        assertThat(play(shop(), "brain", 2, 1).get(0).figures())
+                .isNotEqualTo(play(shop(), "brain", 2, 1).get(1).figures());
     }
 
-    /** Without the mass restart: beside a cold engine it breaks rule 4 in some runs, see docs/fleet.md. */
+    /**
+     * Without the mass restart: beside a cold engine it breaks rule 4 in some runs, see
+     * docs/fleet.md.
+     */
     private static String crashes() {
         return shop().replaceAll("(?s)\\[\\[trouble\\]\\]\nkind = \"restart\".*", "");
     }
@@ -46,17 +55,24 @@
     @Test
     void theRealDecisionsKeepTheRulesThroughCrashes() {
         assertThat(crashes()).contains("crash").doesNotContain("restart");
-        assertThat(play(crashes(), "brain", 8, 1)).allSatisfy(r -> assertThat(r.broken()).isEmpty());
+        assertThat(play(crashes(), "brain", 8, 1))
+                .allSatisfy(r -> assertThat(r.broken()).isEmpty());
     }
 
     @Test
     void aPolicyThatPushesColdEnginesOverHasNoVerdict() {
-        Comparison c = new Comparison(play(shop(), "brain", 4, 1), play(shop(), "two-choices", 4, 1));
+        Comparison c =
+                new Comparison(play(shop(), "brain", 4, 1), play(shop(), "two-choices", 4, 1));
         assertThat(c.verdict()).isEqualTo(Comparison.Verdict.BROKEN);
-        assertThat(c.broken()).anySatisfy(what -> assertThat(what).contains("two-choices", "rule 4", "pushed over"));
+        assertThat(c.broken())
+                .anySatisfy(
+                        what -> assertThat(what).contains("two-choices", "rule 4", "pushed over"));
     }
 
-    /** The same choice on other seeds, paired as if it were another: told apart in no more than one of twenty. */
+    /**
+     * The same choice on other seeds, paired as if it were another: told apart in no more than one
+     * of twenty.
+     */
     @Test
     void aChoiceIsNotToldFromItself() {
         List<FleetResult> all = play(crashes(), "brain", 80, 100);
@@ -66,7 +82,14 @@
             List<FleetResult> right = new ArrayList<>();
             for (int k = 0; k < 4; k++) {
                 FleetResult r = all.get(8 * i + 4 + k);
-                right.add(new FleetResult(r.choice(), left.get(k).seed(), r.figures(), r.broken(), r.batches(), 0));
+                right.add(
+                        new FleetResult(
+                                r.choice(),
+                                left.get(k).seed(),
+                                r.figures(),
+                                r.broken(),
+                                r.batches(),
+                                0));
             }
             told += new Comparison(left, right).verdict() == Comparison.Verdict.NONE ? 0 : 1;
         }
@@ -75,26 +98,33 @@
 
     @Test
     void aPolicyThatTakesNoHeedOfLoadIsFoundOutUnderOverload() {
-        String overload = shop().replace("rate = 57.0", "rate = 90.0").replaceAll("(?s)\\[\\[trouble\\]\\].*", "");
-        Comparison c = new Comparison(play(overload, "brain", 6, 1), play(overload, "random", 6, 1));
+        String overload =
+                shop().replace("rate = 57.0", "rate = 90.0")
+                        .replaceAll("(?s)\\[\\[trouble\\]\\].*", "");
+        Comparison c =
+                new Comparison(play(overload, "brain", 6, 1), play(overload, "random", 6, 1));
         assertThat(c.verdict()).isEqualTo(Comparison.Verdict.LEFT);
     }
 
     @Test
     void aMassRestartOfTwoHundredManagersBesideColdEnginesPushesNoneOver() {
-        String mass = shop().replace("count = 3\n", "count = 200\n").replace("count = 7\n", "count = 40\n")
-                .replace("rate = 57.0", "rate = 300.0").replace("length = \"20 s\"", "length = \"12 s\"")
-                .replaceAll("(?s)\\[\\[trouble\\]\\].*", "") + """
-                [[trouble]]
-                kind = "restart"
-                at = "3 s"
-                length = "1 s"
-
-                [[trouble]]
-                kind = "cold"
-                at = "3 s"
-                part = "50%"
-                """;
+        String mass =
+                shop().replace("count = 3\n", "count = 200\n")
+                                .replace("count = 7\n", "count = 40\n")
+                                .replace("rate = 57.0", "rate = 300.0")
+                                .replace("length = \"20 s\"", "length = \"12 s\"")
+                                .replaceAll("(?s)\\[\\[trouble\\]\\].*", "")
+                        + """
+                        [[trouble]]
+                        kind = "restart"
+                        at = "3 s"
+                        length = "1 s"
+
+                        [[trouble]]
+                        kind = "cold"
+                        at = "3 s"
+                        part = "50%"
+                        """;
         FleetResult result = play(mass, "brain", 1, 1).get(0);
         assertThat(result.broken()).isEmpty();
         assertThat(result.batches()).isGreaterThan(3_000);
@@ -103,7 +133,8 @@
     /** Two cells of two serve each engine; of the fleet's 2,600 managers only those know it. */
     private static String cells() {
         return shop().replace("count = 3\n", "count = 16\nof = 2600\ncell = 2\nspread = 2\n")
-                .replace("name = \"shop\"", "name = \"shop\"\nzones = \"n, s\"").replace("count = 7\n", "count = 12\n")
+                .replace("name = \"shop\"", "name = \"shop\"\nzones = \"n, s\"")
+                .replace("count = 7\n", "count = 12\n")
                 .replaceAll("(?s)\\[\\[trouble\\]\\].*", "");
     }
 
@@ -112,18 +143,24 @@
         FleetPlan plan = FleetFile.read(cells());
         assertThat(plan.cells().cells()).hasSize(8).allMatch(c -> c.slots() == 2);
         for (int m = 0; m < 16; m++) {
-            assertThat(plan.cells().cells().get(plan.cellOf(m)).zone()).isEqualTo(plan.zones().get(plan.zoneOf(m)));
+            assertThat(plan.cells().cells().get(plan.cellOf(m)).zone())
+                    .isEqualTo(plan.zones().get(plan.zoneOf(m)));
         }
         FleetResult result = play(cells(), "brain:peers", 1, 1).get(0);
         assertThat(result.broken()).isEmpty();
         assertThat(result.figures().get("service")).isGreaterThan(0.3);
     }
 
-    /** With all of its engines cold a zone of a large fleet serves on by the cells' parts, and by the settings' not. */
+    /**
+     * With all of its engines cold a zone of a large fleet serves on by the cells' parts, and by
+     * the settings' not.
+     */
     @Test
     void aZoneOfALargeFleetIsWarmedByItsCells() throws IOException {
-        String zone = Files.readString(Path.of("deploy", "fleet", "cold-zone.toml"))
-                .replace("length = \"24 s\"", "length = \"9 s\"").replace("at = \"6 s\"", "at = \"2 s\"");
+        String zone =
+                Files.readString(Path.of("deploy", "fleet", "cold-zone.toml"))
+                        .replace("length = \"24 s\"", "length = \"9 s\"")
+                        .replace("at = \"6 s\"", "at = \"2 s\"");
         FleetResult byPlan = play(zone, "brain", 1, 1).get(0);
         FleetResult bySettings = play(zone, "brain:cold=settings", 1, 1).get(0);
         assertThat(byPlan.broken()).isEmpty();
@@ -132,22 +169,32 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "count = 3 | 'count = 3\ncell = 2' | managers.cell: 3 managers are not 1 or more whole cells of 2",
-        "count = 3 | 'count = 3\nof = 2' | managers.of: 2 is under count; 3 and more would do",
-        "memory = \"16 GB\" | memory = \"16\" | 13: engines.memory: '16' has no unit",
-        "part = \"15%\" | parts = \"15%\" | trouble 1.parts: is unknown; known here: kind, at",
-        "count = 7 | count = 0 | engines.count: 0 is impossible; 1 to 10000 would do",
-        "effect = \"once-only\" | effect = \"never\" | group 3.effect: 'never' is none of repeatable",
-        "length = \"60 s\" | length = \"60 parsecs\" | 3: length: '60 parsecs' has an unknown unit",
-        "rate = 57.0 | rate = \"many\" | traffic.rate: many is no number",
-        "kind = \"crash\" | kind = \"quake\" | trouble 1.kind: 'quake' is none of crash",
-        "share = \"79%\" | share = \"179%\" | group 1.share: 1.79 is impossible",
-    })
-    void whatCannotBeUsedIsToldWithLineAndCure(String good, String bad, String told) throws IOException {
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "count = 3 | 'count = 3\n"
+                    + "cell = 2' | managers.cell: 3 managers are not 1 or more whole cells of 2",
+                "count = 3 | 'count = 3\n"
+                        + "of = 2' | managers.of: 2 is under count; 3 and more would do",
+                "memory = \"16 GB\" | memory = \"16\" | 13: engines.memory: '16' has no unit",
+                "part = \"15%\" | parts = \"15%\" | trouble 1.parts: is unknown; known here: kind,"
+                        + " at",
+                "count = 7 | count = 0 | engines.count: 0 is impossible; 1 to 10000 would do",
+                "effect = \"once-only\" | effect = \"never\" | group 3.effect: 'never' is none of"
+                        + " repeatable",
+                "length = \"60 s\" | length = \"60 parsecs\" | 3: length: '60 parsecs' has an"
+                        + " unknown unit",
+                "rate = 57.0 | rate = \"many\" | traffic.rate: many is no number",
+                "kind = \"crash\" | kind = \"quake\" | trouble 1.kind: 'quake' is none of crash",
+                "share = \"79%\" | share = \"179%\" | group 1.share: 1.79 is impossible",
+            })
+    void whatCannotBeUsedIsToldWithLineAndCure(String good, String bad, String told)
+            throws IOException {
         String text = Files.readString(Path.of("deploy", "fleet", "shop.toml"));
         assertThat(text).contains(good);
-        assertThatThrownBy(() -> FleetFile.read(text.replace(good, bad))).isInstanceOf(FleetFault.class)
-                .hasMessageContaining(told).hasMessageMatching("[0-9]+: .*");
+        assertThatThrownBy(() -> FleetFile.read(text.replace(good, bad)))
+                .isInstanceOf(FleetFault.class)
+                .hasMessageContaining(told)
+                .hasMessageMatching("[0-9]+: .*");
     }
 }
--- a/src/test/java/firstage/lab/HostileSchedulesTest.java
+++ b/src/test/java/firstage/lab/HostileSchedulesTest.java
@@ -6,7 +6,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Hostile schedules with fixed seeds: what the program does keeps the rules, and each old fault put back is found. */
+/**
+ * Hostile schedules with fixed seeds: what the program does keeps the rules, and each old fault put
+ * back is found.
+ */
 class HostileSchedulesTest {
     @Test
     void noScheduleBreaksARuleOrLeavesATableFilled() {
--- a/src/test/java/firstage/life/CallLifeTest.java
+++ b/src/test/java/firstage/life/CallLifeTest.java
@@ -28,8 +28,17 @@
         life.lastBroke();
         life.asked();
         life.due();
-        assertThat(acts).containsExactly("arm 2500", "path", "arm 500", "disarm", "give", "arm 20000", "give",
-                "arm 20000", "forget");
+        assertThat(acts)
+                .containsExactly(
+                        "arm 2500",
+                        "path",
+                        "arm 500",
+                        "disarm",
+                        "give",
+                        "arm 20000",
+                        "give",
+                        "arm 20000",
+                        "forget");
     }
 
     @Test
--- a/src/test/java/firstage/life/DispatchLifeTest.java
+++ b/src/test/java/firstage/life/DispatchLifeTest.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A dispatch's life, story by story: what it does, how it ends, and how long its engine may hold it. */
+/**
+ * A dispatch's life, story by story: what it does, how it ends, and how long its engine may hold
+ * it.
+ */
 class DispatchLifeTest implements DispatchLife.Carrier {
     private final List<String> acts = new ArrayList<>();
     private DispatchLife life = new DispatchLife(this, true);
@@ -63,11 +66,19 @@
         life.posted(now + 20, Word.NEWS);
         life.rang(now + 140, Alarm.DELETE_AGAIN);
         life.deleted(now + 150);
-        assertThat(acts).containsExactly("after 200 DUE", "delete", "after 120 DELETE_AGAIN", "delete", "TIMED_OUT 0");
+        assertThat(acts)
+                .containsExactly(
+                        "after 200 DUE",
+                        "delete",
+                        "after 120 DELETE_AGAIN",
+                        "delete",
+                        "TIMED_OUT 0");
         assertThat(done).isEqualTo(1);
     }
 
-    /** Its connection comes up late: the engine is told on the one that carried the call for news. */
+    /**
+     * Its connection comes up late: the engine is told on the one that carried the call for news.
+     */
     @Test
     void aDeleteIsGivenAgainWhereItsConnectionNeverCameUp() {
         written();
@@ -77,8 +88,14 @@
         life.told(now + 80, Word.NEWS);
         life.rang(now + 200, Alarm.DELETE_AGAIN);
         life.deleted(now + 205);
-        assertThat(acts).containsExactly("ask", "after 200 DUE", "delete", "after 120 DELETE_AGAIN", "delete",
-                "CALLED_OFF 0");
+        assertThat(acts)
+                .containsExactly(
+                        "ask",
+                        "after 200 DUE",
+                        "delete",
+                        "after 120 DELETE_AGAIN",
+                        "delete",
+                        "CALLED_OFF 0");
     }
 
     @Test
@@ -90,7 +107,8 @@
         life.giveUp(now + 10, Outcome.CALLED_OFF);
         life.rang(now + 210, Alarm.DUE);
         assertThat(life.lingers()).isTrue();
-        assertThat(acts).containsExactly("ask", "after 200 DUE", "delete", "after 200790 FORGOTTEN");
+        assertThat(acts)
+                .containsExactly("ask", "after 200 DUE", "delete", "after 200790 FORGOTTEN");
         life.deleteFailed(now + 2_510, Loss.UNREACHED);
         life.rang(now + 3_010, Alarm.DELETE_AGAIN);
         life.deleted(now + 3_020);
@@ -138,8 +156,12 @@
         awaited = false;
         life.giveUp(now + 10, Outcome.CALLED_OFF);
         life.rang(now + 210, Alarm.DUE);
-        assertThat(acts).containsExactly("ask", "after 200 DUE", "delete",
-                "CALLED_OFF " + (DispatchLife.FORGETS - 210));
+        assertThat(acts)
+                .containsExactly(
+                        "ask",
+                        "after 200 DUE",
+                        "delete",
+                        "CALLED_OFF " + (DispatchLife.FORGETS - 210));
         assertThat(done).isEqualTo(1);
     }
 
@@ -149,9 +171,13 @@
         life.postFailed(now + 5, Loss.LOST);
         life.told(now + 10, Word.ERROR);
         life.rang(now + 210, Alarm.DUE);
-        assertThat(acts).containsExactly("ask fresh", "after 200 DUE", "delete",
-                "after " + (DispatchLife.FORGETS + 5 - 210) + " FORGOTTEN",
-                "ERRORED " + (DispatchLife.FORGETS + 5 - 210));
+        assertThat(acts)
+                .containsExactly(
+                        "ask fresh",
+                        "after 200 DUE",
+                        "delete",
+                        "after " + (DispatchLife.FORGETS + 5 - 210) + " FORGOTTEN",
+                        "ERRORED " + (DispatchLife.FORGETS + 5 - 210));
     }
 
     @Test
--- a/src/test/java/firstage/life/KeyWatchTest.java
+++ b/src/test/java/firstage/life/KeyWatchTest.java
@@ -43,23 +43,26 @@
     @Test
     void ofTwoThatCameBeforeABarrierOnlyTheFirstIsToldAsKnown() {
         List<String> told = new ArrayList<>();
-        TakingOrder<String> order = new TakingOrder<>(new TakingOrder.Carrier<>() {
-            @Override
-            public void barrier(Object key) {
-                told.add("barrier " + key);
-            }
+        TakingOrder<String> order =
+                new TakingOrder<>(
+                        new TakingOrder.Carrier<>() {
+                            @Override
+                            public void barrier(Object key) {
+                                told.add("barrier " + key);
+                            }
 
-            @Override
-            public void taken(String batch, boolean turnKnown) {
-                told.add(batch + " " + turnKnown);
-            }
-        });
+                            @Override
+                            public void taken(String batch, boolean turnKnown) {
+                                told.add(batch + " " + turnKnown);
+                            }
+                        });
         order.came("free", null);
         order.came("a", "k");
         order.came("b", "k");
         order.passed("k");
         order.came("c", "k");
-        assertThat(told).containsExactly("free true", "barrier k", "b false", "a true", "barrier k");
+        assertThat(told)
+                .containsExactly("free true", "barrier k", "b false", "a true", "barrier k");
         assertThat(order.unsettled()).isEqualTo(1);
     }
 }
--- a/src/test/java/firstage/members/LeasesTest.java
+++ b/src/test/java/firstage/members/LeasesTest.java
@@ -11,12 +11,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The parts in use never pass the whole: all orders of few events among three, and long hostile plays of more. */
+/**
+ * The parts in use never pass the whole: all orders of few events among three, and long hostile
+ * plays of more.
+ */
 class LeasesTest {
     private static final long SECOND = 10_000;
     private static final long PERIOD = 2_000;
 
-    /** Managers by their leases alone; each has a clock of its own, fast or slow by up to a fortieth. */
+    /**
+     * Managers by their leases alone; each has a clock of its own, fast or slow by up to a
+     * fortieth.
+     */
     private static final class Group {
         private final int all;
         private final Leases.Fault fault;
@@ -38,9 +44,15 @@
         }
 
         private void start(int m) {
-            leases[m] = new Leases(all, PERIOD, lentBefore[m], () -> {
-                lentBefore[m] = true;
-            }, fault);
+            leases[m] =
+                    new Leases(
+                            all,
+                            PERIOD,
+                            lentBefore[m],
+                            () -> {
+                                lentBefore[m] = true;
+                            },
+                            fault);
             leases[m].silent(clock(m), "nobody", false);
         }
 
@@ -52,7 +64,12 @@
         private void asks(int a, int b, long late) {
             leases[b].kept();
             long asked = clock(a) - late;
-            leases[a].answered(clock(a), asked, "m" + b, leases[b].grants(clock(b), "m" + a), leases[b].lent(clock(b)));
+            leases[a].answered(
+                    clock(a),
+                    asked,
+                    "m" + b,
+                    leases[b].grants(clock(b), "m" + a),
+                    leases[b].lent(clock(b)));
         }
 
         /** Both hold each other for gone, or here. */
@@ -86,26 +103,35 @@
         }
     }
 
-    /** The most that is in use in any order of so many events; the last of them are an answer to each. */
+    /**
+     * The most that is in use in any order of so many events; the last of them are an answer to
+     * each.
+     */
     private static double worst(int depth, Leases.Fault fault) {
-        return IntStream.range(0, 1 << 3 * depth).parallel().mapToDouble(order -> {
-            double worst = 0;
-            Group g = new Group(3, fault);
-            for (int m = 0; m < 3; m++) {
-                g.asks(m, (m + 1) % 3, 0);
-            }
-            for (int i = 0; i < depth; i++) {
-                play(g, order >> 3 * i & 7);
-                worst = Math.max(worst, g.sum());
-            }
-            return worst;
-        }).max().orElse(0);
+        return IntStream.range(0, 1 << 3 * depth)
+                .parallel()
+                .mapToDouble(
+                        order -> {
+                            double worst = 0;
+                            Group g = new Group(3, fault);
+                            for (int m = 0; m < 3; m++) {
+                                g.asks(m, (m + 1) % 3, 0);
+                            }
+                            for (int i = 0; i < depth; i++) {
+                                play(g, order >> 3 * i & 7);
+                                worst = Math.max(worst, g.sum());
+                            }
+                            return worst;
+                        })
+                .max()
+                .orElse(0);
     }
 
     /** Eight on demand (-Dfirstage.leases=8): some minutes. */
     @Test
     void amongThreeNoOrderOfSixEventsPassesTheWhole() {
-        assertThat(worst(Integer.getInteger("firstage.leases", 6), Leases.Fault.NONE)).isLessThanOrEqualTo(1 + 1e-9);
+        assertThat(worst(Integer.getInteger("firstage.leases", 6), Leases.Fault.NONE))
+                .isLessThanOrEqualTo(1 + 1e-9);
     }
 
     /** Random plays of four to nine: answers lost, late and doubled, cuts, stops, new lives. */
@@ -116,7 +142,10 @@
         double worst = 0;
         int lost = chance.nextInt(g.all);
         for (int step = 0; step < 600; step++) {
-            g.now += chance.nextInt(4) == 0 ? chance.nextLong(2 * SECOND) : chance.nextLong(SECOND / 10);
+            g.now +=
+                    chance.nextInt(4) == 0
+                            ? chance.nextLong(2 * SECOND)
+                            : chance.nextLong(SECOND / 10);
             int a = chance.nextInt(g.all);
             int b = (a + 1 + chance.nextInt(g.all - 1)) % g.all;
             switch (chance.nextInt(12)) {
--- a/src/test/java/firstage/members/MembersTest.java
+++ b/src/test/java/firstage/members/MembersTest.java
@@ -10,7 +10,10 @@
 import java.util.random.RandomGeneratorFactory;
 import org.junit.jupiter.api.Test;
 
-/** The membership in virtual time: pauses, lost messages, one-sided cuts, deaths together, and faults put back. */
+/**
+ * The membership in virtual time: pauses, lost messages, one-sided cuts, deaths together, and
+ * faults put back.
+ */
 class MembersTest {
     private static final long SECOND = 10_000;
 
@@ -101,8 +104,10 @@
             MembersField f = field(6, fault);
             isolate(f, 0, true);
             f.pass(30 * SECOND);
-            long gone = f.places().get(0).members().entries().stream().filter(e ->
-                    e.standing() == Standing.GONE).count();
+            long gone =
+                    f.places().get(0).members().entries().stream()
+                            .filter(e -> e.standing() == Standing.GONE)
+                            .count();
             assertThat(gone).isEqualTo(fault == Members.Fault.NONE ? 0 : 5);
             assertThat(f.places().get(0).members().sure(f.calendar().now())).isZero();
         }
@@ -114,15 +119,43 @@
             MembersField f = field(4, fault);
             Members one = f.places().get(1).members();
             long now = f.calendar().now();
-            long life = one.entries().stream().filter(e ->
-                    e.name().equals("m2")).findFirst().orElseThrow().incarnation();
+            long life =
+                    one.entries().stream()
+                            .filter(e -> e.name().equals("m2"))
+                            .findFirst()
+                            .orElseThrow()
+                            .incarnation();
             // m2 repeats what was said of m3 in a life before.
-            one.received(now, 2, new Codec(1_200).write(new Message("field", "m2", life, Message.Kind.PING, 1, "m1",
-                    1, 2, 3,
-                    false, List.of(), List.of(), List.of(new Entry("m3", "z1", 5, Standing.GONE, "1", 1)),
-                            new byte[0])));
-            assertThat(one.entries()).filteredOn(e -> e.name().equals("m3")).allMatch(e ->
-                    e.standing() == (fault == Members.Fault.NONE ? Standing.HERE : Standing.GONE));
+            one.received(
+                    now,
+                    2,
+                    new Codec(1_200)
+                            .write(
+                                    new Message(
+                                            "field",
+                                            "m2",
+                                            life,
+                                            Message.Kind.PING,
+                                            1,
+                                            "m1",
+                                            1,
+                                            2,
+                                            3,
+                                            false,
+                                            List.of(),
+                                            List.of(),
+                                            List.of(
+                                                    new Entry(
+                                                            "m3", "z1", 5, Standing.GONE, "1", 1)),
+                                            new byte[0])));
+            assertThat(one.entries())
+                    .filteredOn(e -> e.name().equals("m3"))
+                    .allMatch(
+                            e ->
+                                    e.standing()
+                                            == (fault == Members.Fault.NONE
+                                                    ? Standing.HERE
+                                                    : Standing.GONE));
         }
     }
 
@@ -146,10 +179,42 @@
         MembersField f = field(3, Members.Fault.NONE);
         Members one = f.places().get(1).members();
         long now = f.calendar().now();
-        byte[] good = new Codec(1_200).write(new Message("field", "m2", 1, Message.Kind.PING, 9, "m1", 1, 2, 3, false,
-                List.of(), List.of(), List.of(new Entry("m0", "z", 99, Standing.GONE, "1", 1)), new byte[0]));
-        byte[] foreign = new Codec(1_200).write(new Message("other", "m2", now * 2, Message.Kind.PING, 9, "m1", 1, 2, 3,
-                false, List.of(), List.of(), List.of(), new byte[0]));
+        byte[] good =
+                new Codec(1_200)
+                        .write(
+                                new Message(
+                                        "field",
+                                        "m2",
+                                        1,
+                                        Message.Kind.PING,
+                                        9,
+                                        "m1",
+                                        1,
+                                        2,
+                                        3,
+                                        false,
+                                        List.of(),
+                                        List.of(),
+                                        List.of(new Entry("m0", "z", 99, Standing.GONE, "1", 1)),
+                                        new byte[0]));
+        byte[] foreign =
+                new Codec(1_200)
+                        .write(
+                                new Message(
+                                        "other",
+                                        "m2",
+                                        now * 2,
+                                        Message.Kind.PING,
+                                        9,
+                                        "m1",
+                                        1,
+                                        2,
+                                        3,
+                                        false,
+                                        List.of(),
+                                        List.of(),
+                                        List.of(),
+                                        new byte[0]));
         RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(1);
         one.received(now, 2, good);
         one.received(now, 2, foreign);
@@ -161,7 +226,8 @@
             }
             byte[] cut = new byte[chance.nextInt(spoilt.length + 1)];
             System.arraycopy(spoilt, 0, cut, 0, cut.length);
-            // Of an older life, whatever else was spoilt, or not to be read at all; a new name is another matter.
+            // Of an older life, whatever else was spoilt, or not to be read at all; a new name is
+            // another matter.
             try {
                 Message m = new Codec(1_200).read(cut);
                 if (!m.from().equals("m2") || m.incarnation() > 1) {
@@ -173,16 +239,32 @@
             one.received(now, 2, cut);
         }
         assertThat(one.entries()).hasSize(3).allMatch(e -> e.standing() == Standing.HERE);
-        assertThat(one.refused()).containsKeys("an older life", "another fleet", "too long", "spoilt");
+        assertThat(one.refused())
+                .containsKeys("an older life", "another fleet", "too long", "spoilt");
     }
 
     @Test
     void twoOfOneNameAreToldAndTheFirstStays() {
         MembersField f = field(3, Members.Fault.NONE);
         Members one = f.places().get(1).members();
-        byte[] second = new Codec(1_200).write(new Message("field", "m2", f.calendar().now() * 2, Message.Kind.PING,
-                1, "m1",
-                1, 2, 3, false, List.of(), List.of(), List.of(), new byte[0]));
+        byte[] second =
+                new Codec(1_200)
+                        .write(
+                                new Message(
+                                        "field",
+                                        "m2",
+                                        f.calendar().now() * 2,
+                                        Message.Kind.PING,
+                                        1,
+                                        "m1",
+                                        1,
+                                        2,
+                                        3,
+                                        false,
+                                        List.of(),
+                                        List.of(),
+                                        List.of(),
+                                        new byte[0]));
         one.received(f.calendar().now(), 0, second);
         assertThat(one.refused()).containsKey("two of one name");
     }
@@ -194,7 +276,8 @@
         f.pass(SECOND / 2);
         f.places().get(2).kill();
         f.pass(SECOND);
-        assertThat(f.places().get(0).members().entries()).filteredOn(e -> e.name().equals("m2"))
+        assertThat(f.places().get(0).members().entries())
+                .filteredOn(e -> e.name().equals("m2"))
                 .allMatch(e -> e.standing() == Standing.LEFT);
         assertThat(f.agreed()).isTrue();
         f.places().get(2).start();
--- a/src/test/java/firstage/net/PeersIT.java
+++ b/src/test/java/firstage/net/PeersIT.java
@@ -16,80 +16,130 @@
 /** What a manager without peers loads, and what it says of a peers file that can't be used. */
 @Timeout(60)
 class PeersIT {
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private Process java(String... words) throws IOException {
-        List<String> command = new java.util.ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+        List<String> command =
+                new java.util.ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java")
+                                        .toString()));
         command.addAll(List.of(words));
-        return new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(folder.resolve("out").toFile()).start();
+        return new ProcessBuilder(command)
+                .redirectErrorStream(true)
+                .redirectOutput(folder.resolve("out").toFile())
+                .start();
     }
 
     @Test
     void withoutPeersNothingOfThemIsLoaded() throws Exception {
         Path loaded = folder.resolve("loaded");
-        Process p = java("-Xlog:class+load:file=" + loaded, "-jar", "target/firstage.jar", "rehearse");
+        Process p =
+                java("-Xlog:class+load:file=" + loaded, "-jar", "target/firstage.jar", "rehearse");
         assertThat(p.waitFor(30, TimeUnit.SECONDS)).isTrue();
         String classes = Files.readString(loaded);
-        assertThat(classes).contains("firstage.net.Node").doesNotContain("firstage.members.",
-                "firstage.net.members.Peers",
-                "firstage.overload.", "firstage.evacuation.", "firstage.cells.", "firstage.scale.",
-                "dataformat.cbor", "org.tomlj", "picocli", "firstage.yard", "firstage.fleet");
+        assertThat(classes)
+                .contains("firstage.net.Node")
+                .doesNotContain(
+                        "firstage.members.",
+                        "firstage.net.members.Peers",
+                        "firstage.overload.",
+                        "firstage.evacuation.",
+                        "firstage.cells.",
+                        "firstage.scale.",
+                        "dataformat.cbor",
+                        "org.tomlj",
+                        "picocli",
+                        "firstage.yard",
+                        "firstage.fleet");
     }
 
     @Test
     void whatThePlatformRunsNamesNoPeers() throws IOException {
-        assertThat(Files.readAllLines(Path.of("deploy", "balancer.toml"))).filteredOn(line -> line.startsWith("run = "))
-                .hasSize(1).allMatch(line -> line.contains(" serve\"") && !line.contains("--peers"));
+        assertThat(Files.readAllLines(Path.of("deploy", "balancer.toml")))
+                .filteredOn(line -> line.startsWith("run = "))
+                .hasSize(1)
+                .allMatch(line -> line.contains(" serve\"") && !line.contains("--peers"));
     }
 
     /** Started with this peers file, '~' for the end of a line, the program ends at once. */
     private void endsWithTwo(String text) throws Exception {
         Path peers = Files.writeString(folder.resolve("peers.toml"), text.replace('~', '\n'));
-        Path config = Files.writeString(folder.resolve("c.json"),
-                "{\"name\":\"m\",\"listen\":\"127.0.0.1:1\",\"settings\":{}}");
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-jar", "target/firstage.jar", "serve", "--peers", peers.toString());
+        Path config =
+                Files.writeString(
+                        folder.resolve("c.json"),
+                        "{\"name\":\"m\",\"listen\":\"127.0.0.1:1\",\"settings\":{}}");
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-jar",
+                        "target/firstage.jar",
+                        "serve",
+                        "--peers",
+                        peers.toString());
         builder.environment().put("ROUTER_CONFIG", config.toString());
-        Process p = builder.redirectErrorStream(true).redirectOutput(folder.resolve("out").toFile()).start();
+        Process p =
+                builder.redirectErrorStream(true)
+                        .redirectOutput(folder.resolve("out").toFile())
+                        .start();
         assertThat(p.waitFor(30, TimeUnit.SECONDS)).isTrue();
         assertThat(p.exitValue()).isEqualTo(2);
     }
 
-    /** Its word that it gave engines up must hold: started anew with the older file it would use them again. */
+    /**
+     * Its word that it gave engines up must hold: started anew with the older file it would use
+     * them again.
+     */
     @Test
     void aPlanOlderThanTheOneThatWasHeldIsRefused() throws Exception {
         Files.writeString(folder.resolve("peers.toml.plan"), "8\n");
-        endsWithTwo("fleet = 'a'~listen = '127.0.0.1:9'~plan = 7~[[cell]]~name = 'c'~zone = 'z'~"
-                + "hosts = ['127.0.0.1:9']");
-        assertThat(Files.readAllLines(folder.resolve("out"))).hasSize(1).allMatch(line -> line.contains(
-                "peers.toml: plan: 7 is older than 8, which this manager held; give it the newer file"));
+        endsWithTwo(
+                "fleet = 'a'~listen = '127.0.0.1:9'~plan = 7~[[cell]]~name = 'c'~zone = 'z'~"
+                        + "hosts = ['127.0.0.1:9']");
+        assertThat(Files.readAllLines(folder.resolve("out")))
+                .hasSize(1)
+                .allMatch(
+                        line ->
+                                line.contains(
+                                        "peers.toml: plan: 7 is older than 8, which this manager"
+                                                + " held; give it the newer file"));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "fleet = 'a'~listen = '127.0.0.1:9'~[[peer]]~address = 'x'|:3: peer.address: 'x' is no address",
-        "fleet = 'a'~listen = '127.0.0.1:9'~colour = 1|:3: colour: is unknown; known are",
-        "fleet = 'a'~[[peer]]~address = '127.0.0.1:8'|has no listen; write listen",
-        "fleet = 'a'~listen = '127.0.0.1:9'~probe = '1 h'~[[peer]]~address = '127.0.0.1:8'|:3: probe: '1 h' is no time",
-        "fleet = 'a'~listen = '127.0.0.1:9'|peer: there are none",
-        "fleet = 'a'~listen = '127.0.0.1:9'~plan = 2~[[peer]]~address = '127.0.0.1:8'|:3: plan: is of a fleet in cells",
-        "fleet = 'a'~listen = '127.0.0.1:9'~[[cell]]~name = 'c'~zone = 'z'~hosts = ['127.0.0.1:9']|plan: null is no",
-        "fleet = 'a'~listen = '127.0.0.1:9'~plan = 1~[[cell]]~name = 'c'~zone = 'z'~hosts = ['x']"
-                + "|cell.hosts: 'x' is no address",
-        "fleet = 'a'~listen = '127.0.0.9:9'~plan = 1~[[cell]]~name = 'c'~zone = 'z'~hosts = ['127.0.0.1-3:9']"
-                + "|listen: stands in no cell's hosts",
-        "fleet = 'a'~listen = '127.0.0.1:9'~plan = 1~spread = 2~[[cell]]~name = 'c'~zone = 'z'~hosts = ['127.0.0.1:9']"
-                + "|:4: spread: zone z has 1 cells that serve; a spread of up to 1 would do",
-        "fleet = 'a'~listen = '127.0.0.1:9'~plan = 2~[[cell]]~name = 'c'~zone = 'z'~hosts = ['127.0.0.1:9']~[before]~"
-                + "plan = 1~cells = ['d']|before.cells: 'd' is no cell of this plan; keep it, with serves = false",
-        "fleet = 'a'~listen = '127.0.0.1:9'~plan = 2~[[cell]]~name = 'c'~zone = 'z'~hosts = ['127.0.0.1:9']~[before]~"
-                + "plan = 2~cells = ['c']|before.plan: 2 is not before plan 2",
-        "fleet = [|:1:"})
-    void aPeersFileThatCannotBeUsedEndsTheProgramWithOneLine(String text, String line) throws Exception {
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "fleet = 'a'~listen = '127.0.0.1:9'~[[peer]]~address = 'x'|:3: peer.address: 'x' is"
+                        + " no address",
+                "fleet = 'a'~listen = '127.0.0.1:9'~colour = 1|:3: colour: is unknown; known are",
+                "fleet = 'a'~[[peer]]~address = '127.0.0.1:8'|has no listen; write listen",
+                "fleet = 'a'~listen = '127.0.0.1:9'~probe = '1 h'~[[peer]]~address ="
+                        + " '127.0.0.1:8'|:3: probe: '1 h' is no time",
+                "fleet = 'a'~listen = '127.0.0.1:9'|peer: there are none",
+                "fleet = 'a'~listen = '127.0.0.1:9'~plan = 2~[[peer]]~address = '127.0.0.1:8'|:3:"
+                        + " plan: is of a fleet in cells",
+                "fleet = 'a'~listen = '127.0.0.1:9'~[[cell]]~name = 'c'~zone = 'z'~hosts ="
+                        + " ['127.0.0.1:9']|plan: null is no",
+                "fleet = 'a'~listen = '127.0.0.1:9'~plan = 1~[[cell]]~name = 'c'~zone = 'z'~hosts ="
+                        + " ['x']|cell.hosts: 'x' is no address",
+                "fleet = 'a'~listen = '127.0.0.9:9'~plan = 1~[[cell]]~name = 'c'~zone = 'z'~hosts ="
+                        + " ['127.0.0.1-3:9']|listen: stands in no cell's hosts",
+                "fleet = 'a'~listen = '127.0.0.1:9'~plan = 1~spread = 2~[[cell]]~name = 'c'~zone ="
+                    + " 'z'~hosts = ['127.0.0.1:9']|:4: spread: zone z has 1 cells that serve; a"
+                    + " spread of up to 1 would do",
+                "fleet = 'a'~listen = '127.0.0.1:9'~plan = 2~[[cell]]~name = 'c'~zone = 'z'~hosts ="
+                        + " ['127.0.0.1:9']~[before]~plan = 1~cells = ['d']|before.cells: 'd' is no"
+                        + " cell of this plan; keep it, with serves = false",
+                "fleet = 'a'~listen = '127.0.0.1:9'~plan = 2~[[cell]]~name = 'c'~zone = 'z'~hosts ="
+                        + " ['127.0.0.1:9']~[before]~plan = 2~cells = ['c']|before.plan: 2 is not"
+                        + " before plan 2",
+                "fleet = [|:1:"
+            })
+    void aPeersFileThatCannotBeUsedEndsTheProgramWithOneLine(String text, String line)
+            throws Exception {
         endsWithTwo(text);
-        assertThat(Files.readString(folder.resolve("out"))).contains("can't serve: ", line).contains("peers.toml");
+        assertThat(Files.readString(folder.resolve("out")))
+                .contains("can't serve: ", line)
+                .contains("peers.toml");
     }
 }
--- a/src/test/java/firstage/net/engines/ResponseReaderTest.java
+++ b/src/test/java/firstage/net/engines/ResponseReaderTest.java
@@ -12,20 +12,35 @@
 
 class ResponseReaderTest {
     @ParameterizedTest
-    @ValueSource(strings = {
-        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Meter: queue:3\r\n\r\na\tb\nc",
-        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\nx-meter:queue:3\nTransfer-Encoding: chunked\n\n"
-                + "2;x=y\r\na\t\r\n3\r\nb\nc\r\n0\r\nT: 1\r\n\r\n",
-    })
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Meter: queue:3\r\n\r\na\tb\nc",
+                "HTTP/1.1 100 Continue\r\n\r\n"
+                        + "HTTP/1.1 200 OK\n"
+                        + "x-meter:queue:3\n"
+                        + "Transfer-Encoding: chunked\n\n"
+                        + "2;x=y\r\n"
+                        + "a\t\r\n"
+                        + "3\r\n"
+                        + "b\n"
+                        + "c\r\n"
+                        + "0\r\n"
+                        + "T: 1\r\n\r\n",
+            })
     void aResponseCutAnywhereIsReadWhole(String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         for (int size = 1; size <= bytes.length; size++) {
             ResponseReader reader = new ResponseReader();
             for (int at = 0; at < bytes.length; at += size) {
                 boolean last = at + size >= bytes.length;
-                assertThat(reader.take(ByteBuffer.wrap(bytes, at, Math.min(size, bytes.length - at)))).isEqualTo(last);
+                assertThat(
+                                reader.take(
+                                        ByteBuffer.wrap(
+                                                bytes, at, Math.min(size, bytes.length - at))))
+                        .isEqualTo(last);
             }
-            assertThat(reader.response(false).body()).isEqualTo("a\tb\nc".getBytes(StandardCharsets.ISO_8859_1));
+            assertThat(reader.response(false).body())
+                    .isEqualTo("a\tb\nc".getBytes(StandardCharsets.ISO_8859_1));
             assertThat(reader.response(false).status()).isEqualTo(200);
             assertThat(Engines.report(reader.response(false)).waiting()).isEqualTo(3);
         }
@@ -34,14 +49,25 @@
     @Test
     void aPieceOfAResponseIsNotAResponse() throws IOException {
         ResponseReader reader = new ResponseReader();
-        assertThat(reader.take(ByteBuffer.wrap("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab".getBytes()))).isFalse();
+        assertThat(
+                        reader.take(
+                                ByteBuffer.wrap(
+                                        "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab"
+                                                .getBytes())))
+                .isFalse();
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"no status\r\n", "HTTP/1.1 x\r\n", "HTTP/1.1 200 OK\r\nno header\r\n",
-        "HTTP/1.1 200 OK\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
-        "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\nx"})
+    @ValueSource(
+            strings = {
+                "no status\r\n",
+                "HTTP/1.1 x\r\n",
+                "HTTP/1.1 200 OK\r\nno header\r\n",
+                "HTTP/1.1 200 OK\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\nx"
+            })
     void whatIsNoResponseIsAFault(String text) {
         assertThatThrownBy(() -> new ResponseReader().take(ByteBuffer.wrap(text.getBytes())))
                 .isInstanceOf(IOException.class);
--- a/src/test/java/firstage/net/list/FramesTest.java
+++ b/src/test/java/firstage/net/list/FramesTest.java
@@ -12,13 +12,22 @@
 class FramesTest {
     @Test
     void framesCutAnywhereComeWhole() throws IOException {
-        byte[] bytes = ByteBuffer.allocate(13 + 15).putInt(9).putLong(0).put((byte) 0)
-                .putInt(11).putLong(-2).put((byte) 2).putShort((short) 770).array();
+        byte[] bytes =
+                ByteBuffer.allocate(13 + 15)
+                        .putInt(9)
+                        .putLong(0)
+                        .put((byte) 0)
+                        .putInt(11)
+                        .putLong(-2)
+                        .put((byte) 2)
+                        .putShort((short) 770)
+                        .array();
         for (int size = 1; size <= bytes.length; size++) {
             Frames frames = new Frames();
             List<Frames.Frame> whole = new ArrayList<>();
             for (int at = 0; at < bytes.length; at += size) {
-                whole.addAll(frames.take(ByteBuffer.wrap(bytes, at, Math.min(size, bytes.length - at))));
+                whole.addAll(
+                        frames.take(ByteBuffer.wrap(bytes, at, Math.min(size, bytes.length - at))));
             }
             assertThat(whole).hasSize(2);
             assertThat(whole.get(1).number()).isEqualTo(-2);
--- a/src/test/java/firstage/net/list/RecordsTest.java
+++ b/src/test/java/firstage/net/list/RecordsTest.java
@@ -15,21 +15,54 @@
 
 class RecordsTest {
     private final Clock clock = new Clock();
-    private final Records records = new Records(clock,
-            new Fields(Map.of("areas", List.of("east, old", "west"), "kinds", List.of("std"))));
+    private final Records records =
+            new Records(
+                    clock,
+                    new Fields(
+                            Map.of(
+                                    "areas",
+                                    List.of("east, old", "west"),
+                                    "kinds",
+                                    List.of("std"))));
 
     private static ByteBuffer record(int state, long started) {
-        return ByteBuffer.allocate(27).putInt(0xC41F7A00).put(new byte[] {10, 0, (byte) 200, 9})
-                .putShort((short) 49_090).put((byte) state).put((byte) 1).put((byte) 0).putShort((short) 2)
-                .putInt(4_500).putLong(started).flip();
+        return ByteBuffer.allocate(27)
+                .putInt(0xC41F7A00)
+                .put(new byte[] {10, 0, (byte) 200, 9})
+                .putShort((short) 49_090)
+                .put((byte) state)
+                .put((byte) 1)
+                .put((byte) 0)
+                .putShort((short) 2)
+                .putInt(4_500)
+                .putLong(started)
+                .flip();
     }
 
     @Test
     void aRecordAndItsJsonTellTheSame() throws IOException {
         Listed framed = records.read(record(1, 0)).get(0);
-        Listed known = records.read(List.of(Map.of("instanceId", "s-c41f7a00", "hostPort", "10.0.200.9:49090",
-                "zone", "west", "machineType", "std", "cell", "2", "lifecycle", "Terminating", "weight", "4.5",
-                "startedAtMs", "0"))).get(0);
+        Listed known =
+                records.read(
+                                List.of(
+                                        Map.of(
+                                                "instanceId",
+                                                "s-c41f7a00",
+                                                "hostPort",
+                                                "10.0.200.9:49090",
+                                                "zone",
+                                                "west",
+                                                "machineType",
+                                                "std",
+                                                "cell",
+                                                "2",
+                                                "lifecycle",
+                                                "Terminating",
+                                                "weight",
+                                                "4.5",
+                                                "startedAtMs",
+                                                "0")))
+                        .get(0);
         assertThat(framed).isEqualTo(known);
         assertThat(framed.standing()).isEqualTo(Standing.LEAVING);
         assertThat(framed.since()).isZero();
@@ -43,14 +76,28 @@
 
     @Test
     void aPieceOfARecordOrAnUnknownStateIsAFault() {
-        assertThatThrownBy(() -> records.read(ByteBuffer.allocate(26))).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> records.read(ByteBuffer.allocate(26)))
+                .isInstanceOf(IOException.class);
         assertThatThrownBy(() -> records.read(record(3, 0))).isInstanceOf(IOException.class);
     }
 
     @Test
     void whatNobodyNamedIsSkipped() {
-        Listed strange = records.read(List.of(Map.of("instanceId", "s-1", "hostPort", "10.0.0.1:1",
-                "zone", "moon", "lifecycle", "Ready", "colour", "blue"))).get(0);
+        Listed strange =
+                records.read(
+                                List.of(
+                                        Map.of(
+                                                "instanceId",
+                                                "s-1",
+                                                "hostPort",
+                                                "10.0.0.1:1",
+                                                "zone",
+                                                "moon",
+                                                "lifecycle",
+                                                "Ready",
+                                                "colour",
+                                                "blue")))
+                        .get(0);
         assertThat(strange.zone()).isEqualTo(-1);
         assertThat(strange.kind()).isEqualTo(-1);
     }
--- a/src/test/java/firstage/overload/LevelTest.java
+++ b/src/test/java/firstage/overload/LevelTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A fleet that is asked for more than its engines bear, as a flow of work: who refuses what, and how it comes back. */
+/**
+ * A fleet that is asked for more than its engines bear, as a flow of work: who refuses what, and
+ * how it comes back.
+ */
 class LevelTest {
     private static final long SECOND = 10_000;
     private static final long STEP = 1_000;
@@ -24,12 +27,16 @@
     private final RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(11);
     private final List<One> all = new ArrayList<>();
     private long now = 100 * SECOND;
+
     /** By chance, and late by so many steps. */
     private double loss;
+
     private int late;
     private double capacity = CAPACITY;
 
-    /** A manager: what it lets in waits until the engines have room, and is lost after two seconds. */
+    /**
+     * A manager: what it lets in waits until the engines have room, and is lost after two seconds.
+     */
     private final class One {
         private final String name;
         private final Level level;
@@ -45,10 +52,15 @@
 
         private One(String name, Level.Fault fault) {
             this.name = name;
-            level = new Level(name, SECOND, (at, band, portion) -> {
-                cut = band;
-                part = portion;
-            }, fault);
+            level =
+                    new Level(
+                            name,
+                            SECOND,
+                            (at, band, portion) -> {
+                                cut = band;
+                                part = portion;
+                            },
+                            fault);
         }
 
         private double waits() {
@@ -85,12 +97,23 @@
         }
 
         private List<Level.Row> tells() {
-            List<Level.Row> rows = Words.read(Words.write(List.of(), level.rows(now, Words.rows(0)))).rows();
+            List<Level.Row> rows =
+                    Words.read(Words.write(List.of(), level.rows(now, Words.rows(0)))).rows();
             if (lies) {
                 double[] came = new double[Demand.BANDS];
                 came[Demand.BANDS - 1] = 1e5;
-                rows.set(0, new Level.Row(rows.get(0).name(), rows.get(0).stamp(), came, 0, 1e5, 1e5,
-                        0, new int[0], new int[0]));
+                rows.set(
+                        0,
+                        new Level.Row(
+                                rows.get(0).name(),
+                                rows.get(0).stamp(),
+                                came,
+                                0,
+                                1e5,
+                                1e5,
+                                0,
+                                new int[0],
+                                new int[0]));
             }
             sent.add(rows);
             return sent.size() > late ? sent.get(sent.size() - 1 - late) : List.of();
@@ -178,12 +201,18 @@
         assertThat(all).allMatch(o -> o.cut == 0);
     }
 
-    /** Three to forty, three in ten words lost, words up to two and a half seconds late: no swinging that starves. */
+    /**
+     * Three to forty, three in ten words lost, words up to two and a half seconds late: no swinging
+     * that starves.
+     */
     @Test
     void lateAndLostWordsMakeItNeitherSwingNorStarve() {
-        // Managers, words lost of a hundred, tellings late, the least share of the engines that must be used.
-        for (int[] is : new int[][] {{3, 0, 0, 95}, {12, 30, 0, 95}, {12, 0, 5, 95}, {40, 30, 2, 95},
-            {12, 0, 25, 85}}) {
+        // Managers, words lost of a hundred, tellings late, the least share of the engines that
+        // must be used.
+        for (int[] is :
+                new int[][] {
+                    {3, 0, 0, 95}, {12, 30, 0, 95}, {12, 0, 5, 95}, {40, 30, 2, 95}, {12, 0, 25, 85}
+                }) {
             all.clear();
             fleet(is[0], Level.Fault.NONE);
             loss = is[1] / 100.0;
@@ -194,8 +223,12 @@
             served(LOW);
             pass(20);
             double high = served(HIGH);
-            assertThat(high + served(LOW)).as("%d managers", is[0]).isGreaterThan(is[3] / 100.0 * 20 * CAPACITY);
-            assertThat(high).as("%d managers", is[0]).isGreaterThan((is[3] - 20) / 100.0 * 20 * CAPACITY);
+            assertThat(high + served(LOW))
+                    .as("%d managers", is[0])
+                    .isGreaterThan(is[3] / 100.0 * 20 * CAPACITY);
+            assertThat(high)
+                    .as("%d managers", is[0])
+                    .isGreaterThan((is[3] - 20) / 100.0 * 20 * CAPACITY);
             calm();
             pass(8);
             assertThat(all).allMatch(o -> o.cut == 0);
@@ -213,7 +246,10 @@
         assertThat(served(HIGH)).isGreaterThan(0.8 * 10 * 0.1 * CAPACITY);
     }
 
-    /** More rows than fit beside the rest of a digest: all have their turn, or a large fleet's table has holes. */
+    /**
+     * More rows than fit beside the rest of a digest: all have their turn, or a large fleet's table
+     * has holes.
+     */
     @Test
     void allRowsArePassedOnByTurns() {
         fleet(97, Level.Fault.NONE);
@@ -236,10 +272,13 @@
         asks(Demand.band(100, SECOND, false), 0.3 * CAPACITY);
         asks(Demand.band(0.1, SECOND, false), 3 * CAPACITY);
         pass(15);
-        assertThat(served(Demand.band(100, SECOND, false))).isGreaterThan(0.9 * 15 * 0.3 * CAPACITY);
+        assertThat(served(Demand.band(100, SECOND, false)))
+                .isGreaterThan(0.9 * 15 * 0.3 * CAPACITY);
     }
 
-    /** Half of the fleet is gone in an instant: what they told ends, and the rest goes by itself. */
+    /**
+     * Half of the fleet is gone in an instant: what they told ends, and the rest goes by itself.
+     */
     @Test
     void whatTheDeadToldEnds() {
         fleet(12, Level.Fault.NONE);
@@ -274,7 +313,8 @@
         fleet(12, fault);
         switch (fault) {
             case NO_PEERS -> {
-                // One has all that is worth more; by itself, each of the others refuses by its own queue alone.
+                // One has all that is worth more; by itself, each of the others refuses by its own
+                // queue alone.
                 asks(LOW, 3 * CAPACITY);
                 all.get(0).asks[HIGH] = CAPACITY;
                 pass(10);
--- a/src/test/java/firstage/overload/TrialsTest.java
+++ b/src/test/java/firstage/overload/TrialsTest.java
@@ -12,7 +12,10 @@
 import org.assertj.core.data.Percentage;
 import org.junit.jupiter.api.Test;
 
-/** Managers that tell each other which engines are sick: who tries, who keeps away, and how all come back. */
+/**
+ * Managers that tell each other which engines are sick: who tries, who keeps away, and how all come
+ * back.
+ */
 class TrialsTest {
     private static final long SECOND = 10_000;
     private static final long PERIOD = 2_000;
@@ -29,14 +32,19 @@
 
         private One(String name, Trials.Fault fault) {
             this.name = name;
-            trials = new Trials(name, PERIOD, (engine, others, over) -> {
-                if (others) {
-                    withheld.add(engine);
-                } else {
-                    withheld.remove(engine);
-                }
-                led += over ? 1 : 0;
-            }, fault);
+            trials =
+                    new Trials(
+                            name,
+                            PERIOD,
+                            (engine, others, over) -> {
+                                if (others) {
+                                    withheld.add(engine);
+                                } else {
+                                    withheld.remove(engine);
+                                }
+                                led += over ? 1 : 0;
+                            },
+                            fault);
         }
 
         private void look() {
@@ -94,7 +102,13 @@
         closes(3, 6);
         pass(5 * SECOND);
         assertThat(free(3)).isOne();
-        assertThat(all.stream().filter(o -> !o.withheld.contains(3L)).findFirst().orElseThrow().closed).contains(3L);
+        assertThat(
+                        all.stream()
+                                .filter(o -> !o.withheld.contains(3L))
+                                .findFirst()
+                                .orElseThrow()
+                                .closed)
+                .contains(3L);
         assertThat(free(4)).isEqualTo(12);
     }
 
@@ -141,7 +155,8 @@
             fleet(32, i == 0 ? Trials.Fault.NONE : Trials.Fault.ALL_AT_ONCE);
             closes(3, 20);
             pass(8 * SECOND);
-            One owner = all.stream().filter(o -> !o.withheld.contains(3L)).findFirst().orElseThrow();
+            One owner =
+                    all.stream().filter(o -> !o.withheld.contains(3L)).findFirst().orElseThrow();
             owner.closed.remove(3L);
             all.forEach(o -> o.led = 0);
             int before = 0;
@@ -176,10 +191,21 @@
         double[] came = new double[Demand.BANDS];
         came[3] = 0.5;
         came[31] = 4_000;
-        Level.Row row = new Level.Row(-7, 1 << 31, came, 17.3, 0.002, 96, 2, new int[] {0, 255, 60},
-                new int[] {1, 2, -9});
-        byte[] good = Words.write(List.of(new Words.Word(7, true, 5), new Words.Word(1L << 40, false, 0)),
-                List.of(row, row));
+        Level.Row row =
+                new Level.Row(
+                        -7,
+                        1 << 31,
+                        came,
+                        17.3,
+                        0.002,
+                        96,
+                        2,
+                        new int[] {0, 255, 60},
+                        new int[] {1, 2, -9});
+        byte[] good =
+                Words.write(
+                        List.of(new Words.Word(7, true, 5), new Words.Word(1L << 40, false, 0)),
+                        List.of(row, row));
         assertThat(Words.read(good).words()).hasSize(2);
         Level.Row read = Words.read(good).rows().get(1);
         assertThat(read.name()).isEqualTo(-7);
--- a/src/test/java/firstage/scale/ScaleIT.java
+++ b/src/test/java/firstage/scale/ScaleIT.java
@@ -15,16 +15,25 @@
 /** 96 hollow managers and four real ones in four cells: one kill, one change of the list. */
 @Timeout(120)
 class ScaleIT {
-    private static final String RUN = "exec java -Xmx64m -Xss512k -XX:+UseSerialGC -XX:TieredStopAtLevel=1"
-            + " -jar target/firstage.jar serve";
-    @TempDir
-    private Path folder;
+    private static final String RUN =
+            "exec java -Xmx64m -Xss512k -XX:+UseSerialGC -XX:TieredStopAtLevel=1"
+                    + " -jar target/firstage.jar serve";
+    @TempDir private Path folder;
 
     @Test
     void hollowAndRealManagersAreOneFleet() throws IOException {
         Path plan = Path.of("deploy", "scale", "small.toml").toAbsolutePath();
-        Map<String, Double> figures = ScaleRun.play(new ScaleRun.Order(ScalePlan.read(Files.readString(plan)), plan, 1,
-                folder, Path.of("target", "firstage.jar").toAbsolutePath(), RUN, line -> { })).figures();
+        Map<String, Double> figures =
+                ScaleRun.play(
+                                new ScaleRun.Order(
+                                        ScalePlan.read(Files.readString(plan)),
+                                        plan,
+                                        1,
+                                        folder,
+                                        Path.of("target", "firstage.jar").toAbsolutePath(),
+                                        RUN,
+                                        line -> {}))
+                        .figures();
         // Each hollow manager's view is whole only with the real one of its cell in it.
         assertThat(figures).containsEntry("watches", 100.0);
         assertThat(of(figures, "one view: by managers")).isEqualTo(96);
@@ -41,34 +50,53 @@
         assertThat(folder.resolve("bytes.png")).exists();
     }
 
-    /** A busy machine makes a phase void; what it counts and the wide bounds here hold all the same. */
+    /**
+     * A busy machine makes a phase void; what it counts and the wide bounds here hold all the same.
+     */
     private static double of(Map<String, Double> figures, String name) {
-        assertThat(figures.containsKey(name) || figures.containsKey("(void) " + name)).as(name).isTrue();
+        assertThat(figures.containsKey(name) || figures.containsKey("(void) " + name))
+                .as(name)
+                .isTrue();
         return figures.containsKey(name) ? figures.get(name) : figures.get("(void) " + name);
     }
 
-    /** A real manager of a cell under clients whose connections stay open: what they ask for is served, and counted. */
+    /**
+     * A real manager of a cell under clients whose connections stay open: what they ask for is
+     * served, and counted.
+     */
     @Test
     void aRealManagerIsMeasuredUnderItsClients() throws IOException {
-        Path plan = Files.writeString(folder.resolve("load.toml"), """
-                name = "load"
-                settle = "5 s"
-                length = "500 ms"
-                [managers]
-                hollow = 19
-                real = 1
-                cell = 10
-                spread = 2
-                in_a_process = 20
-                [engines]
-                count = 40
-                [[load]]
-                connections = 30
-                rate = 30.0
-                length = "3 s"
-                """);
-        Map<String, Double> figures = ScaleRun.play(new ScaleRun.Order(ScalePlan.read(Files.readString(plan)), plan, 1,
-                folder, Path.of("target", "firstage.jar").toAbsolutePath(), RUN, line -> { })).figures();
+        Path plan =
+                Files.writeString(
+                        folder.resolve("load.toml"),
+                        """
+                        name = "load"
+                        settle = "5 s"
+                        length = "500 ms"
+                        [managers]
+                        hollow = 19
+                        real = 1
+                        cell = 10
+                        spread = 2
+                        in_a_process = 20
+                        [engines]
+                        count = 40
+                        [[load]]
+                        connections = 30
+                        rate = 30.0
+                        length = "3 s"
+                        """);
+        Map<String, Double> figures =
+                ScaleRun.play(
+                                new ScaleRun.Order(
+                                        ScalePlan.read(Files.readString(plan)),
+                                        plan,
+                                        1,
+                                        folder,
+                                        Path.of("target", "firstage.jar").toAbsolutePath(),
+                                        RUN,
+                                        line -> {}))
+                        .figures();
         assertThat(of(figures, "load 1: statements a s")).isBetween(20.0, 40.0);
         assertThat(of(figures, "load 1: returned, part")).isGreaterThan(0.95);
         assertThat(of(figures, "load 1: dispatches a s")).isGreaterThan(20);
@@ -81,19 +109,43 @@
         String clients = Files.readString(Path.of("deploy", "scale", "clients.toml"));
         assertThat(ScalePlan.read(clients).loads()).hasSizeGreaterThan(4);
         assertThatThrownBy(() -> ScalePlan.read(clients.replace("rate = 610.0", "rate = 462.0")))
-                .hasMessageContaining("load 8.rate: 2423 connections at 462.0 statements a second rest over 4 s, and"
-                        + " clients close such; 605.8 would do");
-        assertThatThrownBy(() -> ScalePlan.read(clients.replace("real = 1", "real = 0").replace("hollow = 159",
-                "hollow = 160"))).hasMessageContaining("managers.real: a load wants a real manager; 1 would do");
+                .hasMessageContaining(
+                        "load 8.rate: 2423 connections at 462.0 statements a second rest over 4 s,"
+                                + " and clients close such; 605.8 would do");
+        assertThatThrownBy(
+                        () ->
+                                ScalePlan.read(
+                                        clients.replace("real = 1", "real = 0")
+                                                .replace("hollow = 159", "hollow = 160")))
+                .hasMessageContaining("managers.real: a load wants a real manager; 1 would do");
     }
 
     @Test
     void aPlanThatTheMachineCannotBearIsRefused() throws IOException {
         String small = Files.readString(Path.of("deploy", "scale", "small.toml"));
-        ScalePlan large = ScalePlan.read(small.replace("hollow = 96", "hollow = 4000").replace("cell = 25",
-                "cell = 0").replace("spread = 2", "spread = 1").replace("real = 4", "real = 0"));
-        assertThatThrownBy(() -> ScaleRun.check(new ScalePlan(large.name(), large.settle(), large.length(),
-                large.zones(), 400_000, 0, 0, 1, 430, 400, large.period(), List.of(), large.events())))
+        ScalePlan large =
+                ScalePlan.read(
+                        small.replace("hollow = 96", "hollow = 4000")
+                                .replace("cell = 25", "cell = 0")
+                                .replace("spread = 2", "spread = 1")
+                                .replace("real = 4", "real = 0"));
+        assertThatThrownBy(
+                        () ->
+                                ScaleRun.check(
+                                        new ScalePlan(
+                                                large.name(),
+                                                large.settle(),
+                                                large.length(),
+                                                large.zones(),
+                                                400_000,
+                                                0,
+                                                0,
+                                                1,
+                                                430,
+                                                400,
+                                                large.period(),
+                                                List.of(),
+                                                large.events())))
                 .hasMessageContaining("over half of this machine's");
         assertThatThrownBy(() -> ScalePlan.read(small.replace("real = 4", "real = 5")))
                 .hasMessageContaining("no whole number of cells of 25; 125 would do");
--- a/src/test/java/firstage/scale/SlopesTest.java
+++ b/src/test/java/firstage/scale/SlopesTest.java
@@ -9,16 +9,25 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** What docs/CAPACITY.md calls flat is flat: three sizes in virtual time, and a fault that the check must find. */
+/**
+ * What docs/CAPACITY.md calls flat is flat: three sizes in virtual time, and a fault that the check
+ * must find.
+ */
 class SlopesTest {
     /** Of bytes a second between two cells and eight: chance alone makes under a twentieth. */
     private static final double ALIKE = 1.15;
-    /** A cell's row is 12 bytes in the datagrams of three deputies: 58 bytes a second for a thousand managers more. */
+
+    /**
+     * A cell's row is 12 bytes in the datagrams of three deputies: 58 bytes a second for a thousand
+     * managers more.
+     */
     private static final double BY_A_THOUSAND = 120;
 
     private static List<Map<String, Double>> rows(Fault fault) {
-        return IntStream.of(50, 100, 200).parallel().mapToObj(n ->
-                Slopes.play(new Shape(n, 25, 2, 1, true, 400, fault), 3, false)).toList();
+        return IntStream.of(50, 100, 200)
+                .parallel()
+                .mapToObj(n -> Slopes.play(new Shape(n, 25, 2, 1, true, 400, fault), 3, false))
+                .toList();
     }
 
     private static boolean flat(List<Map<String, Double>> rows) {
@@ -29,11 +38,13 @@
     @Test
     void aManagersCostDoesNotGrowWithTheFleet() {
         List<Map<String, Double>> rows = rows(Fault.NONE);
-        assertThat(rows).allSatisfy(r -> {
-            assertThat(r.get("bytes a s")).isLessThan(4_000);
-            assertThat(r.get("a kill known, 99th, s")).isBetween(0.0, 2.5);
-            assertThat(r.get("start: slices in force at 10 s")).isEqualTo(1);
-        });
+        assertThat(rows)
+                .allSatisfy(
+                        r -> {
+                            assertThat(r.get("bytes a s")).isLessThan(4_000);
+                            assertThat(r.get("a kill known, 99th, s")).isBetween(0.0, 2.5);
+                            assertThat(r.get("start: slices in force at 10 s")).isEqualTo(1);
+                        });
         assertThat(flat(rows)).isTrue();
     }
 
--- a/src/test/java/firstage/setup/ShapeTest.java
+++ b/src/test/java/firstage/setup/ShapeTest.java
@@ -30,13 +30,18 @@
 
     @Test
     void aMixOfShapesIsRefusedNamingTheKey() {
-        MalformedLine fault = assertThrows(MalformedLine.class, () -> read("report.via=off report.fields=waiting"));
+        MalformedLine fault =
+                assertThrows(
+                        MalformedLine.class, () -> read("report.via=off report.fields=waiting"));
         assertTrue(fault.getMessage().startsWith("report.fields"));
     }
 
     @Test
     void anUnknownWordIsRefusedNamingTheKey() {
-        MalformedLine fault = assertThrows(MalformedLine.class, () -> read("family_info.out_of_memory=swap"));
-        assertEquals("family_info.out_of_memory = swap is none of [page, shrink, wait]", fault.getMessage());
+        MalformedLine fault =
+                assertThrows(MalformedLine.class, () -> read("family_info.out_of_memory=swap"));
+        assertEquals(
+                "family_info.out_of_memory = swap is none of [page, shrink, wait]",
+                fault.getMessage());
     }
 }
--- a/src/test/java/firstage/yard/YardIT.java
+++ b/src/test/java/firstage/yard/YardIT.java
@@ -17,20 +17,21 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Several processes of the packaged program, faults between them. Rules and crashes are judged, and what members hold
- * of
- * each other; no figure that a busy machine moves, and a run without time proves nothing either way.
+ * Several processes of the packaged program, faults between them. Rules and crashes are judged, and
+ * what members hold of each other; no figure that a busy machine moves, and a run without time
+ * proves nothing either way.
  */
 @Timeout(120)
 class YardIT {
-    private static final String RUN = "java -Xmx64m -Xss512k -XX:+UseSerialGC -XX:TieredStopAtLevel=1"
-            + " -jar target/firstage.jar serve";
-    @TempDir
-    private Path folder;
+    private static final String RUN =
+            "java -Xmx64m -Xss512k -XX:+UseSerialGC -XX:TieredStopAtLevel=1"
+                    + " -jar target/firstage.jar serve";
+    @TempDir private Path folder;
 
     private static String text(String plan) throws IOException {
         return Files.readString(Path.of("deploy", "yard", plan + ".toml"))
-                .replaceFirst("(?s)\\[\\[expect.*", "").replace("rate = 50.0", "rate = 25.0");
+                .replaceFirst("(?s)\\[\\[expect.*", "")
+                .replace("rate = 50.0", "rate = 25.0");
     }
 
     private YardRun.Result play(String plan, boolean peers, String more) throws IOException {
@@ -40,9 +41,15 @@
     private YardRun.Result playText(String plan, boolean peers) throws IOException {
         FleetPlan read = FleetFile.read(plan);
         YardRun.check(read);
-        return YardRun.play(new YardRun.Order(read, 1, folder, Path.of("target", "firstage.jar").toAbsolutePath(),
-                RUN, peers,
-                line -> { }));
+        return YardRun.play(
+                new YardRun.Order(
+                        read,
+                        1,
+                        folder,
+                        Path.of("target", "firstage.jar").toAbsolutePath(),
+                        RUN,
+                        peers,
+                        line -> {}));
     }
 
     private void holds(YardRun.Result r) {
@@ -54,7 +61,8 @@
 
     private List<String> told(int manager, String what) throws IOException {
         return Files.readAllLines(folder.resolve("logs").resolve("m" + manager + ".log")).stream()
-                .filter(line -> line.contains(what)).toList();
+                .filter(line -> line.contains(what))
+                .toList();
     }
 
     @Test
@@ -72,13 +80,17 @@
 
     @Test
     void aOneSidedCutAndAKilledManagerBreakNothingAndAreTold() throws IOException {
-        holds(play("one-sided-cut", true, """
-
-                [[fault]]
-                kind = "kill"
-                at = "2 s"
-                who = "managers 3"
-                """));
+        holds(
+                play(
+                        "one-sided-cut",
+                        true,
+"""
+
+[[fault]]
+kind = "kill"
+at = "2 s"
+who = "managers 3"
+"""));
         assertThat(told(0, "member {\"is\":\"doubted\",\"name\":\"m3\"")).isNotEmpty();
         // Back with a new life, it is one of them again.
         List<String> views = told(0, "view {");
@@ -87,19 +99,32 @@
         assertThat(told(0, "\"is\":\"gone\"")).isEmpty();
     }
 
-    /** Twelve processes in four cells: engines come back cold, a cell is cut off from another, managers die. */
+    /**
+     * Twelve processes in four cells: engines come back cold, a cell is cut off from another,
+     * managers die.
+     */
     @Test
     void inCellsNoRuleBreaksAndEachSendsToTheEnginesOfItsZoneOnly() throws IOException {
-        holds(playText(text("cells").replace("length = \"26 s\"", "length = \"14 s\"")
-                .replace("at = \"5 s\"", "at = \"3 s\"").replace("at = \"13 s\"", "at = \"7 s\"")
-                .replace("at = \"15 s\"", "at = \"8 s\""), true));
+        holds(
+                playText(
+                        text("cells")
+                                .replace("length = \"26 s\"", "length = \"14 s\"")
+                                .replace("at = \"5 s\"", "at = \"3 s\"")
+                                .replace("at = \"13 s\"", "at = \"7 s\"")
+                                .replace("at = \"15 s\"", "at = \"8 s\""),
+                        true));
         for (int m = 0; m < 12; m++) {
-            assertThat(told(m, "\"is\":\"met\"")).as("cells that m" + m + " met").hasSizeGreaterThanOrEqualTo(2);
+            assertThat(told(m, "\"is\":\"met\""))
+                    .as("cells that m" + m + " met")
+                    .hasSizeGreaterThanOrEqualTo(2);
         }
-        List<String> sent = Files.readAllLines(folder.resolve("timeline.jsonl")).stream()
-                .filter(line -> line.contains("\"dispatched\"")).toList();
-        assertThat(sent).hasSizeGreaterThan(50).allMatch(line -> number(line, "manager") % 2 == number(line,
-                "engine") % 2);
+        List<String> sent =
+                Files.readAllLines(folder.resolve("timeline.jsonl")).stream()
+                        .filter(line -> line.contains("\"dispatched\""))
+                        .toList();
+        assertThat(sent)
+                .hasSizeGreaterThan(50)
+                .allMatch(line -> number(line, "manager") % 2 == number(line, "engine") % 2);
     }
 
     private static int number(String line, String name) {
@@ -110,9 +135,19 @@
 
     @Test
     void whatAYardThatWasKilledLeftIsFoundNamedAndEnded() throws Exception {
-        Process yard = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-jar",
-                "target/firstage.jar", "yard", "run", "deploy/yard/calm.toml", "--out", folder.toString())
-                .redirectErrorStream(true).redirectOutput(folder.resolve("out").toFile()).start();
+        Process yard =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-jar",
+                                "target/firstage.jar",
+                                "yard",
+                                "run",
+                                "deploy/yard/calm.toml",
+                                "--out",
+                                folder.toString())
+                        .redirectErrorStream(true)
+                        .redirectOutput(folder.resolve("out").toFile())
+                        .start();
         List<ProcessHandle> managers = List.of();
         while (managers.size() < 4) {
             Thread.sleep(50);
@@ -132,20 +167,45 @@
 
     @Test
     void whoDiesAtItsStartIsNamedWithItsLastWords() {
-        assertThat(org.assertj.core.api.Assertions.catchThrowable(() -> YardRun.play(new YardRun.Order(
-                FleetFile.read(Files.readString(Path.of("deploy", "yard", "calm.toml"))), 1, folder,
-                folder.resolve("none.jar"), RUN, false, line -> { }))))
-                .hasMessageContaining("manager 0 ended at its start").hasMessageContaining("none.jar");
+        assertThat(
+                        org.assertj.core.api.Assertions.catchThrowable(
+                                () ->
+                                        YardRun.play(
+                                                new YardRun.Order(
+                                                        FleetFile.read(
+                                                                Files.readString(
+                                                                        Path.of(
+                                                                                "deploy",
+                                                                                "yard",
+                                                                                "calm.toml"))),
+                                                        1,
+                                                        folder,
+                                                        folder.resolve("none.jar"),
+                                                        RUN,
+                                                        false,
+                                                        line -> {}))))
+                .hasMessageContaining("manager 0 ended at its start")
+                .hasMessageContaining("none.jar");
     }
 
     @Test
     void aPlanThatNamesAManagerItDoesNotHaveIsRefusedWithLineAndCure() throws IOException {
         String plan = Files.readString(Path.of("deploy", "yard", "one-sided-cut.toml"));
-        assertThat(org.assertj.core.api.Assertions.catchThrowable(() -> FleetFile.read(plan.replace("managers 0",
-                "managers 9")))).hasMessageContaining("names one that the plan does not have; 0 to 3 would do");
-        assertThat(org.assertj.core.api.Assertions.catchThrowable(() -> FleetFile.read(plan.replace("\"cut\"",
-                "\"cot\"")))).hasMessageContaining("'cot' is none of");
-        assertThat(org.assertj.core.api.Assertions.catchThrowable(() -> YardRun.check(FleetFile.read(
-                plan.replace("\"service\"", "\"servise\""))))).hasMessageContaining("no figure 'servise'");
+        assertThat(
+                        org.assertj.core.api.Assertions.catchThrowable(
+                                () -> FleetFile.read(plan.replace("managers 0", "managers 9"))))
+                .hasMessageContaining("names one that the plan does not have; 0 to 3 would do");
+        assertThat(
+                        org.assertj.core.api.Assertions.catchThrowable(
+                                () -> FleetFile.read(plan.replace("\"cut\"", "\"cot\""))))
+                .hasMessageContaining("'cot' is none of");
+        assertThat(
+                        org.assertj.core.api.Assertions.catchThrowable(
+                                () ->
+                                        YardRun.check(
+                                                FleetFile.read(
+                                                        plan.replace(
+                                                                "\"service\"", "\"servise\"")))))
+                .hasMessageContaining("no figure 'servise'");
     }
 }
