--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # What people do here every day. Operators build and start by deploy/balancer.toml.
-.PHONY: build test lint run sites
+.PHONY: build test lint format run sites
 
 build:
 	mvn -q -DskipTests package
@@ -8,7 +8,10 @@
 	mvn -B verify
 
 lint:
-	mvn -q checkstyle:check
+	mvn -q spotless:check checkstyle:check
+
+format:
+	mvn -q spotless:apply
 
 # One workload manager on this machine; ROUTER_CONFIG names the JSON file that it is told its place by.
 run: build
