--- a/src/main/java/firstage/benchlink/BenchLink.java
+++ b/src/main/java/firstage/bench/BenchLink.java
@@ -1,7 +1,7 @@
-package firstage.benchlink;
+package firstage.bench;
 
-import firstage.setup.Fields;
-import firstage.setup.MalformedLine;
+import firstage.config.Fields;
+import firstage.config.MalformedLine;
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
 import java.io.IOException;
--- a/src/main/java/firstage/benchlink/package-info.java
+++ b/src/main/java/firstage/bench/package-info.java
@@ -2,4 +2,4 @@
  * The bench adapter: the wire's lines on one side, many workload managers on the other. No
  * decisions.
  */
-package firstage.benchlink;
+package firstage.bench;
--- a/src/main/java/firstage/app/Fleet.java
+++ b/src/main/java/firstage/cli/Fleet.java
@@ -1,12 +1,12 @@
-package firstage.app;
-
-import firstage.fleet.Choice;
-import firstage.fleet.Comparison;
-import firstage.fleet.FleetFault;
-import firstage.fleet.FleetFile;
-import firstage.fleet.FleetPlan;
-import firstage.fleet.FleetResult;
-import firstage.fleet.FleetRun;
+package firstage.cli;
+
+import firstage.simulation.Choice;
+import firstage.simulation.Comparison;
+import firstage.simulation.FleetFault;
+import firstage.simulation.FleetFile;
+import firstage.simulation.FleetPlan;
+import firstage.simulation.FleetResult;
+import firstage.simulation.FleetRun;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/firstage/app/FleetTables.java
+++ b/src/main/java/firstage/cli/FleetTables.java
@@ -1,9 +1,9 @@
-package firstage.app;
+package firstage.cli;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import firstage.fleet.Comparison;
-import firstage.fleet.FleetResult;
+import firstage.simulation.Comparison;
+import firstage.simulation.FleetResult;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
--- a/src/main/java/firstage/app/Hostile.java
+++ b/src/main/java/firstage/cli/Hostile.java
@@ -1,7 +1,7 @@
-package firstage.app;
+package firstage.cli;
 
-import firstage.lab.Fault;
-import firstage.lab.HostileSchedules;
+import firstage.simulation.schedule.Fault;
+import firstage.simulation.schedule.HostileSchedules;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/firstage/app/Lines.java
+++ b/src/main/java/firstage/cli/Lines.java
@@ -1,4 +1,4 @@
-package firstage.app;
+package firstage.cli;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/src/main/java/firstage/app/Main.java
+++ b/src/main/java/firstage/cli/Main.java
@@ -1,6 +1,6 @@
-package firstage.app;
+package firstage.cli;
 
-import firstage.benchlink.BenchLink;
+import firstage.bench.BenchLink;
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.List;
--- a/src/main/java/firstage/app/PeersFile.java
+++ b/src/main/java/firstage/cli/PeersFile.java
@@ -1,9 +1,9 @@
-package firstage.app;
+package firstage.cli;
 
 import firstage.cells.CellPlan;
-import firstage.net.Assignment;
-import firstage.net.members.PeerList;
-import firstage.setup.MalformedLine;
+import firstage.config.MalformedLine;
+import firstage.server.Assignment;
+import firstage.server.membership.PeerList;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
--- a/src/main/java/firstage/app/PeersView.java
+++ b/src/main/java/firstage/cli/PeersView.java
@@ -1,9 +1,9 @@
-package firstage.app;
+package firstage.cli;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import firstage.net.members.Peers;
+import firstage.server.membership.Peers;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -51,7 +51,7 @@
 
     @Override
     public Integer call() throws IOException {
-        String answer = ask(firstage.net.Assignment.address(address), Peers.ASKED);
+        String answer = ask(firstage.server.Assignment.address(address), Peers.ASKED);
         boolean agreed = answer.contains("\"agreed\":true");
         if (json) {
             System.out.println(answer);
--- a/src/main/java/firstage/app/Rehearsal.java
+++ b/src/main/java/firstage/cli/Rehearsal.java
@@ -1,7 +1,7 @@
-package firstage.app;
+package firstage.cli;
 
-import firstage.net.Assignment;
-import firstage.net.Node;
+import firstage.server.Assignment;
+import firstage.server.Node;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
--- a/src/main/java/firstage/app/Scale.java
+++ b/src/main/java/firstage/cli/Scale.java
@@ -1,13 +1,13 @@
-package firstage.app;
+package firstage.cli;
 
 import firstage.cells.Cells;
-import firstage.fleet.FleetFault;
-import firstage.lab.CellsField.Shape;
 import firstage.scale.ChoiceCost;
 import firstage.scale.Hollow;
 import firstage.scale.ScalePlan;
 import firstage.scale.ScaleRun;
 import firstage.scale.Slopes;
+import firstage.simulation.FleetFault;
+import firstage.simulation.schedule.CellsField.Shape;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
--- a/src/main/java/firstage/app/Serve.java
+++ b/src/main/java/firstage/cli/Serve.java
@@ -1,10 +1,10 @@
-package firstage.app;
+package firstage.cli;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
-import firstage.net.Assignment;
-import firstage.net.Node;
-import firstage.net.members.PeerList;
-import firstage.setup.MalformedLine;
+import firstage.config.MalformedLine;
+import firstage.server.Assignment;
+import firstage.server.Node;
+import firstage.server.membership.PeerList;
 import java.io.FileNotFoundException;
 import java.io.IOException;
 import java.net.BindException;
--- a/src/main/java/firstage/app/ServeCommand.java
+++ b/src/main/java/firstage/cli/ServeCommand.java
@@ -1,6 +1,6 @@
-package firstage.app;
+package firstage.cli;
 
-import firstage.fleet.FleetFault;
+import firstage.simulation.FleetFault;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/firstage/app/Yard.java
+++ b/src/main/java/firstage/cli/Yard.java
@@ -1,12 +1,12 @@
-package firstage.app;
+package firstage.cli;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
-import firstage.fleet.FleetFault;
-import firstage.fleet.FleetFile;
-import firstage.fleet.FleetPlan;
-import firstage.yard.Leftovers;
-import firstage.yard.YardRun;
+import firstage.faulttest.Leftovers;
+import firstage.faulttest.YardRun;
+import firstage.simulation.FleetFault;
+import firstage.simulation.FleetFile;
+import firstage.simulation.FleetPlan;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
--- a/src/main/java/firstage/app/ZonesOrder.java
+++ b/src/main/java/firstage/cli/ZonesOrder.java
@@ -1,7 +1,7 @@
-package firstage.app;
+package firstage.cli;
 
-import firstage.net.Assignment;
-import firstage.net.members.Peers;
+import firstage.server.Assignment;
+import firstage.server.membership.Peers;
 import java.io.IOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
--- a/src/main/java/firstage/setup/Indices.java
+++ b/src/main/java/firstage/config/Indices.java
@@ -1,4 +1,4 @@
-package firstage.setup;
+package firstage.config;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/firstage/setup/MalformedLine.java
+++ b/src/main/java/firstage/config/MalformedLine.java
@@ -1,4 +1,4 @@
-package firstage.setup;
+package firstage.config;
 
 /** A line of the wire that cannot be read; the message names the fault. */
 public final class MalformedLine extends RuntimeException {
--- a/src/main/java/firstage/setup/Setup.java
+++ b/src/main/java/firstage/config/Setup.java
@@ -1,7 +1,7 @@
-package firstage.setup;
+package firstage.config;
 
-import firstage.door.Deployment;
-import firstage.door.ServiceGroup;
+import firstage.policy.api.Deployment;
+import firstage.policy.api.ServiceGroup;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
--- a/src/main/java/firstage/setup/package-info.java
+++ b/src/main/java/firstage/config/package-info.java
@@ -2,4 +2,4 @@
  * What every adapter needs at the door: settings turned into a Deployment, ids mapped to small
  * indices.
  */
-package firstage.setup;
+package firstage.config;
--- a/src/main/java/firstage/standin/Coordinator.java
+++ b/src/main/java/firstage/emulator/Coordinator.java
@@ -1,4 +1,4 @@
-package firstage.standin;
+package firstage.emulator;
 
 import java.io.DataInputStream;
 import java.io.IOException;
--- a/src/main/java/firstage/standin/Crowd.java
+++ b/src/main/java/firstage/emulator/Crowd.java
@@ -1,14 +1,14 @@
-package firstage.standin;
-
-import firstage.door.ServiceGroup.Effect;
-import firstage.fleet.Clients;
-import firstage.fleet.FleetPlan;
-import firstage.fleet.RuleWatch;
-import firstage.fleet.RuleWatch.Try;
-import firstage.fleet.Scoreboard;
-import firstage.fleet.Streams;
-import firstage.fleet.TrafficSource;
-import firstage.fleet.Work;
+package firstage.emulator;
+
+import firstage.policy.api.ServiceGroup.Effect;
+import firstage.simulation.Clients;
+import firstage.simulation.FleetPlan;
+import firstage.simulation.RuleWatch;
+import firstage.simulation.RuleWatch.Try;
+import firstage.simulation.Scoreboard;
+import firstage.simulation.Streams;
+import firstage.simulation.TrafficSource;
+import firstage.simulation.Work;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
--- a/src/main/java/firstage/standin/EngineServer.java
+++ b/src/main/java/firstage/emulator/EngineServer.java
@@ -1,14 +1,14 @@
-package firstage.standin;
+package firstage.emulator;
 
-import firstage.door.Note;
-import firstage.door.Outcome;
-import firstage.fleet.EngineModel;
-import firstage.fleet.EngineModel.Job;
-import firstage.fleet.EngineModel.Standing;
-import firstage.fleet.FleetPlan;
-import firstage.fleet.RuleWatch;
-import firstage.fleet.RuleWatch.Try;
-import firstage.fleet.Streams;
+import firstage.policy.api.Note;
+import firstage.policy.api.Outcome;
+import firstage.simulation.EngineModel;
+import firstage.simulation.EngineModel.Job;
+import firstage.simulation.EngineModel.Standing;
+import firstage.simulation.FleetPlan;
+import firstage.simulation.RuleWatch;
+import firstage.simulation.RuleWatch.Try;
+import firstage.simulation.Streams;
 import io.undertow.UndertowOptions;
 import io.undertow.server.DefaultByteBufferPool;
 import io.undertow.server.HttpServerExchange;
--- a/src/main/java/firstage/standin/Stage.java
+++ b/src/main/java/firstage/emulator/Stage.java
@@ -1,6 +1,6 @@
-package firstage.standin;
+package firstage.emulator;
 
-import firstage.fleet.Calendar;
+import firstage.simulation.Calendar;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
--- a/src/main/java/firstage/standin/package-info.java
+++ b/src/main/java/firstage/emulator/package-info.java
@@ -2,4 +2,4 @@
  * Stand-ins of what workload managers talk to, on loopback: engines, coordinator, clients, and the
  * ways between.
  */
-package firstage.standin;
+package firstage.emulator;
--- a/src/main/java/firstage/evacuation/Together.java
+++ b/src/main/java/firstage/failover/Together.java
@@ -1,9 +1,9 @@
-package firstage.evacuation;
+package firstage.failover;
 
-import firstage.door.Demand;
 import firstage.overload.Level;
 import firstage.overload.Trials;
 import firstage.overload.Words;
+import firstage.policy.api.Demand;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/firstage/evacuation/Zones.java
+++ b/src/main/java/firstage/failover/Zones.java
@@ -1,4 +1,4 @@
-package firstage.evacuation;
+package firstage.failover;
 
 import firstage.overload.Level;
 import firstage.overload.Rendezvous;
--- a/src/main/java/firstage/evacuation/package-info.java
+++ b/src/main/java/firstage/failover/package-info.java
@@ -2,4 +2,4 @@
  * Leaving a zone that fails as a fleet, and all that managers work out together in one piece: free
  * of I/O, on the membership's view and digests. docs/evacuation.md says why.
  */
-package firstage.evacuation;
+package firstage.failover;
--- a/src/main/java/firstage/yard/Leftovers.java
+++ b/src/main/java/firstage/faulttest/Leftovers.java
@@ -1,4 +1,4 @@
-package firstage.yard;
+package firstage.faulttest;
 
 import java.io.IOException;
 import java.util.List;
--- a/src/main/java/firstage/yard/Recording.java
+++ b/src/main/java/firstage/faulttest/Recording.java
@@ -1,4 +1,4 @@
-package firstage.yard;
+package firstage.faulttest;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/firstage/yard/Wiring.java
+++ b/src/main/java/firstage/faulttest/Wiring.java
@@ -1,9 +1,9 @@
-package firstage.yard;
+package firstage.faulttest;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import firstage.cells.CellPlan;
-import firstage.fleet.FleetPlan;
+import firstage.simulation.FleetPlan;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/src/main/java/firstage/life/CallLife.java
+++ b/src/main/java/firstage/lifecycle/CallLife.java
@@ -1,4 +1,4 @@
-package firstage.life;
+package firstage.lifecycle;
 
 import java.util.EnumMap;
 import java.util.List;
--- a/src/main/java/firstage/life/DispatchLife.java
+++ b/src/main/java/firstage/lifecycle/DispatchLife.java
@@ -1,6 +1,6 @@
-package firstage.life;
+package firstage.lifecycle;
 
-import firstage.door.Outcome;
+import firstage.policy.api.Outcome;
 import java.util.EnumMap;
 import java.util.Map;
 
--- a/src/main/java/firstage/life/package-info.java
+++ b/src/main/java/firstage/lifecycle/package-info.java
@@ -4,4 +4,4 @@
  * and effect. Nothing here knows a socket, a thread or a clock: news comes in by calls, effects go
  * out by interfaces that stand here, times are whole tenths of a millisecond.
  */
-package firstage.life;
+package firstage.lifecycle;
--- a/src/main/java/firstage/members/Codec.java
+++ b/src/main/java/firstage/membership/Codec.java
@@ -1,4 +1,4 @@
-package firstage.members;
+package firstage.membership;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/main/java/firstage/members/Entry.java
+++ b/src/main/java/firstage/membership/Entry.java
@@ -1,4 +1,4 @@
-package firstage.members;
+package firstage.membership;
 
 /**
  * What is told of a member. {@code incarnation}: of its life (Unix ms of its start), raised by
--- a/src/main/java/firstage/members/Leases.java
+++ b/src/main/java/firstage/membership/Leases.java
@@ -1,4 +1,4 @@
-package firstage.members;
+package firstage.membership;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/firstage/members/Standing.java
+++ b/src/main/java/firstage/membership/Standing.java
@@ -1,4 +1,4 @@
-package firstage.members;
+package firstage.membership;
 
 /**
  * How a manager holds another: here, doubted (silent for now), gone (silent for good), or left by
--- a/src/main/java/firstage/overload/Circle.java
+++ b/src/main/java/firstage/overload/Circle.java
@@ -1,6 +1,6 @@
 package firstage.overload;
 
-import firstage.door.Demand;
+import firstage.policy.api.Demand;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/firstage/overload/Level.java
+++ b/src/main/java/firstage/overload/Level.java
@@ -1,6 +1,6 @@
 package firstage.overload;
 
-import firstage.door.Demand;
+import firstage.policy.api.Demand;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -84,7 +84,7 @@
      * later is the newer; {@code came} by band, {@code sent}: rates; {@code waits}: seconds of
      * work; {@code runs}: threads; {@code zone}: its own; {@code bad}: by zone, per cent of its
      * engines that it holds closed; {@code orders}: what operators want of zones ({@link
-     * firstage.evacuation.Zones}).
+     * firstage.failover.Zones}).
      */
     public record Row(
             int name,
--- a/src/main/java/firstage/overload/Words.java
+++ b/src/main/java/firstage/overload/Words.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
-import firstage.door.Demand;
+import firstage.policy.api.Demand;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.ArrayList;
--- a/src/main/java/firstage/Brain.java
+++ b/src/main/java/firstage/policy/Brain.java
@@ -1,10 +1,10 @@
-package firstage;
+package firstage.policy;
 
-import firstage.door.*;
-import firstage.door.EngineList.Standing;
-import firstage.door.ServiceGroup.Effect;
-import firstage.door.ServiceGroup.Scope;
-import firstage.state.*;
+import firstage.policy.api.*;
+import firstage.policy.api.EngineList.Standing;
+import firstage.policy.api.ServiceGroup.Effect;
+import firstage.policy.api.ServiceGroup.Scope;
+import firstage.policy.state.*;
 import java.util.*;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
@@ -12,9 +12,9 @@
 /**
  * All decisions of one workload manager. Callers tell it news through {@link WorkloadManager} and
  * end each moment with {@link #turn}; it acts through {@link Host}. Interface and types stand in
- * firstage.door; times are whole tenths of a millisecond. On the ordinary path (docs/design.md)
- * each batch reserves its grant on our slice of one engine's memory and its threads under an
- * adaptive bound, or waits in a bounded FIFO queue until there is room.
+ * firstage.policy.api; times are whole tenths of a millisecond. On the ordinary path
+ * (docs/design.md) each batch reserves its grant on our slice of one engine's memory and its
+ * threads under an adaptive bound, or waits in a bounded FIFO queue until there is room.
  */
 public final class Brain implements WorkloadManager {
     // ---- Constants: unit, and why this size. Times are in tenths of a millisecond.
--- a/src/main/java/firstage/door/Arrival.java
+++ b/src/main/java/firstage/policy/api/Arrival.java
@@ -1,4 +1,4 @@
-package firstage.door;
+package firstage.policy.api;
 
 /**
  * A batch just taken. {@code customer}, {@code key} and {@code tables} are -1 and the estimates 0
--- a/src/main/java/firstage/door/Demand.java
+++ b/src/main/java/firstage/policy/api/Demand.java
@@ -1,4 +1,4 @@
-package firstage.door;
+package firstage.policy.api;
 
 import java.util.Arrays;
 
--- a/src/main/java/firstage/door/Ending.java
+++ b/src/main/java/firstage/policy/api/Ending.java
@@ -1,4 +1,4 @@
-package firstage.door;
+package firstage.policy.api;
 
 /**
  * How a dispatch ended. {@code work} and {@code memoryMb} are what the batch truly needed, 0 if
--- a/src/main/java/firstage/door/Host.java
+++ b/src/main/java/firstage/policy/api/Host.java
@@ -1,4 +1,4 @@
-package firstage.door;
+package firstage.policy.api;
 
 /** Carries the effects of decisions out. A host decides nothing. */
 public interface Host {
--- a/src/main/java/firstage/door/Note.java
+++ b/src/main/java/firstage/policy/api/Note.java
@@ -1,4 +1,4 @@
-package firstage.door;
+package firstage.policy.api;
 
 /** Word on a dispatch that is still out. */
 public record Note(int batch, int dispatch, int engine, Kind kind, double amount) {
--- a/src/main/java/firstage/door/Outcome.java
+++ b/src/main/java/firstage/policy/api/Outcome.java
@@ -1,4 +1,4 @@
-package firstage.door;
+package firstage.policy.api;
 
 /** The ways a dispatch can end. */
 public enum Outcome {
--- a/src/main/java/firstage/door/Report.java
+++ b/src/main/java/firstage/policy/api/Report.java
@@ -1,4 +1,4 @@
-package firstage.door;
+package firstage.policy.api;
 
 /** An engine's load report; a figure it does not tell is NaN. Shares run from 0 to 1. */
 public record Report(
--- a/src/main/java/firstage/door/WorkloadManager.java
+++ b/src/main/java/firstage/policy/api/WorkloadManager.java
@@ -1,4 +1,4 @@
-package firstage.door;
+package firstage.policy.api;
 
 /**
  * What a workload manager is told. Calls carry the clock; {@link #turn} ends each round of news.
--- a/src/main/java/firstage/state/Batch.java
+++ b/src/main/java/firstage/policy/state/Batch.java
@@ -1,6 +1,6 @@
-package firstage.state;
+package firstage.policy.state;
 
-import firstage.door.Arrival;
+import firstage.policy.api.Arrival;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/firstage/state/Bins.java
+++ b/src/main/java/firstage/policy/state/Bins.java
@@ -1,4 +1,4 @@
-package firstage.state;
+package firstage.policy.state;
 
 /** Coarse bins of half an octave around 1. */
 public final class Bins {
--- a/src/main/java/firstage/state/Engine.java
+++ b/src/main/java/firstage/policy/state/Engine.java
@@ -1,7 +1,7 @@
-package firstage.state;
+package firstage.policy.state;
 
-import firstage.door.EngineList.Entry;
-import firstage.door.EngineList.Standing;
+import firstage.policy.api.EngineList.Entry;
+import firstage.policy.api.EngineList.Standing;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/firstage/state/Flight.java
+++ b/src/main/java/firstage/policy/state/Flight.java
@@ -1,4 +1,4 @@
-package firstage.state;
+package firstage.policy.state;
 
 /** A dispatch that is out. */
 public final class Flight {
--- a/src/main/java/firstage/state/Group.java
+++ b/src/main/java/firstage/policy/state/Group.java
@@ -1,6 +1,6 @@
-package firstage.state;
+package firstage.policy.state;
 
-import firstage.door.ServiceGroup;
+import firstage.policy.api.ServiceGroup;
 
 /** A service group and what was learned of it. */
 public final class Group {
--- a/src/main/java/firstage/state/Health.java
+++ b/src/main/java/firstage/policy/state/Health.java
@@ -1,4 +1,4 @@
-package firstage.state;
+package firstage.policy.state;
 
 /**
  * How an engine is judged from what passes through. FULL refuses, TRIAL lets one batch find out.
--- a/src/main/java/firstage/state/Mean.java
+++ b/src/main/java/firstage/policy/state/Mean.java
@@ -1,4 +1,4 @@
-package firstage.state;
+package firstage.policy.state;
 
 /** A mean over recent samples: sum and count are halved when the count reaches its limit. */
 public final class Mean {
--- a/src/main/java/firstage/state/Quota.java
+++ b/src/main/java/firstage/policy/state/Quota.java
@@ -1,4 +1,4 @@
-package firstage.state;
+package firstage.policy.state;
 
 /** A customer's share as a bucket: it fills at a rate up to what that rate brings in a span. */
 public final class Quota {
--- a/src/main/java/firstage/state/Tally.java
+++ b/src/main/java/firstage/policy/state/Tally.java
@@ -1,4 +1,4 @@
-package firstage.state;
+package firstage.policy.state;
 
 import java.util.ArrayDeque;
 
--- a/src/main/java/firstage/state/package-info.java
+++ b/src/main/java/firstage/policy/state/package-info.java
@@ -1,4 +1,4 @@
 /**
  * What one workload manager remembers. Plain state: it decides nothing and holds no tuned value.
  */
-package firstage.state;
+package firstage.policy.state;
--- a/src/main/java/firstage/scale/Hollow.java
+++ b/src/main/java/firstage/scale/Hollow.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import firstage.members.Message;
-import firstage.members.View;
+import firstage.membership.Message;
+import firstage.membership.View;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -1,8 +1,8 @@
 package firstage.scale;
 
 import firstage.cells.CellPlan;
-import firstage.fleet.FleetFault;
-import firstage.fleet.Section;
+import firstage.simulation.FleetFault;
+import firstage.simulation.Section;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -1,11 +1,11 @@
 package firstage.scale;
 
-import firstage.fleet.FleetFault;
-import firstage.fleet.FleetFile;
-import firstage.fleet.FleetPlan;
-import firstage.yard.Addresses;
-import firstage.yard.Managers;
-import firstage.yard.Wiring;
+import firstage.faulttest.Addresses;
+import firstage.faulttest.Managers;
+import firstage.faulttest.Wiring;
+import firstage.simulation.FleetFault;
+import firstage.simulation.FleetFile;
+import firstage.simulation.FleetPlan;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.net.InetSocketAddress;
--- a/src/main/java/firstage/scale/Slopes.java
+++ b/src/main/java/firstage/scale/Slopes.java
@@ -1,10 +1,10 @@
 package firstage.scale;
 
 import firstage.cells.Cells;
-import firstage.lab.CellsField;
-import firstage.lab.CellsField.Kind;
-import firstage.lab.CellsField.Place;
-import firstage.lab.CellsField.Shape;
+import firstage.simulation.schedule.CellsField;
+import firstage.simulation.schedule.CellsField.Kind;
+import firstage.simulation.schedule.CellsField.Place;
+import firstage.simulation.schedule.CellsField.Shape;
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryMXBean;
 import java.util.ArrayList;
--- a/src/main/java/firstage/net/Assignment.java
+++ b/src/main/java/firstage/server/Assignment.java
@@ -1,14 +1,14 @@
-package firstage.net;
+package firstage.server;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.io.JsonEOFException;
-import firstage.door.Deployment;
-import firstage.door.ServiceGroup;
-import firstage.setup.Fields;
-import firstage.setup.MalformedLine;
-import firstage.setup.Setup;
+import firstage.config.Fields;
+import firstage.config.MalformedLine;
+import firstage.config.Setup;
+import firstage.policy.api.Deployment;
+import firstage.policy.api.ServiceGroup;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
--- a/src/main/java/firstage/net/Barrier.java
+++ b/src/main/java/firstage/server/Barrier.java
@@ -1,4 +1,4 @@
-package firstage.net;
+package firstage.server;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/src/main/java/firstage/net/Clock.java
+++ b/src/main/java/firstage/server/Clock.java
@@ -1,4 +1,4 @@
-package firstage.net;
+package firstage.server;
 
 /**
  * The Unix clock in whole tenths of a millisecond as it stood at the start, carried on by the
--- a/src/main/java/firstage/net/Exchange.java
+++ b/src/main/java/firstage/server/Exchange.java
@@ -1,6 +1,6 @@
-package firstage.net;
+package firstage.server;
 
-import firstage.door.Outcome;
+import firstage.policy.api.Outcome;
 import java.util.ArrayList;
 import java.util.List;
 import org.xnio.XnioExecutor;
--- a/src/main/java/firstage/net/Recorder.java
+++ b/src/main/java/firstage/server/Recorder.java
@@ -1,4 +1,4 @@
-package firstage.net;
+package firstage.server;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/firstage/net/Tidings.java
+++ b/src/main/java/firstage/server/Tidings.java
@@ -1,9 +1,9 @@
-package firstage.net;
+package firstage.server;
 
-import firstage.door.EngineList;
-import firstage.door.Note;
-import firstage.door.Outcome;
-import firstage.door.Report;
+import firstage.policy.api.EngineList;
+import firstage.policy.api.Note;
+import firstage.policy.api.Outcome;
+import firstage.policy.api.Report;
 import java.net.InetSocketAddress;
 import java.util.List;
 
--- a/src/main/java/firstage/net/clients/Callers.java
+++ b/src/main/java/firstage/server/client/Callers.java
@@ -1,6 +1,6 @@
-package firstage.net.clients;
+package firstage.server.client;
 
-import firstage.net.Counters;
+import firstage.server.Counters;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/firstage/net/clients/ClientDoor.java
+++ b/src/main/java/firstage/server/client/ClientDoor.java
@@ -1,11 +1,11 @@
-package firstage.net.clients;
-
-import firstage.net.Assignment;
-import firstage.net.Clock;
-import firstage.net.Counters;
-import firstage.net.Exchange;
-import firstage.net.Tidings;
-import firstage.setup.Fields;
+package firstage.server.client;
+
+import firstage.config.Fields;
+import firstage.server.Assignment;
+import firstage.server.Clock;
+import firstage.server.Counters;
+import firstage.server.Exchange;
+import firstage.server.Tidings;
 import io.undertow.UndertowOptions;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.connector.PooledByteBuffer;
--- a/src/main/java/firstage/net/clients/FaultLine.java
+++ b/src/main/java/firstage/server/client/FaultLine.java
@@ -1,4 +1,4 @@
-package firstage.net.clients;
+package firstage.server.client;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/src/main/java/firstage/net/clients/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -1,7 +1,7 @@
-package firstage.net.clients;
+package firstage.server.client;
 
-import firstage.life.CallLife;
-import firstage.net.Exchange;
+import firstage.lifecycle.CallLife;
+import firstage.server.Exchange;
 import io.undertow.connector.PooledByteBuffer;
 import io.undertow.server.AbstractServerConnection;
 import io.undertow.server.HttpServerExchange;
--- a/src/main/java/firstage/net/clients/Statement.java
+++ b/src/main/java/firstage/server/client/Statement.java
@@ -1,4 +1,4 @@
-package firstage.net.clients;
+package firstage.server.client;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
--- a/src/main/java/firstage/net/clients/package-info.java
+++ b/src/main/java/firstage/server/client/package-info.java
@@ -1,2 +1,2 @@
 /** The server side: takes batches from clients over HTTP/1.1 and answers each once. */
-package firstage.net.clients;
+package firstage.server.client;
--- a/src/main/java/firstage/net/list/Follower.java
+++ b/src/main/java/firstage/server/discovery/Follower.java
@@ -1,10 +1,10 @@
-package firstage.net.list;
+package firstage.server.discovery;
 
-import firstage.door.EngineList.Kind;
-import firstage.net.Assignment;
-import firstage.net.Clock;
-import firstage.net.Counters;
-import firstage.net.Tidings;
+import firstage.policy.api.EngineList.Kind;
+import firstage.server.Assignment;
+import firstage.server.Clock;
+import firstage.server.Counters;
+import firstage.server.Tidings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
--- a/src/main/java/firstage/net/list/Frames.java
+++ b/src/main/java/firstage/server/discovery/Frames.java
@@ -1,4 +1,4 @@
-package firstage.net.list;
+package firstage.server.discovery;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/main/java/firstage/net/list/Records.java
+++ b/src/main/java/firstage/server/discovery/Records.java
@@ -1,11 +1,11 @@
-package firstage.net.list;
+package firstage.server.discovery;
 
-import firstage.door.EngineList.Standing;
-import firstage.net.Assignment;
-import firstage.net.Clock;
-import firstage.net.Tidings.Listed;
-import firstage.setup.Fields;
-import firstage.setup.MalformedLine;
+import firstage.config.Fields;
+import firstage.config.MalformedLine;
+import firstage.policy.api.EngineList.Standing;
+import firstage.server.Assignment;
+import firstage.server.Clock;
+import firstage.server.Tidings.Listed;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/main/java/firstage/net/list/package-info.java
+++ b/src/main/java/firstage/server/discovery/package-info.java
@@ -1,2 +1,2 @@
 /** The list of engines: follows the coordinator's numbered events over TCP. */
-package firstage.net.list;
+package firstage.server.discovery;
--- a/src/main/java/firstage/net/engines/Call.java
+++ b/src/main/java/firstage/server/engine/Call.java
@@ -1,4 +1,4 @@
-package firstage.net.engines;
+package firstage.server.engine;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/firstage/net/engines/Engines.java
+++ b/src/main/java/firstage/server/engine/Engines.java
@@ -1,13 +1,13 @@
-package firstage.net.engines;
-
-import firstage.door.EngineList.Standing;
-import firstage.door.Outcome;
-import firstage.door.Report;
-import firstage.net.Assignment;
-import firstage.net.Clock;
-import firstage.net.Counters;
-import firstage.net.Exchange;
-import firstage.net.Tidings;
+package firstage.server.engine;
+
+import firstage.policy.api.EngineList.Standing;
+import firstage.policy.api.Outcome;
+import firstage.policy.api.Report;
+import firstage.server.Assignment;
+import firstage.server.Clock;
+import firstage.server.Counters;
+import firstage.server.Exchange;
+import firstage.server.Tidings;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.HashSet;
--- a/src/main/java/firstage/net/engines/Link.java
+++ b/src/main/java/firstage/server/engine/Link.java
@@ -1,6 +1,6 @@
-package firstage.net.engines;
+package firstage.server.engine;
 
-import firstage.net.Clock;
+import firstage.server.Clock;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
--- a/src/main/java/firstage/net/engines/ResponseReader.java
+++ b/src/main/java/firstage/server/engine/ResponseReader.java
@@ -1,4 +1,4 @@
-package firstage.net.engines;
+package firstage.server.engine;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/main/java/firstage/net/engines/Run.java
+++ b/src/main/java/firstage/server/engine/Run.java
@@ -1,13 +1,13 @@
-package firstage.net.engines;
-
-import firstage.door.Note;
-import firstage.door.Outcome;
-import firstage.door.Report;
-import firstage.life.DispatchLife;
-import firstage.life.DispatchLife.Loss;
-import firstage.life.DispatchLife.Word;
-import firstage.net.Exchange;
-import firstage.net.Recorder.What;
+package firstage.server.engine;
+
+import firstage.lifecycle.DispatchLife;
+import firstage.lifecycle.DispatchLife.Loss;
+import firstage.lifecycle.DispatchLife.Word;
+import firstage.policy.api.Note;
+import firstage.policy.api.Outcome;
+import firstage.policy.api.Report;
+import firstage.server.Exchange;
+import firstage.server.Recorder.What;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/firstage/net/members/PeerList.java
+++ b/src/main/java/firstage/server/membership/PeerList.java
@@ -1,4 +1,4 @@
-package firstage.net.members;
+package firstage.server.membership;
 
 import firstage.cells.CellPlan;
 import java.net.InetSocketAddress;
--- a/src/main/java/firstage/net/members/package-info.java
+++ b/src/main/java/firstage/server/membership/package-info.java
@@ -2,4 +2,4 @@
  * Carries the membership over UDP on the I/O thread; decides nothing. Loaded only where peers are
  * named.
  */
-package firstage.net.members;
+package firstage.server.membership;
--- a/src/main/java/firstage/fleet/Calendar.java
+++ b/src/main/java/firstage/simulation/Calendar.java
@@ -1,4 +1,4 @@
-package firstage.fleet;
+package firstage.simulation;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/firstage/fleet/Choice.java
+++ b/src/main/java/firstage/simulation/Choice.java
@@ -1,10 +1,10 @@
-package firstage.fleet;
+package firstage.simulation;
 
-import firstage.Brain;
-import firstage.door.Deployment;
-import firstage.door.Host;
-import firstage.door.WorkloadManager;
-import firstage.evacuation.Together;
+import firstage.failover.Together;
+import firstage.policy.Brain;
+import firstage.policy.api.Deployment;
+import firstage.policy.api.Host;
+import firstage.policy.api.WorkloadManager;
 import java.util.List;
 import java.util.Locale;
 
--- a/src/main/java/firstage/fleet/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -1,7 +1,7 @@
-package firstage.fleet;
+package firstage.simulation;
 
-import firstage.door.Note;
-import firstage.door.Outcome;
+import firstage.policy.api.Note;
+import firstage.policy.api.Outcome;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/src/main/java/firstage/fleet/FleetDeployment.java
+++ b/src/main/java/firstage/simulation/FleetDeployment.java
@@ -1,7 +1,7 @@
-package firstage.fleet;
+package firstage.simulation;
 
-import firstage.door.Deployment;
-import firstage.door.ServiceGroup;
+import firstage.policy.api.Deployment;
+import firstage.policy.api.ServiceGroup;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
--- a/src/main/java/firstage/fleet/FleetFault.java
+++ b/src/main/java/firstage/simulation/FleetFault.java
@@ -1,4 +1,4 @@
-package firstage.fleet;
+package firstage.simulation;
 
 /** What can't be used of a file that people write: line, what is wrong, what would do. */
 public final class FleetFault extends RuntimeException {
--- a/src/main/java/firstage/fleet/FleetFile.java
+++ b/src/main/java/firstage/simulation/FleetFile.java
@@ -1,7 +1,7 @@
-package firstage.fleet;
+package firstage.simulation;
 
-import firstage.door.ServiceGroup.Effect;
-import firstage.door.ServiceGroup.Scope;
+import firstage.policy.api.ServiceGroup.Effect;
+import firstage.policy.api.ServiceGroup.Scope;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
--- a/src/main/java/firstage/fleet/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -1,8 +1,8 @@
-package firstage.fleet;
+package firstage.simulation;
 
 import firstage.cells.CellPlan;
-import firstage.door.ServiceGroup.Effect;
-import firstage.door.ServiceGroup.Scope;
+import firstage.policy.api.ServiceGroup.Effect;
+import firstage.policy.api.ServiceGroup.Scope;
 import java.util.List;
 import java.util.stream.IntStream;
 
--- a/src/main/java/firstage/fleet/FleetRun.java
+++ b/src/main/java/firstage/simulation/FleetRun.java
@@ -1,8 +1,8 @@
-package firstage.fleet;
+package firstage.simulation;
 
-import firstage.door.EngineList.Standing;
-import firstage.door.ServiceGroup.Effect;
-import firstage.fleet.FleetPlan.Trouble;
+import firstage.policy.api.EngineList.Standing;
+import firstage.policy.api.ServiceGroup.Effect;
+import firstage.simulation.FleetPlan.Trouble;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
--- a/src/main/java/firstage/fleet/PlainPolicy.java
+++ b/src/main/java/firstage/simulation/PlainPolicy.java
@@ -1,15 +1,15 @@
-package firstage.fleet;
-
-import firstage.door.Arrival;
-import firstage.door.Deployment;
-import firstage.door.Ending;
-import firstage.door.EngineList;
-import firstage.door.Host;
-import firstage.door.Note;
-import firstage.door.Outcome;
-import firstage.door.Report;
-import firstage.door.ServiceGroup;
-import firstage.door.WorkloadManager;
+package firstage.simulation;
+
+import firstage.policy.api.Arrival;
+import firstage.policy.api.Deployment;
+import firstage.policy.api.Ending;
+import firstage.policy.api.EngineList;
+import firstage.policy.api.Host;
+import firstage.policy.api.Note;
+import firstage.policy.api.Outcome;
+import firstage.policy.api.Report;
+import firstage.policy.api.ServiceGroup;
+import firstage.policy.api.WorkloadManager;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/firstage/fleet/RuleWatch.java
+++ b/src/main/java/firstage/simulation/RuleWatch.java
@@ -1,7 +1,7 @@
-package firstage.fleet;
+package firstage.simulation;
 
-import firstage.door.Outcome;
-import firstage.door.ServiceGroup.Effect;
+import firstage.policy.api.Outcome;
+import firstage.policy.api.ServiceGroup.Effect;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/firstage/fleet/TrafficShape.java
+++ b/src/main/java/firstage/simulation/TrafficShape.java
@@ -1,4 +1,4 @@
-package firstage.fleet;
+package firstage.simulation;
 
 import java.util.Arrays;
 import java.util.List;
--- a/src/main/java/firstage/fleet/TrafficSource.java
+++ b/src/main/java/firstage/simulation/TrafficSource.java
@@ -1,4 +1,4 @@
-package firstage.fleet;
+package firstage.simulation;
 
 import java.util.List;
 import java.util.random.RandomGenerator;
--- a/src/main/java/firstage/fleet/Work.java
+++ b/src/main/java/firstage/simulation/Work.java
@@ -1,4 +1,4 @@
-package firstage.fleet;
+package firstage.simulation;
 
 /**
  * A batch as it truly is: what its client wants, and what it costs. Only estimates and what is
--- a/src/main/java/firstage/fleet/package-info.java
+++ b/src/main/java/firstage/simulation/package-info.java
@@ -3,4 +3,4 @@
  * it is all worth. Free of sockets, files, threads and clocks; the same file and seed give the same
  * bytes. {@code serve} loads none of it.
  */
-package firstage.fleet;
+package firstage.simulation;
--- a/src/main/java/firstage/lab/Fault.java
+++ b/src/main/java/firstage/simulation/schedule/Fault.java
@@ -1,4 +1,4 @@
-package firstage.lab;
+package firstage.simulation.schedule;
 
 /**
  * Old faults of the program, to be put back one at a time: a rig that does not find them proves
--- a/src/main/java/firstage/lab/HostileSchedule.java
+++ b/src/main/java/firstage/simulation/schedule/HostileSchedule.java
@@ -1,11 +1,11 @@
-package firstage.lab;
+package firstage.simulation.schedule;
 
-import firstage.door.Deployment;
-import firstage.door.EngineList;
-import firstage.door.ServiceGroup;
-import firstage.door.ServiceGroup.Effect;
-import firstage.door.ServiceGroup.Scope;
-import firstage.fleet.Calendar;
+import firstage.policy.api.Deployment;
+import firstage.policy.api.EngineList;
+import firstage.policy.api.ServiceGroup;
+import firstage.policy.api.ServiceGroup.Effect;
+import firstage.policy.api.ServiceGroup.Scope;
+import firstage.simulation.Calendar;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
--- a/src/main/java/firstage/lab/HostileSchedules.java
+++ b/src/main/java/firstage/simulation/schedule/HostileSchedules.java
@@ -1,4 +1,4 @@
-package firstage.lab;
+package firstage.simulation.schedule;
 
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/firstage/lab/LabEngine.java
+++ b/src/main/java/firstage/simulation/schedule/LabEngine.java
@@ -1,7 +1,7 @@
-package firstage.lab;
+package firstage.simulation.schedule;
 
-import firstage.fleet.Calendar;
-import firstage.life.DispatchLife.Word;
+import firstage.lifecycle.DispatchLife.Word;
+import firstage.simulation.Calendar;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
--- a/src/main/java/firstage/lab/LabManager.java
+++ b/src/main/java/firstage/simulation/schedule/LabManager.java
@@ -1,19 +1,19 @@
-package firstage.lab;
-
-import firstage.Brain;
-import firstage.door.Arrival;
-import firstage.door.Deployment;
-import firstage.door.Ending;
-import firstage.door.EngineList;
-import firstage.door.Host;
-import firstage.door.Outcome;
-import firstage.fleet.Calendar;
-import firstage.life.CallLife;
-import firstage.life.DispatchLife;
-import firstage.life.DispatchLife.Alarm;
-import firstage.life.DispatchLife.Loss;
-import firstage.life.DispatchLife.Word;
-import firstage.life.TakingOrder;
+package firstage.simulation.schedule;
+
+import firstage.lifecycle.CallLife;
+import firstage.lifecycle.DispatchLife;
+import firstage.lifecycle.DispatchLife.Alarm;
+import firstage.lifecycle.DispatchLife.Loss;
+import firstage.lifecycle.DispatchLife.Word;
+import firstage.lifecycle.TakingOrder;
+import firstage.policy.Brain;
+import firstage.policy.api.Arrival;
+import firstage.policy.api.Deployment;
+import firstage.policy.api.Ending;
+import firstage.policy.api.EngineList;
+import firstage.policy.api.Host;
+import firstage.policy.api.Outcome;
+import firstage.simulation.Calendar;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/firstage/lab/LabThread.java
+++ b/src/main/java/firstage/simulation/schedule/LabThread.java
@@ -1,6 +1,6 @@
-package firstage.lab;
+package firstage.simulation.schedule;
 
-import firstage.fleet.Calendar;
+import firstage.simulation.Calendar;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/firstage/lab/MembersField.java
+++ b/src/main/java/firstage/simulation/schedule/MembersField.java
@@ -1,12 +1,12 @@
-package firstage.lab;
-
-import firstage.fleet.Calendar;
-import firstage.members.Entry;
-import firstage.members.Leases;
-import firstage.members.Members;
-import firstage.members.Message;
-import firstage.members.Standing;
-import firstage.members.View;
+package firstage.simulation.schedule;
+
+import firstage.membership.Entry;
+import firstage.membership.Leases;
+import firstage.membership.Members;
+import firstage.membership.Message;
+import firstage.membership.Standing;
+import firstage.membership.View;
+import firstage.simulation.Calendar;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/firstage/lab/MembersFigures.java
+++ b/src/main/java/firstage/simulation/schedule/MembersFigures.java
@@ -1,7 +1,7 @@
-package firstage.lab;
+package firstage.simulation.schedule;
 
-import firstage.members.Leases;
-import firstage.members.Members;
+import firstage.membership.Leases;
+import firstage.membership.Members;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/firstage/lab/RuleCheck.java
+++ b/src/main/java/firstage/simulation/schedule/RuleCheck.java
@@ -1,4 +1,4 @@
-package firstage.lab;
+package firstage.simulation.schedule;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/firstage/lab/package-info.java
+++ b/src/main/java/firstage/simulation/schedule/package-info.java
@@ -3,4 +3,4 @@
  * thread that stands still, and a checker that reads what crosses, not what the modules remember.
  * {@code serve} loads none of it.
  */
-package firstage.lab;
+package firstage.simulation.schedule;
--- a/src/test/java/firstage/ArrowsTest.java
+++ b/src/test/java/firstage/ArrowsTest.java
@@ -19,14 +19,14 @@
 @AnalyzeClasses(packages = "firstage", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArrowsTest {
     private static final String[] FREE = {
-        "firstage",
-        "firstage.door",
-        "firstage.state",
-        "firstage.life",
-        "firstage.fleet",
-        "firstage.members",
+        "firstage.policy",
+        "firstage.policy.api",
+        "firstage.policy.state",
+        "firstage.lifecycle",
+        "firstage.simulation",
+        "firstage.membership",
         "firstage.overload",
-        "firstage.evacuation",
+        "firstage.failover",
         "firstage.cells"
     };
 
@@ -44,8 +44,8 @@
                             "java.util.logging..",
                             "org.xnio..",
                             "io.undertow..",
-                            "firstage.net..",
-                            "firstage.app..",
+                            "firstage.server..",
+                            "firstage.cli..",
                             "java.time..")
                     .orShould()
                     .dependOnClassesThat(
@@ -75,25 +75,25 @@
             noClasses()
                     .that()
                     .resideInAnyPackage(
-                            "firstage",
-                            "firstage.door..",
-                            "firstage.state..",
-                            "firstage.setup..",
-                            "firstage.life..",
-                            "firstage.members..",
+                            "firstage.policy",
+                            "firstage.policy.api..",
+                            "firstage.policy.state..",
+                            "firstage.config..",
+                            "firstage.lifecycle..",
+                            "firstage.membership..",
                             "firstage.overload..",
-                            "firstage.evacuation..",
+                            "firstage.failover..",
                             "firstage.cells..",
-                            "firstage.net..",
-                            "firstage.benchlink..",
+                            "firstage.server..",
+                            "firstage.bench..",
                             "org.xnio..")
                     .should()
                     .dependOnClassesThat()
                     .resideInAnyPackage(
-                            "firstage.fleet..",
-                            "firstage.lab..",
-                            "firstage.yard..",
-                            "firstage.standin..",
+                            "firstage.simulation..",
+                            "firstage.simulation.schedule..",
+                            "firstage.faulttest..",
+                            "firstage.emulator..",
                             "firstage.scale..",
                             "picocli..",
                             "org.knowm..",
--- a/src/test/java/firstage/setup/ShapeTest.java
+++ b/src/test/java/firstage/config/ShapeTest.java
@@ -1,11 +1,11 @@
-package firstage.setup;
+package firstage.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import firstage.door.Deployment;
+import firstage.policy.api.Deployment;
 import org.junit.jupiter.api.Test;
 
 /** Old shape and new are told apart by settings alone; a mix of them is refused, naming the key. */
--- a/src/test/java/firstage/standin/CrowdTest.java
+++ b/src/test/java/firstage/emulator/CrowdTest.java
@@ -1,15 +1,15 @@
-package firstage.standin;
+package firstage.emulator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.door.ServiceGroup.Effect;
-import firstage.fleet.FleetFile;
-import firstage.fleet.FleetPlan;
-import firstage.fleet.RuleWatch;
-import firstage.fleet.RuleWatch.Try;
-import firstage.fleet.Scoreboard;
-import firstage.fleet.Streams;
-import firstage.fleet.Work;
+import firstage.policy.api.ServiceGroup.Effect;
+import firstage.simulation.FleetFile;
+import firstage.simulation.FleetPlan;
+import firstage.simulation.RuleWatch;
+import firstage.simulation.RuleWatch.Try;
+import firstage.simulation.Scoreboard;
+import firstage.simulation.Streams;
+import firstage.simulation.Work;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
--- a/src/test/java/firstage/evacuation/ZonesTest.java
+++ b/src/test/java/firstage/failover/ZonesTest.java
@@ -1,4 +1,4 @@
-package firstage.evacuation;
+package firstage.failover;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/firstage/yard/YardIT.java
+++ b/src/test/java/firstage/faulttest/YardIT.java
@@ -1,9 +1,9 @@
-package firstage.yard;
+package firstage.faulttest;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.fleet.FleetFile;
-import firstage.fleet.FleetPlan;
+import firstage.simulation.FleetFile;
+import firstage.simulation.FleetPlan;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/firstage/life/CallLifeTest.java
+++ b/src/test/java/firstage/lifecycle/CallLifeTest.java
@@ -1,4 +1,4 @@
-package firstage.life;
+package firstage.lifecycle;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/firstage/life/DispatchLifeTest.java
+++ b/src/test/java/firstage/lifecycle/DispatchLifeTest.java
@@ -1,11 +1,11 @@
-package firstage.life;
+package firstage.lifecycle;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.door.Outcome;
-import firstage.life.DispatchLife.Alarm;
-import firstage.life.DispatchLife.Loss;
-import firstage.life.DispatchLife.Word;
+import firstage.lifecycle.DispatchLife.Alarm;
+import firstage.lifecycle.DispatchLife.Loss;
+import firstage.lifecycle.DispatchLife.Word;
+import firstage.policy.api.Outcome;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/firstage/members/LeasesTest.java
+++ b/src/test/java/firstage/membership/LeasesTest.java
@@ -1,4 +1,4 @@
-package firstage.members;
+package firstage.membership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/firstage/members/MembersTest.java
+++ b/src/test/java/firstage/membership/MembersTest.java
@@ -1,9 +1,9 @@
-package firstage.members;
+package firstage.membership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.lab.MembersField;
-import firstage.lab.MembersFigures;
+import firstage.simulation.schedule.MembersField;
+import firstage.simulation.schedule.MembersFigures;
 import java.util.List;
 import java.util.Map;
 import java.util.random.RandomGenerator;
--- a/src/test/java/firstage/overload/TrialsTest.java
+++ b/src/test/java/firstage/overload/TrialsTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.door.Demand;
+import firstage.policy.api.Demand;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/test/java/firstage/BrainStoriesTest.java
+++ b/src/test/java/firstage/policy/BrainStoriesTest.java
@@ -1,17 +1,17 @@
-package firstage;
+package firstage.policy;
 
-import static firstage.FakeHost.LOAD;
-import static firstage.FakeHost.LOOKUP;
-import static firstage.FakeHost.REPORT;
-import static firstage.FakeHost.SECOND;
+import static firstage.policy.FakeHost.LOAD;
+import static firstage.policy.FakeHost.LOOKUP;
+import static firstage.policy.FakeHost.REPORT;
+import static firstage.policy.FakeHost.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.door.EngineList.Standing;
-import firstage.door.Note;
-import firstage.door.Outcome;
-import firstage.door.Report;
-import firstage.door.ServiceGroup.Effect;
-import firstage.door.ServiceGroup.Scope;
+import firstage.policy.api.EngineList.Standing;
+import firstage.policy.api.Note;
+import firstage.policy.api.Outcome;
+import firstage.policy.api.Report;
+import firstage.policy.api.ServiceGroup.Effect;
+import firstage.policy.api.ServiceGroup.Scope;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
--- a/src/test/java/firstage/scale/SlopesTest.java
+++ b/src/test/java/firstage/scale/SlopesTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import firstage.cells.Cells.Fault;
-import firstage.lab.CellsField.Shape;
+import firstage.simulation.schedule.CellsField.Shape;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
--- a/src/test/java/firstage/net/CellsIT.java
+++ b/src/test/java/firstage/server/CellsIT.java
@@ -1,13 +1,13 @@
-package firstage.net;
+package firstage.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import firstage.cells.CellPlan;
-import firstage.fleet.FleetFile;
-import firstage.fleet.FleetPlan;
-import firstage.net.members.Peers;
-import firstage.yard.Addresses;
-import firstage.yard.Wiring;
+import firstage.faulttest.Addresses;
+import firstage.faulttest.Wiring;
+import firstage.server.membership.Peers;
+import firstage.simulation.FleetFile;
+import firstage.simulation.FleetPlan;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
--- a/src/test/java/firstage/net/PeersIT.java
+++ b/src/test/java/firstage/server/PeersIT.java
@@ -1,4 +1,4 @@
-package firstage.net;
+package firstage.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -39,19 +39,19 @@
         assertThat(p.waitFor(30, TimeUnit.SECONDS)).isTrue();
         String classes = Files.readString(loaded);
         assertThat(classes)
-                .contains("firstage.net.Node")
+                .contains("firstage.server.Node")
                 .doesNotContain(
-                        "firstage.members.",
-                        "firstage.net.members.Peers",
+                        "firstage.membership.",
+                        "firstage.server.membership.Peers",
                         "firstage.overload.",
-                        "firstage.evacuation.",
+                        "firstage.failover.",
                         "firstage.cells.",
                         "firstage.scale.",
                         "dataformat.cbor",
                         "org.tomlj",
                         "picocli",
-                        "firstage.yard",
-                        "firstage.fleet");
+                        "firstage.faulttest",
+                        "firstage.simulation");
     }
 
     @Test
--- a/src/test/java/firstage/net/ServeIT.java
+++ b/src/test/java/firstage/server/ServeIT.java
@@ -1,4 +1,4 @@
-package firstage.net;
+package firstage.server;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/src/test/java/firstage/net/clients/StatementTest.java
+++ b/src/test/java/firstage/server/client/StatementTest.java
@@ -1,4 +1,4 @@
-package firstage.net.clients;
+package firstage.server.client;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/firstage/net/list/FramesTest.java
+++ b/src/test/java/firstage/server/discovery/FramesTest.java
@@ -1,4 +1,4 @@
-package firstage.net.list;
+package firstage.server.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/src/test/java/firstage/net/list/RecordsTest.java
+++ b/src/test/java/firstage/server/discovery/RecordsTest.java
@@ -1,12 +1,12 @@
-package firstage.net.list;
+package firstage.server.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import firstage.door.EngineList.Standing;
-import firstage.net.Clock;
-import firstage.net.Tidings.Listed;
-import firstage.setup.Fields;
+import firstage.config.Fields;
+import firstage.policy.api.EngineList.Standing;
+import firstage.server.Clock;
+import firstage.server.Tidings.Listed;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.List;
--- a/src/test/java/firstage/net/engines/ResponseReaderTest.java
+++ b/src/test/java/firstage/server/engine/ResponseReaderTest.java
@@ -1,4 +1,4 @@
-package firstage.net.engines;
+package firstage.server.engine;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/src/test/java/firstage/fleet/FleetRunTest.java
+++ b/src/test/java/firstage/simulation/FleetRunTest.java
@@ -1,4 +1,4 @@
-package firstage.fleet;
+package firstage.simulation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/src/test/java/firstage/lab/HostileSchedulesTest.java
+++ b/src/test/java/firstage/simulation/schedule/HostileSchedulesTest.java
@@ -1,4 +1,4 @@
-package firstage.lab;
+package firstage.simulation.schedule;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
