--- a/src/main/java/firstage/bench/BenchLink.java
+++ b/src/main/java/firstage/bench/BenchAdapter.java
@@ -1,7 +1,7 @@
 package firstage.bench;
 
-import firstage.config.Fields;
-import firstage.config.MalformedLine;
+import firstage.config.MalformedLineException;
+import firstage.config.WireFields;
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -20,23 +20,23 @@
 /**
  * Reads rounds of events from the wire, hands them to their managers and writes one reply a round.
  */
-public final class BenchLink {
+public final class BenchAdapter {
     private final BufferedReader in;
     private final Writer out;
     private final PrintStream err;
-    private final Map<String, Seat> seats = new HashMap<>();
-    private final Map<Integer, List<Fields>> lists = new HashMap<>();
+    private final Map<String, BenchManager> seats = new HashMap<>();
+    private final Map<Integer, List<WireFields>> lists = new HashMap<>();
 
     /** The managers with news in this round, in the order of their first event. */
-    private final Map<String, Seat> called = new LinkedHashMap<>();
+    private final Map<String, BenchManager> called = new LinkedHashMap<>();
 
     private final StringBuilder faults = new StringBuilder();
-    private List<Fields> filling;
+    private List<WireFields> filling;
     private int expected;
     private long now;
     private String round;
 
-    public BenchLink(InputStream in, PrintStream out, PrintStream err) {
+    public BenchAdapter(InputStream in, PrintStream out, PrintStream err) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = new BufferedWriter(new OutputStreamWriter(out, StandardCharsets.UTF_8), 1 << 16);
         this.err = err;
@@ -50,7 +50,7 @@
             }
             try {
                 read(line);
-            } catch (MalformedLine fault) {
+            } catch (MalformedLineException fault) {
                 String shown = line.length() > 200 ? line.substring(0, 200) + "..." : line;
                 err.println("skipped a line: " + fault.getMessage() + ": " + shown);
             }
@@ -64,11 +64,11 @@
             reply();
             return;
         }
-        Fields f = new Fields(line);
+        WireFields f = new WireFields(line);
         switch (word) {
             case "SYNC" -> {
                 round = f.need("n");
-                now = Fields.tenths(f.needNumber("now"));
+                now = WireFields.tenths(f.needNumber("now"));
             }
             case "DEFINE_LIST" -> {
                 filling = new ArrayList<>();
@@ -77,7 +77,7 @@
             }
             case "ITEM" -> {
                 if (filling == null || filling.size() == expected) {
-                    throw new MalformedLine("an entry outside its list");
+                    throw new MalformedLineException("an entry outside its list");
                 }
                 filling.add(f);
             }
@@ -85,7 +85,7 @@
         }
     }
 
-    private void event(String word, Fields f) {
+    private void event(String word, WireFields f) {
         String number = f.need("i");
         if (word.equals("DOWN")) {
             // What the killed manager still meant to do dies with it.
@@ -93,20 +93,20 @@
             called.remove(number);
             return;
         }
-        Seat seat = null;
+        BenchManager seat = null;
         try {
             if (word.equals("POWER_ON")) {
-                seats.put(number, new Seat(number, f));
+                seats.put(number, new BenchManager(number, f));
             }
             seat = seats.get(number);
             if (seat == null) {
-                throw new MalformedLine("no manager runs as " + number);
+                throw new MalformedLineException("no manager runs as " + number);
             }
             called.put(number, seat);
             if (!word.equals("POWER_ON")) {
                 seat.tell(now, word, f, lists);
             }
-        } catch (MalformedLine fault) {
+        } catch (MalformedLineException fault) {
             throw fault;
         } catch (RuntimeException fault) {
             fatal(number, fault);
@@ -120,7 +120,7 @@
     }
 
     private void reply() throws IOException {
-        for (Map.Entry<String, Seat> entry : called.entrySet()) {
+        for (Map.Entry<String, BenchManager> entry : called.entrySet()) {
             try {
                 entry.getValue().turn(now);
             } catch (RuntimeException fault) {
--- a/src/main/java/firstage/bench/Seat.java
+++ b/src/main/java/firstage/bench/BenchManager.java
@@ -1,20 +1,20 @@
 package firstage.bench;
 
-import firstage.config.Fields;
-import firstage.config.Indices;
-import firstage.config.MalformedLine;
-import firstage.config.Setup;
-import firstage.overload.Circle;
-import firstage.policy.Brain;
-import firstage.policy.api.Arrival;
+import firstage.config.IdRegistry;
+import firstage.config.MalformedLineException;
+import firstage.config.SettingsParser;
+import firstage.config.WireFields;
+import firstage.overload.BroadcastLoadShedding;
+import firstage.policy.WorkloadScheduler;
+import firstage.policy.api.AttemptOutcome;
+import firstage.policy.api.AttemptProgress;
+import firstage.policy.api.AttemptResult;
 import firstage.policy.api.Deployment;
-import firstage.policy.api.Ending;
-import firstage.policy.api.EngineList;
-import firstage.policy.api.Host;
-import firstage.policy.api.Note;
-import firstage.policy.api.Outcome;
-import firstage.policy.api.Report;
-import firstage.policy.api.WorkloadManager;
+import firstage.policy.api.EndpointUpdate;
+import firstage.policy.api.IncomingRequest;
+import firstage.policy.api.LoadReport;
+import firstage.policy.api.PolicyActions;
+import firstage.policy.api.SchedulingPolicy;
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.List;
@@ -23,49 +23,50 @@
 /**
  * One workload manager on the wire: its ids, its pending reply lines, and the host it acts through.
  */
-final class Seat implements Host {
-    private static final Map<String, Outcome> OUTCOMES =
+final class BenchManager implements PolicyActions {
+    private static final Map<String, AttemptOutcome> OUTCOMES =
             Map.of(
                     "delivered",
-                    Outcome.RETURNED,
+                    AttemptOutcome.RETURNED,
                     "app_error",
-                    Outcome.ERRORED,
+                    AttemptOutcome.ERRORED,
                     "shed",
-                    Outcome.TURNED_AWAY,
+                    AttemptOutcome.TURNED_AWAY,
                     "expired",
-                    Outcome.TIMED_OUT,
+                    AttemptOutcome.TIMED_OUT,
                     "dial_failed",
-                    Outcome.NO_CONNECTION,
+                    AttemptOutcome.NO_CONNECTION,
                     "dropped",
-                    Outcome.BROKEN,
+                    AttemptOutcome.BROKEN,
                     "revoked",
-                    Outcome.CALLED_OFF,
+                    AttemptOutcome.CALLED_OFF,
                     "unused",
-                    Outcome.NOT_SENT);
+                    AttemptOutcome.NOT_SENT);
 
     /** The token of the wake-up for a look at the level; the decisions use others. */
     private static final long LOOK = 1L << 20;
 
     private final String number;
     private final StringBuilder reply = new StringBuilder();
-    private final Indices<String> batches = new Indices<>();
-    private final Indices<String> keys = new Indices<>();
-    private final Indices<Long> engines = new Indices<>();
-    private final WorkloadManager manager;
+    private final IdRegistry<String> batches = new IdRegistry<>();
+    private final IdRegistry<String> keys = new IdRegistry<>();
+    private final IdRegistry<Long> engines = new IdRegistry<>();
+    private final SchedulingPolicy manager;
 
     /** Null where managers may not talk to each other. */
-    private final Circle circle;
+    private final BroadcastLoadShedding circle;
 
     private boolean looks;
 
-    Seat(String number, Fields setup) {
+    BenchManager(String number, WireFields setup) {
         this.number = number;
-        Deployment deployment = Setup.read(setup);
-        this.manager = new Brain(deployment, this);
+        Deployment deployment = SettingsParser.read(setup);
+        this.manager = new WorkloadScheduler(deployment, this);
         circle =
                 !setup.flag("limits.peers")
                         ? null
-                        : new Circle(deployment.rank(), deployment.shortestGoal(), manager::cut);
+                        : new BroadcastLoadShedding(
+                                deployment.rank(), deployment.shortestGoal(), manager::cut);
     }
 
     private void look(long now) {
@@ -76,21 +77,21 @@
                     .append(Base64.getEncoder().encodeToString(words))
                     .append('\n');
         }
-        wakeIn(Circle.LOOK, LOOK);
+        wakeIn(BroadcastLoadShedding.LOOK, LOOK);
     }
 
     /** Tells the manager of one event; an unknown one is an error of the caller's line. */
-    void tell(long now, String event, Fields f, Map<Integer, List<Fields>> lists) {
+    void tell(long now, String event, WireFields f, Map<Integer, List<WireFields>> lists) {
         switch (event) {
             case "INBOUND" ->
                     manager.taken(
                             now,
-                            new Arrival(
+                            new IncomingRequest(
                                     batches.of(f.need("request_id")),
                                     (int) f.needWhole("tier_class"),
                                     f.index("org", 0),
                                     f.has("table") ? keys.of(f.need("table")) : -1,
-                                    Fields.tenths(f.needNumber("not_after")),
+                                    WireFields.tenths(f.needNumber("not_after")),
                                     f.time("plan_cost"),
                                     (int) f.number("mem_mb", 0),
                                     f.index("tables", -1),
@@ -120,7 +121,7 @@
                 }
             }
             case "FLOWING" -> {}
-            default -> throw new MalformedLine("unknown event " + event);
+            default -> throw new MalformedLineException("unknown event " + event);
         }
     }
 
@@ -139,7 +140,7 @@
         return lines;
     }
 
-    private void settled(long now, Fields f) {
+    private void settled(long now, WireFields f) {
         int batch = batches.find(f.need("request_id"));
         if (batch < 0) {
             return;
@@ -147,7 +148,7 @@
         long stats = f.whole("stats", 0);
         manager.ended(
                 now,
-                new Ending(
+                new AttemptResult(
                         batch,
                         f.index("attempt", 0),
                         engines.of(f.needWhole("engine")),
@@ -160,20 +161,23 @@
                         0));
     }
 
-    private void progress(long now, Fields f) {
+    private void progress(long now, WireFields f) {
         int batch = batches.find(f.need("request_id"));
         double amount = f.number("amount", 0);
-        Note.Kind kind =
+        AttemptProgress.Kind kind =
                 switch (f.index("what", 0)) {
-                    case 1 -> Note.Kind.DONE;
-                    case 2 -> Note.Kind.SPILLS;
-                    case 3 -> amount == 1 ? Note.Kind.WAITS_FOR_MEMORY : Note.Kind.WAITS_FOR_LOAD;
+                    case 1 -> AttemptProgress.Kind.DONE;
+                    case 2 -> AttemptProgress.Kind.SPILLS;
+                    case 3 ->
+                            amount == 1
+                                    ? AttemptProgress.Kind.WAITS_FOR_MEMORY
+                                    : AttemptProgress.Kind.WAITS_FOR_LOAD;
                     default -> null;
                 };
         if (batch >= 0 && kind != null) {
             manager.noted(
                     now,
-                    new Note(
+                    new AttemptProgress(
                             batch,
                             f.index("attempt", 0),
                             engines.of(f.needWhole("engine")),
@@ -182,30 +186,30 @@
         }
     }
 
-    private EngineList list(Fields f, Map<Integer, List<Fields>> lists) {
-        EngineList.Kind kind =
+    private EndpointUpdate list(WireFields f, Map<Integer, List<WireFields>> lists) {
+        EndpointUpdate.Kind kind =
                 switch (f.need("mode")) {
-                    case "incr" -> EngineList.Kind.CHANGES;
-                    case "total" -> EngineList.Kind.WHOLE;
-                    case "warm_copy" -> EngineList.Kind.REMEMBERED;
-                    default -> EngineList.Kind.FAILED;
+                    case "incr" -> EndpointUpdate.Kind.CHANGES;
+                    case "total" -> EndpointUpdate.Kind.WHOLE;
+                    case "warm_copy" -> EndpointUpdate.Kind.REMEMBERED;
+                    default -> EndpointUpdate.Kind.FAILED;
                 };
-        List<EngineList.Entry> entries = new ArrayList<>();
-        if (kind != EngineList.Kind.FAILED) {
-            List<Fields> items = lists.get(f.index("ref", 0));
+        List<EndpointUpdate.Entry> entries = new ArrayList<>();
+        if (kind != EndpointUpdate.Kind.FAILED) {
+            List<WireFields> items = lists.get(f.index("ref", 0));
             if (items == null) {
-                throw new MalformedLine("list " + f.index("ref", 0) + " was not declared");
+                throw new MalformedLineException("list " + f.index("ref", 0) + " was not declared");
             }
-            for (Fields item : items) {
+            for (WireFields item : items) {
                 long id = item.needWhole("engine");
-                EngineList.Standing standing =
+                EndpointUpdate.Standing standing =
                         switch (item.text("health", "active")) {
-                            case "active" -> EngineList.Standing.ACTIVE;
-                            case "leaving" -> EngineList.Standing.LEAVING;
-                            default -> EngineList.Standing.LEFT;
+                            case "active" -> EndpointUpdate.Standing.ACTIVE;
+                            case "leaving" -> EndpointUpdate.Standing.LEAVING;
+                            default -> EndpointUpdate.Standing.LEFT;
                         };
                 entries.add(
-                        new EngineList.Entry(
+                        new EndpointUpdate.Entry(
                                 engines.of(id),
                                 id,
                                 item.index("locality", 0),
@@ -216,23 +220,23 @@
                                 item.time("since")));
             }
         }
-        return new EngineList(kind, entries);
+        return new EndpointUpdate(kind, entries);
     }
 
-    private static Outcome outcome(Fields f) {
-        Outcome outcome = OUTCOMES.get(f.need("how"));
+    private static AttemptOutcome outcome(WireFields f) {
+        AttemptOutcome outcome = OUTCOMES.get(f.need("how"));
         if (outcome == null) {
-            throw new MalformedLine("unknown outcome " + f.need("how"));
+            throw new MalformedLineException("unknown outcome " + f.need("how"));
         }
         return outcome;
     }
 
-    private static Report report(Fields f) {
+    private static LoadReport report(WireFields f) {
         if (!f.has("gauge")) {
             return null;
         }
-        Fields g = new Fields(" " + f.need("gauge").replace(':', '=').replace(',', ' '));
-        return new Report(
+        WireFields g = new WireFields(" " + f.need("gauge").replace(':', '=').replace(',', ' '));
+        return new LoadReport(
                 g.number("active", Double.NaN),
                 g.number("waiting", Double.NaN),
                 g.number("cpu", Double.NaN),
@@ -268,7 +272,7 @@
                 .append(" engine=")
                 .append(engines.id(engine))
                 .append(" within=")
-                .append(Fields.seconds(within))
+                .append(WireFields.seconds(within))
                 .append('\n');
     }
 
@@ -279,7 +283,7 @@
 
     @Override
     public void pushBack(int batch, long comeBack) {
-        line("DENY", batch).append(" come_back=").append(Fields.seconds(comeBack)).append('\n');
+        line("DENY", batch).append(" come_back=").append(WireFields.seconds(comeBack)).append('\n');
     }
 
     @Override
@@ -316,7 +320,7 @@
     public void wakeIn(long delay, long token) {
         line("ARM")
                 .append(" in=")
-                .append(Fields.seconds(delay))
+                .append(WireFields.seconds(delay))
                 .append(" nonce=")
                 .append(token)
                 .append('\n');
--- a/src/main/java/firstage/cells/Bytes.java
+++ b/src/main/java/firstage/cells/BigEndianBytes.java
@@ -1,23 +1,23 @@
 package firstage.cells;
 
 /** Whole numbers in bytes, the high one first: what cells tell each other in rows of fixed size. */
-final class Bytes {
+final class BigEndianBytes {
     private final byte[] all;
     private int at;
 
     /** To read these, or to write so many. */
-    Bytes(byte[] all) {
+    BigEndianBytes(byte[] all) {
         this.all = all;
     }
 
-    Bytes put(int number, int bytes) {
+    BigEndianBytes put(int number, int bytes) {
         for (int shift = Byte.SIZE * (bytes - 1); shift >= 0; shift -= Byte.SIZE) {
             all[at++] = (byte) (number >>> shift);
         }
         return this;
     }
 
-    Bytes put(byte[] more) {
+    BigEndianBytes put(byte[] more) {
         System.arraycopy(more, 0, all, at, more.length);
         at += more.length;
         return this;
--- a/src/main/java/firstage/cells/Cells.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -1,6 +1,6 @@
 package firstage.cells;
 
-import firstage.overload.Rendezvous;
+import firstage.overload.RendezvousHash;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -29,7 +29,7 @@
  *
  * <p>Times are tenths of a millisecond of a clock that only goes forward.
  */
-public final class Cells {
+public final class CellDirectory {
     private static final int DEPUTIES =
             3; // of a cell at once: two may die in one second, the next view has others
     private static final long TELL_EVERY =
@@ -60,7 +60,7 @@
         /** To the manager at this place of that cell. */
         void send(int cell, int slot, byte[] datagram);
 
-        /** Engines that could not be used may be now; {@link Cells#uses} says which. */
+        /** Engines that could not be used may be now; {@link CellDirectory#uses} says which. */
         void freed(long now);
 
         /** A line for the log: what, of which cell, and why. */
@@ -173,7 +173,7 @@
      * manager's cell and its place there; {@code fleet}: a name that all of it have; {@code life}:
      * Unix ms of this start.
      */
-    public Cells(
+    public CellDirectory(
             CellPlan plan,
             CellPlan before,
             int mine,
@@ -318,7 +318,7 @@
     private long place() {
         // With the fault: those that were first of all for good, here or not.
         List<String> of = fault == Fault.DEPUTIES_FOR_GOOD ? first : view;
-        return Rendezvous.before(mine, of, name);
+        return RendezvousHash.before(mine, of, name);
     }
 
     /**
@@ -421,15 +421,15 @@
         }
     }
 
-    private Bytes head(int bytes) {
-        return new Bytes(new byte[HEAD + bytes])
+    private BigEndianBytes head(int bytes) {
+        return new BigEndianBytes(new byte[HEAD + bytes])
                 .put(VERSION, 1)
                 .put(fleet, 4)
                 .put(plan.number(), 4)
                 .put(mark, 4);
     }
 
-    private void put(Bytes out, int cell) {
+    private void put(BigEndianBytes out, int cell) {
         Row r = rows[cell];
         out.put(cell, 2)
                 .put(r.stamp, 4)
@@ -449,7 +449,7 @@
             }
         }
         turn = (turn + room) % rows.length;
-        Bytes out = head(told.size() * ROW);
+        BigEndianBytes out = head(told.size() * ROW);
         told.forEach(c -> put(out, c));
         return out.all();
     }
@@ -471,7 +471,7 @@
                 told.add(next);
             }
         }
-        Bytes out = head(1 + told.size() * ROW + rest.length).put(told.size(), 1);
+        BigEndianBytes out = head(1 + told.size() * ROW + rest.length).put(told.size(), 1);
         told.forEach(c -> put(out, c));
         return out.put(rest).all();
     }
@@ -481,7 +481,7 @@
      * rooms above.
      */
     public byte[] digested(long now, int from, byte[] bytes) {
-        Bytes in = new Bytes(bytes);
+        BigEndianBytes in = new BigEndianBytes(bytes);
         int number = opened(now, in);
         if (number < 0 || in.left() == 0) {
             return new byte[0];
@@ -502,7 +502,7 @@
 
     /** A datagram from a manager of another cell. */
     public void received(long now, byte[] datagram) {
-        Bytes in = new Bytes(datagram);
+        BigEndianBytes in = new BigEndianBytes(datagram);
         if (opened(now, in) < 0) {
             return;
         }
@@ -516,7 +516,7 @@
     }
 
     /** The number of the teller's plan; -1 where it is nobody's of this fleet. */
-    private int opened(long now, Bytes in) {
+    private int opened(long now, BigEndianBytes in) {
         if (in.left() < HEAD || in.take(1) != VERSION) {
             refuse("another form");
             return -1;
@@ -545,7 +545,7 @@
     }
 
     /** Cells keep their places from one plan to the next; new ones are added at the end. */
-    private void take(long now, Bytes in) {
+    private void take(long now, BigEndianBytes in) {
         int cell = in.take(2);
         int stamp = in.take(4);
         int least = in.take(4);
--- a/src/main/java/firstage/cells/CellPlan.java
+++ b/src/main/java/firstage/cells/CellPlan.java
@@ -1,6 +1,6 @@
 package firstage.cells;
 
-import firstage.overload.Rendezvous;
+import firstage.overload.RendezvousHash;
 import java.util.List;
 import java.util.stream.IntStream;
 import net.openhft.hashing.LongHashFunction;
@@ -91,11 +91,11 @@
         if (!mine.serves || !mine.zone.equals(zone)) {
             return false;
         }
-        long rank = Rendezvous.rank(engine, mine.name);
+        long rank = RendezvousHash.rank(engine, mine.name);
         int before = 0;
         for (Cell c : cells) {
             if (c != mine && c.serves && c.zone.equals(zone)) {
-                long other = Rendezvous.rank(engine, c.name);
+                long other = RendezvousHash.rank(engine, c.name);
                 before +=
                         Long.compareUnsigned(other, rank) > 0
                                         || other == rank && c.name.compareTo(mine.name) < 0
--- a/src/main/java/firstage/cells/Sieve.java
+++ b/src/main/java/firstage/cells/EngineSubset.java
@@ -13,15 +13,19 @@
  * given up is kept until they have; what its cell does not serve is not kept at all, so that a
  * manager holds its cell's engines and no more, however many there are.
  */
-public final class Sieve<T> {
-    private final Cells cells;
+public final class EngineSubset<T> {
+    private final CellDirectory cells;
     private final ToLongFunction<T> id;
     private final Function<T, String> zone;
     private final Predicate<T> gone;
     private final Map<Long, T> awaited = new LinkedHashMap<>();
 
     /** How an entry of the list tells its engine's id and zone, and that the engine is gone. */
-    public Sieve(Cells cells, ToLongFunction<T> id, Function<T, String> zone, Predicate<T> gone) {
+    public EngineSubset(
+            CellDirectory cells,
+            ToLongFunction<T> id,
+            Function<T, String> zone,
+            Predicate<T> gone) {
         this.cells = cells;
         this.id = id;
         this.zone = zone;
--- a/src/main/java/firstage/cli/Lines.java
+++ b/src/main/java/firstage/cli/CommandRunner.java
@@ -11,10 +11,10 @@
  * Runs a sub-command of several words: one line on standard error and status 2 where something
  * can't be used.
  */
-final class Lines {
+final class CommandRunner {
     private static final int FAULT = 2;
 
-    private Lines() {}
+    private CommandRunner() {}
 
     /** What a parser that stands in a JSON object finds there, as text, up to the object's end. */
     static Map<String, String> fields(JsonParser in) throws IOException {
--- a/src/main/java/firstage/cli/Hostile.java
+++ b/src/main/java/firstage/cli/FaultScheduleCommand.java
@@ -1,18 +1,18 @@
 package firstage.cli;
 
-import firstage.simulation.schedule.Fault;
-import firstage.simulation.schedule.HostileSchedules;
+import firstage.simulation.schedule.FaultSchedules;
+import firstage.simulation.schedule.InjectedDefect;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 
 /**
- * {@code hostile FIRST COUNT [FAULT]}: plays seeded hostile schedules, and says which broke what.
+ * {@code fault-schedule FIRST COUNT [DEFECT]}: plays seeded fault schedules, and says which broke what.
  */
-final class Hostile {
+final class FaultScheduleCommand {
     private static final int SHOWN = 10;
 
-    private Hostile() {}
+    private FaultScheduleCommand() {}
 
     /** The exit code: 0 where nothing broke, 1 where something did. */
     static int run(List<String> args) {
@@ -22,9 +22,9 @@
             throw new IllegalArgumentException(
                     count + " schedules prove nothing; 1 or more would do");
         }
-        Fault fault = args.size() > 2 ? fault(args.get(2)) : Fault.NONE;
+        InjectedDefect fault = args.size() > 2 ? fault(args.get(2)) : InjectedDefect.NONE;
         long start = System.nanoTime();
-        Map<Long, List<String>> broken = HostileSchedules.play(from, count, fault, SHOWN);
+        Map<Long, List<String>> broken = FaultSchedules.play(from, count, fault, SHOWN);
         broken.forEach(
                 (seed, what) ->
                         System.out.println("seed " + seed + ": " + String.join("; ", what)));
@@ -47,8 +47,8 @@
         }
     }
 
-    private static Fault fault(String text) {
-        return Arrays.stream(Fault.values())
+    private static InjectedDefect fault(String text) {
+        return Arrays.stream(InjectedDefect.values())
                 .filter(f -> f.name().equals(text))
                 .findFirst()
                 .orElseThrow(
@@ -56,6 +56,6 @@
                                 new IllegalArgumentException(
                                         text
                                                 + " is no fault; there are "
-                                                + Arrays.toString(Fault.values())));
+                                                + Arrays.toString(InjectedDefect.values())));
     }
 }
--- a/src/main/java/firstage/cli/Yard.java
+++ b/src/main/java/firstage/cli/FaultTestCommand.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
-import firstage.faulttest.Leftovers;
-import firstage.faulttest.YardRun;
-import firstage.simulation.FleetFault;
-import firstage.simulation.FleetFile;
+import firstage.faulttest.FaultTestRun;
+import firstage.faulttest.OrphanedProcesses;
 import firstage.simulation.FleetPlan;
+import firstage.simulation.FleetPlanReader;
+import firstage.simulation.InvalidPlanException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
@@ -24,24 +24,28 @@
 
 /** {@code yard}: plays a plan on real processes of the program, and tells what happened. */
 @Command(
-        name = "yard",
+        name = "fault-test",
         mixinStandardHelpOptions = true,
-        subcommands = {Yard.Run.class, Yard.Show.class, Yard.Plans.class},
+        subcommands = {
+            FaultTestCommand.Run.class,
+            FaultTestCommand.Show.class,
+            FaultTestCommand.Plans.class
+        },
         description =
                 "Starts many processes of the program beside stand-ins, breaks things between them,"
-                        + " and judges; docs/operators/yard.md says how to read it.",
+                        + " and judges; docs/operators/fault-tests.md says how to read it.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:kept (or void: nothing proven)",
             "1:a rule broke or an expectation was missed",
             "2:a file or an order can't be used"
         })
-final class Yard implements Callable<Integer> {
+final class FaultTestCommand implements Callable<Integer> {
     private static final int FAULT = 2;
 
     /** Runs it; the exit code tells the verdict. */
     static int run(String[] args) {
-        return Lines.run(new Yard(), "yard", args);
+        return CommandRunner.run(new FaultTestCommand(), "fault-test", args);
     }
 
     @Override
@@ -59,7 +63,7 @@
         @Parameters(
                 index = "0",
                 paramLabel = "FILE",
-                description = "the plan; deploy/yard has some")
+                description = "the plan; deploy/fault-tests has some")
         private Path file;
 
         @Option(
@@ -98,69 +102,71 @@
         @Override
         public Integer call() throws IOException {
             FleetPlan plan = plan();
-            Leftovers.sweep().forEach(line -> System.err.println("yard: " + line));
+            OrphanedProcesses.sweep().forEach(line -> System.err.println("fault-test: " + line));
             Path folder =
                     out != null
                             ? out
                             : Path.of(
                                     "target",
-                                    "yard",
+                                    "fault-test",
                                     plan.name() + "-" + seed + "-" + ProcessHandle.current().pid());
-            YardRun.Result mine = play(plan, folder, jar);
+            FaultTestRun.Result mine = play(plan, folder, jar);
             if (against == null) {
                 print(mine, null);
                 System.out.println("record: " + folder);
                 return code(mine);
             }
-            YardRun.Result theirs =
+            FaultTestRun.Result theirs =
                     play(plan, folder.resolveSibling(folder.getFileName() + "-against"), against);
             print(mine, theirs);
             return code(mine);
         }
 
-        private static int code(YardRun.Result r) {
+        private static int code(FaultTestRun.Result r) {
             return r.verdict().equals("kept") || r.verdict().equals("void") ? 0 : 1;
         }
 
         private FleetPlan plan() throws IOException {
             if (managers != null && (managers < 1 || managers > 100)) {
-                throw new FleetFault(
+                throw new InvalidPlanException(
                         0, "--managers " + managers + " is impossible; 1 to 100 would do");
             }
             try {
                 // Numbers in the plan are checked against as many managers as are to be started.
                 String text = Files.readString(file);
                 FleetPlan plan =
-                        FleetFile.read(
+                        FleetPlanReader.read(
                                 managers == null
                                         ? text
                                         : text.replaceFirst(
                                                 "(?m)(^\\[managers\\][^\\[]*?^count\\s*=\\s*)\\d+",
                                                 "$1" + managers));
-                YardRun.check(plan);
+                FaultTestRun.check(plan);
                 if (plan.cells() != null && !peers) {
-                    throw new FleetFault(
+                    throw new InvalidPlanException(
                             0, " managers.cell: cells are told with the peers; --peers would do");
                 }
                 return plan;
             } catch (NoSuchFileException fault) {
-                throw new FleetFault(0, file + " does not exist; yard list names plans");
-            } catch (FleetFault fault) {
-                throw new FleetFault(0, file + ":" + fault.getMessage());
+                throw new InvalidPlanException(
+                        0, file + " does not exist; fault-test list names plans");
+            } catch (InvalidPlanException fault) {
+                throw new InvalidPlanException(0, file + ":" + fault.getMessage());
             }
         }
 
-        private YardRun.Result play(FleetPlan plan, Path folder, Path program) throws IOException {
-            String run = ServeCommand.of(program);
+        private FaultTestRun.Result play(FleetPlan plan, Path folder, Path program)
+                throws IOException {
+            String run = ServeCommandLine.of(program);
             boolean shows = System.console() != null;
             Files.createDirectories(folder);
             Files.copy(
                     file,
                     folder.resolve("plan.toml"),
                     java.nio.file.StandardCopyOption.REPLACE_EXISTING);
-            YardRun.Result result =
-                    YardRun.play(
-                            new YardRun.Order(
+            FaultTestRun.Result result =
+                    FaultTestRun.play(
+                            new FaultTestRun.Order(
                                     plan,
                                     seed,
                                     folder.toAbsolutePath(),
@@ -178,7 +184,7 @@
             return result;
         }
 
-        private static String first(YardRun.Result r) {
+        private static String first(FaultTestRun.Result r) {
             return switch (r.verdict()) {
                 case "void" -> "void: " + r.isVoid();
                 case "broken" -> "broken: " + r.broken().get(0);
@@ -187,7 +193,7 @@
             };
         }
 
-        private static void print(YardRun.Result mine, YardRun.Result theirs) {
+        private static void print(FaultTestRun.Result mine, FaultTestRun.Result theirs) {
             System.out.println(
                     first(mine) + (theirs == null ? "" : "   |   against: " + first(theirs)));
             Stream.concat(mine.broken().stream(), mine.missed().stream())
@@ -237,8 +243,8 @@
         public Integer call() throws IOException {
             Path file = folder.resolve("timeline.jsonl");
             if (!Files.exists(file)) {
-                throw new FleetFault(
-                        0, file + " does not exist; name the folder that yard run printed");
+                throw new InvalidPlanException(
+                        0, file + " does not exist; name the folder that fault-test run printed");
             }
             int shown = 0;
             for (String line : Files.readAllLines(file)) {
@@ -258,7 +264,7 @@
                 }
             }
             if (shown == 0) {
-                throw new FleetFault(0, "nothing of that kind in " + file);
+                throw new InvalidPlanException(0, "nothing of that kind in " + file);
             }
             return 0;
         }
@@ -266,7 +272,7 @@
         private static Map<String, String> event(String line) throws IOException {
             try (JsonParser in = new JsonFactory().createParser(line)) {
                 in.nextToken();
-                return Lines.fields(in);
+                return CommandRunner.fields(in);
             }
         }
     }
@@ -275,13 +281,13 @@
     @Command(
             name = "list",
             mixinStandardHelpOptions = true,
-            description = "Names the plans in deploy/yard.")
+            description = "Names the plans in deploy/fault-tests.")
     static final class Plans implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
-            Path folder = Path.of("deploy", "yard");
+            Path folder = Path.of("deploy", "fault-tests");
             if (!Files.isDirectory(folder)) {
-                throw new FleetFault(
+                throw new InvalidPlanException(
                         0, folder + " does not exist; call it from the program's root");
             }
             List<Path> files = new ArrayList<>();
--- a/src/main/java/firstage/cli/Fleet.java
+++ b/src/main/java/firstage/cli/FleetCommand.java
@@ -1,12 +1,12 @@
 package firstage.cli;
 
-import firstage.simulation.Choice;
-import firstage.simulation.Comparison;
-import firstage.simulation.FleetFault;
-import firstage.simulation.FleetFile;
 import firstage.simulation.FleetPlan;
-import firstage.simulation.FleetResult;
-import firstage.simulation.FleetRun;
+import firstage.simulation.FleetPlanReader;
+import firstage.simulation.FleetSimulation;
+import firstage.simulation.InvalidPlanException;
+import firstage.simulation.PairedComparison;
+import firstage.simulation.PolicyUnderTest;
+import firstage.simulation.SimulationResult;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -24,7 +24,7 @@
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
-        subcommands = {Fleet.Run.class, Fleet.Compare.class},
+        subcommands = {FleetCommand.Run.class, FleetCommand.Compare.class},
         description =
                 "Plays a modelled fleet in virtual time; docs/operators/fleet.md says how to read"
                         + " it.",
@@ -36,7 +36,7 @@
             "10:the left choice is better",
             "11:the right choice is better"
         })
-final class Fleet implements Callable<Integer> {
+final class FleetCommand implements Callable<Integer> {
     private static final int FAULT = 2;
     private static final int BROKEN = 3;
     private static final int LEFT = 10;
@@ -44,7 +44,7 @@
 
     /** Runs it; the exit code tells the verdict. */
     static int run(String[] args) {
-        return Lines.run(new Fleet(), "fleet", args);
+        return CommandRunner.run(new FleetCommand(), "fleet", args);
     }
 
     @Override
@@ -78,19 +78,20 @@
 
         FleetPlan plan() throws IOException {
             if (seeds < 1) {
-                throw new FleetFault(0, "--seeds " + seeds + " is impossible; 1 or more would do");
+                throw new InvalidPlanException(
+                        0, "--seeds " + seeds + " is impossible; 1 or more would do");
             }
             try {
-                return FleetFile.read(Files.readString(file));
+                return FleetPlanReader.read(Files.readString(file));
             } catch (java.nio.file.NoSuchFileException fault) {
-                throw new FleetFault(0, file + " does not exist; name a fleet file");
-            } catch (FleetFault fault) {
-                throw new FleetFault(0, file + ":" + fault.getMessage());
+                throw new InvalidPlanException(0, file + " does not exist; name a fleet file");
+            } catch (InvalidPlanException fault) {
+                throw new InvalidPlanException(0, file + ":" + fault.getMessage());
             }
         }
 
         /** On all cores; in the order of the seeds, choice by choice. */
-        List<FleetResult> play(FleetPlan plan, List<Choice> choices) {
+        List<SimulationResult> play(FleetPlan plan, List<PolicyUnderTest> choices) {
             AtomicInteger done = new AtomicInteger();
             int all = seeds * choices.size();
             boolean shows = System.console() != null;
@@ -98,8 +99,8 @@
                     .parallel()
                     .mapToObj(
                             i -> {
-                                FleetResult result =
-                                        FleetRun.play(
+                                SimulationResult result =
+                                        FleetSimulation.play(
                                                 plan, choices.get(i / seeds), seed + i % seeds);
                                 int n = done.incrementAndGet();
                                 if (shows) {
@@ -131,7 +132,7 @@
         }
 
         private static String version() {
-            String version = Fleet.class.getPackage().getImplementationVersion();
+            String version = FleetCommand.class.getPackage().getImplementationVersion();
             return version == null ? "of this tree" : version;
         }
     }
@@ -151,7 +152,7 @@
         @Override
         public Integer call() throws IOException {
             FleetPlan plan = plan();
-            List<FleetResult> results = play(plan, List.of(Choice.of(choice)));
+            List<SimulationResult> results = play(plan, List.of(PolicyUnderTest.of(choice)));
             System.out.println(origin(plan) + ", " + choice + " (engines simulated)");
             FleetTables.print(System.out, results);
             if (out() != null) {
@@ -179,12 +180,13 @@
         public Integer call() throws IOException {
             FleetPlan plan = plan();
             if (seeds() < 2) {
-                throw new FleetFault(
+                throw new InvalidPlanException(
                         0, "--seeds " + seeds() + " is too few to compare; 2 or more would do");
             }
-            List<FleetResult> results = play(plan, List.of(Choice.of(left), Choice.of(right)));
-            Comparison comparison =
-                    new Comparison(
+            List<SimulationResult> results =
+                    play(plan, List.of(PolicyUnderTest.of(left), PolicyUnderTest.of(right)));
+            PairedComparison comparison =
+                    new PairedComparison(
                             results.subList(0, seeds()), results.subList(seeds(), 2 * seeds()));
             System.out.println(
                     origin(plan) + ": left " + left + ", right " + right + " (engines simulated)");
@@ -193,13 +195,13 @@
                 FleetTables.write(out(), origin(plan), results, comparison);
             }
             return Map.of(
-                            Comparison.Verdict.LEFT,
+                            PairedComparison.Verdict.LEFT,
                             LEFT,
-                            Comparison.Verdict.RIGHT,
+                            PairedComparison.Verdict.RIGHT,
                             RIGHT,
-                            Comparison.Verdict.NONE,
+                            PairedComparison.Verdict.NONE,
                             0,
-                            Comparison.Verdict.BROKEN,
+                            PairedComparison.Verdict.BROKEN,
                             BROKEN)
                     .get(comparison.verdict());
         }
--- a/src/main/java/firstage/cli/FleetTables.java
+++ b/src/main/java/firstage/cli/FleetTables.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import firstage.simulation.Comparison;
-import firstage.simulation.FleetResult;
+import firstage.simulation.PairedComparison;
+import firstage.simulation.SimulationResult;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -23,7 +23,7 @@
 
     private FleetTables() {}
 
-    static void print(PrintStream to, List<FleetResult> results) {
+    static void print(PrintStream to, List<SimulationResult> results) {
         to.printf("%-28s %10s %10s%n", "figure", "mean", "deviation");
         for (String name : results.get(0).figures().keySet()) {
             SummaryStatistics all = new SummaryStatistics();
@@ -46,11 +46,11 @@
                                                 + r.broken().get(0)));
     }
 
-    static void print(PrintStream to, Comparison comparison) {
+    static void print(PrintStream to, PairedComparison comparison) {
         to.printf(
                 "%-28s %10s %10s %12s %10s  %s%n",
                 "figure", "left", "right", "right - left", "bar", "verdict");
-        for (Comparison.Row row : comparison.rows()) {
+        for (PairedComparison.Row row : comparison.rows()) {
             to.printf(
                     Locale.ROOT,
                     "%-28s %10.4f %10.4f %+12.4f %10.4f  %s%n",
@@ -64,12 +64,12 @@
         comparison.broken().forEach(what -> to.println("RULE BROKEN, no verdict: " + what));
         to.println(
                 "verdict by service: "
-                        + (comparison.verdict() == Comparison.Verdict.BROKEN
+                        + (comparison.verdict() == PairedComparison.Verdict.BROKEN
                                 ? "none, a rule broke"
                                 : words(comparison.rows().get(0))));
     }
 
-    private static String words(Comparison.Row row) {
+    private static String words(PairedComparison.Row row) {
         return switch (row.verdict()) {
             case LEFT -> "left is better";
             case RIGHT -> "right is better";
@@ -79,13 +79,14 @@
     }
 
     /** Writes runs.csv, result.json and chart.png into a folder that it makes. */
-    static void write(Path folder, String origin, List<FleetResult> results, Comparison comparison)
+    static void write(
+            Path folder, String origin, List<SimulationResult> results, PairedComparison comparison)
             throws IOException {
         Files.createDirectories(folder);
         List<String> names = List.copyOf(results.get(0).figures().keySet());
         List<String> lines =
                 new ArrayList<>(List.of("choice,seed,batches," + String.join(",", names)));
-        for (FleetResult r : results) {
+        for (SimulationResult r : results) {
             StringBuilder line = new StringBuilder(r.choice() + "," + r.seed() + "," + r.batches());
             names.forEach(name -> line.append(',').append(r.figures().get(name)));
             lines.add(line.toString());
@@ -96,7 +97,7 @@
     }
 
     private static void json(
-            Path file, String origin, List<FleetResult> results, Comparison comparison)
+            Path file, String origin, List<SimulationResult> results, PairedComparison comparison)
             throws IOException {
         try (JsonGenerator out = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
             out.useDefaultPrettyPrinter();
@@ -106,7 +107,7 @@
                 out.writeStringField(
                         "verdict", comparison.verdict().name().toLowerCase(Locale.ROOT));
                 out.writeArrayFieldStart("rows");
-                for (Comparison.Row row : comparison.rows()) {
+                for (PairedComparison.Row row : comparison.rows()) {
                     out.writeStartObject();
                     out.writeStringField("figure", row.figure());
                     out.writeNumberField("left", row.left());
@@ -120,7 +121,7 @@
                 out.writeEndArray();
             }
             out.writeArrayFieldStart("runs");
-            for (FleetResult r : results) {
+            for (SimulationResult r : results) {
                 out.writeStartObject();
                 out.writeStringField("choice", r.choice());
                 out.writeNumberField("seed", r.seed());
@@ -137,7 +138,7 @@
     }
 
     private static void chart(
-            Path file, String origin, List<FleetResult> results, Comparison comparison)
+            Path file, String origin, List<SimulationResult> results, PairedComparison comparison)
             throws IOException {
         System.setProperty("java.awt.headless", "true");
         CategoryChart chart =
@@ -150,9 +151,9 @@
         chart.getStyler().setYAxisMin(0.0).setYAxisMax(1.0).setXAxisLabelRotation(30);
         List<String> shares =
                 results.get(0).figures().keySet().stream()
-                        .filter(Comparison::moreIsBetter)
+                        .filter(PairedComparison::moreIsBetter)
                         .toList();
-        for (String choice : results.stream().map(FleetResult::choice).distinct().toList()) {
+        for (String choice : results.stream().map(SimulationResult::choice).distinct().toList()) {
             List<Double> means = new ArrayList<>();
             List<Double> bars = new ArrayList<>();
             for (String name : shares) {
--- a/src/main/java/firstage/cli/PeersView.java
+++ b/src/main/java/firstage/cli/PeersCommand.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import firstage.server.membership.Peers;
+import firstage.server.membership.MembershipTransport;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -24,14 +24,14 @@
         mixinStandardHelpOptions = true,
         description =
                 "Asks a running manager on loopback whom it holds for here;"
-                        + " docs/operators/members.md.",
+                        + " docs/operators/membership.md.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:its view is agreed",
             "1:it is not",
             "2:it can't be reached, or the address can't be used"
         })
-final class PeersView implements Callable<Integer> {
+final class PeersCommand implements Callable<Integer> {
     private static final int ANSWER_MS = 400;
     private static final int TRIES = 5;
     private static final int MOST = 64 * 1024;
@@ -46,12 +46,13 @@
     private boolean json;
 
     static int run(String[] args) {
-        return Lines.run(new PeersView(), "peers", args);
+        return CommandRunner.run(new PeersCommand(), "peers", args);
     }
 
     @Override
     public Integer call() throws IOException {
-        String answer = ask(firstage.server.Assignment.address(address), Peers.ASKED);
+        String answer =
+                ask(firstage.server.ManagerConfig.address(address), MembershipTransport.ASKED);
         boolean agreed = answer.contains("\"agreed\":true");
         if (json) {
             System.out.println(answer);
@@ -103,7 +104,7 @@
                             "%-12s %-10s %-9s %-8s %-8s %-14s %s%n",
                             "name", "zone", "standing", "in view", "link", "since", "version");
                     while (in.nextToken() == JsonToken.START_OBJECT) {
-                        Map<String, String> m = Lines.fields(in);
+                        Map<String, String> m = CommandRunner.fields(in);
                         System.out.printf(
                                 "%-12s %-10s %-9s %-8s %-8s %-14s %s%n",
                                 m.get("name"),
@@ -115,7 +116,7 @@
                                 m.get("version"));
                     }
                 } else if (value == JsonToken.START_OBJECT) {
-                    System.out.println(name + ": " + Lines.fields(in));
+                    System.out.println(name + ": " + CommandRunner.fields(in));
                 } else {
                     top.put(name, in.getText());
                 }
--- a/src/main/java/firstage/cli/PeersFile.java
+++ b/src/main/java/firstage/cli/PeersFileReader.java
@@ -1,9 +1,9 @@
 package firstage.cli;
 
 import firstage.cells.CellPlan;
-import firstage.config.MalformedLine;
-import firstage.server.Assignment;
-import firstage.server.membership.PeerList;
+import firstage.config.MalformedLineException;
+import firstage.server.ManagerConfig;
+import firstage.server.membership.PeerConfig;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -27,7 +27,7 @@
 import org.tomlj.TomlTable;
 
 /** Reads a peers file; what can't be used is told with file, line and what would do. */
-final class PeersFile {
+final class PeersFileReader {
     private static final Pattern TIME = Pattern.compile("\\s*([0-9]+)\\s*(ms|s)\\s*");
     private static final Set<String> KEYS =
             Set.of(
@@ -51,18 +51,19 @@
     private final Path file;
     private final TomlParseResult toml;
 
-    private PeersFile(Path file) throws IOException {
+    private PeersFileReader(Path file) throws IOException {
         this.file = file;
         try {
             toml = Toml.parse(Files.readString(file));
         } catch (NoSuchFileException fault) {
-            throw new MalformedLine(file + " does not exist; deploy/peers.toml is an example");
+            throw new MalformedLineException(
+                    file + " does not exist; deploy/peers.toml is an example");
         }
     }
 
     /** {@code name}: the manager's by its configuration, where the file gives none. */
-    static PeerList read(Path path, String name) throws IOException {
-        return new PeersFile(path).read(name);
+    static PeerConfig read(Path path, String name) throws IOException {
+        return new PeersFileReader(path).read(name);
     }
 
     /**
@@ -70,7 +71,7 @@
      * one that is started anew with an older file would use engines that others have taken over by
      * its own word.
      */
-    static void hold(PeerList list) throws IOException {
+    static void hold(PeerConfig list) throws IOException {
         if (list.in() == null) {
             return;
         }
@@ -85,7 +86,7 @@
             before = text.matches("[0-9]{1,9}") ? Integer.parseInt(text) : 0;
         }
         if (before > number) {
-            throw new MalformedLine(
+            throw new MalformedLineException(
                     held.resolveSibling(held.getFileName().toString().replace(".plan", ""))
                             + ": plan: "
                             + number
@@ -106,11 +107,12 @@
         }
     }
 
-    private MalformedLine fault(TomlPosition at, String what) {
-        return new MalformedLine(file + ":" + (at == null ? "" : at.line() + ":") + " " + what);
+    private MalformedLineException fault(TomlPosition at, String what) {
+        return new MalformedLineException(
+                file + ":" + (at == null ? "" : at.line() + ":") + " " + what);
     }
 
-    private MalformedLine fault(String key, String what) {
+    private MalformedLineException fault(String key, String what) {
         return fault(toml.inputPositionOf(List.of(key)), key + ": " + what);
     }
 
@@ -127,13 +129,13 @@
 
     private InetSocketAddress address(TomlPosition at, String key, Object value) {
         try {
-            return Assignment.address(String.valueOf(value));
-        } catch (MalformedLine fault) {
+            return ManagerConfig.address(String.valueOf(value));
+        } catch (MalformedLineException fault) {
             throw fault(at, key + ": '" + value + "' is no address; \"127.0.0.1:7946\" would do");
         }
     }
 
-    private PeerList read(String name) {
+    private PeerConfig read(String name) {
         if (toml.hasErrors()) {
             throw fault(
                     toml.errors().get(0).position(),
@@ -164,7 +166,7 @@
         }
         InetSocketAddress listen =
                 address(toml.inputPositionOf(List.of("listen")), "listen", text("listen", null));
-        PeerList.InCells in = toml.get(List.of("cell")) == null ? null : inCells(listen);
+        PeerConfig.InCells in = toml.get(List.of("cell")) == null ? null : inCells(listen);
         if (in == null) {
             for (String key : List.of("plan", "spread", "before")) {
                 if (toml.get(List.of(key)) != null) {
@@ -178,7 +180,7 @@
             throw fault(
                     "peer", "the hosts of the cells name the peers already; leave [[peer]] out");
         }
-        return new PeerList(
+        return new PeerConfig(
                 text("fleet", null),
                 text("name", name),
                 in == null ? text("zone", "-") : in.plan().cells().get(in.cell()).zone(),
@@ -197,7 +199,7 @@
         return (int) (long) number;
     }
 
-    private PeerList.InCells inCells(InetSocketAddress listen) {
+    private PeerConfig.InCells inCells(InetSocketAddress listen) {
         if (!(toml.get(List.of("cell")) instanceof TomlArray array) || array.size() > MOST_CELLS) {
             throw fault(
                     "cell",
@@ -260,7 +262,7 @@
         for (int c = 0; c < addresses.size(); c++) {
             int slot = addresses.get(c).indexOf(listen);
             if (slot >= 0) {
-                return new PeerList.InCells(plan, before(plan), c, slot, addresses);
+                return new PeerConfig.InCells(plan, before(plan), c, slot, addresses);
             }
         }
         throw fault("listen", "stands in no cell's hosts; add it to its cell");
--- a/src/main/java/firstage/cli/Rehearsal.java
+++ b/src/main/java/firstage/cli/RehearseCommand.java
@@ -1,7 +1,7 @@
 package firstage.cli;
 
-import firstage.server.Assignment;
-import firstage.server.Node;
+import firstage.server.ManagerConfig;
+import firstage.server.ManagerServer;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -15,7 +15,7 @@
  * Takes one batch and plays its engine too, over loopback, so that the build can archive the
  * classes that a start needs: a manager that was killed is back sooner.
  */
-final class Rehearsal {
+final class RehearseCommand {
     private static final String ASSIGNMENT =
             """
             {"name":"rehearsal","listen":"%1$s","known":{"index":1,"updates":[{"index":1,
@@ -31,7 +31,7 @@
 
     private static final int MOST_WAIT_MS = 5_000;
 
-    private Rehearsal() {}
+    private RehearseCommand() {}
 
     static void run() throws IOException {
         InetAddress loopback = InetAddress.getLoopbackAddress();
@@ -40,10 +40,10 @@
             port = free.getLocalPort();
         }
         Path file = Files.createTempFile("rehearsal", ".json");
-        Node node;
+        ManagerServer node;
         try {
             Files.writeString(file, ASSIGNMENT.formatted(loopback.getHostAddress() + ":" + port));
-            node = new Node(Assignment.read(file), null);
+            node = new ManagerServer(ManagerConfig.read(file), null);
         } finally {
             Files.delete(file);
         }
--- a/src/main/java/firstage/cli/Scale.java
+++ b/src/main/java/firstage/cli/ScaleCommand.java
@@ -1,13 +1,13 @@
 package firstage.cli;
 
-import firstage.cells.Cells;
-import firstage.scale.ChoiceCost;
-import firstage.scale.Hollow;
+import firstage.cells.CellDirectory;
+import firstage.scale.DecisionCost;
+import firstage.scale.HollowWorker;
 import firstage.scale.ScalePlan;
 import firstage.scale.ScaleRun;
-import firstage.scale.Slopes;
-import firstage.simulation.FleetFault;
-import firstage.simulation.schedule.CellsField.Shape;
+import firstage.scale.ScalingSlopes;
+import firstage.simulation.InvalidPlanException;
+import firstage.simulation.schedule.SimulatedCells.Shape;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
@@ -27,7 +27,12 @@
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
-        subcommands = {Scale.Run.class, Scale.OfSizes.class, Scale.Choices.class, Scale.Host.class},
+        subcommands = {
+            ScaleCommand.Run.class,
+            ScaleCommand.OfSizes.class,
+            ScaleCommand.Choices.class,
+            ScaleCommand.Host.class
+        },
         description =
                 "Starts hollow managers beside real ones, or plays a fleet's control in virtual"
                         + " time, and tells what it costs; docs/operators/scale.md says how to read"
@@ -38,11 +43,11 @@
             "1:void: the machine was too busy",
             "2:a file or an order can't be used, or the machine can't bear it"
         })
-final class Scale implements Callable<Integer> {
+final class ScaleCommand implements Callable<Integer> {
     private static final int FAULT = 2;
 
     static int run(String[] args) {
-        return Lines.run(new Scale(), "scale", args);
+        return CommandRunner.run(new ScaleCommand(), "scale", args);
     }
 
     @Override
@@ -54,8 +59,8 @@
     private static ScalePlan read(Path file, String text) {
         try {
             return ScalePlan.read(text);
-        } catch (FleetFault fault) {
-            throw new FleetFault(0, file + ":" + fault.getMessage());
+        } catch (InvalidPlanException fault) {
+            throw new InvalidPlanException(0, file + ":" + fault.getMessage());
         }
     }
 
@@ -153,7 +158,7 @@
             try {
                 text = Files.readString(file);
             } catch (NoSuchFileException fault) {
-                throw new FleetFault(0, file + " does not exist; deploy/scale has plans");
+                throw new InvalidPlanException(0, file + " does not exist; deploy/scale has plans");
             }
             text =
                     with(
@@ -174,7 +179,7 @@
             }
             ScalePlan plan = read(file, text);
             ScaleRun.check(plan);
-            String command = ServeCommand.of(jar);
+            String command = ServeCommandLine.of(jar);
             Path folder =
                     (out != null
                                     ? out
@@ -275,7 +280,7 @@
         private Map<String, Double> heap(Shape shape) {
             Map<String, Double> row = new LinkedHashMap<>();
             row.put("managers", (double) shape.managers());
-            row.put("heap of a manager, KB", Slopes.heap(shape, seed));
+            row.put("heap of a manager, KB", ScalingSlopes.heap(shape, seed));
             return row;
         }
 
@@ -284,7 +289,7 @@
             List<Map<String, Double>> rows = new ArrayList<>();
             for (int size : sizes) {
                 if (size < 2 || size > 4_000 || cell < 0 || cell > 0 && size % cell != 0) {
-                    throw new FleetFault(
+                    throw new InvalidPlanException(
                             0,
                             "--sizes: "
                                     + size
@@ -293,7 +298,7 @@
                                     + ", would do");
                 }
                 if (region != null && (region < 1 || region > 1_440)) {
-                    throw new FleetFault(
+                    throw new InvalidPlanException(
                             0, "--region " + region + " is impossible; 1 to 1440 minutes would do");
                 }
                 Shape shape =
@@ -304,13 +309,13 @@
                                 1,
                                 !bare,
                                 region != null ? 400 : 200,
-                                Cells.Fault.NONE);
+                                CellDirectory.Fault.NONE);
                 rows.add(
                         heap
                                 ? heap(shape)
                                 : region != null
-                                        ? Slopes.region(shape, seed, region * 600_000L)
-                                        : Slopes.play(shape, seed, deep));
+                                        ? ScalingSlopes.region(shape, seed, region * 600_000L)
+                                        : ScalingSlopes.play(shape, seed, deep));
                 System.out.println("simulated, " + size + " managers");
                 rows.get(rows.size() - 1)
                         .forEach(
@@ -321,7 +326,7 @@
                     .skip(1)
                     .forEach(
                             n -> {
-                                double[] slope = Slopes.slope(rows, n);
+                                double[] slope = ScalingSlopes.slope(rows, n);
                                 System.out.printf(
                                         Locale.ROOT,
                                         "  %-56s %12.3f +- %.3f%n",
@@ -363,7 +368,7 @@
         public Integer call() {
             for (int n : engines) {
                 if (n < 1 || n > 10_000 || managers < 1 || managers > 10_000) {
-                    throw new FleetFault(
+                    throw new InvalidPlanException(
                             0,
                             "--engines "
                                     + n
@@ -371,7 +376,7 @@
                                     + managers
                                     + ": one is impossible; 1 to 10000 would do");
                 }
-                System.out.println(ChoiceCost.play(n, managers));
+                System.out.println(DecisionCost.play(n, managers));
             }
             return 0;
         }
@@ -397,7 +402,7 @@
 
         @Override
         public Integer call() throws IOException {
-            Hollow.run(read(file, Files.readString(file)), port, from, to);
+            HollowWorker.run(read(file, Files.readString(file)), port, from, to);
             return 0;
         }
     }
--- a/src/main/java/firstage/cli/ZonesOrder.java
+++ b/src/main/java/firstage/cli/ZonesCommand.java
@@ -1,7 +1,7 @@
 package firstage.cli;
 
-import firstage.server.Assignment;
-import firstage.server.membership.Peers;
+import firstage.server.ManagerConfig;
+import firstage.server.membership.MembershipTransport;
 import java.io.IOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -22,7 +22,7 @@
             "0:the manager took it and tells the others",
             "2:it can't be reached, or knows no such zone"
         })
-final class ZonesOrder implements Callable<Integer> {
+final class ZonesCommand implements Callable<Integer> {
     private enum Wanted {
         leave,
         hold,
@@ -45,16 +45,17 @@
     private String zone;
 
     static int run(String[] args) {
-        return Lines.run(new ZonesOrder(), "zones", args);
+        return CommandRunner.run(new ZonesCommand(), "zones", args);
     }
 
     @Override
     public Integer call() throws IOException {
         String order = wanted == Wanted.health ? "none" : wanted.name();
         String answer =
-                PeersView.ask(
-                        Assignment.address(address), Peers.ORDERED + " " + order + " " + zone);
-        if (answer.equals(Peers.NO_ORDER)) {
+                PeersCommand.ask(
+                        ManagerConfig.address(address),
+                        MembershipTransport.ORDERED + " " + order + " " + zone);
+        if (answer.equals(MembershipTransport.NO_ORDER)) {
             throw new IOException(
                     "the manager at "
                             + address
--- a/src/main/java/firstage/config/Indices.java
+++ b/src/main/java/firstage/config/IdRegistry.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** Maps the wire's ids to small indices and back; released indices serve again. */
-public final class Indices<T> {
+public final class IdRegistry<T> {
     private final Map<T, Integer> byId = new HashMap<>();
     private final List<T> ids = new ArrayList<>();
     private final List<Integer> free = new ArrayList<>();
--- a/src/main/java/firstage/config/MalformedLine.java
+++ b/src/main/java/firstage/config/MalformedLineException.java
@@ -1,10 +1,10 @@
 package firstage.config;
 
 /** A line of the wire that cannot be read; the message names the fault. */
-public final class MalformedLine extends RuntimeException {
+public final class MalformedLineException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    public MalformedLine(String fault) {
+    public MalformedLineException(String fault) {
         super(fault);
     }
 }
--- a/src/main/java/firstage/config/Setup.java
+++ b/src/main/java/firstage/config/SettingsParser.java
@@ -1,7 +1,7 @@
 package firstage.config;
 
 import firstage.policy.api.Deployment;
-import firstage.policy.api.ServiceGroup;
+import firstage.policy.api.TrafficClass;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
@@ -13,28 +13,28 @@
  * Turns the wire's settings into what the decisions are told of a deployment. Unknown keys are
  * skipped.
  */
-public final class Setup {
-    private Setup() {}
+public final class SettingsParser {
+    private SettingsParser() {}
 
-    public static Deployment read(Fields f) {
+    public static Deployment read(WireFields f) {
         String via = word(f, "report.via", "on_probe", Set.of("inline", "on_probe", "off"));
         String whenShort =
                 word(f, "family_info.out_of_memory", "wait", Set.of("wait", "shrink", "page"));
         if (via.equals("off") && !f.text("report.fields", "").isEmpty()) {
             // Old shape names values, new shape sends none: engines would be taken for silent about
             // load.
-            throw new MalformedLine(
+            throw new MalformedLineException(
                     "report.fields names values while report.via = off; set one of them");
         }
         String[] threads = list(f, "family_info.dop");
         String[] loads = list(f, "family_info.class_load");
         String[] yields = list(f, "family_info.yields_to_loads");
-        List<ServiceGroup> groups = new ArrayList<>();
+        List<TrafficClass> groups = new ArrayList<>();
         int count = f.index("classes.count", 0);
         for (int g = 0; g < count; g++) {
             String at = "classes." + g + ".";
             groups.add(
-                    new ServiceGroup(
+                    new TrafficClass(
                             f.time(at + "target"),
                             f.number(at + "aim_stretch", 0),
                             f.time(at + "deadline"),
@@ -61,7 +61,7 @@
         }
         List<Double> rates = new ArrayList<>();
         for (int c = 0; c < f.index("tenants.count", 0); c++) {
-            rates.add(f.number("tenants." + c + ".quota_per_s", 0) / Fields.tenths(1));
+            rates.add(f.number("tenants." + c + ".quota_per_s", 0) / WireFields.tenths(1));
         }
         Deployment.Allowed allowed =
                 new Deployment.Allowed(
@@ -103,27 +103,28 @@
     }
 
     /** A word from a known set; absent, the one that keeps the earlier shape. */
-    private static String word(Fields f, String name, String absent, Set<String> known) {
+    private static String word(WireFields f, String name, String absent, Set<String> known) {
         String value = f.text(name, absent);
         if (!known.contains(value)) {
-            throw new MalformedLine(name + " = " + value + " is none of " + new TreeSet<>(known));
+            throw new MalformedLineException(
+                    name + " = " + value + " is none of " + new TreeSet<>(known));
         }
         return value;
     }
 
-    private static ServiceGroup.Effect effect(String word) {
+    private static TrafficClass.Effect effect(String word) {
         return switch (word) {
-            case "retryable" -> ServiceGroup.Effect.REPEATABLE;
-            case "dedup" -> ServiceGroup.Effect.REFERENCED;
-            default -> ServiceGroup.Effect.ONCE_ONLY;
+            case "retryable" -> TrafficClass.Effect.REPEATABLE;
+            case "dedup" -> TrafficClass.Effect.REFERENCED;
+            default -> TrafficClass.Effect.ONCE_ONLY;
         };
     }
 
-    private static ServiceGroup.Scope scope(String word) {
+    private static TrafficClass.Scope scope(String word) {
         return switch (word) {
-            case "all" -> ServiceGroup.Scope.ALL;
-            case "zone" -> ServiceGroup.Scope.ZONE;
-            default -> ServiceGroup.Scope.CELL;
+            case "all" -> TrafficClass.Scope.ALL;
+            case "zone" -> TrafficClass.Scope.ZONE;
+            default -> TrafficClass.Scope.CELL;
         };
     }
 
@@ -135,17 +136,17 @@
         try {
             return Double.parseDouble(word);
         } catch (NumberFormatException fault) {
-            throw new MalformedLine("no number in the settings: " + word);
+            throw new MalformedLineException("no number in the settings: " + word);
         }
     }
 
-    private static String[] list(Fields f, String name) {
+    private static String[] list(WireFields f, String name) {
         String value = f.text(name, "");
         return value.isEmpty() ? new String[0] : value.split(",");
     }
 
     /** Places may be given by number, as list entries have them, or by name. */
-    private static Set<Integer> places(Fields f, String name, String names) {
+    private static Set<Integer> places(WireFields f, String name, String names) {
         Set<Integer> places = new HashSet<>();
         List<String> known = Arrays.asList(list(f, names));
         for (String place : list(f, name)) {
--- a/src/main/java/firstage/config/Fields.java
+++ b/src/main/java/firstage/config/WireFields.java
@@ -6,12 +6,12 @@
 import java.util.stream.Collectors;
 
 /** The name=value parts of one line. Times leave as whole tenths of a millisecond. */
-public final class Fields {
+public final class WireFields {
     private static final double TENTHS_PER_SECOND = 10_000;
     private final Map<String, String> parts = new HashMap<>();
 
     /** Reads the parts of {@code line} after its first word; the values hold no spaces. */
-    public Fields(String line) {
+    public WireFields(String line) {
         int at = line.indexOf(' ');
         while (at >= 0) {
             int next = line.indexOf(' ', at + 1);
@@ -28,7 +28,7 @@
      * Takes nested values, as JSON holds them, under their paths with dots; lists of scalars with
      * commas.
      */
-    public Fields(Map<?, ?> nested) {
+    public WireFields(Map<?, ?> nested) {
         put("", nested);
     }
 
@@ -64,7 +64,7 @@
     public String need(String name) {
         String value = parts.get(name);
         if (value == null) {
-            throw new MalformedLine("missing " + name);
+            throw new MalformedLineException("missing " + name);
         }
         return value;
     }
@@ -73,7 +73,7 @@
         try {
             return Long.parseLong(need(name));
         } catch (NumberFormatException fault) {
-            throw new MalformedLine(name + " is no whole number");
+            throw new MalformedLineException(name + " is no whole number");
         }
     }
 
@@ -81,7 +81,7 @@
         try {
             return Double.parseDouble(need(name));
         } catch (NumberFormatException fault) {
-            throw new MalformedLine(name + " is no number");
+            throw new MalformedLineException(name + " is no number");
         }
     }
 
--- a/src/main/java/firstage/emulator/Coordinator.java
+++ b/src/main/java/firstage/emulator/EmulatedCoordinator.java
@@ -14,7 +14,7 @@
  * TCP, an empty frame each second. Each manager has one of its own, as each reaches engines at
  * addresses of its own. Threads that wait, not many.
  */
-public final class Coordinator implements AutoCloseable {
+public final class EmulatedCoordinator implements AutoCloseable {
     private static final int RECORD = 27;
     private static final int HEAD = 9;
     private static final int BEAT_MS = 1_000;
@@ -45,7 +45,7 @@
     private final List<Socket> open = new ArrayList<>();
     private boolean closed;
 
-    public Coordinator(InetSocketAddress at) throws IOException {
+    public EmulatedCoordinator(InetSocketAddress at) throws IOException {
         server.setReuseAddress(true);
         server.bind(at, 16);
         daemon(
--- a/src/main/java/firstage/emulator/EngineServer.java
+++ b/src/main/java/firstage/emulator/EmulatedEngine.java
@@ -1,14 +1,14 @@
 package firstage.emulator;
 
-import firstage.policy.api.Note;
-import firstage.policy.api.Outcome;
+import firstage.policy.api.AttemptOutcome;
+import firstage.policy.api.AttemptProgress;
 import firstage.simulation.EngineModel;
 import firstage.simulation.EngineModel.Job;
 import firstage.simulation.EngineModel.Standing;
 import firstage.simulation.FleetPlan;
-import firstage.simulation.RuleWatch;
-import firstage.simulation.RuleWatch.Try;
-import firstage.simulation.Streams;
+import firstage.simulation.RandomStreams;
+import firstage.simulation.RuleChecker;
+import firstage.simulation.RuleChecker.Try;
 import io.undertow.UndertowOptions;
 import io.undertow.server.DefaultByteBufferPool;
 import io.undertow.server.HttpServerExchange;
@@ -32,7 +32,7 @@
  * platform's protocol. A statement runs until it ends, is deleted, or was not asked for in 2 s; a
  * call for news is held for 250 ms.
  */
-public final class EngineServer implements AutoCloseable {
+public final class EmulatedEngine implements AutoCloseable {
     private static final long HOLDS = 2_500;
     private static final long FORGETS = 20_000;
     private static final HttpString TICKET = new HttpString("X-Ticket");
@@ -63,8 +63,8 @@
         private Job job;
         private long asked;
         private boolean told;
-        private Outcome end;
-        private Note.Kind note;
+        private AttemptOutcome end;
+        private AttemptProgress.Kind note;
         private double amount;
         private HttpServerExchange held;
         private int calls;
@@ -75,13 +75,13 @@
         }
 
         @Override
-        public void ended(Job ended, Outcome how) {
+        public void ended(Job ended, AttemptOutcome how) {
             end = how;
             give();
         }
 
         @Override
-        public void noted(Job noted, Note.Kind kind, double much) {
+        public void noted(Job noted, AttemptProgress.Kind kind, double much) {
             note = kind;
             amount = much;
             give();
@@ -131,15 +131,20 @@
                 x.getResponseHeaders()
                         .put(
                                 REMARK,
-                                note == Note.Kind.DONE
+                                note == AttemptProgress.Kind.DONE
                                         ? "pct"
-                                        : note == Note.Kind.SPILLS ? "overflow" : "queued")
+                                        : note == AttemptProgress.Kind.SPILLS
+                                                ? "overflow"
+                                                : "queued")
                         .put(
                                 FIGURE,
                                 String.valueOf(
-                                        note == Note.Kind.DONE || note == Note.Kind.SPILLS
+                                        note == AttemptProgress.Kind.DONE
+                                                        || note == AttemptProgress.Kind.SPILLS
                                                 ? amount
-                                                : note == Note.Kind.WAITS_FOR_MEMORY ? 1 : 2));
+                                                : note == AttemptProgress.Kind.WAITS_FOR_MEMORY
+                                                        ? 1
+                                                        : 2));
                 note = null;
                 answer(x, 202);
                 return;
@@ -160,7 +165,7 @@
             }
         }
 
-        private void over(Outcome how) {
+        private void over(AttemptOutcome how) {
             if (!told) {
                 told = true;
                 rules.ended(stage.now(), is, how);
@@ -176,14 +181,14 @@
                                     return;
                                 }
                                 if (stage.now() - asked >= FORGETS && held == null) {
-                                    gone(Outcome.TIMED_OUT);
+                                    gone(AttemptOutcome.TIMED_OUT);
                                 } else {
                                     forgetLater();
                                 }
                             });
         }
 
-        private void gone(Outcome how) {
+        private void gone(AttemptOutcome how) {
             statements.remove(id, this);
             if (job != null) {
                 model.callOff(job);
@@ -196,8 +201,8 @@
         }
     }
 
-    private final Stage stage;
-    private final RuleWatch rules;
+    private final RealTimeLoop stage;
+    private final RuleChecker rules;
     private final Function<String, Try> tickets;
     private final Witness witness;
     private final FleetPlan plan;
@@ -207,13 +212,13 @@
     private final Map<String, Statement> statements = new HashMap<>();
 
     /** {@code tickets}: the try that an id belongs to; null where no client sent it. */
-    public EngineServer(
-            Stage stage,
+    public EmulatedEngine(
+            RealTimeLoop stage,
             FleetPlan plan,
             int number,
             InetSocketAddress at,
-            Streams streams,
-            RuleWatch rules,
+            RandomStreams streams,
+            RuleChecker rules,
             Function<String, Try> tickets,
             Witness witness)
             throws IOException {
@@ -269,7 +274,7 @@
         boolean loses = next == Standing.DOWN || next == Standing.SILENT;
         model.becomes(next);
         if (loses) {
-            statements.values().forEach(s -> s.over(Outcome.BROKEN));
+            statements.values().forEach(s -> s.over(AttemptOutcome.BROKEN));
             statements.clear();
         }
     }
@@ -300,7 +305,7 @@
             switch (method) {
                 case "DELETE" -> {
                     if (s != null) {
-                        s.gone(Outcome.CALLED_OFF);
+                        s.gone(AttemptOutcome.CALLED_OFF);
                     }
                     answer(x, 204);
                 }
--- a/src/main/java/firstage/emulator/Relay.java
+++ b/src/main/java/firstage/emulator/FaultInjectingProxy.java
@@ -28,7 +28,7 @@
  * a party that is gone is refused; to one that is silent or cut off it never comes up (a listener
  * whose line is full, as the kernel drops what comes then).
  */
-public final class Relay implements AutoCloseable {
+public final class FaultInjectingProxy implements AutoCloseable {
     private static final int BACKLOG = 256;
     private static final int PIECE = 16 * 1024;
 
@@ -58,7 +58,7 @@
         SILENT
     }
 
-    public Relay(RandomGenerator chance) throws IOException {
+    public FaultInjectingProxy(RandomGenerator chance) throws IOException {
         this.chance = chance;
         selector = Selector.open();
         thread = new Thread(this::loop, "relay");
@@ -70,8 +70,8 @@
     }
 
     /** A new direction between two parties; before the start. */
-    public Way way() {
-        return new Way(chance);
+    public LinkFaults way() {
+        return new LinkFaults(chance);
     }
 
     private static long now() {
@@ -141,15 +141,16 @@
     public final class Door {
         private final InetSocketAddress at;
         private final InetSocketAddress onward;
-        private final Way there;
-        private final Way back;
+        private final LinkFaults there;
+        private final LinkFaults back;
         private final Set<Pair> pairs = new HashSet<>();
         private final List<SocketChannel> fillers = new ArrayList<>();
         private ServerSocketChannel listener;
         private Answer answer = Answer.REFUSES;
         private Answer told = Answer.OPEN;
 
-        private Door(InetSocketAddress at, InetSocketAddress onward, Way there, Way back) {
+        private Door(
+                InetSocketAddress at, InetSocketAddress onward, LinkFaults there, LinkFaults back) {
             this.at = at;
             this.onward = onward;
             this.there = there;
@@ -214,7 +215,7 @@
         private void close() {
             quietly(listener);
             listener = null;
-            fillers.forEach(Relay::quietly);
+            fillers.forEach(FaultInjectingProxy::quietly);
             fillers.clear();
             try {
                 // What is closed goes only once its key is gone.
@@ -319,14 +320,14 @@
         private final Pair pair;
         private final SocketChannel from;
         private final SocketChannel to;
-        private final Way way;
+        private final LinkFaults way;
         private final ArrayDeque<Chunk> queue = new ArrayDeque<>();
         private long latest;
         private boolean eof;
         private boolean ended;
         private boolean full;
 
-        private Flow(Pair pair, SocketChannel from, SocketChannel to, Way way) {
+        private Flow(Pair pair, SocketChannel from, SocketChannel to, LinkFaults way) {
             this.pair = pair;
             this.from = from;
             this.to = to;
@@ -376,7 +377,8 @@
     }
 
     /** Connections made at {@code at} go on to {@code onward}. It answers at once. */
-    public Door door(InetSocketAddress at, InetSocketAddress onward, Way there, Way back) {
+    public Door door(
+            InetSocketAddress at, InetSocketAddress onward, LinkFaults there, LinkFaults back) {
         Door door = new Door(at, onward, there, back);
         doors.add(door);
         soon(door::settle);
@@ -392,8 +394,8 @@
             InetSocketAddress second,
             InetSocketAddress atFirst,
             InetSocketAddress atSecond,
-            Way there,
-            Way back)
+            LinkFaults there,
+            LinkFaults back)
             throws IOException {
         DatagramChannel one = DatagramChannel.open().bind(atFirst);
         DatagramChannel two = DatagramChannel.open().bind(atSecond);
@@ -406,7 +408,7 @@
                 });
     }
 
-    private void carry(DatagramChannel in, DatagramChannel out, SocketAddress to, Way way) {
+    private void carry(DatagramChannel in, DatagramChannel out, SocketAddress to, LinkFaults way) {
         try {
             in.register(
                     selector,
@@ -466,7 +468,7 @@
         for (SelectionKey key : selector.keys()) {
             quietly(key.channel());
         }
-        doors.forEach(d -> d.fillers.forEach(Relay::quietly));
+        doors.forEach(d -> d.fillers.forEach(FaultInjectingProxy::quietly));
         quietly(selector);
     }
 }
--- a/src/main/java/firstage/emulator/Way.java
+++ b/src/main/java/firstage/emulator/LinkFaults.java
@@ -3,7 +3,7 @@
 import java.util.random.RandomGenerator;
 
 /** One direction between two parties, and what is wrong with it; settable from any thread. */
-public final class Way {
+public final class LinkFaults {
     /** A lost segment on a connection is sent again after about this; tenths of a millisecond. */
     private static final long SENT_AGAIN = 2_000;
 
@@ -16,7 +16,7 @@
     private volatile long delay;
     private volatile long harmedAt = Long.MIN_VALUE / 4;
 
-    Way(RandomGenerator chance) {
+    LinkFaults(RandomGenerator chance) {
         this.chance = chance;
     }
 
--- a/src/main/java/firstage/emulator/Crowd.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -1,14 +1,14 @@
 package firstage.emulator;
 
-import firstage.policy.api.ServiceGroup.Effect;
-import firstage.simulation.Clients;
+import firstage.policy.api.TrafficClass.Effect;
+import firstage.simulation.ClientBehavior;
 import firstage.simulation.FleetPlan;
-import firstage.simulation.RuleWatch;
-import firstage.simulation.RuleWatch.Try;
+import firstage.simulation.RandomStreams;
+import firstage.simulation.RuleChecker;
+import firstage.simulation.RuleChecker.Try;
 import firstage.simulation.Scoreboard;
-import firstage.simulation.Streams;
 import firstage.simulation.TrafficSource;
-import firstage.simulation.Work;
+import firstage.simulation.TrueRequest;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
@@ -39,7 +39,7 @@
  * managers and goes on sending to a dead one until it notices. They retry as the plan says; batches
  * of one key are written well apart.
  */
-public final class Crowd implements AutoCloseable {
+public final class LoadGenerator implements AutoCloseable {
     private static final Pattern POLL = Pattern.compile("\"poll\":\"([^\"]+)\"");
 
     /**
@@ -61,7 +61,7 @@
 
     /** Told of what happens to batches. */
     public interface Witness {
-        void asked(Work is, int manager);
+        void asked(TrueRequest is, int manager);
 
         void tried(Try t);
 
@@ -69,15 +69,15 @@
         void ended(Try t, String how);
     }
 
-    private final Stage stage;
+    private final RealTimeLoop stage;
     private final FleetPlan plan;
-    private final RuleWatch rules;
+    private final RuleChecker rules;
     private final Scoreboard score;
     private final Witness witness;
     private final TrafficSource traffic;
     private final RandomGenerator chance;
     private final List<InetSocketAddress> managers;
-    private final Clients clients;
+    private final ClientBehavior clients;
     private final Map<String, Try> tickets = new HashMap<>();
     private final Map<Integer, Long> keyFree = new HashMap<>();
     private final List<Set<Try>> open = new ArrayList<>();
@@ -106,11 +106,11 @@
     private long ids;
     private final long origin;
 
-    public Crowd(
-            Stage stage,
+    public LoadGenerator(
+            RealTimeLoop stage,
             FleetPlan plan,
-            Streams streams,
-            RuleWatch rules,
+            RandomStreams streams,
+            RuleChecker rules,
             Scoreboard score,
             List<InetSocketAddress> managers,
             Witness witness) {
@@ -130,7 +130,7 @@
                         .executor(threads)
                         .connectTimeout(Duration.ofMillis(CONNECT_MS))
                         .build();
-        clients = new Clients(plan, chance);
+        clients = new ClientBehavior(plan, chance);
         lifeChanged = new long[managers.size()];
         down = new boolean[managers.size()];
         stoppedUntil = new long[managers.size()];
@@ -163,7 +163,7 @@
                         traffic.next(now, begin, boost) - now,
                         () -> {
                             if (stage.calendar().now() < until) {
-                                Work is = traffic.draw(stage.calendar().now(), List.of());
+                                TrueRequest is = traffic.draw(stage.calendar().now(), List.of());
                                 score.asked(is);
                                 int m = manager(is);
                                 witness.asked(is, m);
@@ -223,7 +223,7 @@
         }
     }
 
-    private int manager(Work is) {
+    private int manager(TrueRequest is) {
         int m = clients.manager(is);
         // The next one that the front holds for alive; those of one key go on together.
         for (int i = 0; i < managers.size() && !known.contains(m); i++) {
@@ -232,7 +232,7 @@
         return m;
     }
 
-    private void goes(Work is, int m) {
+    private void goes(TrueRequest is, int m) {
         long now = stage.calendar().now();
         if (is.key >= 0) {
             long free = Math.max(now, keyFree.getOrDefault(is.key, 0L));
@@ -245,7 +245,7 @@
         send(is, m);
     }
 
-    private void send(Work is, int m) {
+    private void send(TrueRequest is, int m) {
         long now = stage.calendar().now();
         long left = is.limit - now;
         if (left <= 0) {
@@ -414,7 +414,7 @@
         }
     }
 
-    private void again(Work is, long comeBack, boolean may) {
+    private void again(TrueRequest is, long comeBack, boolean may) {
         long wait = clients.again(is, stage.now(), comeBack, may);
         if (wait >= 0) {
             stage.calendar().in(wait, () -> goes(is, manager(is)));
--- a/src/main/java/firstage/emulator/Stage.java
+++ b/src/main/java/firstage/emulator/RealTimeLoop.java
@@ -1,6 +1,6 @@
 package firstage.emulator;
 
-import firstage.simulation.Calendar;
+import firstage.simulation.EventQueue;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
@@ -15,7 +15,7 @@
  * clock: what is modelled in virtual time plays here in real time. Times are tenths of a
  * millisecond; {@link #START} is when the stage was set up.
  */
-public final class Stage implements AutoCloseable {
+public final class RealTimeLoop implements AutoCloseable {
     /** The calendar's time at the start: above 0, which stands for long ago. */
     public static final long START = 1_000_000;
 
@@ -23,15 +23,15 @@
     private static final long MOST_LATE_US = 60_000_000;
     private final XnioWorker worker;
     private final XnioIoThread io;
-    private final Calendar calendar = new Calendar(START);
+    private final EventQueue calendar = new EventQueue(START);
     private final long startNs = System.nanoTime();
     private final long startMs = System.currentTimeMillis();
     private final Histogram late = new Histogram(MOST_LATE_US, 2);
     private volatile boolean closed;
 
-    public Stage() throws IOException {
+    public RealTimeLoop() throws IOException {
         worker =
-                Xnio.getInstance(Stage.class.getClassLoader())
+                Xnio.getInstance(RealTimeLoop.class.getClassLoader())
                         .createWorker(
                                 OptionMap.builder()
                                         .set(Options.WORKER_NAME, "stand-ins")
@@ -58,7 +58,7 @@
     }
 
     /** The calendar, for what runs on this thread. */
-    public Calendar calendar() {
+    public EventQueue calendar() {
         return calendar;
     }
 
--- a/src/main/java/firstage/failover/Together.java
+++ b/src/main/java/firstage/failover/FleetCoordinator.java
@@ -1,9 +1,9 @@
 package firstage.failover;
 
-import firstage.overload.Level;
-import firstage.overload.Trials;
-import firstage.overload.Words;
-import firstage.policy.api.Demand;
+import firstage.overload.LoadSheddingLevel;
+import firstage.overload.OverloadDigest;
+import firstage.overload.ProbeCoordinator;
+import firstage.policy.api.DemandHistogram;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
@@ -15,11 +15,17 @@
  * shedding, and the zones in use. One piece for all that carry it, so that the fleet model plays
  * what {@code serve} does. Times are tenths of a millisecond.
  */
-public final class Together {
+public final class FleetCoordinator {
     /** Faults put back, one for each part. */
-    public record Faults(Trials.Fault trials, Level.Fault level, Zones.Fault zones) {
+    public record Faults(
+            ProbeCoordinator.Fault trials,
+            LoadSheddingLevel.Fault level,
+            ZoneFailover.Fault zones) {
         public static final Faults NONE =
-                new Faults(Trials.Fault.NONE, Level.Fault.NONE, Zones.Fault.NONE);
+                new Faults(
+                        ProbeCoordinator.Fault.NONE,
+                        LoadSheddingLevel.Fault.NONE,
+                        ZoneFailover.Fault.NONE);
 
         /**
          * By its name in lower case with dashes, of the first part that has it; null where none
@@ -28,11 +34,11 @@
         public static Faults of(String name) {
             Stream<Faults> all =
                     Stream.of(
-                                    Arrays.stream(Trials.Fault.values())
+                                    Arrays.stream(ProbeCoordinator.Fault.values())
                                             .map(f -> new Faults(f, NONE.level, NONE.zones)),
-                                    Arrays.stream(Level.Fault.values())
+                                    Arrays.stream(LoadSheddingLevel.Fault.values())
                                             .map(f -> new Faults(NONE.trials, f, NONE.zones)),
-                                    Arrays.stream(Zones.Fault.values())
+                                    Arrays.stream(ZoneFailover.Fault.values())
                                             .map(f -> new Faults(NONE.trials, NONE.level, f)))
                             .flatMap(part -> part);
             String word = name.toUpperCase(Locale.ROOT).replace('-', '_');
@@ -45,28 +51,28 @@
         }
     }
 
-    private final Trials trials;
-    private final Level level;
-    private final Zones zones;
+    private final ProbeCoordinator trials;
+    private final LoadSheddingLevel level;
+    private final ZoneFailover zones;
 
     /**
      * {@code zone}: this manager's, of so many; {@code goal}: the shortest response goal; {@code
      * warm}: how long engines take to warm up; {@code period} between two probes of the membership,
      * which carries the digests.
      */
-    public Together(
+    public FleetCoordinator(
             String me,
             int zone,
             int zoneCount,
             long goal,
             long warm,
             long period,
-            Zones.Effects away,
-            Level.Effects cut,
+            ZoneFailover.Effects away,
+            LoadSheddingLevel.Effects cut,
             Faults faults) {
-        zones = new Zones(me, zone, zoneCount, warm, away, faults.zones);
-        trials = new Trials(me, period, zones::othersTry, faults.trials);
-        level = new Level(me, goal, cut, faults.level);
+        zones = new ZoneFailover(me, zone, zoneCount, warm, away, faults.zones);
+        trials = new ProbeCoordinator(me, period, zones::othersTry, faults.trials);
+        level = new LoadSheddingLevel(me, goal, cut, faults.level);
     }
 
     /** Who is here. */
@@ -95,7 +101,7 @@
      * Works all of it out, each tenth of a second or so, from what this manager was asked for and
      * the others told.
      */
-    public void look(long now, Demand demand) {
+    public void look(long now, DemandHistogram demand) {
         trials.look(now);
         level.measure(now, demand);
         level.sees(zones.mine(), zones.sees(now), zones.orders());
@@ -105,24 +111,24 @@
 
     /** What this manager tells with each message of the membership. */
     public byte[] digest(long now) {
-        List<Words.Word> words = trials.words(now);
-        return Words.write(words, level.rows(now, Words.rows(words.size())));
+        List<OverloadDigest.Word> words = trials.words(now);
+        return OverloadDigest.write(words, level.rows(now, OverloadDigest.rows(words.size())));
     }
 
     /** What another told; what can't be read says nothing. */
     public void digested(long now, String from, byte[] digest) {
-        Words.Told told = Words.read(digest);
+        OverloadDigest.Told told = OverloadDigest.read(digest);
         trials.heard(now, from, told.words());
         level.heard(now, told.rows());
     }
 
     /** An operator's order on a zone. */
-    public void order(long now, int zone, Zones.Order order) {
+    public void order(long now, int zone, ZoneFailover.Order order) {
         zones.order(now, zone, order);
     }
 
     /** By zone, what operators want. */
-    public Map<Integer, Zones.Order> ordered() {
+    public Map<Integer, ZoneFailover.Order> ordered() {
         return zones.ordered();
     }
 
--- a/src/main/java/firstage/failover/Zones.java
+++ b/src/main/java/firstage/failover/ZoneFailover.java
@@ -1,7 +1,7 @@
 package firstage.failover;
 
-import firstage.overload.Level;
-import firstage.overload.Rendezvous;
+import firstage.overload.LoadSheddingLevel;
+import firstage.overload.RendezvousHash;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
@@ -24,7 +24,7 @@
  * stay in use: if all is bad, leaving makes it worse. Who stood still or was cut off has no voice
  * until it looked around again. Times are tenths of a millisecond.
  */
-public final class Zones {
+public final class ZoneFailover {
     /** What is told of a zone that one knows nothing of. */
     public static final int UNKNOWN = 255;
 
@@ -165,7 +165,7 @@
     private long blindUntil = Long.MIN_VALUE / 4;
 
     /** {@code mine}: this manager's zone; {@code warm}: how long engines take to warm up. */
-    public Zones(String me, int mine, int zones, long warm, Effects effects, Fault fault) {
+    public ZoneFailover(String me, int mine, int zones, long warm, Effects effects, Fault fault) {
         this.me = me;
         this.mine = mine;
         this.ramp = Math.max(LEAST_RAMP, warm);
@@ -200,7 +200,7 @@
 
     /**
      * The engine by itself is left to others to try, or no longer ({@link
-     * firstage.overload.Trials}).
+     * firstage.overload.ProbeCoordinator}).
      */
     public void othersTry(long engine, boolean others, boolean restIsOver) {
         Known k = engines.get(engine);
@@ -218,7 +218,7 @@
     /** An operator asked this manager; it tells the others, and each that hears it tells it on. */
     public void order(long now, int zone, Order order) {
         zones[zone].order = order;
-        zones[zone].orderedAt = Level.stamp(now);
+        zones[zone].orderedAt = LoadSheddingLevel.stamp(now);
     }
 
     /**
@@ -232,8 +232,8 @@
     }
 
     /** The later order counts: so one that was asked and started anew hears its own again. */
-    private void heed(List<Level.Row> rows) {
-        for (Level.Row r : rows) {
+    private void heed(List<LoadSheddingLevel.Row> rows) {
+        for (LoadSheddingLevel.Row r : rows) {
             for (int i = 0; i + 2 < r.orders().length && fault != Fault.ORDER_FORGOTTEN; i += 3) {
                 int zone = r.orders()[i];
                 int order = r.orders()[i + 1];
@@ -296,14 +296,14 @@
     }
 
     private boolean owns(long engine) {
-        return fault != Fault.NOBODY_TRIES && Rendezvous.before(engine, view, me) == 0;
+        return fault != Fault.NOBODY_TRIES && RendezvousHash.before(engine, view, me) == 0;
     }
 
     /**
      * Looks at all zones, each tenth of a second or so; {@code rows}: of all that are fresh, its
      * own included.
      */
-    public void look(long now, List<Level.Row> rows) {
+    public void look(long now, List<LoadSheddingLevel.Row> rows) {
         awake(now);
         heed(rows);
         boolean[] bad = new boolean[zones.length];
@@ -329,7 +329,7 @@
      * Whether most observers of most other zones, and of two where there are so many, hold it for
      * bad.
      */
-    private boolean bad(int zone, List<Level.Row> rows) {
+    private boolean bad(int zone, List<LoadSheddingLevel.Row> rows) {
         // Of one that was left only what is seen counts, not who is away.
         int also = zones[zone].state == State.IN ? LEFT : ALL;
         int voices = 0;
@@ -352,12 +352,12 @@
         return say >= needed && (2 * say > voices || fault == Fault.ONE_IS_ENOUGH);
     }
 
-    private static int sees(Level.Row row, int zone) {
+    private static int sees(LoadSheddingLevel.Row row, int zone) {
         return zone < row.bad().length ? row.bad()[zone] : UNKNOWN;
     }
 
     /** Whether those that try its engines find most of them well. */
-    private static boolean well(int zone, List<Level.Row> rows) {
+    private static boolean well(int zone, List<LoadSheddingLevel.Row> rows) {
         int[] told =
                 rows.stream()
                         .mapToInt(r -> sees(r, zone))
@@ -367,7 +367,7 @@
         return told.length > 0 && Arrays.stream(told).average().orElse(ALL) <= WELL;
     }
 
-    private void look(long now, int at, boolean bad, List<Level.Row> rows) {
+    private void look(long now, int at, boolean bad, List<LoadSheddingLevel.Row> rows) {
         Zone z = zones[at];
         boolean well = well(at, rows);
         z.badSince = !bad ? -1 : z.badSince < 0 ? now : z.badSince;
@@ -431,7 +431,7 @@
 
     /** This manager's place on the way back to a zone, from 0 to 1. */
     private double place(int zone) {
-        return (double) Rendezvous.before(zone, view, me) / Math.max(1, view.size());
+        return (double) RendezvousHash.before(zone, view, me) / Math.max(1, view.size());
     }
 
     /** By zone, what operators want. */
--- a/src/main/java/firstage/faulttest/YardRun.java
+++ b/src/main/java/firstage/faulttest/FaultTestRun.java
@@ -1,21 +1,21 @@
 package firstage.faulttest;
 
-import firstage.emulator.Coordinator;
-import firstage.emulator.Crowd;
-import firstage.emulator.EngineServer;
-import firstage.emulator.Relay;
-import firstage.emulator.Stage;
-import firstage.emulator.Way;
-import firstage.policy.api.EngineList.Standing;
+import firstage.emulator.EmulatedCoordinator;
+import firstage.emulator.EmulatedEngine;
+import firstage.emulator.FaultInjectingProxy;
+import firstage.emulator.LinkFaults;
+import firstage.emulator.LoadGenerator;
+import firstage.emulator.RealTimeLoop;
+import firstage.policy.api.EndpointUpdate.Standing;
 import firstage.simulation.EngineModel;
-import firstage.simulation.FleetFault;
 import firstage.simulation.FleetPlan;
 import firstage.simulation.FleetPlan.Fault;
-import firstage.simulation.RuleWatch;
-import firstage.simulation.RuleWatch.Try;
+import firstage.simulation.InvalidPlanException;
+import firstage.simulation.RandomStreams;
+import firstage.simulation.RuleChecker;
+import firstage.simulation.RuleChecker.Try;
 import firstage.simulation.Scoreboard;
-import firstage.simulation.Streams;
-import firstage.simulation.Work;
+import firstage.simulation.TrueRequest;
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.nio.file.Files;
@@ -37,7 +37,8 @@
 /**
  * One run: processes, stand-ins and ways set up, the plan's faults played, what came of it told.
  */
-public final class YardRun implements AutoCloseable, Crowd.Witness, EngineServer.Witness {
+public final class FaultTestRun
+        implements AutoCloseable, LoadGenerator.Witness, EmulatedEngine.Witness {
     /**
      * The page's 50 ms, and what the stand-ins' own threads may be late; tenths of a millisecond.
      */
@@ -96,29 +97,29 @@
 
     private final Order order;
     private final FleetPlan plan;
-    private final Streams streams;
+    private final RandomStreams streams;
     private final ServerSocket lock;
-    private final Addresses at;
-    private final Stage stage;
-    private final Relay relay;
-    private final RuleWatch rules;
-    private final Managers managers;
-    private final Recording recording;
-    private final List<EngineServer> engines = new ArrayList<>();
-    private final List<Coordinator> coordinators = new ArrayList<>();
-    private final Relay.Door[][] doors;
-    private final Way[][] toEngine;
-    private final Way[][] fromEngine;
-    private final Way[][] toPeer;
+    private final LoopbackAddresses at;
+    private final RealTimeLoop stage;
+    private final FaultInjectingProxy relay;
+    private final RuleChecker rules;
+    private final ManagerProcesses managers;
+    private final RunRecorder recording;
+    private final List<EmulatedEngine> engines = new ArrayList<>();
+    private final List<EmulatedCoordinator> coordinators = new ArrayList<>();
+    private final FaultInjectingProxy.Door[][] doors;
+    private final LinkFaults[][] toEngine;
+    private final LinkFaults[][] fromEngine;
+    private final LinkFaults[][] toPeer;
     private final boolean[] meant;
     private final ExecutorService helpers =
             Executors.newCachedThreadPool(
                     r -> {
-                        Thread thread = new Thread(r, "yard");
+                        Thread thread = new Thread(r, "fault-test");
                         thread.setDaemon(true);
                         return thread;
                     });
-    private Crowd crowd;
+    private LoadGenerator crowd;
     private Scoreboard score;
     private long began = Long.MAX_VALUE / 2;
     private final List<String> crashed = new ArrayList<>();
@@ -126,7 +127,7 @@
     /** What of a plan can't be played here; the message names line and cure. */
     public static void check(FleetPlan plan) {
         if (!plan.troubles().isEmpty()) {
-            throw new FleetFault(
+            throw new InvalidPlanException(
                     0,
                     "[[trouble]] is for the fleet model; write [[fault]] for what the yard plays");
         }
@@ -135,7 +136,7 @@
         known.addAll(OWN);
         for (FleetPlan.Expect x : plan.expects()) {
             if (!known.contains(x.figure())) {
-                throw new FleetFault(
+                throw new InvalidPlanException(
                         x.line(),
                         "expect: no figure '"
                                 + x.figure()
@@ -145,39 +146,39 @@
         }
     }
 
-    private YardRun(Order order) throws IOException {
+    private FaultTestRun(Order order) throws IOException {
         this.order = order;
         plan = order.plan;
-        streams = new Streams(order.seed);
+        streams = new RandomStreams(order.seed);
         int m = plan.managers().count();
         int e = plan.engines().count();
-        lock = Addresses.hold();
-        at = new Addresses(lock.getLocalPort());
+        lock = LoopbackAddresses.hold();
+        at = new LoopbackAddresses(lock.getLocalPort());
         Files.createDirectories(order.folder);
-        recording = new Recording(order.folder);
-        stage = new Stage();
-        relay = new Relay(streams.of("relay", 0));
-        rules = new RuleWatch(plan, SLACK, SEEN_LATER);
+        recording = new RunRecorder(order.folder);
+        stage = new RealTimeLoop();
+        relay = new FaultInjectingProxy(streams.of("relay", 0));
+        rules = new RuleChecker(plan, SLACK, SEEN_LATER);
         managers =
-                new Managers(
+                new ManagerProcesses(
                         order.folder,
-                        Managers.notes().resolve(at.port() + ".held"),
+                        ManagerProcesses.notes().resolve(at.port() + ".held"),
                         command(order),
                         m);
-        doors = new Relay.Door[m][e];
-        toEngine = new Way[m][e];
-        fromEngine = new Way[m][e];
-        toPeer = new Way[m][m];
+        doors = new FaultInjectingProxy.Door[m][e];
+        toEngine = new LinkFaults[m][e];
+        fromEngine = new LinkFaults[m][e];
+        toPeer = new LinkFaults[m][m];
         meant = new boolean[m];
     }
 
     private static List<String> command(Order order) {
-        return Managers.command(order.run, order.jar);
+        return ManagerProcesses.command(order.run, order.jar);
     }
 
     /** Plays it to its end; all processes that it started have ended when it returns. */
     public static Result play(Order order) throws IOException {
-        try (YardRun run = new YardRun(order)) {
+        try (FaultTestRun run = new FaultTestRun(order)) {
             return run.play();
         }
     }
@@ -215,7 +216,7 @@
                         () -> {
                             score = new Scoreboard(plan, stage.calendar().now());
                             crowd =
-                                    new Crowd(
+                                    new LoadGenerator(
                                             stage,
                                             plan,
                                             streams,
@@ -275,7 +276,7 @@
             engines.add(
                     on(
                             () ->
-                                    new EngineServer(
+                                    new EmulatedEngine(
                                             stage,
                                             plan,
                                             number,
@@ -295,7 +296,7 @@
                                 at.engine(e),
                                 toEngine[m][e],
                                 fromEngine[m][e]);
-                doors[m][e].answers(Relay.Answer.OPEN, false);
+                doors[m][e].answers(FaultInjectingProxy.Answer.OPEN, false);
             }
             for (int p = 0; p < count; p++) {
                 toPeer[m][p] = relay.way();
@@ -314,11 +315,15 @@
         }
         relay.start();
         for (int m = 0; m < count; m++) {
-            coordinators.add(new Coordinator(at.coordinator(m)));
-            Wiring.config(
-                    Managers.config(order.folder, m), plan, at, m, streams.seed("manager", m));
+            coordinators.add(new EmulatedCoordinator(at.coordinator(m)));
+            ManagerConfigWriter.config(
+                    ManagerProcesses.config(order.folder, m),
+                    plan,
+                    at,
+                    m,
+                    streams.seed("manager", m));
             if (order.peers) {
-                Wiring.peers(Managers.peers(order.folder, m), plan, at, m);
+                ManagerConfigWriter.peers(ManagerProcesses.peers(order.folder, m), plan, at, m);
             }
         }
     }
@@ -406,7 +411,7 @@
                     struck.forEach(
                             e -> {
                                 engines.get(e).becomes(EngineModel.Standing.DRAINING);
-                                doors(e, Relay.Answer.REFUSES, false);
+                                doors(e, FaultInjectingProxy.Answer.REFUSES, false);
                                 tell(e, Standing.LEAVING, 0, 1, chance);
                                 stage.calendar()
                                         .in(
@@ -525,8 +530,8 @@
                                         }));
     }
 
-    private void doors(int e, Relay.Answer answer, boolean resets) {
-        for (Relay.Door[] each : doors) {
+    private void doors(int e, FaultInjectingProxy.Answer answer, boolean resets) {
+        for (FaultInjectingProxy.Door[] each : doors) {
             each[e].answers(answer, resets);
         }
     }
@@ -536,7 +541,10 @@
         engines.get(e).becomes(how);
         recording.event(since(), "engine", "engine", e, "is", how.name().toLowerCase(Locale.ROOT));
         boolean silent = how == EngineModel.Standing.SILENT;
-        doors(e, silent ? Relay.Answer.SILENT : Relay.Answer.REFUSES, !silent);
+        doors(
+                e,
+                silent ? FaultInjectingProxy.Answer.SILENT : FaultInjectingProxy.Answer.REFUSES,
+                !silent);
         tell(e, Standing.LEFT, 0, later, chance);
         stage.calendar()
                 .in(
@@ -544,7 +552,7 @@
                         () -> {
                             engines.get(e).becomes(EngineModel.Standing.UP);
                             recording.event(since(), "engine", "engine", e, "is", "up");
-                            doors(e, Relay.Answer.OPEN, silent);
+                            doors(e, FaultInjectingProxy.Answer.OPEN, silent);
                             tell(e, Standing.ACTIVE, stage.calendar().now(), 1, chance);
                         });
     }
@@ -570,7 +578,7 @@
                                             .get(manager)
                                             .tell(
                                                     List.of(
-                                                            new Coordinator.Listed(
+                                                            new EmulatedCoordinator.Listed(
                                                                     e + 1,
                                                                     at.engineFrom(manager, e),
                                                                     state,
@@ -584,7 +592,7 @@
         }
     }
 
-    private void onWays(Fault f, RandomGenerator chance, BiConsumer<Way, Boolean> does) {
+    private void onWays(Fault f, RandomGenerator chance, BiConsumer<LinkFaults, Boolean> does) {
         List<Integer> from = f.who().among(plan, chance);
         List<Integer> to = f.to().among(plan, chance);
         ways(f, from, to, way -> does.accept(way, false));
@@ -604,7 +612,7 @@
                         });
     }
 
-    private void ways(Fault f, List<Integer> from, List<Integer> to, Consumer<Way> does) {
+    private void ways(Fault f, List<Integer> from, List<Integer> to, Consumer<LinkFaults> does) {
         boolean fromEngines = f.who().isEngines();
         boolean toEngines = f.to().isEngines();
         for (int a : from) {
@@ -629,7 +637,7 @@
 
     // ---- What is seen.
     @Override
-    public void asked(Work is, int manager) {
+    public void asked(TrueRequest is, int manager) {
         double utility = plan.groups().get(is.group).utility();
         recording.add(since(), "asked " + plan.zones().get(plan.zoneOf(manager)), utility);
         recording.add(since(), "asked", utility);
@@ -817,11 +825,11 @@
         if (crowd != null) {
             crowd.close();
         }
-        for (Coordinator c : coordinators) {
+        for (EmulatedCoordinator c : coordinators) {
             c.close();
         }
         relay.close();
-        for (EngineServer e : engines) {
+        for (EmulatedEngine e : engines) {
             e.close();
         }
         helpers.shutdownNow();
--- a/src/main/java/firstage/faulttest/Addresses.java
+++ b/src/main/java/firstage/faulttest/LoopbackAddresses.java
@@ -8,7 +8,7 @@
  * Who is where, all on loopback and all on one port, so that two yards at once need only another
  * port. A manager and what it reaches by a way of its own share the second number of the address.
  */
-public record Addresses(int port) {
+public record LoopbackAddresses(int port) {
     private static final int FIRST = 21_000;
     private static final int STEP = 3;
     private static final int TRIES = 2_000;
--- a/src/main/java/firstage/faulttest/Wiring.java
+++ b/src/main/java/firstage/faulttest/ManagerConfigWriter.java
@@ -19,17 +19,17 @@
  * Writes what each manager is told at its start: its configuration by the platform's page, and its
  * peers.
  */
-public final class Wiring {
+public final class ManagerConfigWriter {
     private static final double SECOND = 10_000;
 
-    private Wiring() {}
+    private ManagerConfigWriter() {}
 
     static String engineId(int e) {
         return String.format(Locale.ROOT, "s-%08x", e + 1);
     }
 
     /** Its configuration; the seed differs by manager and run. */
-    static void config(Path file, FleetPlan plan, Addresses at, int m, long seed)
+    static void config(Path file, FleetPlan plan, LoopbackAddresses at, int m, long seed)
             throws IOException {
         config(
                 file,
@@ -67,14 +67,14 @@
         try (JsonGenerator out = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
             out.writeStartObject();
             out.writeStringField("name", of.name);
-            out.writeStringField("listen", Addresses.text(of.listen));
+            out.writeStringField("listen", LoopbackAddresses.text(of.listen));
             out.writeStringField("seed", Long.toHexString(seed));
             out.writeObjectFieldStart("limits");
             out.writeNumberField("memory_mb", 192);
             out.writeNumberField("sockets", sockets);
             out.writeEndObject();
             if (of.coordinator != null) {
-                out.writeStringField("coordinator", Addresses.text(of.coordinator));
+                out.writeStringField("coordinator", LoopbackAddresses.text(of.coordinator));
             }
             known(out, plan, of.engine);
             settings(out, plan, of.rank, of.zone);
@@ -97,7 +97,7 @@
         for (int e = 0; e < plan.engines().count(); e++) {
             out.writeStartObject();
             out.writeStringField("instanceId", engineId(e));
-            out.writeStringField("hostPort", Addresses.text(engine.apply(e)));
+            out.writeStringField("hostPort", LoopbackAddresses.text(engine.apply(e)));
             out.writeStringField("zone", plan.zones().get(plan.zoneOf(e)));
             out.writeStringField("machineType", "std");
             out.writeNumberField("cell", 0);
@@ -207,11 +207,11 @@
     }
 
     /** Its peers, each at the address at which this one reaches it. */
-    static void peers(Path file, FleetPlan plan, Addresses at, int m) throws IOException {
+    static void peers(Path file, FleetPlan plan, LoopbackAddresses at, int m) throws IOException {
         List<String> lines = new ArrayList<>();
         lines.add("fleet = \"" + plan.name() + "\"");
         lines.add("name = \"m" + m + "\"");
-        lines.add("listen = \"" + Addresses.text(at.mail(m)) + "\"");
+        lines.add("listen = \"" + LoopbackAddresses.text(at.mail(m)) + "\"");
         lines.add("probe = \"200 ms\"");
         CellPlan cells = plan.cells();
         if (cells != null) {
@@ -234,18 +234,18 @@
                 lines.add("");
                 lines.add("[[peer]]");
                 lines.add("name = \"m" + p + "\"");
-                lines.add("address = \"" + Addresses.text(at.peerFrom(m, p)) + "\"");
+                lines.add("address = \"" + LoopbackAddresses.text(at.peerFrom(m, p)) + "\"");
             }
         }
         Files.write(file, lines);
     }
 
     /** The managers of a cell, each at the address at which this one reaches it. */
-    private static String hosts(FleetPlan plan, Addresses at, int m, int cell) {
+    private static String hosts(FleetPlan plan, LoopbackAddresses at, int m, int cell) {
         return IntStream.range(0, plan.managers().count())
                 .filter(p -> plan.cellOf(p) == cell)
                 .mapToObj(p -> p == m ? at.mail(m) : at.peerFrom(m, p))
-                .map(address -> "\"" + Addresses.text(address) + "\"")
+                .map(address -> "\"" + LoopbackAddresses.text(address) + "\"")
                 .collect(Collectors.joining(", "));
     }
 }
--- a/src/main/java/firstage/faulttest/Managers.java
+++ b/src/main/java/firstage/faulttest/ManagerProcesses.java
@@ -17,7 +17,7 @@
  * The processes of the program: started, signalled, ended by id, also when the tool itself is
  * interrupted.
  */
-public final class Managers implements AutoCloseable {
+public final class ManagerProcesses implements AutoCloseable {
     private static final int READY_MS = 20_000;
     private static final int LAST_LINES = 8;
     private final List<Process> processes = new ArrayList<>();
@@ -28,7 +28,7 @@
     private final Thread hook = new Thread(this::endAll, "end of the yard");
 
     /** {@code command}: what starts a manager; its configuration is named by the environment. */
-    public Managers(Path folder, Path held, List<String> command, int count) {
+    public ManagerProcesses(Path folder, Path held, List<String> command, int count) {
         this.folder = folder;
         this.held = held;
         this.command = command;
@@ -123,7 +123,7 @@
         for (Path each : all) {
             List<ProcessHandle> alive =
                     Files.readAllLines(each).stream()
-                            .map(Managers::find)
+                            .map(ManagerProcesses::find)
                             .flatMap(Optional::stream)
                             .toList();
             List<String> lines = Files.readAllLines(each);
@@ -178,7 +178,7 @@
         try {
             HttpURLConnection c =
                     (HttpURLConnection)
-                            URI.create("http://" + Addresses.text(at) + "/alive")
+                            URI.create("http://" + LoopbackAddresses.text(at) + "/alive")
                                     .toURL()
                                     .openConnection();
             c.setConnectTimeout(200);
--- a/src/main/java/firstage/faulttest/Leftovers.java
+++ b/src/main/java/firstage/faulttest/OrphanedProcesses.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /** What a yard that was killed left behind. */
-public final class Leftovers {
-    private Leftovers() {}
+public final class OrphanedProcesses {
+    private OrphanedProcesses() {}
 
     /** Ends the processes that it had started, by id and time of start, and says which. */
     public static List<String> sweep() throws IOException {
-        return Managers.sweep(Managers.notes());
+        return ManagerProcesses.sweep(ManagerProcesses.notes());
     }
 }
--- a/src/main/java/firstage/faulttest/Recording.java
+++ b/src/main/java/firstage/faulttest/RunRecorder.java
@@ -21,7 +21,7 @@
  * What happened, as files: a line of JSON for each event, a row for each second, charts. One
  * thread.
  */
-final class Recording implements AutoCloseable {
+final class RunRecorder implements AutoCloseable {
     private static final int WIDE = 1_000;
     private static final int HIGH = 420;
     private final Path folder;
@@ -34,7 +34,7 @@
     private final Map<String, Integer> names = new TreeMap<>();
     private final Map<String, Double> sums = new TreeMap<>();
 
-    Recording(Path folder) throws IOException {
+    RunRecorder(Path folder) throws IOException {
         this.folder = folder;
         Files.createDirectories(folder);
         lines = Files.newBufferedWriter(folder.resolve("timeline.jsonl"));
--- a/src/main/java/firstage/lifecycle/TakingOrder.java
+++ b/src/main/java/firstage/lifecycle/ArrivalSequencer.java
@@ -18,12 +18,12 @@
  *     <td>tell the first, turn known</td></tr>
  * </table>
  */
-public final class TakingOrder<B> {
+public final class ArrivalSequencer<B> {
     /** Carries the effects out. */
     public interface Carrier<B> {
         /**
-         * To be answered by {@link TakingOrder#passed} once all that has come until now is read and
-         * told.
+         * To be answered by {@link ArrivalSequencer#passed} once all that has come until now is
+         * read and told.
          */
         void barrier(Object key);
 
@@ -34,7 +34,7 @@
     private final Carrier<B> carrier;
     private final Map<Object, B> unsettled = new HashMap<>();
 
-    public TakingOrder(Carrier<B> carrier) {
+    public ArrivalSequencer(Carrier<B> carrier) {
         this.carrier = carrier;
     }
 
--- a/src/main/java/firstage/lifecycle/DispatchLife.java
+++ b/src/main/java/firstage/lifecycle/AttemptStateMachine.java
@@ -1,6 +1,6 @@
 package firstage.lifecycle;
 
-import firstage.policy.api.Outcome;
+import firstage.policy.api.AttemptOutcome;
 import java.util.EnumMap;
 import java.util.Map;
 
@@ -19,7 +19,7 @@
  * <p>Times are tenths of a millisecond. Every call is an event; effects go out by {@link Carrier},
  * which may call back at once only where said.
  */
-public final class DispatchLife {
+public final class AttemptStateMachine {
     /**
      * An engine ends by itself what nobody asked for in 2 s. Our last call may have been held there
      * for 250 ms first. What ends of itself meanwhile is out until that is written, which nobody
@@ -95,7 +95,7 @@
         long limit();
 
         /** It is over; the engine may hold it for {@code rest} more. Called once. */
-        void ended(Outcome how, long rest);
+        void ended(AttemptOutcome how, long rest);
 
         /** Nothing more is called for it, now or later. Called once, after {@link #ended}. */
         void done();
@@ -190,11 +190,12 @@
         HELD
     }
 
-    private record Row(State state, Event event, State next, Effect effect, Outcome how) {}
+    private record Row(State state, Event event, State next, Effect effect, AttemptOutcome how) {}
 
     private static final Map<State, Map<Event, Row>> TABLE = new EnumMap<>(State.class);
 
-    private static void row(State state, Event event, State next, Effect effect, Outcome how) {
+    private static void row(
+            State state, Event event, State next, Effect effect, AttemptOutcome how) {
         TABLE.computeIfAbsent(state, s -> new EnumMap<>(Event.class))
                 .put(event, new Row(state, event, next, effect, how));
     }
@@ -204,50 +205,60 @@
         // Not written: an engine never ran it, whatever happens.
         row(State.NEW, Event.WRITTEN, State.POSTING, Effect.NONE, null);
         row(State.NEW, Event.RESET, State.NEW, Effect.POST, null);
-        row(State.NEW, Event.TOO_MANY, State.OVER, Effect.SURE, Outcome.NO_CONNECTION);
-        row(State.NEW, Event.UNREACHED, State.OVER, Effect.SURE, Outcome.NO_CONNECTION);
-        row(State.NEW, Event.UNSENT, State.OVER, Effect.SURE, Outcome.NOT_SENT);
+        row(State.NEW, Event.TOO_MANY, State.OVER, Effect.SURE, AttemptOutcome.NO_CONNECTION);
+        row(State.NEW, Event.UNREACHED, State.OVER, Effect.SURE, AttemptOutcome.NO_CONNECTION);
+        row(State.NEW, Event.UNSENT, State.OVER, Effect.SURE, AttemptOutcome.NOT_SENT);
         // Told after what is at hand: it may be a decision that gives it up.
         row(State.NEW, Event.GIVE_UP, State.DROPPED, Effect.NEXT, null);
-        row(State.DROPPED, Event.DUE, State.OVER, Effect.SURE, Outcome.NOT_SENT);
+        row(State.DROPPED, Event.DUE, State.OVER, Effect.SURE, AttemptOutcome.NOT_SENT);
         // Written, and not answered for.
         row(State.POSTING, Event.NEWS, State.RUNNING, Effect.ASK, null);
         row(State.POSTING, Event.PAGE, State.FETCHING, Effect.FETCH, null);
-        row(State.POSTING, Event.LAST, State.OVER, Effect.SURE, Outcome.RETURNED);
-        row(State.POSTING, Event.TURNED_AWAY, State.OVER, Effect.SURE, Outcome.TURNED_AWAY);
-        row(State.POSTING, Event.ERROR, State.ENDING, Effect.CONFIRM, Outcome.ERRORED);
+        row(State.POSTING, Event.LAST, State.OVER, Effect.SURE, AttemptOutcome.RETURNED);
+        row(State.POSTING, Event.TURNED_AWAY, State.OVER, Effect.SURE, AttemptOutcome.TURNED_AWAY);
+        row(State.POSTING, Event.ERROR, State.ENDING, Effect.CONFIRM, AttemptOutcome.ERRORED);
         row(State.POSTING, Event.LOST, State.UNHEARD, Effect.ASK_AGAIN, null);
-        row(State.POSTING, Event.TOO_MANY, State.ENDING_BLIND, Effect.END_IT, Outcome.ERRORED);
+        row(
+                State.POSTING,
+                Event.TOO_MANY,
+                State.ENDING_BLIND,
+                Effect.END_IT,
+                AttemptOutcome.ERRORED);
         row(State.POSTING, Event.GIVE_UP, State.ENDING_BLIND, Effect.END_IT, null);
         // Its answer was lost. The statement may lie unread: that the engine does not know it
         // proves nothing.
         row(State.UNHEARD, Event.NEWS, State.RUNNING, Effect.ASK, null);
         row(State.UNHEARD, Event.PAGE, State.FETCHING, Effect.FETCH, null);
-        row(State.UNHEARD, Event.LAST, State.OVER, Effect.SURE, Outcome.RETURNED);
-        row(State.UNHEARD, Event.TURNED_AWAY, State.OVER, Effect.SURE, Outcome.TURNED_AWAY);
-        row(State.UNHEARD, Event.ERROR, State.ENDING_BLIND, Effect.END_IT, Outcome.ERRORED);
+        row(State.UNHEARD, Event.LAST, State.OVER, Effect.SURE, AttemptOutcome.RETURNED);
+        row(State.UNHEARD, Event.TURNED_AWAY, State.OVER, Effect.SURE, AttemptOutcome.TURNED_AWAY);
+        row(State.UNHEARD, Event.ERROR, State.ENDING_BLIND, Effect.END_IT, AttemptOutcome.ERRORED);
         row(State.UNHEARD, Event.LOST, State.UNHEARD, Effect.ASK_AGAIN, null);
-        row(State.UNHEARD, Event.GONE, State.OVER, Effect.HELD, Outcome.BROKEN);
-        row(State.UNHEARD, Event.TOO_MANY, State.ENDING_BLIND, Effect.END_IT, Outcome.ERRORED);
+        row(State.UNHEARD, Event.GONE, State.OVER, Effect.HELD, AttemptOutcome.BROKEN);
+        row(
+                State.UNHEARD,
+                Event.TOO_MANY,
+                State.ENDING_BLIND,
+                Effect.END_IT,
+                AttemptOutcome.ERRORED);
         row(State.UNHEARD, Event.GIVE_UP, State.ENDING_BLIND, Effect.END_IT, null);
         // The engine has it.
         row(State.RUNNING, Event.NEWS, State.RUNNING, Effect.ASK, null);
         row(State.RUNNING, Event.PAGE, State.FETCHING, Effect.FETCH, null);
-        row(State.RUNNING, Event.LAST, State.OVER, Effect.SURE, Outcome.RETURNED);
-        row(State.RUNNING, Event.TURNED_AWAY, State.OVER, Effect.SURE, Outcome.TURNED_AWAY);
-        row(State.RUNNING, Event.ERROR, State.ENDING, Effect.CONFIRM, Outcome.ERRORED);
+        row(State.RUNNING, Event.LAST, State.OVER, Effect.SURE, AttemptOutcome.RETURNED);
+        row(State.RUNNING, Event.TURNED_AWAY, State.OVER, Effect.SURE, AttemptOutcome.TURNED_AWAY);
+        row(State.RUNNING, Event.ERROR, State.ENDING, Effect.CONFIRM, AttemptOutcome.ERRORED);
         row(State.RUNNING, Event.LOST, State.RUNNING, Effect.ASK_AGAIN, null);
         // One that drains may refuse new connections and run on.
-        row(State.RUNNING, Event.GONE, State.OVER, Effect.HELD, Outcome.BROKEN);
-        row(State.RUNNING, Event.TOO_MANY, State.ENDING, Effect.END_IT, Outcome.ERRORED);
+        row(State.RUNNING, Event.GONE, State.OVER, Effect.HELD, AttemptOutcome.BROKEN);
+        row(State.RUNNING, Event.TOO_MANY, State.ENDING, Effect.END_IT, AttemptOutcome.ERRORED);
         row(State.RUNNING, Event.GIVE_UP, State.ENDING, Effect.END_IT, null);
         // It ended well there; only its pages can be lost.
         row(State.FETCHING, Event.PAGE, State.FETCHING, Effect.FETCH, null);
-        row(State.FETCHING, Event.LAST, State.OVER, Effect.SURE, Outcome.RETURNED);
-        row(State.FETCHING, Event.ERROR, State.OVER, Effect.SURE, Outcome.ERRORED);
+        row(State.FETCHING, Event.LAST, State.OVER, Effect.SURE, AttemptOutcome.RETURNED);
+        row(State.FETCHING, Event.ERROR, State.OVER, Effect.SURE, AttemptOutcome.ERRORED);
         row(State.FETCHING, Event.LOST, State.FETCHING, Effect.ASK_AGAIN, null);
-        row(State.FETCHING, Event.GONE, State.OVER, Effect.SURE, Outcome.BROKEN);
-        row(State.FETCHING, Event.TOO_MANY, State.ENDING, Effect.END_IT, Outcome.ERRORED);
+        row(State.FETCHING, Event.GONE, State.OVER, Effect.SURE, AttemptOutcome.BROKEN);
+        row(State.FETCHING, Event.TOO_MANY, State.ENDING, Effect.END_IT, AttemptOutcome.ERRORED);
         row(State.FETCHING, Event.GIVE_UP, State.ENDING, Effect.END_IT, null);
         // Given up, and the engine had answered for it: its answer to the DELETE, or any last word,
         // proves the end.
@@ -301,7 +312,7 @@
     private final Carrier carrier;
     private final boolean ordered;
     private State state = State.NEW;
-    private Outcome how;
+    private AttemptOutcome how;
     private boolean postOut;
 
     /** Of a DELETE that may be given again. */
@@ -331,7 +342,7 @@
      * {@code ordered}: others may wait for it to be over, so its end is proven where that costs a
      * call.
      */
-    public DispatchLife(Carrier carrier, boolean ordered) {
+    public AttemptStateMachine(Carrier carrier, boolean ordered) {
         this.carrier = carrier;
         this.ordered = ordered;
     }
@@ -426,7 +437,7 @@
      * Ends it with this outcome, once the engine has heard of it or can't hear in time: until then
      * it is out.
      */
-    public void giveUp(long now, Outcome as) {
+    public void giveUp(long now, AttemptOutcome as) {
         if (state != State.OVER && how == null) {
             how = as;
             on(now, Event.GIVE_UP);
--- a/src/main/java/firstage/lifecycle/CallLife.java
+++ b/src/main/java/firstage/lifecycle/ClientCallStateMachine.java
@@ -13,7 +13,7 @@
  * <p>Times are tenths of a millisecond. Effects go out by {@link Carrier}, which does not call back
  * before it returns.
  */
-public final class CallLife {
+public final class ClientCallStateMachine {
     /** A first call is held so long: as the engines hold theirs. */
     public static final long FIRST_HELD = 2_500;
 
@@ -39,7 +39,10 @@
         /** Answers all calls that are held with the batch's answer. */
         void give();
 
-        /** Sets the one timer, to be told by {@link CallLife#due}; the one before is void. */
+        /**
+         * Sets the one timer, to be told by {@link ClientCallStateMachine#due}; the one before is
+         * void.
+         */
         void arm(long delay);
 
         /** The timer is void. */
@@ -158,7 +161,7 @@
     private final Carrier carrier;
     private State state = State.FIRST;
 
-    public CallLife(Carrier carrier) {
+    public ClientCallStateMachine(Carrier carrier) {
         this.carrier = carrier;
     }
 
--- a/src/main/java/firstage/lifecycle/KeyWatch.java
+++ b/src/main/java/firstage/lifecycle/KeyOrderMonitor.java
@@ -11,7 +11,7 @@
  * earlier batch of its key is open, or a dispatch of another one is out or may be held by its
  * engine. It decides nothing; what it finds is a fault of ours. Times are tenths of a millisecond.
  */
-public final class KeyWatch {
+public final class KeyOrderMonitor {
     private static final class Line {
         private final List<Object> open = new ArrayList<>();
         private final Map<Object, Integer> out = new HashMap<>();
--- a/src/main/java/firstage/membership/Entry.java
+++ b/src/main/java/firstage/membership/Member.java
@@ -5,24 +5,24 @@
  * itself alone to deny a doubt; the higher one counts, of equal ones the worse standing. {@code
  * weight}: the share of traffic it wants, 1 is usual.
  */
-public record Entry(
+public record Member(
         String name,
         String zone,
         long incarnation,
-        Standing standing,
+        MemberState standing,
         String version,
         double weight) {
     /** Whether this says more than that: a newer life, or worse of the same. */
-    boolean overrides(Entry other) {
+    boolean overrides(Member other) {
         return incarnation > other.incarnation
                 || incarnation == other.incarnation && standing.compareTo(other.standing) > 0;
     }
 
-    Entry with(Standing next) {
-        return new Entry(name, zone, incarnation, next, version, weight);
+    Member with(MemberState next) {
+        return new Member(name, zone, incarnation, next, version, weight);
     }
 
-    Entry with(long next, Standing is) {
-        return new Entry(name, zone, next, is, version, weight);
+    Member with(long next, MemberState is) {
+        return new Member(name, zone, next, is, version, weight);
     }
 }
--- a/src/main/java/firstage/membership/Standing.java
+++ b/src/main/java/firstage/membership/MemberState.java
@@ -4,7 +4,7 @@
  * How a manager holds another: here, doubted (silent for now), gone (silent for good), or left by
  * intent.
  */
-public enum Standing {
+public enum MemberState {
     HERE,
     DOUBTED,
     GONE,
--- a/src/main/java/firstage/membership/Message.java
+++ b/src/main/java/firstage/membership/MembershipMessage.java
@@ -9,7 +9,7 @@
  * to a ping is such a word. {@code unheard}: whom the sender does not hear though others do. {@code
  * digest}: of the rooms above.
  */
-public record Message(
+public record MembershipMessage(
         String fleet,
         String from,
         long incarnation,
@@ -22,7 +22,7 @@
         boolean grants,
         List<String> lent,
         List<String> unheard,
-        List<Entry> entries,
+        List<Member> entries,
         byte[] digest) {
     /**
      * PING asks, ACK answers; ASK wants a third one asked, VOUCH says that it answered; SYNC tells
--- a/src/main/java/firstage/membership/Members.java
+++ b/src/main/java/firstage/membership/MembershipProtocol.java
@@ -22,7 +22,7 @@
  * shared with it; gone for good it is only after a silence longer than any pause that is borne.
  * Times are tenths of a millisecond of a clock that only goes forward.
  */
-public final class Members {
+public final class MembershipProtocol {
     // ---- Constants: unit, and why this size. Times are in tenths of a millisecond.
     private static final int HELPERS =
             3; // asked to probe in our place: one cut way or one lost message is borne
@@ -75,26 +75,26 @@
         RETURN
     }
 
-    private record Row(Standing state, Event event, Standing next, Effect effect) {}
+    private record Row(MemberState state, Event event, MemberState next, Effect effect) {}
 
     /**
      * State, event, next state, effect; what is not here changes nothing. Events that are told
      * carry no older life.
      */
     private static final Row[] TABLE = {
-        new Row(Standing.HERE, Event.UNANSWERED, Standing.DOUBTED, Effect.DOUBT),
-        new Row(Standing.HERE, Event.DOUBT_TOLD, Standing.DOUBTED, Effect.DOUBT),
-        new Row(Standing.HERE, Event.GONE_TOLD, Standing.GONE, Effect.TELL),
-        new Row(Standing.HERE, Event.LEFT_TOLD, Standing.LEFT, Effect.TELL),
-        new Row(Standing.HERE, Event.NEWER_HERE, Standing.HERE, Effect.TELL),
-        new Row(Standing.DOUBTED, Event.DOUBT_TOLD, Standing.DOUBTED, Effect.DOUBT),
-        new Row(Standing.DOUBTED, Event.GONE_TOLD, Standing.GONE, Effect.TELL),
-        new Row(Standing.DOUBTED, Event.LEFT_TOLD, Standing.LEFT, Effect.TELL),
-        new Row(Standing.DOUBTED, Event.NEWER_HERE, Standing.HERE, Effect.RETURN),
-        new Row(Standing.DOUBTED, Event.TIMED, Standing.GONE, Effect.TELL),
-        new Row(Standing.GONE, Event.LEFT_TOLD, Standing.LEFT, Effect.TELL),
-        new Row(Standing.GONE, Event.NEWER_HERE, Standing.HERE, Effect.RETURN),
-        new Row(Standing.LEFT, Event.NEWER_HERE, Standing.HERE, Effect.RETURN),
+        new Row(MemberState.HERE, Event.UNANSWERED, MemberState.DOUBTED, Effect.DOUBT),
+        new Row(MemberState.HERE, Event.DOUBT_TOLD, MemberState.DOUBTED, Effect.DOUBT),
+        new Row(MemberState.HERE, Event.GONE_TOLD, MemberState.GONE, Effect.TELL),
+        new Row(MemberState.HERE, Event.LEFT_TOLD, MemberState.LEFT, Effect.TELL),
+        new Row(MemberState.HERE, Event.NEWER_HERE, MemberState.HERE, Effect.TELL),
+        new Row(MemberState.DOUBTED, Event.DOUBT_TOLD, MemberState.DOUBTED, Effect.DOUBT),
+        new Row(MemberState.DOUBTED, Event.GONE_TOLD, MemberState.GONE, Effect.TELL),
+        new Row(MemberState.DOUBTED, Event.LEFT_TOLD, MemberState.LEFT, Effect.TELL),
+        new Row(MemberState.DOUBTED, Event.NEWER_HERE, MemberState.HERE, Effect.RETURN),
+        new Row(MemberState.DOUBTED, Event.TIMED, MemberState.GONE, Effect.TELL),
+        new Row(MemberState.GONE, Event.LEFT_TOLD, MemberState.LEFT, Effect.TELL),
+        new Row(MemberState.GONE, Event.NEWER_HERE, MemberState.HERE, Effect.RETURN),
+        new Row(MemberState.LEFT, Event.NEWER_HERE, MemberState.HERE, Effect.RETURN),
     };
 
     /** Carries the effects out; none of them calls back before it returns. */
@@ -103,10 +103,10 @@
          * To the peer at this place of the seeds; {@code kind}: of the message, for what counts
          * them.
          */
-        void send(int seed, Message.Kind kind, byte[] datagram);
+        void send(int seed, MembershipMessage.Kind kind, byte[] datagram);
 
         /** A new view is in force. */
-        void changed(long now, View view);
+        void changed(long now, MembershipView view);
 
         /** A line for the log: what, of whom, and why. */
         void note(long now, String what, String who, String why);
@@ -130,7 +130,7 @@
 
     /** What is known of one other. */
     private static final class Peer {
-        private Entry is;
+        private Member is;
         private int seed = -1;
         private long heardAt = Long.MIN_VALUE / 4;
         private long vouchedAt = Long.MIN_VALUE / 4;
@@ -176,12 +176,12 @@
     private final String fleet;
     private final Carrier carrier;
     private final RandomGenerator chance;
-    private final Codec codec;
+    private final MessageCodec codec;
     private final long period;
     private final int seeds;
     private final Fault fault;
-    private final Leases leases;
-    private Entry me;
+    private final QuotaLeases leases;
+    private Member me;
     private final TreeMap<String, Peer> peers = new TreeMap<>();
 
     /** By place of the seeds, who answered there last. */
@@ -194,7 +194,7 @@
             new PriorityQueue<>(Comparator.comparingLong(Map.Entry::getKey));
     private final Map<String, Long> refused = new TreeMap<>();
     private final ArrayDeque<String> order = new ArrayDeque<>();
-    private View view;
+    private MembershipView view;
     private long nextSeq;
     private long nextProbe;
     private long nextSync;
@@ -210,14 +210,14 @@
      * {@code me} with a standing of HERE; {@code seeds}: how many addresses peers may be at; {@code
      * period} between two probes. {@code leases} keeps who may use which part.
      */
-    public Members(
+    public MembershipProtocol(
             String fleet,
-            Entry me,
+            Member me,
             int seeds,
             long period,
             int most,
             RandomGenerator chance,
-            Leases leases,
+            QuotaLeases leases,
             Carrier carrier,
             Fault fault) {
         this.fleet = fleet;
@@ -228,13 +228,13 @@
         this.carrier = carrier;
         this.fault = fault;
         this.leases = leases;
-        codec = new Codec(most);
+        codec = new MessageCodec(most);
         atSeed = new String[seeds];
-        view = new View(0, hash(List.of(me.name())), List.of(me.name()));
+        view = new MembershipView(0, hash(List.of(me.name())), List.of(me.name()));
     }
 
     // ---- What is asked of it.
-    public View view() {
+    public MembershipView view() {
         return view;
     }
 
@@ -243,8 +243,8 @@
     }
 
     /** All that is known, this manager first. */
-    public List<Entry> entries() {
-        List<Entry> all = new ArrayList<>(List.of(me));
+    public List<Member> entries() {
+        List<Member> all = new ArrayList<>(List.of(me));
         peers.values().forEach(p -> all.add(p.is));
         return all;
     }
@@ -279,7 +279,9 @@
      */
     public String link(long now, String name) {
         Peer p = peers.get(name);
-        if (p == null || p.is.standing() == Standing.GONE || p.is.standing() == Standing.LEFT) {
+        if (p == null
+                || p.is.standing() == MemberState.GONE
+                || p.is.standing() == MemberState.LEFT) {
             return "none";
         }
         boolean deaf = now - p.heardAt > UNHEARD;
@@ -318,12 +320,12 @@
         while (!doubts.isEmpty() && doubts.peek().getKey() <= now) {
             Map.Entry<Long, String> due = doubts.poll();
             Peer p = peers.get(due.getValue());
-            if (p.is.standing() == Standing.DOUBTED && p.doubtedAt + GONE_AFTER <= now) {
+            if (p.is.standing() == MemberState.DOUBTED && p.doubtedAt + GONE_AFTER <= now) {
                 if (alone(now)) {
                     // Nobody answers: it is this manager that is cut off.
                     doubt(now, p);
                 } else {
-                    on(now, p, Event.TIMED, p.is.with(Standing.GONE), "not heard of again");
+                    on(now, p, Event.TIMED, p.is.with(MemberState.GONE), "not heard of again");
                 }
             }
         }
@@ -352,7 +354,7 @@
         }
         doubts.clear();
         peers.values().stream()
-                .filter(p -> p.is.standing() == Standing.DOUBTED)
+                .filter(p -> p.is.standing() == MemberState.DOUBTED)
                 .forEach(p -> doubt(now, p));
         me = me.with(me.incarnation() + 1, me.standing());
         rumour(me.name());
@@ -385,7 +387,7 @@
                         send(
                                 now,
                                 helper.seed,
-                                message(now, helper, Message.Kind.ASK, p.seq, p.target));
+                                message(now, helper, MembershipMessage.Kind.ASK, p.seq, p.target));
                     }
                 }
             } else if (p.helped && now - p.sent > 3 * patience() + period / 2) {
@@ -397,7 +399,7 @@
                             now,
                             of,
                             Event.UNANSWERED,
-                            of.is.with(Standing.DOUBTED),
+                            of.is.with(MemberState.DOUBTED),
                             "no answer, nor to " + HELPERS + " others");
                 }
             }
@@ -407,7 +409,7 @@
     // ---- Probing.
     private List<Peer> here() {
         return peers.values().stream()
-                .filter(p -> p.is.standing() == Standing.HERE && p.seed >= 0)
+                .filter(p -> p.is.standing() == MemberState.HERE && p.seed >= 0)
                 .toList();
     }
 
@@ -437,8 +439,8 @@
             for (int s = 0; s < seeds; s++) {
                 Peer at = atSeed[s] == null ? null : peers.get(atSeed[s]);
                 if (at == null
-                        || at.is.standing() == Standing.GONE
-                        || at.is.standing() == Standing.LEFT) {
+                        || at.is.standing() == MemberState.GONE
+                        || at.is.standing() == MemberState.LEFT) {
                     silent.add(s);
                 }
             }
@@ -461,8 +463,8 @@
                 Peer p = peers.get(order.poll());
                 if (p != null
                         && p.seed >= 0
-                        && (p.is.standing() == Standing.HERE
-                                || p.is.standing() == Standing.DOUBTED)) {
+                        && (p.is.standing() == MemberState.HERE
+                                || p.is.standing() == MemberState.DOUBTED)) {
                     return p;
                 }
             }
@@ -481,29 +483,32 @@
         Peer of = target == null ? null : peers.get(target);
         boolean judged =
                 of != null
-                        && (of.is.standing() == Standing.HERE
-                                || of.is.standing() == Standing.DOUBTED);
+                        && (of.is.standing() == MemberState.HERE
+                                || of.is.standing() == MemberState.DOUBTED);
         probes.put(p.seq, judged || asker != null ? p : new Probe(p.seq, null, seed, now, null, 0));
-        send(now, seed, message(now, of, Message.Kind.PING, p.seq, target == null ? "" : target));
+        send(
+                now,
+                seed,
+                message(now, of, MembershipMessage.Kind.PING, p.seq, target == null ? "" : target));
     }
 
     private void sync(long now) {
         List<Peer> one = somebody(now, 1, null);
         if (!one.isEmpty()) {
-            tellAll(now, one.get(0), Message.Kind.SYNC);
+            tellAll(now, one.get(0), MembershipMessage.Kind.SYNC);
         }
     }
 
     /** All that is known, in as many datagrams as it takes. */
-    private void tellAll(long now, Peer to, Message.Kind kind) {
-        List<Entry> all = entries();
+    private void tellAll(long now, Peer to, MembershipMessage.Kind kind) {
+        List<Member> all = entries();
         int room = codec.room(carrier.digest(now).length);
         for (int from = 0; from < all.size(); from += room) {
-            Message m = message(now, to, kind, 0, "");
+            MembershipMessage m = message(now, to, kind, 0, "");
             send(
                     now,
                     to.seed,
-                    new Message(
+                    new MembershipMessage(
                             m.fleet(),
                             m.from(),
                             m.incarnation(),
@@ -522,11 +527,12 @@
     }
 
     // ---- Messages.
-    private Message message(long now, Peer to, Message.Kind kind, long seq, String target) {
+    private MembershipMessage message(
+            long now, Peer to, MembershipMessage.Kind kind, long seq, String target) {
         long ago = to == null || to.heardAt < 0 ? -1 : Math.max(0, now - to.heardAt);
         byte[] digest = carrier.digest(now);
-        List<Entry> told = new ArrayList<>(List.of(me));
-        if (to != null && to.is.standing() != Standing.HERE) {
+        List<Member> told = new ArrayList<>(List.of(me));
+        if (to != null && to.is.standing() != MemberState.HERE) {
             // Whoever is doubted is told so first: it can deny it in its next word.
             told.add(to.is);
         }
@@ -535,7 +541,7 @@
         for (int i = 0; i < room && i < rumours.size() && !rumours.isEmpty(); i++) {
             Rumour r = rumours.poll();
             Peer of = peers.get(r.name);
-            Entry entry = of == null ? me : of.is;
+            Member entry = of == null ? me : of.is;
             if (!told.contains(entry)) {
                 told.add(entry);
             }
@@ -545,8 +551,11 @@
                 rumoured.remove(r.name, r);
             }
         }
-        boolean grants = kind == Message.Kind.ACK && to != null && leases.grants(now, to.is.name());
-        return new Message(
+        boolean grants =
+                kind == MembershipMessage.Kind.ACK
+                        && to != null
+                        && leases.grants(now, to.is.name());
+        return new MembershipMessage(
                 fleet,
                 me.name(),
                 me.incarnation(),
@@ -557,7 +566,7 @@
                 view.hash(),
                 ago,
                 grants,
-                kind == Message.Kind.ACK ? leases.lent(now) : List.of(),
+                kind == MembershipMessage.Kind.ACK ? leases.lent(now) : List.of(),
                 unheard(now),
                 told,
                 digest);
@@ -566,7 +575,7 @@
     private List<String> unheard(long now) {
         List<String> names = new ArrayList<>();
         for (Peer p : peers.values()) {
-            if (p.is.standing() == Standing.HERE
+            if (p.is.standing() == MemberState.HERE
                     && now - p.heardAt > UNHEARD
                     && now - p.vouchedAt < UNHEARD
                     && names.size() < 8) {
@@ -576,7 +585,7 @@
         return names;
     }
 
-    private void send(long now, int seed, Message m) {
+    private void send(long now, int seed, MembershipMessage m) {
         if (seed >= 0) {
             carrier.send(seed, m.kind(), codec.write(m));
         }
@@ -603,10 +612,10 @@
      * drops it.
      */
     public void received(long now, int seed, byte[] bytes) {
-        Message m;
+        MembershipMessage m;
         try {
             m = codec.read(bytes);
-        } catch (Codec.Unusable fault) {
+        } catch (MessageCodec.Unusable fault) {
             refuse(fault.getMessage());
             return;
         }
@@ -621,17 +630,17 @@
         Peer p = peers.get(m.from());
         if (p != null && m.incarnation() < p.is.incarnation()) {
             refuse("an older life");
-            if (now - p.heardAt > period && p.seed == seed && p.is.standing() != Standing.LEFT) {
+            if (now - p.heardAt > period && p.seed == seed && p.is.standing() != MemberState.LEFT) {
                 // A clock set back gives a restart an older life: it learns by this and goes
                 // beyond.
-                send(now, seed, message(now, p, Message.Kind.VOUCH, 0, m.from()));
+                send(now, seed, message(now, p, MembershipMessage.Kind.VOUCH, 0, m.from()));
             }
             return;
         }
         if (p != null
                 && p.seed >= 0
                 && p.seed != seed
-                && p.is.standing() == Standing.HERE
+                && p.is.standing() == MemberState.HERE
                 && now - p.heardAt < UNHEARD) {
             refuse("two of one name");
             carrier.note(
@@ -639,12 +648,12 @@
             return;
         }
         if (p == null) {
-            p = learn(now, new Entry(m.from(), "", m.incarnation(), Standing.HERE, "", 1));
+            p = learn(now, new Member(m.from(), "", m.incarnation(), MemberState.HERE, "", 1));
             if (p == null) {
                 return;
             }
         }
-        boolean wasLost = p.is.standing() == Standing.GONE;
+        boolean wasLost = p.is.standing() == MemberState.GONE;
         p.seed = seed;
         atSeed[seed] = m.from();
         p.heardAt = now;
@@ -653,13 +662,14 @@
         p.hash = m.hash();
         p.unheard = m.unheard();
         m.entries().forEach(e -> told(now, e));
-        if (wasLost && p.is.standing() == Standing.HERE) {
+        if (wasLost && p.is.standing() == MemberState.HERE) {
             // Two halves that were cut from each other meet: all that either knows is told at once.
-            tellAll(now, p, Message.Kind.SYNC);
+            tellAll(now, p, MembershipMessage.Kind.SYNC);
         }
         carrier.digested(now, m.from(), m.digest());
         switch (m.kind()) {
-            case PING -> send(now, seed, message(now, p, Message.Kind.ACK, m.seq(), m.from()));
+            case PING ->
+                    send(now, seed, message(now, p, MembershipMessage.Kind.ACK, m.seq(), m.from()));
             case ACK -> acked(now, p, m);
             case ASK -> {
                 Peer target = peers.get(m.target());
@@ -675,15 +685,15 @@
                     probes.remove(m.seq());
                 }
             }
-            case SYNC -> tellAll(now, p, Message.Kind.SYNC_BACK);
+            case SYNC -> tellAll(now, p, MembershipMessage.Kind.SYNC_BACK);
             case SYNC_BACK -> {}
         }
         if (m.view() > view.number() && m.hash() == view.hash()) {
-            view = new View(m.view(), view.hash(), view.names());
+            view = new MembershipView(m.view(), view.hash(), view.names());
         }
     }
 
-    private void acked(long now, Peer p, Message m) {
+    private void acked(long now, Peer p, MembershipMessage m) {
         Probe mine = probes.remove(m.seq());
         if (mine == null) {
             refuse("an answer to nothing");
@@ -694,12 +704,15 @@
         leases.answered(now, mine.sent, p.is.name(), m.grants(), m.lent());
         Peer asker = mine.asker == null ? null : peers.get(mine.asker);
         if (asker != null) {
-            send(now, asker.seed, message(now, asker, Message.Kind.VOUCH, mine.askerSeq, m.from()));
+            send(
+                    now,
+                    asker.seed,
+                    message(now, asker, MembershipMessage.Kind.VOUCH, mine.askerSeq, m.from()));
         }
     }
 
     // ---- What is told of members.
-    private Peer learn(long now, Entry e) {
+    private Peer learn(long now, Member e) {
         if (peers.size() >= MOST_MEMBERS) {
             refuse("too many members");
             return null;
@@ -707,7 +720,7 @@
         Peer p = new Peer();
         p.is = e;
         peers.put(e.name(), p);
-        if (e.standing() == Standing.DOUBTED) {
+        if (e.standing() == MemberState.DOUBTED) {
             doubt(now, p);
         }
         rumour(e.name());
@@ -726,10 +739,12 @@
         doubts.add(Map.entry(now + GONE_AFTER, p.is.name()));
     }
 
-    private void told(long now, Entry e) {
+    private void told(long now, Member e) {
         if (e.name().equals(me.name())) {
             boolean denies =
-                    e.standing() != Standing.HERE && e.incarnation() >= me.incarnation() && !leaving
+                    e.standing() != MemberState.HERE
+                                    && e.incarnation() >= me.incarnation()
+                                    && !leaving
                             || e.incarnation() > me.incarnation();
             if (denies && fault != Fault.DENIAL_IGNORED) {
                 me = me.with(e.incarnation() + 1, me.standing());
@@ -745,7 +760,7 @@
         }
         Peer p = peers.get(e.name());
         if (p == null) {
-            if (e.standing() == Standing.HERE || e.standing() == Standing.DOUBTED) {
+            if (e.standing() == MemberState.HERE || e.standing() == MemberState.DOUBTED) {
                 learn(now, e);
             }
             return;
@@ -755,7 +770,7 @@
                     && p.is.zone().isEmpty()
                     && !e.zone().isEmpty()) {
                 p.is =
-                        new Entry(
+                        new Member(
                                 e.name(),
                                 e.zone(),
                                 e.incarnation(),
@@ -778,10 +793,10 @@
                 "told");
     }
 
-    private void on(long now, Peer p, Event event, Entry e, String why) {
+    private void on(long now, Peer p, Event event, Member e, String why) {
         for (Row row : TABLE) {
             if (row.state == p.is.standing() && row.event == event) {
-                Standing before = p.is.standing();
+                MemberState before = p.is.standing();
                 p.is = e.with(row.next);
                 switch (row.effect) {
                     case NONE -> {}
@@ -797,7 +812,9 @@
                 }
                 if (before != row.next) {
                     leases.silent(
-                            now, e.name(), row.next == Standing.GONE || row.next == Standing.LEFT);
+                            now,
+                            e.name(),
+                            row.next == MemberState.GONE || row.next == MemberState.LEFT);
                     stirred(now);
                     carrier.note(
                             now, row.next.name().toLowerCase(java.util.Locale.ROOT), e.name(), why);
@@ -842,7 +859,7 @@
         List<String> names = new ArrayList<>(List.of(me.name()));
         peers.forEach(
                 (name, p) -> {
-                    if (p.is.standing() == Standing.HERE && p.outUntil <= now) {
+                    if (p.is.standing() == MemberState.HERE && p.outUntil <= now) {
                         names.add(name);
                     }
                 });
@@ -864,7 +881,7 @@
                         .max()
                         .orElse(0);
         view =
-                new View(
+                new MembershipView(
                         same > Math.max(view.number(), highest)
                                 ? same
                                 : Math.max(view.number(), highest) + 1,
@@ -880,10 +897,10 @@
     /** SIGTERM: it says so, a few times over; nobody takes it for dead. */
     public void leave(long now) {
         leaving = true;
-        me = me.with(me.incarnation() + 1, Standing.LEFT);
+        me = me.with(me.incarnation() + 1, MemberState.LEFT);
         rumour(me.name());
         for (Peer p : somebody(now, 2 * HELPERS, null)) {
-            send(now, p.seed, message(now, p, Message.Kind.PING, ++nextSeq, p.is.name()));
+            send(now, p.seed, message(now, p, MembershipMessage.Kind.PING, ++nextSeq, p.is.name()));
         }
     }
 }
--- a/src/main/java/firstage/membership/Codec.java
+++ b/src/main/java/firstage/membership/MessageCodec.java
@@ -14,7 +14,7 @@
  * end skipped, so that a newer program may tell more. What does not fit into a datagram is left
  * out: entries last, the oldest rumours first kept.
  */
-public final class Codec {
+public final class MessageCodec {
     /** The most that goes into one datagram: under the least MTU of IPv6 with its heads. */
     public static final int MOST = 1_200;
 
@@ -28,7 +28,7 @@
     private final int most;
 
     /** {@code most}: bytes a datagram may hold. */
-    public Codec(int most) {
+    public MessageCodec(int most) {
         this.most = most;
     }
 
@@ -47,7 +47,7 @@
     }
 
     /** The bytes, with as many entries as fit. */
-    public byte[] write(Message m) {
+    public byte[] write(MembershipMessage m) {
         for (int entries = Math.min(m.entries().size(), MOST_ENTRIES); ; entries--) {
             byte[] bytes = write(m, entries);
             if (bytes.length <= most || entries == 0) {
@@ -56,7 +56,7 @@
         }
     }
 
-    private byte[] write(Message m, int entries) {
+    private byte[] write(MembershipMessage m, int entries) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
         try (JsonGenerator g = cbor.createGenerator(out)) {
             g.writeStartArray();
@@ -74,7 +74,7 @@
             names(g, m.lent());
             names(g, m.unheard());
             g.writeStartArray();
-            for (Entry e : m.entries().subList(0, entries)) {
+            for (Member e : m.entries().subList(0, entries)) {
                 g.writeStartArray();
                 g.writeString(e.name());
                 g.writeString(e.zone());
@@ -104,7 +104,7 @@
     /**
      * Reads it; whatever is not whole and in form is refused with its cause in two or three words.
      */
-    public Message read(byte[] bytes) throws Unusable {
+    public MembershipMessage read(byte[] bytes) throws Unusable {
         if (bytes.length > most) {
             throw new Unusable("too long");
         }
@@ -118,7 +118,7 @@
             String from = text(in);
             long incarnation = whole(in);
             int kind = (int) whole(in);
-            need(kind >= 0 && kind < Message.Kind.values().length);
+            need(kind >= 0 && kind < MembershipMessage.Kind.values().length);
             long seq = whole(in);
             String target = text(in);
             long view = whole(in);
@@ -128,7 +128,7 @@
             need(grants == JsonToken.VALUE_TRUE || grants == JsonToken.VALUE_FALSE);
             List<String> lent = names(in);
             List<String> unheard = names(in);
-            List<Entry> entries = entries(in);
+            List<Member> entries = entries(in);
             need(in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
             byte[] digest = in.getBinaryValue();
             // What a newer form adds stands here; the array must end all the same.
@@ -139,11 +139,11 @@
                 more = in.nextToken();
             }
             need(in.nextToken() == null && !from.isEmpty() && incarnation > 0);
-            return new Message(
+            return new MembershipMessage(
                     fleet,
                     from,
                     incarnation,
-                    Message.Kind.values()[kind],
+                    MembershipMessage.Kind.values()[kind],
                     seq,
                     target,
                     view,
@@ -190,9 +190,9 @@
         return names;
     }
 
-    private static List<Entry> entries(JsonParser in) throws IOException, Unusable {
+    private static List<Member> entries(JsonParser in) throws IOException, Unusable {
         need(in.nextToken() == JsonToken.START_ARRAY);
-        List<Entry> entries = new ArrayList<>();
+        List<Member> entries = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
             need(in.currentToken() == JsonToken.START_ARRAY && entries.size() < MOST_ENTRIES);
             String name = text(in);
@@ -201,7 +201,7 @@
             int standing = (int) whole(in);
             need(
                     standing >= 0
-                            && standing < Standing.values().length
+                            && standing < MemberState.values().length
                             && !name.isEmpty()
                             && incarnation > 0);
             String version = text(in);
@@ -209,8 +209,13 @@
             double weight = in.getDoubleValue();
             need(weight >= 0 && weight <= 1_000);
             entries.add(
-                    new Entry(
-                            name, zone, incarnation, Standing.values()[standing], version, weight));
+                    new Member(
+                            name,
+                            zone,
+                            incarnation,
+                            MemberState.values()[standing],
+                            version,
+                            weight));
             need(in.nextToken() == JsonToken.END_ARRAY);
         }
         return entries;
--- a/src/main/java/firstage/membership/Leases.java
+++ b/src/main/java/firstage/membership/QuotaLeases.java
@@ -19,7 +19,7 @@
  * not agree. A process that was stopped looks at its clock before it uses a word: {@link #share} is
  * to be asked before each dispatch. Times are tenths of a millisecond.
  */
-public final class Leases {
+public final class QuotaLeases {
     /** Of a manager's share that is its own for good: cut off from all, it still serves half. */
     static final double FLOOR = 0.5;
 
@@ -93,7 +93,7 @@
      * {@code all}: how many managers there are by the settings; {@code period} between two probes
      * of one manager; {@code lentBefore}: the life before may have withdrawn words.
      */
-    public Leases(int all, long period, boolean lentBefore, Keeper keeper, Fault fault) {
+    public QuotaLeases(int all, long period, boolean lentBefore, Keeper keeper, Fault fault) {
         this(all, 1.0 / Math.max(1, all), period, lentBefore, keeper, fault);
     }
 
@@ -102,7 +102,7 @@
      * its own. Words are among those of a cell only, so their length and their majority do not grow
      * with the fleet.
      */
-    public Leases(
+    public QuotaLeases(
             int all, double part, long period, boolean lentBefore, Keeper keeper, Fault fault) {
         this.all = Math.max(1, all);
         this.part = part;
--- a/src/main/java/firstage/overload/Circle.java
+++ b/src/main/java/firstage/overload/BroadcastLoadShedding.java
@@ -1,6 +1,6 @@
 package firstage.overload;
 
-import firstage.policy.api.Demand;
+import firstage.policy.api.DemandHistogram;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -10,7 +10,7 @@
  * The level where each message goes to all and nobody keeps a membership: who was heard of late is
  * here, and each tells its own row alone. Times are tenths of a millisecond.
  */
-public final class Circle {
+public final class BroadcastLoadShedding {
     /** Between two looks. */
     public static final long LOOK = 1_000;
 
@@ -21,22 +21,24 @@
     private static final double STIR =
             0.4; // of what engines bear: under it all is open whatever the others tell
     private final int me;
-    private final Level level;
+    private final LoadSheddingLevel level;
     private final Map<Integer, Long> heardAt = new HashMap<>();
     private long toldAt = Long.MIN_VALUE / 4;
     private int here = -1;
 
     /** {@code me}: its number among the managers; {@code goal}: the shortest of a service group. */
-    public Circle(int me, long goal, Level.Effects effects) {
+    public BroadcastLoadShedding(int me, long goal, LoadSheddingLevel.Effects effects) {
         this.me = me;
-        level = new Level(String.valueOf(me), goal, effects, Level.Fault.NONE);
+        level =
+                new LoadSheddingLevel(
+                        String.valueOf(me), goal, effects, LoadSheddingLevel.Fault.NONE);
     }
 
     /**
      * Works out the cut, to be called each {@link #LOOK}; what all are to be told now, empty for
      * nothing.
      */
-    public byte[] look(long now, Demand demand) {
+    public byte[] look(long now, DemandHistogram demand) {
         heardAt.values().removeIf(at -> now - at >= HERE);
         if (heardAt.size() != here) {
             viewed();
@@ -49,7 +51,7 @@
             return new byte[0];
         }
         toldAt = now;
-        return Words.write(List.of(), level.rows(now, 1));
+        return OverloadDigest.write(List.of(), level.rows(now, 1));
     }
 
     private void viewed() {
@@ -65,6 +67,6 @@
         if (heardAt.size() != here) {
             viewed();
         }
-        level.heard(now, Words.read(words).rows());
+        level.heard(now, OverloadDigest.read(words).rows());
     }
 }
--- a/src/main/java/firstage/overload/Level.java
+++ b/src/main/java/firstage/overload/LoadSheddingLevel.java
@@ -1,6 +1,6 @@
 package firstage.overload;
 
-import firstage.policy.api.Demand;
+import firstage.policy.api.DemandHistogram;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -30,7 +30,7 @@
  * fresh there is no cut. Times are tenths of a millisecond, rates seconds of expected work a
  * second.
  */
-public final class Level {
+public final class LoadSheddingLevel {
     private static final double SMOOTH =
             3_000; // of rates: a storm shows in its first second, a lone report does not
     private static final long FRESH =
@@ -84,7 +84,7 @@
      * later is the newer; {@code came} by band, {@code sent}: rates; {@code waits}: seconds of
      * work; {@code runs}: threads; {@code zone}: its own; {@code bad}: by zone, per cent of its
      * engines that it holds closed; {@code orders}: what operators want of zones ({@link
-     * firstage.failover.Zones}).
+     * firstage.failover.ZoneFailover}).
      */
     public record Row(
             int name,
@@ -104,8 +104,8 @@
     private final Effects effects;
     private final Fault fault;
     private final Map<Integer, Told> told = new HashMap<>();
-    private final double[] cameBefore = new double[Demand.BANDS];
-    private final double[] came = new double[Demand.BANDS];
+    private final double[] cameBefore = new double[DemandHistogram.BANDS];
+    private final double[] came = new double[DemandHistogram.BANDS];
     private double sentBefore;
     private double lostBefore;
     private double sent;
@@ -123,7 +123,7 @@
     private double part = 1;
 
     /** {@code goal}: the shortest response goal of a service group. */
-    public Level(String me, long goal, Effects effects, Fault fault) {
+    public LoadSheddingLevel(String me, long goal, Effects effects, Fault fault) {
         this.me = id(me);
         this.target = goal / TENTHS * WAIT;
         this.effects = effects;
@@ -143,7 +143,7 @@
 
     /** Who is here. */
     public void viewed(List<String> names) {
-        view = new HashSet<>(names.stream().map(Level::id).toList());
+        view = new HashSet<>(names.stream().map(LoadSheddingLevel::id).toList());
         told.keySet().retainAll(view);
     }
 
@@ -187,7 +187,7 @@
     }
 
     /** What this manager's own decisions count, to be told each tenth of a second or so. */
-    public void measure(long now, Demand d) {
+    public void measure(long now, DemandHistogram d) {
         double[] all = d.came();
         if (measuredAt >= 0 && now > measuredAt) {
             double time = now - measuredAt;
@@ -239,7 +239,7 @@
         double step =
                 Math.max(-DROP, busy > BUSY ? Math.min(byDelay, (BUSY - busy) * BY_BUSY) : byDelay);
         double left = sends * (1 + (fault == Fault.NO_WAY_BACK ? Math.min(0, step) : step));
-        int band = Demand.BANDS;
+        int band = DemandHistogram.BANDS;
         double asked = 0;
         while (band > 0 && left >= 0) {
             band--;
--- a/src/main/java/firstage/overload/Words.java
+++ b/src/main/java/firstage/overload/OverloadDigest.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
-import firstage.policy.api.Demand;
+import firstage.policy.api.DemandHistogram;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -15,7 +15,7 @@
  * the form's version, what a newer form adds at the end skipped. Empty where there is nothing to
  * tell, so that calm costs no byte.
  */
-public final class Words {
+public final class OverloadDigest {
     private static final int VERSION = 1;
 
     /** So many engines fit beside the rest; the sickest of a zone's loss come by turns. */
@@ -42,10 +42,10 @@
      */
     public record Word(long engine, boolean closed, long ago) {}
 
-    private Words() {}
+    private OverloadDigest() {}
 
     /** What is told: of engines, and the rows of the level, as many as there is room for. */
-    public record Told(List<Word> words, List<Level.Row> rows) {
+    public record Told(List<Word> words, List<LoadSheddingLevel.Row> rows) {
         static final Told NOTHING = new Told(List.of(), List.of());
     }
 
@@ -54,7 +54,7 @@
         return Math.max(LEAST_ROWS, (BYTES - Math.min(MOST, words) * WORD_BYTES) / ROW_BYTES);
     }
 
-    public static byte[] write(List<Word> words, List<Level.Row> rows) {
+    public static byte[] write(List<Word> words, List<LoadSheddingLevel.Row> rows) {
         if (words.isEmpty() && rows.isEmpty()) {
             return NOTHING;
         }
@@ -81,16 +81,16 @@
      * Each: name, stamp, sent, waits, runs, a bit for each band that was asked for, its zone, what
      * it sees of each, operators' orders, and those bands' figures.
      */
-    private static byte[] bytes(List<Level.Row> rows) {
+    private static byte[] bytes(List<LoadSheddingLevel.Row> rows) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(rows.size() * ROW_BYTES);
-        for (Level.Row r : rows) {
+        for (LoadSheddingLevel.Row r : rows) {
             put(out, r.name());
             put(out, r.stamp());
             out.write(coarse(r.sent()));
             out.write(coarse(r.waits()));
             out.write(coarse(r.runs()));
             int asked = 0;
-            for (int band = 0; band < Demand.BANDS; band++) {
+            for (int band = 0; band < DemandHistogram.BANDS; band++) {
                 asked |= coarse(r.came()[band]) != 0 ? 1 << band : 0;
             }
             put(out, asked);
@@ -103,7 +103,7 @@
             for (int figure : r.orders()) {
                 put(out, figure);
             }
-            for (int band = 0; band < Demand.BANDS; band++) {
+            for (int band = 0; band < DemandHistogram.BANDS; band++) {
                 if ((asked & 1 << band) != 0) {
                     out.write(coarse(r.came()[band]));
                 }
@@ -126,8 +126,8 @@
         return number;
     }
 
-    private static List<Level.Row> rows(byte[] in) {
-        List<Level.Row> rows = new ArrayList<>();
+    private static List<LoadSheddingLevel.Row> rows(byte[] in) {
+        List<LoadSheddingLevel.Row> rows = new ArrayList<>();
         int at = 0;
         while (in.length - at >= ROW_HEAD) {
             int asked = number(in, at + ROW_HEAD - Integer.BYTES - 3);
@@ -145,13 +145,13 @@
                 orders[i] = number(in, next);
                 next += Integer.BYTES;
             }
-            double[] came = new double[Demand.BANDS];
-            for (int band = 0; band < Demand.BANDS; band++) {
+            double[] came = new double[DemandHistogram.BANDS];
+            for (int band = 0; band < DemandHistogram.BANDS; band++) {
                 came[band] = (asked & 1 << band) != 0 ? fine(in[next++]) : 0;
             }
             int figures = at + 2 * Integer.BYTES;
             rows.add(
-                    new Level.Row(
+                    new LoadSheddingLevel.Row(
                             number(in, at),
                             number(in, at + Integer.BYTES),
                             came,
--- a/src/main/java/firstage/overload/Trials.java
+++ b/src/main/java/firstage/overload/ProbeCoordinator.java
@@ -1,6 +1,6 @@
 package firstage.overload;
 
-import firstage.overload.Words.Word;
+import firstage.overload.OverloadDigest.Word;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -23,7 +23,7 @@
  * <p>A right is only ever withheld by words of others that are fresh by this manager's clock; with
  * none, it goes by itself as ever. Times are tenths of a millisecond.
  */
-public final class Trials {
+public final class ProbeCoordinator {
     private static final int SEVERAL =
             3; // hold it closed before it is the engine: one or two may share a bad way
     private static final long LEAST_FRESH = 30_000; // a word lasts: some rounds of a small fleet
@@ -114,7 +114,7 @@
     private int turn;
 
     /** {@code period} between two probes of the membership, which carries the words. */
-    public Trials(String me, long period, Effects effects, Fault fault) {
+    public ProbeCoordinator(String me, long period, Effects effects, Fault fault) {
         this.me = me;
         this.period = period;
         this.effects = effects;
@@ -176,12 +176,12 @@
                     }
                 });
         words.sort(Comparator.comparingLong(Word::engine));
-        if (words.size() <= Words.MOST) {
+        if (words.size() <= OverloadDigest.MOST) {
             return words;
         }
         List<Word> some = new ArrayList<>();
-        turn = (turn + Words.MOST) % words.size();
-        for (int i = 0; i < Words.MOST; i++) {
+        turn = (turn + OverloadDigest.MOST) % words.size();
+        for (int i = 0; i < OverloadDigest.MOST; i++) {
             some.add(words.get((turn + i) % words.size()));
         }
         return some;
@@ -273,7 +273,9 @@
                                         .stream()
                                                 .max(
                                                         Comparator.comparingLong(
-                                                                n -> Rendezvous.rank(engine, n)))
+                                                                n ->
+                                                                        RendezvousHash.rank(
+                                                                                engine, n)))
                                                 .orElse(me)
                                                 .equals(me));
         // What was opened before this manager last tried it in vain says nothing.
@@ -287,7 +289,7 @@
                 s.state = row.next;
                 if (s.state == State.STEPPING) {
                     // Those before this one in the order of the engine, doubled with each step.
-                    long before = Rendezvous.before(engine, view, me);
+                    long before = RendezvousHash.before(engine, view, me);
                     int step =
                             fault == Fault.ALL_AT_ONCE
                                     ? 0
--- a/src/main/java/firstage/overload/Rendezvous.java
+++ b/src/main/java/firstage/overload/RendezvousHash.java
@@ -7,8 +7,8 @@
  * An order of managers for each thing, which all know alike without a word (Thaler and Ravishankar
  * 1998); XXH3.
  */
-public final class Rendezvous {
-    private Rendezvous() {}
+public final class RendezvousHash {
+    private RendezvousHash() {}
 
     /** The rank of a manager for this thing; the highest comes first. */
     public static long rank(long thing, String name) {
