--- a/src/main/java/firstage/policy/Brain.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -1,22 +1,22 @@
 package firstage.policy;
 
 import firstage.policy.api.*;
-import firstage.policy.api.EngineList.Standing;
-import firstage.policy.api.ServiceGroup.Effect;
-import firstage.policy.api.ServiceGroup.Scope;
+import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.TrafficClass.Effect;
+import firstage.policy.api.TrafficClass.Scope;
 import firstage.policy.state.*;
 import java.util.*;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * All decisions of one workload manager. Callers tell it news through {@link WorkloadManager} and
- * end each moment with {@link #turn}; it acts through {@link Host}. Interface and types stand in
- * firstage.policy.api; times are whole tenths of a millisecond. On the ordinary path
+ * All decisions of one workload manager. Callers tell it news through {@link SchedulingPolicy} and
+ * end each moment with {@link #turn}; it acts through {@link PolicyActions}. Interface and types
+ * stand in firstage.policy.api; times are whole tenths of a millisecond. On the ordinary path
  * (docs/design.md) each batch reserves its grant on our slice of one engine's memory and its
  * threads under an adaptive bound, or waits in a bounded FIFO queue until there is room.
  */
-public final class Brain implements WorkloadManager {
+public final class WorkloadScheduler implements SchedulingPolicy {
     // ---- Constants: unit, and why this size. Times are in tenths of a millisecond.
     private static final double POOL_SHARE =
             0.75; // of an engine's memory: a lone process in RFC 0058 3.2
@@ -132,35 +132,35 @@
         CLEAR
     }
 
-    private record Row(Health state, News news, Health next, Act act) {}
+    private record Row(EngineHealth state, News news, EngineHealth next, Act act) {}
 
     /** State (null: any), input, next state, effect. What leaves the state as it is is no news. */
     private static final Row[] HEALTH = {
-        new Row(null, News.ANSWER, Health.READY, Act.CLEAR),
-        new Row(null, News.RESTARTED, Health.READY, Act.CLEAR),
-        new Row(null, News.REFUSED, Health.FULL, Act.REST),
-        new Row(null, News.UNREACHED, Health.DOWN, Act.REST),
-        new Row(null, News.BROKE, Health.DOWN, Act.REST),
-        new Row(null, News.QUIET, Health.SILENT, Act.REST),
-        new Row(Health.SILENT, News.SIGN, Health.TRIAL, Act.NONE),
-        new Row(null, News.RESTED, Health.TRIAL, Act.NONE),
+        new Row(null, News.ANSWER, EngineHealth.READY, Act.CLEAR),
+        new Row(null, News.RESTARTED, EngineHealth.READY, Act.CLEAR),
+        new Row(null, News.REFUSED, EngineHealth.FULL, Act.REST),
+        new Row(null, News.UNREACHED, EngineHealth.DOWN, Act.REST),
+        new Row(null, News.BROKE, EngineHealth.DOWN, Act.REST),
+        new Row(null, News.QUIET, EngineHealth.SILENT, Act.REST),
+        new Row(EngineHealth.SILENT, News.SIGN, EngineHealth.TRIAL, Act.NONE),
+        new Row(null, News.RESTED, EngineHealth.TRIAL, Act.NONE),
     };
 
     /**
      * What an outcome tells of the engine; a time-out, a call-off and what was not sent tell
      * nothing.
      */
-    private static final Map<Outcome, News> TELLS =
+    private static final Map<AttemptOutcome, News> TELLS =
             Map.of(
-                    Outcome.RETURNED,
+                    AttemptOutcome.RETURNED,
                     News.ANSWER,
-                    Outcome.ERRORED,
+                    AttemptOutcome.ERRORED,
                     News.SIGN,
-                    Outcome.NO_CONNECTION,
+                    AttemptOutcome.NO_CONNECTION,
                     News.UNREACHED,
-                    Outcome.BROKEN,
+                    AttemptOutcome.BROKEN,
                     News.BROKE,
-                    Outcome.TURNED_AWAY,
+                    AttemptOutcome.TURNED_AWAY,
                     News.REFUSED);
 
     private enum Again {
@@ -185,12 +185,12 @@
     };
 
     // ---- State.
-    private final Host host;
+    private final PolicyActions host;
     private final RandomGenerator chance;
     private final Deployment.Allowed allowed;
     private final Deployment.Rules rules;
     private final List<Deployment.Machine> machines;
-    private final List<Group> groups = new ArrayList<>();
+    private final List<TrafficClassStats> groups = new ArrayList<>();
     private final double base;
     private double share;
     private final int rank;
@@ -200,18 +200,18 @@
     private final double largestGrant;
     private final double probePrice;
     private double part;
-    private final Mean worth = new Mean(GROUP_SAMPLES);
+    private final DecayingMean worth = new DecayingMean(GROUP_SAMPLES);
     private final long notePace;
-    private final List<Quota> quotas;
-    private final Map<Integer, Engine> engines = new LinkedHashMap<>();
-    private final Map<Integer, Batch> batches = new HashMap<>();
-    private final TreeMap<Long, Batch> held = new TreeMap<>();
-    private final Map<Integer, Turn> turns = new HashMap<>();
-    private final Tally taken;
-    private final Tally further;
-    private final Mean usual = new Mean(GROUP_SAMPLES);
-    private final Bins top = new Bins();
-    private final Bins fleet = new Bins();
+    private final List<TokenBucket> quotas;
+    private final Map<Integer, EngineState> engines = new LinkedHashMap<>();
+    private final Map<Integer, RequestState> batches = new HashMap<>();
+    private final TreeMap<Long, RequestState> held = new TreeMap<>();
+    private final Map<Integer, KeyQueue> turns = new HashMap<>();
+    private final SlidingWindowCounter taken;
+    private final SlidingWindowCounter further;
+    private final DecayingMean usual = new DecayingMean(GROUP_SAMPLES);
+    private final LogHistogram top = new LogHistogram();
+    private final LogHistogram fleet = new LogHistogram();
     private long arrivals;
     private long startedAt = -1;
     private long nextBeat;
@@ -225,18 +225,18 @@
     private boolean subscribe;
     private boolean stirred;
     private long closesAt = Long.MAX_VALUE;
-    private final Demand demand = new Demand();
+    private final DemandHistogram demand = new DemandHistogram();
     private int cut;
     private double cutPart = 1;
 
-    public Brain(Deployment deployment, Host host) {
+    public WorkloadScheduler(Deployment deployment, PolicyActions host) {
         this.host = host;
         chance = RandomGeneratorFactory.of("L64X128MixRandom").create(deployment.seed());
         allowed = deployment.allowed();
         rules = deployment.rules();
         machines = deployment.machines();
-        taken = new Tally(rules.furtherSpan(), PIECES);
-        further = new Tally(rules.furtherSpan(), PIECES);
+        taken = new SlidingWindowCounter(rules.furtherSpan(), PIECES);
+        further = new SlidingWindowCounter(rules.furtherSpan(), PIECES);
         base = 1.0 / deployment.managers();
         share = base;
         rank = deployment.rank();
@@ -253,26 +253,26 @@
         subscribe = deployment.asksForList();
         quotas =
                 deployment.customerRates().stream()
-                        .map(r -> new Quota(r * share, CUSTOMER_SPAN))
+                        .map(r -> new TokenBucket(r * share, CUSTOMER_SPAN))
                         .toList();
-        for (ServiceGroup is : deployment.groups()) {
-            groups.add(new Group(is, FIRST_MARGIN, FIRST_BEST, GROUP_SAMPLES));
+        for (TrafficClass is : deployment.groups()) {
+            groups.add(new TrafficClassStats(is, FIRST_MARGIN, FIRST_BEST, GROUP_SAMPLES));
         }
     }
 
     // ---- News.
     @Override
-    public void taken(long now, Arrival arrival) {
-        Batch b = new Batch(arrival, groups.get(arrival.group()), arrivals++, now);
+    public void taken(long now, IncomingRequest arrival) {
+        RequestState b = new RequestState(arrival, groups.get(arrival.group()), arrivals++, now);
         if (b.key >= 0 && arrival.turnUnknown()) {
-            Turn turn = turns.computeIfAbsent(b.key, k -> new Turn());
+            KeyQueue turn = turns.computeIfAbsent(b.key, k -> new KeyQueue());
             turn.restUntil = Math.max(turn.restUntil, now + TURN_REST);
         } else if (b.key >= 0) {
-            turns.computeIfAbsent(b.key, k -> new Turn()).line.add(b);
+            turns.computeIfAbsent(b.key, k -> new KeyQueue()).line.add(b);
         } else if (arrival.key() >= 0 && !turns.containsKey(arrival.key())) {
             host.forgetKey(arrival.key());
         }
-        ServiceGroup is = b.group.is;
+        TrafficClass is = b.group.is;
         b.goalAt = now + is.goal() + (long) (is.stretch() * b.expectedWork() / is.threads());
         b.overShare =
                 arrival.customer() >= 0
@@ -285,7 +285,7 @@
         batches.put(arrival.batch(), b);
         stirred = true;
         taken.add(now, 1);
-        b.band = Demand.band(is.utility(), b.expectedWork(), b.overShare);
+        b.band = DemandHistogram.band(is.utility(), b.expectedWork(), b.overShare);
         demand.came(b.band, b.expectedWork());
         if (b.key >= 0 && arrival.turnUnknown()
                 || b.band == cut && chance.nextDouble() >= cutPart) {
@@ -298,14 +298,14 @@
     }
 
     @Override
-    public void ended(long now, Ending ending) {
-        Batch b = batches.get(ending.batch());
-        Flight f = b == null ? null : b.flight(ending.dispatch());
+    public void ended(long now, AttemptResult ending) {
+        RequestState b = batches.get(ending.batch());
+        Attempt f = b == null ? null : b.flight(ending.dispatch());
         if (f == null) {
             return;
         }
-        Engine e = f.engine;
-        Outcome how = ending.outcome();
+        EngineState e = f.engine;
+        AttemptOutcome how = ending.outcome();
         b.out.remove(f);
         e.land(f);
         stirred = true;
@@ -317,20 +317,20 @@
             health(now, e, TELLS.get(how));
         }
         blame(now, b, e, how);
-        if (how == Outcome.TURNED_AWAY) {
+        if (how == AttemptOutcome.TURNED_AWAY) {
             press(now, e);
-        } else if (how == Outcome.TIMED_OUT && usable(e)) {
+        } else if (how == AttemptOutcome.TIMED_OUT && usable(e)) {
             // Where nothing comes back no answer tells of a jam; a silent engine is no sign of one.
             slowed(now, e, (now - f.sent) * b.group.is.threads() / b.expectedWork());
-        } else if (how == Outcome.RETURNED) {
+        } else if (how == AttemptOutcome.RETURNED) {
             e.spoke(now, f);
             learn(now, f, ending);
         }
         report(now, e, ending.report());
-        Turn turn = turns.get(b.key);
+        KeyQueue turn = turns.get(b.key);
         if (turn != null) {
             // What may run on rests: an error may stand for a dispatch that was called off.
-            long rest = how.mayHaveRun && how != Outcome.RETURNED ? rules.keyRest() : 0;
+            long rest = how.mayHaveRun && how != AttemptOutcome.RETURNED ? rules.keyRest() : 0;
             rest = Math.max(ending.mayHold(), rest);
             turn.restUntil = Math.max(turn.restUntil, now + rest);
         }
@@ -344,17 +344,17 @@
     }
 
     @Override
-    public void noted(long now, Note note) {
-        Batch b = batches.get(note.batch());
-        Flight f = b == null ? null : b.flight(note.dispatch());
+    public void noted(long now, AttemptProgress note) {
+        RequestState b = batches.get(note.batch());
+        Attempt f = b == null ? null : b.flight(note.dispatch());
         if (f == null) {
             return;
         }
-        Engine e = f.engine;
+        EngineState e = f.engine;
         e.spoke(now, f);
         health(now, e, News.SIGN);
-        f.standsStill = note.kind() == Note.Kind.WAITS_FOR_LOAD;
-        f.inLine = note.kind() == Note.Kind.WAITS_FOR_MEMORY;
+        f.standsStill = note.kind() == AttemptProgress.Kind.WAITS_FOR_LOAD;
+        f.inLine = note.kind() == AttemptProgress.Kind.WAITS_FOR_MEMORY;
         switch (note.kind()) {
             case DONE -> {
                 f.share = Math.max(note.amount(), f.share);
@@ -397,7 +397,7 @@
         double ratio = next / share;
         part *= ratio;
         share = next;
-        for (Engine e : engines.values()) {
+        for (EngineState e : engines.values()) {
             e.slice = Math.min(e.memory, e.slice * ratio);
             e.bound = Math.min(e.cores * THREADS_PER_CORE, e.bound * ratio);
         }
@@ -405,8 +405,9 @@
     }
 
     @Override
-    public Demand demand(long now) {
-        List<Engine> used = engines.values().stream().filter(Brain::usable).toList();
+    public DemandHistogram demand(long now) {
+        List<EngineState> used =
+                engines.values().stream().filter(WorkloadScheduler::usable).toList();
         demand.runs(
                 used.stream().mapToInt(e -> e.threads).sum(),
                 used.stream().mapToDouble(e -> e.cores * THREADS_PER_CORE * cold(now, e)).sum());
@@ -426,15 +427,16 @@
     }
 
     @Override
-    public void listed(long now, EngineList list) {
+    public void listed(long now, EndpointUpdate list) {
         startedAt = startedAt < 0 ? now : startedAt;
-        subscribe |= list.kind() == EngineList.Kind.FAILED;
-        if (list.kind() == EngineList.Kind.WHOLE || list.kind() == EngineList.Kind.REMEMBERED) {
+        subscribe |= list.kind() == EndpointUpdate.Kind.FAILED;
+        if (list.kind() == EndpointUpdate.Kind.WHOLE
+                || list.kind() == EndpointUpdate.Kind.REMEMBERED) {
             engines.values().forEach(e -> e.standing = Standing.LEFT);
         }
         stirred = true;
-        for (EngineList.Entry entry : list.entries()) {
-            Engine e = engine(entry.engine());
+        for (EndpointUpdate.Entry entry : list.entries()) {
+            EngineState e = engine(entry.engine());
             if (e.listed(entry)) {
                 health(now, e, News.RESTARTED);
             }
@@ -448,7 +450,7 @@
      * Slice and bound at their start: this manager's part of the engine. Untold sizes count as one
      * core.
      */
-    private void measure(Engine e, int kind) {
+    private void measure(EngineState e, int kind) {
         Deployment.Machine m = kind >= 0 && kind < machines.size() ? machines.get(kind) : null;
         e.kind = kind;
         e.cores = m == null || m.cores() <= 0 ? 1 : m.cores();
@@ -458,8 +460,8 @@
     }
 
     @Override
-    public void probed(long now, int index, Outcome outcome, Report report) {
-        if (outcome == Outcome.NO_CONNECTION) {
+    public void probed(long now, int index, AttemptOutcome outcome, LoadReport report) {
+        if (outcome == AttemptOutcome.NO_CONNECTION) {
             health(now, engine(index), News.UNREACHED);
         }
         report(now, engine(index), report);
@@ -471,7 +473,7 @@
         nextBeat = 0;
     }
 
-    private void report(long now, Engine e, Report report) {
+    private void report(long now, EngineState e, LoadReport report) {
         if (report == null) {
             return;
         }
@@ -486,7 +488,7 @@
         }
     }
 
-    private void press(long now, Engine e) {
+    private void press(long now, EngineState e) {
         e.pressedUntil = now + PRESSED;
     }
 
@@ -522,7 +524,8 @@
         int room = room();
         double waits = 0;
         Map<Long, Double> failed = new HashMap<>();
-        for (Batch b : held.isEmpty() ? List.<Batch>of() : new ArrayList<>(held.values())) {
+        for (RequestState b :
+                held.isEmpty() ? List.<RequestState>of() : new ArrayList<>(held.values())) {
             // What the fleet has no room for is told so at once: held, it would only be late later.
             boolean below = b.dispatches == 0 && b.band < cut;
             boolean mayGo = !below && !b.away && now < lastMoment(b) && myTurn(now, b);
@@ -536,7 +539,7 @@
             boolean vain =
                     like >= 0 && failed.getOrDefault(like, Double.MAX_VALUE) <= b.memoryFigure();
             roomless = vain;
-            Engine e = mayGo && !vain ? choose(now, b) : null;
+            EngineState e = mayGo && !vain ? choose(now, b) : null;
             crowded |= mayGo && e == null;
             waits += mayGo && e == null && roomless && b.dispatches == 0 ? b.expectedWork() : 0;
             if (e == null && like >= 0) {
@@ -573,7 +576,7 @@
      * long: else all of it would be sent late. A single estimate scatters too much to say that a
      * goal is past.
      */
-    private long giveUpAt(Batch b) {
+    private long giveUpAt(RequestState b) {
         boolean told = b.is.estimate() > 0;
         double run = b.expectedRun() * (told ? 1 : Math.max(1, fleet.quantile(0.5)));
         boolean byGoal = b.group.is.lateValue() == 0 || crowded && !told;
@@ -584,14 +587,14 @@
      * The last moment at which it may be sent: before its limit, and to be over before the program
      * ends.
      */
-    private long lastMoment(Batch b) {
+    private long lastMoment(RequestState b) {
         return Math.min(b.is.notAfter() - LAST_CALL, closesAt - b.expectedRun());
     }
 
-    private void send(long now, Batch b, Engine e) {
+    private void send(long now, RequestState b, EngineState e) {
         held.remove(b.order);
         demand.sent(b.dispatches == 0 ? b.expectedWork() : 0);
-        Flight f = new Flight(b, e, b.dispatches++, now, grant(b, e), priority(b));
+        Attempt f = new Attempt(b, e, b.dispatches++, now, grant(b, e), priority(b));
         further.add(now, f.number > 0 ? 1 : 0);
         if (allowed.grants() || allowed.priorities()) {
             host.provide(b.is.batch(), allowed.grants() ? (int) Math.ceil(f.grant) : 0, f.priority);
@@ -604,7 +607,7 @@
         e.cold.add(now, cold(now, e) < 1 ? b.group.weight() : 0);
     }
 
-    private int priority(Batch b) {
+    private int priority(RequestState b) {
         double top =
                 groups.stream().mapToDouble(g -> g.is.utility() / g.usualWork()).max().orElse(1);
         double rate = b.group.is.utility() / Math.max(1, b.expectedWork()) / top;
@@ -617,8 +620,8 @@
      * The told estimate or the mean true memory, with the margin; else half a core's memory a
      * thread.
      */
-    private double grant(Batch b, Engine e) {
-        Group g = b.group;
+    private double grant(RequestState b, EngineState e) {
+        TrafficClassStats g = b.group;
         double figure = b.memoryFigure();
         double want =
                 figure > 0 ? figure * (1 + g.margin) : e.memory / e.cores / 2 * g.is.threads();
@@ -629,13 +632,13 @@
     /**
      * The fitting engine with the most free room; where none fits, one without pressure; else none.
      */
-    private Engine choose(long now, Batch b) {
+    private EngineState choose(long now, RequestState b) {
         if (b.dispatches > 0 && !mayGoAgain(now, b)) {
             return null;
         }
         double bounds = 0;
         int out = 0;
-        for (Engine e : engines.values()) {
+        for (EngineState e : engines.values()) {
             bounds += usable(e) ? e.bound : 0;
             out += e.threads;
         }
@@ -649,9 +652,9 @@
         if (looks && now < b.lookedAt + LOOK_WAIT && !b.toldAll()) {
             return null;
         }
-        Engine best = null;
+        EngineState best = null;
         double most = Double.NEGATIVE_INFINITY;
-        for (Engine e : looks ? b.looked : engines.values()) {
+        for (EngineState e : looks ? b.looked : engines.values()) {
             if (!open(now, b, e)) {
                 continue;
             }
@@ -669,7 +672,7 @@
                             || small && only && allowed.priorities() && top.quantile(0.5) < SLOW;
             // One batch of the fleet's is spent on it now: all would wait until this manager has
             // room.
-            boolean trial = e.triesForAll && e.health == Health.TRIAL;
+            boolean trial = e.triesForAll && e.health == EngineHealth.TRIAL;
             boolean fits =
                     lone
                             || trial
@@ -704,22 +707,22 @@
     /**
      * How crowded an engine is held to be: as it told, and the older that is, the more as all tell.
      */
-    private double crowd(long now, Engine e) {
+    private double crowd(long now, EngineState e) {
         double all = usual.or(0);
         return all + (e.crowd - all) * Math.max(0, 1 - (double) (now - e.toldAt) / FRESH);
     }
 
     /** Whether this batch looks at some engines before it goes. */
-    private boolean looks(Batch b) {
+    private boolean looks(RequestState b) {
         return probePrice >= 0
                 && b.group.is.utility() * LOOK_SHARE >= probePrice * worth.or(1)
                 && part < b.group.is.threads()
                 && fleet.quantile(0.5) >= CALM;
     }
 
-    private void look(long now, Batch b) {
+    private void look(long now, RequestState b) {
         b.lookedAt = now;
-        List<Engine> from =
+        List<EngineState> from =
                 new ArrayList<>(engines.values().stream().filter(e -> open(now, b, e)).toList());
         b.looked =
                 chance.ints(Math.min(LOOKS, from.size()), 0, Integer.MAX_VALUE)
@@ -734,7 +737,7 @@
      * coldest for the tables first, by their numbers. Where our part of an engine is under this
      * batch, chance keeps managers apart.
      */
-    private double nearness(Batch b, Engine e, double[] loadOrder) {
+    private double nearness(RequestState b, EngineState e, double[] loadOrder) {
         double affinity = e.affinity(b.is.tables());
         if (loadOrder != null) {
             int others = Math.min(managers, (int) Math.ceil(loadOrder.length * READERS_FROM));
@@ -744,7 +747,7 @@
     }
 
     /** The active engines' affinities to a load's tables, coldest first; null for other batches. */
-    private double[] loadOrder(Batch b) {
+    private double[] loadOrder(RequestState b) {
         return !b.group.is.load() || b.is.tables() < 0
                 ? null
                 : engines.values().stream()
@@ -763,7 +766,8 @@
     public boolean closed(int engine) {
         return engines.containsKey(engine)
                 && engine(engine).standing == Standing.ACTIVE
-                && Set.of(Health.DOWN, Health.SILENT, Health.TRIAL).contains(engine(engine).health);
+                && Set.of(EngineHealth.DOWN, EngineHealth.SILENT, EngineHealth.TRIAL)
+                        .contains(engine(engine).health);
     }
 
     @Override
@@ -788,15 +792,15 @@
         stirred = true;
     }
 
-    private static boolean usable(Engine e) {
+    private static boolean usable(EngineState e) {
         return e.standing == Standing.ACTIVE
                 && !e.othersTry
-                && (e.health == Health.READY || e.health == Health.TRIAL);
+                && (e.health == EngineHealth.READY || e.health == EngineHealth.TRIAL);
     }
 
     /** Whether rules and health let this batch go to this engine at all. */
-    private boolean open(long now, Batch b, Engine e) {
-        ServiceGroup is = b.group.is;
+    private boolean open(long now, RequestState b, EngineState e) {
+        TrafficClass is = b.group.is;
         if (!usable(e)
                 || !allows(is.zones(), e.zone)
                 || !allows(is.kinds(), e.kind)
@@ -810,11 +814,11 @@
                 e.triesForAll
                         ? e.flights.stream().anyMatch(f -> f.sent >= e.restUntil)
                         : !e.flights.isEmpty();
-        if (e.health == Health.TRIAL && (tried || is.effect() != Effect.REPEATABLE)) {
+        if (e.health == EngineHealth.TRIAL && (tried || is.effect() != Effect.REPEATABLE)) {
             return false;
         }
         if ((b.mayHaveRun || !b.out.isEmpty()) && is.effect() == Effect.REFERENCED) {
-            Engine first = b.mayHaveRun ? b.firstEngine : b.out.get(0).engine;
+            EngineState first = b.mayHaveRun ? b.firstEngine : b.out.get(0).engine;
             if (is.scope() == Scope.ZONE && first.zone != e.zone
                     || is.scope() == Scope.CELL && first.cell != e.cell) {
                 return false;
@@ -836,7 +840,7 @@
      * The share of its capacity an engine is sure to have: from the rule's start figure to 1 when
      * warm.
      */
-    private double cold(long now, Engine e) {
+    private double cold(long now, EngineState e) {
         // News of a start comes late: engines that were down, seen by many at once, would be pushed
         // over.
         long age = now - e.start();
@@ -848,7 +852,7 @@
     }
 
     /** Rule 4: this manager's part of what a cold engine stands in any fall window. */
-    private boolean coldRoom(long now, Batch b, Engine e) {
+    private boolean coldRoom(long now, RequestState b, EngineState e) {
         if (rules.tipMultiple() <= 0) {
             return true;
         }
@@ -876,12 +880,12 @@
      * it. A batch that may go elsewhere is tried there first: one that errs there, too, tells
      * nothing of engines.
      */
-    private void blame(long now, Batch b, Engine e, Outcome how) {
-        Engine blamed = null;
-        if (how == Outcome.RETURNED) {
+    private void blame(long now, RequestState b, EngineState e, AttemptOutcome how) {
+        EngineState blamed = null;
+        if (how == AttemptOutcome.RETURNED) {
             e.errors = 0;
             blamed = b.erredAt == e ? null : b.erredAt;
-        } else if (how == Outcome.ERRORED) {
+        } else if (how == AttemptOutcome.ERRORED) {
             b.errors += b.erredAt == e ? 0 : 1;
             b.erredAt = b.erredAt == null ? e : b.erredAt;
             blamed = b.group.is.effect() == Effect.REPEATABLE ? null : e;
@@ -891,10 +895,10 @@
         }
     }
 
-    private void learn(long now, Flight f, Ending ending) {
-        Batch b = f.batch;
-        Group g = b.group;
-        Engine e = f.engine;
+    private void learn(long now, Attempt f, AttemptResult ending) {
+        RequestState b = f.batch;
+        TrafficClassStats g = b.group;
+        EngineState e = f.engine;
         int threads = g.is.threads();
         // Neither told nor estimated: a usual batch should need no more than half its goal.
         double truth =
@@ -941,12 +945,12 @@
     }
 
     /** A cold engine is slow by nature: that is no pressure, and least of all on the others. */
-    private void slowed(long now, Engine e, double slowness) {
+    private void slowed(long now, EngineState e, double slowness) {
         e.slow.add(slowness * cold(now, e));
         fleet.add(slowness * cold(now, e));
     }
 
-    private void shrink(long now, Engine e, boolean slow) {
+    private void shrink(long now, EngineState e, boolean slow) {
         boolean due = now - e.shrunk >= SHRINK_GAP;
         e.shrunk = due ? now : e.shrunk;
         if (due && !slow) {
@@ -957,7 +961,7 @@
         }
     }
 
-    private boolean pressed(long now, Engine e) {
+    private boolean pressed(long now, EngineState e) {
         return now < e.pressedUntil || slowness(e) > SLOW;
     }
 
@@ -965,19 +969,19 @@
      * The median latency over the best; of all engines where this one has answered too little of
      * late.
      */
-    private double slowness(Engine e) {
+    private double slowness(EngineState e) {
         return (e.slow.total() >= ENOUGH ? e.slow : fleet).quantile(0.5);
     }
 
-    private void health(long now, Engine e, News news) {
+    private void health(long now, EngineState e, News news) {
         for (Row row : HEALTH) {
             if ((row.state == null || row.state == e.health)
                     && row.news == news
                     && row.next != e.health) {
                 e.health = row.next;
-                e.downAt = row.next == Health.DOWN ? now : e.downAt;
-                e.othersTry &= row.next != Health.READY;
-                e.triesForAll &= row.next != Health.READY;
+                e.downAt = row.next == EngineHealth.DOWN ? now : e.downAt;
+                e.othersTry &= row.next != EngineHealth.READY;
+                e.triesForAll &= row.next != EngineHealth.READY;
                 boolean rests = row.act == Act.REST;
                 e.restUntil = rests ? now + e.rest : e.restUntil;
                 e.rest =
@@ -1009,7 +1013,7 @@
                     .filter(b -> !b.closed && leave(b).pushBack)
                     .forEach(this::giveUp);
         }
-        for (Engine e : engines.values()) {
+        for (EngineState e : engines.values()) {
             if (fade) {
                 if (slowness(e) > SLOW) {
                     press(now, e);
@@ -1021,11 +1025,11 @@
                 }
                 e.slow.halve();
             }
-            if (e.health != Health.READY && now >= e.restUntil && !e.othersTry) {
+            if (e.health != EngineHealth.READY && now >= e.restUntil && !e.othersTry) {
                 health(now, e, News.RESTED);
             }
             for (int i = 0; i < e.flights.size(); i++) {
-                Flight f = e.flights.get(i);
+                Attempt f = e.flights.get(i);
                 if (!f.inLine && !f.batch.closed && now - Math.max(f.sent, e.heard) > patience(f)) {
                     health(now, e, News.QUIET);
                 }
@@ -1047,7 +1051,7 @@
      * How long an engine may be mute with this dispatch out: a few note paces, else well over its
      * run.
      */
-    private long patience(Flight f) {
+    private long patience(Attempt f) {
         return notePace > 0
                 ? (long) (notePace * NOTES_MISSED)
                 : SILENT_WITHOUT_NOTES + 2 * f.batch.expectedRun();
@@ -1057,13 +1061,13 @@
      * A dispatch that gets nowhere is called off, or a copy is sent beside it, where both are
      * allowed.
      */
-    private void rescue(long now, Flight f) {
-        Batch b = f.batch;
+    private void rescue(long now, Attempt f) {
+        RequestState b = f.batch;
         // Lost, too, is a dispatch without notes on an engine that speaks of others: dropped
         // somewhere.
         boolean lost =
-                f.engine.health == Health.SILENT
-                        || f.engine.health == Health.DOWN
+                f.engine.health == EngineHealth.SILENT
+                        || f.engine.health == EngineHealth.DOWN
                         || notePace > 0 && !f.inLine && now - f.heard > patience(f);
         if (b.closed
                 || f.givenUp
@@ -1084,8 +1088,8 @@
     /**
      * Far behind its estimate by its own notes, while a fresh dispatch could still make the goal.
      */
-    private boolean runaway(long now, Flight f) {
-        Batch b = f.batch;
+    private boolean runaway(long now, Attempt f) {
+        RequestState b = f.batch;
         double fresh = b.expectedRun();
         return allowed.callOff()
                 && b.is.estimate() > 0
@@ -1096,7 +1100,7 @@
     }
 
     // ---- Rules.
-    private Leave leave(Batch b) {
+    private Leave leave(RequestState b) {
         boolean ran = b.mayHaveRun || !b.out.isEmpty();
         return Arrays.stream(LEAVES)
                 .filter(l -> l.effect == b.group.is.effect() && l.mayHaveRun == ran)
@@ -1104,7 +1108,7 @@
                 .orElseThrow();
     }
 
-    private boolean mayGoAgain(long now, Batch b) {
+    private boolean mayGoAgain(long now, RequestState b) {
         Again again = leave(b).again;
         return again != Again.NO
                 && b.dispatches < allowed.dispatches()
@@ -1122,14 +1126,14 @@
     }
 
     /** Rule 5: the first in its key's line goes, after the rest an earlier one left behind. */
-    private boolean myTurn(long now, Batch b) {
-        Turn turn = turns.get(b.key);
+    private boolean myTurn(long now, RequestState b) {
+        KeyQueue turn = turns.get(b.key);
         return turn == null || turn.line.peek() == b && (b.dispatches > 0 || now >= turn.restUntil);
     }
 
     /** Answers at once; a pushback only where trying again is harmless. */
-    private void giveUp(Batch b) {
-        ServiceGroup is = b.group.is;
+    private void giveUp(RequestState b) {
+        TrafficClass is = b.group.is;
         boolean dropped = is.effect() == Effect.REFERENCED && is.scope() == Scope.ALL;
         if (b.errors < ERRORS_OF_ONE && (leave(b).pushBack || dropped)) {
             long comeBack = allowed.comeBack() ? Math.min(COME_BACK, allowed.longestComeBack()) : 0;
@@ -1140,11 +1144,11 @@
         close(b);
     }
 
-    private void close(Batch b) {
+    private void close(RequestState b) {
         b.closed = true;
         held.remove(b.order);
         if (b.out.isEmpty() && batches.remove(b.is.batch()) != null) {
-            Turn turn = turns.get(b.key);
+            KeyQueue turn = turns.get(b.key);
             if (turn != null) {
                 turn.line.remove(b);
             }
@@ -1152,8 +1156,11 @@
         }
     }
 
-    private Engine engine(int id) {
+    private EngineState engine(int id) {
         return engines.computeIfAbsent(
-                id, i -> new Engine(i, FIRST_REST, new Tally(rules.fall(), PIECES)));
+                id,
+                i ->
+                        new EngineState(
+                                i, FIRST_REST, new SlidingWindowCounter(rules.fall(), PIECES)));
     }
 }
--- a/src/main/java/firstage/policy/api/Outcome.java
+++ b/src/main/java/firstage/policy/api/AttemptOutcome.java
@@ -1,7 +1,7 @@
 package firstage.policy.api;
 
 /** The ways a dispatch can end. */
-public enum Outcome {
+public enum AttemptOutcome {
     RETURNED(true),
     ERRORED(true),
     TURNED_AWAY(false),
@@ -14,7 +14,7 @@
     /** False where the outcome proves that the engine never ran it. */
     public final boolean mayHaveRun;
 
-    Outcome(boolean mayHaveRun) {
+    AttemptOutcome(boolean mayHaveRun) {
         this.mayHaveRun = mayHaveRun;
     }
 }
--- a/src/main/java/firstage/policy/api/Note.java
+++ b/src/main/java/firstage/policy/api/AttemptProgress.java
@@ -1,7 +1,7 @@
 package firstage.policy.api;
 
 /** Word on a dispatch that is still out. */
-public record Note(int batch, int dispatch, int engine, Kind kind, double amount) {
+public record AttemptProgress(int batch, int dispatch, int engine, Kind kind, double amount) {
     /** DONE: share done; SPILLS: MB missing; the waits carry no amount. */
     public enum Kind {
         DONE,
--- a/src/main/java/firstage/policy/api/Ending.java
+++ b/src/main/java/firstage/policy/api/AttemptResult.java
@@ -5,14 +5,14 @@
  * untold; {@code mayHold} is how much longer its engine may hold it, 0 where its end is proven or
  * the deployment's own rest says it all.
  */
-public record Ending(
+public record AttemptResult(
         int batch,
         int dispatch,
         int engine,
-        Outcome outcome,
+        AttemptOutcome outcome,
         long took,
         long work,
         int memoryMb,
         boolean closed,
-        Report report,
+        LoadReport report,
         long mayHold) {}
--- a/src/main/java/firstage/policy/api/Demand.java
+++ b/src/main/java/firstage/policy/api/DemandHistogram.java
@@ -7,7 +7,7 @@
  * work in tenths of a millisecond. Worth is the utility for a second of expected work, in bands of
  * half an octave.
  */
-public final class Demand {
+public final class DemandHistogram {
     public static final int BANDS = 32;
 
     /** The band of a worth of 1: as many below it as above, a factor of 256 each way. */
--- a/src/main/java/firstage/policy/api/Deployment.java
+++ b/src/main/java/firstage/policy/api/Deployment.java
@@ -14,7 +14,7 @@
         int managers,
         int rank,
         int zone,
-        List<ServiceGroup> groups,
+        List<TrafficClass> groups,
         List<Machine> machines,
         List<Double> customerRates,
         Allowed allowed,
@@ -28,7 +28,7 @@
         boolean pages) {
     /** The shortest response goal of a service group. */
     public long shortestGoal() {
-        return groups.stream().mapToLong(ServiceGroup::goal).min().orElse(1);
+        return groups.stream().mapToLong(TrafficClass::goal).min().orElse(1);
     }
 
     public record Machine(int cores, double memoryMb) {}
--- a/src/main/java/firstage/policy/api/EngineList.java
+++ b/src/main/java/firstage/policy/api/EndpointUpdate.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** The list of engines: the whole of it, or what changed. FAILED leaves the earlier list valid. */
-public record EngineList(Kind kind, List<Entry> entries) {
+public record EndpointUpdate(Kind kind, List<Entry> entries) {
     public enum Kind {
         WHOLE,
         CHANGES,
--- a/src/main/java/firstage/policy/api/Arrival.java
+++ b/src/main/java/firstage/policy/api/IncomingRequest.java
@@ -5,7 +5,7 @@
  * when absent; {@code estimate} is the work of all its threads as time on one. {@code turnUnknown}:
  * whether it came before or after another of its key that was taken can't be told.
  */
-public record Arrival(
+public record IncomingRequest(
         int batch,
         int group,
         int customer,
--- a/src/main/java/firstage/policy/api/Report.java
+++ b/src/main/java/firstage/policy/api/LoadReport.java
@@ -1,5 +1,5 @@
 package firstage.policy.api;
 
 /** An engine's load report; a figure it does not tell is NaN. Shares run from 0 to 1. */
-public record Report(
+public record LoadReport(
         double active, double waiting, double cpuShare, double memoryShare, double diskShare) {}
--- a/src/main/java/firstage/policy/api/Host.java
+++ b/src/main/java/firstage/policy/api/PolicyActions.java
@@ -1,7 +1,7 @@
 package firstage.policy.api;
 
 /** Carries the effects of decisions out. A host decides nothing. */
-public interface Host {
+public interface PolicyActions {
     /** Names the memory grant (MB) and priority for the batch's next dispatch. */
     void provide(int batch, int grantMb, int priority);
 
--- a/src/main/java/firstage/policy/api/WorkloadManager.java
+++ b/src/main/java/firstage/policy/api/SchedulingPolicy.java
@@ -3,12 +3,12 @@
 /**
  * What a workload manager is told. Calls carry the clock; {@link #turn} ends each round of news.
  */
-public interface WorkloadManager {
-    void taken(long now, Arrival arrival);
+public interface SchedulingPolicy {
+    void taken(long now, IncomingRequest arrival);
 
-    void ended(long now, Ending ending);
+    void ended(long now, AttemptResult ending);
 
-    void noted(long now, Note note);
+    void noted(long now, AttemptProgress note);
 
     /** The client left, or its time is up: the batch is closed and owed nothing more. */
     void clientLeft(long now, int batch);
@@ -16,9 +16,9 @@
     /** The client is not there, and may have left: its batch is not to be sent until it is back. */
     default void clientAway(long now, int batch, boolean away) {}
 
-    void listed(long now, EngineList list);
+    void listed(long now, EndpointUpdate list);
 
-    void probed(long now, int engine, Outcome outcome, Report report);
+    void probed(long now, int engine, AttemptOutcome outcome, LoadReport report);
 
     /**
      * The part of each engine that it may use now: its own share by the settings, less while it
@@ -52,14 +52,14 @@
     default void othersTry(long now, int engine, boolean others, boolean restIsOver) {}
 
     /** What it was asked for and what it sent; null where it keeps no count. */
-    default Demand demand(long now) {
+    default DemandHistogram demand(long now) {
         return null;
     }
 
     /**
-     * The fleet has no room for what is worth less: batches of a lower {@link Demand#band} are to
-     * be answered at once, and of those in it all but this part. Where nobody shares, it is never
-     * told.
+     * The fleet has no room for what is worth less: batches of a lower {@link DemandHistogram#band}
+     * are to be answered at once, and of those in it all but this part. Where nobody shares, it is
+     * never told.
      */
     default void cut(long now, int band, double part) {}
 
--- a/src/main/java/firstage/policy/api/ServiceGroup.java
+++ b/src/main/java/firstage/policy/api/TrafficClass.java
@@ -6,7 +6,7 @@
  * What a deployment states of one service group. The goal of a batch is {@code goal} plus {@code
  * stretch} times its work over its threads. Empty {@code zones} or {@code kinds} bind it to none.
  */
-public record ServiceGroup(
+public record TrafficClass(
         long goal,
         double stretch,
         long timeLimit,
--- a/src/main/java/firstage/policy/state/Flight.java
+++ b/src/main/java/firstage/policy/state/Attempt.java
@@ -1,9 +1,9 @@
 package firstage.policy.state;
 
 /** A dispatch that is out. */
-public final class Flight {
-    public final Batch batch;
-    public final Engine engine;
+public final class Attempt {
+    public final RequestState batch;
+    public final EngineState engine;
     public final int number;
     public final long sent;
     public final double grant;
@@ -25,7 +25,13 @@
     /** Nothing more is expected of it: it was called off, or a copy was asked for. */
     public boolean givenUp;
 
-    public Flight(Batch batch, Engine engine, int number, long sent, double grant, int priority) {
+    public Attempt(
+            RequestState batch,
+            EngineState engine,
+            int number,
+            long sent,
+            double grant,
+            int priority) {
         this.batch = batch;
         this.engine = engine;
         this.number = number;
--- a/src/main/java/firstage/policy/state/Mean.java
+++ b/src/main/java/firstage/policy/state/DecayingMean.java
@@ -1,12 +1,12 @@
 package firstage.policy.state;
 
 /** A mean over recent samples: sum and count are halved when the count reaches its limit. */
-public final class Mean {
+public final class DecayingMean {
     private final double limit;
     private double sum;
     private double count;
 
-    public Mean(double limit) {
+    public DecayingMean(double limit) {
         this.limit = limit;
     }
 
--- a/src/main/java/firstage/policy/state/Health.java
+++ b/src/main/java/firstage/policy/state/EngineHealth.java
@@ -3,7 +3,7 @@
 /**
  * How an engine is judged from what passes through. FULL refuses, TRIAL lets one batch find out.
  */
-public enum Health {
+public enum EngineHealth {
     READY,
     FULL,
     TRIAL,
--- a/src/main/java/firstage/policy/state/Engine.java
+++ b/src/main/java/firstage/policy/state/EngineState.java
@@ -1,14 +1,14 @@
 package firstage.policy.state;
 
-import firstage.policy.api.EngineList.Entry;
-import firstage.policy.api.EngineList.Standing;
+import firstage.policy.api.EndpointUpdate.Entry;
+import firstage.policy.api.EndpointUpdate.Standing;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** An engine as this workload manager sees it. */
-public final class Engine {
+public final class EngineState {
     public final int index;
     public long mark;
     public int zone;
@@ -32,8 +32,8 @@
     public double reserved;
 
     public int threads;
-    public final List<Flight> flights = new ArrayList<>();
-    public Health health = Health.READY;
+    public final List<Attempt> flights = new ArrayList<>();
+    public EngineHealth health = EngineHealth.READY;
 
     /** Another manager tries it, and tells when it is well. */
     public boolean othersTry;
@@ -70,15 +70,15 @@
     public long shrunk;
 
     /** Latency over the best of its group. */
-    public final Bins slow = new Bins();
+    public final LogHistogram slow = new LogHistogram();
 
     /** Tables that a load holds here, and until when it is taken so. */
     public final Map<Integer, Long> loaded = new HashMap<>();
 
     /** Work sent while cold, over the fall window. */
-    public final Tally cold;
+    public final SlidingWindowCounter cold;
 
-    public Engine(int index, long rest, Tally cold) {
+    public EngineState(int index, long rest, SlidingWindowCounter cold) {
         this.rest = rest;
         this.cold = cold;
         this.index = index;
@@ -103,7 +103,7 @@
      * One of its dispatches was spoken of; what was out before it seemed to go down proves that it
      * did not.
      */
-    public void spoke(long now, Flight f) {
+    public void spoke(long now, Attempt f) {
         heard = now;
         f.heard = now;
         downAt = f.sent < downAt ? 0 : downAt;
@@ -125,14 +125,14 @@
     }
 
     /** Reserves what the dispatch needs. */
-    public void take(Flight f) {
+    public void take(Attempt f) {
         reserved += f.grant;
         threads += f.batch.group.is.threads();
         flights.add(f);
     }
 
     /** Frees what the dispatch reserved. */
-    public void land(Flight f) {
+    public void land(Attempt f) {
         if (flights.remove(f)) {
             reserved = flights.isEmpty() ? 0 : reserved - f.grant;
             threads -= f.batch.group.is.threads();
@@ -149,7 +149,7 @@
         if (loaded.getOrDefault(tables, 0L) > now) {
             return true;
         }
-        for (Flight f : flights) {
+        for (Attempt f : flights) {
             if (f.batch.is.tables() == tables && f.batch.group.is.load()) {
                 return true;
             }
--- a/src/main/java/firstage/policy/state/Turn.java
+++ b/src/main/java/firstage/policy/state/KeyQueue.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /** The line of one key. */
-public final class Turn {
-    public final ArrayDeque<Batch> line = new ArrayDeque<>();
+public final class KeyQueue {
+    public final ArrayDeque<RequestState> line = new ArrayDeque<>();
     public long restUntil;
 
     public boolean isOver(long now) {
--- a/src/main/java/firstage/policy/state/Bins.java
+++ b/src/main/java/firstage/policy/state/LogHistogram.java
@@ -1,7 +1,7 @@
 package firstage.policy.state;
 
 /** Coarse bins of half an octave around 1. */
-public final class Bins {
+public final class LogHistogram {
     private static final int COUNT = 17;
     private final double[] weight = new double[COUNT];
     private double total;
--- a/src/main/java/firstage/policy/state/Batch.java
+++ b/src/main/java/firstage/policy/state/RequestState.java
@@ -1,13 +1,13 @@
 package firstage.policy.state;
 
-import firstage.policy.api.Arrival;
+import firstage.policy.api.IncomingRequest;
 import java.util.ArrayList;
 import java.util.List;
 
 /** A batch that is open, or closed with a dispatch still out. */
-public final class Batch {
-    public final Arrival is;
-    public final Group group;
+public final class RequestState {
+    public final IncomingRequest is;
+    public final TrafficClassStats group;
 
     /** Place in the order of arrival at this manager. */
     public final long order;
@@ -31,25 +31,25 @@
     public boolean mayHaveRun;
 
     public long firstRun;
-    public Engine firstEngine;
-    public Engine last;
+    public EngineState firstEngine;
+    public EngineState last;
 
     /** Engines that it erred at, and the first of them. */
     public int errors;
 
-    public Engine erredAt;
+    public EngineState erredAt;
     public boolean closed;
 
     /** Its client may have left: it is not to be sent. */
     public boolean away;
 
     /** The engines asked for their load before it goes, and when. */
-    public List<Engine> looked = List.of();
+    public List<EngineState> looked = List.of();
 
     public long lookedAt;
-    public final List<Flight> out = new ArrayList<>();
+    public final List<Attempt> out = new ArrayList<>();
 
-    public Batch(Arrival is, Group group, long order, long taken) {
+    public RequestState(IncomingRequest is, TrafficClassStats group, long order, long taken) {
         this.is = is;
         this.group = group;
         this.order = order;
@@ -58,7 +58,7 @@
     }
 
     /** A dispatch that is over may have run. */
-    public void ran(Flight f) {
+    public void ran(Attempt f) {
         if (!mayHaveRun || f.sent < firstRun) {
             firstRun = f.sent;
             firstEngine = f.engine;
@@ -72,7 +72,7 @@
      */
     public long firstSent(long now) {
         long first = mayHaveRun ? firstRun : now;
-        for (Flight f : out) {
+        for (Attempt f : out) {
             first = Math.min(first, f.sent);
         }
         return first;
@@ -98,8 +98,8 @@
         return looked.stream().allMatch(e -> e.toldAt >= lookedAt);
     }
 
-    public Flight flight(int number) {
-        for (Flight f : out) {
+    public Attempt flight(int number) {
+        for (Attempt f : out) {
             if (f.number == number) {
                 return f;
             }
--- a/src/main/java/firstage/policy/state/Tally.java
+++ b/src/main/java/firstage/policy/state/SlidingWindowCounter.java
@@ -3,12 +3,12 @@
 import java.util.ArrayDeque;
 
 /** Adds up amounts over a sliding window in pieces; a piece is as old as its first entry. */
-public final class Tally {
+public final class SlidingWindowCounter {
     private final ArrayDeque<double[]> pieces = new ArrayDeque<>();
     private final long span;
     private final long piece;
 
-    public Tally(long span, int pieces) {
+    public SlidingWindowCounter(long span, int pieces) {
         this.span = span;
         this.piece = span / pieces;
     }
--- a/src/main/java/firstage/policy/state/Quota.java
+++ b/src/main/java/firstage/policy/state/TokenBucket.java
@@ -1,12 +1,12 @@
 package firstage.policy.state;
 
 /** A customer's share as a bucket: it fills at a rate up to what that rate brings in a span. */
-public final class Quota {
+public final class TokenBucket {
     private final double rate;
     private final double most;
     private double left;
 
-    public Quota(double rate, long span) {
+    public TokenBucket(double rate, long span) {
         this.rate = rate;
         most = rate * span;
         left = most;
--- a/src/main/java/firstage/policy/state/Group.java
+++ b/src/main/java/firstage/policy/state/TrafficClassStats.java
@@ -1,19 +1,19 @@
 package firstage.policy.state;
 
-import firstage.policy.api.ServiceGroup;
+import firstage.policy.api.TrafficClass;
 
 /** A service group and what was learned of it. */
-public final class Group {
-    public final ServiceGroup is;
-    public final Mean work;
+public final class TrafficClassStats {
+    public final TrafficClass is;
+    public final DecayingMean work;
 
     /** The estimates of what came, whether it was answered or not. */
-    public final Mean told;
+    public final DecayingMean told;
 
-    public final Mean memory;
+    public final DecayingMean memory;
 
     /** Latency x threads over the batch's figure of work. */
-    public final Bins pace = new Bins();
+    public final LogHistogram pace = new LogHistogram();
 
     /** The lowest median pace of late. */
     public double best;
@@ -23,13 +23,13 @@
     /** Answers that taught the margin. */
     public int taught;
 
-    public Group(ServiceGroup is, double margin, double best, int samples) {
+    public TrafficClassStats(TrafficClass is, double margin, double best, int samples) {
         this.is = is;
         this.margin = margin;
         this.best = best;
-        work = new Mean(samples);
-        told = new Mean(samples);
-        memory = new Mean(samples);
+        work = new DecayingMean(samples);
+        told = new DecayingMean(samples);
+        memory = new DecayingMean(samples);
     }
 
     public double best() {
--- a/src/main/java/firstage/scale/ChoiceCost.java
+++ b/src/main/java/firstage/scale/DecisionCost.java
@@ -1,17 +1,17 @@
 package firstage.scale;
 
-import firstage.policy.Brain;
-import firstage.policy.api.Arrival;
+import firstage.policy.WorkloadScheduler;
+import firstage.policy.api.AttemptOutcome;
+import firstage.policy.api.AttemptResult;
 import firstage.policy.api.Deployment;
-import firstage.policy.api.Ending;
-import firstage.policy.api.EngineList;
-import firstage.policy.api.EngineList.Entry;
-import firstage.policy.api.EngineList.Standing;
-import firstage.policy.api.Host;
-import firstage.policy.api.Outcome;
-import firstage.policy.api.ServiceGroup;
-import firstage.policy.api.ServiceGroup.Effect;
-import firstage.policy.api.ServiceGroup.Scope;
+import firstage.policy.api.EndpointUpdate;
+import firstage.policy.api.EndpointUpdate.Entry;
+import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.IncomingRequest;
+import firstage.policy.api.PolicyActions;
+import firstage.policy.api.TrafficClass;
+import firstage.policy.api.TrafficClass.Effect;
+import firstage.policy.api.TrafficClass.Scope;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -24,7 +24,7 @@
  * ones, all news by calls, engines that return each batch after its work. Measured by this
  * machine's clock, one thread.
  */
-public final class ChoiceCost implements Host {
+public final class DecisionCost implements PolicyActions {
     private static final long SECOND = 10_000;
 
     /** By the size of two years on: 462 batches a second at one manager. */
@@ -35,15 +35,15 @@
     private static final int MEASURED = 6_000;
     private static final int CORES = 8;
     private static final double MEMORY_MB = 16_000;
-    private final Brain brain;
+    private final WorkloadScheduler brain;
     private final ArrayDeque<long[]> running = new ArrayDeque<>();
     private long now = 100 * SECOND;
     private int dispatched;
     private int pushedBack;
 
-    private ChoiceCost(int engines, int managers) {
-        ServiceGroup lookup =
-                new ServiceGroup(
+    private DecisionCost(int engines, int managers) {
+        TrafficClass lookup =
+                new TrafficClass(
                         SECOND,
                         2,
                         5 * SECOND,
@@ -59,7 +59,7 @@
                         Set.of(),
                         Set.of());
         brain =
-                new Brain(
+                new WorkloadScheduler(
                         new Deployment(
                                 7,
                                 managers,
@@ -84,7 +84,7 @@
         for (int e = 0; e < engines; e++) {
             entries.add(new Entry(e, e + 1L, 0, 0, e, Standing.ACTIVE, 1, 0));
         }
-        brain.listed(now, new EngineList(EngineList.Kind.REMEMBERED, entries));
+        brain.listed(now, new EndpointUpdate(EndpointUpdate.Kind.REMEMBERED, entries));
         brain.turn(now);
     }
 
@@ -94,11 +94,11 @@
             long[] over = running.poll();
             brain.ended(
                     now,
-                    new Ending(
+                    new AttemptResult(
                             (int) over[1],
                             0,
                             (int) over[2],
-                            Outcome.RETURNED,
+                            AttemptOutcome.RETURNED,
                             WORK,
                             0,
                             0,
@@ -109,14 +109,14 @@
         }
         brain.taken(
                 now,
-                new Arrival(
+                new IncomingRequest(
                         number, 0, -1, -1, now + 5 * SECOND, WORK, 100, number % 20, false, false));
         brain.turn(now);
     }
 
     /** Microseconds a batch, and the shares dispatched and pushed back; by name. */
     public static Map<String, Double> play(int engines, int managers) {
-        ChoiceCost c = new ChoiceCost(engines, managers);
+        DecisionCost c = new DecisionCost(engines, managers);
         for (int b = 0; b < WARM; b++) {
             c.batch(b);
         }
--- a/src/main/java/firstage/scale/Watches.java
+++ b/src/main/java/firstage/scale/EmulatedWatches.java
@@ -20,7 +20,7 @@
  * The coordinator for a whole fleet: thousands of watches on one thread. Numbered events from 2 on
  * (the first is in each manager's configuration), an empty frame each second.
  */
-final class Watches implements AutoCloseable {
+final class EmulatedWatches implements AutoCloseable {
     private static final int RECORD = 27;
     private static final int HEAD = 9;
     private static final long BEAT_MS = 1_000;
@@ -40,7 +40,7 @@
     private volatile int open;
     private volatile long bytes;
 
-    Watches(InetSocketAddress at) throws IOException {
+    EmulatedWatches(InetSocketAddress at) throws IOException {
         server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         server.bind(at, LINE);
         server.configureBlocking(false);
--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -1,18 +1,18 @@
 package firstage.scale;
 
+import firstage.cells.CellDirectory;
 import firstage.cells.CellPlan;
-import firstage.cells.Cells;
-import firstage.cells.Sieve;
-import firstage.failover.Together;
-import firstage.failover.Zones;
-import firstage.membership.Entry;
-import firstage.membership.Leases;
-import firstage.membership.Members;
-import firstage.membership.Message;
-import firstage.membership.Standing;
-import firstage.membership.View;
-import firstage.policy.api.Demand;
-import firstage.server.discovery.Frames;
+import firstage.cells.EngineSubset;
+import firstage.failover.FleetCoordinator;
+import firstage.failover.ZoneFailover;
+import firstage.membership.Member;
+import firstage.membership.MemberState;
+import firstage.membership.MembershipMessage;
+import firstage.membership.MembershipProtocol;
+import firstage.membership.MembershipView;
+import firstage.membership.QuotaLeases;
+import firstage.policy.api.DemandHistogram;
+import firstage.server.discovery.FrameDecoder;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
@@ -34,7 +34,7 @@
  * --peers} carries them, its own address, real datagrams and a real watch of the list; no clients
  * and no engines. On its process's one thread.
  */
-final class HollowManager implements Members.Carrier, Cells.Effects {
+final class HollowManager implements MembershipProtocol.Carrier, CellDirectory.Effects {
     private static final int MOST = 1_200;
     private static final long GOAL = 10_000;
     private static final long WARM = 130_000;
@@ -48,7 +48,7 @@
     /** What it tells of itself while it runs. */
     interface Witness {
         /** Its view is another. */
-        void viewed(HollowManager who, View view);
+        void viewed(HollowManager who, MembershipView view);
 
         /** An event of the list came; {@code toldAt}: Unix ms at which it was told. */
         void listed(HollowManager who, long toldAt);
@@ -62,22 +62,22 @@
 
     final int number;
     private final ScalePlan plan;
-    private final Places at;
+    private final ScaleAddresses at;
     private final Selector selector;
     private final Clock clock;
     private final Witness witness;
     private final Map<InetSocketAddress, Integer> seats = new HashMap<>();
     private final Map<Integer, InetSocketAddress> addresses = new HashMap<>();
-    private final Demand demand = new Demand();
+    private final DemandHistogram demand = new DemandHistogram();
     private final ByteBuffer buffer = ByteBuffer.allocateDirect(16 * 1024);
     private DatagramChannel mail;
     private SocketChannel watch;
-    private Frames frames;
-    private Members members;
-    private Leases leases;
-    private Cells cells;
-    private Sieve<Listed> sieve;
-    private Together together;
+    private FrameDecoder frames;
+    private MembershipProtocol members;
+    private QuotaLeases leases;
+    private CellDirectory cells;
+    private EngineSubset<Listed> sieve;
+    private FleetCoordinator together;
     private Set<Long> engines = new HashSet<>();
     private boolean lentBefore;
     private int life;
@@ -86,7 +86,7 @@
     private boolean retries;
     private long startedMs;
     long tickAt;
-    final long[] bytesOut = new long[Message.Kind.values().length + 1];
+    final long[] bytesOut = new long[MembershipMessage.Kind.values().length + 1];
     long datagramsOut;
     long bytesIn;
     long listBytes;
@@ -99,7 +99,7 @@
     HollowManager(
             int number,
             ScalePlan plan,
-            Places at,
+            ScaleAddresses at,
             Selector selector,
             Clock clock,
             Witness witness) {
@@ -142,7 +142,7 @@
                 ? 0
                 : (int)
                         cells.known(clock.now()).stream()
-                                .filter(k -> k.standing() == Cells.Standing.HEARD)
+                                .filter(k -> k.standing() == CellDirectory.Standing.HEARD)
                                 .count();
     }
 
@@ -158,7 +158,7 @@
                 RandomGeneratorFactory.of("L64X128MixRandom");
         long seed = number * 1_000_003L + mine;
         leases =
-                new Leases(
+                new QuotaLeases(
                         plan.together(),
                         plan.part(),
                         plan.period(),
@@ -167,19 +167,19 @@
                             lentBefore = true;
                             leases.kept();
                         },
-                        Leases.Fault.NONE);
+                        QuotaLeases.Fault.NONE);
         long started = System.currentTimeMillis();
         startedMs = started;
         int zone = plan.zones().indexOf(plan.zoneOf(number));
         together =
-                new Together(
+                new FleetCoordinator(
                         name(),
                         zone,
                         plan.zones().size(),
                         GOAL,
                         WARM,
                         plan.period(),
-                        new Zones.Effects() {
+                        new ZoneFailover.Effects() {
                             @Override
                             public void keepAway(long engine, boolean away, boolean restIsOver) {
                                 // No engines stand behind it.
@@ -191,22 +191,22 @@
                             }
                         },
                         (now, band, part) -> {},
-                        Together.Faults.NONE);
+                        FleetCoordinator.Faults.NONE);
         members =
-                new Members(
+                new MembershipProtocol(
                         plan.name(),
-                        new Entry(name(), plan.zoneOf(number), started, Standing.HERE, "", 1),
+                        new Member(name(), plan.zoneOf(number), started, MemberState.HERE, "", 1),
                         plan.together(),
                         plan.period(),
                         MOST,
                         chances.create(seed),
                         leases,
                         this,
-                        Members.Fault.NONE);
+                        MembershipProtocol.Fault.NONE);
         cells =
                 cellPlan == null
                         ? null
-                        : new Cells(
+                        : new CellDirectory(
                                 cellPlan,
                                 null,
                                 cell,
@@ -216,8 +216,11 @@
                                 started,
                                 chances.create(~seed),
                                 this,
-                                Cells.Fault.NONE);
-        sieve = cells == null ? null : new Sieve<>(cells, Listed::id, Listed::zone, e -> false);
+                                CellDirectory.Fault.NONE);
+        sieve =
+                cells == null
+                        ? null
+                        : new EngineSubset<>(cells, Listed::id, Listed::zone, e -> false);
         mail = DatagramChannel.open();
         mail.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         mail.bind(at.mail(plan, number));
@@ -242,7 +245,7 @@
     }
 
     private void follow() throws IOException {
-        frames = new Frames();
+        frames = new FrameDecoder();
         watch = SocketChannel.open();
         watch.configureBlocking(false);
         watch.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -273,7 +276,7 @@
         if (now >= lookAt) {
             lookAt = now + LOOK;
             for (int b = 0; b < BANDS; b++) {
-                demand.came(Demand.BANDS / 2 + 2 * b, WORK * LOOK / BANDS);
+                demand.came(DemandHistogram.BANDS / 2 + 2 * b, WORK * LOOK / BANDS);
             }
             demand.sent(WORK * LOOK);
             together.look(now, demand);
@@ -365,7 +368,7 @@
     }
 
     @Override
-    public void send(int seed, Message.Kind kind, byte[] datagram) {
+    public void send(int seed, MembershipMessage.Kind kind, byte[] datagram) {
         if (seed != plan.slotOf(number)) {
             post(addresses.get(seed), kind.ordinal(), datagram);
         }
@@ -377,7 +380,7 @@
     }
 
     @Override
-    public void changed(long now, View view) {
+    public void changed(long now, MembershipView view) {
         together.viewed(view.names());
         if (cells != null) {
             cells.viewed(view.names());
--- a/src/main/java/firstage/scale/Hollow.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import firstage.membership.Message;
-import firstage.membership.View;
+import firstage.membership.MembershipMessage;
+import firstage.membership.MembershipView;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -29,7 +29,7 @@
  * One process of a few hundred hollow managers, all on one thread. Orders come in lines on standard
  * input, a line of JSON goes out each second; where standard input ends, so does the process.
  */
-public final class Hollow implements HollowManager.Witness {
+public final class HollowWorker implements HollowManager.Witness {
     private static final long TICK = 200;
     private static final long SPREAD = 10_000;
     private static final long TELL_MS = 1_000;
@@ -62,7 +62,7 @@
     private long silentSince = Long.MAX_VALUE;
     private volatile boolean over;
 
-    private Hollow(ScalePlan plan, Places at, int from, int to, PrintStream out)
+    private HollowWorker(ScalePlan plan, ScaleAddresses at, int from, int to, PrintStream out)
             throws IOException {
         this.plan = plan;
         this.out = out;
@@ -77,9 +77,9 @@
      * Hosts the hollow ones of these managers until it is told to end, or nobody is there to tell.
      */
     public static void run(ScalePlan plan, int port, int from, int to) throws IOException {
-        new Hollow(
+        new HollowWorker(
                         plan,
-                        new Places(port),
+                        new ScaleAddresses(port),
                         from,
                         to,
                         new PrintStream(System.out, true, StandardCharsets.UTF_8))
@@ -233,7 +233,7 @@
     }
 
     @Override
-    public void viewed(HollowManager who, View view) {
+    public void viewed(HollowManager who, MembershipView view) {
         awaited.forEach(a -> look(a, who, view.names()));
         awaited.removeIf(a -> a.waiting.isEmpty());
     }
@@ -267,15 +267,17 @@
                     "heap bytes",
                     ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
             long all = 0;
-            for (int k = 0; k <= Message.Kind.values().length; k++) {
+            for (int k = 0; k <= MembershipMessage.Kind.values().length; k++) {
                 int kind = k;
                 long sum = managers.values().stream().mapToLong(m -> m.bytesOut[kind]).sum();
                 all += sum;
                 figure(
                         g,
                         "bytes "
-                                + (k < Message.Kind.values().length
-                                        ? Message.Kind.values()[k].name().toLowerCase(Locale.ROOT)
+                                + (k < MembershipMessage.Kind.values().length
+                                        ? MembershipMessage.Kind.values()[k]
+                                                .name()
+                                                .toLowerCase(Locale.ROOT)
                                         : "rows"),
                         sum);
             }
--- a/src/main/java/firstage/scale/HollowProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -19,7 +19,7 @@
  * A process of hollow managers as the run sees it: orders go in, a line of figures comes out each
  * second.
  */
-final class HollowProcess implements AutoCloseable {
+final class HollowWorkerProcess implements AutoCloseable {
     /**
      * One line: figures by name, and by label how long each manager took to come to a moment, in
      * ms.
@@ -61,7 +61,7 @@
     private final List<Line> lines = new ArrayList<>();
     private String words = "";
 
-    HollowProcess(List<String> command, int from, int to, Path log) throws IOException {
+    HollowWorkerProcess(List<String> command, int from, int to, Path log) throws IOException {
         this.from = from;
         this.to = to;
         process = new ProcessBuilder(command).redirectError(log.toFile()).start();
--- a/src/main/java/firstage/scale/Places.java
+++ b/src/main/java/firstage/scale/ScaleAddresses.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 
 /** Who is where, all on loopback and on one port; hollow and real managers alike. */
-record Places(int port) {
+record ScaleAddresses(int port) {
     /** Managers share the third number by so many where the fleet is one. */
     private static final int IN_A_ROW = 200;
 
--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -1,8 +1,8 @@
 package firstage.scale;
 
 import firstage.cells.CellPlan;
-import firstage.simulation.FleetFault;
-import firstage.simulation.Section;
+import firstage.simulation.InvalidPlanException;
+import firstage.simulation.TomlSection;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -62,23 +62,23 @@
     private static final int MOST_CONNECTIONS = 10_000;
     private static final double MOST_RATE = 10_000;
 
-    /** The plan that this text sets; {@link FleetFault} names line and cure. */
+    /** The plan that this text sets; {@link InvalidPlanException} names line and cure. */
     public static ScalePlan read(String text) {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
-            throw new FleetFault(
+            throw new InvalidPlanException(
                     toml.errors().get(0).position().line(),
                     toml.errors().get(0).getMessage().lines().findFirst().orElse(""));
         }
-        Section top = new Section(toml, "", 1);
+        TomlSection top = new TomlSection(toml, "", 1);
         List<String> zones =
                 Arrays.stream(top.text("zones", "a").split(",")).map(String::trim).toList();
-        Section managers = top.table("managers");
-        Section engines = top.table("engines");
+        TomlSection managers = top.table("managers");
+        TomlSection engines = top.table("engines");
         List<Event> events = new ArrayList<>();
         List<String> kinds =
                 Arrays.stream(Kind.values()).map(k -> k.name().toLowerCase(Locale.ROOT)).toList();
-        for (Section s : top.tables("event")) {
+        for (TomlSection s : top.tables("event")) {
             events.add(
                     new Event(
                             Kind.valueOf(s.oneOf("kind", null, kinds).toUpperCase(Locale.ROOT)),
@@ -87,7 +87,7 @@
             s.done();
         }
         List<Load> loads = new ArrayList<>();
-        for (Section s : top.tables("load")) {
+        for (TomlSection s : top.tables("load")) {
             loads.add(load(s));
         }
         ScalePlan plan =
@@ -112,7 +112,7 @@
         return plan;
     }
 
-    private static Load load(Section s) {
+    private static Load load(TomlSection s) {
         Load load =
                 new Load(
                         s.whole("connections", 1, MOST_CONNECTIONS, null),
@@ -144,7 +144,7 @@
         return load;
     }
 
-    private void check(Section managers, Section top) {
+    private void check(TomlSection managers, TomlSection top) {
         if (!loads.isEmpty() && real == 0) {
             throw managers.fault("real", "a load wants a real manager; 1 would do");
         }
@@ -169,7 +169,7 @@
         }
         for (Event e : events) {
             if (e.at >= length) {
-                throw new FleetFault(
+                throw new InvalidPlanException(
                         e.line,
                         "event.at: after the end; under " + length / 10_000 + " s would do");
             }
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -1,11 +1,11 @@
 package firstage.scale;
 
-import firstage.faulttest.Addresses;
-import firstage.faulttest.Managers;
-import firstage.faulttest.Wiring;
-import firstage.simulation.FleetFault;
-import firstage.simulation.FleetFile;
+import firstage.faulttest.LoopbackAddresses;
+import firstage.faulttest.ManagerConfigWriter;
+import firstage.faulttest.ManagerProcesses;
 import firstage.simulation.FleetPlan;
+import firstage.simulation.FleetPlanReader;
+import firstage.simulation.InvalidPlanException;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.net.InetSocketAddress;
@@ -108,11 +108,11 @@
     private final Order order;
     private final ScalePlan plan;
     private final ServerSocket lock;
-    private final Places at;
-    private final Watches watches;
+    private final ScaleAddresses at;
+    private final EmulatedWatches watches;
     private final HollowEngines engines;
-    private final Managers real;
-    private final List<HollowProcess> hollow = new ArrayList<>();
+    private final ManagerProcesses real;
+    private final List<HollowWorkerProcess> hollow = new ArrayList<>();
     private final Map<String, Double> figures = new LinkedHashMap<>();
 
     /**
@@ -123,22 +123,22 @@
 
     private final Random chance;
     private final Thread hook =
-            new Thread(() -> hollow.forEach(HollowProcess::close), "end of the scale run");
+            new Thread(() -> hollow.forEach(HollowWorkerProcess::close), "end of the scale run");
 
     private ScaleRun(Order order) throws IOException {
         this.order = order;
         plan = order.plan;
         chance = new Random(order.seed);
         Files.createDirectories(order.folder.resolve("logs"));
-        lock = Addresses.hold();
-        at = new Places(lock.getLocalPort());
-        watches = new Watches(at.coordinator());
+        lock = LoopbackAddresses.hold();
+        at = new ScaleAddresses(lock.getLocalPort());
+        watches = new EmulatedWatches(at.coordinator());
         engines = new HollowEngines(at.engine(), STATEMENT_MS);
         real =
-                new Managers(
+                new ManagerProcesses(
                         order.folder,
-                        Managers.notes().resolve("scale-" + at.port() + ".held"),
-                        Managers.command(order.run, order.jar),
+                        ManagerProcesses.notes().resolve("scale-" + at.port() + ".held"),
+                        ManagerProcesses.command(order.run, order.jar),
                         Math.max(1, plan.real()));
         Runtime.getRuntime().addShutdownHook(hook);
     }
@@ -163,7 +163,7 @@
                                 .getTotalMemorySize()
                         / 1048576.0;
         if (memory(plan) > whole * MOST_MEMORY) {
-            throw new FleetFault(
+            throw new InvalidPlanException(
                     0,
                     String.format(
                             Locale.ROOT,
@@ -175,7 +175,7 @@
                             whole));
         }
         if (processes(plan) + plan.real() > MOST_PROCESSES) {
-            throw new FleetFault(
+            throw new InvalidPlanException(
                     0,
                     processes(plan)
                             + plan.real()
@@ -273,7 +273,7 @@
                             String.valueOf(from),
                             String.valueOf(to));
             hollow.add(
-                    new HollowProcess(
+                    new HollowWorkerProcess(
                             command,
                             from,
                             to,
@@ -281,7 +281,7 @@
         }
         long until = System.currentTimeMillis() + START_S * 1_000;
         while (hollow.stream().anyMatch(h -> h.told() == 0)) {
-            for (HollowProcess h : hollow) {
+            for (HollowWorkerProcess h : hollow) {
                 if (!h.lives() || System.currentTimeMillis() > until) {
                     throw new IOException(
                             "hollow managers from "
@@ -304,7 +304,7 @@
 
     private void startReal() throws IOException {
         FleetPlan like =
-                FleetFile.read(
+                FleetPlanReader.read(
                         REAL_PLAN
                                 .replace("ZONES", String.join(", ", plan.zones()))
                                 .replace("MANAGERS", String.valueOf(plan.managers()))
@@ -312,21 +312,21 @@
         int started = 0;
         for (int m = 0; m < plan.managers(); m++) {
             if (plan.isReal(m)) {
-                Wiring.Place of =
-                        new Wiring.Place(
+                ManagerConfigWriter.Place of =
+                        new ManagerConfigWriter.Place(
                                 "m" + m,
                                 at.manager(started),
                                 at.coordinator(),
                                 m,
                                 plan.zones().indexOf(plan.zoneOf(m)),
                                 e -> at.engine());
-                Wiring.config(
-                        Managers.config(order.folder, started),
+                ManagerConfigWriter.config(
+                        ManagerProcesses.config(order.folder, started),
                         like,
                         of,
                         order.seed * 1_009 + m,
                         sockets());
-                Files.write(Managers.peers(order.folder, started), peers(m));
+                Files.write(ManagerProcesses.peers(order.folder, started), peers(m));
                 real.start(started, true);
                 started++;
             }
@@ -350,7 +350,7 @@
                                 "fleet = \"" + plan.name() + "\"",
                                 "name = \"m" + m + "\"",
                                 "zone = \"" + plan.zoneOf(m) + "\"",
-                                "listen = \"" + Addresses.text(at.mail(plan, m)) + "\"",
+                                "listen = \"" + LoopbackAddresses.text(at.mail(plan, m)) + "\"",
                                 "probe = \"" + plan.period() / 10 + " ms\""));
         if (plan.cell() == 0) {
             for (int p = 0; p < plan.managers(); p++) {
@@ -358,7 +358,9 @@
                     lines.addAll(
                             List.of(
                                     "[[peer]]",
-                                    "address = \"" + Addresses.text(at.mail(plan, p)) + "\""));
+                                    "address = \""
+                                            + LoopbackAddresses.text(at.mail(plan, p))
+                                            + "\""));
                 }
             }
             return lines;
@@ -404,8 +406,8 @@
     }
 
     private void steady() {
-        Map<HollowProcess, HollowProcess.Line> before =
-                hollow.stream().collect(Collectors.toMap(h -> h, HollowProcess::last));
+        Map<HollowWorkerProcess, HollowWorkerProcess.Line> before =
+                hollow.stream().collect(Collectors.toMap(h -> h, HollowWorkerProcess::last));
         double[] cpu = new double[plan.real()];
         for (int r = 0; r < plan.real(); r++) {
             cpu[r] = cpuMs(r);
@@ -420,8 +422,8 @@
                     || name.startsWith("list bytes")
                     || name.equals("cpu ms")) {
                 double rate = 0;
-                for (HollowProcess h : hollow) {
-                    HollowProcess.Line last = h.last();
+                for (HollowWorkerProcess h : hollow) {
+                    HollowWorkerProcess.Line last = h.last();
                     double seconds = (last.figure("at") - before.get(h).figure("at")) / 1e3;
                     rate += (last.figure(name) - before.get(h).figure(name)) / seconds;
                 }
@@ -641,14 +643,14 @@
     }
 
     private int fewestLines() {
-        return hollow.stream().mapToInt(HollowProcess::told).min().orElse(0);
+        return hollow.stream().mapToInt(HollowWorkerProcess::told).min().orElse(0);
     }
 
     private double worstSecond(String name, int from) {
         double worst = 0;
         for (int s = Math.max(1, from); s < fewestLines(); s++) {
             double sum = 0;
-            for (HollowProcess h : hollow) {
+            for (HollowWorkerProcess h : hollow) {
                 sum += h.lines().get(s).figure(name) - h.lines().get(s - 1).figure(name);
             }
             worst = Math.max(worst, sum / plan.hollow());
@@ -674,7 +676,7 @@
     private void conclude(int mark) throws IOException {
         figure("events: worst second, bytes a manager", worstSecond("bytes out", mark));
         Map<String, DescriptiveStatistics> reached = new LinkedHashMap<>();
-        for (HollowProcess h : hollow) {
+        for (HollowWorkerProcess h : hollow) {
             h.lines()
                     .forEach(
                             l -> l.reached().forEach((label, all) -> collect(reached, label, all)));
@@ -714,7 +716,7 @@
 
     /** The table of seconds and a chart of it. */
     private void seconds() throws IOException {
-        Map<String, ToDoubleFunction<HollowProcess.Line>> columns = new LinkedHashMap<>();
+        Map<String, ToDoubleFunction<HollowWorkerProcess.Line>> columns = new LinkedHashMap<>();
         for (String name :
                 List.of("up", "bytes out", "datagrams out", "cpu ms", "whole views", "in force")) {
             columns.put(name, l -> l.figure(name));
@@ -723,9 +725,9 @@
                 new ArrayList<>(List.of("second," + String.join(",", columns.keySet())));
         for (int s = 0; s < fewestLines(); s++) {
             StringBuilder row = new StringBuilder(String.valueOf(s));
-            for (ToDoubleFunction<HollowProcess.Line> of : columns.values()) {
+            for (ToDoubleFunction<HollowWorkerProcess.Line> of : columns.values()) {
                 double sum = 0;
-                for (HollowProcess h : hollow) {
+                for (HollowWorkerProcess h : hollow) {
                     sum += of.applyAsDouble(h.lines().get(s));
                 }
                 row.append(',').append(String.format(Locale.ROOT, "%.1f", sum));
@@ -733,7 +735,7 @@
             rows.add(row.toString());
         }
         Files.write(order.folder.resolve("seconds.csv"), rows);
-        Chart.draw(
+        TrafficChart.draw(
                 order.folder.resolve("bytes.png"),
                 plan.name() + ", " + plan.managers() + " managers",
                 rows);
@@ -741,7 +743,7 @@
 
     @Override
     public void close() throws IOException {
-        hollow.forEach(HollowProcess::close);
+        hollow.forEach(HollowWorkerProcess::close);
         real.close();
         watches.close();
         engines.close();
--- a/src/main/java/firstage/scale/Slopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -1,10 +1,10 @@
 package firstage.scale;
 
-import firstage.cells.Cells;
-import firstage.simulation.schedule.CellsField;
-import firstage.simulation.schedule.CellsField.Kind;
-import firstage.simulation.schedule.CellsField.Place;
-import firstage.simulation.schedule.CellsField.Shape;
+import firstage.cells.CellDirectory;
+import firstage.simulation.schedule.SimulatedCells;
+import firstage.simulation.schedule.SimulatedCells.Kind;
+import firstage.simulation.schedule.SimulatedCells.Place;
+import firstage.simulation.schedule.SimulatedCells.Shape;
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryMXBean;
 import java.util.ArrayList;
@@ -22,7 +22,7 @@
  * a size, and the slope of each against the managers with its error. All of it simulated. Times are
  * tenths of a millisecond.
  */
-public final class Slopes {
+public final class ScalingSlopes {
     /** Unit: tenths of a millisecond. */
     private static final long SECOND = 10_000;
 
@@ -40,7 +40,7 @@
     private static final long AWAY = 2 * SECOND;
     private static final int KILLS = 3;
 
-    private Slopes() {}
+    private ScalingSlopes() {}
 
     /**
      * Heap that a manager's state takes, in KB, 30 s after all started: the difference of the whole
@@ -49,7 +49,7 @@
      */
     public static double heap(Shape shape, long seed) {
         double before = used();
-        CellsField f = new CellsField(shape, seed);
+        SimulatedCells f = new SimulatedCells(shape, seed);
         start(f, shape, new LinkedHashMap<>());
         f.pass(10 * SECOND);
         double after = used();
@@ -67,7 +67,7 @@
     public static Map<String, Double> play(Shape shape, long seed, boolean deep) {
         Map<String, Double> row = new LinkedHashMap<>();
         row.put("managers", (double) shape.managers());
-        CellsField f = new CellsField(shape, seed);
+        SimulatedCells f = new SimulatedCells(shape, seed);
         start(f, shape, row);
         long[] before = new long[Kind.values().length];
         f.bytes().forEach((k, b) -> before[k.ordinal()] = b);
@@ -91,7 +91,7 @@
         return row;
     }
 
-    private static void start(CellsField f, Shape shape, Map<String, Double> row) {
+    private static void start(SimulatedCells f, Shape shape, Map<String, Double> row) {
         for (Place p : f.places()) {
             f.calendar().in(f.chance().nextLong(START), p::start);
         }
@@ -121,7 +121,7 @@
     }
 
     /** The most that one manager sent in any of so many seconds. */
-    private static double most(CellsField f, int seconds) {
+    private static double most(SimulatedCells f, int seconds) {
         double most = 0;
         for (int s = 0; s < seconds; s++) {
             List<Long> before = f.places().stream().map(Place::bytes).toList();
@@ -133,7 +133,7 @@
         return most;
     }
 
-    private static void ages(CellsField f, Map<String, Double> row) {
+    private static void ages(SimulatedCells f, Map<String, Double> row) {
         DescriptiveStatistics ages = new DescriptiveStatistics();
         for (Place p : f.places()) {
             if (p.up() && p.cells() != null) {
@@ -148,7 +148,7 @@
         }
     }
 
-    private static void kills(CellsField f, Map<String, Double> row) {
+    private static void kills(SimulatedCells f, Map<String, Double> row) {
         DescriptiveStatistics known = new DescriptiveStatistics();
         for (int i = 0; i < KILLS; i++) {
             int who = f.chance().nextInt(f.places().size());
@@ -162,7 +162,8 @@
     }
 
     /** Restarts as on an ordinary day, at so many times its pace, for 60 s. */
-    private static void restarts(CellsField f, Shape shape, Map<String, Double> row, int times) {
+    private static void restarts(
+            SimulatedCells f, Shape shape, Map<String, Double> row, int times) {
         // The page's pace is of 2,600 managers; a smaller fleet has as many fewer.
         long every = Math.round((double) ONE_IN / times * 2_600 / shape.managers());
         long before = f.bytes().values().stream().mapToLong(b -> b).sum();
@@ -188,7 +189,7 @@
         f.pass(5 * SECOND);
     }
 
-    private static void massRestart(CellsField f, Shape shape, Map<String, Double> row) {
+    private static void massRestart(SimulatedCells f, Shape shape, Map<String, Double> row) {
         List<Place> all = new ArrayList<>(f.places());
         Collections.shuffle(all, new Random(f.chance().nextLong()));
         List<Place> killed =
@@ -228,7 +229,7 @@
     public static Map<String, Double> region(Shape shape, long seed, long length) {
         Map<String, Double> row = new LinkedHashMap<>();
         row.put("managers", (double) shape.managers());
-        CellsField f = new CellsField(shape, seed);
+        SimulatedCells f = new SimulatedCells(shape, seed);
         f.start(START);
         f.pass(40 * SECOND);
         double usual = rate(f, 20) / shape.managers();
@@ -256,13 +257,13 @@
         return row;
     }
 
-    private static boolean hearsAll(CellsField.Place p, long now) {
+    private static boolean hearsAll(SimulatedCells.Place p, long now) {
         return p.cells() == null
                 || p.cells().known(now).stream()
-                        .allMatch(k -> k.standing() == Cells.Standing.HEARD);
+                        .allMatch(k -> k.standing() == CellDirectory.Standing.HEARD);
     }
 
-    private static double rate(CellsField f, int seconds) {
+    private static double rate(SimulatedCells f, int seconds) {
         long before = f.bytes().values().stream().mapToLong(b -> b).sum();
         f.pass(seconds * SECOND);
         return (f.bytes().values().stream().mapToLong(b -> b).sum() - before) / (double) seconds;
--- a/src/main/java/firstage/scale/Chart.java
+++ b/src/main/java/firstage/scale/TrafficChart.java
@@ -9,13 +9,13 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /** Bytes a second of a manager over a run. */
-final class Chart {
+final class TrafficChart {
     private static final int WIDE = 900;
     private static final int HIGH = 420;
     private static final int UP = 1;
     private static final int BYTES = 2;
 
-    private Chart() {}
+    private TrafficChart() {}
 
     /** {@code rows}: the table of seconds, its head first. */
     static void draw(Path file, String title, List<String> rows) throws IOException {
--- a/src/main/java/firstage/server/Counters.java
+++ b/src/main/java/firstage/server/Counters.java
@@ -9,10 +9,10 @@
  */
 public final class Counters {
     private final Map<String, Long> counts = new TreeMap<>();
-    private final Recorder recorder = new Recorder();
+    private final FlightRecorder recorder = new FlightRecorder();
 
     /** What led up to a count of something broken. */
-    public Recorder recorder() {
+    public FlightRecorder recorder() {
         return recorder;
     }
 
--- a/src/main/java/firstage/server/Recorder.java
+++ b/src/main/java/firstage/server/FlightRecorder.java
@@ -9,7 +9,7 @@
  * size: written to the log when something that must hold does not. It costs a few stores an event,
  * and no line until it is needed.
  */
-public final class Recorder {
+public final class FlightRecorder {
     /** What happened; the two figures beside it are as said. */
     public enum What {
         /** Read whole: ms since its connection was opened. */
@@ -32,7 +32,7 @@
         STALL
     }
 
-    private static final Logger LOG = Logger.getLogger(Recorder.class.getName());
+    private static final Logger LOG = Logger.getLogger(FlightRecorder.class.getName());
 
     /** Some ten seconds of a manager in heavy traffic; 32 bytes each. */
     private static final int SIZE = 2_048;
--- a/src/main/java/firstage/server/Assignment.java
+++ b/src/main/java/firstage/server/ManagerConfig.java
@@ -4,11 +4,11 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.io.JsonEOFException;
-import firstage.config.Fields;
-import firstage.config.MalformedLine;
-import firstage.config.Setup;
+import firstage.config.MalformedLineException;
+import firstage.config.SettingsParser;
+import firstage.config.WireFields;
 import firstage.policy.api.Deployment;
-import firstage.policy.api.ServiceGroup;
+import firstage.policy.api.TrafficClass;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -21,14 +21,14 @@
  * What the platform tells a workload manager at its start: who it is, where it listens, its limits,
  * where the coordinator is, the engines known so far, and the deployment's settings.
  */
-public record Assignment(
+public record ManagerConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress coordinator,
         int descriptors,
         int memoryMb,
         Map<?, ?> known,
-        Fields settings,
+        WireFields settings,
         Deployment deployment) {
 
     /**
@@ -70,25 +70,25 @@
      */
     public long endsWithin() {
         long longest =
-                deployment.groups().stream().mapToLong(ServiceGroup::timeLimit).max().orElse(0);
+                deployment.groups().stream().mapToLong(TrafficClass::timeLimit).max().orElse(0);
         return Math.min(longest, LONGEST_COUNTED) + AFTER_LONGEST;
     }
 
     /** Reads it; the message of the exception names the fault. */
-    public static Assignment read(Path file) throws IOException {
+    public static ManagerConfig read(Path file) throws IOException {
         try (JsonParser in = new JsonFactory().createParser(file.toFile())) {
             if (in.nextToken() == null) {
                 throw new JsonEOFException(in, null, file + " is empty");
             }
             if (!(value(in) instanceof Map<?, ?> all)
                     || !(all.get("settings") instanceof Map<?, ?> settings)) {
-                throw new MalformedLine("no settings");
+                throw new MalformedLineException("no settings");
             }
-            Fields top = new Fields(all);
+            WireFields top = new WireFields(all);
             Map<Object, Object> told = new LinkedHashMap<>(settings);
             told.put("init_seed", seed(top.text("seed", "0")));
-            Fields fields = new Fields(told);
-            return new Assignment(
+            WireFields fields = new WireFields(told);
+            return new ManagerConfig(
                     top.text("name", "manager"),
                     address(top.need("listen")),
                     top.has("coordinator") ? address(top.need("coordinator")) : null,
@@ -96,7 +96,7 @@
                     top.index("limits.memory_mb", 0),
                     all.get("known") instanceof Map<?, ?> known ? known : Map.of(),
                     fields,
-                    Setup.read(fields));
+                    SettingsParser.read(fields));
         }
     }
 
@@ -114,11 +114,11 @@
         try {
             String host = hostPort.substring(0, colon);
             if (!host.matches("[0-9.]+|[0-9a-fA-F:\\[\\]]+")) {
-                throw new MalformedLine("no address: " + hostPort);
+                throw new MalformedLineException("no address: " + hostPort);
             }
             return new InetSocketAddress(host, Integer.parseInt(hostPort.substring(colon + 1)));
         } catch (IndexOutOfBoundsException | IllegalArgumentException fault) {
-            throw new MalformedLine("no address: " + hostPort);
+            throw new MalformedLineException("no address: " + hostPort);
         }
     }
 
--- a/src/main/java/firstage/server/Node.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -1,23 +1,23 @@
 package firstage.server;
 
-import firstage.config.Indices;
-import firstage.lifecycle.KeyWatch;
-import firstage.lifecycle.TakingOrder;
-import firstage.policy.Brain;
-import firstage.policy.api.Arrival;
-import firstage.policy.api.Ending;
-import firstage.policy.api.EngineList;
-import firstage.policy.api.Host;
-import firstage.policy.api.Note;
-import firstage.policy.api.Outcome;
-import firstage.policy.api.Report;
-import firstage.policy.api.WorkloadManager;
-import firstage.server.Recorder.What;
-import firstage.server.client.ClientDoor;
-import firstage.server.discovery.Follower;
-import firstage.server.engine.Engines;
-import firstage.server.membership.PeerList;
-import firstage.server.membership.Peers;
+import firstage.config.IdRegistry;
+import firstage.lifecycle.ArrivalSequencer;
+import firstage.lifecycle.KeyOrderMonitor;
+import firstage.policy.WorkloadScheduler;
+import firstage.policy.api.AttemptOutcome;
+import firstage.policy.api.AttemptProgress;
+import firstage.policy.api.AttemptResult;
+import firstage.policy.api.EndpointUpdate;
+import firstage.policy.api.IncomingRequest;
+import firstage.policy.api.LoadReport;
+import firstage.policy.api.PolicyActions;
+import firstage.policy.api.SchedulingPolicy;
+import firstage.server.FlightRecorder.What;
+import firstage.server.client.ClientHandler;
+import firstage.server.discovery.EndpointWatcher;
+import firstage.server.engine.EngineClients;
+import firstage.server.membership.MembershipTransport;
+import firstage.server.membership.PeerConfig;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -34,11 +34,11 @@
 import org.xnio.XnioWorker;
 
 /**
- * One workload manager: its peers and one Brain, all on one I/O thread. It carries what the peers
- * tell to the decisions and what these decide to the peers; it decides nothing itself.
+ * One workload manager: its peers and one WorkloadScheduler, all on one I/O thread. It carries what
+ * the peers tell to the decisions and what these decide to the peers; it decides nothing itself.
  */
-public final class Node implements Host, Tidings {
-    private static final Logger LOG = Logger.getLogger(Node.class.getName());
+public final class ManagerServer implements PolicyActions, ServerEvents {
+    private static final Logger LOG = Logger.getLogger(ManagerServer.class.getName());
 
     /** After a SIGTERM the front goes on sending for at most 0.6 s. */
     private static final long STILL_SENT_MS = 700;
@@ -65,27 +65,27 @@
         "batches errored at their limit",
         "batches left by their clients"
     };
-    private final Assignment assignment;
-    private final Clock clock = new Clock();
+    private final ManagerConfig assignment;
+    private final TickClock clock = new TickClock();
     private final Counters counters = new Counters();
     private final XnioWorker worker;
     private final XnioIoThread io;
-    private final WorkloadManager manager;
-    private final Engines engines;
-    private final ClientDoor door;
-    private final Follower follower;
-    private final Barrier barrier;
+    private final SchedulingPolicy manager;
+    private final EngineClients engines;
+    private final ClientHandler door;
+    private final EndpointWatcher follower;
+    private final ReadBarrier barrier;
 
     /** Null where no peers are named. */
-    private final Peers peers;
+    private final MembershipTransport peers;
 
     private double share;
     private final Map<Integer, Integer> zoneOf = new HashMap<>();
-    private final TakingOrder<Came> order = new TakingOrder<>(new Readings());
-    private final KeyWatch watch = new KeyWatch();
-    private final Indices<Exchange> batches = new Indices<>();
-    private final Indices<String> keys = new Indices<>();
-    private final Indices<Long> ids = new Indices<>();
+    private final ArrivalSequencer<Came> order = new ArrivalSequencer<>(new Readings());
+    private final KeyOrderMonitor watch = new KeyOrderMonitor();
+    private final IdRegistry<RequestExchange> batches = new IdRegistry<>();
+    private final IdRegistry<String> keys = new IdRegistry<>();
+    private final IdRegistry<Long> ids = new IdRegistry<>();
 
     /** Batches without an answer, and dispatches that are out. */
     private int open;
@@ -106,10 +106,10 @@
      * {@code peers}: the other managers; null where they are not named, and nothing of them is
      * loaded.
      */
-    public Node(Assignment assignment, PeerList peers) throws IOException {
+    public ManagerServer(ManagerConfig assignment, PeerConfig peers) throws IOException {
         this.assignment = assignment;
         worker =
-                Xnio.getInstance(Node.class.getClassLoader())
+                Xnio.getInstance(ManagerServer.class.getClassLoader())
                         .createWorker(
                                 OptionMap.builder()
                                         .set(Options.WORKER_NAME, "firstage")
@@ -118,15 +118,15 @@
                                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                                         .getMap());
         io = worker.getIoThread();
-        barrier = new Barrier(io, counters);
-        engines = new Engines(io, clock, counters, this, assignment);
-        door = new ClientDoor(io, clock, counters, this, assignment);
-        follower = new Follower(io, clock, counters, this, assignment);
-        manager = new Brain(assignment.deployment(), this);
+        barrier = new ReadBarrier(io, counters);
+        engines = new EngineClients(io, clock, counters, this, assignment);
+        door = new ClientHandler(io, clock, counters, this, assignment);
+        follower = new EndpointWatcher(io, clock, counters, this, assignment);
+        manager = new WorkloadScheduler(assignment.deployment(), this);
         this.peers =
                 peers == null
                         ? null
-                        : new Peers(
+                        : new MembershipTransport(
                                 peers,
                                 assignment,
                                 System.currentTimeMillis(),
@@ -135,7 +135,7 @@
                                 counters,
                                 this::keepAway,
                                 this::cut,
-                                freed -> tellListed(EngineList.Kind.CHANGES, freed));
+                                freed -> tellListed(EndpointUpdate.Kind.CHANGES, freed));
         share = 1.0 / assignment.deployment().managers();
     }
 
@@ -163,7 +163,7 @@
     }
 
     /** A new configuration: it reaches the list's follower only. */
-    public void told(Assignment next) {
+    public void told(ManagerConfig next) {
         io.execute(
                 () -> {
                     counters.count("configurations read anew");
@@ -264,7 +264,7 @@
         for (int engine = 0; engine < engines.count(); engine++) {
             counters.hold(
                     engines.out(engine) == manager.out(engine),
-                    "dispatches out are those that Brain holds");
+                    "dispatches out are those that the scheduler holds");
         }
         engines.check();
     }
@@ -392,7 +392,7 @@
 
     /** What was read of a batch that is not told yet. */
     private record Came(
-            Exchange x,
+            RequestExchange x,
             int group,
             int customer,
             String key,
@@ -402,7 +402,7 @@
 
     @Override
     public void taken(
-            Exchange x,
+            RequestExchange x,
             int group,
             int customer,
             String key,
@@ -418,7 +418,7 @@
     }
 
     /** All that had come before a batch with this key was read has been read. */
-    private final class Readings implements TakingOrder.Carrier<Came> {
+    private final class Readings implements ArrivalSequencer.Carrier<Came> {
         @Override
         public void barrier(Object key) {
             barrier.whenRead(() -> order.passed(key));
@@ -426,7 +426,7 @@
 
         @Override
         public void taken(Came b, boolean turnKnown) {
-            Exchange x = b.x;
+            RequestExchange x = b.x;
             if (x.over()) {
                 // The client left, or its time was up, while it was not told.
                 x.timeUp.remove();
@@ -446,7 +446,7 @@
                     () ->
                             manager.taken(
                                     clock.now(),
-                                    new Arrival(
+                                    new IncomingRequest(
                                             x.batch,
                                             b.group,
                                             b.customer,
@@ -463,9 +463,9 @@
         }
     }
 
-    private void timeUp(Exchange x) {
-        for (Exchange.Dispatch d : List.copyOf(x.out)) {
-            d.giveUp(Outcome.TIMED_OUT);
+    private void timeUp(RequestExchange x) {
+        for (RequestExchange.Dispatch d : List.copyOf(x.out)) {
+            d.giveUp(AttemptOutcome.TIMED_OUT);
         }
         // Neither a fault in the decisions nor an engine that hears of no DELETE may keep a
         // client's answer back.
@@ -480,7 +480,7 @@
     }
 
     @Override
-    public void left(Exchange x) {
+    public void left(RequestExchange x) {
         if (x.over()) {
             return;
         }
@@ -492,7 +492,7 @@
     }
 
     @Override
-    public void away(Exchange x, boolean away) {
+    public void away(RequestExchange x, boolean away) {
         x.away = away;
         if (x.batch >= 0 && !x.over()) {
             tell("away", () -> manager.clientAway(clock.now(), x.batch, away));
@@ -500,13 +500,13 @@
     }
 
     /** The decisions hear only of what they were told of. */
-    private void leftTold(String what, Exchange x) {
+    private void leftTold(String what, RequestExchange x) {
         if (x.batch >= 0) {
             tell(what, () -> manager.clientLeft(clock.now(), x.batch));
         }
     }
 
-    private void over(String how, Exchange x) {
+    private void over(String how, RequestExchange x) {
         counters.count(how);
         open--;
         note(What.OVER, x, 0, 0);
@@ -515,35 +515,40 @@
         }
     }
 
-    private void note(What what, Exchange x, long a, long b) {
+    private void note(What what, RequestExchange x, long a, long b) {
         if (x.key != null) {
             counters.recorder().note(what, x.id, a, b);
         }
     }
 
-    private void callOffAll(Exchange x) {
-        for (Exchange.Dispatch d : List.copyOf(x.out)) {
-            d.giveUp(Outcome.CALLED_OFF);
+    private void callOffAll(RequestExchange x) {
+        for (RequestExchange.Dispatch d : List.copyOf(x.out)) {
+            d.giveUp(AttemptOutcome.CALLED_OFF);
         }
     }
 
     @Override
-    public void noted(Exchange x, Exchange.Dispatch d, Note.Kind kind, double amount) {
+    public void noted(
+            RequestExchange x,
+            RequestExchange.Dispatch d,
+            AttemptProgress.Kind kind,
+            double amount) {
         tell(
                 "noted",
                 () ->
                         manager.noted(
                                 clock.now(),
-                                new Note(x.batch, d.number(), d.engine(), kind, amount)));
+                                new AttemptProgress(
+                                        x.batch, d.number(), d.engine(), kind, amount)));
     }
 
     @Override
     public void ended(
-            Exchange x,
-            Exchange.Dispatch d,
-            Outcome how,
+            RequestExchange x,
+            RequestExchange.Dispatch d,
+            AttemptOutcome how,
             long took,
-            Report report,
+            LoadReport report,
             List<byte[]> pages,
             long rest) {
         counters.hold(x.out.remove(d), "a dispatch ends once");
@@ -554,7 +559,7 @@
         if (x.key != null) {
             watch.ended(clock.now(), x.key, x.id, rest);
         }
-        if (how == Outcome.RETURNED && x.returned(pages)) {
+        if (how == AttemptOutcome.RETURNED && x.returned(pages)) {
             over("batches returned", x);
         }
         tell(
@@ -562,7 +567,7 @@
                 () ->
                         manager.ended(
                                 clock.now(),
-                                new Ending(
+                                new AttemptResult(
                                         x.batch,
                                         d.number(),
                                         d.engine(),
@@ -573,29 +578,29 @@
                                         x.over(),
                                         report,
                                         rest)));
-        if (how == Outcome.RETURNED) {
+        if (how == AttemptOutcome.RETURNED) {
             callOffAll(x);
         }
     }
 
     @Override
-    public void probed(int engine, Outcome how, Report report) {
+    public void probed(int engine, AttemptOutcome how, LoadReport report) {
         tell("probed", () -> manager.probed(clock.now(), engine, how, report));
     }
 
     @Override
-    public void listed(EngineList.Kind kind, List<Listed> entries) {
+    public void listed(EndpointUpdate.Kind kind, List<Listed> entries) {
         tellListed(kind, peers == null ? entries : peers.served(kind, entries));
     }
 
-    private void tellListed(EngineList.Kind kind, List<Listed> entries) {
-        List<EngineList.Entry> told = new ArrayList<>();
+    private void tellListed(EndpointUpdate.Kind kind, List<Listed> entries) {
+        List<EndpointUpdate.Entry> told = new ArrayList<>();
         for (Listed e : entries) {
             int index = ids.of(e.id());
             zoneOf.put(index, e.zone());
             engines.listed(index, e);
             told.add(
-                    new EngineList.Entry(
+                    new EndpointUpdate.Entry(
                             index,
                             e.id(),
                             e.zone(),
@@ -606,10 +611,10 @@
                             e.since(),
                             peers == null ? 0 : peers.coldPart(e)));
         }
-        if (kind == EngineList.Kind.WHOLE) {
-            engines.keepOnly(told.stream().map(EngineList.Entry::engine).toList());
+        if (kind == EndpointUpdate.Kind.WHOLE) {
+            engines.keepOnly(told.stream().map(EndpointUpdate.Entry::engine).toList());
         }
-        tell("listed", () -> manager.listed(clock.now(), new EngineList(kind, told)));
+        tell("listed", () -> manager.listed(clock.now(), new EndpointUpdate(kind, told)));
     }
 
     @Override
@@ -620,7 +625,7 @@
     // ---- What is decided.
     @Override
     public void provide(int batch, int grantMb, int priority) {
-        Exchange x = batches.id(batch);
+        RequestExchange x = batches.id(batch);
         x.grantMb = grantMb;
         x.priority = priority;
         x.out.forEach(d -> d.priority(priority));
@@ -628,7 +633,7 @@
 
     @Override
     public void dispatch(int batch, int engine, long within) {
-        Exchange x = batches.id(batch);
+        RequestExchange x = batches.id(batch);
         counters.count("dispatches out");
         out++;
         note(What.DISPATCHED, x, x.dispatches, engine);
@@ -637,14 +642,14 @@
                     watch.sent(clock.now(), x.key, x.id),
                     "batches of a key go one at a time and in turn");
         }
-        Exchange.Dispatch d = engines.dispatch(x, x.dispatches++, engine);
+        RequestExchange.Dispatch d = engines.dispatch(x, x.dispatches++, engine);
         x.out.add(d);
         if (within > 0) {
             later(
                     within / 10,
                     () -> {
                         if (x.out.contains(d)) {
-                            d.giveUp(Outcome.TIMED_OUT);
+                            d.giveUp(AttemptOutcome.TIMED_OUT);
                         }
                     });
         }
@@ -652,16 +657,16 @@
 
     @Override
     public void callOff(int batch, int dispatch) {
-        for (Exchange.Dispatch d : List.copyOf(batches.id(batch).out)) {
+        for (RequestExchange.Dispatch d : List.copyOf(batches.id(batch).out)) {
             if (d.number() == dispatch) {
-                d.giveUp(Outcome.CALLED_OFF);
+                d.giveUp(AttemptOutcome.CALLED_OFF);
             }
         }
     }
 
     @Override
     public void pushBack(int batch, long comeBack) {
-        Exchange x = batches.id(batch);
+        RequestExchange x = batches.id(batch);
         if (x.pushedBack(comeBack)) {
             over("batches pushed back", x);
         }
@@ -670,7 +675,7 @@
 
     @Override
     public void error(int batch) {
-        Exchange x = batches.id(batch);
+        RequestExchange x = batches.id(batch);
         if (x.errored()) {
             over("batches errored", x);
         }
@@ -678,7 +683,7 @@
 
     @Override
     public void forgetBatch(int batch) {
-        Exchange x = batches.id(batch);
+        RequestExchange x = batches.id(batch);
         counters.hold(
                 x.over() && x.out.isEmpty(),
                 "a batch that is forgotten has its answer and nothing out");
--- a/src/main/java/firstage/server/Barrier.java
+++ b/src/main/java/firstage/server/ReadBarrier.java
@@ -20,8 +20,8 @@
  * what had come on them. Nothing of this depends on the order in which the selector tells of what
  * is ready, nor on how long the thread, or the process, stood still.
  */
-public final class Barrier {
-    private static final Logger LOG = Logger.getLogger(Barrier.class.getName());
+public final class ReadBarrier {
+    private static final Logger LOG = Logger.getLogger(ReadBarrier.class.getName());
     private static final int LOOKS = 2;
 
     private static final class Waiting {
@@ -45,7 +45,7 @@
     private final ArrayDeque<Waiting> next = new ArrayDeque<>();
     private boolean looking;
 
-    public Barrier(XnioIoThread io, Counters counters) throws IOException {
+    public ReadBarrier(XnioIoThread io, Counters counters) throws IOException {
         this.io = io;
         this.counters = counters;
         ChannelPipe<StreamConnection, StreamConnection> pipe =
--- a/src/main/java/firstage/server/Exchange.java
+++ b/src/main/java/firstage/server/RequestExchange.java
@@ -1,6 +1,6 @@
 package firstage.server;
 
-import firstage.policy.api.Outcome;
+import firstage.policy.api.AttemptOutcome;
 import java.util.ArrayList;
 import java.util.List;
 import org.xnio.XnioExecutor;
@@ -9,7 +9,7 @@
  * One batch between its client and the engines: all that the two sides know of each other. What
  * goes on unchanged is kept as the bytes that came.
  */
-public final class Exchange {
+public final class RequestExchange {
     /** The client's side: exactly one of the three is called, once. */
     public interface Reply {
         void returned(List<byte[]> pages);
@@ -28,7 +28,7 @@
         void priority(int priority);
 
         /** Ends it with this outcome, once the engine was told or can't be. */
-        void giveUp(Outcome how);
+        void giveUp(AttemptOutcome how);
     }
 
     public final String id;
@@ -65,7 +65,7 @@
     private final Reply reply;
     private boolean over;
 
-    public Exchange(String id, String group, byte[] statement, long notAfter, Reply reply) {
+    public RequestExchange(String id, String group, byte[] statement, long notAfter, Reply reply) {
         this.id = id;
         this.group = group;
         this.statement = statement;
--- a/src/main/java/firstage/server/Tidings.java
+++ b/src/main/java/firstage/server/ServerEvents.java
@@ -1,17 +1,17 @@
 package firstage.server;
 
-import firstage.policy.api.EngineList;
-import firstage.policy.api.Note;
-import firstage.policy.api.Outcome;
-import firstage.policy.api.Report;
+import firstage.policy.api.AttemptOutcome;
+import firstage.policy.api.AttemptProgress;
+import firstage.policy.api.EndpointUpdate;
+import firstage.policy.api.LoadReport;
 import java.net.InetSocketAddress;
 import java.util.List;
 
 /** What the peers' packages tell the node. All calls come on the I/O thread. */
-public interface Tidings {
+public interface ServerEvents {
     /** A batch was taken whole; {@code key} is null without one. */
     void taken(
-            Exchange x,
+            RequestExchange x,
             int group,
             int customer,
             String key,
@@ -26,29 +26,33 @@
     long stoodStill();
 
     /** The client left, or gave up. */
-    void left(Exchange x);
+    void left(RequestExchange x);
 
     /** The client is not there to be answered, and may be gone; or it asks again. */
-    void away(Exchange x, boolean away);
+    void away(RequestExchange x, boolean away);
 
-    void noted(Exchange x, Exchange.Dispatch d, Note.Kind kind, double amount);
+    void noted(
+            RequestExchange x,
+            RequestExchange.Dispatch d,
+            AttemptProgress.Kind kind,
+            double amount);
 
     /**
      * A dispatch is over; {@code pages} only where it returned; the engine may hold it for {@code
      * rest} more.
      */
     void ended(
-            Exchange x,
-            Exchange.Dispatch d,
-            Outcome how,
+            RequestExchange x,
+            RequestExchange.Dispatch d,
+            AttemptOutcome how,
             long took,
-            Report report,
+            LoadReport report,
             List<byte[]> pages,
             long rest);
 
-    void probed(int engine, Outcome how, Report report);
+    void probed(int engine, AttemptOutcome how, LoadReport report);
 
-    void listed(EngineList.Kind kind, List<Listed> engines);
+    void listed(EndpointUpdate.Kind kind, List<Listed> engines);
 
     /** The list is as its coordinator has it, or can't be had any fresher: it may be acted on. */
     void listConfirmed();
@@ -60,7 +64,7 @@
             int zone,
             int kind,
             int cell,
-            EngineList.Standing standing,
+            EndpointUpdate.Standing standing,
             double weight,
             long since) {}
 }
--- a/src/main/java/firstage/server/Clock.java
+++ b/src/main/java/firstage/server/TickClock.java
@@ -5,7 +5,7 @@
  * monotonic clock: a step of the system's time neither stalls a decision nor makes all of them due
  * at once.
  */
-public final class Clock {
+public final class TickClock {
     private static final long NANOS = 100_000;
     private final long start = System.currentTimeMillis() * 10;
     private final long mark = System.nanoTime();
--- a/src/main/java/firstage/server/client/FaultLine.java
+++ b/src/main/java/firstage/server/client/BadRequestResponse.java
@@ -11,7 +11,7 @@
  * handler is asked. Here that answer gets the JSON line which all other faults of callers have; all
  * else goes through as it is.
  */
-final class FaultLine extends AbstractStreamSinkConduit<StreamSinkConduit> {
+final class BadRequestResponse extends AbstractStreamSinkConduit<StreamSinkConduit> {
     private static final byte[] BARE =
             bytes("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close");
     private static final byte[] LINE = bytes("{\"err\":\"no HTTP\"}\n");
@@ -23,7 +23,7 @@
                             + "\r\nConnection: close\r\n\r\n"
                             + new String(LINE, StandardCharsets.US_ASCII));
 
-    FaultLine(StreamSinkConduit next) {
+    BadRequestResponse(StreamSinkConduit next) {
         super(next);
     }
 
--- a/src/main/java/firstage/server/client/Callers.java
+++ b/src/main/java/firstage/server/client/ClientConnections.java
@@ -19,7 +19,7 @@
  * overtaken by the next of its key. So one more connection costs the one that was silent longest,
  * and never one with an open call.
  */
-final class Callers {
+final class ClientConnections {
     /** A client that connects asks at once; what says nothing whole for so long is turned away. */
     private static final long MOST_MUTE_MS = 2_000;
 
@@ -41,7 +41,7 @@
 
     private final Map<StreamConnection, Long> idle = new LinkedHashMap<>();
 
-    Callers(XnioIoThread io, Counters counters, int most) {
+    ClientConnections(XnioIoThread io, Counters counters, int most) {
         this.io = io;
         this.counters = counters;
         this.most = most;
--- a/src/main/java/firstage/server/client/ClientDoor.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -1,11 +1,11 @@
 package firstage.server.client;
 
-import firstage.config.Fields;
-import firstage.server.Assignment;
-import firstage.server.Clock;
+import firstage.config.WireFields;
 import firstage.server.Counters;
-import firstage.server.Exchange;
-import firstage.server.Tidings;
+import firstage.server.ManagerConfig;
+import firstage.server.RequestExchange;
+import firstage.server.ServerEvents;
+import firstage.server.TickClock;
 import io.undertow.UndertowOptions;
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.connector.PooledByteBuffer;
@@ -43,10 +43,10 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
-import org.xnio.nio.OneThreadServer;
+import org.xnio.nio.IoThreadTcpServer;
 
 /** Where clients come in: reads their calls, answers what can't be used, hands on the rest. */
-public final class ClientDoor {
+public final class ClientHandler {
     private static final int MOST_STATEMENT = 64 * 1024;
 
     /** Answered 431; beyond four times that it is taken for no HTTP. */
@@ -95,12 +95,12 @@
     private static final HttpString ITEM = new HttpString("X-Item");
     final XnioIoThread io;
     final Counters counters;
-    final Tidings tidings;
-    private final Clock clock;
+    final ServerEvents tidings;
+    private final TickClock clock;
     private final InetSocketAddress address;
     private final List<String> groups = new ArrayList<>();
     private final List<String> customers = new ArrayList<>();
-    private final Callers callers;
+    private final ClientConnections callers;
     private final int mostConnections;
     private final long mostBytes;
     private AcceptingChannel<StreamConnection> server;
@@ -127,12 +127,12 @@
     private long closingSince;
     private boolean closing;
 
-    public ClientDoor(
+    public ClientHandler(
             XnioIoThread io,
-            Clock clock,
+            TickClock clock,
             Counters counters,
-            Tidings tidings,
-            Assignment assignment) {
+            ServerEvents tidings,
+            ManagerConfig assignment) {
         this.io = io;
         this.clock = clock;
         this.counters = counters;
@@ -140,8 +140,8 @@
         this.address = assignment.listen();
         mostConnections = assignment.clientConnections();
         mostBytes = assignment.clientBytes();
-        callers = new Callers(io, counters, mostConnections);
-        Fields settings = assignment.settings();
+        callers = new ClientConnections(io, counters, mostConnections);
+        WireFields settings = assignment.settings();
         for (int i = 0; i < settings.index("classes.count", 0); i++) {
             groups.add(settings.text("classes." + i + ".name", ""));
             double limit = settings.number("classes." + i + ".deadline", 0) * 1_000;
@@ -164,7 +164,7 @@
                                 .getMap());
         http.setRootHandler(new HttpContinueReadHandler(this::call));
         server =
-                OneThreadServer.listen(
+                IoThreadTcpServer.listen(
                         worker,
                         address,
                         this::acceptAll,
@@ -202,7 +202,7 @@
         if (callers.opens(connection)) {
             connection
                     .getSinkChannel()
-                    .setConduit(new FaultLine(connection.getSinkChannel().getConduit()));
+                    .setConduit(new BadRequestResponse(connection.getSinkChannel().getConduit()));
             http.handleEvent(connection);
             callers.watch(connection);
         }
@@ -532,7 +532,7 @@
             // when it is read, its
             // answer would come after its client has gone.
             long notAfter = now + (long) (allow * 10) - tidings.stoodStill();
-            Exchange batch = new Exchange(id, group, statement, notAfter, call);
+            RequestExchange batch = new RequestExchange(id, group, statement, notAfter, call);
             batch.connectionAge = callers.age(channel(x));
             pending.put(call.path(), call);
             kept(statement.length);
@@ -545,7 +545,7 @@
                     key,
                     (long) (estimate * 10),
                     (int) memory,
-                    Statement.group(statement));
+                    StatementTables.group(statement));
         }
     }
 
--- a/src/main/java/firstage/server/client/Rows.java
+++ b/src/main/java/firstage/server/client/JsonRows.java
@@ -8,12 +8,12 @@
 /**
  * Writes the engine's pages (columns parted by tabs, each row ended) as the JSON rows of an answer.
  */
-final class Rows {
+final class JsonRows {
     private static final byte[] START = bytes("{\"page\":[");
     private static final byte[] END = bytes("]}");
     private static final byte[] HEX = bytes("0123456789abcdef");
 
-    private Rows() {}
+    private JsonRows() {}
 
     static ByteBuffer answer(List<byte[]> pages) {
         int size = pages.stream().mapToInt(p -> p.length).sum();
--- a/src/main/java/firstage/server/client/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -1,7 +1,7 @@
 package firstage.server.client;
 
-import firstage.lifecycle.CallLife;
-import firstage.server.Exchange;
+import firstage.lifecycle.ClientCallStateMachine;
+import firstage.server.RequestExchange;
 import io.undertow.connector.PooledByteBuffer;
 import io.undertow.server.AbstractServerConnection;
 import io.undertow.server.HttpServerExchange;
@@ -21,7 +21,7 @@
  * Carries the life of a client's call over HTTP. The connection is read while a call is held, which
  * Undertow does not do by itself: a client that gives up closes it.
  */
-final class PendingCall implements Exchange.Reply, CallLife.Carrier {
+final class PendingCall implements RequestExchange.Reply, ClientCallStateMachine.Carrier {
     static final HttpString WAIT = new HttpString("X-Wait-Ms");
     private static final byte[] FAILED =
             "{\"err\":\"Failed\"}\n".getBytes(StandardCharsets.US_ASCII);
@@ -29,11 +29,11 @@
 
     private record Answer(int status, long comeBack, ByteBuffer body) {}
 
-    private final ClientDoor door;
+    private final ClientHandler door;
     private final String id;
     private final String path;
-    private final CallLife life = new CallLife(this);
-    private Exchange batch;
+    private final ClientCallStateMachine life = new ClientCallStateMachine(this);
+    private RequestExchange batch;
 
     /** The calls that are held: one, but where a client lost a connection and calls on another. */
     private final List<Held> held = new ArrayList<>();
@@ -42,7 +42,7 @@
     private boolean given;
     private XnioExecutor.Key timer;
 
-    PendingCall(ClientDoor door, String id, String path) {
+    PendingCall(ClientHandler door, String id, String path) {
         this.door = door;
         this.id = id;
         this.path = path;
@@ -64,7 +64,7 @@
         return batch.statement.length + (answer == null ? 0 : answer.body.remaining());
     }
 
-    void start(Exchange started, HttpServerExchange first) {
+    void start(RequestExchange started, HttpServerExchange first) {
         batch = started;
         held.add(new Held(first));
         life.start();
@@ -222,7 +222,7 @@
     // ---- The batch's answer.
     @Override
     public void returned(List<byte[]> pages) {
-        answer(new Answer(200, 0, Rows.answer(pages)));
+        answer(new Answer(200, 0, JsonRows.answer(pages)));
     }
 
     @Override
--- a/src/main/java/firstage/server/client/Statement.java
+++ b/src/main/java/firstage/server/client/StatementTables.java
@@ -12,7 +12,7 @@
  * not count, nor does the schema {@code staging}; only a name in a place where a table may stand is
  * one of a schema.
  */
-final class Statement {
+final class StatementTables {
     private static final Set<String> OPEN =
             Set.of("from", "join", "into", "update", "table", "using", "copy");
     private static final Set<String> CLOSE =
@@ -27,13 +27,13 @@
 
     private boolean name;
 
-    private Statement(byte[] bytes) {
+    private StatementTables(byte[] bytes) {
         text = new String(bytes, StandardCharsets.UTF_8);
     }
 
     /** The group, or -1 where the statement names none. */
     static int group(byte[] bytes) {
-        return new Statement(bytes).find();
+        return new StatementTables(bytes).find();
     }
 
     private int find() {
--- a/src/main/java/firstage/server/discovery/Records.java
+++ b/src/main/java/firstage/server/discovery/EndpointParser.java
@@ -1,11 +1,11 @@
 package firstage.server.discovery;
 
-import firstage.config.Fields;
-import firstage.config.MalformedLine;
-import firstage.policy.api.EngineList.Standing;
-import firstage.server.Assignment;
-import firstage.server.Clock;
-import firstage.server.Tidings.Listed;
+import firstage.config.MalformedLineException;
+import firstage.config.WireFields;
+import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.server.ManagerConfig;
+import firstage.server.ServerEvents.Listed;
+import firstage.server.TickClock;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -16,14 +16,14 @@
 import java.util.Map;
 
 /** Reads the engines of one event, from a frame or from JSON. */
-final class Records {
+final class EndpointParser {
     private static final int SIZE = 27;
     private static final double THOUSANDTHS = 1_000;
-    private final Clock clock;
+    private final TickClock clock;
     private final List<String> zones;
     private final List<String> kinds;
 
-    Records(Clock clock, Fields settings) {
+    EndpointParser(TickClock clock, WireFields settings) {
         this.clock = clock;
         zones = Arrays.asList(settings.text("areas", "").split(","));
         kinds = Arrays.asList(settings.text("kinds", "").split(","));
@@ -68,7 +68,7 @@
     List<Listed> read(List<?> instances) {
         List<Listed> engines = new ArrayList<>();
         for (Object instance : instances) {
-            Fields f = new Fields((Map<?, ?>) instance);
+            WireFields f = new WireFields((Map<?, ?>) instance);
             Standing standing =
                     switch (f.text("lifecycle", "Ready")) {
                         case "Ready" -> Standing.ACTIVE;
@@ -78,9 +78,9 @@
             engines.add(
                     new Listed(
                             id(f.need("instanceId")),
-                            Assignment.address(f.need("hostPort")),
-                            zones.indexOf(Fields.plain(f.text("zone", ""))),
-                            kinds.indexOf(Fields.plain(f.text("machineType", ""))),
+                            ManagerConfig.address(f.need("hostPort")),
+                            zones.indexOf(WireFields.plain(f.text("zone", ""))),
+                            kinds.indexOf(WireFields.plain(f.text("machineType", ""))),
                             f.index("cell", 0),
                             standing,
                             f.number("weight", 1),
@@ -93,7 +93,7 @@
         try {
             return Long.parseLong(text.substring(text.indexOf('-') + 1), 16);
         } catch (NumberFormatException fault) {
-            throw new MalformedLine("no engine's id: " + text);
+            throw new MalformedLineException("no engine's id: " + text);
         }
     }
 }
--- a/src/main/java/firstage/server/discovery/Follower.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -1,10 +1,10 @@
 package firstage.server.discovery;
 
-import firstage.policy.api.EngineList.Kind;
-import firstage.server.Assignment;
-import firstage.server.Clock;
+import firstage.policy.api.EndpointUpdate.Kind;
 import firstage.server.Counters;
-import firstage.server.Tidings;
+import firstage.server.ManagerConfig;
+import firstage.server.ServerEvents;
+import firstage.server.TickClock;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -25,8 +25,8 @@
  * Keeps a connection to the coordinator and tells what it hears; a connection that is mute is given
  * up.
  */
-public final class Follower {
-    private static final Logger LOG = Logger.getLogger(Follower.class.getName());
+public final class EndpointWatcher {
+    private static final Logger LOG = Logger.getLogger(EndpointWatcher.class.getName());
 
     /**
      * An empty frame follows each second: two missing, and another connection is tried. News is due
@@ -58,9 +58,9 @@
 
     private final XnioIoThread io;
     private final Counters counters;
-    private final Tidings tidings;
-    private final Records records;
-    private final Clock clock;
+    private final ServerEvents tidings;
+    private final EndpointParser records;
+    private final TickClock clock;
     private InetSocketAddress coordinator;
 
     /** When the configuration in force asked for its coordinator: for the log. */
@@ -74,7 +74,7 @@
     private final ByteBuffer buffer = ByteBuffer.allocate(16 * 1024);
     private long last;
     private StreamConnection channel;
-    private Frames frames;
+    private FrameDecoder frames;
     private XnioExecutor.Key mute;
     private XnioExecutor.Key retry;
 
@@ -86,17 +86,17 @@
 
     private boolean closed;
 
-    public Follower(
+    public EndpointWatcher(
             XnioIoThread io,
-            Clock clock,
+            TickClock clock,
             Counters counters,
-            Tidings tidings,
-            Assignment assignment) {
+            ServerEvents tidings,
+            ManagerConfig assignment) {
         this.io = io;
         this.counters = counters;
         this.tidings = tidings;
         this.clock = clock;
-        records = new Records(clock, assignment.settings());
+        records = new EndpointParser(clock, assignment.settings());
     }
 
     /**
@@ -104,7 +104,7 @@
      * one may come while this one is followed: its coordinator may be elsewhere and the old one
      * tells nothing more, so that one is left at once. The numbers continue.
      */
-    public void follow(Assignment assignment) {
+    public void follow(ManagerConfig assignment) {
         since = clock.now();
         heard = false;
         try {
@@ -226,7 +226,7 @@
     private void up(StreamConnection connection) {
         channel = connection;
         try {
-            frames = new Frames();
+            frames = new FrameDecoder();
             ByteBuffer hello = ByteBuffer.allocate(Long.BYTES).putLong(0, last);
             while (hello.hasRemaining()) {
                 // Eight bytes on a new connection always fit.
@@ -298,7 +298,7 @@
                                             + tenths / 10
                                             + " ms after the configuration was taken");
                 }
-                for (Frames.Frame frame : frames.take(buffer.flip())) {
+                for (FrameDecoder.Frame frame : frames.take(buffer.flip())) {
                     take(frame);
                 }
                 if (!frames.partial()) {
@@ -312,14 +312,14 @@
         }
     }
 
-    private void take(Frames.Frame frame) throws IOException {
+    private void take(FrameDecoder.Frame frame) throws IOException {
         if (frame.kind() == 0 || frame.number() <= last) {
             return;
         }
         if (frame.kind() > 2) {
             throw new IOException("a frame of kind " + frame.kind());
         }
-        List<Tidings.Listed> entries = records.read(frame.payload());
+        List<ServerEvents.Listed> entries = records.read(frame.payload());
         // Few in a run, and what a drain that was not kept is traced by.
         LOG.info(
                 () ->
--- a/src/main/java/firstage/server/discovery/Frames.java
+++ b/src/main/java/firstage/server/discovery/FrameDecoder.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /** Cuts the coordinator's frames out of bytes that come in any pieces. */
-public final class Frames {
+public final class FrameDecoder {
     /** Kind, number and payload of one frame. */
     public record Frame(long number, int kind, ByteBuffer payload) {}
 
--- a/src/main/java/firstage/server/engine/Run.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -1,13 +1,13 @@
 package firstage.server.engine;
 
-import firstage.lifecycle.DispatchLife;
-import firstage.lifecycle.DispatchLife.Loss;
-import firstage.lifecycle.DispatchLife.Word;
-import firstage.policy.api.Note;
-import firstage.policy.api.Outcome;
-import firstage.policy.api.Report;
-import firstage.server.Exchange;
-import firstage.server.Recorder.What;
+import firstage.lifecycle.AttemptStateMachine;
+import firstage.lifecycle.AttemptStateMachine.Loss;
+import firstage.lifecycle.AttemptStateMachine.Word;
+import firstage.policy.api.AttemptOutcome;
+import firstage.policy.api.AttemptProgress;
+import firstage.policy.api.LoadReport;
+import firstage.server.FlightRecorder.What;
+import firstage.server.RequestExchange;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,7 +16,7 @@
 /**
  * Carries a dispatch's life over HTTP: its calls, and what their answers say. It decides nothing.
  */
-final class Run implements Exchange.Dispatch, DispatchLife.Carrier {
+final class AttemptRunner implements RequestExchange.Dispatch, AttemptStateMachine.Carrier {
     /**
      * Engines answer within 250 ms; another connection is tried well before they drop it after 2 s.
      */
@@ -34,23 +34,28 @@
     /** Some five times what a result may hold. */
     private static final int MOST_RESULT = 256 * 1024;
 
-    private final Engines engines;
-    private final Link link;
-    private final Exchange x;
+    private final EngineClients engines;
+    private final EngineConnectionPool link;
+    private final RequestExchange x;
     private final int number;
     private final int engine;
     private final long sent;
-    private final DispatchLife life;
+    private final AttemptStateMachine life;
     private final List<byte[]> pages = new ArrayList<>();
     private int pageCount;
     private boolean running;
     private int size;
     private long took;
     private int priority;
-    private Report report;
+    private LoadReport report;
     private boolean lingers;
 
-    Run(Engines engines, Link link, Exchange x, int number, int engine) {
+    AttemptRunner(
+            EngineClients engines,
+            EngineConnectionPool link,
+            RequestExchange x,
+            int number,
+            int engine) {
         this.engines = engines;
         this.link = link;
         this.x = x;
@@ -58,7 +63,7 @@
         this.engine = engine;
         this.sent = engines.clock.now();
         this.priority = x.priority;
-        life = new DispatchLife(this, x.key != null);
+        life = new AttemptStateMachine(this, x.key != null);
         // Not within the decision that sends it: its outcome is news of a later moment.
         engines.io.execute(life::start);
     }
@@ -83,7 +88,7 @@
         }
     }
 
-    private Loss loss(Call.Failure f) {
+    private Loss loss(EngineCall.Failure f) {
         note(What.LOST, f.ordinal());
         return switch (f) {
             case REFUSED -> Loss.REFUSED;
@@ -98,7 +103,7 @@
     @Override
     public void post() {
         link.start(
-                new Call("POST /x", x.statement, NEWS_MS) {
+                new EngineCall("POST /x", x.statement, NEWS_MS) {
                     @Override
                     boolean wanted() {
                         // An engine may begin to drain, or the client leave, while the connection
@@ -137,7 +142,7 @@
                     }
 
                     @Override
-                    void answered(Response r) {
+                    void answered(EngineResponse r) {
                         Word word = word(r, 0);
                         if (word != null) {
                             life.posted(now(), word);
@@ -166,9 +171,9 @@
 
     private void get(int page, boolean fresh) {
         link.call(
-                new Call("GET /x/" + x.id + "/" + page, null, NEWS_MS) {
+                new EngineCall("GET /x/" + x.id + "/" + page, null, NEWS_MS) {
                     @Override
-                    void answered(Response r) {
+                    void answered(EngineResponse r) {
                         Word word = word(r, page);
                         if (word != null) {
                             life.told(now(), word);
@@ -189,12 +194,12 @@
     /**
      * What an answer says, and keeps of it what goes on; null where it can't be one of an engine's.
      */
-    private Word word(Response r, int page) {
+    private Word word(EngineResponse r, int page) {
         note(What.ANSWERED, r.status());
         boolean runs = life.runs();
         if (runs) {
             // The latest word only: an earlier one would pass for news when the dispatch ends.
-            report = Engines.report(r);
+            report = EngineClients.report(r);
         }
         return switch (r.status()) {
             case 202 -> {
@@ -212,7 +217,7 @@
         };
     }
 
-    private Word page(Response r, int page) {
+    private Word page(EngineResponse r, int page) {
         if (page == 0) {
             took = took > 0 ? took : now() - sent;
             pageCount = r.whole("page-count", 0);
@@ -231,14 +236,16 @@
         return size > MOST_RESULT ? Word.ERROR : pages.size() >= pageCount ? Word.LAST : Word.PAGE;
     }
 
-    private void note(Response r) {
+    private void note(EngineResponse r) {
         double figure = r.number("figure", 0);
-        Note.Kind kind =
+        AttemptProgress.Kind kind =
                 switch (r.headers().getOrDefault("x-remark", "")) {
-                    case "pct" -> Note.Kind.DONE;
-                    case "overflow" -> Note.Kind.SPILLS;
+                    case "pct" -> AttemptProgress.Kind.DONE;
+                    case "overflow" -> AttemptProgress.Kind.SPILLS;
                     case "queued" ->
-                            figure == 1 ? Note.Kind.WAITS_FOR_MEMORY : Note.Kind.WAITS_FOR_LOAD;
+                            figure == 1
+                                    ? AttemptProgress.Kind.WAITS_FOR_MEMORY
+                                    : AttemptProgress.Kind.WAITS_FOR_LOAD;
                     default -> null;
                 };
         if (kind != null) {
@@ -255,9 +262,9 @@
         if (life.runs()) {
             byte[] body = String.valueOf(next).getBytes(StandardCharsets.US_ASCII);
             link.call(
-                    new Call("PUT /x/" + x.id, body, NEWS_MS) {
+                    new EngineCall("PUT /x/" + x.id, body, NEWS_MS) {
                         @Override
-                        void answered(Response r) {
+                        void answered(EngineResponse r) {
                             // Nothing depends on it.
                         }
 
@@ -271,16 +278,16 @@
     }
 
     @Override
-    public void giveUp(Outcome how) {
+    public void giveUp(AttemptOutcome how) {
         life.giveUp(now(), how);
     }
 
     @Override
     public void delete(boolean fresh) {
         link.call(
-                new Call("DELETE /x/" + x.id, null, DELETE_MS) {
+                new EngineCall("DELETE /x/" + x.id, null, DELETE_MS) {
                     @Override
-                    void answered(Response r) {
+                    void answered(EngineResponse r) {
                         life.deleted(now());
                     }
 
@@ -294,7 +301,7 @@
     }
 
     @Override
-    public void after(long delay, DispatchLife.Alarm alarm) {
+    public void after(long delay, AttemptStateMachine.Alarm alarm) {
         Runnable rings =
                 () -> {
                     life.rang(now(), alarm);
@@ -333,7 +340,7 @@
     }
 
     @Override
-    public void ended(Outcome how, long rest) {
+    public void ended(AttemptOutcome how, long rest) {
         if (lingers) {
             engines.lingers(-1);
         }
--- a/src/main/java/firstage/server/engine/Call.java
+++ b/src/main/java/firstage/server/engine/EngineCall.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** One call to an engine and what becomes of it: exactly one of the two is called, once. */
-abstract class Call {
+abstract class EngineCall {
     /** REFUSED, UNREACHED, RESET, NO_ROOM, UNWANTED: nothing was sent. The others prove nothing. */
     enum Failure {
         REFUSED,
@@ -23,13 +23,13 @@
     /** How long its answer may take. */
     final long patienceMs;
 
-    Call(String what, byte[] body, long patienceMs) {
+    EngineCall(String what, byte[] body, long patienceMs) {
         this.what = what;
         this.body = body;
         this.patienceMs = patienceMs;
     }
 
-    abstract void answered(Response response);
+    abstract void answered(EngineResponse response);
 
     abstract void failed(Failure failure);
 
--- a/src/main/java/firstage/server/engine/Engines.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -1,13 +1,13 @@
 package firstage.server.engine;
 
-import firstage.policy.api.EngineList.Standing;
-import firstage.policy.api.Outcome;
-import firstage.policy.api.Report;
-import firstage.server.Assignment;
-import firstage.server.Clock;
+import firstage.policy.api.AttemptOutcome;
+import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.LoadReport;
 import firstage.server.Counters;
-import firstage.server.Exchange;
-import firstage.server.Tidings;
+import firstage.server.ManagerConfig;
+import firstage.server.RequestExchange;
+import firstage.server.ServerEvents;
+import firstage.server.TickClock;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -16,13 +16,13 @@
 import org.xnio.XnioIoThread;
 
 /** All engines that were listed, by their index. */
-public final class Engines {
+public final class EngineClients {
     private static final int READ_BUFFER = 16 * 1024;
     private static final long DEFAULT_KEEPALIVE = 10_000;
     final XnioIoThread io;
-    final Clock clock;
+    final TickClock clock;
     final Counters counters;
-    final Tidings tidings;
+    final ServerEvents tidings;
     final ByteBuffer shared = ByteBuffer.allocateDirect(READ_BUFFER);
     final long connectMs;
     final long probeMs;
@@ -33,19 +33,19 @@
     private boolean closing;
 
     /** By the engine's index. */
-    private final List<Link> links = new ArrayList<>();
+    private final List<EngineConnectionPool> links = new ArrayList<>();
 
     /** Those with connections, also such as were replaced and are still asked. */
-    private final Set<Link> connected = new HashSet<>();
+    private final Set<EngineConnectionPool> connected = new HashSet<>();
 
     private final List<Integer> out = new ArrayList<>();
 
-    public Engines(
+    public EngineClients(
             XnioIoThread io,
-            Clock clock,
+            TickClock clock,
             Counters counters,
-            Tidings tidings,
-            Assignment assignment) {
+            ServerEvents tidings,
+            ManagerConfig assignment) {
         this.io = io;
         this.clock = clock;
         this.counters = counters;
@@ -65,7 +65,7 @@
      * Room for one more connection; where there is none, an idle one of another engine gives way.
      */
     boolean takeSlot() {
-        if (full() && connected.stream().noneMatch(Link::closeOldest)) {
+        if (full() && connected.stream().noneMatch(EngineConnectionPool::closeOldest)) {
             counters.count("connections not had");
             return false;
         }
@@ -74,7 +74,7 @@
         return true;
     }
 
-    void opens(Link link) {
+    void opens(EngineConnectionPool link) {
         connected.add(link);
     }
 
@@ -83,12 +83,12 @@
         counters.hold(slots >= 0, "a connection is freed once");
     }
 
-    public void listed(int index, Tidings.Listed e) {
+    public void listed(int index, ServerEvents.Listed e) {
         while (links.size() <= index) {
             links.add(null);
             out.add(0);
         }
-        Link link = links.get(index);
+        EngineConnectionPool link = links.get(index);
         if (e.standing() != Standing.ACTIVE && link != null) {
             link.leaving();
         }
@@ -101,7 +101,7 @@
             if (link != null) {
                 link.close();
             }
-            links.set(index, new Link(this, clock, e.address()));
+            links.set(index, new EngineConnectionPool(this, clock, e.address()));
         }
     }
 
@@ -162,26 +162,28 @@
 
     /** Connections taken are those in use, idle, or coming up, and no more than the cap. */
     public void check() {
-        int held = connected.stream().mapToInt(Link::held).sum();
+        int held = connected.stream().mapToInt(EngineConnectionPool::held).sum();
         counters.hold(held == slots && slots <= cap, "connections are in use, idle or coming up");
         connected.removeIf(link -> link.held() == 0);
     }
 
-    public Exchange.Dispatch dispatch(Exchange x, int number, int engine) {
+    public RequestExchange.Dispatch dispatch(RequestExchange x, int number, int engine) {
         out.set(engine, out.get(engine) + 1);
-        return new Run(this, links.get(engine), x, number, engine);
+        return new AttemptRunner(this, links.get(engine), x, number, engine);
     }
 
     public void probe(int engine) {
         counters.count("probes");
         links.get(engine)
                 .start(
-                        new Call("GET /busy", null, probeMs) {
+                        new EngineCall("GET /busy", null, probeMs) {
                             @Override
-                            void answered(Response r) {
+                            void answered(EngineResponse r) {
                                 tidings.probed(
                                         engine,
-                                        r.status() == 200 ? Outcome.RETURNED : Outcome.ERRORED,
+                                        r.status() == 200
+                                                ? AttemptOutcome.RETURNED
+                                                : AttemptOutcome.ERRORED,
                                         report(r));
                             }
 
@@ -190,14 +192,16 @@
                                 boolean unreached = f == Failure.REFUSED || f == Failure.UNREACHED;
                                 tidings.probed(
                                         engine,
-                                        unreached ? Outcome.NO_CONNECTION : Outcome.TIMED_OUT,
+                                        unreached
+                                                ? AttemptOutcome.NO_CONNECTION
+                                                : AttemptOutcome.TIMED_OUT,
                                         null);
                             }
                         });
     }
 
     /** The load report of an answer, or null without one. */
-    static Report report(Response r) {
+    static LoadReport report(EngineResponse r) {
         String meter = r.headers().get("x-meter");
         if (meter == null) {
             return null;
@@ -222,14 +226,14 @@
                 return null;
             }
         }
-        return new Report(told[0], told[1], told[2], told[3], told[4]);
+        return new LoadReport(told[0], told[1], told[2], told[3], told[4]);
     }
 
     public void sweep() {
-        connected.forEach(Link::sweep);
+        connected.forEach(EngineConnectionPool::sweep);
     }
 
     public void close() {
-        List.copyOf(connected).forEach(Link::close);
+        List.copyOf(connected).forEach(EngineConnectionPool::close);
     }
 }
--- a/src/main/java/firstage/server/engine/Connection.java
+++ b/src/main/java/firstage/server/engine/EngineConnection.java
@@ -12,14 +12,14 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /** A connection to an engine: one call at a time. */
-final class Connection {
+final class EngineConnection {
     private static final byte[] VERSION = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
-    private final Link link;
+    private final EngineConnectionPool link;
     private final XnioIoThread io;
     private final ByteBuffer shared;
     private final StreamConnection channel;
-    private Call call;
-    private ResponseReader reader;
+    private EngineCall call;
+    private EngineResponseReader reader;
     private ByteBuffer unsent;
     private XnioExecutor.Key patience;
     private boolean closed;
@@ -35,10 +35,14 @@
     long doubtUntil;
 
     /** Its last answer that was whole. */
-    private Response last;
+    private EngineResponse last;
 
     /** {@code shared} is one buffer of the thread, empty between events. */
-    Connection(Link link, XnioIoThread io, ByteBuffer shared, StreamConnection channel) {
+    EngineConnection(
+            EngineConnectionPool link,
+            XnioIoThread io,
+            ByteBuffer shared,
+            StreamConnection channel) {
         this.link = link;
         this.io = io;
         this.shared = shared;
@@ -61,14 +65,16 @@
         }
     }
 
-    void send(Call next, String host) {
+    void send(EngineCall next, String host) {
         call = next;
         sentAt = link.now();
-        reader = new ResponseReader();
+        reader = new EngineResponseReader();
         unsent = next.bytes(host);
         patience =
                 io.executeAfter(
-                        () -> fail(Call.Failure.SILENT), next.patienceMs, TimeUnit.MILLISECONDS);
+                        () -> fail(EngineCall.Failure.SILENT),
+                        next.patienceMs,
+                        TimeUnit.MILLISECONDS);
         writable(channel.getSinkChannel());
     }
 
@@ -107,14 +113,14 @@
                     return;
                 }
                 if (n < 0) {
-                    fail(Call.Failure.BROKEN);
+                    fail(EngineCall.Failure.BROKEN);
                     return;
                 }
                 link.heard();
                 shared.flip();
                 if (call == null) {
                     // Bytes that nobody asked for: nothing on this connection can be trusted.
-                    fail(Call.Failure.MALFORMED);
+                    fail(EngineCall.Failure.MALFORMED);
                 } else if (reader.take(shared)) {
                     done();
                 }
@@ -122,8 +128,8 @@
         } catch (IOException fault) {
             fail(
                     reader != null && channel.isOpen() && !isReset(fault)
-                            ? Call.Failure.MALFORMED
-                            : Call.Failure.BROKEN);
+                            ? EngineCall.Failure.MALFORMED
+                            : EngineCall.Failure.BROKEN);
         }
     }
 
@@ -133,14 +139,14 @@
     }
 
     private void done() {
-        Call over = call;
+        EngineCall over = call;
         boolean more = shared.hasRemaining();
         // A second copy of the answer shows that the first was whole.
         boolean copy =
                 shared.remaining() >= VERSION.length
                         && ByteBuffer.wrap(VERSION)
                                 .equals(shared.slice(shared.position(), VERSION.length));
-        Response response = reader.response(more && !copy);
+        EngineResponse response = reader.response(more && !copy);
         forget();
         boolean doubtful = link.hasty(response, sentAt);
         boolean like = last != null && response.like(last);
@@ -156,8 +162,8 @@
         over.answered(response);
     }
 
-    private void fail(Call.Failure failure) {
-        Call over = call;
+    private void fail(EngineCall.Failure failure) {
+        EngineCall over = call;
         forget();
         close();
         link.gone(this);
--- a/src/main/java/firstage/server/engine/Link.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -1,6 +1,6 @@
 package firstage.server.engine;
 
-import firstage.server.Clock;
+import firstage.server.TickClock;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
@@ -20,7 +20,7 @@
  * The connections to one engine. They belong to its id: another may get its address when it is
  * gone.
  */
-final class Link {
+final class EngineConnectionPool {
     /**
      * Tenths of a millisecond: engines answer a call for news after 250 ms, and the way there and
      * back.
@@ -40,15 +40,15 @@
      */
     private static final long DOUBT = 3_000;
 
-    private final Engines engines;
-    private final Clock clock;
+    private final EngineClients engines;
+    private final TickClock clock;
     final InetSocketAddress address;
     private final String host;
 
     /** The one that was used last is used next: the others age and are closed. */
-    private final ArrayDeque<Connection> idle = new ArrayDeque<>();
+    private final ArrayDeque<EngineConnection> idle = new ArrayDeque<>();
 
-    private final Set<Connection> all = new HashSet<>();
+    private final Set<EngineConnection> all = new HashSet<>();
     private int connecting;
 
     /** Dispatches whose statement was written here and that are not over. */
@@ -58,7 +58,7 @@
     private boolean leaving;
     private boolean closed;
 
-    Link(Engines engines, Clock clock, InetSocketAddress address) {
+    EngineConnectionPool(EngineClients engines, TickClock clock, InetSocketAddress address) {
         this.engines = engines;
         this.clock = clock;
         this.address = address;
@@ -70,7 +70,7 @@
      * the open connections of a vanished machine stay open, and what is written there is lost
      * without a trace, while a connection that does not come up proves that nothing ran.
      */
-    void start(Call call) {
+    void start(EngineCall call) {
         call(call, clock.now() - heard > TRUSTED, true);
     }
 
@@ -82,7 +82,7 @@
     /**
      * Makes the call on an idle connection, else on a new one; {@code fresh} asks for a new one.
      */
-    void call(Call call, boolean fresh) {
+    void call(EngineCall call, boolean fresh) {
         call(call, fresh, false);
     }
 
@@ -90,19 +90,19 @@
      * The same; {@code unmistaken}: only on a connection that was quiet for long enough since any
      * answer.
      */
-    void call(Call call, boolean fresh, boolean unmistaken) {
+    void call(EngineCall call, boolean fresh, boolean unmistaken) {
         sweep();
         if (!call.wanted()) {
-            engines.io.execute(() -> call.failed(Call.Failure.UNWANTED));
+            engines.io.execute(() -> call.failed(EngineCall.Failure.UNWANTED));
             return;
         }
-        Connection ready = fresh ? null : ready(unmistaken);
+        EngineConnection ready = fresh ? null : ready(unmistaken);
         if (ready != null) {
             ready.send(call, host);
         } else if (engines.takeSlot()) {
             connect(call);
         } else {
-            engines.io.execute(() -> call.failed(Call.Failure.NO_ROOM));
+            engines.io.execute(() -> call.failed(EngineCall.Failure.NO_ROOM));
         }
     }
 
@@ -110,8 +110,8 @@
      * An idle connection; one that rests where it must be: a draining engine may take no new
      * connections.
      */
-    private Connection ready(boolean unmistaken) {
-        Connection rested = latest(clock.now(), unmistaken);
+    private EngineConnection ready(boolean unmistaken) {
+        EngineConnection rested = latest(clock.now(), unmistaken);
         return rested == null && (leaving || engines.full())
                 ? latest(Long.MAX_VALUE, unmistaken)
                 : rested;
@@ -120,10 +120,10 @@
     /**
      * The idle connection that was used last, of those that rest until then, with nothing amiss.
      */
-    private Connection latest(long restsUntil, boolean unmistaken) {
-        Iterator<Connection> latest = idle.descendingIterator();
+    private EngineConnection latest(long restsUntil, boolean unmistaken) {
+        Iterator<EngineConnection> latest = idle.descendingIterator();
         while (latest.hasNext()) {
-            Connection c = latest.next();
+            EngineConnection c = latest.next();
             boolean rested = !unmistaken || clock.now() - c.idleSince >= REST;
             if (clock.now() >= c.doubtUntil && c.restsUntil <= restsUntil && rested) {
                 latest.remove();
@@ -137,7 +137,7 @@
         return null;
     }
 
-    private void connect(Call call) {
+    private void connect(EngineCall call) {
         connecting++;
         engines.opens(this);
         IoFuture<? extends StreamConnection> coming =
@@ -159,33 +159,35 @@
                                         engines.freeSlot();
                                         call.failed(
                                                 future.getStatus() != IoFuture.Status.FAILED
-                                                        ? Call.Failure.UNREACHED
+                                                        ? EngineCall.Failure.UNREACHED
                                                         : future.getException()
                                                                         instanceof ConnectException
-                                                                ? Call.Failure.REFUSED
+                                                                ? EngineCall.Failure.REFUSED
                                                                 : future.getException()
                                                                                 instanceof
                                                                                 SocketException
-                                                                        ? Call.Failure.RESET
-                                                                        : Call.Failure.UNREACHED);
+                                                                        ? EngineCall.Failure.RESET
+                                                                        : EngineCall.Failure
+                                                                                .UNREACHED);
                                     }
                                 }),
                 null);
     }
 
-    private void up(Call call, IoFuture<? extends StreamConnection> future) {
+    private void up(EngineCall call, IoFuture<? extends StreamConnection> future) {
         try {
-            Connection c = new Connection(this, engines.io, engines.shared, future.get());
+            EngineConnection c =
+                    new EngineConnection(this, engines.io, engines.shared, future.get());
             all.add(c);
             if (call.wanted()) {
                 c.send(call, host);
             } else {
                 idle(c, false);
-                call.failed(Call.Failure.UNWANTED);
+                call.failed(EngineCall.Failure.UNWANTED);
             }
         } catch (IOException fault) {
             engines.freeSlot();
-            call.failed(Call.Failure.UNREACHED);
+            call.failed(EngineCall.Failure.UNREACHED);
         }
     }
 
@@ -222,12 +224,12 @@
      * Not to be used until the true answer behind a copy would have come; its stray bytes then
      * close it.
      */
-    void doubted(Connection c) {
+    void doubted(EngineConnection c) {
         c.doubtUntil = clock.now() + DOUBT;
         idle(c, false);
     }
 
-    void idle(Connection c, boolean rests) {
+    void idle(EngineConnection c, boolean rests) {
         if (closed) {
             c.close();
             gone(c);
@@ -238,7 +240,7 @@
         }
     }
 
-    void gone(Connection c) {
+    void gone(EngineConnection c) {
         if (all.remove(c)) {
             idle.remove(c);
             engines.freeSlot();
@@ -249,7 +251,7 @@
      * An answer that came at once, where engines hold a call: it may be a second copy of the one
      * before it.
      */
-    boolean hasty(Response response, long since) {
+    boolean hasty(EngineResponse response, long since) {
         return response.status() == 202 && clock.now() - since < REST;
     }
 
@@ -260,7 +262,7 @@
     /** Closes what was idle so long that the engine might close it under a call. */
     void sweep() {
         while (!idle.isEmpty() && clock.now() - idle.peekFirst().idleSince > engines.mostIdle) {
-            Connection c = idle.peekFirst();
+            EngineConnection c = idle.peekFirst();
             c.close();
             gone(c);
         }
@@ -268,7 +270,7 @@
 
     /** Closes the connection that was idle longest; false without one. */
     boolean closeOldest() {
-        Connection c = idle.peekFirst();
+        EngineConnection c = idle.peekFirst();
         boolean spared = c != null && !lastWhileRunning();
         if (spared) {
             c.close();
@@ -293,7 +295,7 @@
     /** Its idle connections are closed now, the others when their call ends. */
     void close() {
         closed = true;
-        for (Connection c : Set.copyOf(idle)) {
+        for (EngineConnection c : Set.copyOf(idle)) {
             c.close();
             gone(c);
         }
--- a/src/main/java/firstage/server/engine/Response.java
+++ b/src/main/java/firstage/server/engine/EngineResponse.java
@@ -10,7 +10,7 @@
  * An engine's answer to one call; header names in lower case. {@code more}: bytes came behind its
  * end.
  */
-record Response(int status, Map<String, String> headers, byte[] body, boolean more) {
+record EngineResponse(int status, Map<String, String> headers, byte[] body, boolean more) {
     private static final int TABS_IN_A_ROW = 2;
 
     /**
@@ -53,7 +53,7 @@
     }
 
     /** Whether it says the same to the letter: a second copy does. */
-    boolean like(Response other) {
+    boolean like(EngineResponse other) {
         return status == other.status
                 && headers.equals(other.headers)
                 && Arrays.equals(body, other.body);
--- a/src/main/java/firstage/server/engine/ResponseReader.java
+++ b/src/main/java/firstage/server/engine/EngineResponseReader.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /** Reads one HTTP/1.1 response from bytes that come in any pieces. */
-final class ResponseReader {
+final class EngineResponseReader {
     /** Well over the 6,000 bytes that a page may hold. */
     private static final int MOST_BODY = 64 * 1024;
 
@@ -58,8 +58,8 @@
         return part == Part.DONE;
     }
 
-    Response response(boolean more) {
-        return new Response(status, headers, body.toByteArray(), more);
+    EngineResponse response(boolean more) {
+        return new EngineResponse(status, headers, body.toByteArray(), more);
     }
 
     private void copy(ByteBuffer in) throws IOException {
--- a/src/main/java/firstage/server/membership/Peers.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -2,24 +2,24 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import firstage.cells.Cells;
-import firstage.cells.Sieve;
-import firstage.failover.Together;
-import firstage.failover.Zones;
-import firstage.membership.Entry;
-import firstage.membership.Leases;
-import firstage.membership.Members;
-import firstage.membership.Message;
-import firstage.membership.Standing;
-import firstage.membership.View;
-import firstage.overload.Level;
-import firstage.overload.Trials;
+import firstage.cells.CellDirectory;
+import firstage.cells.EngineSubset;
+import firstage.failover.FleetCoordinator;
+import firstage.failover.ZoneFailover;
+import firstage.membership.Member;
+import firstage.membership.MemberState;
+import firstage.membership.MembershipMessage;
+import firstage.membership.MembershipProtocol;
+import firstage.membership.MembershipView;
+import firstage.membership.QuotaLeases;
+import firstage.overload.LoadSheddingLevel;
+import firstage.overload.ProbeCoordinator;
 import firstage.policy.api.Deployment;
-import firstage.policy.api.EngineList;
-import firstage.server.Assignment;
-import firstage.server.Clock;
+import firstage.policy.api.EndpointUpdate;
 import firstage.server.Counters;
-import firstage.server.Tidings.Listed;
+import firstage.server.ManagerConfig;
+import firstage.server.ServerEvents.Listed;
+import firstage.server.TickClock;
 import java.io.IOException;
 import java.io.StringWriter;
 import java.net.InetSocketAddress;
@@ -49,7 +49,8 @@
 import org.xnio.channels.SocketAddressBuffer;
 
 /** The membership's datagrams, clock and log, all on the one I/O thread. */
-public final class Peers implements Members.Carrier, Cells.Effects {
+public final class MembershipTransport
+        implements MembershipProtocol.Carrier, CellDirectory.Effects {
     /** What a view is asked for by, from this machine only. */
     public static final String ASKED = "firstage view 1";
 
@@ -59,7 +60,7 @@
     /** The answer to an order that can't be used. */
     public static final String NO_ORDER = "firstage zone 1 unknown";
 
-    private static final Logger LOG = Logger.getLogger(Peers.class.getName());
+    private static final Logger LOG = Logger.getLogger(MembershipTransport.class.getName());
     private static final int TICK_MS = 20;
     private static final int MOST = 1_200;
 
@@ -74,19 +75,19 @@
     /** Cells that an answer names in each of its lists. */
     private static final int MOST_NAMED = 8;
 
-    private final PeerList list;
-    private final Clock clock;
+    private final PeerConfig list;
+    private final TickClock clock;
     private final Counters counters;
     private final XnioIoThread io;
-    private final Members members;
-    private final Leases leases;
-    private final Together together;
+    private final MembershipProtocol members;
+    private final QuotaLeases leases;
+    private final FleetCoordinator together;
     private final List<String> areas;
 
     /** Null where the fleet is one; so is the sieve. */
-    private final Cells cells;
+    private final CellDirectory cells;
 
-    private final Sieve<Listed> sieve;
+    private final EngineSubset<Listed> sieve;
     private final Consumer<List<Listed>> free;
     private final Map<InetSocketAddress, Integer> seeds = new HashMap<>();
 
@@ -110,28 +111,28 @@
      * managers together decide for this one; {@code free}: is told of engines that it may use from
      * now on.
      */
-    public Peers(
-            PeerList list,
-            Assignment assignment,
+    public MembershipTransport(
+            PeerConfig list,
+            ManagerConfig assignment,
             long started,
             XnioIoThread io,
-            Clock clock,
+            TickClock clock,
             Counters counters,
-            Trials.Effects keepAway,
-            Level.Effects cut,
+            ProbeCoordinator.Effects keepAway,
+            LoadSheddingLevel.Effects cut,
             Consumer<List<Listed>> free) {
         this.list = list;
         Deployment deployment = assignment.deployment();
         areas = List.of(assignment.settings().text("areas", "").split(","));
         together =
-                new Together(
+                new FleetCoordinator(
                         list.name(),
                         deployment.zone(),
                         areas.size(),
                         deployment.shortestGoal(),
                         deployment.rules().warmAfter(),
                         list.period(),
-                        new Zones.Effects() {
+                        new ZoneFailover.Effects() {
                             @Override
                             public void keepAway(long engine, boolean away, boolean restIsOver) {
                                 keepAway.othersTry(engine, away, restIsOver);
@@ -149,7 +150,7 @@
                             }
                         },
                         cut,
-                        Together.Faults.NONE);
+                        FleetCoordinator.Faults.NONE);
         int all = deployment.managers();
         long seed = deployment.seed();
         this.io = io;
@@ -157,13 +158,13 @@
         this.counters = counters;
         this.free = free;
         list.addresses().forEach(a -> seeds.put(a, seeds.size()));
-        PeerList.InCells in = list.in();
+        PeerConfig.InCells in = list.in();
         RandomGeneratorFactory<RandomGenerator> chances =
                 RandomGeneratorFactory.of("L64X128MixRandom");
         cells =
                 in == null
                         ? null
-                        : new Cells(
+                        : new CellDirectory(
                                 in.plan(),
                                 in.before(),
                                 in.cell(),
@@ -173,36 +174,36 @@
                                 started,
                                 chances.create(~seed),
                                 this,
-                                Cells.Fault.NONE);
+                                CellDirectory.Fault.NONE);
         sieve =
                 in == null
                         ? null
-                        : new Sieve<>(
+                        : new EngineSubset<>(
                                 cells,
                                 Listed::id,
                                 e -> area(e.zone()),
-                                e -> e.standing() == EngineList.Standing.LEFT);
+                                e -> e.standing() == EndpointUpdate.Standing.LEFT);
         if (in != null) {
             in.addresses().forEach(others::addAll);
             others.removeAll(list.addresses());
         }
-        String version = Peers.class.getPackage().getImplementationVersion();
+        String version = MembershipTransport.class.getPackage().getImplementationVersion();
         leases =
-                new Leases(
+                new QuotaLeases(
                         in == null ? all : list.addresses().size(),
                         in == null ? 1.0 / all : in.plan().part(in.cell()),
                         list.period(),
                         Files.exists(list.mark()),
                         this::keep,
-                        Leases.Fault.NONE);
+                        QuotaLeases.Fault.NONE);
         members =
-                new Members(
+                new MembershipProtocol(
                         list.fleet(),
-                        new Entry(
+                        new Member(
                                 list.name(),
                                 list.zone(),
                                 started,
-                                Standing.HERE,
+                                MemberState.HERE,
                                 version == null ? "" : version,
                                 list.weight()),
                         seeds.size(),
@@ -211,7 +212,7 @@
                         chances.create(seed),
                         leases,
                         this,
-                        Members.Fault.NONE);
+                        MembershipProtocol.Fault.NONE);
     }
 
     private String area(int zone) {
@@ -219,8 +220,8 @@
     }
 
     /** Of an event of the list what this manager may use; all of it where the fleet is one. */
-    public List<Listed> served(EngineList.Kind kind, List<Listed> entries) {
-        return sieve == null ? entries : sieve.pass(kind != EngineList.Kind.CHANGES, entries);
+    public List<Listed> served(EndpointUpdate.Kind kind, List<Listed> entries) {
+        return sieve == null ? entries : sieve.pass(kind != EndpointUpdate.Kind.CHANGES, entries);
     }
 
     /**
@@ -353,7 +354,7 @@
         if (zone < 0) {
             return false;
         }
-        for (Zones.Order order : Zones.Order.values()) {
+        for (ZoneFailover.Order order : ZoneFailover.Order.values()) {
             if (order.name().toLowerCase(Locale.ROOT).equals(words[3])) {
                 LOG.info(() -> "zone {\"zone\":" + zone + ",\"ordered\":\"" + words[3] + "\"}");
                 together.order(clock.now(), zone, order);
@@ -393,7 +394,7 @@
                 tellCells(out, now);
             }
             out.writeArrayFieldStart("members");
-            for (Entry e : members.entries()) {
+            for (Member e : members.entries()) {
                 out.writeStartObject();
                 out.writeStringField("name", e.name());
                 out.writeStringField("zone", e.zone());
@@ -423,21 +424,22 @@
      * datagram.
      */
     private void tellCells(JsonGenerator out, long now) throws IOException {
-        PeerList.InCells in = list.in();
-        List<Cells.Known> known = cells.known(now);
+        PeerConfig.InCells in = list.in();
+        List<CellDirectory.Known> known = cells.known(now);
         out.writeStringField("cell", in.plan().cells().get(in.cell()).name());
         out.writeNumberField("plan", in.plan().number());
         out.writeNumberField("cells", known.size());
         out.writeNumberField(
                 "cells heard",
-                known.stream().filter(k -> k.standing() == Cells.Standing.HEARD).count());
-        out.writeNumberField("managers here", known.stream().mapToInt(Cells.Known::here).sum());
+                known.stream().filter(k -> k.standing() == CellDirectory.Standing.HEARD).count());
+        out.writeNumberField(
+                "managers here", known.stream().mapToInt(CellDirectory.Known::here).sum());
         out.writeStringField(
                 "cells silent",
                 some(
                         known.stream()
-                                .filter(k -> k.standing() == Cells.Standing.SILENT)
-                                .map(Cells.Known::name)
+                                .filter(k -> k.standing() == CellDirectory.Standing.SILENT)
+                                .map(CellDirectory.Known::name)
                                 .toList()));
         out.writeStringField(
                 "cells short",
@@ -446,7 +448,8 @@
                                 .filter(
                                         k ->
                                                 k.here() < k.slots()
-                                                        && k.standing() == Cells.Standing.HEARD)
+                                                        && k.standing()
+                                                                == CellDirectory.Standing.HEARD)
                                 .map(k -> k.name() + ":" + k.here() + "/" + k.slots())
                                 .toList()));
         out.writeStringField(
@@ -482,7 +485,7 @@
     }
 
     @Override
-    public void send(int seed, Message.Kind kind, byte[] datagram) {
+    public void send(int seed, MembershipMessage.Kind kind, byte[] datagram) {
         if (list.in() == null || seed != list.in().slot()) {
             send(list.addresses().get(seed), datagram);
         }
@@ -520,7 +523,7 @@
     }
 
     @Override
-    public void changed(long now, View view) {
+    public void changed(long now, MembershipView view) {
         together.viewed(view.names());
         if (cells != null) {
             cells.viewed(view.names());
@@ -574,7 +577,7 @@
     }
 
     /** What this manager works out with the others; on the I/O thread. */
-    public Together together() {
+    public FleetCoordinator together() {
         return together;
     }
 }
--- a/src/main/java/firstage/server/membership/PeerList.java
+++ b/src/main/java/firstage/server/membership/PeerConfig.java
@@ -12,7 +12,7 @@
  * withdrew its word from somebody. {@code in}: its place in a fleet of cells, or null where the
  * fleet is one.
  */
-public record PeerList(
+public record PeerConfig(
         String fleet,
         String name,
         String zone,
@@ -24,7 +24,7 @@
         InCells in) {
     /**
      * {@code plan}, {@code before}: the cells, and those that they replace or null; {@code cell},
-     * {@code slot}: its own place; {@code addresses} by cell and slot. {@link PeerList#addresses}
+     * {@code slot}: its own place; {@code addresses} by cell and slot. {@link PeerConfig#addresses}
      * are those of its own cell, all slots, its own among them.
      */
     public record InCells(
--- a/src/main/java/firstage/simulation/PlainPolicy.java
+++ b/src/main/java/firstage/simulation/BaselinePolicy.java
@@ -1,15 +1,15 @@
 package firstage.simulation;
 
-import firstage.policy.api.Arrival;
+import firstage.policy.api.AttemptOutcome;
+import firstage.policy.api.AttemptProgress;
+import firstage.policy.api.AttemptResult;
 import firstage.policy.api.Deployment;
-import firstage.policy.api.Ending;
-import firstage.policy.api.EngineList;
-import firstage.policy.api.Host;
-import firstage.policy.api.Note;
-import firstage.policy.api.Outcome;
-import firstage.policy.api.Report;
-import firstage.policy.api.ServiceGroup;
-import firstage.policy.api.WorkloadManager;
+import firstage.policy.api.EndpointUpdate;
+import firstage.policy.api.IncomingRequest;
+import firstage.policy.api.LoadReport;
+import firstage.policy.api.PolicyActions;
+import firstage.policy.api.SchedulingPolicy;
+import firstage.policy.api.TrafficClass;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -23,7 +23,7 @@
  * Textbook policies behind the same door, as baselines: each batch goes at once to an engine that
  * is up, batches of a key one at a time. None sends anything again, holds grants or watches health.
  */
-final class PlainPolicy implements WorkloadManager {
+final class BaselinePolicy implements SchedulingPolicy {
     /** How the engine is chosen. */
     enum Kind {
         RANDOM,
@@ -33,16 +33,16 @@
     }
 
     private static final class Open {
-        private final Arrival is;
+        private final IncomingRequest is;
         private int engine = -1;
 
-        private Open(Arrival is) {
+        private Open(IncomingRequest is) {
             this.is = is;
         }
     }
 
     private final Kind kind;
-    private final Host host;
+    private final PolicyActions host;
     private final Deployment deployment;
     private final RandomGenerator chance;
     private final TreeMap<Integer, Integer> out = new TreeMap<>();
@@ -52,7 +52,7 @@
     private final Map<Integer, Long> rests = new HashMap<>();
     private int next;
 
-    PlainPolicy(Kind kind, Deployment deployment, Host host) {
+    BaselinePolicy(Kind kind, Deployment deployment, PolicyActions host) {
         this.kind = kind;
         this.host = host;
         this.deployment = deployment;
@@ -60,10 +60,10 @@
     }
 
     @Override
-    public void taken(long now, Arrival arrival) {
+    public void taken(long now, IncomingRequest arrival) {
         Open b = new Open(arrival);
         open.put(arrival.batch(), b);
-        ServiceGroup is = deployment.groups().get(arrival.group());
+        TrafficClass is = deployment.groups().get(arrival.group());
         if (is.ordered() && arrival.key() >= 0) {
             ArrayDeque<Open> line = keys.computeIfAbsent(arrival.key(), k -> new ArrayDeque<>());
             line.add(b);
@@ -107,7 +107,7 @@
     }
 
     @Override
-    public void ended(long now, Ending ending) {
+    public void ended(long now, AttemptResult ending) {
         Open b = open.get(ending.batch());
         if (b == null) {
             return;
@@ -121,7 +121,7 @@
                 host.pushBack(b.is.batch(), 0);
             }
         }
-        boolean rests = ending.outcome() != Outcome.RETURNED && ending.outcome().mayHaveRun;
+        boolean rests = ending.outcome() != AttemptOutcome.RETURNED && ending.outcome().mayHaveRun;
         if (rests && b.is.key() >= 0) {
             this.rests.put(
                     b.is.key(), now + Math.max(deployment.rules().keyRest(), ending.mayHold()));
@@ -167,25 +167,26 @@
     }
 
     @Override
-    public void listed(long now, EngineList list) {
-        if (list.kind() == EngineList.Kind.WHOLE || list.kind() == EngineList.Kind.REMEMBERED) {
+    public void listed(long now, EndpointUpdate list) {
+        if (list.kind() == EndpointUpdate.Kind.WHOLE
+                || list.kind() == EndpointUpdate.Kind.REMEMBERED) {
             up.clear();
         }
-        for (EngineList.Entry e : list.entries()) {
+        for (EndpointUpdate.Entry e : list.entries()) {
             up.remove((Integer) e.engine());
-            if (e.standing() == EngineList.Standing.ACTIVE) {
+            if (e.standing() == EndpointUpdate.Standing.ACTIVE) {
                 up.add(e.engine());
             }
         }
     }
 
     @Override
-    public void noted(long now, Note note) {
+    public void noted(long now, AttemptProgress note) {
         // None of these listens.
     }
 
     @Override
-    public void probed(long now, int engine, Outcome outcome, Report report) {
+    public void probed(long now, int engine, AttemptOutcome outcome, LoadReport report) {
         // None of these asks.
     }
 
--- a/src/main/java/firstage/simulation/Clients.java
+++ b/src/main/java/firstage/simulation/ClientBehavior.java
@@ -6,12 +6,12 @@
  * How clients spread over the managers and ask again: for the model's in virtual time and the
  * yard's on sockets.
  */
-public final class Clients {
+public final class ClientBehavior {
     private final FleetPlan plan;
     private final RandomGenerator chance;
     private final double[] ends;
 
-    public Clients(FleetPlan plan, RandomGenerator chance) {
+    public ClientBehavior(FleetPlan plan, RandomGenerator chance) {
         this.plan = plan;
         this.chance = chance;
         double unequal = plan.managers().unequal();
@@ -24,7 +24,7 @@
     }
 
     /** The manager of a batch; those of one key have one. */
-    public int manager(Work is) {
+    public int manager(TrueRequest is) {
         double at =
                 is.key >= 0
                         ? Math.floorMod(is.key * 0x9E3779B97F4A7C15L, 1L << 40)
@@ -42,7 +42,7 @@
      * After how long it is asked for again, told to come back after {@code comeBack}, 0 for
      * nothing; -1 for never.
      */
-    public long again(Work is, long now, long comeBack, boolean may) {
+    public long again(TrueRequest is, long now, long comeBack, boolean may) {
         FleetPlan.Clients like = plan.clients();
         long wait = like.pause().drawTime(chance);
         if (comeBack > 0 && chance.nextDouble() < like.honour()) {
--- a/src/main/java/firstage/simulation/FleetDeployment.java
+++ b/src/main/java/firstage/simulation/DeploymentFactory.java
@@ -1,7 +1,7 @@
 package firstage.simulation;
 
 import firstage.policy.api.Deployment;
-import firstage.policy.api.ServiceGroup;
+import firstage.policy.api.TrafficClass;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -10,17 +10,17 @@
  * What a manager of the fleet is told of its deployment: what a fleet file states, nothing that a
  * run drew.
  */
-final class FleetDeployment {
+final class DeploymentFactory {
     private static final double SECOND = 10_000;
 
-    private FleetDeployment() {}
+    private DeploymentFactory() {}
 
     /** {@code bounds}: engines are told to have so many times their cores and memory. */
     static Deployment of(FleetPlan plan, int rank, long seed, double bounds) {
-        List<ServiceGroup> groups = new ArrayList<>();
+        List<TrafficClass> groups = new ArrayList<>();
         for (FleetPlan.Group g : plan.groups()) {
             groups.add(
-                    new ServiceGroup(
+                    new TrafficClass(
                             g.goal(),
                             g.stretch(),
                             g.limit(),
--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -1,7 +1,7 @@
 package firstage.simulation;
 
-import firstage.policy.api.Note;
-import firstage.policy.api.Outcome;
+import firstage.policy.api.AttemptOutcome;
+import firstage.policy.api.AttemptProgress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -42,9 +42,9 @@
 
     /** Told of a job that is out; the way back is the listener's. */
     public interface Listener {
-        void ended(Job job, Outcome how);
+        void ended(Job job, AttemptOutcome how);
 
-        void noted(Job job, Note.Kind kind, double amount);
+        void noted(Job job, AttemptProgress.Kind kind, double amount);
 
         /** Whether the manager that sent it still lives the life it sent it in. */
         boolean alive();
@@ -52,7 +52,7 @@
 
     /** A dispatch that is here. */
     public static final class Job {
-        public final Work is;
+        public final TrueRequest is;
         final FleetPlan.Group group;
         final Listener listener;
         final int manager;
@@ -65,7 +65,7 @@
         private boolean over;
 
         public Job(
-                Work is,
+                TrueRequest is,
                 FleetPlan.Group group,
                 Listener listener,
                 int manager,
@@ -82,9 +82,9 @@
 
     private final int number;
     private final FleetPlan.Engines kind;
-    private final Calendar calendar;
+    private final EventQueue calendar;
     private final RandomGenerator chance;
-    private final RuleWatch rules;
+    private final RuleChecker rules;
     private final FleetPlan.Rules limits;
     private final double speed;
     private final double knee;
@@ -107,7 +107,11 @@
     private double slower = 1;
 
     public EngineModel(
-            int number, FleetPlan plan, Calendar calendar, Streams streams, RuleWatch rules) {
+            int number,
+            FleetPlan plan,
+            EventQueue calendar,
+            RandomStreams streams,
+            RuleChecker rules) {
         this.number = number;
         this.kind = plan.engines();
         this.calendar = calendar;
@@ -172,7 +176,7 @@
                 job.over = true;
                 rules.stops(job.is);
                 if (next == Standing.DOWN) {
-                    job.listener.ended(job, Outcome.BROKEN);
+                    job.listener.ended(job, AttemptOutcome.BROKEN);
                 }
             }
         }
@@ -210,11 +214,11 @@
             return;
         }
         if (standing == Standing.DOWN) {
-            job.listener.ended(job, Outcome.NO_CONNECTION);
+            job.listener.ended(job, AttemptOutcome.NO_CONNECTION);
             return;
         }
         if (standing == Standing.DRAINING || active() >= kind.sessions()) {
-            job.listener.ended(job, Outcome.TURNED_AWAY);
+            job.listener.ended(job, AttemptOutcome.TURNED_AWAY);
             return;
         }
         rules.runs(job.is, calendar.now());
@@ -291,7 +295,7 @@
         job.left = job.whole;
         running.add(job);
         if (missing > 0) {
-            job.listener.noted(job, Note.Kind.SPILLS, missing * job.is.memoryMb);
+            job.listener.noted(job, AttemptProgress.Kind.SPILLS, missing * job.is.memoryMb);
         }
     }
 
@@ -400,7 +404,9 @@
                 rules.stops(job.is);
                 job.listener.ended(
                         job,
-                        chance.nextDouble() < kind.errs() ? Outcome.ERRORED : Outcome.RETURNED);
+                        chance.nextDouble() < kind.errs()
+                                ? AttemptOutcome.ERRORED
+                                : AttemptOutcome.RETURNED);
             }
         }
         admit();
@@ -465,14 +471,14 @@
                     if (standing != Standing.HANGING) {
                         advance();
                         if (job.inLine) {
-                            job.listener.noted(job, Note.Kind.WAITS_FOR_MEMORY, 0);
+                            job.listener.noted(job, AttemptProgress.Kind.WAITS_FOR_MEMORY, 0);
                         } else if (stands(job)) {
-                            job.listener.noted(job, Note.Kind.WAITS_FOR_LOAD, 0);
+                            job.listener.noted(job, AttemptProgress.Kind.WAITS_FOR_LOAD, 0);
                         } else {
                             double share = 1 - job.left / job.whole;
                             job.listener.noted(
                                     job,
-                                    Note.Kind.DONE,
+                                    AttemptProgress.Kind.DONE,
                                     Math.max(
                                             0,
                                             Math.min(
--- a/src/main/java/firstage/simulation/Calendar.java
+++ b/src/main/java/firstage/simulation/EventQueue.java
@@ -14,7 +14,7 @@
  * what is due within a few seconds, and most of that happens: there a heap pays the logarithm
  * twice. What is due beyond 30 hours waits in a list.
  */
-public final class Calendar {
+public final class EventQueue {
     private static final int BITS = 10;
     private static final int SLOTS = 1 << BITS;
     private static final int MASK = SLOTS - 1;
@@ -45,7 +45,7 @@
     private long order;
     private int size;
 
-    public Calendar(long start) {
+    public EventQueue(long start) {
         now = start;
         at = start;
     }
--- a/src/main/java/firstage/simulation/Who.java
+++ b/src/main/java/firstage/simulation/FaultTarget.java
@@ -14,7 +14,7 @@
  * (all), numbers from 0 ({@code managers 1, 4}), a share drawn by the seed ({@code engines 25%}),
  * or a zone ({@code managers of north}).
  */
-public final class Who {
+public final class FaultTarget {
     private static final Pattern FORM =
             Pattern.compile(
                     "(managers|engines)\\s*"
@@ -25,7 +25,8 @@
     private final double share;
     private final List<Integer> numbers;
 
-    private Who(String text, boolean engines, int zone, double share, List<Integer> numbers) {
+    private FaultTarget(
+            String text, boolean engines, int zone, double share, List<Integer> numbers) {
         this.text = text;
         this.engines = engines;
         this.zone = zone;
@@ -34,7 +35,7 @@
     }
 
     /** Reads it; the exception's message says what is wrong and what would do. */
-    static Who of(String text, List<String> zones, int managers, int engineCount) {
+    static FaultTarget of(String text, List<String> zones, int managers, int engineCount) {
         Matcher m = FORM.matcher(text.trim());
         if (!m.matches()) {
             throw new IllegalArgumentException(
@@ -67,7 +68,7 @@
                             + (count - 1)
                             + " would do");
         }
-        return new Who(
+        return new FaultTarget(
                 text.trim(),
                 engines,
                 zone,
--- a/src/main/java/firstage/simulation/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -1,8 +1,8 @@
 package firstage.simulation;
 
 import firstage.cells.CellPlan;
-import firstage.policy.api.ServiceGroup.Effect;
-import firstage.policy.api.ServiceGroup.Scope;
+import firstage.policy.api.TrafficClass.Effect;
+import firstage.policy.api.TrafficClass.Scope;
 import java.util.List;
 import java.util.stream.IntStream;
 
@@ -42,8 +42,8 @@
             Kind kind,
             long at,
             long length,
-            Who who,
-            Who to,
+            FaultTarget who,
+            FaultTarget to,
             boolean oneWay,
             double size,
             long every) {
