--- a/src/main/java/firstage/simulation/FleetFile.java
+++ b/src/main/java/firstage/simulation/FleetPlanReader.java
@@ -1,7 +1,7 @@
 package firstage.simulation;
 
-import firstage.policy.api.ServiceGroup.Effect;
-import firstage.policy.api.ServiceGroup.Scope;
+import firstage.policy.api.TrafficClass.Effect;
+import firstage.policy.api.TrafficClass.Scope;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -15,17 +15,17 @@
  * Reads a fleet file: TOML, every figure that has a unit with its unit. What can't be used is told
  * with its line and what would do; nothing is guessed, and no key is skipped.
  */
-public final class FleetFile {
-    private FleetFile() {}
+public final class FleetPlanReader {
+    private FleetPlanReader() {}
 
-    /** The plan that this text sets; {@link FleetFault} names line and cure. */
+    /** The plan that this text sets; {@link InvalidPlanException} names line and cure. */
     public static FleetPlan read(String text) {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
             TomlParseError error = toml.errors().get(0);
-            throw new FleetFault(error.position().line(), firstLine(error.getMessage()));
+            throw new InvalidPlanException(error.position().line(), firstLine(error.getMessage()));
         }
-        Section top = new Section(toml, "", 1);
+        TomlSection top = new TomlSection(toml, "", 1);
         List<String> zones = zones(top);
         FleetPlan.Managers managers = managers(top.table("managers"), zones.size());
         FleetPlan.Engines engines = engines(top.table("engines"));
@@ -54,7 +54,7 @@
         return text.lines().findFirst().orElse("").trim();
     }
 
-    private static List<String> zones(Section top) {
+    private static List<String> zones(TomlSection top) {
         List<String> zones =
                 Arrays.stream(top.text("zones", "a").split(",")).map(String::trim).toList();
         if (zones.contains("") || Set.copyOf(zones).size() < zones.size()) {
@@ -69,13 +69,13 @@
     }
 
     private static List<FleetPlan.Fault> faults(
-            Section top, List<String> zones, int managers, int engines) {
+            TomlSection top, List<String> zones, int managers, int engines) {
         List<FleetPlan.Fault> faults = new ArrayList<>();
         List<String> kinds =
                 Arrays.stream(FleetPlan.Fault.Kind.values())
                         .map(k -> k.name().toLowerCase(Locale.ROOT))
                         .toList();
-        for (Section s : top.tables("fault")) {
+        for (TomlSection s : top.tables("fault")) {
             FleetPlan.Fault.Kind kind =
                     FleetPlan.Fault.Kind.valueOf(
                             s.oneOf("kind", null, kinds).toUpperCase(Locale.ROOT));
@@ -86,8 +86,9 @@
                                     FleetPlan.Fault.Kind.DELAY)
                             .contains(kind);
             boolean nobody = kind == FleetPlan.Fault.Kind.TRAFFIC;
-            Who who = nobody ? null : who(s, way ? "from" : "who", zones, managers, engines);
-            Who to = way ? who(s, "to", zones, managers, engines) : null;
+            FaultTarget who =
+                    nobody ? null : who(s, way ? "from" : "who", zones, managers, engines);
+            FaultTarget to = way ? who(s, "to", zones, managers, engines) : null;
             boolean toEngines =
                     kind == FleetPlan.Fault.Kind.DIE
                             || kind == FleetPlan.Fault.Kind.SILENCE
@@ -119,17 +120,18 @@
         return faults;
     }
 
-    private static Who who(Section s, String key, List<String> zones, int managers, int engines) {
+    private static FaultTarget who(
+            TomlSection s, String key, List<String> zones, int managers, int engines) {
         try {
-            return Who.of(s.text(key, null), zones, managers, engines);
+            return FaultTarget.of(s.text(key, null), zones, managers, engines);
         } catch (IllegalArgumentException fault) {
             throw s.fault(key, fault.getMessage());
         }
     }
 
-    private static List<FleetPlan.Expect> expects(Section top) {
+    private static List<FleetPlan.Expect> expects(TomlSection top) {
         List<FleetPlan.Expect> expects = new ArrayList<>();
-        for (Section s : top.tables("expect")) {
+        for (TomlSection s : top.tables("expect")) {
             expects.add(
                     new FleetPlan.Expect(
                             s.line(),
@@ -141,7 +143,7 @@
         return expects;
     }
 
-    private static FleetPlan.Managers managers(Section s, int zones) {
+    private static FleetPlan.Managers managers(TomlSection s, int zones) {
         int count = s.whole("count", 1, 4_000, null);
         int of = s.whole("of", 1, 10_000, count);
         int cell = s.whole("cell", 0, 4_000, 0);
@@ -178,7 +180,7 @@
         return m;
     }
 
-    private static FleetPlan.Engines engines(Section s) {
+    private static FleetPlan.Engines engines(TomlSection s) {
         FleetPlan.Engines e =
                 new FleetPlan.Engines(
                         s.whole("count", 1, 10_000, null),
@@ -202,13 +204,13 @@
         return e;
     }
 
-    private static FleetPlan.Net net(Section s) {
+    private static FleetPlan.Net net(TomlSection s) {
         FleetPlan.Net n = new FleetPlan.Net(s.times("way", "0.2 ms to 1 ms"));
         s.done();
         return n;
     }
 
-    private static FleetPlan.Clients clients(Section s) {
+    private static FleetPlan.Clients clients(TomlSection s) {
         FleetPlan.Clients c =
                 new FleetPlan.Clients(
                         s.whole("retries", 0, 100, 1),
@@ -219,7 +221,7 @@
         return c;
     }
 
-    private static FleetPlan.Rules rules(Section s) {
+    private static FleetPlan.Rules rules(TomlSection s) {
         FleetPlan.Rules r =
                 new FleetPlan.Rules(
                         s.time("drain_grace", "500 ms"),
@@ -230,7 +232,7 @@
         return r;
     }
 
-    private static FleetPlan.Goal goal(Section s) {
+    private static FleetPlan.Goal goal(TomlSection s) {
         FleetPlan.Goal g =
                 new FleetPlan.Goal(
                         s.share("whole", 0.5),
@@ -241,7 +243,7 @@
         return g;
     }
 
-    private static FleetPlan.Traffic traffic(Section s) {
+    private static FleetPlan.Traffic traffic(TomlSection s) {
         FleetPlan.Traffic t =
                 new FleetPlan.Traffic(
                         s.oneOf("kind", "steady", TrafficShape.NAMES),
@@ -255,9 +257,9 @@
         return t;
     }
 
-    private static List<FleetPlan.Group> groups(List<Section> all) {
+    private static List<FleetPlan.Group> groups(List<TomlSection> all) {
         List<FleetPlan.Group> groups = new ArrayList<>();
-        for (Section s : all) {
+        for (TomlSection s : all) {
             groups.add(
                     new FleetPlan.Group(
                             s.text("name", null),
@@ -290,7 +292,7 @@
             s.done();
         }
         if (groups.isEmpty()) {
-            throw new FleetFault(
+            throw new InvalidPlanException(
                     0,
                     "no service group; write [[group]] with name, share, work, memory, goal, limit,"
                             + " effect");
@@ -302,22 +304,22 @@
         return Effect.valueOf(word.toUpperCase(Locale.ROOT).replace('-', '_'));
     }
 
-    private static List<FleetPlan.Customer> customers(List<Section> all) {
+    private static List<FleetPlan.Customer> customers(List<TomlSection> all) {
         List<FleetPlan.Customer> customers = new ArrayList<>();
-        for (Section s : all) {
+        for (TomlSection s : all) {
             customers.add(new FleetPlan.Customer(s.text("name", null), s.share("share", null)));
             s.done();
         }
         return customers.isEmpty() ? List.of(new FleetPlan.Customer("all", 1)) : customers;
     }
 
-    private static List<FleetPlan.Trouble> troubles(Section top) {
+    private static List<FleetPlan.Trouble> troubles(TomlSection top) {
         List<FleetPlan.Trouble> troubles = new ArrayList<>();
         List<String> kinds =
                 Arrays.stream(FleetPlan.Trouble.Kind.values())
                         .map(k -> k.name().toLowerCase(Locale.ROOT).replace('_', '-'))
                         .toList();
-        for (Section s : top.tables("trouble")) {
+        for (TomlSection s : top.tables("trouble")) {
             FleetPlan.Trouble.Kind kind =
                     FleetPlan.Trouble.Kind.valueOf(
                             s.oneOf("kind", null, kinds)
--- a/src/main/java/firstage/simulation/FleetRun.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -1,7 +1,7 @@
 package firstage.simulation;
 
-import firstage.policy.api.EngineList.Standing;
-import firstage.policy.api.ServiceGroup.Effect;
+import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.TrafficClass.Effect;
 import firstage.simulation.FleetPlan.Trouble;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -18,7 +18,7 @@
  * One run of a fleet: the same plan, choice and seed give the same result, and two choices of one
  * seed meet the same traffic, engines and troubles.
  */
-public final class FleetRun implements ManagerModel.Answers {
+public final class FleetSimulation implements ManagerModel.Answers {
     private static final long START = 1_000_000;
 
     /** After the last arrival a run goes on until all is answered. */
@@ -31,12 +31,12 @@
     private static final int SILENCE_LATER = 3;
 
     private final FleetPlan plan;
-    private final Calendar calendar = new Calendar(START);
-    private final Streams streams;
-    private final RuleWatch rules;
+    private final EventQueue calendar = new EventQueue(START);
+    private final RandomStreams streams;
+    private final RuleChecker rules;
     private final Scoreboard score;
     private final TrafficSource traffic;
-    private final Clients clients;
+    private final ClientBehavior clients;
     private final List<EngineModel> engines = new ArrayList<>();
     private final List<ManagerModel> managers = new ArrayList<>();
 
@@ -51,13 +51,13 @@
     private long toSick;
     private double sickSeconds;
 
-    private FleetRun(FleetPlan plan, Choice choice, long seed) {
+    private FleetSimulation(FleetPlan plan, PolicyUnderTest choice, long seed) {
         this.plan = plan;
-        streams = new Streams(seed);
-        rules = new RuleWatch(plan);
+        streams = new RandomStreams(seed);
+        rules = new RuleChecker(plan);
         score = new Scoreboard(plan, START);
         traffic = new TrafficSource(plan, streams);
-        clients = new Clients(plan, streams.of("clients", 0));
+        clients = new ClientBehavior(plan, streams.of("clients", 0));
         for (int e = 0; e < plan.engines().count(); e++) {
             engines.add(new EngineModel(e, plan, calendar, streams, rules));
         }
@@ -84,11 +84,11 @@
     }
 
     /** Plays it; the progress of a long run is nobody's matter here. */
-    public static FleetResult play(FleetPlan plan, Choice choice, long seed) {
-        return new FleetRun(plan, choice, seed).play(choice, seed);
+    public static SimulationResult play(FleetPlan plan, PolicyUnderTest choice, long seed) {
+        return new FleetSimulation(plan, choice, seed).play(choice, seed);
     }
 
-    private FleetResult play(Choice choice, long seed) {
+    private SimulationResult play(PolicyUnderTest choice, long seed) {
         managers.forEach(ManagerModel::start);
         if (choice.peers() != null) {
             gossip(streams.of("gossip", 0));
@@ -100,7 +100,7 @@
         }
         for (FleetPlan.Fault f : plan.faults()) {
             if (!f.modelled()) {
-                throw new FleetFault(
+                throw new InvalidPlanException(
                         f.line(),
                         "fault: the fleet model has no "
                                 + f.kind().name().toLowerCase(Locale.ROOT)
@@ -114,7 +114,7 @@
         long happened = calendar.play(START + plan.length() + longest + DRAIN);
         Map<String, Double> figures = score.figures();
         figures.put("to a sick engine a s", sickSeconds > 0 ? toSick / sickSeconds : 0);
-        return new FleetResult(
+        return new SimulationResult(
                 choice.name(), seed, figures, rules.broken(), score.batches(), happened);
     }
 
@@ -150,13 +150,13 @@
         if (now >= START + plan.length()) {
             return;
         }
-        Work is = traffic.draw(now, dear);
+        TrueRequest is = traffic.draw(now, dear);
         score.asked(is);
         goes(is);
         calendar.in(traffic.next(now, START, boost) - now, this::arrival);
     }
 
-    private void goes(Work is) {
+    private void goes(TrueRequest is) {
         long now = calendar.now();
         is.tries++;
         ManagerModel to = managers.get(clients.manager(is));
@@ -168,7 +168,7 @@
         }
     }
 
-    private void again(Work is, long comeBack, boolean harmless) {
+    private void again(TrueRequest is, long comeBack, boolean harmless) {
         boolean may = harmless || plan.groups().get(is.group).effect() != Effect.ONCE_ONLY;
         long wait = clients.again(is, calendar.now(), comeBack, may);
         if (wait >= 0) {
@@ -177,7 +177,7 @@
     }
 
     @Override
-    public void returned(Work is) {
+    public void returned(TrueRequest is) {
         if (!is.done) {
             is.done = true;
             score.returned(calendar.now(), is);
@@ -185,13 +185,13 @@
     }
 
     @Override
-    public void pushedBack(Work is, long comeBack) {
+    public void pushedBack(TrueRequest is, long comeBack) {
         score.pushedBack();
         again(is, comeBack, true);
     }
 
     @Override
-    public void errored(Work is) {
+    public void errored(TrueRequest is) {
         score.errored();
         again(is, 0, false);
     }
--- a/src/main/java/firstage/simulation/FleetFault.java
+++ b/src/main/java/firstage/simulation/InvalidPlanException.java
@@ -1,10 +1,10 @@
 package firstage.simulation;
 
 /** What can't be used of a file that people write: line, what is wrong, what would do. */
-public final class FleetFault extends RuntimeException {
+public final class InvalidPlanException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    public FleetFault(int line, String what) {
+    public InvalidPlanException(int line, String what) {
         super((line > 0 ? line + ": " : "") + what);
     }
 }
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -1,18 +1,18 @@
 package firstage.simulation;
 
 import firstage.cells.CellPlan;
-import firstage.config.Indices;
-import firstage.failover.Together;
-import firstage.policy.api.Arrival;
+import firstage.config.IdRegistry;
+import firstage.failover.FleetCoordinator;
+import firstage.policy.api.AttemptOutcome;
+import firstage.policy.api.AttemptProgress;
+import firstage.policy.api.AttemptResult;
 import firstage.policy.api.Deployment;
-import firstage.policy.api.Ending;
-import firstage.policy.api.EngineList;
-import firstage.policy.api.EngineList.Standing;
-import firstage.policy.api.Host;
-import firstage.policy.api.Note;
-import firstage.policy.api.Outcome;
-import firstage.policy.api.Report;
-import firstage.policy.api.WorkloadManager;
+import firstage.policy.api.EndpointUpdate;
+import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.IncomingRequest;
+import firstage.policy.api.LoadReport;
+import firstage.policy.api.PolicyActions;
+import firstage.policy.api.SchedulingPolicy;
 import firstage.simulation.EngineModel.Job;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -26,7 +26,7 @@
  * One manager of the fleet: the decisions behind their door, and what carries them in virtual time.
  * It hands the decisions estimates and what is observed, never what a batch truly costs.
  */
-final class ManagerModel implements Host {
+final class ManagerModel implements PolicyActions {
     private static final long CONNECT = 2_500;
 
     /**
@@ -39,18 +39,18 @@
 
     /** What becomes of a try, told to its client. */
     interface Answers {
-        void returned(Work is);
+        void returned(TrueRequest is);
 
-        void pushedBack(Work is, long comeBack);
+        void pushedBack(TrueRequest is, long comeBack);
 
-        void errored(Work is);
+        void errored(TrueRequest is);
 
         /** A dispatch goes to an engine that is down, silent or hangs. */
         void toSick();
     }
 
     private static final class Open {
-        private final RuleWatch.Try is;
+        private final RuleChecker.Try is;
         private int index = -1;
         private boolean over;
         private int dispatches;
@@ -58,7 +58,7 @@
         private int priority = 1;
         private final List<Sent> out = new ArrayList<>();
 
-        private Open(RuleWatch.Try is) {
+        private Open(RuleChecker.Try is) {
             this.is = is;
         }
     }
@@ -88,19 +88,20 @@
         }
 
         @Override
-        public void ended(Job ended, Outcome how) {
+        public void ended(Job ended, AttemptOutcome how) {
             calendar.in(way(), () -> over(how));
         }
 
         @Override
-        public void noted(Job noted, Note.Kind what, double amount) {
+        public void noted(Job noted, AttemptProgress.Kind what, double amount) {
             calendar.in(
                     way(),
                     () -> {
                         if (!over && mine == life) {
                             manager.noted(
                                     calendar.now(),
-                                    new Note(b.index, number, engine.number(), what, amount));
+                                    new AttemptProgress(
+                                            b.index, number, engine.number(), what, amount));
                             stir();
                         }
                     });
@@ -111,21 +112,21 @@
             return mine == life;
         }
 
-        private void over(Outcome how) {
+        private void over(AttemptOutcome how) {
             if (over || mine != life) {
                 return;
             }
             over = true;
             b.out.remove(this);
             rules.ended(calendar.now(), b.is, how);
-            if (how == Outcome.RETURNED && !b.over) {
+            if (how == AttemptOutcome.RETURNED && !b.over) {
                 b.over = true;
                 rules.answered(calendar.now(), b.is, false);
                 answers.returned(b.is.is);
             }
             manager.ended(
                     calendar.now(),
-                    new Ending(
+                    new AttemptResult(
                             b.index,
                             number,
                             engine.number(),
@@ -142,10 +143,10 @@
 
     private final int number;
     private final FleetPlan plan;
-    private final Choice choice;
-    private final Calendar calendar;
-    private final Streams streams;
-    private final RuleWatch rules;
+    private final PolicyUnderTest choice;
+    private final EventQueue calendar;
+    private final RandomStreams streams;
+    private final RuleChecker rules;
     private final List<EngineModel> engines;
     private final Answers answers;
     private final RandomGenerator chance;
@@ -153,26 +154,26 @@
     /** Null where all managers use all engines. */
     private final CellPlan cells;
 
-    private WorkloadManager manager;
-    private Indices<Open> batches = new Indices<>();
-    private Indices<Integer> keys = new Indices<>();
+    private SchedulingPolicy manager;
+    private IdRegistry<Open> batches = new IdRegistry<>();
+    private IdRegistry<Integer> keys = new IdRegistry<>();
     private int life;
     private boolean up;
     private boolean turnDue;
-    private Together together;
+    private FleetCoordinator together;
     private long reportsLater;
     private final Set<Open> open = new LinkedHashSet<>();
 
     /** The list as it last had it: by engine, standing and start. */
-    private final Map<Integer, EngineList.Entry> list = new HashMap<>();
+    private final Map<Integer, EndpointUpdate.Entry> list = new HashMap<>();
 
     ManagerModel(
             int number,
             FleetPlan plan,
-            Choice choice,
-            Calendar calendar,
-            Streams streams,
-            RuleWatch rules,
+            PolicyUnderTest choice,
+            EventQueue calendar,
+            RandomStreams streams,
+            RuleChecker rules,
             List<EngineModel> engines,
             Answers answers) {
         this.number = number;
@@ -208,10 +209,10 @@
     void start() {
         life++;
         up = true;
-        batches = new Indices<>();
-        keys = new Indices<>();
+        batches = new IdRegistry<>();
+        keys = new IdRegistry<>();
         Deployment deployment =
-                FleetDeployment.of(
+                DeploymentFactory.of(
                         plan,
                         number,
                         streams.seed("manager-life", number * 1_000L + life),
@@ -222,7 +223,7 @@
         }
         if (choice.peers() != null) {
             together =
-                    new Together(
+                    new FleetCoordinator(
                             name(),
                             plan.zoneOf(number),
                             plan.zones().size(),
@@ -243,7 +244,7 @@
         list.values().forEach(e -> rules.toldStart(number, e.engine(), e.since()));
         manager.listed(
                 calendar.now(),
-                new EngineList(EngineList.Kind.REMEMBERED, List.copyOf(list.values())));
+                new EndpointUpdate(EndpointUpdate.Kind.REMEMBERED, List.copyOf(list.values())));
         stir();
     }
 
@@ -290,7 +291,7 @@
 
     /** Killed: its clients must ask again, what it had out goes on at the engines. */
     void kill() {
-        List<RuleWatch.Try> held = new ArrayList<>();
+        List<RuleChecker.Try> held = new ArrayList<>();
         for (Open b : open) {
             if (!b.over) {
                 held.add(b.is);
@@ -328,8 +329,8 @@
     }
 
     /** A client's try is here. */
-    void take(Work is, long notAfter) {
-        Open b = new Open(new RuleWatch.Try(is, number, notAfter));
+    void take(TrueRequest is, long notAfter) {
+        Open b = new Open(new RuleChecker.Try(is, number, notAfter));
         b.index = batches.of(b);
         open.add(b);
         rules.took(b.is);
@@ -338,7 +339,7 @@
         calendar.in(notAfter - calendar.now() + 250, () -> rules.due(calendar.now(), b.is));
         manager.taken(
                 calendar.now(),
-                new Arrival(
+                new IncomingRequest(
                         b.index,
                         is.group,
                         plan.customers().size() > 1 ? is.customer : 0,
@@ -360,7 +361,7 @@
             if (plan.managers().callOff()) {
                 s.engine.callOff(s.job);
             }
-            s.over(Outcome.TIMED_OUT);
+            s.over(AttemptOutcome.TIMED_OUT);
         }
         calendar.in(
                 100,
@@ -378,22 +379,25 @@
         if (!serves(engine)) {
             return;
         }
-        EngineList.Entry entry = entry(engine, standing, since);
+        EndpointUpdate.Entry entry = entry(engine, standing, since);
         list.put(engine, entry);
         if (up) {
             rules.listed(calendar.now(), number, engine, standing == Standing.ACTIVE);
             rules.toldStart(number, engine, since);
-            manager.listed(calendar.now(), new EngineList(EngineList.Kind.CHANGES, List.of(entry)));
+            manager.listed(
+                    calendar.now(),
+                    new EndpointUpdate(EndpointUpdate.Kind.CHANGES, List.of(entry)));
             stir();
         }
     }
 
-    private EngineList.Entry entry(int engine, Standing standing, long since) {
+    private EndpointUpdate.Entry entry(int engine, Standing standing, long since) {
         double coldPart =
                 cells == null || choice.coldBySettings()
                         ? 0
                         : cells.coldPart(null, plan.cellOf(number), mark(engine), zone(engine));
-        return new EngineList.Entry(engine, mark(engine), 0, 0, 0, standing, 1, since, coldPart);
+        return new EndpointUpdate.Entry(
+                engine, mark(engine), 0, 0, 0, standing, 1, since, coldPart);
     }
 
     /** The same at every manager, and tells nothing of the engine's number. */
@@ -427,7 +431,7 @@
         if (fresh) {
             // A new connection to a machine that is gone never comes up; what goes out on an old
             // one is lost.
-            calendar.in(CONNECT, () -> s.over(Outcome.NO_CONNECTION));
+            calendar.in(CONNECT, () -> s.over(AttemptOutcome.NO_CONNECTION));
         } else {
             calendar.in(way(), () -> e.send(s.job));
         }
@@ -438,7 +442,7 @@
         for (Sent s : List.copyOf(batches.id(batch).out)) {
             if (s.number == dispatch) {
                 calendar.in(way(), () -> s.engine.callOff(s.job));
-                calendar.in(1, () -> s.over(Outcome.CALLED_OFF));
+                calendar.in(1, () -> s.over(AttemptOutcome.CALLED_OFF));
             }
         }
     }
@@ -486,7 +490,8 @@
         boolean answers =
                 e.standing() == EngineModel.Standing.UP
                         || e.standing() == EngineModel.Standing.DRAINING;
-        Report report = new Report(Double.NaN, e.waiting(), Double.NaN, Double.NaN, Double.NaN);
+        LoadReport report =
+                new LoadReport(Double.NaN, e.waiting(), Double.NaN, Double.NaN, Double.NaN);
         calendar.in(
                 answers ? 2 * way() + reportsLater : CONNECT,
                 () -> {
@@ -494,7 +499,7 @@
                         manager.probed(
                                 calendar.now(),
                                 engine,
-                                answers ? Outcome.RETURNED : Outcome.TIMED_OUT,
+                                answers ? AttemptOutcome.RETURNED : AttemptOutcome.TIMED_OUT,
                                 answers ? report : null);
                         stir();
                     }
--- a/src/main/java/firstage/simulation/Comparison.java
+++ b/src/main/java/firstage/simulation/PairedComparison.java
@@ -11,7 +11,7 @@
  * table hold together. A verdict is given where the bar does not touch zero; else nobody can tell,
  * and it is said how many runs would be likely to.
  */
-public final class Comparison {
+public final class PairedComparison {
     private static final double SURE = 0.95;
     private static final int MOST_RUNS = 100_000;
 
@@ -38,7 +38,7 @@
     private final int runs;
 
     /** Both sides in the order of the same seeds, at least two. */
-    public Comparison(List<FleetResult> left, List<FleetResult> right) {
+    public PairedComparison(List<SimulationResult> left, List<SimulationResult> right) {
         if (left.size() != right.size() || left.size() < 2) {
             throw new IllegalArgumentException("two runs or more of each, on the same seeds");
         }
@@ -59,7 +59,7 @@
         }
     }
 
-    private void add(FleetResult result) {
+    private void add(SimulationResult result) {
         result.broken().stream()
                 .limit(1)
                 .forEach(
@@ -68,7 +68,8 @@
                                         result.choice() + ", seed " + result.seed() + ": " + what));
     }
 
-    private Row row(String name, List<FleetResult> left, List<FleetResult> right, double wide) {
+    private Row row(
+            String name, List<SimulationResult> left, List<SimulationResult> right, double wide) {
         SummaryStatistics lefts = new SummaryStatistics();
         SummaryStatistics rights = new SummaryStatistics();
         SummaryStatistics differences = new SummaryStatistics();
--- a/src/main/java/firstage/simulation/Choice.java
+++ b/src/main/java/firstage/simulation/PolicyUnderTest.java
@@ -1,10 +1,10 @@
 package firstage.simulation;
 
-import firstage.failover.Together;
-import firstage.policy.Brain;
+import firstage.failover.FleetCoordinator;
+import firstage.policy.WorkloadScheduler;
 import firstage.policy.api.Deployment;
-import firstage.policy.api.Host;
-import firstage.policy.api.WorkloadManager;
+import firstage.policy.api.PolicyActions;
+import firstage.policy.api.SchedulingPolicy;
 import java.util.List;
 import java.util.Locale;
 
@@ -14,11 +14,11 @@
  * wrong setting would. {@code peers}, null where there are none: managers know each other, by the
  * truth, tell each other what takes its time on its way, and these faults are put back.
  */
-public record Choice(
+public record PolicyUnderTest(
         String name,
-        PlainPolicy.Kind plain,
+        BaselinePolicy.Kind plain,
         double bounds,
-        Together.Faults peers,
+        FleetCoordinator.Faults peers,
         boolean coldBySettings) {
     private static final String BRAIN = "brain";
     private static final String COLD = BRAIN + ":cold=settings";
@@ -28,39 +28,43 @@
      * {@code brain}, {@code brain:bounds=4}, {@code random}, {@code round-robin}, ...; a fault
      * names what would do.
      */
-    public static Choice of(String text) {
+    public static PolicyUnderTest of(String text) {
         if (text.equals(BRAIN)) {
-            return new Choice(text, null, 1, null, false);
+            return new PolicyUnderTest(text, null, 1, null, false);
         }
         if (text.equals(COLD)) {
-            return new Choice(text, null, 1, null, true);
+            return new PolicyUnderTest(text, null, 1, null, true);
         }
         if (text.equals(PEERS)) {
-            return new Choice(text, null, 1, Together.Faults.NONE, false);
+            return new PolicyUnderTest(text, null, 1, FleetCoordinator.Faults.NONE, false);
         }
         if (text.startsWith(PEERS + "=")
-                && Together.Faults.of(text.substring(PEERS.length() + 1)) != null) {
-            return new Choice(
-                    text, null, 1, Together.Faults.of(text.substring(PEERS.length() + 1)), false);
+                && FleetCoordinator.Faults.of(text.substring(PEERS.length() + 1)) != null) {
+            return new PolicyUnderTest(
+                    text,
+                    null,
+                    1,
+                    FleetCoordinator.Faults.of(text.substring(PEERS.length() + 1)),
+                    false);
         }
         if (text.startsWith(BRAIN + ":bounds=")) {
             try {
                 double bounds = Double.parseDouble(text.substring((BRAIN + ":bounds=").length()));
                 if (bounds > 0 && bounds <= 1_000) {
-                    return new Choice(text, null, bounds, null, false);
+                    return new PolicyUnderTest(text, null, bounds, null, false);
                 }
             } catch (NumberFormatException fault) {
                 // Told below.
             }
-            throw new FleetFault(
+            throw new InvalidPlanException(
                     0, "'" + text + "': bounds takes a number above 0, such as brain:bounds=4");
         }
-        for (PlainPolicy.Kind kind : PlainPolicy.Kind.values()) {
+        for (BaselinePolicy.Kind kind : BaselinePolicy.Kind.values()) {
             if (kind.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(text)) {
-                return new Choice(text, kind, 1, null, false);
+                return new PolicyUnderTest(text, kind, 1, null, false);
             }
         }
-        throw new FleetFault(
+        throw new InvalidPlanException(
                 0, "'" + text + "' is no choice; there are " + String.join(", ", names()));
     }
 
@@ -78,9 +82,9 @@
                 "two-choices");
     }
 
-    WorkloadManager start(Deployment deployment, Host host) {
+    SchedulingPolicy start(Deployment deployment, PolicyActions host) {
         return plain == null
-                ? new Brain(deployment, host)
-                : new PlainPolicy(plain, deployment, host);
+                ? new WorkloadScheduler(deployment, host)
+                : new BaselinePolicy(plain, deployment, host);
     }
 }
--- a/src/main/java/firstage/simulation/Streams.java
+++ b/src/main/java/firstage/simulation/RandomStreams.java
@@ -8,12 +8,12 @@
  * draws, so two choices played on one seed meet the same traffic and the same troubles (common
  * random numbers).
  */
-public final class Streams {
+public final class RandomStreams {
     private static final RandomGeneratorFactory<RandomGenerator> KIND =
             RandomGeneratorFactory.of("L64X128MixRandom");
     private final long seed;
 
-    public Streams(long seed) {
+    public RandomStreams(long seed) {
         this.seed = seed;
     }
 
--- a/src/main/java/firstage/simulation/RuleWatch.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -1,7 +1,7 @@
 package firstage.simulation;
 
-import firstage.policy.api.Outcome;
-import firstage.policy.api.ServiceGroup.Effect;
+import firstage.policy.api.AttemptOutcome;
+import firstage.policy.api.TrafficClass.Effect;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -15,13 +15,13 @@
  * at a time and in turn for each key and manager, with its rest. A fleet file states neither places
  * (6) nor a budget (7).
  */
-public final class RuleWatch {
+public final class RuleChecker {
     private static final long SLACK = 200;
     private static final int KEPT = 20;
 
     /** One try of a batch at one manager. */
     public static final class Try {
-        public final Work is;
+        public final TrueRequest is;
         public final int manager;
         public final long notAfter;
         private int answers;
@@ -33,7 +33,7 @@
         private long excused;
         private long overtakenAt;
 
-        public Try(Work is, int manager, long notAfter) {
+        public Try(TrueRequest is, int manager, long notAfter) {
             this.is = is;
             this.manager = manager;
             this.notAfter = notAfter;
@@ -82,7 +82,7 @@
 
     private final List<Map<Integer, Long>> starts = new ArrayList<>();
 
-    RuleWatch(FleetPlan plan) {
+    RuleChecker(FleetPlan plan) {
         this(plan, SLACK, 0);
     }
 
@@ -90,7 +90,7 @@
      * {@code slack} for answers, {@code sent} for what is seen at engines after it was sent; both
      * tenths of ms.
      */
-    public RuleWatch(FleetPlan plan, long slack, long sent) {
+    public RuleChecker(FleetPlan plan, long slack, long sent) {
         this.plan = plan;
         this.slack = slack;
         this.sent = sent;
@@ -195,7 +195,7 @@
         }
     }
 
-    public void ended(long now, Try t, Outcome how) {
+    public void ended(long now, Try t, AttemptOutcome how) {
         t.out--;
         t.mayHaveRun |= how.mayHaveRun;
         if (!how.mayHaveRun && !t.mayHaveRun && t.out == 0) {
@@ -204,7 +204,9 @@
         Key key = t.is.key >= 0 ? keys.get(t.manager).get(t.is.key) : null;
         if (key != null && t.out == 0 && key.running == t) {
             key.running = null;
-            if (how == Outcome.TIMED_OUT || how == Outcome.BROKEN || how == Outcome.CALLED_OFF) {
+            if (how == AttemptOutcome.TIMED_OUT
+                    || how == AttemptOutcome.BROKEN
+                    || how == AttemptOutcome.CALLED_OFF) {
                 key.restUntil = now + plan.rules().keyRest();
             }
         }
@@ -245,7 +247,7 @@
     }
 
     /** A run begins at an engine. */
-    void runs(Work is, long now) {
+    void runs(TrueRequest is, long now) {
         if (runs.merge(is.id, 1, Integer::sum) > 1
                 && plan.groups().get(is.group).effect() == Effect.ONCE_ONLY) {
             breaks(now, 2, new Try(is, -1, 0), "runs twice");
@@ -253,7 +255,7 @@
     }
 
     /** A run ends there. */
-    public void stops(Work is) {
+    public void stops(TrueRequest is) {
         if (plan.groups().get(is.group).effect() != Effect.ONCE_ONLY) {
             runs.remove(is.id);
         }
--- a/src/main/java/firstage/simulation/Scoreboard.java
+++ b/src/main/java/firstage/simulation/Scoreboard.java
@@ -40,11 +40,11 @@
         plan.groups().forEach(g -> latency.add(new Histogram(MOST_LATENCY, 2)));
     }
 
-    private int span(Work is) {
+    private int span(TrueRequest is) {
         return (int) Math.min(asked.length - 1, (is.asked - start) / SPAN);
     }
 
-    public void asked(Work is) {
+    public void asked(TrueRequest is) {
         double utility = plan.groups().get(is.group).utility();
         batches++;
         asked[span(is)] += utility;
@@ -52,7 +52,7 @@
         byCustomer[is.customer][0] += utility;
     }
 
-    public void returned(long now, Work is) {
+    public void returned(long now, TrueRequest is) {
         FleetPlan.Group group = plan.groups().get(is.group);
         long took = now - is.asked;
         boolean inTime = took <= group.goal() + group.stretch() * is.work / group.threads();
--- a/src/main/java/firstage/simulation/Section.java
+++ b/src/main/java/firstage/simulation/TomlSection.java
@@ -11,7 +11,7 @@
 import org.tomlj.TomlTable;
 
 /** One table of the file, and which of its keys were asked for. */
-public final class Section {
+public final class TomlSection {
     private static final Pattern FIGURE =
             Pattern.compile("\\s*([0-9]+(?:\\.[0-9]+)?)\\s*([a-zA-Z%]*)\\s*");
     private static final Map<String, Double> TIMES =
@@ -22,7 +22,7 @@
     private final int line;
     private final Set<String> known = new LinkedHashSet<>();
 
-    public Section(TomlTable table, String path, int line) {
+    public TomlSection(TomlTable table, String path, int line) {
         this.table = table;
         this.path = path;
         this.line = line;
@@ -36,7 +36,7 @@
         known.add(key);
         Object value = table == null ? null : table.get(List.of(key));
         if (value == null && absent == null) {
-            throw new FleetFault(
+            throw new InvalidPlanException(
                     line,
                     (path.isEmpty() ? "" : path + " ")
                             + "has no "
@@ -49,12 +49,12 @@
         return value == null ? absent : value;
     }
 
-    public FleetFault fault(String key, String what) {
+    public InvalidPlanException fault(String key, String what) {
         int at =
                 table == null || table.inputPositionOf(List.of(key)) == null
                         ? line
                         : table.inputPositionOf(List.of(key)).line();
-        return new FleetFault(at, (path.isEmpty() ? "" : path + ".") + key + ": " + what);
+        return new InvalidPlanException(at, (path.isEmpty() ? "" : path + ".") + key + ": " + what);
     }
 
     public String text(String key, String absent) {
@@ -178,19 +178,19 @@
         return Double.parseDouble(m.group(1)) * unit;
     }
 
-    public Section table(String key) {
+    public TomlSection table(String key) {
         known.add(key);
         Object value = table.get(List.of(key));
         if (value != null && !(value instanceof TomlTable)) {
             throw fault(key, "is no section; write [" + key + "]");
         }
-        return new Section(
+        return new TomlSection(
                 (TomlTable) value,
                 key,
                 value == null ? 0 : table.inputPositionOf(List.of(key)).line());
     }
 
-    public List<Section> tables(String key) {
+    public List<TomlSection> tables(String key) {
         known.add(key);
         Object value = table.get(List.of(key));
         if (value == null) {
@@ -200,10 +200,10 @@
                 || !array.toList().stream().allMatch(TomlTable.class::isInstance)) {
             throw fault(key, "is no list of sections; write [[" + key + "]]");
         }
-        List<Section> all = new ArrayList<>();
+        List<TomlSection> all = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
             all.add(
-                    new Section(
+                    new TomlSection(
                             array.getTable(i),
                             key + " " + (i + 1),
                             array.inputPositionOf(i).line()));
--- a/src/main/java/firstage/simulation/TrafficSource.java
+++ b/src/main/java/firstage/simulation/TrafficSource.java
@@ -18,7 +18,7 @@
     private final double most;
     private long ids;
 
-    public TrafficSource(FleetPlan plan, Streams streams) {
+    public TrafficSource(FleetPlan plan, RandomStreams streams) {
         this.plan = plan;
         shape = TrafficShape.of(plan.traffic().kind());
         chance = streams.of("traffic", 0);
@@ -81,7 +81,7 @@
     }
 
     /** {@code dear}: spells that are on, by their group. */
-    public Work draw(long now, List<FleetPlan.Trouble> dear) {
+    public TrueRequest draw(long now, List<FleetPlan.Trouble> dear) {
         int g = pick(groupEnds);
         FleetPlan.Group group = plan.groups().get(g);
         double z = chance.nextGaussian();
@@ -100,7 +100,7 @@
         double memoryOff = Math.exp(group.scatter() * chance.nextGaussian());
         int customer = pick(customerEnds);
         int key = group.ordered() && plan.traffic().keys() > 0 ? pick(keyEnds) : -1;
-        return new Work(
+        return new TrueRequest(
                 ids++,
                 g,
                 customer,
--- a/src/main/java/firstage/simulation/Work.java
+++ b/src/main/java/firstage/simulation/TrueRequest.java
@@ -5,7 +5,7 @@
  * observed ever pass to the decisions ({@link ManagerModel} hands those on). Indices are -1 where
  * there is none; times tenths of a millisecond.
  */
-public final class Work {
+public final class TrueRequest {
     public final long id;
     public final int group;
     public final int customer;
@@ -29,7 +29,7 @@
     public int tries;
     public boolean done;
 
-    Work(
+    TrueRequest(
             long id,
             int group,
             int customer,
--- a/src/main/java/firstage/simulation/schedule/HostileSchedule.java
+++ b/src/main/java/firstage/simulation/schedule/FaultSchedule.java
@@ -1,11 +1,11 @@
 package firstage.simulation.schedule;
 
 import firstage.policy.api.Deployment;
-import firstage.policy.api.EngineList;
-import firstage.policy.api.ServiceGroup;
-import firstage.policy.api.ServiceGroup.Effect;
-import firstage.policy.api.ServiceGroup.Scope;
-import firstage.simulation.Calendar;
+import firstage.policy.api.EndpointUpdate;
+import firstage.policy.api.TrafficClass;
+import firstage.policy.api.TrafficClass.Effect;
+import firstage.policy.api.TrafficClass.Scope;
+import firstage.simulation.EventQueue;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -18,7 +18,7 @@
  * The same seed plays the same schedule. Batches of one key are written as far apart as clients
  * promise: 60 ms, 250 ms after one on a new connection.
  */
-public final class HostileSchedule {
+public final class FaultSchedule {
     private static final long SECOND = 10_000;
     private static final long START = 100 * SECOND;
     private static final long GAP = 600;
@@ -27,25 +27,25 @@
     private static final int KEYS = 2;
     private static final double[] ROUGHNESS = {0, 0.02, 0.1, 0.3};
 
-    private HostileSchedule() {}
+    private FaultSchedule() {}
 
     /** What broke, in words; empty where all rules held and all tables are empty at the end. */
-    public static List<String> play(long seed, Fault fault) {
+    public static List<String> play(long seed, InjectedDefect fault) {
         RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        Calendar calendar = new Calendar(START);
-        RuleCheck check = new RuleCheck();
+        EventQueue calendar = new EventQueue(START);
+        ScheduleRuleChecker check = new ScheduleRuleChecker();
         int count = 1 + chance.nextInt(3);
-        List<LabEngine> engines = new ArrayList<>();
+        List<SimulatedEngine> engines = new ArrayList<>();
         for (int e = 0; e < count; e++) {
-            engines.add(new LabEngine(calendar, check, chance));
+            engines.add(new SimulatedEngine(calendar, check, chance));
         }
         Deployment deployment = deployment(chance);
         double roughness = ROUGHNESS[chance.nextInt(ROUGHNESS.length)];
         boolean stalls = chance.nextBoolean();
-        Supplier<LabManager> starts =
+        Supplier<SimulatedManager> starts =
                 () -> {
-                    LabManager next =
-                            new LabManager(
+                    SimulatedManager next =
+                            new SimulatedManager(
                                     calendar,
                                     chance,
                                     check,
@@ -57,7 +57,7 @@
                     next.knows(count);
                     return next;
                 };
-        LabManager[] up = {starts.get()};
+        SimulatedManager[] up = {starts.get()};
         traffic(chance, calendar, check, up);
         troubles(chance, calendar, up, engines);
         restarts(chance, calendar, check, up, starts);
@@ -70,10 +70,10 @@
     /** Killed, and up again at once with a burst of what came meanwhile; or told to end. */
     private static void restarts(
             RandomGenerator chance,
-            Calendar calendar,
-            RuleCheck check,
-            LabManager[] up,
-            Supplier<LabManager> starts) {
+            EventQueue calendar,
+            ScheduleRuleChecker check,
+            SimulatedManager[] up,
+            Supplier<SimulatedManager> starts) {
         long at = chance.nextLong(4 * SECOND);
         switch (chance.nextInt(5)) {
             case 0 ->
@@ -93,7 +93,7 @@
 
     private static Deployment deployment(RandomGenerator chance) {
         boolean copies = chance.nextBoolean();
-        List<ServiceGroup> groups =
+        List<TrafficClass> groups =
                 List.of(
                         group(Effect.REPEATABLE, false, 1),
                         group(Effect.ONCE_ONLY, true, 2),
@@ -119,8 +119,8 @@
                 false);
     }
 
-    private static ServiceGroup group(Effect effect, boolean ordered, int threads) {
-        return new ServiceGroup(
+    private static TrafficClass group(Effect effect, boolean ordered, int threads) {
+        return new TrafficClass(
                 2 * SECOND,
                 2,
                 LIMIT,
@@ -138,7 +138,10 @@
     }
 
     private static void traffic(
-            RandomGenerator chance, Calendar calendar, RuleCheck check, LabManager[] up) {
+            RandomGenerator chance,
+            EventQueue calendar,
+            ScheduleRuleChecker check,
+            SimulatedManager[] up) {
         int batch = 0;
         for (int key = 0; key < KEYS; key++) {
             long at = chance.nextLong(SECOND);
@@ -167,9 +170,9 @@
 
     private static void comes(
             RandomGenerator chance,
-            Calendar calendar,
-            RuleCheck check,
-            LabManager[] up,
+            EventQueue calendar,
+            ScheduleRuleChecker check,
+            SimulatedManager[] up,
             int batch,
             int group,
             int key,
@@ -177,7 +180,7 @@
             boolean fresh) {
         long limit = START + at + SECOND / 2 + chance.nextLong(LIMIT);
         long runs = 50 + chance.nextLong(chance.nextInt(4) == 0 ? SECOND * 3 : SECOND / 4);
-        LabManager.Taken b = new LabManager.Taken(batch, group, key, limit, runs);
+        SimulatedManager.Taken b = new SimulatedManager.Taken(batch, group, key, limit, runs);
         calendar.in(
                 at,
                 () -> {
@@ -190,7 +193,10 @@
     }
 
     private static void troubles(
-            RandomGenerator chance, Calendar calendar, LabManager[] up, List<LabEngine> engines) {
+            RandomGenerator chance,
+            EventQueue calendar,
+            SimulatedManager[] up,
+            List<SimulatedEngine> engines) {
         int stalls = chance.nextInt(4);
         for (int i = 0; i < stalls; i++) {
             calendar.in(
@@ -199,26 +205,26 @@
         }
         for (int e = 0; e < engines.size(); e++) {
             int which = e;
-            LabEngine engine = engines.get(e);
+            SimulatedEngine engine = engines.get(e);
             long at = chance.nextLong(4 * SECOND);
             switch (chance.nextInt(6)) {
                 case 0 -> {
-                    calendar.in(at, () -> engine.becomes(LabEngine.Standing.DOWN));
+                    calendar.in(at, () -> engine.becomes(SimulatedEngine.Standing.DOWN));
                     calendar.in(
                             at + chance.nextLong(2 * SECOND),
-                            () -> engine.becomes(LabEngine.Standing.UP));
+                            () -> engine.becomes(SimulatedEngine.Standing.UP));
                 }
                 case 1 -> {
-                    calendar.in(at, () -> engine.becomes(LabEngine.Standing.MUTE));
+                    calendar.in(at, () -> engine.becomes(SimulatedEngine.Standing.MUTE));
                     calendar.in(
                             at + chance.nextLong(4 * SECOND),
-                            () -> engine.becomes(LabEngine.Standing.UP));
+                            () -> engine.becomes(SimulatedEngine.Standing.UP));
                 }
                 case 2 -> {
-                    calendar.in(at, () -> engine.becomes(LabEngine.Standing.DRAINING));
+                    calendar.in(at, () -> engine.becomes(SimulatedEngine.Standing.DRAINING));
                     calendar.in(
                             at + chance.nextLong(SECOND),
-                            () -> up[0].listed(which, EngineList.Standing.LEAVING));
+                            () -> up[0].listed(which, EndpointUpdate.Standing.LEAVING));
                 }
                 default -> {}
             }
--- a/src/main/java/firstage/simulation/schedule/HostileSchedules.java
+++ b/src/main/java/firstage/simulation/schedule/FaultSchedules.java
@@ -7,14 +7,15 @@
 import java.util.stream.LongStream;
 
 /** Many schedules, on all cores; the same seeds give the same verdict. */
-public final class HostileSchedules {
-    private HostileSchedules() {}
+public final class FaultSchedules {
+    private FaultSchedules() {}
 
     /**
      * Seeds of the schedules that broke something, with what; at most the first {@code show} are
      * kept.
      */
-    public static Map<Long, List<String>> play(long from, long count, Fault fault, int show) {
+    public static Map<Long, List<String>> play(
+            long from, long count, InjectedDefect fault, int show) {
         ConcurrentSkipListMap<Long, List<String>> broken = new ConcurrentSkipListMap<>();
         LongStream.range(from, from + count)
                 .parallel()
@@ -22,7 +23,7 @@
                         seed -> {
                             List<String> what;
                             try {
-                                what = HostileSchedule.play(seed, fault);
+                                what = FaultSchedule.play(seed, fault);
                             } catch (RuntimeException thrown) {
                                 what =
                                         List.of(
--- a/src/main/java/firstage/simulation/schedule/Fault.java
+++ b/src/main/java/firstage/simulation/schedule/InjectedDefect.java
@@ -4,7 +4,7 @@
  * Old faults of the program, to be put back one at a time: a rig that does not find them proves
  * nothing.
  */
-public enum Fault {
+public enum InjectedDefect {
     NONE,
     /** Batches are told as they are read, whatever the thread missed meanwhile. */
     TOLD_AS_READ,
--- a/src/main/java/firstage/simulation/schedule/MembersFigures.java
+++ b/src/main/java/firstage/simulation/schedule/MembershipFigures.java
@@ -1,21 +1,23 @@
 package firstage.simulation.schedule;
 
-import firstage.membership.Leases;
-import firstage.membership.Members;
+import firstage.membership.MembershipProtocol;
+import firstage.membership.QuotaLeases;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.apache.commons.math3.stat.descriptive.DescriptiveStatistics;
 
-/** The table of docs/members.md, played in virtual time; all of it simulated. */
-public final class MembersFigures {
+/** The table of docs/membership.md, played in virtual time; all of it simulated. */
+public final class MembershipFigures {
     private static final long SECOND = 10_000;
 
-    private MembersFigures() {}
+    private MembershipFigures() {}
 
-    private static MembersField field(int count, long seed) {
-        MembersField f = new MembersField(count, seed, Members.Fault.NONE, Leases.Fault.NONE);
+    private static SimulatedMembership field(int count, long seed) {
+        SimulatedMembership f =
+                new SimulatedMembership(
+                        count, seed, MembershipProtocol.Fault.NONE, QuotaLeases.Fault.NONE);
         f.startAll();
         f.pass(5 * SECOND);
         f.changes();
@@ -33,22 +35,23 @@
         DescriptiveStatistics start = new DescriptiveStatistics();
         double never = 0;
         for (long seed = 0; seed < seeds; seed++) {
-            MembersField first =
-                    new MembersField(count, seed, Members.Fault.NONE, Leases.Fault.NONE);
+            SimulatedMembership first =
+                    new SimulatedMembership(
+                            count, seed, MembershipProtocol.Fault.NONE, QuotaLeases.Fault.NONE);
             long took = first.startAll();
             never += took < 0 ? 1 : 0;
             start.addValue(took / 1e4);
-            MembersField f = field(count, seed);
-            long before = f.places().stream().mapToLong(MembersField.Place::bytes).sum();
+            SimulatedMembership f = field(count, seed);
+            long before = f.places().stream().mapToLong(SimulatedMembership.Place::bytes).sum();
             f.pass(10 * SECOND);
             bytes.addValue(
-                    (f.places().stream().mapToLong(MembersField.Place::bytes).sum() - before)
+                    (f.places().stream().mapToLong(SimulatedMembership.Place::bytes).sum() - before)
                             / 10.0
                             / count);
             f.places().get(0).kill();
             f.untilKnown(0, 20 * SECOND).forEach(t -> known.addValue(t < 0 ? 99 : t / 1e4));
             f = field(count, seed);
-            List<MembersField.Place> all = new ArrayList<>(f.places());
+            List<SimulatedMembership.Place> all = new ArrayList<>(f.places());
             f.pass(f.chance().nextLong(SECOND));
             for (int i = 0; i < count / 2; i++) {
                 all.get(2 * i).kill();
@@ -78,7 +81,7 @@
         return figures;
     }
 
-    private static void split(MembersField f, int count, boolean is) {
+    private static void split(SimulatedMembership f, int count, boolean is) {
         for (int a = 0; a < count; a++) {
             for (int b = 0; b < count; b++) {
                 if (a < count / 2 != b < count / 2) {
@@ -93,7 +96,7 @@
      * 20% loss.
      */
     public static int falselyGone(int count, long seed, int minutes, long most) {
-        MembersField f = field(count, seed);
+        SimulatedMembership f = field(count, seed);
         f.loses(0.2);
         for (int i = 0; i < minutes * 30; i++) {
             f.places()
--- a/src/main/java/firstage/simulation/schedule/RuleCheck.java
+++ b/src/main/java/firstage/simulation/schedule/ScheduleRuleChecker.java
@@ -13,7 +13,7 @@
  * open, or any other of its key may run. And the users' term: nothing is sent later than 0.3 s
  * after its client was last there.
  */
-public final class RuleCheck {
+public final class ScheduleRuleChecker {
     /** Tenths of a millisecond after a client's limit in which its answer still counts. */
     private static final long SLACK = 500;
 
--- a/src/main/java/firstage/simulation/schedule/CellsField.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedCells.java
@@ -1,17 +1,17 @@
 package firstage.simulation.schedule;
 
+import firstage.cells.CellDirectory;
 import firstage.cells.CellPlan;
-import firstage.cells.Cells;
-import firstage.failover.Together;
-import firstage.failover.Zones;
-import firstage.membership.Entry;
-import firstage.membership.Leases;
-import firstage.membership.Members;
-import firstage.membership.Message;
-import firstage.membership.Standing;
-import firstage.membership.View;
-import firstage.policy.api.Demand;
-import firstage.simulation.Calendar;
+import firstage.failover.FleetCoordinator;
+import firstage.failover.ZoneFailover;
+import firstage.membership.Member;
+import firstage.membership.MemberState;
+import firstage.membership.MembershipMessage;
+import firstage.membership.MembershipProtocol;
+import firstage.membership.MembershipView;
+import firstage.membership.QuotaLeases;
+import firstage.policy.api.DemandHistogram;
+import firstage.simulation.EventQueue;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.EnumMap;
@@ -30,7 +30,7 @@
  * figure of it is simulated. It plays a fleet in cells, and the same fleet as one. Times are tenths
  * of a millisecond.
  */
-public final class CellsField {
+public final class SimulatedCells {
     /** Between two probes of one manager. */
     public static final long PERIOD = 2_000;
 
@@ -62,7 +62,7 @@
             int spread,
             boolean rooms,
             long tick,
-            Cells.Fault fault) {
+            CellDirectory.Fault fault) {
         /** How many cells there are. */
         public int cells() {
             return cell == 0 ? 1 : managers / cell;
@@ -81,15 +81,15 @@
     }
 
     /** One place at which a manager runs, one life after another. */
-    public final class Place implements Members.Carrier, Cells.Effects {
+    public final class Place implements MembershipProtocol.Carrier, CellDirectory.Effects {
         private final int number;
         private final int cell;
         private final int slot;
-        private Members members;
-        private Leases leases;
-        private Cells cells;
-        private Together together;
-        private final Demand demand = new Demand();
+        private MembershipProtocol members;
+        private QuotaLeases leases;
+        private CellDirectory cells;
+        private FleetCoordinator together;
+        private final DemandHistogram demand = new DemandHistogram();
         private CellPlan holds;
         private boolean up;
         private boolean lentBefore;
@@ -113,12 +113,12 @@
             return up;
         }
 
-        public Members members() {
+        public MembershipProtocol members() {
             return members;
         }
 
         /** Null in a fleet that is one. */
-        public Cells cells() {
+        public CellDirectory cells() {
             return cells;
         }
 
@@ -140,7 +140,7 @@
             int mine = ++life;
             int peers = shape.cell == 0 ? places.size() : shape.cell;
             leases =
-                    new Leases(
+                    new QuotaLeases(
                             peers,
                             shape.cell == 0 ? 1.0 / peers : next.part(cell),
                             PERIOD,
@@ -155,15 +155,15 @@
                                             }
                                         });
                             },
-                            Leases.Fault.NONE);
+                            QuotaLeases.Fault.NONE);
             members =
-                    new Members(
+                    new MembershipProtocol(
                             "field",
-                            new Entry(
+                            new Member(
                                     name(number),
                                     zone(cell),
                                     calendar.now() + 1,
-                                    Standing.HERE,
+                                    MemberState.HERE,
                                     "1",
                                     1),
                             peers,
@@ -172,12 +172,12 @@
                             CHANCES.create(chance.nextLong()),
                             leases,
                             this,
-                            Members.Fault.NONE);
+                            MembershipProtocol.Fault.NONE);
             CellPlan was = next.number() > holds.number() ? holds : null;
             cells =
                     shape.cell == 0
                             ? null
-                            : new Cells(
+                            : new CellDirectory(
                                     next,
                                     was,
                                     cell,
@@ -191,14 +191,14 @@
             holds = next;
             together =
                     shape.rooms
-                            ? new Together(
+                            ? new FleetCoordinator(
                                     name(number),
                                     cell % shape.zones,
                                     shape.zones,
                                     GOAL,
                                     WARM,
                                     PERIOD,
-                                    new Zones.Effects() {
+                                    new ZoneFailover.Effects() {
                                         @Override
                                         public void keepAway(
                                                 long engine, boolean away, boolean restIsOver) {
@@ -211,7 +211,7 @@
                                         }
                                     },
                                     (now, band, part) -> {},
-                                    Together.Faults.NONE)
+                                    FleetCoordinator.Faults.NONE)
                             : null;
             tick(mine);
             look(mine);
@@ -245,7 +245,7 @@
         private void look(int mine) {
             if (life == mine && together != null) {
                 for (int b = 0; b < BANDS; b++) {
-                    demand.came(Demand.BANDS / 2 + 2 * b, WORK * LOOK / BANDS);
+                    demand.came(DemandHistogram.BANDS / 2 + 2 * b, WORK * LOOK / BANDS);
                 }
                 demand.sent(WORK * LOOK);
                 together.look(calendar.now(), demand);
@@ -259,7 +259,7 @@
         }
 
         @Override
-        public void send(int seed, Message.Kind kind, byte[] datagram) {
+        public void send(int seed, MembershipMessage.Kind kind, byte[] datagram) {
             counted(Kind.valueOf(kind.name()), datagram);
             int to = shape.cell == 0 ? seed : cell * shape.cell + seed;
             int seat = slot;
@@ -297,7 +297,7 @@
         }
 
         @Override
-        public void changed(long now, View view) {
+        public void changed(long now, MembershipView view) {
             if (cells != null) {
                 cells.viewed(view.names());
             }
@@ -341,7 +341,7 @@
         }
     }
 
-    private final Calendar calendar = new Calendar(START);
+    private final EventQueue calendar = new EventQueue(START);
     private final RandomGenerator chance;
     private final Shape shape;
     private final CellPlan plan;
@@ -350,7 +350,7 @@
     private boolean apart;
     private IntPredicate side = p -> false;
 
-    public CellsField(Shape shape, long seed) {
+    public SimulatedCells(Shape shape, long seed) {
         this.shape = shape;
         chance = CHANCES.create(seed);
         plan =
@@ -384,7 +384,7 @@
         return places;
     }
 
-    public Calendar calendar() {
+    public EventQueue calendar() {
         return calendar;
     }
 
@@ -426,11 +426,11 @@
 
     private static boolean agreed(List<Place> cell) {
         int up = 0;
-        View one = null;
+        MembershipView one = null;
         for (Place p : cell) {
             if (p.up) {
                 up++;
-                View v = p.members.view();
+                MembershipView v = p.members.view();
                 one = one == null ? v : one;
                 if (v.hash() != one.hash()) {
                     return false;
--- a/src/main/java/firstage/simulation/schedule/LabEngine.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
@@ -1,7 +1,7 @@
 package firstage.simulation.schedule;
 
-import firstage.lifecycle.DispatchLife.Word;
-import firstage.simulation.Calendar;
+import firstage.lifecycle.AttemptStateMachine.Word;
+import firstage.simulation.EventQueue;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -11,7 +11,7 @@
  * A modelled engine: takes statements, holds calls for news, ends what is not asked for, drains,
  * dies, comes back.
  */
-final class LabEngine {
+final class SimulatedEngine {
     private static final long HOLDS = 2_500;
     private static final long FORGETS = 20_000;
     private static final double ERRS = 0.02;
@@ -50,8 +50,8 @@
         }
     }
 
-    private final Calendar calendar;
-    private final RuleCheck check;
+    private final EventQueue calendar;
+    private final ScheduleRuleChecker check;
     private final RandomGenerator chance;
 
     /** By the dispatch's mark: what runs here or ended here. */
@@ -64,7 +64,7 @@
 
     private int lives;
 
-    LabEngine(Calendar calendar, RuleCheck check, RandomGenerator chance) {
+    SimulatedEngine(EventQueue calendar, ScheduleRuleChecker check, RandomGenerator chance) {
         this.calendar = calendar;
         this.check = check;
         this.chance = chance;
--- a/src/main/java/firstage/simulation/schedule/LabManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -1,19 +1,19 @@
 package firstage.simulation.schedule;
 
-import firstage.lifecycle.CallLife;
-import firstage.lifecycle.DispatchLife;
-import firstage.lifecycle.DispatchLife.Alarm;
-import firstage.lifecycle.DispatchLife.Loss;
-import firstage.lifecycle.DispatchLife.Word;
-import firstage.lifecycle.TakingOrder;
-import firstage.policy.Brain;
-import firstage.policy.api.Arrival;
+import firstage.lifecycle.ArrivalSequencer;
+import firstage.lifecycle.AttemptStateMachine;
+import firstage.lifecycle.AttemptStateMachine.Alarm;
+import firstage.lifecycle.AttemptStateMachine.Loss;
+import firstage.lifecycle.AttemptStateMachine.Word;
+import firstage.lifecycle.ClientCallStateMachine;
+import firstage.policy.WorkloadScheduler;
+import firstage.policy.api.AttemptOutcome;
+import firstage.policy.api.AttemptResult;
 import firstage.policy.api.Deployment;
-import firstage.policy.api.Ending;
-import firstage.policy.api.EngineList;
-import firstage.policy.api.Host;
-import firstage.policy.api.Outcome;
-import firstage.simulation.Calendar;
+import firstage.policy.api.EndpointUpdate;
+import firstage.policy.api.IncomingRequest;
+import firstage.policy.api.PolicyActions;
+import firstage.simulation.EventQueue;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -22,10 +22,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A manager as the sockets make one up: the real Brain and the real lives; connections and engines
- * are modelled.
+ * A manager as the sockets make one up: the real WorkloadScheduler and the real lives; connections
+ * and engines are modelled.
  */
-final class LabManager implements Host, TakingOrder.Carrier<LabManager.Taken> {
+final class SimulatedManager
+        implements PolicyActions, ArrivalSequencer.Carrier<SimulatedManager.Taken> {
     private static final long GRACE = 1_000;
     private static final long OVERDUE = 350;
     private static final long NEWS_PATIENCE = 6_000;
@@ -60,15 +61,15 @@
         }
     }
 
-    private final Calendar calendar;
+    private final EventQueue calendar;
     private final RandomGenerator chance;
-    private final RuleCheck check;
-    private final Fault fault;
-    private final List<LabEngine> engines;
+    private final ScheduleRuleChecker check;
+    private final InjectedDefect fault;
+    private final List<SimulatedEngine> engines;
     private final double roughness;
-    private final LabThread thread;
-    private final Brain brain;
-    private final TakingOrder<Taken> order = new TakingOrder<>(this);
+    private final SimulatedThread thread;
+    private final WorkloadScheduler brain;
+    private final ArrivalSequencer<Taken> order = new ArrivalSequencer<>(this);
     private final Map<Integer, Taken> batches = new HashMap<>();
     private boolean turnDue;
     private int open;
@@ -77,13 +78,13 @@
     /** Engines know each dispatch by its mark, also one of a manager that was killed. */
     private int marks;
 
-    LabManager(
-            Calendar calendar,
+    SimulatedManager(
+            EventQueue calendar,
             RandomGenerator chance,
-            RuleCheck check,
-            Fault fault,
+            ScheduleRuleChecker check,
+            InjectedDefect fault,
             Deployment deployment,
-            List<LabEngine> engines,
+            List<SimulatedEngine> engines,
             double roughness,
             boolean stalls) {
         this.calendar = calendar;
@@ -94,17 +95,17 @@
         this.roughness = roughness;
         marks = check.life() * MARKS;
         thread =
-                new LabThread(
+                new SimulatedThread(
                         calendar,
                         chance,
                         check,
                         stalls,
-                        fault == Fault.ONE_ACCEPTED_A_LOOK,
+                        fault == InjectedDefect.ONE_ACCEPTED_A_LOOK,
                         this::turn);
-        brain = new Brain(deployment, this);
+        brain = new WorkloadScheduler(deployment, this);
     }
 
-    LabThread thread() {
+    SimulatedThread thread() {
         return thread;
     }
 
@@ -138,7 +139,7 @@
                     b.client = new Client(b);
                     b.client.life.start();
                     thread(b.limit - calendar.now(), () -> timeUp(b));
-                    if (fault == Fault.TOLD_AS_READ) {
+                    if (fault == InjectedDefect.TOLD_AS_READ) {
                         taken(b, true);
                     } else {
                         order.came(b, b.key >= 0 ? (Object) b.key : null);
@@ -177,9 +178,9 @@
      * A client and its call: it asks at the path that it is given, loses connections now and then,
      * and asks again; some never do.
      */
-    private final class Client implements CallLife.Carrier {
+    private final class Client implements ClientCallStateMachine.Carrier {
         private final Taken b;
-        private final CallLife life = new CallLife(this);
+        private final ClientCallStateMachine life = new ClientCallStateMachine(this);
         private final boolean vanishes = chance.nextInt(12) == 0;
         private int held = 1;
         private boolean atPath;
@@ -250,7 +251,7 @@
                 check.kept("an answer given to no call of batch " + b.batch);
             }
             held = 0;
-            if (!got || fault == Fault.ANSWERED_TWICE) {
+            if (!got || fault == InjectedDefect.ANSWERED_TWICE) {
                 got = true;
                 check.answered(calendar.now(), b.batch);
             }
@@ -295,7 +296,7 @@
         }
 
         private void tellAway(boolean away) {
-            b.away = away && fault != Fault.AWAY_UNHEEDED;
+            b.away = away && fault != InjectedDefect.AWAY_UNHEEDED;
             if (b.told && !b.over) {
                 brain.clientAway(calendar.now(), b.batch, b.away);
                 turnDue = true;
@@ -304,7 +305,7 @@
 
         @Override
         public void left() {
-            LabManager.this.left(b);
+            SimulatedManager.this.left(b);
         }
 
         @Override
@@ -326,14 +327,14 @@
     }
 
     private void timeUp(Taken b) {
-        if (fault == Fault.LIMIT_UNHEEDED) {
+        if (fault == InjectedDefect.LIMIT_UNHEEDED) {
             return;
         }
-        List.copyOf(b.out).forEach(s -> s.life.giveUp(calendar.now(), Outcome.TIMED_OUT));
+        List.copyOf(b.out).forEach(s -> s.life.giveUp(calendar.now(), AttemptOutcome.TIMED_OUT));
         thread(
                 OVERDUE,
                 () -> {
-                    if (!b.over || fault == Fault.ANSWERED_TWICE) {
+                    if (!b.over || fault == InjectedDefect.ANSWERED_TWICE) {
                         answer(b, false);
                         if (b.told) {
                             brain.clientLeft(calendar.now(), b.batch);
@@ -344,13 +345,13 @@
     }
 
     private void answer(Taken b, boolean pushedBack) {
-        if (!b.over || fault == Fault.ANSWERED_TWICE) {
+        if (!b.over || fault == InjectedDefect.ANSWERED_TWICE) {
             if (!b.over) {
                 open--;
             }
             b.over = true;
             check.owed(calendar.now(), b.batch, pushedBack);
-            if (fault == Fault.ANSWERED_TWICE) {
+            if (fault == InjectedDefect.ANSWERED_TWICE) {
                 check.answered(calendar.now(), b.batch);
             } else {
                 b.client.life.answer();
@@ -373,7 +374,7 @@
         batches.put(b.batch, b);
         brain.taken(
                 calendar.now(),
-                new Arrival(
+                new IncomingRequest(
                         b.batch,
                         b.group,
                         0,
@@ -386,16 +387,16 @@
                         !turnKnown));
     }
 
-    void listed(int engine, EngineList.Standing standing) {
+    void listed(int engine, EndpointUpdate.Standing standing) {
         thread.arrives(
                 () -> {
-                    if (standing == EngineList.Standing.LEAVING) {
+                    if (standing == EndpointUpdate.Standing.LEAVING) {
                         engines.get(engine).drainTold(calendar.now());
                     }
                     brain.listed(
                             calendar.now(),
-                            new EngineList(
-                                    EngineList.Kind.CHANGES, List.of(entry(engine, standing))));
+                            new EndpointUpdate(
+                                    EndpointUpdate.Kind.CHANGES, List.of(entry(engine, standing))));
                     turnDue = true;
                 });
     }
@@ -404,31 +405,32 @@
     void listedAnew() {
         thread.arrives(
                 () -> {
-                    List<EngineList.Entry> all = new ArrayList<>();
+                    List<EndpointUpdate.Entry> all = new ArrayList<>();
                     for (int e = 0; e < engines.size(); e++) {
                         all.add(
                                 entry(
                                         e,
                                         engines.get(e).sinceDrain(calendar.now()) >= 0
-                                                ? EngineList.Standing.LEAVING
-                                                : EngineList.Standing.ACTIVE));
+                                                ? EndpointUpdate.Standing.LEAVING
+                                                : EndpointUpdate.Standing.ACTIVE));
                     }
-                    brain.listed(calendar.now(), new EngineList(EngineList.Kind.WHOLE, all));
+                    brain.listed(
+                            calendar.now(), new EndpointUpdate(EndpointUpdate.Kind.WHOLE, all));
                     turnDue = true;
                 });
     }
 
     void knows(int count) {
-        List<EngineList.Entry> all = new ArrayList<>();
+        List<EndpointUpdate.Entry> all = new ArrayList<>();
         for (int e = 0; e < count; e++) {
-            all.add(entry(e, EngineList.Standing.ACTIVE));
+            all.add(entry(e, EndpointUpdate.Standing.ACTIVE));
         }
-        brain.listed(calendar.now(), new EngineList(EngineList.Kind.WHOLE, all));
+        brain.listed(calendar.now(), new EndpointUpdate(EndpointUpdate.Kind.WHOLE, all));
         brain.turn(calendar.now());
     }
 
-    private static EngineList.Entry entry(int engine, EngineList.Standing standing) {
-        return new EngineList.Entry(engine, engine + 1, 0, 0, 0, standing, 1, 0);
+    private static EndpointUpdate.Entry entry(int engine, EndpointUpdate.Standing standing) {
+        return new EndpointUpdate.Entry(engine, engine + 1, 0, 0, 0, standing, 1, 0);
     }
 
     // ---- Decisions.
@@ -447,11 +449,11 @@
     public void callOff(int batch, int dispatch) {
         List.copyOf(batches.get(batch).out).stream()
                 .filter(s -> s.number == dispatch)
-                .forEach(s -> s.life.giveUp(calendar.now(), Outcome.CALLED_OFF));
+                .forEach(s -> s.life.giveUp(calendar.now(), AttemptOutcome.CALLED_OFF));
     }
 
     private void callOffAll(Taken b) {
-        List.copyOf(b.out).forEach(s -> s.life.giveUp(calendar.now(), Outcome.CALLED_OFF));
+        List.copyOf(b.out).forEach(s -> s.life.giveUp(calendar.now(), AttemptOutcome.CALLED_OFF));
     }
 
     @Override
@@ -482,7 +484,7 @@
         thread(
                 20,
                 () -> {
-                    brain.probed(calendar.now(), engine, Outcome.RETURNED, null);
+                    brain.probed(calendar.now(), engine, AttemptOutcome.RETURNED, null);
                     turnDue = true;
                 });
     }
@@ -516,14 +518,14 @@
     }
 
     /** A dispatch on modelled connections: each call may fail, be late, or lose its answer. */
-    private final class Sent implements DispatchLife.Carrier {
+    private final class Sent implements AttemptStateMachine.Carrier {
         private final Taken b;
         private final int number;
-        private final LabEngine engine;
+        private final SimulatedEngine engine;
         private final int index;
         private final int mark = marks++;
         private final long sent = calendar.now();
-        private final DispatchLife life;
+        private final AttemptStateMachine life;
         private boolean blind = true;
         private int deletes;
 
@@ -532,7 +534,7 @@
             this.number = number;
             this.index = index;
             engine = engines.get(index);
-            life = new DispatchLife(this, b.key >= 0);
+            life = new AttemptStateMachine(this, b.key >= 0);
         }
 
         private boolean rough() {
@@ -554,10 +556,11 @@
         @Override
         public void post() {
             boolean refuses =
-                    engine.standing() == LabEngine.Standing.DOWN
-                            || engine.standing() == LabEngine.Standing.DRAINING
+                    engine.standing() == SimulatedEngine.Standing.DOWN
+                            || engine.standing() == SimulatedEngine.Standing.DRAINING
                                     && chance.nextBoolean();
-            boolean mute = engine.standing() == LabEngine.Standing.MUTE && chance.nextBoolean();
+            boolean mute =
+                    engine.standing() == SimulatedEngine.Standing.MUTE && chance.nextBoolean();
             long up = chance.nextInt(10) == 0 ? chance.nextInt((int) CONNECT_PATIENCE) : 2 * way();
             calendar.in(
                     mute ? CONNECT_PATIENCE : up,
@@ -573,7 +576,7 @@
                                         } else if (!life.wanted()
                                                 || b.away
                                                 || engine.sinceDrain(calendar.now()) >= 0
-                                                        && fault != Fault.DRAIN_UNHEEDED) {
+                                                        && fault != InjectedDefect.DRAIN_UNHEEDED) {
                                             life.postFailed(calendar.now(), Loss.UNSENT);
                                         } else {
                                             write();
@@ -590,7 +593,7 @@
             boolean reaches = !breaks || chance.nextBoolean();
             // The bytes may lie on their way when the connection under them is gone.
             long late = breaks && chance.nextBoolean() ? chance.nextLong(LATEST) : way();
-            if (reaches && engine.standing() != LabEngine.Standing.MUTE) {
+            if (reaches && engine.standing() != SimulatedEngine.Standing.MUTE) {
                 calendar.in(
                         late,
                         () ->
@@ -619,8 +622,8 @@
                     breaks ? 2 * way() : NEWS_PATIENCE,
                     answered,
                     loss -> {
-                        if (fault == Fault.BROKEN_NEVER_RAN) {
-                            ended(Outcome.NO_CONNECTION, 0);
+                        if (fault == InjectedDefect.BROKEN_NEVER_RAN) {
+                            ended(AttemptOutcome.NO_CONNECTION, 0);
                         } else {
                             life.postFailed(calendar.now(), loss);
                         }
@@ -669,9 +672,9 @@
         private void call(long patience, boolean fresh, Consumer<boolean[]> reach, Lost lost) {
             boolean[] answered = {false};
             boolean refuses =
-                    engine.standing() == LabEngine.Standing.DOWN
+                    engine.standing() == SimulatedEngine.Standing.DOWN
                             || fresh
-                                    && engine.standing() == LabEngine.Standing.DRAINING
+                                    && engine.standing() == SimulatedEngine.Standing.DRAINING
                                     && chance.nextBoolean();
             if (refuses) {
                 answered[0] = true;
@@ -679,7 +682,8 @@
                 return;
             }
             boolean breaks = rough();
-            if (engine.standing() != LabEngine.Standing.MUTE && (!breaks || chance.nextBoolean())) {
+            if (engine.standing() != SimulatedEngine.Standing.MUTE
+                    && (!breaks || chance.nextBoolean())) {
                 calendar.in(way(), () -> reach.accept(answered));
             }
             lossAfter(breaks ? 2 * way() : patience, answered, lost);
@@ -701,8 +705,10 @@
                                                                 blind && word == Word.ERROR;
                                                         blind &= word == Word.ERROR;
                                                         if (unknown
-                                                                && fault == Fault.UNKNOWN_IS_OVER) {
-                                                            ended(Outcome.ERRORED, 0);
+                                                                && fault
+                                                                        == InjectedDefect
+                                                                                .UNKNOWN_IS_OVER) {
+                                                            ended(AttemptOutcome.ERRORED, 0);
                                                         } else {
                                                             life.told(calendar.now(), word);
                                                         }
@@ -712,8 +718,8 @@
         }
 
         private void lost(Loss loss) {
-            if (loss == Loss.REFUSED && fault == Fault.REFUSED_IS_OVER) {
-                ended(Outcome.BROKEN, 0);
+            if (loss == Loss.REFUSED && fault == InjectedDefect.REFUSED_IS_OVER) {
+                ended(AttemptOutcome.BROKEN, 0);
             } else {
                 life.lost(calendar.now(), loss);
             }
@@ -737,7 +743,7 @@
 
         @Override
         public void delete(boolean fresh) {
-            if (deletes++ > 0 && fault == Fault.UNWRITTEN_END_IS_FORGOTTEN) {
+            if (deletes++ > 0 && fault == InjectedDefect.UNWRITTEN_END_IS_FORGOTTEN) {
                 return;
             }
             call(
@@ -750,8 +756,9 @@
                                             back(
                                                     answered,
                                                     () -> {
-                                                        if (fault == Fault.DELETED_IS_OVER) {
-                                                            ended(Outcome.CALLED_OFF, 0);
+                                                        if (fault
+                                                                == InjectedDefect.DELETED_IS_OVER) {
+                                                            ended(AttemptOutcome.CALLED_OFF, 0);
                                                         } else {
                                                             life.deleted(calendar.now());
                                                         }
@@ -775,20 +782,21 @@
         @Override
         public boolean lives() {
             // Known only by chance: other dispatches may hold connections to it or not.
-            return engine.standing() != LabEngine.Standing.DOWN && chance.nextBoolean();
+            return engine.standing() != SimulatedEngine.Standing.DOWN && chance.nextBoolean();
         }
 
         @Override
         public boolean awaited() {
             return !b.over
-                    || fault == Fault.GIVEN_UP_IS_OVER
-                    || fault == Fault.UNWRITTEN_END_IS_OVER
-                    || fault == Fault.UNWRITTEN_END_IS_FORGOTTEN;
+                    || fault == InjectedDefect.GIVEN_UP_IS_OVER
+                    || fault == InjectedDefect.UNWRITTEN_END_IS_OVER
+                    || fault == InjectedDefect.UNWRITTEN_END_IS_FORGOTTEN;
         }
 
         @Override
         public long limit() {
-            return fault == Fault.UNWRITTEN_END_IS_OVER || fault == Fault.UNWRITTEN_END_IS_FORGOTTEN
+            return fault == InjectedDefect.UNWRITTEN_END_IS_OVER
+                            || fault == InjectedDefect.UNWRITTEN_END_IS_FORGOTTEN
                     ? 0
                     : b.limit;
         }
@@ -797,17 +805,17 @@
         public void done() {}
 
         @Override
-        public void ended(Outcome how, long rest) {
+        public void ended(AttemptOutcome how, long rest) {
             if (!b.out.remove(this)) {
                 return;
             }
-            if (how == Outcome.RETURNED) {
+            if (how == AttemptOutcome.RETURNED) {
                 answer(b, false);
             }
             turnDue = true;
             brain.ended(
                     calendar.now(),
-                    new Ending(
+                    new AttemptResult(
                             b.batch,
                             number,
                             index,
@@ -817,12 +825,12 @@
                             0,
                             b.over,
                             null,
-                            fault == Fault.GIVEN_UP_IS_OVER
+                            fault == InjectedDefect.GIVEN_UP_IS_OVER
                                     ? 0
-                                    : fault == Fault.UNWRITTEN_END_IS_OVER
+                                    : fault == InjectedDefect.UNWRITTEN_END_IS_OVER
                                             ? Math.max(0, rest - SHORTER)
                                             : rest));
-            if (how == Outcome.RETURNED) {
+            if (how == AttemptOutcome.RETURNED) {
                 callOffAll(b);
             }
         }
--- a/src/main/java/firstage/simulation/schedule/MembersField.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
@@ -1,12 +1,12 @@
 package firstage.simulation.schedule;
 
-import firstage.membership.Entry;
-import firstage.membership.Leases;
-import firstage.membership.Members;
-import firstage.membership.Message;
-import firstage.membership.Standing;
-import firstage.membership.View;
-import firstage.simulation.Calendar;
+import firstage.membership.Member;
+import firstage.membership.MemberState;
+import firstage.membership.MembershipMessage;
+import firstage.membership.MembershipProtocol;
+import firstage.membership.MembershipView;
+import firstage.membership.QuotaLeases;
+import firstage.simulation.EventQueue;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -19,17 +19,17 @@
  * Managers' membership in virtual time: the modules as they are, their datagrams lost, delayed and
  * cut by a plan. Every figure of it is simulated. Times are tenths of a millisecond.
  */
-public final class MembersField {
+public final class SimulatedMembership {
     public static final long PERIOD = 2_000;
     private static final long START = 1_000_000;
     private static final long TICK = 200;
     private static final int MOST = 1_200;
 
     /** One place at which a manager runs, one life after another. */
-    public final class Place implements Members.Carrier {
+    public final class Place implements MembershipProtocol.Carrier {
         private final int number;
-        private Members members;
-        private Leases leases;
+        private MembershipProtocol members;
+        private QuotaLeases leases;
         private boolean up;
         private boolean lentBefore;
         private long pausedUntil;
@@ -42,7 +42,7 @@
             this.number = number;
         }
 
-        public Members members() {
+        public MembershipProtocol members() {
             return members;
         }
 
@@ -63,7 +63,7 @@
             up = true;
             int mine = ++life;
             leases =
-                    new Leases(
+                    new QuotaLeases(
                             places.size(),
                             PERIOD,
                             lentBefore,
@@ -79,13 +79,13 @@
                             },
                             leaseFault);
             members =
-                    new Members(
+                    new MembershipProtocol(
                             "field",
-                            new Entry(
+                            new Member(
                                     "m" + number,
                                     "z" + number % 2,
                                     calendar.now() + 1,
-                                    Standing.HERE,
+                                    MemberState.HERE,
                                     "1",
                                     1),
                             places.size(),
@@ -153,7 +153,7 @@
         }
 
         @Override
-        public void send(int seed, Message.Kind kind, byte[] datagram) {
+        public void send(int seed, MembershipMessage.Kind kind, byte[] datagram) {
             bytes += datagram.length;
             int from = number;
             if (seed != number && !cut[from][seed] && chance.nextDouble() >= loss) {
@@ -167,7 +167,7 @@
         }
 
         @Override
-        public void changed(long now, View view) {
+        public void changed(long now, MembershipView view) {
             views++;
             changes.add("m" + number + " " + view.number() + " " + view.names().size());
         }
@@ -196,10 +196,10 @@
 
     private static final RandomGeneratorFactory<RandomGenerator> CHANCES =
             RandomGeneratorFactory.of("L64X128MixRandom");
-    private final Calendar calendar = new Calendar(START);
+    private final EventQueue calendar = new EventQueue(START);
     private final RandomGenerator chance;
-    private final Members.Fault fault;
-    private final Leases.Fault leaseFault;
+    private final MembershipProtocol.Fault fault;
+    private final QuotaLeases.Fault leaseFault;
     private final List<Place> places = new ArrayList<>();
     private final boolean[][] cut;
     private final List<String> falselyGone = new ArrayList<>();
@@ -207,7 +207,8 @@
     private double loss;
     private double doubled;
 
-    public MembersField(int count, long seed, Members.Fault fault, Leases.Fault leaseFault) {
+    public SimulatedMembership(
+            int count, long seed, MembershipProtocol.Fault fault, QuotaLeases.Fault leaseFault) {
         chance = CHANCES.create(seed);
         this.fault = fault;
         this.leaseFault = leaseFault;
@@ -221,7 +222,7 @@
         return places;
     }
 
-    public Calendar calendar() {
+    public EventQueue calendar() {
         return calendar;
     }
 
@@ -261,10 +262,10 @@
     public boolean agreed() {
         Set<String> up = new HashSet<>();
         places.stream().filter(p -> p.up).forEach(p -> up.add("m" + p.number));
-        View one = null;
+        MembershipView one = null;
         for (Place p : places) {
             if (p.up) {
-                View v = p.members.view();
+                MembershipView v = p.members.view();
                 one = one == null ? v : one;
                 if (v.hash() != one.hash()
                         || v.number() != one.number()
@@ -304,7 +305,7 @@
                                 .anyMatch(
                                         e ->
                                                 e.name().equals("m" + gone)
-                                                        && e.standing() != Standing.HERE)) {
+                                                        && e.standing() != MemberState.HERE)) {
                     known.putIfAbsent(p.number, t);
                 }
             }
--- a/src/main/java/firstage/simulation/schedule/LabThread.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedThread.java
@@ -1,6 +1,6 @@
 package firstage.simulation.schedule;
 
-import firstage.simulation.Calendar;
+import firstage.simulation.EventQueue;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -11,7 +11,7 @@
  * reads what that look found in any order, stands still at any moment in between, and only then
  * looks again. A new connection takes one look to be accepted and one more to be read.
  */
-final class LabThread {
+final class SimulatedThread {
     private static final double STALL_BETWEEN = 0.004;
     private static final long LONGEST_STALL = 9_000;
 
@@ -24,9 +24,9 @@
         }
     }
 
-    private final Calendar calendar;
+    private final EventQueue calendar;
     private final RandomGenerator chance;
-    private final RuleCheck check;
+    private final ScheduleRuleChecker check;
     private final boolean stalls;
     private final boolean oneAccepted;
     private final Runnable turn;
@@ -42,10 +42,10 @@
     private boolean dead;
     private long stillUntil;
 
-    LabThread(
-            Calendar calendar,
+    SimulatedThread(
+            EventQueue calendar,
             RandomGenerator chance,
-            RuleCheck check,
+            ScheduleRuleChecker check,
             boolean stalls,
             boolean oneAccepted,
             Runnable turn) {
--- a/src/main/java/org/xnio/nio/OneThreadServer.java
+++ b/src/main/java/org/xnio/nio/IoThreadTcpServer.java
@@ -17,8 +17,8 @@
  * such a server, but gives no public way to it, hence this class in its package (both jars are on
  * the class path; no module is opened).
  */
-public final class OneThreadServer {
-    private OneThreadServer() {}
+public final class IoThreadTcpServer {
+    private IoThreadTcpServer() {}
 
     /** Binds and listens; accepts begin with {@code resumeAccepts}. */
     public static AcceptingChannel<StreamConnection> listen(
--- a/src/test/java/firstage/cells/CellsTest.java
+++ b/src/test/java/firstage/cells/CellDirectoryTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import firstage.cells.CellDirectory.Fault;
 import firstage.cells.CellPlan.Cell;
-import firstage.cells.Cells.Fault;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -19,7 +19,7 @@
  * Who serves which engine, and how an engine goes from one cell to another: all orders of few
  * events.
  */
-class CellsTest {
+class CellDirectoryTest {
     private static final long SECOND = 10_000;
     private static final CellPlan OLD = plan(1, true, true, false);
     private static final CellPlan NEW = plan(2, false, true, true);
@@ -36,12 +36,12 @@
     }
 
     /** A manager without a membership: what it tells is kept, and heard by whom a test wants. */
-    private static final class Manager implements Cells.Effects {
+    private static final class Manager implements CellDirectory.Effects {
         private final String name;
         private final int cell;
         private final int slot;
         private final Fault fault;
-        private Cells cells;
+        private CellDirectory cells;
         private final List<byte[]> told = new ArrayList<>();
         private int freed;
 
@@ -54,7 +54,7 @@
 
         private void start(CellPlan plan, CellPlan before) {
             cells =
-                    new Cells(
+                    new CellDirectory(
                             plan,
                             before,
                             cell,
@@ -206,8 +206,8 @@
             double old = was.serves(c, engine, "n") ? was.coldPart(null, c, engine, "n") : 0;
             double now = 0;
             if (is.serves(c, engine, "n")) {
-                Cells cells =
-                        new Cells(
+                CellDirectory cells =
+                        new CellDirectory(
                                 is,
                                 was,
                                 c,
@@ -337,7 +337,7 @@
     @Test
     void whatIsSpoiltOrOfOthersChangesNothing() {
         Group g = new Group(Fault.NONE);
-        Cells a = g.all.get(0).cells;
+        CellDirectory a = g.all.get(0).cells;
         byte[] good = g.all.get(2).told.get(0);
         for (int length = 0; length < good.length; length++) {
             a.received(g.now, Arrays.copyOf(good, length));
@@ -351,8 +351,8 @@
         }
         assertThat(a.refused())
                 .containsKeys("another form", "another fleet", "another plan of this number");
-        Cells other =
-                new Cells(
+        CellDirectory other =
+                new CellDirectory(
                         plan(1, true, true, true),
                         null,
                         1,
@@ -373,7 +373,7 @@
         Group g = new Group(Fault.NONE);
         Manager c = g.all.get(3);
         c.start(NEW, OLD);
-        Sieve<Long> sieve = new Sieve<>(c.cells, e -> e, e -> "z", e -> false);
+        EngineSubset<Long> sieve = new EngineSubset<>(c.cells, e -> e, e -> "z", e -> false);
         List<Long> engines = LongStream.range(1, 200).boxed().toList();
         List<Long> mine =
                 engines.stream().filter(e -> NEW.serving(e, "z").equals(List.of(2))).toList();
--- a/src/test/java/firstage/cells/CellsFieldTest.java
+++ b/src/test/java/firstage/cells/SimulatedCellsTest.java
@@ -2,13 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.cells.Cells.Fault;
-import firstage.cells.Cells.Known;
-import firstage.cells.Cells.Standing;
-import firstage.overload.Rendezvous;
-import firstage.simulation.schedule.CellsField;
-import firstage.simulation.schedule.CellsField.Place;
-import firstage.simulation.schedule.CellsField.Shape;
+import firstage.cells.CellDirectory.Fault;
+import firstage.cells.CellDirectory.Known;
+import firstage.cells.CellDirectory.Standing;
+import firstage.overload.RendezvousHash;
+import firstage.simulation.schedule.SimulatedCells;
+import firstage.simulation.schedule.SimulatedCells.Place;
+import firstage.simulation.schedule.SimulatedCells.Shape;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
@@ -24,28 +24,28 @@
  * Cells in virtual time: deputies killed, cells dead and cut, a region alone, plans changed under
  * loss.
  */
-class CellsFieldTest {
+class SimulatedCellsTest {
     private static final long SECOND = 10_000;
 
-    private static CellsField field(int managers, int cell, Fault fault) {
-        CellsField f = new CellsField(new Shape(managers, cell, 2, 1, true, 400, fault), 7);
+    private static SimulatedCells field(int managers, int cell, Fault fault) {
+        SimulatedCells f = new SimulatedCells(new Shape(managers, cell, 2, 1, true, 400, fault), 7);
         f.start(SECOND);
         assertThat(f.untilAgreed(20 * SECOND)).isNotNegative();
         f.pass(30 * SECOND);
         return f;
     }
 
-    private static Known known(CellsField f, int by, int cell) {
+    private static Known known(SimulatedCells f, int by, int cell) {
         return f.places().get(by).cells().known(f.calendar().now()).get(cell);
     }
 
-    private static List<Place> of(CellsField f, int cell) {
+    private static List<Place> of(SimulatedCells f, int cell) {
         return f.places().stream().filter(p -> p.cell() == cell).toList();
     }
 
     @Test
     void allKnowAllCellsAndHowManyAreHere() {
-        CellsField f = field(32, 8, Fault.NONE);
+        SimulatedCells f = field(32, 8, Fault.NONE);
         for (Place p : f.places()) {
             assertThat(p.cells().known(f.calendar().now()))
                     .allMatch(k -> k.standing() == Standing.HEARD && k.here() == 8);
@@ -61,10 +61,12 @@
             value = Fault.class,
             names = {"NONE", "DEPUTIES_FOR_GOOD"})
     void whereAllDeputiesAreKilledTheCellIsHeardStill(Fault fault) {
-        CellsField f = field(32, 8, fault);
+        SimulatedCells f = field(32, 8, fault);
         List<String> names = of(f, 1).stream().map(p -> p.members().name()).toList();
         of(f, 1).stream()
-                .sorted(Comparator.comparing(p -> Rendezvous.before(1, names, p.members().name())))
+                .sorted(
+                        Comparator.comparing(
+                                p -> RendezvousHash.before(1, names, p.members().name())))
                 .limit(3)
                 .toList()
                 .forEach(Place::kill);
@@ -82,7 +84,7 @@
             value = Fault.class,
             names = {"NONE", "OLDER_ROW_WINS"})
     void aCellThatDiesAsOneIsSilentToAllAndHeardAgain(Fault fault) {
-        CellsField f = field(32, 8, fault);
+        SimulatedCells f = field(32, 8, fault);
         of(f, 1).forEach(Place::kill);
         f.pass(60 * SECOND);
         List<Place> others = f.places().stream().filter(Place::up).toList();
@@ -112,7 +114,7 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 4})
     void aCellCutInTwoNeverUsesMoreThanTheWhole(int apart) {
-        CellsField f = field(24, 8, Fault.NONE);
+        SimulatedCells f = field(24, 8, Fault.NONE);
         f.cut(p -> p < apart, true);
         for (int i = 0; i < 120; i++) {
             f.pass(SECOND / 2);
@@ -136,7 +138,7 @@
      */
     @Test
     void aRegionAloneKeepsItsSlicesAndComesBackWithoutABurst() {
-        CellsField f = field(48, 8, Fault.NONE);
+        SimulatedCells f = field(48, 8, Fault.NONE);
         long usual = seconds(f, 10);
         // Every other cell is of the one region, as the zones are.
         f.cut(p -> p / 8 % 2 == 0, true);
@@ -151,7 +153,7 @@
                 .allMatch(c -> known(f, 0, c).standing() == Standing.HEARD);
     }
 
-    private static long seconds(CellsField f, int count) {
+    private static long seconds(SimulatedCells f, int count) {
         long before = f.bytes().values().stream().mapToLong(b -> b).sum();
         f.pass(count * SECOND);
         return f.bytes().values().stream().mapToLong(b -> b).sum() - before;
@@ -169,7 +171,7 @@
         double worst = 0;
         double last = 0;
         for (int seed = 0; seed < 4; seed++) {
-            CellsField f = new CellsField(new Shape(24, 4, 2, 2, false, 400, fault), seed);
+            SimulatedCells f = new SimulatedCells(new Shape(24, 4, 2, 2, false, 400, fault), seed);
             f.start(SECOND);
             f.pass(10 * SECOND);
             f.loses(0.2);
@@ -178,7 +180,7 @@
                     new CellPlan(
                             2,
                             2,
-                            CellsField.plan(2, 2, 6, 2, 4).cells().stream()
+                            SimulatedCells.plan(2, 2, 6, 2, 4).cells().stream()
                                     .map(
                                             c ->
                                                     new CellPlan.Cell(
@@ -211,7 +213,7 @@
         }
     }
 
-    private static double most(CellsField f) {
+    private static double most(SimulatedCells f) {
         double most = 0;
         for (long engine = 1; engine <= 24; engine++) {
             String zone = "z" + engine % 2;
--- a/src/test/java/firstage/config/ShapeTest.java
+++ b/src/test/java/firstage/config/SettingsParserTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Old shape and new are told apart by settings alone; a mix of them is refused, naming the key. */
-class ShapeTest {
+class SettingsParserTest {
     private static Deployment read(String settings) {
-        return Setup.read(new Fields("POWER_ON " + settings));
+        return SettingsParser.read(new WireFields("POWER_ON " + settings));
     }
 
     @Test
@@ -30,16 +30,18 @@
 
     @Test
     void aMixOfShapesIsRefusedNamingTheKey() {
-        MalformedLine fault =
+        MalformedLineException fault =
                 assertThrows(
-                        MalformedLine.class, () -> read("report.via=off report.fields=waiting"));
+                        MalformedLineException.class,
+                        () -> read("report.via=off report.fields=waiting"));
         assertTrue(fault.getMessage().startsWith("report.fields"));
     }
 
     @Test
     void anUnknownWordIsRefusedNamingTheKey() {
-        MalformedLine fault =
-                assertThrows(MalformedLine.class, () -> read("family_info.out_of_memory=swap"));
+        MalformedLineException fault =
+                assertThrows(
+                        MalformedLineException.class, () -> read("family_info.out_of_memory=swap"));
         assertEquals(
                 "family_info.out_of_memory = swap is none of [page, shrink, wait]",
                 fault.getMessage());
--- a/src/test/java/firstage/emulator/CrowdTest.java
+++ b/src/test/java/firstage/emulator/LoadGeneratorTest.java
@@ -2,14 +2,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.policy.api.ServiceGroup.Effect;
-import firstage.simulation.FleetFile;
+import firstage.policy.api.TrafficClass.Effect;
 import firstage.simulation.FleetPlan;
-import firstage.simulation.RuleWatch;
-import firstage.simulation.RuleWatch.Try;
+import firstage.simulation.FleetPlanReader;
+import firstage.simulation.RandomStreams;
+import firstage.simulation.RuleChecker;
+import firstage.simulation.RuleChecker.Try;
 import firstage.simulation.Scoreboard;
-import firstage.simulation.Streams;
-import firstage.simulation.Work;
+import firstage.simulation.TrueRequest;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -27,12 +27,12 @@
 
 /** Clients as the protocol page has them: who may ask again after what. */
 @Timeout(30)
-class CrowdTest {
-    private final Map<Work, Integer> tries = new ConcurrentHashMap<>();
-    private final Crowd.Witness witness =
-            new Crowd.Witness() {
+class LoadGeneratorTest {
+    private final Map<TrueRequest, Integer> tries = new ConcurrentHashMap<>();
+    private final LoadGenerator.Witness witness =
+            new LoadGenerator.Witness() {
                 @Override
-                public void asked(Work is, int manager) {
+                public void asked(TrueRequest is, int manager) {
                     // Only tries are counted.
                 }
 
@@ -54,20 +54,20 @@
     @Test
     void underAManagerThatDiesOnlyRepeatableBatchesAreAskedForAgain() throws Exception {
         FleetPlan plan =
-                FleetFile.read(
-                        Files.readString(Path.of("deploy", "yard", "mass-restart.toml"))
+                FleetPlanReader.read(
+                        Files.readString(Path.of("deploy", "fault-tests", "mass-restart.toml"))
                                 .replace("count = 4", "count = 1")
                                 .replace("share = \"79%\"", "share = \"50%\"")
                                 .replace("share = \"6%\"", "share = \"35%\"")
                                 .replaceAll("(?s)\\[\\[fault\\]\\].*", ""));
-        Stage stage = new Stage();
+        RealTimeLoop stage = new RealTimeLoop();
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
-            RuleWatch rules = new RuleWatch(plan, 1_500, 1_000);
-            Crowd crowd =
-                    new Crowd(
+            RuleChecker rules = new RuleChecker(plan, 1_500, 1_000);
+            LoadGenerator crowd =
+                    new LoadGenerator(
                             stage,
                             plan,
-                            new Streams(1),
+                            new RandomStreams(1),
                             rules,
                             new Scoreboard(plan, stage.now()),
                             List.of((InetSocketAddress) server.getLocalSocketAddress()),
@@ -100,7 +100,8 @@
                 .orElse(0);
     }
 
-    private static void dieUnderEachCall(ServerSocket server, Stage stage, Crowd crowd) {
+    private static void dieUnderEachCall(
+            ServerSocket server, RealTimeLoop stage, LoadGenerator crowd) {
         try {
             while (true) {
                 Socket client = server.accept();
--- a/src/test/java/firstage/failover/ZonesTest.java
+++ b/src/test/java/firstage/failover/ZoneFailoverTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.overload.Level;
-import firstage.overload.Words;
+import firstage.overload.LoadSheddingLevel;
+import firstage.overload.OverloadDigest;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -20,7 +20,7 @@
  * Three zones with managers and engines, ways between them that break: who leaves which, and who
  * comes back when.
  */
-class ZonesTest {
+class ZoneFailoverTest {
     private static final long SECOND = 10_000;
     private static final long STEP = 1_000;
     private static final int ZONES = 3;
@@ -42,8 +42,8 @@
     private final class One {
         private final String name;
         private final int zone;
-        private final Level level;
-        private final Zones zones;
+        private final LoadSheddingLevel level;
+        private final ZoneFailover zones;
         private final Map<Long, Boolean> away = new HashMap<>();
         private final long[] triedAt = new long[ENGINES];
         private final long[] heardAt = new long[ENGINES];
@@ -53,17 +53,19 @@
         private final Map<Integer, Long> turnedAt = new HashMap<>();
         private boolean runs = true;
 
-        private One(int number, Zones.Fault fault) {
+        private One(int number, ZoneFailover.Fault fault) {
             name = "m" + number;
             zone = number % ZONES;
-            level = new Level(name, SECOND, (at, band, part) -> {}, Level.Fault.NONE);
+            level =
+                    new LoadSheddingLevel(
+                            name, SECOND, (at, band, part) -> {}, LoadSheddingLevel.Fault.NONE);
             zones =
-                    new Zones(
+                    new ZoneFailover(
                             name,
                             zone,
                             ZONES,
                             WARM,
-                            new Zones.Effects() {
+                            new ZoneFailover.Effects() {
                                 @Override
                                 public void keepAway(
                                         long engine, boolean keepsAway, boolean restIsOver) {
@@ -119,7 +121,7 @@
         }
     }
 
-    private void fleet(int managers, Zones.Fault fault) {
+    private void fleet(int managers, ZoneFailover.Fault fault) {
         for (int m = 0; m < managers; m++) {
             all.add(new One(m, fault));
         }
@@ -152,10 +154,15 @@
                     if (other != o && o.runs && other.runs && talks[o.zone][other.zone]) {
                         other.level.heard(
                                 now,
-                                Words.read(Words.write(List.of(), o.level.rows(now, 20))).rows());
+                                OverloadDigest.read(
+                                                OverloadDigest.write(
+                                                        List.of(), o.level.rows(now, 20)))
+                                        .rows());
                         o.level.heard(
                                 now,
-                                Words.read(Words.write(List.of(), other.level.rows(now, 20)))
+                                OverloadDigest.read(
+                                                OverloadDigest.write(
+                                                        List.of(), other.level.rows(now, 20)))
                                         .rows());
                     }
                 }
@@ -173,7 +180,7 @@
     /** Soon, by all in nearly the same moment, with a manager that goes on trying each engine. */
     @Test
     void aDeadZoneIsLeftByAllAndComeBackToInSteps() {
-        fleet(24, Zones.Fault.NONE);
+        fleet(24, ZoneFailover.Fault.NONE);
         pass(10);
         engines(1, false);
         long died = now;
@@ -201,7 +208,7 @@
 
     @Test
     void aCutBetweenTwoZonesIsTheirsAlone() {
-        fleet(12, Zones.Fault.NONE);
+        fleet(12, ZoneFailover.Fault.NONE);
         pass(5);
         bears[0][2] = false;
         talks[0][2] = false;
@@ -215,7 +222,7 @@
     /** Engines of it are alive inside: those outside leave, those inside go on. */
     @Test
     void aZoneThatIsCutOffServesItself() {
-        fleet(12, Zones.Fault.NONE);
+        fleet(12, ZoneFailover.Fault.NONE);
         pass(5);
         for (int z = 0; z < 2; z++) {
             bears[z][2] = false;
@@ -234,7 +241,7 @@
 
     @Test
     void whereAllIsBadNobodyLeaves() {
-        fleet(12, Zones.Fault.NONE);
+        fleet(12, ZoneFailover.Fault.NONE);
         pass(5);
         for (int z = 0; z < ZONES; z++) {
             engines(z, false);
@@ -245,7 +252,7 @@
 
     @Test
     void ofThreeZonesTwoMayFailAndTheLastStays() {
-        fleet(12, Zones.Fault.NONE);
+        fleet(12, ZoneFailover.Fault.NONE);
         pass(5);
         engines(0, false);
         engines(1, false);
@@ -259,7 +266,7 @@
 
     @Test
     void aZoneThatFlapsIsHeldOutLongerEachTime() {
-        fleet(12, Zones.Fault.NONE);
+        fleet(12, ZoneFailover.Fault.NONE);
         pass(5);
         for (int s = 0; s < 120; s += 3) {
             engines(1, s / 3 % 2 == 1);
@@ -274,7 +281,7 @@
     /** A release takes a third of its engines, a rack half: that is no zone. */
     @Test
     void someBadEnginesAreNoZone() {
-        fleet(12, Zones.Fault.NONE);
+        fleet(12, ZoneFailover.Fault.NONE);
         pass(5);
         all.forEach(
                 o -> {
@@ -309,7 +316,7 @@
 
     @Test
     void whoStoodStillHasNoVoice() {
-        fleet(12, Zones.Fault.NONE);
+        fleet(12, ZoneFailover.Fault.NONE);
         paused();
         assertThat(all).allMatch(o -> o.turns.isEmpty());
     }
@@ -317,28 +324,28 @@
     /** Told to one, known to all, also to the one when it starts anew; and taken back. */
     @Test
     void anOperatorsWordIsHeededByAllAndOutlivesTheOneThatWasAsked() {
-        fleet(12, Zones.Fault.NONE);
+        fleet(12, ZoneFailover.Fault.NONE);
         pass(5);
-        all.get(4).zones.order(now, 2, Zones.Order.LEAVE);
+        all.get(4).zones.order(now, 2, ZoneFailover.Order.LEAVE);
         pass(3);
         assertThat(all).allMatch(o -> o.zones.out().equals(List.of(2)));
-        restart(4, Zones.Fault.NONE);
+        restart(4, ZoneFailover.Fault.NONE);
         pass(3);
         assertThat(all).allMatch(o -> o.zones.out().equals(List.of(2)));
         pass(30);
         assertThat(all).allMatch(o -> o.zones.out().equals(List.of(2)));
-        all.get(7).zones.order(now, 2, Zones.Order.HOLD);
+        all.get(7).zones.order(now, 2, ZoneFailover.Order.HOLD);
         pass(15);
         assertThat(all).allMatch(o -> o.zones.out().isEmpty());
         engines(2, false);
         pass(20);
         assertThat(all).allMatch(o -> o.zones.out().isEmpty());
-        all.get(1).zones.order(now, 2, Zones.Order.NONE);
+        all.get(1).zones.order(now, 2, ZoneFailover.Order.NONE);
         pass(5);
         assertThat(all).allMatch(o -> o.zones.out().equals(List.of(2)));
     }
 
-    private void restart(int number, Zones.Fault fault) {
+    private void restart(int number, ZoneFailover.Fault fault) {
         all.set(number, new One(number, fault));
         List<String> names = all.stream().map(o -> o.name).toList();
         all.get(number).level.viewed(names);
@@ -346,10 +353,10 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Zones.Fault.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void faultsAreFound(Zones.Fault fault) {
+    @EnumSource(value = ZoneFailover.Fault.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
+    void faultsAreFound(ZoneFailover.Fault fault) {
         fleet(12, fault);
-        if (fault == Zones.Fault.STILL_COUNTS) {
+        if (fault == ZoneFailover.Fault.STILL_COUNTS) {
             paused();
             assertThat(all).anyMatch(o -> !o.turns.isEmpty());
             return;
@@ -376,7 +383,7 @@
                 assertThat(leavings()).isGreaterThan(4);
             }
             case ORDER_FORGOTTEN -> {
-                all.get(4).zones.order(now, 2, Zones.Order.LEAVE);
+                all.get(4).zones.order(now, 2, ZoneFailover.Order.LEAVE);
                 pass(3);
                 restart(4, fault);
                 pass(3);
--- a/src/test/java/firstage/faulttest/YardIT.java
+++ b/src/test/java/firstage/faulttest/FaultTestIT.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.simulation.FleetFile;
 import firstage.simulation.FleetPlan;
+import firstage.simulation.FleetPlanReader;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -22,27 +22,27 @@
  * proves nothing either way.
  */
 @Timeout(120)
-class YardIT {
+class FaultTestIT {
     private static final String RUN =
             "java -Xmx64m -Xss512k -XX:+UseSerialGC -XX:TieredStopAtLevel=1"
                     + " -jar target/firstage.jar serve";
     @TempDir private Path folder;
 
     private static String text(String plan) throws IOException {
-        return Files.readString(Path.of("deploy", "yard", plan + ".toml"))
+        return Files.readString(Path.of("deploy", "fault-tests", plan + ".toml"))
                 .replaceFirst("(?s)\\[\\[expect.*", "")
                 .replace("rate = 50.0", "rate = 25.0");
     }
 
-    private YardRun.Result play(String plan, boolean peers, String more) throws IOException {
+    private FaultTestRun.Result play(String plan, boolean peers, String more) throws IOException {
         return playText(text(plan) + more, peers);
     }
 
-    private YardRun.Result playText(String plan, boolean peers) throws IOException {
-        FleetPlan read = FleetFile.read(plan);
-        YardRun.check(read);
-        return YardRun.play(
-                new YardRun.Order(
+    private FaultTestRun.Result playText(String plan, boolean peers) throws IOException {
+        FleetPlan read = FleetPlanReader.read(plan);
+        FaultTestRun.check(read);
+        return FaultTestRun.play(
+                new FaultTestRun.Order(
                         read,
                         1,
                         folder,
@@ -52,9 +52,9 @@
                         line -> {}));
     }
 
-    private void holds(YardRun.Result r) {
+    private void holds(FaultTestRun.Result r) {
         if (r.isVoid() != null) {
-            System.out.println("yard: void: " + r.isVoid());
+            System.out.println("fault-test: void: " + r.isVoid());
         }
         assertThat(r.broken()).isEmpty();
     }
@@ -140,9 +140,9 @@
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                                 "-jar",
                                 "target/firstage.jar",
-                                "yard",
+                                "fault-test",
                                 "run",
-                                "deploy/yard/calm.toml",
+                                "deploy/fault-tests/calm.toml",
                                 "--out",
                                 folder.toString())
                         .redirectErrorStream(true)
@@ -158,7 +158,7 @@
         Thread.sleep(500);
         yard.destroyForcibly().waitFor();
         assertThat(managers).allMatch(ProcessHandle::isAlive);
-        List<String> ended = Leftovers.sweep();
+        List<String> ended = OrphanedProcesses.sweep();
         for (ProcessHandle p : managers) {
             assertThat(ended).anyMatch(line -> line.startsWith("ended process " + p.pid() + ","));
             p.onExit().get(10, java.util.concurrent.TimeUnit.SECONDS);
@@ -170,13 +170,13 @@
         assertThat(
                         org.assertj.core.api.Assertions.catchThrowable(
                                 () ->
-                                        YardRun.play(
-                                                new YardRun.Order(
-                                                        FleetFile.read(
+                                        FaultTestRun.play(
+                                                new FaultTestRun.Order(
+                                                        FleetPlanReader.read(
                                                                 Files.readString(
                                                                         Path.of(
                                                                                 "deploy",
-                                                                                "yard",
+                                                                                "fault-test",
                                                                                 "calm.toml"))),
                                                         1,
                                                         folder,
@@ -190,20 +190,22 @@
 
     @Test
     void aPlanThatNamesAManagerItDoesNotHaveIsRefusedWithLineAndCure() throws IOException {
-        String plan = Files.readString(Path.of("deploy", "yard", "one-sided-cut.toml"));
+        String plan = Files.readString(Path.of("deploy", "fault-tests", "one-sided-cut.toml"));
         assertThat(
                         org.assertj.core.api.Assertions.catchThrowable(
-                                () -> FleetFile.read(plan.replace("managers 0", "managers 9"))))
+                                () ->
+                                        FleetPlanReader.read(
+                                                plan.replace("managers 0", "managers 9"))))
                 .hasMessageContaining("names one that the plan does not have; 0 to 3 would do");
         assertThat(
                         org.assertj.core.api.Assertions.catchThrowable(
-                                () -> FleetFile.read(plan.replace("\"cut\"", "\"cot\""))))
+                                () -> FleetPlanReader.read(plan.replace("\"cut\"", "\"cot\""))))
                 .hasMessageContaining("'cot' is none of");
         assertThat(
                         org.assertj.core.api.Assertions.catchThrowable(
                                 () ->
-                                        YardRun.check(
-                                                FleetFile.read(
+                                        FaultTestRun.check(
+                                                FleetPlanReader.read(
                                                         plan.replace(
                                                                 "\"service\"", "\"servise\"")))))
                 .hasMessageContaining("no figure 'servise'");
--- a/src/test/java/firstage/lifecycle/DispatchLifeTest.java
+++ b/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.lifecycle.DispatchLife.Alarm;
-import firstage.lifecycle.DispatchLife.Loss;
-import firstage.lifecycle.DispatchLife.Word;
-import firstage.policy.api.Outcome;
+import firstage.lifecycle.AttemptStateMachine.Alarm;
+import firstage.lifecycle.AttemptStateMachine.Loss;
+import firstage.lifecycle.AttemptStateMachine.Word;
+import firstage.policy.api.AttemptOutcome;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -14,16 +14,16 @@
  * A dispatch's life, story by story: what it does, how it ends, and how long its engine may hold
  * it.
  */
-class DispatchLifeTest implements DispatchLife.Carrier {
+class AttemptStateMachineTest implements AttemptStateMachine.Carrier {
     private final List<String> acts = new ArrayList<>();
-    private DispatchLife life = new DispatchLife(this, true);
+    private AttemptStateMachine life = new AttemptStateMachine(this, true);
     private boolean lives;
     private boolean awaited = true;
     private long limit;
     private int done;
     private long now = 1_000_000;
 
-    private DispatchLifeTest written() {
+    private AttemptStateMachineTest written() {
         life.start();
         life.written(now);
         acts.clear();
@@ -42,7 +42,7 @@
     @Test
     void givenUpBeforeItIsWrittenItNeverRan() {
         life.start();
-        life.giveUp(now, Outcome.CALLED_OFF);
+        life.giveUp(now, AttemptOutcome.CALLED_OFF);
         assertThat(life.wanted()).isFalse();
         life.rang(now, Alarm.DUE);
         assertThat(acts).containsExactly("post", "after 0 DUE", "NOT_SENT 0");
@@ -51,18 +51,18 @@
     @Test
     void itsEngineMayHoldItWhereTheDeleteMayHaveOvertakenTheStatement() {
         written();
-        life.giveUp(now + 10, Outcome.TIMED_OUT);
+        life.giveUp(now + 10, AttemptOutcome.TIMED_OUT);
         life.deleted(now + 20);
         assertThat(acts).containsExactly("after 200 DUE", "delete", "after 5000 DELETE_AGAIN");
         limit = now + 200_000;
         life.rang(now + 210, Alarm.DUE);
-        assertThat(acts).last().isEqualTo("TIMED_OUT " + (DispatchLife.FORGETS - 210));
+        assertThat(acts).last().isEqualTo("TIMED_OUT " + (AttemptStateMachine.FORGETS - 210));
     }
 
     @Test
     void theStatementsOwnAnswerMakesADeleteProof() {
         written();
-        life.giveUp(now + 10, Outcome.TIMED_OUT);
+        life.giveUp(now + 10, AttemptOutcome.TIMED_OUT);
         life.posted(now + 20, Word.NEWS);
         life.rang(now + 140, Alarm.DELETE_AGAIN);
         life.deleted(now + 150);
@@ -84,7 +84,7 @@
         written();
         life.posted(now, Word.NEWS);
         awaited = false;
-        life.giveUp(now + 10, Outcome.CALLED_OFF);
+        life.giveUp(now + 10, AttemptOutcome.CALLED_OFF);
         life.told(now + 80, Word.NEWS);
         life.rang(now + 200, Alarm.DELETE_AGAIN);
         life.deleted(now + 205);
@@ -104,7 +104,7 @@
         life.posted(now, Word.NEWS);
         awaited = false;
         limit = now + 200_000;
-        life.giveUp(now + 10, Outcome.CALLED_OFF);
+        life.giveUp(now + 10, AttemptOutcome.CALLED_OFF);
         life.rang(now + 210, Alarm.DUE);
         assertThat(life.lingers()).isTrue();
         assertThat(acts)
@@ -122,7 +122,7 @@
     void whatIsNeverProvenIsHeldUntilItsLimitAndItsEngineIsToldOn() {
         written();
         limit = now + 200_000;
-        life.giveUp(now + 10, Outcome.CALLED_OFF);
+        life.giveUp(now + 10, AttemptOutcome.CALLED_OFF);
         life.rang(now + 210, Alarm.DUE);
         assertThat(acts).endsWith("after 200790 FORGOTTEN", "CALLED_OFF 200790");
         assertThat(life.lingers()).isFalse();
@@ -140,28 +140,28 @@
         written();
         awaited = false;
         limit = now + 200_000;
-        life.giveUp(now + 10, Outcome.CALLED_OFF);
+        life.giveUp(now + 10, AttemptOutcome.CALLED_OFF);
         life.rang(now + 210, Alarm.DUE);
-        life.deleted(now + DispatchLife.FORGETS - 1);
+        life.deleted(now + AttemptStateMachine.FORGETS - 1);
         assertThat(acts).last().isEqualTo("after 5000 DELETE_AGAIN");
-        life.deleted(now + DispatchLife.FORGETS + 5_000);
+        life.deleted(now + AttemptStateMachine.FORGETS + 5_000);
         assertThat(acts).last().isEqualTo("CALLED_OFF 0");
     }
 
     @Test
     void whereNoOtherWaitsAnEndIsNotProvenForLong() {
-        life = new DispatchLife(this, false);
+        life = new AttemptStateMachine(this, false);
         written();
         life.posted(now, Word.NEWS);
         awaited = false;
-        life.giveUp(now + 10, Outcome.CALLED_OFF);
+        life.giveUp(now + 10, AttemptOutcome.CALLED_OFF);
         life.rang(now + 210, Alarm.DUE);
         assertThat(acts)
                 .containsExactly(
                         "ask",
                         "after 200 DUE",
                         "delete",
-                        "CALLED_OFF " + (DispatchLife.FORGETS - 210));
+                        "CALLED_OFF " + (AttemptStateMachine.FORGETS - 210));
         assertThat(done).isEqualTo(1);
     }
 
@@ -176,8 +176,8 @@
                         "ask fresh",
                         "after 200 DUE",
                         "delete",
-                        "after " + (DispatchLife.FORGETS + 5 - 210) + " FORGOTTEN",
-                        "ERRORED " + (DispatchLife.FORGETS + 5 - 210));
+                        "after " + (AttemptStateMachine.FORGETS + 5 - 210) + " FORGOTTEN",
+                        "ERRORED " + (AttemptStateMachine.FORGETS + 5 - 210));
     }
 
     @Test
@@ -190,7 +190,7 @@
         life.rang(now + 600, Alarm.AGAIN);
         lives = false;
         life.lost(now + 700, Loss.REFUSED);
-        assertThat(acts).last().isEqualTo("BROKEN " + (DispatchLife.FORGETS + 600 - 700));
+        assertThat(acts).last().isEqualTo("BROKEN " + (AttemptStateMachine.FORGETS + 600 - 700));
     }
 
     @Test
@@ -200,7 +200,7 @@
         assertThat(acts).containsExactly("after 200 DUE", "delete");
         life.deleted(now + 10);
         assertThat(acts).last().isEqualTo("ERRORED 0");
-        life = new DispatchLife(this, false);
+        life = new AttemptStateMachine(this, false);
         written();
         life.posted(now, Word.ERROR);
         assertThat(acts).containsExactly("ERRORED 0");
@@ -233,7 +233,7 @@
         written();
         life.posted(now, Word.TURNED_AWAY);
         life.told(now, Word.LAST);
-        life.giveUp(now, Outcome.TIMED_OUT);
+        life.giveUp(now, AttemptOutcome.TIMED_OUT);
         life.rang(now, Alarm.DUE);
         assertThat(acts).containsExactly("TURNED_AWAY 0");
     }
@@ -284,7 +284,7 @@
     }
 
     @Override
-    public void ended(Outcome how, long rest) {
+    public void ended(AttemptOutcome how, long rest) {
         acts.add(how + " " + rest);
     }
 }
--- a/src/test/java/firstage/lifecycle/CallLifeTest.java
+++ b/src/test/java/firstage/lifecycle/ClientCallStateMachineTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /** A client's call, story by story. */
-class CallLifeTest implements CallLife.Carrier {
+class ClientCallStateMachineTest implements ClientCallStateMachine.Carrier {
     private final List<String> acts = new ArrayList<>();
-    private final CallLife life = new CallLife(this);
+    private final ClientCallStateMachine life = new ClientCallStateMachine(this);
 
     @Test
     void aQuickAnswerGoesOutOnTheFirstCall() {
@@ -58,7 +58,7 @@
         life.due();
         assertThat(acts).endsWith("forget", "left");
         acts.clear();
-        CallLife other = new CallLife(this);
+        ClientCallStateMachine other = new ClientCallStateMachine(this);
         other.start();
         other.due();
         other.answer();
--- a/src/test/java/firstage/lifecycle/KeyWatchTest.java
+++ b/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /** What the watch finds, and the order of taking that it watches. */
-class KeyWatchTest {
-    private final KeyWatch watch = new KeyWatch();
+class KeyOrderMonitorTest {
+    private final KeyOrderMonitor watch = new KeyOrderMonitor();
 
     @Test
     void oneAtATimeAndInTurnIsFine() {
@@ -43,9 +43,9 @@
     @Test
     void ofTwoThatCameBeforeABarrierOnlyTheFirstIsToldAsKnown() {
         List<String> told = new ArrayList<>();
-        TakingOrder<String> order =
-                new TakingOrder<>(
-                        new TakingOrder.Carrier<>() {
+        ArrivalSequencer<String> order =
+                new ArrivalSequencer<>(
+                        new ArrivalSequencer.Carrier<>() {
                             @Override
                             public void barrier(Object key) {
                                 told.add("barrier " + key);
--- a/src/test/java/firstage/membership/LeasesTest.java
+++ b/src/test/java/firstage/membership/QuotaLeasesTest.java
@@ -15,7 +15,7 @@
  * The parts in use never pass the whole: all orders of few events among three, and long hostile
  * plays of more.
  */
-class LeasesTest {
+class QuotaLeasesTest {
     private static final long SECOND = 10_000;
     private static final long PERIOD = 2_000;
 
@@ -25,16 +25,16 @@
      */
     private static final class Group {
         private final int all;
-        private final Leases.Fault fault;
-        private final Leases[] leases;
+        private final QuotaLeases.Fault fault;
+        private final QuotaLeases[] leases;
         private final boolean[] lentBefore;
         private final double[] pace;
         private long now = 100 * SECOND;
 
-        private Group(int all, Leases.Fault fault) {
+        private Group(int all, QuotaLeases.Fault fault) {
             this.all = all;
             this.fault = fault;
-            leases = new Leases[all];
+            leases = new QuotaLeases[all];
             lentBefore = new boolean[all];
             pace = new double[all];
             for (int m = 0; m < all; m++) {
@@ -45,7 +45,7 @@
 
         private void start(int m) {
             leases[m] =
-                    new Leases(
+                    new QuotaLeases(
                             all,
                             PERIOD,
                             lentBefore[m],
@@ -107,7 +107,7 @@
      * The most that is in use in any order of so many events; the last of them are an answer to
      * each.
      */
-    private static double worst(int depth, Leases.Fault fault) {
+    private static double worst(int depth, QuotaLeases.Fault fault) {
         return IntStream.range(0, 1 << 3 * depth)
                 .parallel()
                 .mapToDouble(
@@ -130,12 +130,12 @@
     /** Eight on demand (-Dfirstage.leases=8): some minutes. */
     @Test
     void amongThreeNoOrderOfSixEventsPassesTheWhole() {
-        assertThat(worst(Integer.getInteger("firstage.leases", 6), Leases.Fault.NONE))
+        assertThat(worst(Integer.getInteger("firstage.leases", 6), QuotaLeases.Fault.NONE))
                 .isLessThanOrEqualTo(1 + 1e-9);
     }
 
     /** Random plays of four to nine: answers lost, late and doubled, cuts, stops, new lives. */
-    private static double hostile(long seed, Leases.Fault fault) {
+    private static double hostile(long seed, QuotaLeases.Fault fault) {
         RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         Group g = new Group(3 + chance.nextInt(7), fault);
         List<Runnable> late = new ArrayList<>();
@@ -182,7 +182,7 @@
         return worst;
     }
 
-    private static double worstOf(int seeds, Leases.Fault fault) {
+    private static double worstOf(int seeds, QuotaLeases.Fault fault) {
         double worst = 0;
         for (long seed = 0; seed < seeds; seed++) {
             worst = Math.max(worst, hostile(seed, fault));
@@ -192,18 +192,18 @@
 
     @Test
     void noHostilePlayPassesTheWhole() {
-        assertThat(worstOf(3_000, Leases.Fault.NONE)).isLessThanOrEqualTo(1 + 1e-9);
+        assertThat(worstOf(3_000, QuotaLeases.Fault.NONE)).isLessThanOrEqualTo(1 + 1e-9);
     }
 
     @ParameterizedTest
-    @EnumSource(value = Leases.Fault.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void aFaultPutBackPassesIt(Leases.Fault fault) {
+    @EnumSource(value = QuotaLeases.Fault.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
+    void aFaultPutBackPassesIt(QuotaLeases.Fault fault) {
         assertThat(worstOf(3_000, fault)).isGreaterThan(1 + 1e-9);
     }
 
     @Test
     void whoIsGoneLeavesHalfOfItsShareToTheOthersAndTakesItBack() {
-        Group g = new Group(4, Leases.Fault.NONE);
+        Group g = new Group(4, QuotaLeases.Fault.NONE);
         for (int i = 0; i < 200; i++) {
             g.now += SECOND / 5;
             for (int m = 0; m < 3; m++) {
@@ -226,7 +226,7 @@
 
     @Test
     void cutOffFromAllItKeepsHalfAndOneOfTwoKeepsAll() {
-        assertThat(new Group(4, Leases.Fault.NONE).leases[0].share(0)).isEqualTo(0.125);
-        assertThat(new Group(2, Leases.Fault.NONE).leases[0].share(0)).isEqualTo(0.5);
+        assertThat(new Group(4, QuotaLeases.Fault.NONE).leases[0].share(0)).isEqualTo(0.125);
+        assertThat(new Group(2, QuotaLeases.Fault.NONE).leases[0].share(0)).isEqualTo(0.5);
     }
 }
--- a/src/test/java/firstage/overload/LevelTest.java
+++ b/src/test/java/firstage/overload/LoadSheddingLevelTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.policy.api.Demand;
+import firstage.policy.api.DemandHistogram;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
@@ -18,7 +18,7 @@
  * A fleet that is asked for more than its engines bear, as a flow of work: who refuses what, and
  * how it comes back.
  */
-class LevelTest {
+class LoadSheddingLevelTest {
     private static final long SECOND = 10_000;
     private static final long STEP = 1_000;
     private static final double CAPACITY = 40;
@@ -39,21 +39,21 @@
      */
     private final class One {
         private final String name;
-        private final Level level;
-        private final Demand demand = new Demand();
-        private final double[] asks = new double[Demand.BANDS];
-        private final double[] queue = new double[Demand.BANDS];
-        private final double[] served = new double[Demand.BANDS];
-        private final List<List<Level.Row>> sent = new ArrayList<>();
+        private final LoadSheddingLevel level;
+        private final DemandHistogram demand = new DemandHistogram();
+        private final double[] asks = new double[DemandHistogram.BANDS];
+        private final double[] queue = new double[DemandHistogram.BANDS];
+        private final double[] served = new double[DemandHistogram.BANDS];
+        private final List<List<LoadSheddingLevel.Row>> sent = new ArrayList<>();
         private int cut;
         private double part = 1;
         private boolean up = true;
         private boolean lies;
 
-        private One(String name, Level.Fault fault) {
+        private One(String name, LoadSheddingLevel.Fault fault) {
             this.name = name;
             level =
-                    new Level(
+                    new LoadSheddingLevel(
                             name,
                             SECOND,
                             (at, band, portion) -> {
@@ -68,7 +68,7 @@
         }
 
         private void asked() {
-            for (int band = 0; band < Demand.BANDS; band++) {
+            for (int band = 0; band < DemandHistogram.BANDS; band++) {
                 demand.came(band, asks[band] * STEP);
                 queue[band] += asks[band] * STEP * (band < cut ? 0 : band == cut ? part : 1);
                 queue[band] = band < cut ? 0 : queue[band];
@@ -77,7 +77,7 @@
 
         private void serve(double share) {
             double gone = 0;
-            for (int band = 0; band < Demand.BANDS; band++) {
+            for (int band = 0; band < DemandHistogram.BANDS; band++) {
                 double goes = queue[band] * share;
                 queue[band] -= goes;
                 served[band] += goes;
@@ -87,7 +87,7 @@
             double most = 2 * SECOND * CAPACITY / all.size();
             double over = Math.max(0, waits() - most) / Math.max(1, waits());
             demand.lost(waits() * over);
-            for (int band = 0; band < Demand.BANDS; band++) {
+            for (int band = 0; band < DemandHistogram.BANDS; band++) {
                 queue[band] *= 1 - over;
             }
             demand.waits(waits());
@@ -96,15 +96,18 @@
             level.look(now);
         }
 
-        private List<Level.Row> tells() {
-            List<Level.Row> rows =
-                    Words.read(Words.write(List.of(), level.rows(now, Words.rows(0)))).rows();
+        private List<LoadSheddingLevel.Row> tells() {
+            List<LoadSheddingLevel.Row> rows =
+                    OverloadDigest.read(
+                                    OverloadDigest.write(
+                                            List.of(), level.rows(now, OverloadDigest.rows(0))))
+                            .rows();
             if (lies) {
-                double[] came = new double[Demand.BANDS];
-                came[Demand.BANDS - 1] = 1e5;
+                double[] came = new double[DemandHistogram.BANDS];
+                came[DemandHistogram.BANDS - 1] = 1e5;
                 rows.set(
                         0,
-                        new Level.Row(
+                        new LoadSheddingLevel.Row(
                                 rows.get(0).name(),
                                 rows.get(0).stamp(),
                                 came,
@@ -120,7 +123,7 @@
         }
     }
 
-    private void fleet(int count, Level.Fault fault) {
+    private void fleet(int count, LoadSheddingLevel.Fault fault) {
         for (int m = 0; m < count; m++) {
             all.add(new One("m" + m, fault));
         }
@@ -146,8 +149,8 @@
             if (now / STEP % 2 == 0) {
                 for (One o : up) {
                     One other = up.get(chance.nextInt(up.size()));
-                    List<Level.Row> there = o.tells();
-                    List<Level.Row> back = other.tells();
+                    List<LoadSheddingLevel.Row> there = o.tells();
+                    List<LoadSheddingLevel.Row> back = other.tells();
                     if (other != o && chance.nextDouble() >= loss) {
                         other.level.heard(now, there);
                         o.level.heard(now, back);
@@ -176,7 +179,7 @@
 
     @Test
     void inCalmNothingIsRefused() {
-        fleet(12, Level.Fault.NONE);
+        fleet(12, LoadSheddingLevel.Fault.NONE);
         calm();
         pass(20);
         assertThat(all).allMatch(o -> o.cut == 0 && o.part == 1);
@@ -185,7 +188,7 @@
     /** What is worth more is served, at once and by all alike, and all is open soon after. */
     @Test
     void inAStormAllRefuseTheSameAndOpenAgain() {
-        fleet(12, Level.Fault.NONE);
+        fleet(12, LoadSheddingLevel.Fault.NONE);
         calm();
         pass(10);
         storm();
@@ -214,7 +217,7 @@
                     {3, 0, 0, 95}, {12, 30, 0, 95}, {12, 0, 5, 95}, {40, 30, 2, 95}, {12, 0, 25, 85}
                 }) {
             all.clear();
-            fleet(is[0], Level.Fault.NONE);
+            fleet(is[0], LoadSheddingLevel.Fault.NONE);
             loss = is[1] / 100.0;
             late = is[2];
             storm();
@@ -237,7 +240,7 @@
 
     @Test
     void aClassThatOneManagerCarriesIsServedThereByTheFleetsLevel() {
-        fleet(12, Level.Fault.NONE);
+        fleet(12, LoadSheddingLevel.Fault.NONE);
         asks(LOW, 3 * CAPACITY);
         all.get(3).asks[HIGH] = 0.1 * CAPACITY;
         pass(5);
@@ -252,8 +255,8 @@
      */
     @Test
     void allRowsArePassedOnByTurns() {
-        fleet(97, Level.Fault.NONE);
-        Level one = all.get(0).level;
+        fleet(97, LoadSheddingLevel.Fault.NONE);
+        LoadSheddingLevel one = all.get(0).level;
         all.forEach(o -> one.heard(now, o.level.rows(now, 1)));
         Set<Integer> told = new HashSet<>();
         for (int i = 0; i < 20; i++) {
@@ -264,15 +267,17 @@
 
     @Test
     void worthThatDiffersAThousandfoldIsToldApart() {
-        assertThat(Demand.band(1_000, SECOND, false)).isEqualTo(Demand.BANDS - 1);
-        assertThat(Demand.band(1, SECOND, false)).isLessThan(Demand.band(1.5, SECOND, false));
-        assertThat(Demand.band(0, SECOND, false)).isZero();
-        assertThat(Demand.band(Double.MAX_VALUE, 0, true)).isLessThan(Demand.BANDS);
-        fleet(6, Level.Fault.NONE);
-        asks(Demand.band(100, SECOND, false), 0.3 * CAPACITY);
-        asks(Demand.band(0.1, SECOND, false), 3 * CAPACITY);
+        assertThat(DemandHistogram.band(1_000, SECOND, false)).isEqualTo(DemandHistogram.BANDS - 1);
+        assertThat(DemandHistogram.band(1, SECOND, false))
+                .isLessThan(DemandHistogram.band(1.5, SECOND, false));
+        assertThat(DemandHistogram.band(0, SECOND, false)).isZero();
+        assertThat(DemandHistogram.band(Double.MAX_VALUE, 0, true))
+                .isLessThan(DemandHistogram.BANDS);
+        fleet(6, LoadSheddingLevel.Fault.NONE);
+        asks(DemandHistogram.band(100, SECOND, false), 0.3 * CAPACITY);
+        asks(DemandHistogram.band(0.1, SECOND, false), 3 * CAPACITY);
         pass(15);
-        assertThat(served(Demand.band(100, SECOND, false)))
+        assertThat(served(DemandHistogram.band(100, SECOND, false)))
                 .isGreaterThan(0.9 * 15 * 0.3 * CAPACITY);
     }
 
@@ -281,7 +286,7 @@
      */
     @Test
     void whatTheDeadToldEnds() {
-        fleet(12, Level.Fault.NONE);
+        fleet(12, LoadSheddingLevel.Fault.NONE);
         storm();
         pass(10);
         all.subList(6, 12).forEach(o -> o.up = false);
@@ -295,7 +300,7 @@
     /** It claims a thousandfold load of the best worth, and that all of it waits. */
     @Test
     void oneThatLiesCostsLittle() {
-        fleet(12, Level.Fault.NONE);
+        fleet(12, LoadSheddingLevel.Fault.NONE);
         all.get(0).lies = true;
         calm();
         pass(10);
@@ -308,8 +313,11 @@
 
     /** Each fault is seen by one of the stories above. */
     @ParameterizedTest
-    @EnumSource(value = Level.Fault.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void faultsAreFound(Level.Fault fault) {
+    @EnumSource(
+            value = LoadSheddingLevel.Fault.class,
+            mode = EnumSource.Mode.EXCLUDE,
+            names = "NONE")
+    void faultsAreFound(LoadSheddingLevel.Fault fault) {
         fleet(12, fault);
         switch (fault) {
             case NO_PEERS -> {
@@ -329,7 +337,7 @@
                 assertThat(all.get(0).cut).isGreaterThan(0);
             }
             case OLDER_WINS -> {
-                List<Level.Row> old = all.get(1).tells();
+                List<LoadSheddingLevel.Row> old = all.get(1).tells();
                 pass(2);
                 all.get(0).level.heard(now, all.get(1).tells());
                 all.get(0).level.heard(now, old);
--- a/src/test/java/firstage/overload/TrialsTest.java
+++ b/src/test/java/firstage/overload/ProbeCoordinatorTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.policy.api.Demand;
+import firstage.policy.api.DemandHistogram;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -16,7 +16,7 @@
  * Managers that tell each other which engines are sick: who tries, who keeps away, and how all come
  * back.
  */
-class TrialsTest {
+class ProbeCoordinatorTest {
     private static final long SECOND = 10_000;
     private static final long PERIOD = 2_000;
     private static final int ENGINES = 12;
@@ -24,16 +24,16 @@
 
     private final class One {
         private final String name;
-        private final Trials trials;
+        private final ProbeCoordinator trials;
         private final Set<Long> withheld = new HashSet<>();
         private final Set<Long> closed = new HashSet<>();
         private long triedAt;
         private int led;
 
-        private One(String name, Trials.Fault fault) {
+        private One(String name, ProbeCoordinator.Fault fault) {
             this.name = name;
             trials =
-                    new Trials(
+                    new ProbeCoordinator(
                             name,
                             PERIOD,
                             (engine, others, over) -> {
@@ -59,7 +59,7 @@
     private long now = 100 * SECOND;
     private boolean told = true;
 
-    private void fleet(int count, Trials.Fault fault) {
+    private void fleet(int count, ProbeCoordinator.Fault fault) {
         List<String> names = new ArrayList<>();
         for (int m = 0; m < count; m++) {
             all.add(new One("m" + m, fault));
@@ -68,8 +68,8 @@
         all.forEach(o -> o.trials.viewed(names));
     }
 
-    private static List<Words.Word> carried(List<Words.Word> words) {
-        return Words.read(Words.write(words, List.of())).words();
+    private static List<OverloadDigest.Word> carried(List<OverloadDigest.Word> words) {
+        return OverloadDigest.read(OverloadDigest.write(words, List.of())).words();
     }
 
     private void pass(long time) {
@@ -98,7 +98,7 @@
 
     @Test
     void ofManyThatHoldItClosedOneTriesAndAllOthersKeepAway() {
-        fleet(12, Trials.Fault.NONE);
+        fleet(12, ProbeCoordinator.Fault.NONE);
         closes(3, 6);
         pass(5 * SECOND);
         assertThat(free(3)).isOne();
@@ -114,7 +114,7 @@
 
     @Test
     void withTheFaultThatAllOwnItAllTry() {
-        fleet(12, Trials.Fault.ALL_OWN);
+        fleet(12, ProbeCoordinator.Fault.ALL_OWN);
         closes(3, 12);
         pass(5 * SECOND);
         assertThat(free(3)).isGreaterThan(1);
@@ -122,12 +122,12 @@
 
     @Test
     void whatOnlyOneHoldsClosedIsItsOwnMatter() {
-        fleet(12, Trials.Fault.NONE);
+        fleet(12, ProbeCoordinator.Fault.NONE);
         closes(3, 1);
         pass(10 * SECOND);
         assertThat(free(3)).isEqualTo(12);
         all.clear();
-        fleet(12, Trials.Fault.ALONE_IS_SHARED);
+        fleet(12, ProbeCoordinator.Fault.ALONE_IS_SHARED);
         closes(3, 1);
         pass(10 * SECOND);
         assertThat(free(3)).isLessThan(12);
@@ -135,7 +135,8 @@
 
     @Test
     void whereWordsStopEachGoesByItselfAgain() {
-        for (Trials.Fault fault : List.of(Trials.Fault.NONE, Trials.Fault.WORDS_NEVER_END)) {
+        for (ProbeCoordinator.Fault fault :
+                List.of(ProbeCoordinator.Fault.NONE, ProbeCoordinator.Fault.WORDS_NEVER_END)) {
             all.clear();
             told = true;
             fleet(8, fault);
@@ -143,7 +144,7 @@
             pass(5 * SECOND);
             told = false;
             pass(10 * SECOND);
-            assertThat(free(3) == 8).isEqualTo(fault == Trials.Fault.NONE);
+            assertThat(free(3) == 8).isEqualTo(fault == ProbeCoordinator.Fault.NONE);
         }
     }
 
@@ -152,7 +153,7 @@
         int[] most = new int[2];
         for (int i = 0; i < 2; i++) {
             all.clear();
-            fleet(32, i == 0 ? Trials.Fault.NONE : Trials.Fault.ALL_AT_ONCE);
+            fleet(32, i == 0 ? ProbeCoordinator.Fault.NONE : ProbeCoordinator.Fault.ALL_AT_ONCE);
             closes(3, 20);
             pass(8 * SECOND);
             One owner =
@@ -173,7 +174,7 @@
 
     @Test
     void oneThatLiesMovesNobodyAndASicknessOfMostEnginesMovesNoneThatIsWell() {
-        fleet(9, Trials.Fault.NONE);
+        fleet(9, ProbeCoordinator.Fault.NONE);
         for (long e = 0; e < ENGINES; e++) {
             closes(e, 1);
         }
@@ -188,11 +189,11 @@
 
     @Test
     void wordsThatAreSpoiltSayNothing() {
-        double[] came = new double[Demand.BANDS];
+        double[] came = new double[DemandHistogram.BANDS];
         came[3] = 0.5;
         came[31] = 4_000;
-        Level.Row row =
-                new Level.Row(
+        LoadSheddingLevel.Row row =
+                new LoadSheddingLevel.Row(
                         -7,
                         1 << 31,
                         came,
@@ -203,11 +204,13 @@
                         new int[] {0, 255, 60},
                         new int[] {1, 2, -9});
         byte[] good =
-                Words.write(
-                        List.of(new Words.Word(7, true, 5), new Words.Word(1L << 40, false, 0)),
+                OverloadDigest.write(
+                        List.of(
+                                new OverloadDigest.Word(7, true, 5),
+                                new OverloadDigest.Word(1L << 40, false, 0)),
                         List.of(row, row));
-        assertThat(Words.read(good).words()).hasSize(2);
-        Level.Row read = Words.read(good).rows().get(1);
+        assertThat(OverloadDigest.read(good).words()).hasSize(2);
+        LoadSheddingLevel.Row read = OverloadDigest.read(good).rows().get(1);
         assertThat(read.name()).isEqualTo(-7);
         assertThat(read.stamp()).isEqualTo(1 << 31);
         assertThat(read.sent()).isCloseTo(17.3, Percentage.withPercentage(5));
@@ -216,12 +219,13 @@
         assertThat(read.zone()).isEqualTo(2);
         assertThat(read.bad()).containsExactly(0, 255, 60);
         assertThat(read.orders()).containsExactly(1, 2, -9);
-        assertThat(Words.read(new byte[0]).words()).isEmpty();
-        assertThat(Words.write(List.of(), List.of())).isEmpty();
+        assertThat(OverloadDigest.read(new byte[0]).words()).isEmpty();
+        assertThat(OverloadDigest.write(List.of(), List.of())).isEmpty();
         for (int i = 0; i < 20_000; i++) {
             byte[] spoilt = good.clone();
             spoilt[chance.nextInt(spoilt.length)] = (byte) chance.nextInt();
-            assertThat(Words.read(spoilt).words().size()).isLessThanOrEqualTo(Words.MOST);
+            assertThat(OverloadDigest.read(spoilt).words().size())
+                    .isLessThanOrEqualTo(OverloadDigest.MOST);
         }
     }
 }
--- a/src/test/java/firstage/policy/FakeHost.java
+++ b/src/test/java/firstage/policy/FakePolicyActions.java
@@ -1,17 +1,17 @@
 package firstage.policy;
 
-import firstage.policy.api.Arrival;
+import firstage.policy.api.AttemptOutcome;
+import firstage.policy.api.AttemptProgress;
+import firstage.policy.api.AttemptResult;
 import firstage.policy.api.Deployment;
-import firstage.policy.api.Ending;
-import firstage.policy.api.EngineList;
-import firstage.policy.api.EngineList.Entry;
-import firstage.policy.api.EngineList.Standing;
-import firstage.policy.api.Host;
-import firstage.policy.api.Note;
-import firstage.policy.api.Outcome;
-import firstage.policy.api.ServiceGroup;
-import firstage.policy.api.ServiceGroup.Effect;
-import firstage.policy.api.ServiceGroup.Scope;
+import firstage.policy.api.EndpointUpdate;
+import firstage.policy.api.EndpointUpdate.Entry;
+import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.IncomingRequest;
+import firstage.policy.api.PolicyActions;
+import firstage.policy.api.TrafficClass;
+import firstage.policy.api.TrafficClass.Effect;
+import firstage.policy.api.TrafficClass.Scope;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -21,7 +21,7 @@
 /**
  * A tiny host: it remembers what a brain did, and tells the story's events. Times are tenths of ms.
  */
-final class FakeHost implements Host {
+final class FakePolicyActions implements PolicyActions {
     static final long SECOND = 10_000;
     static final int LOOKUP = 0;
     static final int REPORT = 1;
@@ -29,7 +29,7 @@
     final List<String> acts = new ArrayList<>();
     final Map<Integer, Integer> dispatches = new HashMap<>();
     final Map<Integer, Integer> lastEngine = new HashMap<>();
-    Brain brain;
+    WorkloadScheduler brain;
     long now = 100 * SECOND;
     // What a story may change before it starts.
     int managers = 1;
@@ -50,8 +50,8 @@
     boolean probesTell = true;
     boolean pages;
 
-    FakeHost start(int engines) {
-        List<ServiceGroup> groups =
+    FakePolicyActions start(int engines) {
+        List<TrafficClass> groups =
                 List.of(
                         group(SECOND, 5 * SECOND, 1, 0, Effect.REPEATABLE, false, 1, lookupZones),
                         group(
@@ -65,7 +65,7 @@
                                 Set.of()),
                         group(3 * SECOND, 25 * SECOND, 8, 0.5, loadEffect, true, 2, Set.of()));
         brain =
-                new Brain(
+                new WorkloadScheduler(
                         new Deployment(
                                 seed,
                                 managers,
@@ -97,12 +97,12 @@
         for (int e = 0; e < engines; e++) {
             entries.add(entry(e, Standing.ACTIVE, 0));
         }
-        brain.listed(now, new EngineList(EngineList.Kind.REMEMBERED, entries));
+        brain.listed(now, new EndpointUpdate(EndpointUpdate.Kind.REMEMBERED, entries));
         brain.turn(now);
         return this;
     }
 
-    private ServiceGroup group(
+    private TrafficClass group(
             long goal,
             long limit,
             double utility,
@@ -111,7 +111,7 @@
             boolean load,
             int threads,
             Set<Integer> zones) {
-        return new ServiceGroup(
+        return new TrafficClass(
                 goal,
                 2,
                 limit,
@@ -134,23 +134,24 @@
                 engine, engine + 1, engine / 2, 0, engine / 2, standing, 1, since, coldPart);
     }
 
-    FakeHost change(int engine, Standing standing, long since) {
+    FakePolicyActions change(int engine, Standing standing, long since) {
         brain.listed(
                 now,
-                new EngineList(EngineList.Kind.CHANGES, List.of(entry(engine, standing, since))));
+                new EndpointUpdate(
+                        EndpointUpdate.Kind.CHANGES, List.of(entry(engine, standing, since))));
         brain.turn(now);
         return this;
     }
 
-    FakeHost take(int batch, int group) {
+    FakePolicyActions take(int batch, int group) {
         return take(batch, group, -1, 0, -1);
     }
 
-    FakeHost take(int batch, int group, int key, int memory, int customer) {
+    FakePolicyActions take(int batch, int group, int key, int memory, int customer) {
         long limit = group == LOOKUP ? 5 * SECOND : 20 * SECOND;
         brain.taken(
                 now,
-                new Arrival(
+                new IncomingRequest(
                         batch,
                         group,
                         customer,
@@ -166,38 +167,38 @@
     }
 
     /** Whether it came before or after another of its key can't be told. */
-    FakeHost takeOutOfTurn(int batch, int key) {
+    FakePolicyActions takeOutOfTurn(int batch, int key) {
         brain.taken(
                 now,
-                new Arrival(
+                new IncomingRequest(
                         batch, LOAD, -1, key, now + 20 * SECOND, 20_000, 0, batch, false, true));
         brain.turn(now);
         return this;
     }
 
-    FakeHost takeReading(int batch, int group, int tables) {
+    FakePolicyActions takeReading(int batch, int group, int tables) {
         brain.taken(
                 now,
-                new Arrival(
+                new IncomingRequest(
                         batch, group, -1, -1, now + 20 * SECOND, 2_000, 0, tables, false, false));
         brain.turn(now);
         return this;
     }
 
-    FakeHost end(int batch, Outcome outcome) {
+    FakePolicyActions end(int batch, AttemptOutcome outcome) {
         return end(batch, outcome, 2_000);
     }
 
     /** The batch returns after so long. */
-    FakeHost slowly(int batch, long took) {
-        return end(batch, Outcome.RETURNED, took);
+    FakePolicyActions slowly(int batch, long took) {
+        return end(batch, AttemptOutcome.RETURNED, took);
     }
 
     /** The batch's dispatch ends, and its engine may hold it for so long. */
-    FakeHost endHeld(int batch, Outcome outcome, long mayHold) {
+    FakePolicyActions endHeld(int batch, AttemptOutcome outcome, long mayHold) {
         brain.ended(
                 now,
-                new Ending(
+                new AttemptResult(
                         batch,
                         dispatches.get(batch) - 1,
                         lastEngine.get(batch),
@@ -212,11 +213,11 @@
         return this;
     }
 
-    private FakeHost end(int batch, Outcome outcome, long took) {
+    private FakePolicyActions end(int batch, AttemptOutcome outcome, long took) {
         int number = dispatches.get(batch) - 1;
         brain.ended(
                 now,
-                new Ending(
+                new AttemptResult(
                         batch,
                         number,
                         lastEngine.get(batch),
@@ -224,23 +225,24 @@
                         took,
                         0,
                         0,
-                        outcome == Outcome.RETURNED,
+                        outcome == AttemptOutcome.RETURNED,
                         null,
                         0));
         brain.turn(now);
         return this;
     }
 
-    FakeHost note(int batch, Note.Kind kind, double amount) {
+    FakePolicyActions note(int batch, AttemptProgress.Kind kind, double amount) {
         brain.noted(
                 now,
-                new Note(batch, dispatches.get(batch) - 1, lastEngine.get(batch), kind, amount));
+                new AttemptProgress(
+                        batch, dispatches.get(batch) - 1, lastEngine.get(batch), kind, amount));
         brain.turn(now);
         return this;
     }
 
     /** Lets time pass in beats of 10 ms. */
-    FakeHost pass(long time) {
+    FakePolicyActions pass(long time) {
         for (long until = now + time; now < until; ) {
             now += 100;
             brain.woken(now, 0);
--- a/src/test/java/firstage/policy/BrainStoriesTest.java
+++ b/src/test/java/firstage/policy/WorkloadSchedulerTest.java
@@ -1,24 +1,24 @@
 package firstage.policy;
 
-import static firstage.policy.FakeHost.LOAD;
-import static firstage.policy.FakeHost.LOOKUP;
-import static firstage.policy.FakeHost.REPORT;
-import static firstage.policy.FakeHost.SECOND;
+import static firstage.policy.FakePolicyActions.LOAD;
+import static firstage.policy.FakePolicyActions.LOOKUP;
+import static firstage.policy.FakePolicyActions.REPORT;
+import static firstage.policy.FakePolicyActions.SECOND;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.policy.api.EngineList.Standing;
-import firstage.policy.api.Note;
-import firstage.policy.api.Outcome;
-import firstage.policy.api.Report;
-import firstage.policy.api.ServiceGroup.Effect;
-import firstage.policy.api.ServiceGroup.Scope;
+import firstage.policy.api.AttemptOutcome;
+import firstage.policy.api.AttemptProgress;
+import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.LoadReport;
+import firstage.policy.api.TrafficClass.Effect;
+import firstage.policy.api.TrafficClass.Scope;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class BrainStoriesTest {
-    private final FakeHost host = new FakeHost();
+class WorkloadSchedulerTest {
+    private final FakePolicyActions host = new FakePolicyActions();
 
     // ---- Rule 1
     @Test
@@ -35,7 +35,7 @@
     void aLateOutcomeOfAClosedBatchSendsNothing() {
         host.start(2).take(1, LOOKUP);
         host.brain.clientLeft(host.now, 1);
-        host.end(1, Outcome.NO_CONNECTION).pass(SECOND);
+        host.end(1, AttemptOutcome.NO_CONNECTION).pass(SECOND);
         assertThat(host.sent(1)).isEqualTo(1);
         assertThat(host.answered(1)).isFalse();
         assertThat(host.acts).contains("forget 1");
@@ -70,7 +70,7 @@
                 .change(1 - host.on(1), Standing.LEAVING, 0)
                 .pass(90 * SECOND);
         assertThat(host.acts).noneMatch(a -> a.startsWith("forgetEngine"));
-        host.end(1, Outcome.RETURNED);
+        host.end(1, AttemptOutcome.RETURNED);
         for (int batch = 2; batch < 6; batch++) {
             host.take(batch, LOAD).pass(20 * SECOND);
         }
@@ -81,7 +81,7 @@
     // ---- Rule 2
     @Test
     void aOnceOnlyBatchThatMayHaveRunIsErroredNotRepeated() {
-        host.start(3).take(1, LOAD).end(1, Outcome.BROKEN).pass(SECOND);
+        host.start(3).take(1, LOAD).end(1, AttemptOutcome.BROKEN).pass(SECOND);
         assertThat(host.sent(1)).isEqualTo(1);
         assertThat(host.acts).contains("error 1").doesNotContain("pushBack 1");
     }
@@ -90,7 +90,7 @@
     void aOnceOnlyBatchThatNeverRanGoesElsewhere() {
         host.start(3).take(1, LOAD);
         int first = host.on(1);
-        host.end(1, Outcome.NO_CONNECTION);
+        host.end(1, AttemptOutcome.NO_CONNECTION);
         assertThat(host.sent(1)).isEqualTo(2);
         assertThat(host.on(1)).isNotEqualTo(first);
     }
@@ -101,7 +101,7 @@
         host.scope = Scope.CELL;
         host.start(4).take(1, LOAD);
         int first = host.on(1);
-        host.end(1, Outcome.BROKEN).pass(SECOND / 10);
+        host.end(1, AttemptOutcome.BROKEN).pass(SECOND / 10);
         assertThat(host.sent(1)).isEqualTo(2);
         assertThat(host.on(1) / 2).isEqualTo(first / 2);
     }
@@ -109,7 +109,7 @@
     @Test
     void aReferencedBatchIsNotRepeatedAfterItsWindow() {
         host.loadEffect = Effect.REFERENCED;
-        host.start(2).take(1, LOAD).pass(7 * SECOND).end(1, Outcome.BROKEN).pass(SECOND);
+        host.start(2).take(1, LOAD).pass(7 * SECOND).end(1, AttemptOutcome.BROKEN).pass(SECOND);
         assertThat(host.sent(1)).isEqualTo(1);
         assertThat(host.acts).contains("pushBack 1");
     }
@@ -121,11 +121,11 @@
         host.start(3).take(1, LOAD).pass(2 * SECOND);
         assertThat(host.sent(1)).isEqualTo(2);
         for (int beat = 0; beat < 9; beat++) {
-            host.note(1, Note.Kind.DONE, 0.1).pass(SECOND / 2);
+            host.note(1, AttemptProgress.Kind.DONE, 0.1).pass(SECOND / 2);
         }
         // The copy breaks within its own window of 6 s, but past that of the first, which never
         // came back.
-        host.end(1, Outcome.BROKEN).pass(SECOND);
+        host.end(1, AttemptOutcome.BROKEN).pass(SECOND);
         assertThat(host.sent(1)).isEqualTo(2);
     }
 
@@ -147,7 +147,7 @@
         for (int b = 0; b < 40; b++) {
             host.take(b, LOOKUP);
             if (host.sent(b) > 0) {
-                host.end(b, Outcome.RETURNED);
+                host.end(b, AttemptOutcome.RETURNED);
                 sent++;
             }
         }
@@ -158,13 +158,13 @@
     @Test
     void anEngineThatWentDownCountsAsColdBeforeTheListSaysSo() {
         host.managers = 2;
-        host.start(1).take(1, LOOKUP).end(1, Outcome.NO_CONNECTION).pass(2 * SECOND);
-        host.end(1, Outcome.RETURNED);
+        host.start(1).take(1, LOOKUP).end(1, AttemptOutcome.NO_CONNECTION).pass(2 * SECOND);
+        host.end(1, AttemptOutcome.RETURNED);
         int sent = 0;
         for (int b = 2; b < 42; b++) {
             host.take(b, LOOKUP);
             if (host.sent(b) > 0) {
-                host.end(b, Outcome.RETURNED);
+                host.end(b, AttemptOutcome.RETURNED);
                 sent++;
             }
         }
@@ -204,11 +204,15 @@
     @Test
     void aBrokenConnectionOfALivingEngineDoesNotMakeItCold() {
         host.managers = 2;
-        host.start(1).take(0, REPORT).pass(SECOND / 2).take(1, LOOKUP).end(1, Outcome.BROKEN);
-        host.note(0, Note.Kind.DONE, 0.1);
-        host.end(0, Outcome.RETURNED);
+        host.start(1)
+                .take(0, REPORT)
+                .pass(SECOND / 2)
+                .take(1, LOOKUP)
+                .end(1, AttemptOutcome.BROKEN);
+        host.note(0, AttemptProgress.Kind.DONE, 0.1);
+        host.end(0, AttemptOutcome.RETURNED);
         for (int b = 2; b < 42; b++) {
-            host.take(b, LOOKUP).end(b, Outcome.RETURNED);
+            host.take(b, LOOKUP).end(b, AttemptOutcome.RETURNED);
         }
         assertThat(host.dispatches).hasSize(42);
     }
@@ -217,10 +221,10 @@
     void hundredsOfManagersTogetherKeepAColdEnginesBudgetAndStillUseIt() {
         int sent = 0;
         for (int rank = 0; rank < 200; rank++) {
-            FakeHost one = new FakeHost();
+            FakePolicyActions one = new FakePolicyActions();
             one.managers = 200;
             one.rank = rank;
-            one.start(2).take(0, LOOKUP).end(0, Outcome.RETURNED);
+            one.start(2).take(0, LOOKUP).end(0, AttemptOutcome.RETURNED);
             one.change(0, Standing.LEFT, 0)
                     .change(1, Standing.ACTIVE, one.now)
                     .take(1, LOOKUP)
@@ -249,13 +253,13 @@
     }
 
     private static int sentToACold(int rank, double coldPart) {
-        FakeHost one = new FakeHost();
+        FakePolicyActions one = new FakePolicyActions();
         one.managers = 2_600;
         one.rank = rank;
         one.coldPart = coldPart;
         one.start(2);
         one.brain.allotted(one.now, 1.0 / 160);
-        one.take(0, LOOKUP).end(0, Outcome.RETURNED);
+        one.take(0, LOOKUP).end(0, AttemptOutcome.RETURNED);
         one.change(0, Standing.LEFT, 0)
                 .change(1, Standing.ACTIVE, one.now)
                 .take(1, LOOKUP)
@@ -302,9 +306,9 @@
     void batchesOfOneKeyRunInTurnAndTheKeyRestsAfterABreak() {
         host.start(3).take(1, LOAD, 9, 0, -1).take(2, LOAD, 9, 0, -1).take(3, LOAD, 9, 0, -1);
         assertThat(host.sent(2)).isZero();
-        host.end(1, Outcome.RETURNED);
+        host.end(1, AttemptOutcome.RETURNED);
         assertThat(host.sent(2)).isEqualTo(1);
-        host.end(2, Outcome.BROKEN).pass(SECOND / 2 - 200);
+        host.end(2, AttemptOutcome.BROKEN).pass(SECOND / 2 - 200);
         assertThat(host.sent(3)).isZero();
         host.pass(400);
         assertThat(host.sent(3)).isEqualTo(1);
@@ -328,7 +332,7 @@
         host.furtherRatio = 0.1;
         host.start(20);
         for (int b = 0; b < 10; b++) {
-            host.take(b, LOOKUP).end(b, Outcome.TURNED_AWAY);
+            host.take(b, LOOKUP).end(b, AttemptOutcome.TURNED_AWAY);
         }
         // One free and a tenth of ten taken.
         int further = host.dispatches.values().stream().mapToInt(n -> n - 1).sum();
@@ -346,21 +350,21 @@
     void aSpilledGrantTeachesALargerMargin() {
         host.start(1)
                 .take(1, LOOKUP, -1, 400, -1)
-                .note(1, Note.Kind.SPILLS, 40)
-                .end(1, Outcome.RETURNED);
+                .note(1, AttemptProgress.Kind.SPILLS, 40)
+                .end(1, AttemptOutcome.RETURNED);
         host.take(2, LOOKUP, -1, 400, -1);
         assertThat(host.acts).doesNotContain("provide 2 500");
     }
 
     @Test
     void underPressureWhatFitsNowhereIsSkippedAndHeldInOrder() {
-        host.start(1).take(1, REPORT).note(1, Note.Kind.WAITS_FOR_MEMORY, 0);
+        host.start(1).take(1, REPORT).note(1, AttemptProgress.Kind.WAITS_FOR_MEMORY, 0);
         for (int b = 2; b < 40; b++) {
             host.take(b, b % 2 == 0 ? REPORT : LOOKUP);
         }
         List<String> sent = host.acts.stream().filter(a -> a.startsWith("dispatch")).toList();
         assertThat(sent).hasSizeLessThan(20);
-        host.end(1, Outcome.RETURNED);
+        host.end(1, AttemptOutcome.RETURNED);
         assertThat(host.sent(1)).isEqualTo(1);
     }
 
@@ -383,7 +387,7 @@
         host.callOff = true;
         host.start(1).take(1, REPORT).take(2, REPORT);
         for (int beat = 0; beat < 4; beat++) {
-            host.pass(SECOND / 2).note(1, Note.Kind.DONE, 0.1 + beat * 0.2);
+            host.pass(SECOND / 2).note(1, AttemptProgress.Kind.DONE, 0.1 + beat * 0.2);
         }
         assertThat(host.acts).contains("callOff 2").doesNotContain("callOff 1");
     }
@@ -391,16 +395,19 @@
     @Test
     void aDispatchInTheEnginesLineOwesNoNotes() {
         host.callOff = true;
-        host.start(1).take(1, REPORT).note(1, Note.Kind.WAITS_FOR_MEMORY, 0).pass(3 * SECOND);
+        host.start(1)
+                .take(1, REPORT)
+                .note(1, AttemptProgress.Kind.WAITS_FOR_MEMORY, 0)
+                .pass(3 * SECOND);
         assertThat(host.acts).doesNotContain("callOff 1");
     }
 
     @Test
     void aRunawayIsCalledOffAndSentAgain() {
         host.callOff = true;
-        host.start(2).take(1, REPORT).pass(SECOND).note(1, Note.Kind.DONE, 0.05);
+        host.start(2).take(1, REPORT).pass(SECOND).note(1, AttemptProgress.Kind.DONE, 0.05);
         assertThat(host.acts).contains("callOff 1");
-        host.end(1, Outcome.CALLED_OFF);
+        host.end(1, AttemptOutcome.CALLED_OFF);
         assertThat(host.sent(1)).isEqualTo(2);
     }
 
@@ -408,12 +415,12 @@
     void anEngineThatErrsAtOnceDoesNotDrawEveryBatch() {
         host.start(2);
         int bad = host.take(0, LOOKUP).on(0);
-        host.end(0, Outcome.ERRORED);
+        host.end(0, AttemptOutcome.ERRORED);
         for (int b = 1; b < 20; b++) {
             host.take(b, LOOKUP);
-            host.end(b, host.on(b) == bad ? Outcome.ERRORED : Outcome.RETURNED);
+            host.end(b, host.on(b) == bad ? AttemptOutcome.ERRORED : AttemptOutcome.RETURNED);
             if (host.sent(b) > 1) {
-                host.end(b, Outcome.RETURNED);
+                host.end(b, AttemptOutcome.RETURNED);
             }
         }
         long drawn = host.acts.stream().filter(a -> a.equals("dispatch to " + bad)).count();
@@ -424,7 +431,7 @@
     void batchesThatErrWhereverTheyGoCloseNoEngineAndGoNoFurther() {
         host.start(4);
         for (int b = 0; b < 8; b++) {
-            host.take(b, LOOKUP).end(b, Outcome.ERRORED).end(b, Outcome.ERRORED);
+            host.take(b, LOOKUP).end(b, AttemptOutcome.ERRORED).end(b, AttemptOutcome.ERRORED);
             assertThat(host.sent(b)).isEqualTo(2);
             assertThat(host.acts).contains("error " + b);
         }
@@ -451,7 +458,7 @@
         host.start(2)
                 .take(1, LOAD, 7, 0, -1)
                 .take(2, LOAD, 7, 0, -1)
-                .endHeld(1, Outcome.ERRORED, 2 * SECOND);
+                .endHeld(1, AttemptOutcome.ERRORED, 2 * SECOND);
         assertThat(host.acts).contains("error 1");
         assertThat(host.pass(SECOND * 19 / 10).sent(2)).isZero();
         assertThat(host.pass(SECOND / 5).sent(2)).isEqualTo(1);
@@ -459,9 +466,13 @@
 
     @Test
     void anEngineThatRefusesRestsUntilOneOfOursReturns() {
-        host.start(1).take(1, REPORT).take(2, LOOKUP).end(2, Outcome.TURNED_AWAY).take(3, LOOKUP);
+        host.start(1)
+                .take(1, REPORT)
+                .take(2, LOOKUP)
+                .end(2, AttemptOutcome.TURNED_AWAY)
+                .take(3, LOOKUP);
         assertThat(host.sent(3)).isZero();
-        host.end(1, Outcome.RETURNED);
+        host.end(1, AttemptOutcome.RETURNED);
         assertThat(host.sent(3)).isEqualTo(1);
     }
 
@@ -487,12 +498,12 @@
     @Test
     void theGateStaysShutWhileBatchesWait() {
         host.managers = 4;
-        host.start(1).take(1, REPORT).note(1, Note.Kind.WAITS_FOR_MEMORY, 0);
+        host.start(1).take(1, REPORT).note(1, AttemptProgress.Kind.WAITS_FOR_MEMORY, 0);
         for (int b = 2; b < 30; b++) {
             host.take(b, REPORT);
         }
         for (int beat = 0; beat < 16; beat++) {
-            host.note(1, Note.Kind.DONE, 0).pass(SECOND / 2);
+            host.note(1, AttemptProgress.Kind.DONE, 0).pass(SECOND / 2);
         }
         // Eight seconds after the only sign of pressure, the queue has not gone out at once.
         assertThat(host.dispatches).hasSizeLessThan(5);
@@ -500,7 +511,9 @@
 
     @Test
     void aWaitForMemoryTakesFromTheMargin() {
-        host.start(2).take(1, LOOKUP, -1, 400, -1).note(1, Note.Kind.WAITS_FOR_MEMORY, 0);
+        host.start(2)
+                .take(1, LOOKUP, -1, 400, -1)
+                .note(1, AttemptProgress.Kind.WAITS_FOR_MEMORY, 0);
         host.take(2, LOOKUP, -1, 400, -1);
         assertThat(host.acts).contains("provide 1 500").contains("provide 2 484");
     }
@@ -508,7 +521,9 @@
     @Test
     void aShortBatchIsNotStarvedByLongOnes() {
         host.managers = 4;
-        host.start(1).take(1, REPORT, -1, 100, -1).note(1, Note.Kind.WAITS_FOR_MEMORY, 0);
+        host.start(1)
+                .take(1, REPORT, -1, 100, -1)
+                .note(1, AttemptProgress.Kind.WAITS_FOR_MEMORY, 0);
         host.take(2, REPORT, -1, 100, -1).take(3, REPORT, -1, 100, -1).take(4, LOOKUP, -1, 100, -1);
         assertThat(host.sent(3)).isZero();
         assertThat(host.sent(4)).isEqualTo(1);
@@ -519,7 +534,7 @@
         host.managers = 16;
         host.start(4);
         for (int e = 0; e < 4; e++) {
-            host.brain.probed(host.now, e, Outcome.RETURNED, new Report(0, 5, 0, 0, 0));
+            host.brain.probed(host.now, e, AttemptOutcome.RETURNED, new LoadReport(0, 5, 0, 0, 0));
         }
         // Four engines with a bound of one thread each: two reports of two threads, not one on
         // every engine.
@@ -534,7 +549,7 @@
         host.managers = 8;
         host.start(1)
                 .take(1, LOAD, -1, 100, -1)
-                .note(1, Note.Kind.WAITS_FOR_MEMORY, 0)
+                .note(1, AttemptProgress.Kind.WAITS_FOR_MEMORY, 0)
                 .take(2, LOOKUP, -1, 100, -1);
         assertThat(host.sent(2)).isEqualTo(1);
     }
@@ -566,7 +581,7 @@
     void managersWithLessThanABatchOfAnEngineDoNotAllMeetOnOne() {
         Set<Integer> met = new HashSet<>();
         for (int seed = 0; seed < 10; seed++) {
-            FakeHost one = new FakeHost();
+            FakePolicyActions one = new FakePolicyActions();
             one.managers = 64;
             one.seed = seed;
             met.add(one.start(12).takeReading(1, LOOKUP, 5).on(1));
@@ -582,7 +597,7 @@
         assertThat(host.acts)
                 .as("while all is calm a probe earns nothing")
                 .noneMatch(act -> act.startsWith("probe"));
-        host.end(9, Outcome.RETURNED)
+        host.end(9, AttemptOutcome.RETURNED)
                 .take(10, LOOKUP)
                 .slowly(10, 30_000)
                 .take(11, LOOKUP)
@@ -592,7 +607,10 @@
         assertThat(host.sent(1)).isZero();
         for (int e = 0; e < 3; e++) {
             host.brain.probed(
-                    host.now, e, Outcome.RETURNED, new Report(0, e == 1 ? 0 : 4, 0, 0, 0));
+                    host.now,
+                    e,
+                    AttemptOutcome.RETURNED,
+                    new LoadReport(0, e == 1 ? 0 : 4, 0, 0, 0));
         }
         host.brain.turn(host.now);
         assertThat(host.on(1)).isEqualTo(1);
@@ -607,7 +625,7 @@
         host.managers = 64;
         host.probePrice = 0.01;
         host.probesTell = false;
-        host.start(3).take(9, REPORT).end(9, Outcome.RETURNED);
+        host.start(3).take(9, REPORT).end(9, AttemptOutcome.RETURNED);
         host.take(10, LOOKUP).slowly(10, 30_000).take(11, LOOKUP).slowly(11, 30_000);
         host.take(1, REPORT);
         // Probed, it would wait for a load report that never comes, and be given up unsent.
@@ -619,11 +637,11 @@
     void anEngineThatToldOfACrowdIsPassedOverWhileThatIsFresh() {
         host.managers = 64;
         host.start(2);
-        host.brain.probed(host.now, 0, Outcome.RETURNED, new Report(14, 0, 0, 0, 0));
-        host.brain.probed(host.now, 1, Outcome.RETURNED, new Report(2, 0, 0, 0, 0));
+        host.brain.probed(host.now, 0, AttemptOutcome.RETURNED, new LoadReport(14, 0, 0, 0, 0));
+        host.brain.probed(host.now, 1, AttemptOutcome.RETURNED, new LoadReport(2, 0, 0, 0, 0));
         for (int b = 0; b < 8; b++) {
             assertThat(host.take(b, LOOKUP).on(b)).isEqualTo(1);
-            host.end(b, Outcome.RETURNED);
+            host.end(b, AttemptOutcome.RETURNED);
         }
     }
 
--- a/src/test/java/firstage/scale/SlopesTest.java
+++ b/src/test/java/firstage/scale/ScalingSlopesTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.cells.Cells.Fault;
-import firstage.simulation.schedule.CellsField.Shape;
+import firstage.cells.CellDirectory.Fault;
+import firstage.simulation.schedule.SimulatedCells.Shape;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
@@ -13,7 +13,7 @@
  * What docs/CAPACITY.md calls flat is flat: three sizes in virtual time, and a fault that the check
  * must find.
  */
-class SlopesTest {
+class ScalingSlopesTest {
     /** Of bytes a second between two cells and eight: chance alone makes under a twentieth. */
     private static final double ALIKE = 1.15;
 
@@ -26,13 +26,14 @@
     private static List<Map<String, Double>> rows(Fault fault) {
         return IntStream.of(50, 100, 200)
                 .parallel()
-                .mapToObj(n -> Slopes.play(new Shape(n, 25, 2, 1, true, 400, fault), 3, false))
+                .mapToObj(
+                        n -> ScalingSlopes.play(new Shape(n, 25, 2, 1, true, 400, fault), 3, false))
                 .toList();
     }
 
     private static boolean flat(List<Map<String, Double>> rows) {
         return rows.get(2).get("bytes a s") < rows.get(0).get("bytes a s") * ALIKE
-                && Slopes.slope(rows, "bytes a s, rows")[0] < BY_A_THOUSAND;
+                && ScalingSlopes.slope(rows, "bytes a s, rows")[0] < BY_A_THOUSAND;
     }
 
     @Test
--- a/src/test/java/firstage/server/CellsIT.java
+++ b/src/test/java/firstage/server/CellsIT.java
@@ -3,11 +3,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import firstage.cells.CellPlan;
-import firstage.faulttest.Addresses;
-import firstage.faulttest.Wiring;
-import firstage.server.membership.Peers;
-import firstage.simulation.FleetFile;
+import firstage.faulttest.LoopbackAddresses;
+import firstage.faulttest.ManagerConfigWriter;
+import firstage.server.membership.MembershipTransport;
 import firstage.simulation.FleetPlan;
+import firstage.simulation.FleetPlanReader;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -52,23 +52,23 @@
 
     private Path config(String cell) throws IOException {
         FleetPlan plan =
-                FleetFile.read(
-                        Files.readString(Path.of("deploy", "yard", "calm.toml"))
+                FleetPlanReader.read(
+                        Files.readString(Path.of("deploy", "fault-tests", "calm.toml"))
                                 .replace("zones = \"north, south\"", "zones = \"z\"")
                                 .replace("count = 4", "count = 2")
                                 .replace("count = 6", "count = " + ENGINES));
         Path file = folder.resolve(cell + ".json");
         int rank = cell.equals("a") ? 0 : 1;
-        Wiring.config(
+        ManagerConfigWriter.config(
                 file,
                 plan,
-                new Wiring.Place(
+                new ManagerConfigWriter.Place(
                         cell,
-                        Assignment.address(at(cell, 60)),
+                        ManagerConfig.address(at(cell, 60)),
                         null,
                         rank,
                         0,
-                        e -> Assignment.address(at("a", 62))),
+                        e -> ManagerConfig.address(at("a", 62))),
                 rank);
         return file;
     }
@@ -118,7 +118,7 @@
     /** What it tells of its view; again and again, until that has these words. */
     private String await(String cell, String words) throws IOException {
         String[] to = at(cell, 64).split(":");
-        byte[] asked = Peers.ASKED.getBytes(StandardCharsets.US_ASCII);
+        byte[] asked = MembershipTransport.ASKED.getBytes(StandardCharsets.US_ASCII);
         DatagramPacket answer = new DatagramPacket(new byte[64 * 1024], 64 * 1024);
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             socket.setSoTimeout(200);
@@ -151,7 +151,7 @@
 
     @Test
     void enginesAreTakenOverOnceTheCellThatLosesThemHoldsTheNewPlan() throws Exception {
-        lock = Addresses.hold();
+        lock = LoopbackAddresses.hold();
         CellPlan one =
                 new CellPlan(
                         1,
--- a/src/test/java/firstage/server/PeersIT.java
+++ b/src/test/java/firstage/server/PeersIT.java
@@ -39,10 +39,10 @@
         assertThat(p.waitFor(30, TimeUnit.SECONDS)).isTrue();
         String classes = Files.readString(loaded);
         assertThat(classes)
-                .contains("firstage.server.Node")
+                .contains("firstage.server.ManagerServer")
                 .doesNotContain(
                         "firstage.membership.",
-                        "firstage.server.membership.Peers",
+                        "firstage.server.membership.MembershipTransport",
                         "firstage.overload.",
                         "firstage.failover.",
                         "firstage.cells.",
--- a/src/test/java/firstage/server/client/StatementTest.java
+++ b/src/test/java/firstage/server/client/StatementTablesTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class StatementTest {
+class StatementTablesTest {
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -39,6 +39,6 @@
             })
     void theGroupIsTheNumberOfTheSchema(int group, String statement) {
         String text = statement == null ? "" : statement.replace("\\n", "\n");
-        assertThat(Statement.group(text.getBytes(StandardCharsets.UTF_8))).isEqualTo(group);
+        assertThat(StatementTables.group(text.getBytes(StandardCharsets.UTF_8))).isEqualTo(group);
     }
 }
--- a/src/test/java/firstage/server/discovery/RecordsTest.java
+++ b/src/test/java/firstage/server/discovery/EndpointParserTest.java
@@ -3,22 +3,22 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import firstage.config.Fields;
-import firstage.policy.api.EngineList.Standing;
-import firstage.server.Clock;
-import firstage.server.Tidings.Listed;
+import firstage.config.WireFields;
+import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.server.ServerEvents.Listed;
+import firstage.server.TickClock;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class RecordsTest {
-    private final Clock clock = new Clock();
-    private final Records records =
-            new Records(
+class EndpointParserTest {
+    private final TickClock clock = new TickClock();
+    private final EndpointParser records =
+            new EndpointParser(
                     clock,
-                    new Fields(
+                    new WireFields(
                             Map.of(
                                     "areas",
                                     List.of("east, old", "west"),
--- a/src/test/java/firstage/server/discovery/FramesTest.java
+++ b/src/test/java/firstage/server/discovery/FrameDecoderTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class FramesTest {
+class FrameDecoderTest {
     @Test
     void framesCutAnywhereComeWhole() throws IOException {
         byte[] bytes =
@@ -23,8 +23,8 @@
                         .putShort((short) 770)
                         .array();
         for (int size = 1; size <= bytes.length; size++) {
-            Frames frames = new Frames();
-            List<Frames.Frame> whole = new ArrayList<>();
+            FrameDecoder frames = new FrameDecoder();
+            List<FrameDecoder.Frame> whole = new ArrayList<>();
             for (int at = 0; at < bytes.length; at += size) {
                 whole.addAll(
                         frames.take(ByteBuffer.wrap(bytes, at, Math.min(size, bytes.length - at))));
@@ -39,7 +39,10 @@
     @Test
     void aFrameOfNoUsableLengthIsAFault() {
         for (int length : new int[] {0, 8, -1, Integer.MAX_VALUE}) {
-            assertThatThrownBy(() -> new Frames().take(ByteBuffer.allocate(64).putInt(0, length)))
+            assertThatThrownBy(
+                            () ->
+                                    new FrameDecoder()
+                                            .take(ByteBuffer.allocate(64).putInt(0, length)))
                     .isInstanceOf(IOException.class);
         }
     }
--- a/src/test/java/firstage/server/engine/ResponseReaderTest.java
+++ b/src/test/java/firstage/server/engine/EngineResponseReaderTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class ResponseReaderTest {
+class EngineResponseReaderTest {
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -30,7 +30,7 @@
     void aResponseCutAnywhereIsReadWhole(String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         for (int size = 1; size <= bytes.length; size++) {
-            ResponseReader reader = new ResponseReader();
+            EngineResponseReader reader = new EngineResponseReader();
             for (int at = 0; at < bytes.length; at += size) {
                 boolean last = at + size >= bytes.length;
                 assertThat(
@@ -42,13 +42,13 @@
             assertThat(reader.response(false).body())
                     .isEqualTo("a\tb\nc".getBytes(StandardCharsets.ISO_8859_1));
             assertThat(reader.response(false).status()).isEqualTo(200);
-            assertThat(Engines.report(reader.response(false)).waiting()).isEqualTo(3);
+            assertThat(EngineClients.report(reader.response(false)).waiting()).isEqualTo(3);
         }
     }
 
     @Test
     void aPieceOfAResponseIsNotAResponse() throws IOException {
-        ResponseReader reader = new ResponseReader();
+        EngineResponseReader reader = new EngineResponseReader();
         assertThat(
                         reader.take(
                                 ByteBuffer.wrap(
@@ -69,7 +69,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\nx"
             })
     void whatIsNoResponseIsAFault(String text) {
-        assertThatThrownBy(() -> new ResponseReader().take(ByteBuffer.wrap(text.getBytes())))
+        assertThatThrownBy(() -> new EngineResponseReader().take(ByteBuffer.wrap(text.getBytes())))
                 .isInstanceOf(IOException.class);
     }
 }
--- a/src/test/java/firstage/simulation/CalendarTest.java
+++ b/src/test/java/firstage/simulation/EventQueueTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The wheel against a plain heap, over delays from none to days. */
-class CalendarTest {
+class EventQueueTest {
     private record Due(long due, int order) {}
 
     @ParameterizedTest
@@ -20,7 +20,7 @@
     void happensInTheOrderOfAHeap(long seed) {
         RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         long start = chance.nextLong(1L << 40);
-        Calendar calendar = new Calendar(start);
+        EventQueue calendar = new EventQueue(start);
         PriorityQueue<Due> heap =
                 new PriorityQueue<>(
                         Comparator.comparingLong(Due::due).thenComparingInt(Due::order));
--- a/src/test/java/firstage/simulation/FleetRunTest.java
+++ b/src/test/java/firstage/simulation/FleetSimulationTest.java
@@ -17,7 +17,7 @@
  * Fleets of seconds: the same bytes for the same seed, choices told apart or not, rules watched,
  * files refused.
  */
-class FleetRunTest {
+class FleetSimulationTest {
     private static String shop() {
         try {
             return Files.readString(Path.of("deploy", "fleet", "shop.toml"))
@@ -29,11 +29,11 @@
         }
     }
 
-    private static List<FleetResult> play(String file, String choice, int runs, int from) {
-        FleetPlan plan = FleetFile.read(file);
+    private static List<SimulationResult> play(String file, String choice, int runs, int from) {
+        FleetPlan plan = FleetPlanReader.read(file);
         return IntStream.range(0, runs)
                 .parallel()
-                .mapToObj(i -> FleetRun.play(plan, Choice.of(choice), from + i))
+                .mapToObj(i -> FleetSimulation.play(plan, PolicyUnderTest.of(choice), from + i))
                 .toList();
     }
 
@@ -46,7 +46,7 @@
 
     /**
      * Without the mass restart: beside a cold engine it breaks rule 4 in some runs, see
-     * docs/fleet.md.
+     * docs/simulation.md.
      */
     private static String crashes() {
         return shop().replaceAll("(?s)\\[\\[trouble\\]\\]\nkind = \"restart\".*", "");
@@ -61,9 +61,10 @@
 
     @Test
     void aPolicyThatPushesColdEnginesOverHasNoVerdict() {
-        Comparison c =
-                new Comparison(play(shop(), "brain", 4, 1), play(shop(), "two-choices", 4, 1));
-        assertThat(c.verdict()).isEqualTo(Comparison.Verdict.BROKEN);
+        PairedComparison c =
+                new PairedComparison(
+                        play(shop(), "brain", 4, 1), play(shop(), "two-choices", 4, 1));
+        assertThat(c.verdict()).isEqualTo(PairedComparison.Verdict.BROKEN);
         assertThat(c.broken())
                 .anySatisfy(
                         what -> assertThat(what).contains("two-choices", "rule 4", "pushed over"));
@@ -75,15 +76,15 @@
      */
     @Test
     void aChoiceIsNotToldFromItself() {
-        List<FleetResult> all = play(crashes(), "brain", 80, 100);
+        List<SimulationResult> all = play(crashes(), "brain", 80, 100);
         int told = 0;
         for (int i = 0; i < 10; i++) {
-            List<FleetResult> left = all.subList(8 * i, 8 * i + 4);
-            List<FleetResult> right = new ArrayList<>();
+            List<SimulationResult> left = all.subList(8 * i, 8 * i + 4);
+            List<SimulationResult> right = new ArrayList<>();
             for (int k = 0; k < 4; k++) {
-                FleetResult r = all.get(8 * i + 4 + k);
+                SimulationResult r = all.get(8 * i + 4 + k);
                 right.add(
-                        new FleetResult(
+                        new SimulationResult(
                                 r.choice(),
                                 left.get(k).seed(),
                                 r.figures(),
@@ -91,7 +92,10 @@
                                 r.batches(),
                                 0));
             }
-            told += new Comparison(left, right).verdict() == Comparison.Verdict.NONE ? 0 : 1;
+            told +=
+                    new PairedComparison(left, right).verdict() == PairedComparison.Verdict.NONE
+                            ? 0
+                            : 1;
         }
         assertThat(told).isLessThanOrEqualTo(1);
     }
@@ -101,9 +105,9 @@
         String overload =
                 shop().replace("rate = 57.0", "rate = 90.0")
                         .replaceAll("(?s)\\[\\[trouble\\]\\].*", "");
-        Comparison c =
-                new Comparison(play(overload, "brain", 6, 1), play(overload, "random", 6, 1));
-        assertThat(c.verdict()).isEqualTo(Comparison.Verdict.LEFT);
+        PairedComparison c =
+                new PairedComparison(play(overload, "brain", 6, 1), play(overload, "random", 6, 1));
+        assertThat(c.verdict()).isEqualTo(PairedComparison.Verdict.LEFT);
     }
 
     @Test
@@ -125,7 +129,7 @@
                         at = "3 s"
                         part = "50%"
                         """;
-        FleetResult result = play(mass, "brain", 1, 1).get(0);
+        SimulationResult result = play(mass, "brain", 1, 1).get(0);
         assertThat(result.broken()).isEmpty();
         assertThat(result.batches()).isGreaterThan(3_000);
     }
@@ -140,13 +144,13 @@
 
     @Test
     void aFleetInCellsIsPlayedAndKeepsTheRules() {
-        FleetPlan plan = FleetFile.read(cells());
+        FleetPlan plan = FleetPlanReader.read(cells());
         assertThat(plan.cells().cells()).hasSize(8).allMatch(c -> c.slots() == 2);
         for (int m = 0; m < 16; m++) {
             assertThat(plan.cells().cells().get(plan.cellOf(m)).zone())
                     .isEqualTo(plan.zones().get(plan.zoneOf(m)));
         }
-        FleetResult result = play(cells(), "brain:peers", 1, 1).get(0);
+        SimulationResult result = play(cells(), "brain:peers", 1, 1).get(0);
         assertThat(result.broken()).isEmpty();
         assertThat(result.figures().get("service")).isGreaterThan(0.3);
     }
@@ -161,8 +165,8 @@
                 Files.readString(Path.of("deploy", "fleet", "cold-zone.toml"))
                         .replace("length = \"24 s\"", "length = \"9 s\"")
                         .replace("at = \"6 s\"", "at = \"2 s\"");
-        FleetResult byPlan = play(zone, "brain", 1, 1).get(0);
-        FleetResult bySettings = play(zone, "brain:cold=settings", 1, 1).get(0);
+        SimulationResult byPlan = play(zone, "brain", 1, 1).get(0);
+        SimulationResult bySettings = play(zone, "brain:cold=settings", 1, 1).get(0);
         assertThat(byPlan.broken()).isEmpty();
         assertThat(byPlan.figures().get("service")).isGreaterThan(0.9);
         assertThat(bySettings.figures().get("service")).isLessThan(0.6);
@@ -192,8 +196,8 @@
             throws IOException {
         String text = Files.readString(Path.of("deploy", "fleet", "shop.toml"));
         assertThat(text).contains(good);
-        assertThatThrownBy(() -> FleetFile.read(text.replace(good, bad)))
-                .isInstanceOf(FleetFault.class)
+        assertThatThrownBy(() -> FleetPlanReader.read(text.replace(good, bad)))
+                .isInstanceOf(InvalidPlanException.class)
                 .hasMessageContaining(told)
                 .hasMessageMatching("[0-9]+: .*");
     }
