--- a/src/main/java/firstage/bench/BenchManager.java
+++ b/src/main/java/firstage/bench/BenchManager.java
@@ -27,19 +27,19 @@
     private static final Map<String, AttemptOutcome> OUTCOMES =
             Map.of(
                     "delivered",
-                    AttemptOutcome.RETURNED,
+                    AttemptOutcome.SUCCEEDED,
                     "app_error",
-                    AttemptOutcome.ERRORED,
+                    AttemptOutcome.FAILED,
                     "shed",
-                    AttemptOutcome.TURNED_AWAY,
+                    AttemptOutcome.REFUSED,
                     "expired",
                     AttemptOutcome.TIMED_OUT,
                     "dial_failed",
-                    AttemptOutcome.NO_CONNECTION,
+                    AttemptOutcome.CONNECT_FAILED,
                     "dropped",
-                    AttemptOutcome.BROKEN,
+                    AttemptOutcome.CONNECTION_LOST,
                     "revoked",
-                    AttemptOutcome.CALLED_OFF,
+                    AttemptOutcome.CANCELLED,
                     "unused",
                     AttemptOutcome.NOT_SENT);
 
@@ -66,7 +66,9 @@
                 !setup.flag("limits.peers")
                         ? null
                         : new BroadcastLoadShedding(
-                                deployment.rank(), deployment.shortestGoal(), manager::cut);
+                                deployment.rank(),
+                                deployment.shortestLatencyObjective(),
+                                manager::onSheddingThreshold);
     }
 
     private void look(long now) {
@@ -77,14 +79,14 @@
                     .append(Base64.getEncoder().encodeToString(words))
                     .append('\n');
         }
-        wakeIn(BroadcastLoadShedding.LOOK, LOOK);
+        scheduleWakeUp(BroadcastLoadShedding.LOOK, LOOK);
     }
 
     /** Tells the manager of one event; an unknown one is an error of the caller's line. */
     void tell(long now, String event, WireFields f, Map<Integer, List<WireFields>> lists) {
         switch (event) {
             case "INBOUND" ->
-                    manager.taken(
+                    manager.onRequest(
                             now,
                             new IncomingRequest(
                                     batches.of(f.need("request_id")),
@@ -102,12 +104,13 @@
             case "TIMED_OUT_CLIENT" -> {
                 int batch = batches.find(f.need("request_id"));
                 if (batch >= 0) {
-                    manager.clientLeft(now, batch);
+                    manager.onClientGone(now, batch);
                 }
             }
-            case "ENDPOINTS" -> manager.listed(now, list(f, lists));
+            case "ENDPOINTS" -> manager.onEndpointsUpdated(now, list(f, lists));
             case "PING_RESULT" ->
-                    manager.probed(now, engines.of(f.needWhole("engine")), outcome(f), report(f));
+                    manager.onProbeResult(
+                            now, engines.of(f.needWhole("engine")), outcome(f), report(f));
             case "DATAGRAM" -> {
                 if (circle != null) {
                     circle.heard(now, f.index("by", 0), words(f.text("payload", "-")));
@@ -117,7 +120,7 @@
                 if (f.whole("nonce", 0) == LOOK) {
                     look(now);
                 } else {
-                    manager.woken(now, f.whole("nonce", 0));
+                    manager.onWakeUp(now, f.whole("nonce", 0));
                 }
             }
             case "FLOWING" -> {}
@@ -130,7 +133,7 @@
             looks = true;
             look(now);
         }
-        manager.turn(now);
+        manager.runPendingActions(now);
     }
 
     /** The reply lines gathered since the last call. */
@@ -146,7 +149,7 @@
             return;
         }
         long stats = f.whole("stats", 0);
-        manager.ended(
+        manager.onAttemptResult(
                 now,
                 new AttemptResult(
                         batch,
@@ -166,16 +169,16 @@
         double amount = f.number("amount", 0);
         AttemptProgress.Kind kind =
                 switch (f.index("what", 0)) {
-                    case 1 -> AttemptProgress.Kind.DONE;
-                    case 2 -> AttemptProgress.Kind.SPILLS;
+                    case 1 -> AttemptProgress.Kind.FRACTION_DONE;
+                    case 2 -> AttemptProgress.Kind.SPILLING;
                     case 3 ->
                             amount == 1
-                                    ? AttemptProgress.Kind.WAITS_FOR_MEMORY
-                                    : AttemptProgress.Kind.WAITS_FOR_LOAD;
+                                    ? AttemptProgress.Kind.WAITING_FOR_MEMORY
+                                    : AttemptProgress.Kind.WAITING_FOR_TABLE_LOAD;
                     default -> null;
                 };
         if (batch >= 0 && kind != null) {
-            manager.noted(
+            manager.onAttemptProgress(
                     now,
                     new AttemptProgress(
                             batch,
@@ -189,12 +192,12 @@
     private EndpointUpdate list(WireFields f, Map<Integer, List<WireFields>> lists) {
         EndpointUpdate.Kind kind =
                 switch (f.need("mode")) {
-                    case "incr" -> EndpointUpdate.Kind.CHANGES;
-                    case "total" -> EndpointUpdate.Kind.WHOLE;
-                    case "warm_copy" -> EndpointUpdate.Kind.REMEMBERED;
+                    case "incr" -> EndpointUpdate.Kind.DELTA;
+                    case "total" -> EndpointUpdate.Kind.SNAPSHOT;
+                    case "warm_copy" -> EndpointUpdate.Kind.INITIAL;
                     default -> EndpointUpdate.Kind.FAILED;
                 };
-        List<EndpointUpdate.Entry> entries = new ArrayList<>();
+        List<EndpointUpdate.Endpoint> entries = new ArrayList<>();
         if (kind != EndpointUpdate.Kind.FAILED) {
             List<WireFields> items = lists.get(f.index("ref", 0));
             if (items == null) {
@@ -202,14 +205,14 @@
             }
             for (WireFields item : items) {
                 long id = item.needWhole("engine");
-                EndpointUpdate.Standing standing =
+                EndpointUpdate.Lifecycle standing =
                         switch (item.text("health", "active")) {
-                            case "active" -> EndpointUpdate.Standing.ACTIVE;
-                            case "leaving" -> EndpointUpdate.Standing.LEAVING;
-                            default -> EndpointUpdate.Standing.LEFT;
+                            case "active" -> EndpointUpdate.Lifecycle.ACTIVE;
+                            case "leaving" -> EndpointUpdate.Lifecycle.DRAINING;
+                            default -> EndpointUpdate.Lifecycle.GONE;
                         };
                 entries.add(
-                        new EndpointUpdate.Entry(
+                        new EndpointUpdate.Endpoint(
                                 engines.of(id),
                                 id,
                                 item.index("locality", 0),
@@ -257,7 +260,7 @@
     }
 
     @Override
-    public void provide(int batch, int grantMb, int priority) {
+    public void setGrantAndPriority(int batch, int grantMb, int priority) {
         line("PROVIDE", batch)
                 .append(" workspace_mb=")
                 .append(grantMb)
@@ -267,7 +270,7 @@
     }
 
     @Override
-    public void dispatch(int batch, int engine, long within) {
+    public void startAttempt(int batch, int engine, long within) {
         line("DISPATCH", batch)
                 .append(" engine=")
                 .append(engines.id(engine))
@@ -277,47 +280,47 @@
     }
 
     @Override
-    public void callOff(int batch, int dispatch) {
+    public void cancelAttempt(int batch, int dispatch) {
         line("UNDO_SEND", batch).append(" attempt=").append(dispatch).append('\n');
     }
 
     @Override
-    public void pushBack(int batch, long comeBack) {
+    public void reject(int batch, long comeBack) {
         line("DENY", batch).append(" come_back=").append(WireFields.seconds(comeBack)).append('\n');
     }
 
     @Override
-    public void error(int batch) {
+    public void fail(int batch) {
         line("ERROR", batch).append('\n');
     }
 
     @Override
-    public void forgetBatch(int batch) {
+    public void releaseRequest(int batch) {
         batches.release(batch);
     }
 
     @Override
-    public void forgetKey(int key) {
+    public void releaseKey(int key) {
         keys.release(key);
     }
 
     @Override
-    public void forgetEngine(int engine) {
+    public void releaseEngine(int engine) {
         engines.release(engine);
     }
 
     @Override
-    public void probe(int engine) {
+    public void probeEngine(int engine) {
         line("TEST").append(" engine=").append(engines.id(engine)).append('\n');
     }
 
     @Override
-    public void subscribe() {
+    public void subscribeToEndpoints() {
         line("LISTEN").append(" enable=1\n");
     }
 
     @Override
-    public void wakeIn(long delay, long token) {
+    public void scheduleWakeUp(long delay, long token) {
         line("ARM")
                 .append(" in=")
                 .append(WireFields.seconds(delay))
--- a/src/main/java/firstage/cli/FaultScheduleCommand.java
+++ b/src/main/java/firstage/cli/FaultScheduleCommand.java
@@ -7,7 +7,8 @@
 import java.util.Map;
 
 /**
- * {@code fault-schedule FIRST COUNT [DEFECT]}: plays seeded fault schedules, and says which broke what.
+ * {@code fault-schedule FIRST COUNT [DEFECT]}: plays seeded fault schedules, and says which broke
+ * what.
  */
 final class FaultScheduleCommand {
     private static final int SHOWN = 10;
--- a/src/main/java/firstage/config/SettingsParser.java
+++ b/src/main/java/firstage/config/SettingsParser.java
@@ -52,10 +52,10 @@
         }
         String[] cores = list(f, "family_info.kind_cores");
         String[] memory = list(f, "family_info.size_mb");
-        List<Deployment.Machine> machines = new ArrayList<>();
+        List<Deployment.MachineType> machines = new ArrayList<>();
         for (int k = 0; k < Math.max(cores.length, memory.length); k++) {
             machines.add(
-                    new Deployment.Machine(
+                    new Deployment.MachineType(
                             k < cores.length ? (int) number(cores[k]) : 0,
                             k < memory.length ? number(memory[k]) : 0));
         }
@@ -63,8 +63,8 @@
         for (int c = 0; c < f.index("tenants.count", 0); c++) {
             rates.add(f.number("tenants." + c + ".quota_per_s", 0) / WireFields.tenths(1));
         }
-        Deployment.Allowed allowed =
-                new Deployment.Allowed(
+        Deployment.Capabilities allowed =
+                new Deployment.Capabilities(
                         f.flag("limits.may_cancel"),
                         f.flag("limits.second_copies"),
                         f.flag("limits.retry_after"),
@@ -114,9 +114,9 @@
 
     private static TrafficClass.Effect effect(String word) {
         return switch (word) {
-            case "retryable" -> TrafficClass.Effect.REPEATABLE;
-            case "dedup" -> TrafficClass.Effect.REFERENCED;
-            default -> TrafficClass.Effect.ONCE_ONLY;
+            case "retryable" -> TrafficClass.Effect.IDEMPOTENT;
+            case "dedup" -> TrafficClass.Effect.IDEMPOTENT_WITH_KEY;
+            default -> TrafficClass.Effect.NON_IDEMPOTENT;
         };
     }
 
--- a/src/main/java/firstage/emulator/EmulatedEngine.java
+++ b/src/main/java/firstage/emulator/EmulatedEngine.java
@@ -131,18 +131,18 @@
                 x.getResponseHeaders()
                         .put(
                                 REMARK,
-                                note == AttemptProgress.Kind.DONE
+                                note == AttemptProgress.Kind.FRACTION_DONE
                                         ? "pct"
-                                        : note == AttemptProgress.Kind.SPILLS
+                                        : note == AttemptProgress.Kind.SPILLING
                                                 ? "overflow"
                                                 : "queued")
                         .put(
                                 FIGURE,
                                 String.valueOf(
-                                        note == AttemptProgress.Kind.DONE
-                                                        || note == AttemptProgress.Kind.SPILLS
+                                        note == AttemptProgress.Kind.FRACTION_DONE
+                                                        || note == AttemptProgress.Kind.SPILLING
                                                 ? amount
-                                                : note == AttemptProgress.Kind.WAITS_FOR_MEMORY
+                                                : note == AttemptProgress.Kind.WAITING_FOR_MEMORY
                                                         ? 1
                                                         : 2));
                 note = null;
@@ -151,12 +151,12 @@
             }
             over(end);
             switch (end) {
-                case RETURNED -> {
+                case SUCCEEDED -> {
                     x.getResponseHeaders().put(PAGE_COUNT, "1");
                     x.setStatusCode(200);
                     x.getResponseSender().send("a\tb\tc\n");
                 }
-                case TURNED_AWAY -> {
+                case REFUSED -> {
                     statements.remove(id);
                     x.getResponseHeaders().put(SHED, "1");
                     answer(x, 503);
@@ -274,7 +274,7 @@
         boolean loses = next == Standing.DOWN || next == Standing.SILENT;
         model.becomes(next);
         if (loses) {
-            statements.values().forEach(s -> s.over(AttemptOutcome.BROKEN));
+            statements.values().forEach(s -> s.over(AttemptOutcome.CONNECTION_LOST));
             statements.clear();
         }
     }
@@ -305,7 +305,7 @@
             switch (method) {
                 case "DELETE" -> {
                     if (s != null) {
-                        s.gone(AttemptOutcome.CALLED_OFF);
+                        s.gone(AttemptOutcome.CANCELLED);
                     }
                     answer(x, 204);
                 }
--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -358,7 +358,7 @@
             again(
                     t.is,
                     0,
-                    unreached || plan.groups().get(t.is.group).effect() == Effect.REPEATABLE);
+                    unreached || plan.groups().get(t.is.group).effect() == Effect.IDEMPOTENT);
         } else if (!first
                 && tries > 1
                 && stage.now() < t.notAfter
@@ -384,7 +384,7 @@
                                     }
                                 });
             }
-            again(t.is, 0, plan.groups().get(t.is.group).effect() == Effect.REPEATABLE);
+            again(t.is, 0, plan.groups().get(t.is.group).effect() == Effect.IDEMPOTENT);
         }
     }
 
@@ -410,7 +410,7 @@
         } else {
             witness.ended(t, "errored");
             score.errored();
-            again(t.is, 0, plan.groups().get(t.is.group).effect() == Effect.REPEATABLE);
+            again(t.is, 0, plan.groups().get(t.is.group).effect() == Effect.IDEMPOTENT);
         }
     }
 
--- a/src/main/java/firstage/faulttest/FaultTestRun.java
+++ b/src/main/java/firstage/faulttest/FaultTestRun.java
@@ -6,7 +6,7 @@
 import firstage.emulator.LinkFaults;
 import firstage.emulator.LoadGenerator;
 import firstage.emulator.RealTimeLoop;
-import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.EndpointUpdate.Lifecycle;
 import firstage.simulation.EngineModel;
 import firstage.simulation.FleetPlan;
 import firstage.simulation.FleetPlan.Fault;
@@ -412,7 +412,7 @@
                             e -> {
                                 engines.get(e).becomes(EngineModel.Standing.DRAINING);
                                 doors(e, FaultInjectingProxy.Answer.REFUSES, false);
-                                tell(e, Standing.LEAVING, 0, 1, chance);
+                                tell(e, Lifecycle.DRAINING, 0, 1, chance);
                                 stage.calendar()
                                         .in(
                                                 f.length(),
@@ -545,7 +545,7 @@
                 e,
                 silent ? FaultInjectingProxy.Answer.SILENT : FaultInjectingProxy.Answer.REFUSES,
                 !silent);
-        tell(e, Standing.LEFT, 0, later, chance);
+        tell(e, Lifecycle.GONE, 0, later, chance);
         stage.calendar()
                 .in(
                         length,
@@ -553,13 +553,13 @@
                             engines.get(e).becomes(EngineModel.Standing.UP);
                             recording.event(since(), "engine", "engine", e, "is", "up");
                             doors(e, FaultInjectingProxy.Answer.OPEN, silent);
-                            tell(e, Standing.ACTIVE, stage.calendar().now(), 1, chance);
+                            tell(e, Lifecycle.ACTIVE, stage.calendar().now(), 1, chance);
                         });
     }
 
     /** Each manager hears it when its own list comes round. */
-    private void tell(int e, Standing standing, long since, int later, RandomGenerator chance) {
-        int state = standing == Standing.ACTIVE ? 0 : standing == Standing.LEAVING ? 1 : 2;
+    private void tell(int e, Lifecycle standing, long since, int later, RandomGenerator chance) {
+        int state = standing == Lifecycle.ACTIVE ? 0 : standing == Lifecycle.DRAINING ? 1 : 2;
         for (int m = 0; m < coordinators.size(); m++) {
             int manager = m;
             stage.calendar()
@@ -567,12 +567,12 @@
                             later * plan.managers().listDelay().drawTime(chance),
                             () -> {
                                 boolean stale =
-                                        standing == Standing.LEFT
+                                        standing == Lifecycle.GONE
                                                 && engines.get(e).model().standing()
                                                         == EngineModel.Standing.UP;
                                 if (!stale) {
                                     rules.listed(
-                                            stage.now(), manager, e, standing == Standing.ACTIVE);
+                                            stage.now(), manager, e, standing == Lifecycle.ACTIVE);
                                     rules.toldStart(manager, e, since);
                                     coordinators
                                             .get(manager)
--- a/src/main/java/firstage/faulttest/ManagerConfigWriter.java
+++ b/src/main/java/firstage/faulttest/ManagerConfigWriter.java
@@ -136,9 +136,9 @@
             out.writeStringField(
                     "effect",
                     switch (g.effect()) {
-                        case REPEATABLE -> "retryable";
-                        case REFERENCED -> "dedup";
-                        case ONCE_ONLY -> "fragile";
+                        case IDEMPOTENT -> "retryable";
+                        case IDEMPOTENT_WITH_KEY -> "dedup";
+                        case NON_IDEMPOTENT -> "fragile";
                     });
             out.writeStringField("group", g.scope().name().toLowerCase(Locale.ROOT));
             out.writeNumberField("target", g.goal() / SECOND);
--- a/src/main/java/firstage/lifecycle/AttemptStateMachine.java
+++ b/src/main/java/firstage/lifecycle/AttemptStateMachine.java
@@ -205,8 +205,8 @@
         // Not written: an engine never ran it, whatever happens.
         row(State.NEW, Event.WRITTEN, State.POSTING, Effect.NONE, null);
         row(State.NEW, Event.RESET, State.NEW, Effect.POST, null);
-        row(State.NEW, Event.TOO_MANY, State.OVER, Effect.SURE, AttemptOutcome.NO_CONNECTION);
-        row(State.NEW, Event.UNREACHED, State.OVER, Effect.SURE, AttemptOutcome.NO_CONNECTION);
+        row(State.NEW, Event.TOO_MANY, State.OVER, Effect.SURE, AttemptOutcome.CONNECT_FAILED);
+        row(State.NEW, Event.UNREACHED, State.OVER, Effect.SURE, AttemptOutcome.CONNECT_FAILED);
         row(State.NEW, Event.UNSENT, State.OVER, Effect.SURE, AttemptOutcome.NOT_SENT);
         // Told after what is at hand: it may be a decision that gives it up.
         row(State.NEW, Event.GIVE_UP, State.DROPPED, Effect.NEXT, null);
@@ -214,51 +214,51 @@
         // Written, and not answered for.
         row(State.POSTING, Event.NEWS, State.RUNNING, Effect.ASK, null);
         row(State.POSTING, Event.PAGE, State.FETCHING, Effect.FETCH, null);
-        row(State.POSTING, Event.LAST, State.OVER, Effect.SURE, AttemptOutcome.RETURNED);
-        row(State.POSTING, Event.TURNED_AWAY, State.OVER, Effect.SURE, AttemptOutcome.TURNED_AWAY);
-        row(State.POSTING, Event.ERROR, State.ENDING, Effect.CONFIRM, AttemptOutcome.ERRORED);
+        row(State.POSTING, Event.LAST, State.OVER, Effect.SURE, AttemptOutcome.SUCCEEDED);
+        row(State.POSTING, Event.TURNED_AWAY, State.OVER, Effect.SURE, AttemptOutcome.REFUSED);
+        row(State.POSTING, Event.ERROR, State.ENDING, Effect.CONFIRM, AttemptOutcome.FAILED);
         row(State.POSTING, Event.LOST, State.UNHEARD, Effect.ASK_AGAIN, null);
         row(
                 State.POSTING,
                 Event.TOO_MANY,
                 State.ENDING_BLIND,
                 Effect.END_IT,
-                AttemptOutcome.ERRORED);
+                AttemptOutcome.FAILED);
         row(State.POSTING, Event.GIVE_UP, State.ENDING_BLIND, Effect.END_IT, null);
         // Its answer was lost. The statement may lie unread: that the engine does not know it
         // proves nothing.
         row(State.UNHEARD, Event.NEWS, State.RUNNING, Effect.ASK, null);
         row(State.UNHEARD, Event.PAGE, State.FETCHING, Effect.FETCH, null);
-        row(State.UNHEARD, Event.LAST, State.OVER, Effect.SURE, AttemptOutcome.RETURNED);
-        row(State.UNHEARD, Event.TURNED_AWAY, State.OVER, Effect.SURE, AttemptOutcome.TURNED_AWAY);
-        row(State.UNHEARD, Event.ERROR, State.ENDING_BLIND, Effect.END_IT, AttemptOutcome.ERRORED);
+        row(State.UNHEARD, Event.LAST, State.OVER, Effect.SURE, AttemptOutcome.SUCCEEDED);
+        row(State.UNHEARD, Event.TURNED_AWAY, State.OVER, Effect.SURE, AttemptOutcome.REFUSED);
+        row(State.UNHEARD, Event.ERROR, State.ENDING_BLIND, Effect.END_IT, AttemptOutcome.FAILED);
         row(State.UNHEARD, Event.LOST, State.UNHEARD, Effect.ASK_AGAIN, null);
-        row(State.UNHEARD, Event.GONE, State.OVER, Effect.HELD, AttemptOutcome.BROKEN);
+        row(State.UNHEARD, Event.GONE, State.OVER, Effect.HELD, AttemptOutcome.CONNECTION_LOST);
         row(
                 State.UNHEARD,
                 Event.TOO_MANY,
                 State.ENDING_BLIND,
                 Effect.END_IT,
-                AttemptOutcome.ERRORED);
+                AttemptOutcome.FAILED);
         row(State.UNHEARD, Event.GIVE_UP, State.ENDING_BLIND, Effect.END_IT, null);
         // The engine has it.
         row(State.RUNNING, Event.NEWS, State.RUNNING, Effect.ASK, null);
         row(State.RUNNING, Event.PAGE, State.FETCHING, Effect.FETCH, null);
-        row(State.RUNNING, Event.LAST, State.OVER, Effect.SURE, AttemptOutcome.RETURNED);
-        row(State.RUNNING, Event.TURNED_AWAY, State.OVER, Effect.SURE, AttemptOutcome.TURNED_AWAY);
-        row(State.RUNNING, Event.ERROR, State.ENDING, Effect.CONFIRM, AttemptOutcome.ERRORED);
+        row(State.RUNNING, Event.LAST, State.OVER, Effect.SURE, AttemptOutcome.SUCCEEDED);
+        row(State.RUNNING, Event.TURNED_AWAY, State.OVER, Effect.SURE, AttemptOutcome.REFUSED);
+        row(State.RUNNING, Event.ERROR, State.ENDING, Effect.CONFIRM, AttemptOutcome.FAILED);
         row(State.RUNNING, Event.LOST, State.RUNNING, Effect.ASK_AGAIN, null);
         // One that drains may refuse new connections and run on.
-        row(State.RUNNING, Event.GONE, State.OVER, Effect.HELD, AttemptOutcome.BROKEN);
-        row(State.RUNNING, Event.TOO_MANY, State.ENDING, Effect.END_IT, AttemptOutcome.ERRORED);
+        row(State.RUNNING, Event.GONE, State.OVER, Effect.HELD, AttemptOutcome.CONNECTION_LOST);
+        row(State.RUNNING, Event.TOO_MANY, State.ENDING, Effect.END_IT, AttemptOutcome.FAILED);
         row(State.RUNNING, Event.GIVE_UP, State.ENDING, Effect.END_IT, null);
         // It ended well there; only its pages can be lost.
         row(State.FETCHING, Event.PAGE, State.FETCHING, Effect.FETCH, null);
-        row(State.FETCHING, Event.LAST, State.OVER, Effect.SURE, AttemptOutcome.RETURNED);
-        row(State.FETCHING, Event.ERROR, State.OVER, Effect.SURE, AttemptOutcome.ERRORED);
+        row(State.FETCHING, Event.LAST, State.OVER, Effect.SURE, AttemptOutcome.SUCCEEDED);
+        row(State.FETCHING, Event.ERROR, State.OVER, Effect.SURE, AttemptOutcome.FAILED);
         row(State.FETCHING, Event.LOST, State.FETCHING, Effect.ASK_AGAIN, null);
-        row(State.FETCHING, Event.GONE, State.OVER, Effect.SURE, AttemptOutcome.BROKEN);
-        row(State.FETCHING, Event.TOO_MANY, State.ENDING, Effect.END_IT, AttemptOutcome.ERRORED);
+        row(State.FETCHING, Event.GONE, State.OVER, Effect.SURE, AttemptOutcome.CONNECTION_LOST);
+        row(State.FETCHING, Event.TOO_MANY, State.ENDING, Effect.END_IT, AttemptOutcome.FAILED);
         row(State.FETCHING, Event.GIVE_UP, State.ENDING, Effect.END_IT, null);
         // Given up, and the engine had answered for it: its answer to the DELETE, or any last word,
         // proves the end.
--- a/src/main/java/firstage/overload/BroadcastLoadShedding.java
+++ b/src/main/java/firstage/overload/BroadcastLoadShedding.java
@@ -46,7 +46,8 @@
         level.measure(now, demand);
         level.look(now);
         boolean stirs =
-                demand.runs() > STIR * demand.bears() / (heardAt.size() + 1) || demand.waits() > 0;
+                demand.runningThreads() > STIR * demand.threadCapacity() / (heardAt.size() + 1)
+                        || demand.waitingWork() > 0;
         if (!stirs || now - toldAt < TELL) {
             return new byte[0];
         }
--- a/src/main/java/firstage/overload/LoadSheddingLevel.java
+++ b/src/main/java/firstage/overload/LoadSheddingLevel.java
@@ -188,23 +188,23 @@
 
     /** What this manager's own decisions count, to be told each tenth of a second or so. */
     public void measure(long now, DemandHistogram d) {
-        double[] all = d.came();
+        double[] all = d.arrivedWork();
         if (measuredAt >= 0 && now > measuredAt) {
             double time = now - measuredAt;
             double by = 1 - Math.exp(-time / SMOOTH);
             for (int i = 0; i < all.length; i++) {
                 came[i] += ((all[i] - cameBefore[i]) / time - came[i]) * by;
             }
-            sent += ((d.sent() - sentBefore) / time - sent) * by;
-            lost += ((d.lost() - lostBefore) / time - lost) * by;
-            waits += (d.waits() / TENTHS + lost * LOST - waits) * by;
-            runs += (d.runs() - runs) * by;
+            sent += ((d.startedWork() - sentBefore) / time - sent) * by;
+            lost += ((d.shedWork() - lostBefore) / time - lost) * by;
+            waits += (d.waitingWork() / TENTHS + lost * LOST - waits) * by;
+            runs += (d.runningThreads() - runs) * by;
         }
-        bears = d.bears();
+        bears = d.threadCapacity();
         measuredAt = now;
         System.arraycopy(all, 0, cameBefore, 0, all.length);
-        sentBefore = d.sent();
-        lostBefore = d.lost();
+        sentBefore = d.startedWork();
+        lostBefore = d.shedWork();
     }
 
     /** What it sees of the zones, to be told with the rest. */
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -1,7 +1,7 @@
 package firstage.policy;
 
 import firstage.policy.api.*;
-import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.EndpointUpdate.Lifecycle;
 import firstage.policy.api.TrafficClass.Effect;
 import firstage.policy.api.TrafficClass.Scope;
 import firstage.policy.state.*;
@@ -136,14 +136,14 @@
 
     /** State (null: any), input, next state, effect. What leaves the state as it is is no news. */
     private static final Row[] HEALTH = {
-        new Row(null, News.ANSWER, EngineHealth.READY, Act.CLEAR),
-        new Row(null, News.RESTARTED, EngineHealth.READY, Act.CLEAR),
-        new Row(null, News.REFUSED, EngineHealth.FULL, Act.REST),
-        new Row(null, News.UNREACHED, EngineHealth.DOWN, Act.REST),
-        new Row(null, News.BROKE, EngineHealth.DOWN, Act.REST),
-        new Row(null, News.QUIET, EngineHealth.SILENT, Act.REST),
-        new Row(EngineHealth.SILENT, News.SIGN, EngineHealth.TRIAL, Act.NONE),
-        new Row(null, News.RESTED, EngineHealth.TRIAL, Act.NONE),
+        new Row(null, News.ANSWER, EngineHealth.AVAILABLE, Act.CLEAR),
+        new Row(null, News.RESTARTED, EngineHealth.AVAILABLE, Act.CLEAR),
+        new Row(null, News.REFUSED, EngineHealth.REFUSING, Act.REST),
+        new Row(null, News.UNREACHED, EngineHealth.UNAVAILABLE, Act.REST),
+        new Row(null, News.BROKE, EngineHealth.UNAVAILABLE, Act.REST),
+        new Row(null, News.QUIET, EngineHealth.UNRESPONSIVE, Act.REST),
+        new Row(EngineHealth.UNRESPONSIVE, News.SIGN, EngineHealth.HALF_OPEN, Act.NONE),
+        new Row(null, News.RESTED, EngineHealth.HALF_OPEN, Act.NONE),
     };
 
     /**
@@ -152,15 +152,15 @@
      */
     private static final Map<AttemptOutcome, News> TELLS =
             Map.of(
-                    AttemptOutcome.RETURNED,
+                    AttemptOutcome.SUCCEEDED,
                     News.ANSWER,
-                    AttemptOutcome.ERRORED,
+                    AttemptOutcome.FAILED,
                     News.SIGN,
-                    AttemptOutcome.NO_CONNECTION,
+                    AttemptOutcome.CONNECT_FAILED,
                     News.UNREACHED,
-                    AttemptOutcome.BROKEN,
+                    AttemptOutcome.CONNECTION_LOST,
                     News.BROKE,
-                    AttemptOutcome.TURNED_AWAY,
+                    AttemptOutcome.REFUSED,
                     News.REFUSED);
 
     private enum Again {
@@ -176,20 +176,20 @@
      * only).
      */
     private static final Leave[] LEAVES = {
-        new Leave(Effect.REPEATABLE, false, Again.ANYWHERE, true),
-        new Leave(Effect.REPEATABLE, true, Again.ANYWHERE, true),
-        new Leave(Effect.REFERENCED, false, Again.ANYWHERE, true),
-        new Leave(Effect.REFERENCED, true, Again.IN_SCOPE, false),
-        new Leave(Effect.ONCE_ONLY, false, Again.ANYWHERE, true),
-        new Leave(Effect.ONCE_ONLY, true, Again.NO, false),
+        new Leave(Effect.IDEMPOTENT, false, Again.ANYWHERE, true),
+        new Leave(Effect.IDEMPOTENT, true, Again.ANYWHERE, true),
+        new Leave(Effect.IDEMPOTENT_WITH_KEY, false, Again.ANYWHERE, true),
+        new Leave(Effect.IDEMPOTENT_WITH_KEY, true, Again.IN_SCOPE, false),
+        new Leave(Effect.NON_IDEMPOTENT, false, Again.ANYWHERE, true),
+        new Leave(Effect.NON_IDEMPOTENT, true, Again.NO, false),
     };
 
     // ---- State.
     private final PolicyActions host;
     private final RandomGenerator chance;
-    private final Deployment.Allowed allowed;
+    private final Deployment.Capabilities allowed;
     private final Deployment.Rules rules;
-    private final List<Deployment.Machine> machines;
+    private final List<Deployment.MachineType> machines;
     private final List<TrafficClassStats> groups = new ArrayList<>();
     private final double base;
     private double share;
@@ -232,62 +232,66 @@
     public WorkloadScheduler(Deployment deployment, PolicyActions host) {
         this.host = host;
         chance = RandomGeneratorFactory.of("L64X128MixRandom").create(deployment.seed());
-        allowed = deployment.allowed();
+        allowed = deployment.capabilities();
         rules = deployment.rules();
-        machines = deployment.machines();
-        taken = new SlidingWindowCounter(rules.furtherSpan(), PIECES);
-        further = new SlidingWindowCounter(rules.furtherSpan(), PIECES);
+        machines = deployment.machineTypes();
+        taken = new SlidingWindowCounter(rules.retryWindow(), PIECES);
+        further = new SlidingWindowCounter(rules.retryWindow(), PIECES);
         base = 1.0 / deployment.managers();
         share = base;
         rank = deployment.rank();
         managers = deployment.managers();
         zone = deployment.zone();
-        nearby = deployment.crossingCosts();
-        largestGrant = deployment.largestGrant();
+        nearby = deployment.crossZoneCosts();
+        largestGrant = deployment.maxGrantShare();
         // A probe whose answer tells no load would be paid for and waited on, and would never let a
         // batch go.
-        probePrice = deployment.probesTell() ? deployment.probePrice() : -1;
-        int cores = machines.stream().mapToInt(Deployment.Machine::cores).max().orElse(1);
+        probePrice = deployment.probesReportLoad() ? deployment.probePrice() : -1;
+        int cores = machines.stream().mapToInt(Deployment.MachineType::cores).max().orElse(1);
         part = cores * THREADS_PER_CORE * share;
-        notePace = deployment.notePace();
-        subscribe = deployment.asksForList();
+        notePace = deployment.progressInterval();
+        subscribe = deployment.subscribesToEndpoints();
         quotas =
-                deployment.customerRates().stream()
+                deployment.tenantRates().stream()
                         .map(r -> new TokenBucket(r * share, CUSTOMER_SPAN))
                         .toList();
-        for (TrafficClass is : deployment.groups()) {
+        for (TrafficClass is : deployment.trafficClasses()) {
             groups.add(new TrafficClassStats(is, FIRST_MARGIN, FIRST_BEST, GROUP_SAMPLES));
         }
     }
 
     // ---- News.
     @Override
-    public void taken(long now, IncomingRequest arrival) {
-        RequestState b = new RequestState(arrival, groups.get(arrival.group()), arrivals++, now);
-        if (b.key >= 0 && arrival.turnUnknown()) {
+    public void onRequest(long now, IncomingRequest arrival) {
+        RequestState b =
+                new RequestState(arrival, groups.get(arrival.trafficClass()), arrivals++, now);
+        if (b.key >= 0 && arrival.orderUnknown()) {
             KeyQueue turn = turns.computeIfAbsent(b.key, k -> new KeyQueue());
             turn.restUntil = Math.max(turn.restUntil, now + TURN_REST);
         } else if (b.key >= 0) {
             turns.computeIfAbsent(b.key, k -> new KeyQueue()).line.add(b);
-        } else if (arrival.key() >= 0 && !turns.containsKey(arrival.key())) {
-            host.forgetKey(arrival.key());
+        } else if (arrival.orderingKey() >= 0 && !turns.containsKey(arrival.orderingKey())) {
+            host.releaseKey(arrival.orderingKey());
         }
         TrafficClass is = b.group.is;
-        b.goalAt = now + is.goal() + (long) (is.stretch() * b.expectedWork() / is.threads());
+        b.goalAt =
+                now
+                        + is.latencyObjective()
+                        + (long) (is.latencyObjectivePerWork() * b.expectedWork() / is.threads());
         b.overShare =
-                arrival.customer() >= 0
-                        && arrival.customer() < quotas.size()
-                        && !quotas.get(arrival.customer()).take();
-        worth.add(is.utility());
-        if (arrival.estimate() > 0) {
-            b.group.told.add(arrival.estimate());
+                arrival.tenant() >= 0
+                        && arrival.tenant() < quotas.size()
+                        && !quotas.get(arrival.tenant()).take();
+        worth.add(is.priorityWeight());
+        if (arrival.estimatedWork() > 0) {
+            b.group.told.add(arrival.estimatedWork());
         }
-        batches.put(arrival.batch(), b);
+        batches.put(arrival.request(), b);
         stirred = true;
         taken.add(now, 1);
-        b.band = DemandHistogram.band(is.utility(), b.expectedWork(), b.overShare);
-        demand.came(b.band, b.expectedWork());
-        if (b.key >= 0 && arrival.turnUnknown()
+        b.band = DemandHistogram.band(is.priorityWeight(), b.expectedWork(), b.overShare);
+        demand.arrivedWork(b.band, b.expectedWork());
+        if (b.key >= 0 && arrival.orderUnknown()
                 || b.band == cut && chance.nextDouble() >= cutPart) {
             // Run in the wrong turn it would break its key's order unseen; not run, it harms
             // nobody.
@@ -298,9 +302,9 @@
     }
 
     @Override
-    public void ended(long now, AttemptResult ending) {
-        RequestState b = batches.get(ending.batch());
-        Attempt f = b == null ? null : b.flight(ending.dispatch());
+    public void onAttemptResult(long now, AttemptResult ending) {
+        RequestState b = batches.get(ending.request());
+        Attempt f = b == null ? null : b.flight(ending.attempt());
         if (f == null) {
             return;
         }
@@ -317,24 +321,25 @@
             health(now, e, TELLS.get(how));
         }
         blame(now, b, e, how);
-        if (how == AttemptOutcome.TURNED_AWAY) {
+        if (how == AttemptOutcome.REFUSED) {
             press(now, e);
         } else if (how == AttemptOutcome.TIMED_OUT && usable(e)) {
             // Where nothing comes back no answer tells of a jam; a silent engine is no sign of one.
             slowed(now, e, (now - f.sent) * b.group.is.threads() / b.expectedWork());
-        } else if (how == AttemptOutcome.RETURNED) {
+        } else if (how == AttemptOutcome.SUCCEEDED) {
             e.spoke(now, f);
             learn(now, f, ending);
         }
-        report(now, e, ending.report());
+        report(now, e, ending.loadReport());
         KeyQueue turn = turns.get(b.key);
         if (turn != null) {
             // What may run on rests: an error may stand for a dispatch that was called off.
-            long rest = how.mayHaveRun && how != AttemptOutcome.RETURNED ? rules.keyRest() : 0;
-            rest = Math.max(ending.mayHold(), rest);
+            long rest =
+                    how.mayHaveRun && how != AttemptOutcome.SUCCEEDED ? rules.keyQuietPeriod() : 0;
+            rest = Math.max(ending.mayStillRunFor(), rest);
             turn.restUntil = Math.max(turn.restUntil, now + rest);
         }
-        if (ending.closed() || b.closed) {
+        if (ending.requestClosed() || b.closed) {
             close(b);
         } else if (b.out.isEmpty() && mayGoAgain(now, b) && now < lastMoment(b)) {
             held.put(b.order, b);
@@ -344,28 +349,28 @@
     }
 
     @Override
-    public void noted(long now, AttemptProgress note) {
-        RequestState b = batches.get(note.batch());
-        Attempt f = b == null ? null : b.flight(note.dispatch());
+    public void onAttemptProgress(long now, AttemptProgress note) {
+        RequestState b = batches.get(note.request());
+        Attempt f = b == null ? null : b.flight(note.attempt());
         if (f == null) {
             return;
         }
         EngineState e = f.engine;
         e.spoke(now, f);
         health(now, e, News.SIGN);
-        f.standsStill = note.kind() == AttemptProgress.Kind.WAITS_FOR_LOAD;
-        f.inLine = note.kind() == AttemptProgress.Kind.WAITS_FOR_MEMORY;
+        f.standsStill = note.kind() == AttemptProgress.Kind.WAITING_FOR_TABLE_LOAD;
+        f.inLine = note.kind() == AttemptProgress.Kind.WAITING_FOR_MEMORY;
         switch (note.kind()) {
-            case DONE -> {
+            case FRACTION_DONE -> {
                 f.share = Math.max(note.amount(), f.share);
-                if (f.share > 0.05 && b.is.estimate() > 0 && !f.waited) {
+                if (f.share > 0.05 && b.is.estimatedWork() > 0 && !f.waited) {
                     double whole = (now - f.sent) / f.share * b.group.is.threads();
-                    slowed(now, e, whole / b.is.estimate() / b.group.best());
+                    slowed(now, e, whole / b.is.estimatedWork() / b.group.best());
                 }
                 rescue(now, f);
             }
-            case SPILLS -> f.shortGrant = true;
-            case WAITS_FOR_MEMORY -> {
+            case SPILLING -> f.shortGrant = true;
+            case WAITING_FOR_MEMORY -> {
                 // Memory that others wait for was granted too freely: margins give way before
                 // batches do.
                 b.group.margin =
@@ -374,26 +379,26 @@
                 press(now, e);
                 shrink(now, e, false);
             }
-            case WAITS_FOR_LOAD -> {
+            case WAITING_FOR_TABLE_LOAD -> {
                 f.waited = true;
-                e.loaded.put(b.is.tables(), now + 2 * notePace);
+                e.loaded.put(b.is.tableGroup(), now + 2 * notePace);
             }
         }
     }
 
     @Override
-    public void clientLeft(long now, int batch) {
+    public void onClientGone(long now, int batch) {
         Optional.ofNullable(batches.get(batch)).ifPresent(this::close);
     }
 
     @Override
-    public void clientAway(long now, int batch, boolean away) {
+    public void onClientPresence(long now, int batch, boolean away) {
         Optional.ofNullable(batches.get(batch)).ifPresent(b -> b.away = away);
         stirred = true;
     }
 
     @Override
-    public void allotted(long now, double next) {
+    public void onQuotaChanged(long now, double next) {
         double ratio = next / share;
         part *= ratio;
         share = next;
@@ -408,40 +413,40 @@
     public DemandHistogram demand(long now) {
         List<EngineState> used =
                 engines.values().stream().filter(WorkloadScheduler::usable).toList();
-        demand.runs(
+        demand.runningThreads(
                 used.stream().mapToInt(e -> e.threads).sum(),
                 used.stream().mapToDouble(e -> e.cores * THREADS_PER_CORE * cold(now, e)).sum());
         return demand;
     }
 
     @Override
-    public void cut(long now, int band, double part) {
+    public void onSheddingThreshold(long now, int band, double part) {
         cut = band;
         cutPart = part;
         stirred = true;
     }
 
     @Override
-    public void closing(long now, long endsAt) {
+    public void onShutdown(long now, long endsAt) {
         closesAt = endsAt;
     }
 
     @Override
-    public void listed(long now, EndpointUpdate list) {
+    public void onEndpointsUpdated(long now, EndpointUpdate list) {
         startedAt = startedAt < 0 ? now : startedAt;
         subscribe |= list.kind() == EndpointUpdate.Kind.FAILED;
-        if (list.kind() == EndpointUpdate.Kind.WHOLE
-                || list.kind() == EndpointUpdate.Kind.REMEMBERED) {
-            engines.values().forEach(e -> e.standing = Standing.LEFT);
+        if (list.kind() == EndpointUpdate.Kind.SNAPSHOT
+                || list.kind() == EndpointUpdate.Kind.INITIAL) {
+            engines.values().forEach(e -> e.standing = Lifecycle.GONE);
         }
         stirred = true;
-        for (EndpointUpdate.Entry entry : list.entries()) {
+        for (EndpointUpdate.Endpoint entry : list.endpoints()) {
             EngineState e = engine(entry.engine());
             if (e.listed(entry)) {
                 health(now, e, News.RESTARTED);
             }
-            if (e.cores == 0 || e.kind != entry.kind()) {
-                measure(e, entry.kind());
+            if (e.cores == 0 || e.kind != entry.machineType()) {
+                measure(e, entry.machineType());
             }
         }
     }
@@ -451,7 +456,7 @@
      * core.
      */
     private void measure(EngineState e, int kind) {
-        Deployment.Machine m = kind >= 0 && kind < machines.size() ? machines.get(kind) : null;
+        Deployment.MachineType m = kind >= 0 && kind < machines.size() ? machines.get(kind) : null;
         e.kind = kind;
         e.cores = m == null || m.cores() <= 0 ? 1 : m.cores();
         e.memory = m == null || m.memoryMb() <= 0 ? Double.MAX_VALUE / 4 : m.memoryMb();
@@ -460,8 +465,8 @@
     }
 
     @Override
-    public void probed(long now, int index, AttemptOutcome outcome, LoadReport report) {
-        if (outcome == AttemptOutcome.NO_CONNECTION) {
+    public void onProbeResult(long now, int index, AttemptOutcome outcome, LoadReport report) {
+        if (outcome == AttemptOutcome.CONNECT_FAILED) {
             health(now, engine(index), News.UNREACHED);
         }
         report(now, engine(index), report);
@@ -469,7 +474,7 @@
     }
 
     @Override
-    public void woken(long now, long token) {
+    public void onWakeUp(long now, long token) {
         nextBeat = 0;
     }
 
@@ -478,10 +483,10 @@
             return;
         }
         e.toldAt = now;
-        e.noLine = report.waiting() < 1;
+        e.noLine = report.queuedForMemory() < 1;
         usual.add(e.crowd);
-        double busy = report.active() / e.cores / THREADS_PER_CORE;
-        double[] told = {report.waiting(), report.memoryShare(), busy};
+        double busy = report.activeThreads() / e.cores / THREADS_PER_CORE;
+        double[] told = {report.queuedForMemory(), report.memoryShare(), busy};
         e.crowd = Arrays.stream(told).filter(f -> f > 0).max().orElse(0); // not a number: not told
         if (e.crowd >= 1) {
             press(now, e);
@@ -494,9 +499,9 @@
 
     // ---- Release.
     @Override
-    public void turn(long now) {
+    public void runPendingActions(long now) {
         if (subscribe) {
-            host.subscribe();
+            host.subscribeToEndpoints();
             subscribe = false;
         }
         if (nextBeat == 0) {
@@ -508,7 +513,7 @@
         }
         if (nextBeat == 0 && (!batches.isEmpty() || !turns.isEmpty())) {
             nextBeat = now + BEAT;
-            host.wakeIn(BEAT, 0);
+            host.scheduleWakeUp(BEAT, 0);
         }
         stirred = false;
     }
@@ -529,11 +534,12 @@
             // What the fleet has no room for is told so at once: held, it would only be late later.
             boolean below = b.dispatches == 0 && b.band < cut;
             boolean mayGo = !below && !b.away && now < lastMoment(b) && myTurn(now, b);
-            boolean byTables = b.group.is.yieldsToLoads() || b.group.is.load();
+            boolean byTables = b.group.is.blockedByTableLoads() || b.group.is.tableLoad();
             long like =
                     !mayGo || b.dispatches > 0 || b.key >= 0 || looks(b)
                             ? -1
-                            : ((byTables ? b.is.tables() + 1L : 0) * groups.size() + b.is.group())
+                            : ((byTables ? b.is.tableGroup() + 1L : 0) * groups.size()
+                                                    + b.is.trafficClass())
                                             * 4
                                     + priority(b);
             boolean vain =
@@ -554,18 +560,18 @@
                                     > room * (b.overShare && cut == 0 ? OVER_SHARE_ROOM : 1)) {
                 held.remove(b.order);
                 if (b.out.isEmpty()) {
-                    demand.lost(below ? 0 : b.expectedWork());
+                    demand.shedWork(below ? 0 : b.expectedWork());
                     giveUp(b);
                 }
             }
         }
-        demand.waits(waits);
+        demand.waitingWork(waits);
     }
 
     private int room() {
         int all =
                 engines.values().stream()
-                        .mapToInt(e -> e.standing == Standing.ACTIVE ? e.cores : 0)
+                        .mapToInt(e -> e.standing == Lifecycle.ACTIVE ? e.cores : 0)
                         .sum();
         return (int) Math.max(HELD_PER_CORE, all * share * HELD_PER_CORE);
     }
@@ -577,10 +583,10 @@
      * goal is past.
      */
     private long giveUpAt(RequestState b) {
-        boolean told = b.is.estimate() > 0;
+        boolean told = b.is.estimatedWork() > 0;
         double run = b.expectedRun() * (told ? 1 : Math.max(1, fleet.quantile(0.5)));
-        boolean byGoal = b.group.is.lateValue() == 0 || crowded && !told;
-        return Math.min(lastMoment(b), (byGoal ? b.goalAt : b.is.notAfter()) - (long) run);
+        boolean byGoal = b.group.is.lateValueShare() == 0 || crowded && !told;
+        return Math.min(lastMoment(b), (byGoal ? b.goalAt : b.is.deadline()) - (long) run);
     }
 
     /**
@@ -588,18 +594,19 @@
      * ends.
      */
     private long lastMoment(RequestState b) {
-        return Math.min(b.is.notAfter() - LAST_CALL, closesAt - b.expectedRun());
+        return Math.min(b.is.deadline() - LAST_CALL, closesAt - b.expectedRun());
     }
 
     private void send(long now, RequestState b, EngineState e) {
         held.remove(b.order);
-        demand.sent(b.dispatches == 0 ? b.expectedWork() : 0);
+        demand.startedWork(b.dispatches == 0 ? b.expectedWork() : 0);
         Attempt f = new Attempt(b, e, b.dispatches++, now, grant(b, e), priority(b));
         further.add(now, f.number > 0 ? 1 : 0);
         if (allowed.grants() || allowed.priorities()) {
-            host.provide(b.is.batch(), allowed.grants() ? (int) Math.ceil(f.grant) : 0, f.priority);
+            host.setGrantAndPriority(
+                    b.is.request(), allowed.grants() ? (int) Math.ceil(f.grant) : 0, f.priority);
         }
-        host.dispatch(b.is.batch(), e.index, 0);
+        host.startAttempt(b.is.request(), e.index, 0);
         b.out.add(f);
         b.last = e;
         e.take(f);
@@ -609,11 +616,14 @@
 
     private int priority(RequestState b) {
         double top =
-                groups.stream().mapToDouble(g -> g.is.utility() / g.usualWork()).max().orElse(1);
-        double rate = b.group.is.utility() / Math.max(1, b.expectedWork()) / top;
+                groups.stream()
+                        .mapToDouble(g -> g.is.priorityWeight() / g.usualWork())
+                        .max()
+                        .orElse(1);
+        double rate = b.group.is.priorityWeight() / Math.max(1, b.expectedWork()) / top;
         return rate >= 0.6
                 ? FIRST_RANK
-                : rate >= 0.1 || b.group.is.load() ? 2 : rate >= 0.03 ? 1 : 0;
+                : rate >= 0.1 || b.group.is.tableLoad() ? 2 : rate >= 0.03 ? 1 : 0;
     }
 
     /**
@@ -672,7 +682,7 @@
                             || small && only && allowed.priorities() && top.quantile(0.5) < SLOW;
             // One batch of the fleet's is spent on it now: all would wait until this manager has
             // room.
-            boolean trial = e.triesForAll && e.health == EngineHealth.TRIAL;
+            boolean trial = e.triesForAll && e.health == EngineHealth.HALF_OPEN;
             boolean fits =
                     lone
                             || trial
@@ -715,7 +725,7 @@
     /** Whether this batch looks at some engines before it goes. */
     private boolean looks(RequestState b) {
         return probePrice >= 0
-                && b.group.is.utility() * LOOK_SHARE >= probePrice * worth.or(1)
+                && b.group.is.priorityWeight() * LOOK_SHARE >= probePrice * worth.or(1)
                 && part < b.group.is.threads()
                 && fleet.quantile(0.5) >= CALM;
     }
@@ -728,7 +738,7 @@
                 chance.ints(Math.min(LOOKS, from.size()), 0, Integer.MAX_VALUE)
                         .mapToObj(i -> from.remove(i % from.size()))
                         .toList();
-        b.looked.forEach(e -> host.probe(e.index));
+        b.looked.forEach(e -> host.probeEngine(e.index));
     }
 
     /**
@@ -738,7 +748,7 @@
      * batch, chance keeps managers apart.
      */
     private double nearness(RequestState b, EngineState e, double[] loadOrder) {
-        double affinity = e.affinity(b.is.tables());
+        double affinity = e.affinity(b.is.tableGroup());
         if (loadOrder != null) {
             int others = Math.min(managers, (int) Math.ceil(loadOrder.length * READERS_FROM));
             return (Arrays.binarySearch(loadOrder, affinity) - rank) % others == 0 ? OWN_PLACE : 0;
@@ -748,35 +758,38 @@
 
     /** The active engines' affinities to a load's tables, coldest first; null for other batches. */
     private double[] loadOrder(RequestState b) {
-        return !b.group.is.load() || b.is.tables() < 0
+        return !b.group.is.tableLoad() || b.is.tableGroup() < 0
                 ? null
                 : engines.values().stream()
-                        .filter(e -> e.standing == Standing.ACTIVE)
-                        .mapToDouble(e -> e.affinity(b.is.tables()))
+                        .filter(e -> e.standing == Lifecycle.ACTIVE)
+                        .mapToDouble(e -> e.affinity(b.is.tableGroup()))
                         .sorted()
                         .toArray();
     }
 
     @Override
-    public int out(int engine) {
+    public int attemptsInFlight(int engine) {
         return engines.containsKey(engine) ? engine(engine).flights.size() : 0;
     }
 
     @Override
-    public boolean closed(int engine) {
+    public boolean isUnavailable(int engine) {
         return engines.containsKey(engine)
-                && engine(engine).standing == Standing.ACTIVE
-                && Set.of(EngineHealth.DOWN, EngineHealth.SILENT, EngineHealth.TRIAL)
+                && engine(engine).standing == Lifecycle.ACTIVE
+                && Set.of(
+                                EngineHealth.UNAVAILABLE,
+                                EngineHealth.UNRESPONSIVE,
+                                EngineHealth.HALF_OPEN)
                         .contains(engine(engine).health);
     }
 
     @Override
-    public long triedAt(int engine) {
+    public long lastAttemptAt(int engine) {
         return engines.containsKey(engine) ? engine(engine).sentAt : 0;
     }
 
     @Override
-    public long heardAt(int engine) {
+    public long lastResponseAt(int engine) {
         return engines.containsKey(engine) ? engine(engine).heard : 0;
     }
 
@@ -785,7 +798,7 @@
      * follow.
      */
     @Override
-    public void othersTry(long now, int engine, boolean others, boolean restIsOver) {
+    public void onProbeOwnership(long now, int engine, boolean others, boolean restIsOver) {
         engine(engine).othersTry = others;
         engine(engine).triesForAll = restIsOver;
         engine(engine).restUntil = restIsOver ? now : engine(engine).restUntil;
@@ -793,9 +806,9 @@
     }
 
     private static boolean usable(EngineState e) {
-        return e.standing == Standing.ACTIVE
+        return e.standing == Lifecycle.ACTIVE
                 && !e.othersTry
-                && (e.health == EngineHealth.READY || e.health == EngineHealth.TRIAL);
+                && (e.health == EngineHealth.AVAILABLE || e.health == EngineHealth.HALF_OPEN);
     }
 
     /** Whether rules and health let this batch go to this engine at all. */
@@ -803,7 +816,7 @@
         TrafficClass is = b.group.is;
         if (!usable(e)
                 || !allows(is.zones(), e.zone)
-                || !allows(is.kinds(), e.kind)
+                || !allows(is.machineTypes(), e.kind)
                 || b.out.stream().anyMatch(f -> f.engine == e)) {
             return false;
         }
@@ -814,19 +827,19 @@
                 e.triesForAll
                         ? e.flights.stream().anyMatch(f -> f.sent >= e.restUntil)
                         : !e.flights.isEmpty();
-        if (e.health == EngineHealth.TRIAL && (tried || is.effect() != Effect.REPEATABLE)) {
+        if (e.health == EngineHealth.HALF_OPEN && (tried || is.effect() != Effect.IDEMPOTENT)) {
             return false;
         }
-        if ((b.mayHaveRun || !b.out.isEmpty()) && is.effect() == Effect.REFERENCED) {
+        if ((b.mayHaveRun || !b.out.isEmpty()) && is.effect() == Effect.IDEMPOTENT_WITH_KEY) {
             EngineState first = b.mayHaveRun ? b.firstEngine : b.out.get(0).engine;
-            if (is.scope() == Scope.ZONE && first.zone != e.zone
-                    || is.scope() == Scope.CELL && first.cell != e.cell) {
+            if (is.idempotencyScope() == Scope.ZONE && first.zone != e.zone
+                    || is.idempotencyScope() == Scope.CELL && first.cell != e.cell) {
                 return false;
             }
         }
-        if ((is.yieldsToLoads() || is.load())
-                && b.is.tables() >= 0
-                && e.holdsLoad(now, b.is.tables())) {
+        if ((is.blockedByTableLoads() || is.tableLoad())
+                && b.is.tableGroup() >= 0
+                && e.holdsLoad(now, b.is.tableGroup())) {
             return false;
         }
         return cold(now, e) >= 1 || coldRoom(now, b, e);
@@ -844,30 +857,34 @@
         // News of a start comes late: engines that were down, seen by many at once, would be pushed
         // over.
         long age = now - e.start();
-        if (e.start() <= 0 || age >= rules.warmAfter() || rules.coldFrom() <= 0) {
+        if (e.start() <= 0 || age >= rules.warmUpDuration() || rules.initialCapacityShare() <= 0) {
             return 1;
         }
-        double straight = Math.max(0, (double) age / rules.warmAfter());
-        return rules.coldFrom() + (1 - rules.coldFrom()) * straight * WARMING;
+        double straight = Math.max(0, (double) age / rules.warmUpDuration());
+        return rules.initialCapacityShare()
+                + (1 - rules.initialCapacityShare()) * straight * WARMING;
     }
 
     /** Rule 4: this manager's part of what a cold engine stands in any fall window. */
     private boolean coldRoom(long now, RequestState b, EngineState e) {
-        if (rules.tipMultiple() <= 0) {
+        if (rules.overloadMultiple() <= 0) {
             return true;
         }
         // What our life before sent it is forgotten, and counts still: it may have spent our whole
         // part.
-        if (e.start() < startedAt && now < startedAt + rules.fall()) {
+        if (e.start() < startedAt && now < startedAt + rules.overloadWindow()) {
             return false;
         }
         double work = b.group.weight();
         // No peer's word makes room on a cold engine: the rule rests on our own part alone.
         double own = Math.min(share, e.coldPart > 0 ? e.coldPart : base);
         double sent = e.cold.touching(now);
-        double stands = rules.tipMultiple() * cold(now, e) * e.cores * FULL * rules.fall();
+        double stands =
+                rules.overloadMultiple() * cold(now, e) * e.cores * FULL * rules.overloadWindow();
         // Where each part is under any batch, short ones draw lots, which all managers know alike.
-        double lot = (rank * GOLDEN + e.affinity((int) ((now - e.start()) / rules.fall()))) % 1;
+        double lot =
+                (rank * GOLDEN + e.affinity((int) ((now - e.start()) / rules.overloadWindow())))
+                        % 1;
         return sent + work <= stands * own * COLD_SAFETY
                 || sent == 0
                         && work <= stands * COLD_SHORT
@@ -882,13 +899,13 @@
      */
     private void blame(long now, RequestState b, EngineState e, AttemptOutcome how) {
         EngineState blamed = null;
-        if (how == AttemptOutcome.RETURNED) {
+        if (how == AttemptOutcome.SUCCEEDED) {
             e.errors = 0;
             blamed = b.erredAt == e ? null : b.erredAt;
-        } else if (how == AttemptOutcome.ERRORED) {
+        } else if (how == AttemptOutcome.FAILED) {
             b.errors += b.erredAt == e ? 0 : 1;
             b.erredAt = b.erredAt == null ? e : b.erredAt;
-            blamed = b.group.is.effect() == Effect.REPEATABLE ? null : e;
+            blamed = b.group.is.effect() == Effect.IDEMPOTENT ? null : e;
         }
         if (blamed != null && ++blamed.errors >= ERRORS_IN_A_ROW) {
             health(now, blamed, News.BROKE);
@@ -902,25 +919,31 @@
         int threads = g.is.threads();
         // Neither told nor estimated: a usual batch should need no more than half its goal.
         double truth =
-                ending.work() > 0
-                        ? ending.work()
-                        : b.is.estimate() > 0 ? b.is.estimate() : g.is.goal() * threads / 2.0;
-        double ratio = ending.took() * threads / truth;
+                ending.actualWork() > 0
+                        ? ending.actualWork()
+                        : b.is.estimatedWork() > 0
+                                ? b.is.estimatedWork()
+                                : g.is.latencyObjective() * threads / 2.0;
+        double ratio = ending.duration() * threads / truth;
         if (!f.waited) {
             g.ran(ratio, GROUP_SAMPLES);
         }
-        g.work.add(ending.work() > 0 ? ending.work() : ending.took() * (double) threads);
+        g.work.add(
+                ending.actualWork() > 0
+                        ? ending.actualWork()
+                        : ending.duration() * (double) threads);
         double figure = b.memoryFigure();
         if (figure > 0) {
-            boolean tooShort = ending.memoryMb() > 0 ? ending.memoryMb() > f.grant : f.shortGrant;
+            boolean tooShort =
+                    ending.actualMemoryMb() > 0 ? ending.actualMemoryMb() > f.grant : f.shortGrant;
             double step = tooShort ? MARGIN_UP : pressed(now, e) ? -MARGIN_DOWN : -MARGIN_DOWN / 4;
             g.margin += step * Math.max(1, EARLY / ++g.taught);
             g.margin = Math.max(LEAST_MARGIN, Math.min(MOST_MARGIN, g.margin));
         }
-        if (ending.memoryMb() > 0) {
-            g.memory.add(ending.memoryMb());
+        if (ending.actualMemoryMb() > 0) {
+            g.memory.add(ending.actualMemoryMb());
             g.best = Math.min(g.best, BEST_OF_TRUTH);
-            if (f.shortGrant && ending.memoryMb() <= f.grant) {
+            if (f.shortGrant && ending.actualMemoryMb() <= f.grant) {
                 // It needed no more than was named, yet spilled: the engine had no more to give.
                 press(now, e);
                 shrink(now, e, false);
@@ -979,9 +1002,9 @@
                     && row.news == news
                     && row.next != e.health) {
                 e.health = row.next;
-                e.downAt = row.next == EngineHealth.DOWN ? now : e.downAt;
-                e.othersTry &= row.next != EngineHealth.READY;
-                e.triesForAll &= row.next != EngineHealth.READY;
+                e.downAt = row.next == EngineHealth.UNAVAILABLE ? now : e.downAt;
+                e.othersTry &= row.next != EngineHealth.AVAILABLE;
+                e.triesForAll &= row.next != EngineHealth.AVAILABLE;
                 boolean rests = row.act == Act.REST;
                 e.restUntil = rests ? now + e.rest : e.restUntil;
                 e.rest =
@@ -1025,7 +1048,7 @@
                 }
                 e.slow.halve();
             }
-            if (e.health != EngineHealth.READY && now >= e.restUntil && !e.othersTry) {
+            if (e.health != EngineHealth.AVAILABLE && now >= e.restUntil && !e.othersTry) {
                 health(now, e, News.RESTED);
             }
             for (int i = 0; i < e.flights.size(); i++) {
@@ -1040,11 +1063,11 @@
         List<Integer> left =
                 engines.keySet().stream().filter(id -> engine(id).leftFor(now) > KEPT).toList();
         left.forEach(engines::remove);
-        left.forEach(host::forgetEngine);
+        left.forEach(host::releaseEngine);
         List<Integer> over =
                 turns.keySet().stream().filter(key -> turns.get(key).isOver(now)).toList();
         over.forEach(turns::remove);
-        over.forEach(host::forgetKey);
+        over.forEach(host::releaseKey);
     }
 
     /**
@@ -1066,20 +1089,20 @@
         // Lost, too, is a dispatch without notes on an engine that speaks of others: dropped
         // somewhere.
         boolean lost =
-                f.engine.health == EngineHealth.SILENT
-                        || f.engine.health == EngineHealth.DOWN
+                f.engine.health == EngineHealth.UNRESPONSIVE
+                        || f.engine.health == EngineHealth.UNAVAILABLE
                         || notePace > 0 && !f.inLine && now - f.heard > patience(f);
         if (b.closed
                 || f.givenUp
                 || !(lost || f.standsStill || runaway(now, f))
-                || b.dispatches >= allowed.dispatches()
+                || b.dispatches >= allowed.maxAttempts()
                 || leave(b).again == Again.NO) {
             return;
         }
-        if (allowed.callOff() && (b.group.is.effect() == Effect.REPEATABLE || lost)) {
+        if (allowed.cancel() && (b.group.is.effect() == Effect.IDEMPOTENT || lost)) {
             f.givenUp = true;
-            host.callOff(b.is.batch(), f.number);
-        } else if (lost && allowed.secondCopies() && now < giveUpAt(b)) {
+            host.cancelAttempt(b.is.request(), f.number);
+        } else if (lost && allowed.hedging() && now < giveUpAt(b)) {
             f.givenUp = true;
             held.put(b.order, b);
         }
@@ -1091,8 +1114,8 @@
     private boolean runaway(long now, Attempt f) {
         RequestState b = f.batch;
         double fresh = b.expectedRun();
-        return allowed.callOff()
-                && b.is.estimate() > 0
+        return allowed.cancel()
+                && b.is.estimatedWork() > 0
                 && f.share > 0
                 && !f.waited
                 && (now - f.sent) / f.share * (1 - f.share) > RUNAWAY * fresh
@@ -1111,18 +1134,19 @@
     private boolean mayGoAgain(long now, RequestState b) {
         Again again = leave(b).again;
         return again != Again.NO
-                && b.dispatches < allowed.dispatches()
+                && b.dispatches < allowed.maxAttempts()
                 && b.errors < ERRORS_OF_ONE
-                && (b.out.isEmpty() || allowed.secondCopies())
-                && (again != Again.IN_SCOPE || now < b.firstSent(now) + b.group.is.window())
+                && (b.out.isEmpty() || allowed.hedging())
+                && (again != Again.IN_SCOPE
+                        || now < b.firstSent(now) + b.group.is.idempotencyWindow())
                 && (b.dispatches == 0 || withinBudget(now));
     }
 
     /** Rule 7. */
     private boolean withinBudget(long now) {
-        return rules.furtherRatio() < 0
+        return rules.retryRatio() < 0
                 || further.touching(now) + 1
-                        <= rules.furtherFree() + rules.furtherRatio() * taken.within(now);
+                        <= rules.retryAllowance() + rules.retryRatio() * taken.within(now);
     }
 
     /** Rule 5: the first in its key's line goes, after the rest an earlier one left behind. */
@@ -1134,12 +1158,13 @@
     /** Answers at once; a pushback only where trying again is harmless. */
     private void giveUp(RequestState b) {
         TrafficClass is = b.group.is;
-        boolean dropped = is.effect() == Effect.REFERENCED && is.scope() == Scope.ALL;
+        boolean dropped =
+                is.effect() == Effect.IDEMPOTENT_WITH_KEY && is.idempotencyScope() == Scope.ALL;
         if (b.errors < ERRORS_OF_ONE && (leave(b).pushBack || dropped)) {
-            long comeBack = allowed.comeBack() ? Math.min(COME_BACK, allowed.longestComeBack()) : 0;
-            host.pushBack(b.is.batch(), comeBack);
+            long comeBack = allowed.retryAfter() ? Math.min(COME_BACK, allowed.maxRetryAfter()) : 0;
+            host.reject(b.is.request(), comeBack);
         } else {
-            host.error(b.is.batch());
+            host.fail(b.is.request());
         }
         close(b);
     }
@@ -1147,12 +1172,12 @@
     private void close(RequestState b) {
         b.closed = true;
         held.remove(b.order);
-        if (b.out.isEmpty() && batches.remove(b.is.batch()) != null) {
+        if (b.out.isEmpty() && batches.remove(b.is.request()) != null) {
             KeyQueue turn = turns.get(b.key);
             if (turn != null) {
                 turn.line.remove(b);
             }
-            host.forgetBatch(b.is.batch());
+            host.releaseRequest(b.is.request());
         }
     }
 
@@ -1161,6 +1186,8 @@
                 id,
                 i ->
                         new EngineState(
-                                i, FIRST_REST, new SlidingWindowCounter(rules.fall(), PIECES)));
+                                i,
+                                FIRST_REST,
+                                new SlidingWindowCounter(rules.overloadWindow(), PIECES)));
     }
 }
--- a/src/main/java/firstage/policy/api/AttemptOutcome.java
+++ b/src/main/java/firstage/policy/api/AttemptOutcome.java
@@ -2,13 +2,13 @@
 
 /** The ways a dispatch can end. */
 public enum AttemptOutcome {
-    RETURNED(true),
-    ERRORED(true),
-    TURNED_AWAY(false),
+    SUCCEEDED(true),
+    FAILED(true),
+    REFUSED(false),
     TIMED_OUT(true),
-    NO_CONNECTION(false),
-    BROKEN(true),
-    CALLED_OFF(true),
+    CONNECT_FAILED(false),
+    CONNECTION_LOST(true),
+    CANCELLED(true),
     NOT_SENT(false);
 
     /** False where the outcome proves that the engine never ran it. */
--- a/src/main/java/firstage/policy/api/AttemptResult.java
+++ b/src/main/java/firstage/policy/api/AttemptResult.java
@@ -1,18 +1,18 @@
 package firstage.policy.api;
 
 /**
- * How a dispatch ended. {@code work} and {@code memoryMb} are what the batch truly needed, 0 if
- * untold; {@code mayHold} is how much longer its engine may hold it, 0 where its end is proven or
- * the deployment's own rest says it all.
+ * How a dispatch ended. {@code actualWork} and {@code actualMemoryMb} are what the batch truly
+ * needed, 0 if untold; {@code mayStillRunFor} is how much longer its engine may hold it, 0 where
+ * its end is proven or the deployment's own rest says it all.
  */
 public record AttemptResult(
-        int batch,
-        int dispatch,
+        int request,
+        int attempt,
         int engine,
         AttemptOutcome outcome,
-        long took,
-        long work,
-        int memoryMb,
-        boolean closed,
-        LoadReport report,
-        long mayHold) {}
+        long duration,
+        long actualWork,
+        int actualMemoryMb,
+        boolean requestClosed,
+        LoadReport loadReport,
+        long mayStillRunFor) {}
--- a/src/main/java/firstage/policy/api/EndpointUpdate.java
+++ b/src/main/java/firstage/policy/api/EndpointUpdate.java
@@ -3,43 +3,43 @@
 import java.util.List;
 
 /** The list of engines: the whole of it, or what changed. FAILED leaves the earlier list valid. */
-public record EndpointUpdate(Kind kind, List<Entry> entries) {
+public record EndpointUpdate(Kind kind, List<Endpoint> endpoints) {
     public enum Kind {
-        WHOLE,
-        CHANGES,
-        REMEMBERED,
+        SNAPSHOT,
+        DELTA,
+        INITIAL,
         FAILED
     }
 
-    public enum Standing {
+    public enum Lifecycle {
         ACTIVE,
-        LEAVING,
-        LEFT
+        DRAINING,
+        GONE
     }
 
     /**
-     * {@code mark} is the same at every manager; {@code since} 0 means started long ago; {@code
-     * coldPart}: of what it bears while it is cold this manager's part, by what no other's word can
-     * change; 0: by the settings, one of all.
+     * {@code stableHash} is the same at every manager; {@code startedAt} 0 means started long ago;
+     * {@code warmUpShare}: of what it bears while it is cold this manager's part, by what no
+     * other's word can change; 0: by the settings, one of all.
      */
-    public record Entry(
+    public record Endpoint(
             int engine,
-            long mark,
+            long stableHash,
             int zone,
-            int kind,
+            int machineType,
             int cell,
-            Standing standing,
+            Lifecycle lifecycle,
             double weight,
-            long since,
-            double coldPart) {
+            long startedAt,
+            double warmUpShare) {
         /** Of a fleet whose managers all use all engines. */
-        public Entry(
+        public Endpoint(
                 int engine,
                 long mark,
                 int zone,
                 int kind,
                 int cell,
-                Standing standing,
+                Lifecycle standing,
                 double weight,
                 long since) {
             this(engine, mark, zone, kind, cell, standing, weight, since, 0);
--- a/src/main/java/firstage/policy/api/LoadReport.java
+++ b/src/main/java/firstage/policy/api/LoadReport.java
@@ -2,4 +2,8 @@
 
 /** An engine's load report; a figure it does not tell is NaN. Shares run from 0 to 1. */
 public record LoadReport(
-        double active, double waiting, double cpuShare, double memoryShare, double diskShare) {}
+        double activeThreads,
+        double queuedForMemory,
+        double cpuShare,
+        double memoryShare,
+        double diskShare) {}
--- a/src/main/java/firstage/policy/api/SchedulingPolicy.java
+++ b/src/main/java/firstage/policy/api/SchedulingPolicy.java
@@ -1,46 +1,47 @@
 package firstage.policy.api;
 
 /**
- * What a workload manager is told. Calls carry the clock; {@link #turn} ends each round of news.
+ * What a workload manager is told. Calls carry the clock; {@link #runPendingActions} ends each
+ * round of news.
  */
 public interface SchedulingPolicy {
-    void taken(long now, IncomingRequest arrival);
+    void onRequest(long now, IncomingRequest arrival);
 
-    void ended(long now, AttemptResult ending);
+    void onAttemptResult(long now, AttemptResult ending);
 
-    void noted(long now, AttemptProgress note);
+    void onAttemptProgress(long now, AttemptProgress note);
 
     /** The client left, or its time is up: the batch is closed and owed nothing more. */
-    void clientLeft(long now, int batch);
+    void onClientGone(long now, int batch);
 
     /** The client is not there, and may have left: its batch is not to be sent until it is back. */
-    default void clientAway(long now, int batch, boolean away) {}
+    default void onClientPresence(long now, int batch, boolean away) {}
 
-    void listed(long now, EndpointUpdate list);
+    void onEndpointsUpdated(long now, EndpointUpdate list);
 
-    void probed(long now, int engine, AttemptOutcome outcome, LoadReport report);
+    void onProbeResult(long now, int engine, AttemptOutcome outcome, LoadReport report);
 
     /**
      * The part of each engine that it may use now: its own share by the settings, less while it
      * hears too few of the others, more where those have given it up. Where nobody shares, it is
      * never told.
      */
-    default void allotted(long now, double share) {}
+    default void onQuotaChanged(long now, double share) {}
 
     /**
      * Whether it holds this engine for down or silent, and when it last sent a batch there; 0 for
      * never.
      */
-    default boolean closed(int engine) {
+    default boolean isUnavailable(int engine) {
         return false;
     }
 
-    default long triedAt(int engine) {
+    default long lastAttemptAt(int engine) {
         return 0;
     }
 
     /** When this engine last spoke; 0 or less for never. */
-    default long heardAt(int engine) {
+    default long lastResponseAt(int engine) {
         return 0;
     }
 
@@ -49,7 +50,7 @@
      * {@code restIsOver}, it may be tried now: they found it well, or this manager tries it for
      * all. Where nobody shares, it is never told.
      */
-    default void othersTry(long now, int engine, boolean others, boolean restIsOver) {}
+    default void onProbeOwnership(long now, int engine, boolean others, boolean restIsOver) {}
 
     /** What it was asked for and what it sent; null where it keeps no count. */
     default DemandHistogram demand(long now) {
@@ -61,19 +62,19 @@
      * are to be answered at once, and of those in it all but this part. Where nobody shares, it is
      * never told.
      */
-    default void cut(long now, int band, double part) {}
+    default void onSheddingThreshold(long now, int band, double part) {}
 
     /**
      * It takes batches for a short while yet, and what has no answer at {@code endsAt} never gets
      * one.
      */
-    void closing(long now, long endsAt);
+    void onShutdown(long now, long endsAt);
 
-    void woken(long now, long token);
+    void onWakeUp(long now, long token);
 
     /** How many of its dispatches it holds to be out at this engine. */
-    int out(int engine);
+    int attemptsInFlight(int engine);
 
     /** All news of this moment has been told; now act on it. */
-    void turn(long now);
+    void runPendingActions(long now);
 }
--- a/src/main/java/firstage/policy/api/TrafficClass.java
+++ b/src/main/java/firstage/policy/api/TrafficClass.java
@@ -3,28 +3,29 @@
 import java.util.Set;
 
 /**
- * What a deployment states of one service group. The goal of a batch is {@code goal} plus {@code
- * stretch} times its work over its threads. Empty {@code zones} or {@code kinds} bind it to none.
+ * What a deployment states of one service group. The goal of a batch is {@code latencyObjective}
+ * plus {@code latencyObjectivePerWork} times its work over its threads. Empty {@code zones} or
+ * {@code machineTypes} bind it to none.
  */
 public record TrafficClass(
-        long goal,
-        double stretch,
-        long timeLimit,
-        double utility,
-        double lateValue,
+        long latencyObjective,
+        double latencyObjectivePerWork,
+        long timeout,
+        double priorityWeight,
+        double lateValueShare,
         Effect effect,
-        Scope scope,
-        long window,
+        Scope idempotencyScope,
+        long idempotencyWindow,
         boolean ordered,
         int threads,
-        boolean load,
-        boolean yieldsToLoads,
+        boolean tableLoad,
+        boolean blockedByTableLoads,
         Set<Integer> zones,
-        Set<Integer> kinds) {
+        Set<Integer> machineTypes) {
     public enum Effect {
-        REPEATABLE,
-        REFERENCED,
-        ONCE_ONLY
+        IDEMPOTENT,
+        IDEMPOTENT_WITH_KEY,
+        NON_IDEMPOTENT
     }
 
     /** Where repeats of a referenced batch are dropped. */
--- a/src/main/java/firstage/policy/state/EngineHealth.java
+++ b/src/main/java/firstage/policy/state/EngineHealth.java
@@ -4,9 +4,9 @@
  * How an engine is judged from what passes through. FULL refuses, TRIAL lets one batch find out.
  */
 public enum EngineHealth {
-    READY,
-    FULL,
-    TRIAL,
-    SILENT,
-    DOWN
+    AVAILABLE,
+    REFUSING,
+    HALF_OPEN,
+    UNRESPONSIVE,
+    UNAVAILABLE
 }
--- a/src/main/java/firstage/policy/state/EngineState.java
+++ b/src/main/java/firstage/policy/state/EngineState.java
@@ -1,7 +1,7 @@
 package firstage.policy.state;
 
-import firstage.policy.api.EndpointUpdate.Entry;
-import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.EndpointUpdate.Endpoint;
+import firstage.policy.api.EndpointUpdate.Lifecycle;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -14,7 +14,7 @@
     public int zone;
     public int kind;
     public int cell;
-    public Standing standing = Standing.LEFT;
+    public Lifecycle standing = Lifecycle.GONE;
     public long since;
 
     /** Of what it bears while it is cold, this manager's part; 0: by the settings. */
@@ -33,7 +33,7 @@
 
     public int threads;
     public final List<Attempt> flights = new ArrayList<>();
-    public EngineHealth health = EngineHealth.READY;
+    public EngineHealth health = EngineHealth.AVAILABLE;
 
     /** Another manager tries it, and tells when it is well. */
     public boolean othersTry;
@@ -85,14 +85,14 @@
     }
 
     /** What the list says of it; true where it says so of a new start. */
-    public boolean listed(Entry entry) {
-        boolean restarted = entry.since() > since && mark != 0;
-        mark = entry.mark();
+    public boolean listed(Endpoint entry) {
+        boolean restarted = entry.startedAt() > since && mark != 0;
+        mark = entry.stableHash();
         zone = entry.zone();
         cell = entry.cell();
-        standing = entry.standing();
-        coldPart = entry.coldPart();
-        since = Math.max(since, entry.since());
+        standing = entry.lifecycle();
+        coldPart = entry.warmUpShare();
+        since = Math.max(since, entry.startedAt());
         if (restarted) {
             loaded.clear();
         }
@@ -119,7 +119,7 @@
      * first time.
      */
     public long leftFor(long now) {
-        boolean left = standing == Standing.LEFT && flights.isEmpty();
+        boolean left = standing == Lifecycle.GONE && flights.isEmpty();
         leftSince = !left ? 0 : leftSince == 0 ? now : leftSince;
         return left ? now - leftSince : 0;
     }
@@ -150,7 +150,7 @@
             return true;
         }
         for (Attempt f : flights) {
-            if (f.batch.is.tables() == tables && f.batch.group.is.load()) {
+            if (f.batch.is.tableGroup() == tables && f.batch.group.is.tableLoad()) {
                 return true;
             }
         }
--- a/src/main/java/firstage/policy/state/RequestState.java
+++ b/src/main/java/firstage/policy/state/RequestState.java
@@ -54,7 +54,7 @@
         this.group = group;
         this.order = order;
         this.taken = taken;
-        this.key = group.is.ordered() ? is.key() : -1;
+        this.key = group.is.ordered() ? is.orderingKey() : -1;
     }
 
     /** A dispatch that is over may have run. */
@@ -80,7 +80,7 @@
 
     /** The told estimate, as the group runs at its best, else the work of a usual batch. */
     public double expectedWork() {
-        return is.estimate() > 0 ? is.estimate() * group.best() : group.usualWork();
+        return is.estimatedWork() > 0 ? is.estimatedWork() * group.best() : group.usualWork();
     }
 
     /** How long that takes on its threads. */
@@ -90,7 +90,7 @@
 
     /** The told estimate of its memory, else the group's mean; 0 without both. */
     public double memoryFigure() {
-        return is.memoryMb() > 0 ? is.memoryMb() : group.memory.or(0);
+        return is.estimatedMemoryMb() > 0 ? is.estimatedMemoryMb() : group.memory.or(0);
     }
 
     /** Whether all engines it looked at have told of their load since. */
--- a/src/main/java/firstage/policy/state/TrafficClassStats.java
+++ b/src/main/java/firstage/policy/state/TrafficClassStats.java
@@ -56,6 +56,6 @@
 
     /** Work of a usual batch; the goal where nothing is known yet. */
     public double usualWork() {
-        return work.or(is.goal());
+        return work.or(is.latencyObjective());
     }
 }
--- a/src/main/java/firstage/scale/DecisionCost.java
+++ b/src/main/java/firstage/scale/DecisionCost.java
@@ -5,8 +5,8 @@
 import firstage.policy.api.AttemptResult;
 import firstage.policy.api.Deployment;
 import firstage.policy.api.EndpointUpdate;
-import firstage.policy.api.EndpointUpdate.Entry;
-import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.EndpointUpdate.Endpoint;
+import firstage.policy.api.EndpointUpdate.Lifecycle;
 import firstage.policy.api.IncomingRequest;
 import firstage.policy.api.PolicyActions;
 import firstage.policy.api.TrafficClass;
@@ -49,7 +49,7 @@
                         5 * SECOND,
                         1,
                         0,
-                        Effect.REPEATABLE,
+                        Effect.IDEMPOTENT,
                         Scope.ALL,
                         6 * SECOND,
                         false,
@@ -66,9 +66,9 @@
                                 0,
                                 0,
                                 List.of(lookup),
-                                List.of(new Deployment.Machine(CORES, MEMORY_MB)),
+                                List.of(new Deployment.MachineType(CORES, MEMORY_MB)),
                                 List.of(),
-                                new Deployment.Allowed(
+                                new Deployment.Capabilities(
                                         false, false, true, true, true, 4, 2 * SECOND),
                                 new Deployment.Rules(
                                         0.3, 10 * SECOND, 2, 2 * SECOND, 0, -1, 1, 10 * SECOND),
@@ -80,38 +80,38 @@
                                 false,
                                 false),
                         this);
-        List<Entry> entries = new ArrayList<>();
+        List<Endpoint> entries = new ArrayList<>();
         for (int e = 0; e < engines; e++) {
-            entries.add(new Entry(e, e + 1L, 0, 0, e, Standing.ACTIVE, 1, 0));
+            entries.add(new Endpoint(e, e + 1L, 0, 0, e, Lifecycle.ACTIVE, 1, 0));
         }
-        brain.listed(now, new EndpointUpdate(EndpointUpdate.Kind.REMEMBERED, entries));
-        brain.turn(now);
+        brain.onEndpointsUpdated(now, new EndpointUpdate(EndpointUpdate.Kind.INITIAL, entries));
+        brain.runPendingActions(now);
     }
 
     private void batch(int number) {
         now += BETWEEN;
         while (!running.isEmpty() && running.peek()[0] <= now) {
             long[] over = running.poll();
-            brain.ended(
+            brain.onAttemptResult(
                     now,
                     new AttemptResult(
                             (int) over[1],
                             0,
                             (int) over[2],
-                            AttemptOutcome.RETURNED,
+                            AttemptOutcome.SUCCEEDED,
                             WORK,
                             0,
                             0,
                             true,
                             null,
                             0));
-            brain.turn(now);
+            brain.runPendingActions(now);
         }
-        brain.taken(
+        brain.onRequest(
                 now,
                 new IncomingRequest(
                         number, 0, -1, -1, now + 5 * SECOND, WORK, 100, number % 20, false, false));
-        brain.turn(now);
+        brain.runPendingActions(now);
     }
 
     /** Microseconds a batch, and the shares dispatched and pushed back; by name. */
@@ -136,53 +136,53 @@
     }
 
     @Override
-    public void provide(int batch, int grantMb, int priority) {
+    public void setGrantAndPriority(int batch, int grantMb, int priority) {
         // Its engine runs it with whatever it is granted.
     }
 
     @Override
-    public void dispatch(int batch, int engine, long within) {
+    public void startAttempt(int batch, int engine, long within) {
         dispatched++;
         running.add(new long[] {now + WORK, batch, engine});
     }
 
     @Override
-    public void callOff(int batch, int dispatch) {
+    public void cancelAttempt(int batch, int dispatch) {
         // It may not.
     }
 
     @Override
-    public void pushBack(int batch, long comeBack) {
+    public void reject(int batch, long comeBack) {
         pushedBack++;
     }
 
     @Override
-    public void error(int batch) {
+    public void fail(int batch) {
         pushedBack++;
     }
 
     @Override
-    public void forgetBatch(int batch) {
+    public void releaseRequest(int batch) {
         // Numbers are not used again.
     }
 
     @Override
-    public void forgetKey(int key) {
+    public void releaseKey(int key) {
         // There are none.
     }
 
     @Override
-    public void forgetEngine(int engine) {
+    public void releaseEngine(int engine) {
         // None leaves.
     }
 
     @Override
-    public void probe(int engine) {
+    public void probeEngine(int engine) {
         // It may not.
     }
 
     @Override
-    public void wakeIn(long delay, long token) {
+    public void scheduleWakeUp(long delay, long token) {
         // Each batch is news enough.
     }
 
--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -276,9 +276,9 @@
         if (now >= lookAt) {
             lookAt = now + LOOK;
             for (int b = 0; b < BANDS; b++) {
-                demand.came(DemandHistogram.BANDS / 2 + 2 * b, WORK * LOOK / BANDS);
+                demand.arrivedWork(DemandHistogram.BANDS / 2 + 2 * b, WORK * LOOK / BANDS);
             }
-            demand.sent(WORK * LOOK);
+            demand.startedWork(WORK * LOOK);
             together.look(now, demand);
             if (retries) {
                 retries = false;
--- a/src/main/java/firstage/server/ManagerConfig.java
+++ b/src/main/java/firstage/server/ManagerConfig.java
@@ -70,7 +70,10 @@
      */
     public long endsWithin() {
         long longest =
-                deployment.groups().stream().mapToLong(TrafficClass::timeLimit).max().orElse(0);
+                deployment.trafficClasses().stream()
+                        .mapToLong(TrafficClass::timeout)
+                        .max()
+                        .orElse(0);
         return Math.min(longest, LONGEST_COUNTED) + AFTER_LONGEST;
     }
 
--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -135,7 +135,7 @@
                                 counters,
                                 this::keepAway,
                                 this::cut,
-                                freed -> tellListed(EndpointUpdate.Kind.CHANGES, freed));
+                                freed -> tellListed(EndpointUpdate.Kind.DELTA, freed));
         share = 1.0 / assignment.deployment().managers();
     }
 
@@ -195,7 +195,7 @@
                     tell(
                             "closing",
                             () ->
-                                    manager.closing(
+                                    manager.onShutdown(
                                             clock.now(),
                                             since + assignment.endsWithin() - LAST_WORDS));
                     later(
@@ -263,7 +263,7 @@
     private void check() {
         for (int engine = 0; engine < engines.count(); engine++) {
             counters.hold(
-                    engines.out(engine) == manager.out(engine),
+                    engines.out(engine) == manager.attemptsInFlight(engine),
                     "dispatches out are those that the scheduler holds");
         }
         engines.check();
@@ -324,7 +324,7 @@
         try {
             allot();
             if (follower.confirmed()) {
-                manager.turn(clock.now());
+                manager.runPendingActions(clock.now());
             }
         } catch (RuntimeException fault) {
             failed("turn", fault);
@@ -341,12 +341,12 @@
         counters.count(away ? "engines left to others" : "engines taken back");
         int index = ids.find(engine);
         if (index >= 0) {
-            tell("away", () -> manager.othersTry(clock.now(), index, away, restIsOver));
+            tell("away", () -> manager.onProbeOwnership(clock.now(), index, away, restIsOver));
         }
     }
 
     private void cut(long now, int band, double part) {
-        tell("cut", () -> manager.cut(now, band, part));
+        tell("cut", () -> manager.onSheddingThreshold(now, band, part));
     }
 
     /** Tells what the decisions hold of each engine to who acts on it together. */
@@ -358,9 +358,9 @@
                                 clock.now(),
                                 zoneOf.getOrDefault(engine, -1),
                                 ids.id(engine),
-                                manager.closed(engine),
-                                manager.triedAt(engine),
-                                manager.heardAt(engine));
+                                manager.isUnavailable(engine),
+                                manager.lastAttemptAt(engine),
+                                manager.lastResponseAt(engine));
             }
         }
         peers.together().look(clock.now(), manager.demand(clock.now()));
@@ -371,7 +371,7 @@
     private void allot() {
         if (peers != null && peers.share() != share) {
             share = peers.share();
-            manager.allotted(clock.now(), share);
+            manager.onQuotaChanged(clock.now(), share);
         }
     }
 
@@ -444,7 +444,7 @@
             tell(
                     "taken",
                     () ->
-                            manager.taken(
+                            manager.onRequest(
                                     clock.now(),
                                     new IncomingRequest(
                                             x.batch,
@@ -495,14 +495,14 @@
     public void away(RequestExchange x, boolean away) {
         x.away = away;
         if (x.batch >= 0 && !x.over()) {
-            tell("away", () -> manager.clientAway(clock.now(), x.batch, away));
+            tell("away", () -> manager.onClientPresence(clock.now(), x.batch, away));
         }
     }
 
     /** The decisions hear only of what they were told of. */
     private void leftTold(String what, RequestExchange x) {
         if (x.batch >= 0) {
-            tell(what, () -> manager.clientLeft(clock.now(), x.batch));
+            tell(what, () -> manager.onClientGone(clock.now(), x.batch));
         }
     }
 
@@ -523,7 +523,7 @@
 
     private void callOffAll(RequestExchange x) {
         for (RequestExchange.Dispatch d : List.copyOf(x.out)) {
-            d.giveUp(AttemptOutcome.CALLED_OFF);
+            d.giveUp(AttemptOutcome.CANCELLED);
         }
     }
 
@@ -536,7 +536,7 @@
         tell(
                 "noted",
                 () ->
-                        manager.noted(
+                        manager.onAttemptProgress(
                                 clock.now(),
                                 new AttemptProgress(
                                         x.batch, d.number(), d.engine(), kind, amount)));
@@ -559,13 +559,13 @@
         if (x.key != null) {
             watch.ended(clock.now(), x.key, x.id, rest);
         }
-        if (how == AttemptOutcome.RETURNED && x.returned(pages)) {
+        if (how == AttemptOutcome.SUCCEEDED && x.returned(pages)) {
             over("batches returned", x);
         }
         tell(
                 "ended",
                 () ->
-                        manager.ended(
+                        manager.onAttemptResult(
                                 clock.now(),
                                 new AttemptResult(
                                         x.batch,
@@ -578,14 +578,14 @@
                                         x.over(),
                                         report,
                                         rest)));
-        if (how == AttemptOutcome.RETURNED) {
+        if (how == AttemptOutcome.SUCCEEDED) {
             callOffAll(x);
         }
     }
 
     @Override
     public void probed(int engine, AttemptOutcome how, LoadReport report) {
-        tell("probed", () -> manager.probed(clock.now(), engine, how, report));
+        tell("probed", () -> manager.onProbeResult(clock.now(), engine, how, report));
     }
 
     @Override
@@ -594,13 +594,13 @@
     }
 
     private void tellListed(EndpointUpdate.Kind kind, List<Listed> entries) {
-        List<EndpointUpdate.Entry> told = new ArrayList<>();
+        List<EndpointUpdate.Endpoint> told = new ArrayList<>();
         for (Listed e : entries) {
             int index = ids.of(e.id());
             zoneOf.put(index, e.zone());
             engines.listed(index, e);
             told.add(
-                    new EndpointUpdate.Entry(
+                    new EndpointUpdate.Endpoint(
                             index,
                             e.id(),
                             e.zone(),
@@ -611,10 +611,12 @@
                             e.since(),
                             peers == null ? 0 : peers.coldPart(e)));
         }
-        if (kind == EndpointUpdate.Kind.WHOLE) {
-            engines.keepOnly(told.stream().map(EndpointUpdate.Entry::engine).toList());
+        if (kind == EndpointUpdate.Kind.SNAPSHOT) {
+            engines.keepOnly(told.stream().map(EndpointUpdate.Endpoint::engine).toList());
         }
-        tell("listed", () -> manager.listed(clock.now(), new EndpointUpdate(kind, told)));
+        tell(
+                "listed",
+                () -> manager.onEndpointsUpdated(clock.now(), new EndpointUpdate(kind, told)));
     }
 
     @Override
@@ -624,7 +626,7 @@
 
     // ---- What is decided.
     @Override
-    public void provide(int batch, int grantMb, int priority) {
+    public void setGrantAndPriority(int batch, int grantMb, int priority) {
         RequestExchange x = batches.id(batch);
         x.grantMb = grantMb;
         x.priority = priority;
@@ -632,7 +634,7 @@
     }
 
     @Override
-    public void dispatch(int batch, int engine, long within) {
+    public void startAttempt(int batch, int engine, long within) {
         RequestExchange x = batches.id(batch);
         counters.count("dispatches out");
         out++;
@@ -656,16 +658,16 @@
     }
 
     @Override
-    public void callOff(int batch, int dispatch) {
+    public void cancelAttempt(int batch, int dispatch) {
         for (RequestExchange.Dispatch d : List.copyOf(batches.id(batch).out)) {
             if (d.number() == dispatch) {
-                d.giveUp(AttemptOutcome.CALLED_OFF);
+                d.giveUp(AttemptOutcome.CANCELLED);
             }
         }
     }
 
     @Override
-    public void pushBack(int batch, long comeBack) {
+    public void reject(int batch, long comeBack) {
         RequestExchange x = batches.id(batch);
         if (x.pushedBack(comeBack)) {
             over("batches pushed back", x);
@@ -674,7 +676,7 @@
     }
 
     @Override
-    public void error(int batch) {
+    public void fail(int batch) {
         RequestExchange x = batches.id(batch);
         if (x.errored()) {
             over("batches errored", x);
@@ -682,7 +684,7 @@
     }
 
     @Override
-    public void forgetBatch(int batch) {
+    public void releaseRequest(int batch) {
         RequestExchange x = batches.id(batch);
         counters.hold(
                 x.over() && x.out.isEmpty(),
@@ -692,12 +694,12 @@
     }
 
     @Override
-    public void forgetKey(int key) {
+    public void releaseKey(int key) {
         keys.release(key);
     }
 
     @Override
-    public void forgetEngine(int engine) {
+    public void releaseEngine(int engine) {
         if (peers != null) {
             peers.together().forget(ids.id(engine));
         }
@@ -707,18 +709,18 @@
     }
 
     @Override
-    public void probe(int engine) {
+    public void probeEngine(int engine) {
         engines.probe(engine);
     }
 
     @Override
-    public void wakeIn(long delay, long token) {
+    public void scheduleWakeUp(long delay, long token) {
         long due = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Math.max(1, delay / 10));
         later(
                 Math.max(1, delay / 10),
                 () -> {
                     stood |= late("latest wake, us", due);
-                    tell("woken", () -> manager.woken(clock.now(), token));
+                    tell("woken", () -> manager.onWakeUp(clock.now(), token));
                 });
     }
 
--- a/src/main/java/firstage/server/ServerEvents.java
+++ b/src/main/java/firstage/server/ServerEvents.java
@@ -64,7 +64,7 @@
             int zone,
             int kind,
             int cell,
-            EndpointUpdate.Standing standing,
+            EndpointUpdate.Lifecycle standing,
             double weight,
             long since) {}
 }
--- a/src/main/java/firstage/server/discovery/EndpointParser.java
+++ b/src/main/java/firstage/server/discovery/EndpointParser.java
@@ -2,7 +2,7 @@
 
 import firstage.config.MalformedLineException;
 import firstage.config.WireFields;
-import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.EndpointUpdate.Lifecycle;
 import firstage.server.ManagerConfig;
 import firstage.server.ServerEvents.Listed;
 import firstage.server.TickClock;
@@ -39,11 +39,11 @@
             byte[] address = new byte[4];
             payload.get(address);
             int port = payload.getShort() & 0xFFFF;
-            Standing standing =
+            Lifecycle standing =
                     switch (payload.get()) {
-                        case 0 -> Standing.ACTIVE;
-                        case 1 -> Standing.LEAVING;
-                        case 2 -> Standing.LEFT;
+                        case 0 -> Lifecycle.ACTIVE;
+                        case 1 -> Lifecycle.DRAINING;
+                        case 2 -> Lifecycle.GONE;
                         default -> throw new IOException("an unknown state");
                     };
             int zone = payload.get() & 0xFF;
@@ -69,11 +69,11 @@
         List<Listed> engines = new ArrayList<>();
         for (Object instance : instances) {
             WireFields f = new WireFields((Map<?, ?>) instance);
-            Standing standing =
+            Lifecycle standing =
                     switch (f.text("lifecycle", "Ready")) {
-                        case "Ready" -> Standing.ACTIVE;
-                        case "Terminating" -> Standing.LEAVING;
-                        default -> Standing.LEFT;
+                        case "Ready" -> Lifecycle.ACTIVE;
+                        case "Terminating" -> Lifecycle.DRAINING;
+                        default -> Lifecycle.GONE;
                     };
             engines.add(
                     new Listed(
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -151,7 +151,7 @@
         Map<?, ?> endpoints = (Map<?, ?>) update.get("endpoints");
         boolean whole = "true".equals(String.valueOf(endpoints.get("reset")));
         tidings.listed(
-                whole ? Kind.WHOLE : Kind.CHANGES,
+                whole ? Kind.SNAPSHOT : Kind.DELTA,
                 records.read((List<?>) endpoints.get("instances")));
         last = Long.parseLong(String.valueOf(update.get("index")));
     }
@@ -333,7 +333,7 @@
                                 + (entries.size() > MOST_NAMED
                                         ? " and " + (entries.size() - MOST_NAMED) + " more"
                                         : ""));
-        tidings.listed(frame.kind() == 1 ? Kind.WHOLE : Kind.CHANGES, entries);
+        tidings.listed(frame.kind() == 1 ? Kind.SNAPSHOT : Kind.DELTA, entries);
         last = frame.number();
         counters.count("changes of the list");
     }
--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -240,12 +240,12 @@
         double figure = r.number("figure", 0);
         AttemptProgress.Kind kind =
                 switch (r.headers().getOrDefault("x-remark", "")) {
-                    case "pct" -> AttemptProgress.Kind.DONE;
-                    case "overflow" -> AttemptProgress.Kind.SPILLS;
+                    case "pct" -> AttemptProgress.Kind.FRACTION_DONE;
+                    case "overflow" -> AttemptProgress.Kind.SPILLING;
                     case "queued" ->
                             figure == 1
-                                    ? AttemptProgress.Kind.WAITS_FOR_MEMORY
-                                    : AttemptProgress.Kind.WAITS_FOR_LOAD;
+                                    ? AttemptProgress.Kind.WAITING_FOR_MEMORY
+                                    : AttemptProgress.Kind.WAITING_FOR_TABLE_LOAD;
                     default -> null;
                 };
         if (kind != null) {
--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -1,7 +1,7 @@
 package firstage.server.engine;
 
 import firstage.policy.api.AttemptOutcome;
-import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.EndpointUpdate.Lifecycle;
 import firstage.policy.api.LoadReport;
 import firstage.server.Counters;
 import firstage.server.ManagerConfig;
@@ -89,14 +89,14 @@
             out.add(0);
         }
         EngineConnectionPool link = links.get(index);
-        if (e.standing() != Standing.ACTIVE && link != null) {
+        if (e.standing() != Lifecycle.ACTIVE && link != null) {
             link.leaving();
         }
-        if (e.standing() == Standing.LEFT && link != null) {
+        if (e.standing() == Lifecycle.GONE && link != null) {
             link.close();
         } else if (link == null
                 || link.closed()
-                || link.isLeaving() && e.standing() == Standing.ACTIVE
+                || link.isLeaving() && e.standing() == Lifecycle.ACTIVE
                 || !link.address.equals(e.address())) {
             if (link != null) {
                 link.close();
@@ -182,8 +182,8 @@
                                 tidings.probed(
                                         engine,
                                         r.status() == 200
-                                                ? AttemptOutcome.RETURNED
-                                                : AttemptOutcome.ERRORED,
+                                                ? AttemptOutcome.SUCCEEDED
+                                                : AttemptOutcome.FAILED,
                                         report(r));
                             }
 
@@ -193,7 +193,7 @@
                                 tidings.probed(
                                         engine,
                                         unreached
-                                                ? AttemptOutcome.NO_CONNECTION
+                                                ? AttemptOutcome.CONNECT_FAILED
                                                 : AttemptOutcome.TIMED_OUT,
                                         null);
                             }
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -129,8 +129,8 @@
                         list.name(),
                         deployment.zone(),
                         areas.size(),
-                        deployment.shortestGoal(),
-                        deployment.rules().warmAfter(),
+                        deployment.shortestLatencyObjective(),
+                        deployment.rules().warmUpDuration(),
                         list.period(),
                         new ZoneFailover.Effects() {
                             @Override
@@ -182,7 +182,7 @@
                                 cells,
                                 Listed::id,
                                 e -> area(e.zone()),
-                                e -> e.standing() == EndpointUpdate.Standing.LEFT);
+                                e -> e.standing() == EndpointUpdate.Lifecycle.GONE);
         if (in != null) {
             in.addresses().forEach(others::addAll);
             others.removeAll(list.addresses());
@@ -221,7 +221,7 @@
 
     /** Of an event of the list what this manager may use; all of it where the fleet is one. */
     public List<Listed> served(EndpointUpdate.Kind kind, List<Listed> entries) {
-        return sieve == null ? entries : sieve.pass(kind != EndpointUpdate.Kind.CHANGES, entries);
+        return sieve == null ? entries : sieve.pass(kind != EndpointUpdate.Kind.DELTA, entries);
     }
 
     /**
--- a/src/main/java/firstage/simulation/BaselinePolicy.java
+++ b/src/main/java/firstage/simulation/BaselinePolicy.java
@@ -60,16 +60,18 @@
     }
 
     @Override
-    public void taken(long now, IncomingRequest arrival) {
+    public void onRequest(long now, IncomingRequest arrival) {
         Open b = new Open(arrival);
-        open.put(arrival.batch(), b);
-        TrafficClass is = deployment.groups().get(arrival.group());
-        if (is.ordered() && arrival.key() >= 0) {
-            ArrayDeque<Open> line = keys.computeIfAbsent(arrival.key(), k -> new ArrayDeque<>());
+        open.put(arrival.request(), b);
+        TrafficClass is = deployment.trafficClasses().get(arrival.trafficClass());
+        if (is.ordered() && arrival.orderingKey() >= 0) {
+            ArrayDeque<Open> line =
+                    keys.computeIfAbsent(arrival.orderingKey(), k -> new ArrayDeque<>());
             line.add(b);
-            if (line.size() > 1 || rests.getOrDefault(arrival.key(), 0L) > now) {
-                host.wakeIn(
-                        Math.max(1, rests.getOrDefault(arrival.key(), 0L) - now), arrival.key());
+            if (line.size() > 1 || rests.getOrDefault(arrival.orderingKey(), 0L) > now) {
+                host.scheduleWakeUp(
+                        Math.max(1, rests.getOrDefault(arrival.orderingKey(), 0L) - now),
+                        arrival.orderingKey());
                 return;
             }
         }
@@ -78,13 +80,13 @@
 
     private void go(Open b) {
         if (up.isEmpty()) {
-            host.pushBack(b.is.batch(), 0);
+            host.reject(b.is.request(), 0);
             close(b);
             return;
         }
         b.engine = pick();
         out.merge(b.engine, 1, Integer::sum);
-        host.dispatch(b.is.batch(), b.engine, 0);
+        host.startAttempt(b.is.request(), b.engine, 0);
     }
 
     private int pick() {
@@ -94,40 +96,41 @@
             case LEAST_OUTSTANDING -> {
                 int best = up.get(chance.nextInt(up.size()));
                 for (int e : up) {
-                    best = out(e) < out(best) ? e : best;
+                    best = attemptsInFlight(e) < attemptsInFlight(best) ? e : best;
                 }
                 yield best;
             }
             case TWO_CHOICES -> {
                 int one = up.get(chance.nextInt(up.size()));
                 int two = up.get(chance.nextInt(up.size()));
-                yield out(two) < out(one) ? two : one;
+                yield attemptsInFlight(two) < attemptsInFlight(one) ? two : one;
             }
         };
     }
 
     @Override
-    public void ended(long now, AttemptResult ending) {
-        Open b = open.get(ending.batch());
+    public void onAttemptResult(long now, AttemptResult ending) {
+        Open b = open.get(ending.request());
         if (b == null) {
             return;
         }
         out.merge(ending.engine(), -1, Integer::sum);
         b.engine = -1;
-        if (!ending.closed()) {
+        if (!ending.requestClosed()) {
             if (ending.outcome().mayHaveRun) {
-                host.error(b.is.batch());
+                host.fail(b.is.request());
             } else {
-                host.pushBack(b.is.batch(), 0);
+                host.reject(b.is.request(), 0);
             }
         }
-        boolean rests = ending.outcome() != AttemptOutcome.RETURNED && ending.outcome().mayHaveRun;
-        if (rests && b.is.key() >= 0) {
+        boolean rests = ending.outcome() != AttemptOutcome.SUCCEEDED && ending.outcome().mayHaveRun;
+        if (rests && b.is.orderingKey() >= 0) {
             this.rests.put(
-                    b.is.key(), now + Math.max(deployment.rules().keyRest(), ending.mayHold()));
+                    b.is.orderingKey(),
+                    now + Math.max(deployment.rules().keyQuietPeriod(), ending.mayStillRunFor()));
         }
         close(b);
-        follow(now, b.is.key());
+        follow(now, b.is.orderingKey());
     }
 
     /** The next of a key, once it has rested. */
@@ -138,75 +141,75 @@
         }
         long rest = rests.getOrDefault(key, 0L) - now;
         if (rest > 0) {
-            host.wakeIn(rest, key);
+            host.scheduleWakeUp(rest, key);
         } else {
             go(line.peek());
         }
     }
 
     private void close(Open b) {
-        if (b.engine < 0 && open.remove(b.is.batch()) != null) {
-            ArrayDeque<Open> line = keys.get(b.is.key());
+        if (b.engine < 0 && open.remove(b.is.request()) != null) {
+            ArrayDeque<Open> line = keys.get(b.is.orderingKey());
             if (line != null) {
                 line.remove(b);
                 if (line.isEmpty()) {
-                    keys.remove(b.is.key());
+                    keys.remove(b.is.orderingKey());
                 }
             }
-            host.forgetBatch(b.is.batch());
+            host.releaseRequest(b.is.request());
         }
     }
 
     @Override
-    public void clientLeft(long now, int batch) {
+    public void onClientGone(long now, int batch) {
         Open b = open.get(batch);
         if (b != null && b.engine < 0) {
             close(b);
-            follow(now, b.is.key());
+            follow(now, b.is.orderingKey());
         }
     }
 
     @Override
-    public void listed(long now, EndpointUpdate list) {
-        if (list.kind() == EndpointUpdate.Kind.WHOLE
-                || list.kind() == EndpointUpdate.Kind.REMEMBERED) {
+    public void onEndpointsUpdated(long now, EndpointUpdate list) {
+        if (list.kind() == EndpointUpdate.Kind.SNAPSHOT
+                || list.kind() == EndpointUpdate.Kind.INITIAL) {
             up.clear();
         }
-        for (EndpointUpdate.Entry e : list.entries()) {
+        for (EndpointUpdate.Endpoint e : list.endpoints()) {
             up.remove((Integer) e.engine());
-            if (e.standing() == EndpointUpdate.Standing.ACTIVE) {
+            if (e.lifecycle() == EndpointUpdate.Lifecycle.ACTIVE) {
                 up.add(e.engine());
             }
         }
     }
 
     @Override
-    public void noted(long now, AttemptProgress note) {
+    public void onAttemptProgress(long now, AttemptProgress note) {
         // None of these listens.
     }
 
     @Override
-    public void probed(long now, int engine, AttemptOutcome outcome, LoadReport report) {
+    public void onProbeResult(long now, int engine, AttemptOutcome outcome, LoadReport report) {
         // None of these asks.
     }
 
     @Override
-    public void closing(long now, long endsAt) {
+    public void onShutdown(long now, long endsAt) {
         // What is out is answered as it ends.
     }
 
     @Override
-    public void woken(long now, long token) {
+    public void onWakeUp(long now, long token) {
         follow(now, (int) token);
     }
 
     @Override
-    public int out(int engine) {
+    public int attemptsInFlight(int engine) {
         return out.getOrDefault(engine, 0);
     }
 
     @Override
-    public void turn(long now) {
+    public void runPendingActions(long now) {
         // Each acts at once.
     }
 }
--- a/src/main/java/firstage/simulation/DeploymentFactory.java
+++ b/src/main/java/firstage/simulation/DeploymentFactory.java
@@ -54,10 +54,10 @@
                 0,
                 groups,
                 List.of(
-                        new Deployment.Machine(
+                        new Deployment.MachineType(
                                 (int) Math.round(e.cores() * bounds), e.memoryMb() * bounds)),
                 rates,
-                new Deployment.Allowed(
+                new Deployment.Capabilities(
                         m.callOff(),
                         m.secondCopies(),
                         true,
--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -176,7 +176,7 @@
                 job.over = true;
                 rules.stops(job.is);
                 if (next == Standing.DOWN) {
-                    job.listener.ended(job, AttemptOutcome.BROKEN);
+                    job.listener.ended(job, AttemptOutcome.CONNECTION_LOST);
                 }
             }
         }
@@ -214,11 +214,11 @@
             return;
         }
         if (standing == Standing.DOWN) {
-            job.listener.ended(job, AttemptOutcome.NO_CONNECTION);
+            job.listener.ended(job, AttemptOutcome.CONNECT_FAILED);
             return;
         }
         if (standing == Standing.DRAINING || active() >= kind.sessions()) {
-            job.listener.ended(job, AttemptOutcome.TURNED_AWAY);
+            job.listener.ended(job, AttemptOutcome.REFUSED);
             return;
         }
         rules.runs(job.is, calendar.now());
@@ -295,7 +295,7 @@
         job.left = job.whole;
         running.add(job);
         if (missing > 0) {
-            job.listener.noted(job, AttemptProgress.Kind.SPILLS, missing * job.is.memoryMb);
+            job.listener.noted(job, AttemptProgress.Kind.SPILLING, missing * job.is.memoryMb);
         }
     }
 
@@ -405,8 +405,8 @@
                 job.listener.ended(
                         job,
                         chance.nextDouble() < kind.errs()
-                                ? AttemptOutcome.ERRORED
-                                : AttemptOutcome.RETURNED);
+                                ? AttemptOutcome.FAILED
+                                : AttemptOutcome.SUCCEEDED);
             }
         }
         admit();
@@ -471,14 +471,14 @@
                     if (standing != Standing.HANGING) {
                         advance();
                         if (job.inLine) {
-                            job.listener.noted(job, AttemptProgress.Kind.WAITS_FOR_MEMORY, 0);
+                            job.listener.noted(job, AttemptProgress.Kind.WAITING_FOR_MEMORY, 0);
                         } else if (stands(job)) {
-                            job.listener.noted(job, AttemptProgress.Kind.WAITS_FOR_LOAD, 0);
+                            job.listener.noted(job, AttemptProgress.Kind.WAITING_FOR_TABLE_LOAD, 0);
                         } else {
                             double share = 1 - job.left / job.whole;
                             job.listener.noted(
                                     job,
-                                    AttemptProgress.Kind.DONE,
+                                    AttemptProgress.Kind.FRACTION_DONE,
                                     Math.max(
                                             0,
                                             Math.min(
--- a/src/main/java/firstage/simulation/FleetPlanReader.java
+++ b/src/main/java/firstage/simulation/FleetPlanReader.java
@@ -301,7 +301,11 @@
     }
 
     private static Effect effect(String word) {
-        return Effect.valueOf(word.toUpperCase(Locale.ROOT).replace('-', '_'));
+        return switch (word) {
+            case "repeatable" -> Effect.IDEMPOTENT;
+            case "referenced" -> Effect.IDEMPOTENT_WITH_KEY;
+            default -> Effect.NON_IDEMPOTENT;
+        };
     }
 
     private static List<FleetPlan.Customer> customers(List<TomlSection> all) {
--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -1,6 +1,6 @@
 package firstage.simulation;
 
-import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.EndpointUpdate.Lifecycle;
 import firstage.policy.api.TrafficClass.Effect;
 import firstage.simulation.FleetPlan.Trouble;
 import java.util.ArrayList;
@@ -169,7 +169,7 @@
     }
 
     private void again(TrueRequest is, long comeBack, boolean harmless) {
-        boolean may = harmless || plan.groups().get(is.group).effect() != Effect.ONCE_ONLY;
+        boolean may = harmless || plan.groups().get(is.group).effect() != Effect.NON_IDEMPOTENT;
         long wait = clients.again(is, calendar.now(), comeBack, may);
         if (wait >= 0) {
             calendar.in(wait, () -> goes(is));
@@ -279,7 +279,7 @@
                             .forEach(
                                     e -> {
                                         engines.get(e).cools();
-                                        tell(e, Standing.ACTIVE, calendar.now(), 1, chance);
+                                        tell(e, Lifecycle.ACTIVE, calendar.now(), 1, chance);
                                     });
         }
     }
@@ -326,17 +326,17 @@
             int e, EngineModel.Standing how, long length, int later, RandomGenerator chance) {
         sickSeconds += length / 1e4;
         engines.get(e).becomes(how);
-        tell(e, Standing.LEFT, 0, later, chance);
+        tell(e, Lifecycle.GONE, 0, later, chance);
         calendar.in(
                 length,
                 () -> {
                     engines.get(e).becomes(EngineModel.Standing.UP);
-                    tell(e, Standing.ACTIVE, calendar.now(), 1, chance);
+                    tell(e, Lifecycle.ACTIVE, calendar.now(), 1, chance);
                 });
     }
 
     /** Each manager hears it when its own list comes round. */
-    private void tell(int e, Standing standing, long since, int later, RandomGenerator chance) {
+    private void tell(int e, Lifecycle standing, long since, int later, RandomGenerator chance) {
         int said = ++versions[e];
         for (ManagerModel m : managers) {
             calendar.in(
@@ -359,7 +359,7 @@
                     i / each * (t.length() / Math.max(1, steps)),
                     () -> {
                         engines.get(e).becomes(EngineModel.Standing.DRAINING);
-                        tell(e, Standing.LEAVING, 0, 1, chance);
+                        tell(e, Lifecycle.DRAINING, 0, 1, chance);
                         calendar.in(
                                 DRAINS_FOR,
                                 () -> down(e, EngineModel.Standing.DOWN, DOWN_FOR, 1, chance));
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -8,7 +8,7 @@
 import firstage.policy.api.AttemptResult;
 import firstage.policy.api.Deployment;
 import firstage.policy.api.EndpointUpdate;
-import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.EndpointUpdate.Lifecycle;
 import firstage.policy.api.IncomingRequest;
 import firstage.policy.api.LoadReport;
 import firstage.policy.api.PolicyActions;
@@ -98,7 +98,7 @@
                     way(),
                     () -> {
                         if (!over && mine == life) {
-                            manager.noted(
+                            manager.onAttemptProgress(
                                     calendar.now(),
                                     new AttemptProgress(
                                             b.index, number, engine.number(), what, amount));
@@ -119,12 +119,12 @@
             over = true;
             b.out.remove(this);
             rules.ended(calendar.now(), b.is, how);
-            if (how == AttemptOutcome.RETURNED && !b.over) {
+            if (how == AttemptOutcome.SUCCEEDED && !b.over) {
                 b.over = true;
                 rules.answered(calendar.now(), b.is, false);
                 answers.returned(b.is.is);
             }
-            manager.ended(
+            manager.onAttemptResult(
                     calendar.now(),
                     new AttemptResult(
                             b.index,
@@ -165,7 +165,7 @@
     private final Set<Open> open = new LinkedHashSet<>();
 
     /** The list as it last had it: by engine, standing and start. */
-    private final Map<Integer, EndpointUpdate.Entry> list = new HashMap<>();
+    private final Map<Integer, EndpointUpdate.Endpoint> list = new HashMap<>();
 
     ManagerModel(
             int number,
@@ -188,7 +188,7 @@
         cells = plan.cells();
         for (EngineModel e : engines) {
             if (serves(e.number())) {
-                list.put(e.number(), entry(e.number(), Standing.ACTIVE, 0));
+                list.put(e.number(), entry(e.number(), Lifecycle.ACTIVE, 0));
             }
         }
     }
@@ -219,7 +219,7 @@
                         choice.bounds());
         manager = choice.start(deployment, this);
         if (cells != null) {
-            manager.allotted(calendar.now(), cells.part(plan.cellOf(number)));
+            manager.onQuotaChanged(calendar.now(), cells.part(plan.cellOf(number)));
         }
         if (choice.peers() != null) {
             together =
@@ -227,24 +227,25 @@
                             name(),
                             plan.zoneOf(number),
                             plan.zones().size(),
-                            deployment.shortestGoal(),
-                            deployment.rules().warmAfter(),
+                            deployment.shortestLatencyObjective(),
+                            deployment.rules().warmUpDuration(),
                             PERIOD,
                             (engine, away, restIsOver) -> {
-                                manager.othersTry(calendar.now(), (int) engine, away, restIsOver);
+                                manager.onProbeOwnership(
+                                        calendar.now(), (int) engine, away, restIsOver);
                                 stir();
                             },
                             (now, band, part) -> {
-                                manager.cut(now, band, part);
+                                manager.onSheddingThreshold(now, band, part);
                                 stir();
                             },
                             choice.peers());
             look(life);
         }
-        list.values().forEach(e -> rules.toldStart(number, e.engine(), e.since()));
-        manager.listed(
+        list.values().forEach(e -> rules.toldStart(number, e.engine(), e.startedAt()));
+        manager.onEndpointsUpdated(
                 calendar.now(),
-                new EndpointUpdate(EndpointUpdate.Kind.REMEMBERED, List.copyOf(list.values())));
+                new EndpointUpdate(EndpointUpdate.Kind.INITIAL, List.copyOf(list.values())));
         stir();
     }
 
@@ -259,9 +260,9 @@
                         calendar.now(),
                         plan.zoneOf(e),
                         e,
-                        manager.closed(e),
-                        manager.triedAt(e),
-                        manager.heardAt(e));
+                        manager.isUnavailable(e),
+                        manager.lastAttemptAt(e),
+                        manager.lastResponseAt(e));
             }
             together.look(calendar.now(), manager.demand(calendar.now()));
             calendar.in(LOOK, () -> look(mine));
@@ -322,7 +323,7 @@
                     () -> {
                         turnDue = false;
                         if (mine == life && up) {
-                            manager.turn(calendar.now());
+                            manager.runPendingActions(calendar.now());
                         }
                     });
         }
@@ -337,7 +338,7 @@
         int mine = life;
         calendar.in(notAfter - calendar.now(), () -> timeUp(b, mine));
         calendar.in(notAfter - calendar.now() + 250, () -> rules.due(calendar.now(), b.is));
-        manager.taken(
+        manager.onRequest(
                 calendar.now(),
                 new IncomingRequest(
                         b.index,
@@ -367,36 +368,35 @@
                 100,
                 () -> {
                     if (mine == life && !b.over) {
-                        error(b.index);
-                        manager.clientLeft(calendar.now(), b.index);
+                        fail(b.index);
+                        manager.onClientGone(calendar.now(), b.index);
                         stir();
                     }
                 });
     }
 
     /** What the list service says of an engine, as it comes here. */
-    void listed(int engine, Standing standing, long since) {
+    void listed(int engine, Lifecycle standing, long since) {
         if (!serves(engine)) {
             return;
         }
-        EndpointUpdate.Entry entry = entry(engine, standing, since);
+        EndpointUpdate.Endpoint entry = entry(engine, standing, since);
         list.put(engine, entry);
         if (up) {
-            rules.listed(calendar.now(), number, engine, standing == Standing.ACTIVE);
+            rules.listed(calendar.now(), number, engine, standing == Lifecycle.ACTIVE);
             rules.toldStart(number, engine, since);
-            manager.listed(
-                    calendar.now(),
-                    new EndpointUpdate(EndpointUpdate.Kind.CHANGES, List.of(entry)));
+            manager.onEndpointsUpdated(
+                    calendar.now(), new EndpointUpdate(EndpointUpdate.Kind.DELTA, List.of(entry)));
             stir();
         }
     }
 
-    private EndpointUpdate.Entry entry(int engine, Standing standing, long since) {
+    private EndpointUpdate.Endpoint entry(int engine, Lifecycle standing, long since) {
         double coldPart =
                 cells == null || choice.coldBySettings()
                         ? 0
                         : cells.coldPart(null, plan.cellOf(number), mark(engine), zone(engine));
-        return new EndpointUpdate.Entry(
+        return new EndpointUpdate.Endpoint(
                 engine, mark(engine), 0, 0, 0, standing, 1, since, coldPart);
     }
 
@@ -407,7 +407,7 @@
 
     // ---- What is decided.
     @Override
-    public void provide(int batch, int grantMb, int priority) {
+    public void setGrantAndPriority(int batch, int grantMb, int priority) {
         Open b = batches.id(batch);
         b.grant = grantMb;
         b.priority = priority;
@@ -417,7 +417,7 @@
     }
 
     @Override
-    public void dispatch(int batch, int engine, long within) {
+    public void startAttempt(int batch, int engine, long within) {
         Open b = batches.id(batch);
         EngineModel e = engines.get(engine);
         rules.dispatched(calendar.now(), b.is, engine);
@@ -431,24 +431,24 @@
         if (fresh) {
             // A new connection to a machine that is gone never comes up; what goes out on an old
             // one is lost.
-            calendar.in(CONNECT, () -> s.over(AttemptOutcome.NO_CONNECTION));
+            calendar.in(CONNECT, () -> s.over(AttemptOutcome.CONNECT_FAILED));
         } else {
             calendar.in(way(), () -> e.send(s.job));
         }
     }
 
     @Override
-    public void callOff(int batch, int dispatch) {
+    public void cancelAttempt(int batch, int dispatch) {
         for (Sent s : List.copyOf(batches.id(batch).out)) {
             if (s.number == dispatch) {
                 calendar.in(way(), () -> s.engine.callOff(s.job));
-                calendar.in(1, () -> s.over(AttemptOutcome.CALLED_OFF));
+                calendar.in(1, () -> s.over(AttemptOutcome.CANCELLED));
             }
         }
     }
 
     @Override
-    public void pushBack(int batch, long comeBack) {
+    public void reject(int batch, long comeBack) {
         Open b = batches.id(batch);
         if (!b.over) {
             b.over = true;
@@ -458,7 +458,7 @@
     }
 
     @Override
-    public void error(int batch) {
+    public void fail(int batch) {
         Open b = batches.id(batch);
         if (!b.over) {
             b.over = true;
@@ -468,23 +468,23 @@
     }
 
     @Override
-    public void forgetBatch(int batch) {
+    public void releaseRequest(int batch) {
         open.remove(batches.id(batch));
         batches.release(batch);
     }
 
     @Override
-    public void forgetKey(int key) {
+    public void releaseKey(int key) {
         keys.release(key);
     }
 
     @Override
-    public void forgetEngine(int engine) {
+    public void releaseEngine(int engine) {
         // Engines keep their numbers for the whole run.
     }
 
     @Override
-    public void probe(int engine) {
+    public void probeEngine(int engine) {
         EngineModel e = engines.get(engine);
         int mine = life;
         boolean answers =
@@ -496,10 +496,10 @@
                 answers ? 2 * way() + reportsLater : CONNECT,
                 () -> {
                     if (mine == life) {
-                        manager.probed(
+                        manager.onProbeResult(
                                 calendar.now(),
                                 engine,
-                                answers ? AttemptOutcome.RETURNED : AttemptOutcome.TIMED_OUT,
+                                answers ? AttemptOutcome.SUCCEEDED : AttemptOutcome.TIMED_OUT,
                                 answers ? report : null);
                         stir();
                     }
@@ -507,13 +507,13 @@
     }
 
     @Override
-    public void wakeIn(long delay, long token) {
+    public void scheduleWakeUp(long delay, long token) {
         int mine = life;
         calendar.in(
                 Math.max(1, delay),
                 () -> {
                     if (mine == life && up) {
-                        manager.woken(calendar.now(), token);
+                        manager.onWakeUp(calendar.now(), token);
                         stir();
                     }
                 });
--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -153,10 +153,10 @@
         if (t.answers > 0 && !held) {
             breaks(now, 1, t, "sent after its answer");
         }
-        if (effect == Effect.ONCE_ONLY && (t.mayHaveRun || t.out > 0)) {
+        if (effect == Effect.NON_IDEMPOTENT && (t.mayHaveRun || t.out > 0)) {
             breaks(now, 2, t, "sent again, and may have run");
         }
-        if (effect == Effect.REFERENCED
+        if (effect == Effect.IDEMPOTENT_WITH_KEY
                 && t.firstRan >= 0
                 && now > t.firstRan + plan.groups().get(t.is.group).window()) {
             breaks(now, 2, t, "sent again past its window");
@@ -205,8 +205,8 @@
         if (key != null && t.out == 0 && key.running == t) {
             key.running = null;
             if (how == AttemptOutcome.TIMED_OUT
-                    || how == AttemptOutcome.BROKEN
-                    || how == AttemptOutcome.CALLED_OFF) {
+                    || how == AttemptOutcome.CONNECTION_LOST
+                    || how == AttemptOutcome.CANCELLED) {
                 key.restUntil = now + plan.rules().keyRest();
             }
         }
@@ -229,7 +229,7 @@
             breaks(now, 1, t, "answered " + (now - t.notAfter) / 10 + " ms late");
         }
         if (pushedBack
-                && plan.groups().get(t.is.group).effect() == Effect.ONCE_ONLY
+                && plan.groups().get(t.is.group).effect() == Effect.NON_IDEMPOTENT
                 && (t.mayHaveRun || t.out > 0)) {
             breaks(now, 2, t, "pushed back, and may have run");
         }
@@ -249,14 +249,14 @@
     /** A run begins at an engine. */
     void runs(TrueRequest is, long now) {
         if (runs.merge(is.id, 1, Integer::sum) > 1
-                && plan.groups().get(is.group).effect() == Effect.ONCE_ONLY) {
+                && plan.groups().get(is.group).effect() == Effect.NON_IDEMPOTENT) {
             breaks(now, 2, new Try(is, -1, 0), "runs twice");
         }
     }
 
     /** A run ends there. */
     public void stops(TrueRequest is) {
-        if (plan.groups().get(is.group).effect() != Effect.ONCE_ONLY) {
+        if (plan.groups().get(is.group).effect() != Effect.NON_IDEMPOTENT) {
             runs.remove(is.id);
         }
     }
--- a/src/main/java/firstage/simulation/schedule/FaultSchedule.java
+++ b/src/main/java/firstage/simulation/schedule/FaultSchedule.java
@@ -95,18 +95,18 @@
         boolean copies = chance.nextBoolean();
         List<TrafficClass> groups =
                 List.of(
-                        group(Effect.REPEATABLE, false, 1),
-                        group(Effect.ONCE_ONLY, true, 2),
-                        group(Effect.REPEATABLE, true, 1));
+                        group(Effect.IDEMPOTENT, false, 1),
+                        group(Effect.NON_IDEMPOTENT, true, 2),
+                        group(Effect.IDEMPOTENT, true, 1));
         return new Deployment(
                 chance.nextLong(),
                 1,
                 0,
                 0,
                 groups,
-                List.of(new Deployment.Machine(8, 16_000)),
+                List.of(new Deployment.MachineType(8, 16_000)),
                 List.of(),
-                new Deployment.Allowed(
+                new Deployment.Capabilities(
                         chance.nextBoolean(), copies, true, true, true, 4, 2 * SECOND),
                 new Deployment.Rules(
                         0, 0, 0, 2 * SECOND, chance.nextBoolean() ? 0 : SECOND / 2, -1, 0, SECOND),
@@ -224,7 +224,7 @@
                     calendar.in(at, () -> engine.becomes(SimulatedEngine.Standing.DRAINING));
                     calendar.in(
                             at + chance.nextLong(SECOND),
-                            () -> up[0].listed(which, EndpointUpdate.Standing.LEAVING));
+                            () -> up[0].listed(which, EndpointUpdate.Lifecycle.DRAINING));
                 }
                 default -> {}
             }
--- a/src/main/java/firstage/simulation/schedule/SimulatedCells.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedCells.java
@@ -245,9 +245,9 @@
         private void look(int mine) {
             if (life == mine && together != null) {
                 for (int b = 0; b < BANDS; b++) {
-                    demand.came(DemandHistogram.BANDS / 2 + 2 * b, WORK * LOOK / BANDS);
+                    demand.arrivedWork(DemandHistogram.BANDS / 2 + 2 * b, WORK * LOOK / BANDS);
                 }
-                demand.sent(WORK * LOOK);
+                demand.startedWork(WORK * LOOK);
                 together.look(calendar.now(), demand);
                 calendar.in(LOOK, () -> look(mine));
             }
--- a/src/main/java/firstage/simulation/schedule/SimulatedManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -118,7 +118,7 @@
     void closes(long endsAt) {
         thread.arrives(
                 () -> {
-                    brain.closing(calendar.now(), endsAt);
+                    brain.onShutdown(calendar.now(), endsAt);
                     turnDue = true;
                 });
     }
@@ -126,7 +126,7 @@
     private void turn() {
         if (turnDue) {
             turnDue = false;
-            brain.turn(calendar.now());
+            brain.runPendingActions(calendar.now());
         }
     }
 
@@ -167,7 +167,7 @@
             open--;
             check.left(b.batch);
             if (b.told) {
-                brain.clientLeft(calendar.now(), b.batch);
+                brain.onClientGone(calendar.now(), b.batch);
             }
             callOffAll(b);
             turnDue = true;
@@ -298,7 +298,7 @@
         private void tellAway(boolean away) {
             b.away = away && fault != InjectedDefect.AWAY_UNHEEDED;
             if (b.told && !b.over) {
-                brain.clientAway(calendar.now(), b.batch, b.away);
+                brain.onClientPresence(calendar.now(), b.batch, b.away);
                 turnDue = true;
             }
         }
@@ -337,7 +337,7 @@
                     if (!b.over || fault == InjectedDefect.ANSWERED_TWICE) {
                         answer(b, false);
                         if (b.told) {
-                            brain.clientLeft(calendar.now(), b.batch);
+                            brain.onClientGone(calendar.now(), b.batch);
                             turnDue = true;
                         }
                     }
@@ -372,7 +372,7 @@
         }
         b.told = true;
         batches.put(b.batch, b);
-        brain.taken(
+        brain.onRequest(
                 calendar.now(),
                 new IncomingRequest(
                         b.batch,
@@ -387,16 +387,16 @@
                         !turnKnown));
     }
 
-    void listed(int engine, EndpointUpdate.Standing standing) {
+    void listed(int engine, EndpointUpdate.Lifecycle standing) {
         thread.arrives(
                 () -> {
-                    if (standing == EndpointUpdate.Standing.LEAVING) {
+                    if (standing == EndpointUpdate.Lifecycle.DRAINING) {
                         engines.get(engine).drainTold(calendar.now());
                     }
-                    brain.listed(
+                    brain.onEndpointsUpdated(
                             calendar.now(),
                             new EndpointUpdate(
-                                    EndpointUpdate.Kind.CHANGES, List.of(entry(engine, standing))));
+                                    EndpointUpdate.Kind.DELTA, List.of(entry(engine, standing))));
                     turnDue = true;
                 });
     }
@@ -405,40 +405,41 @@
     void listedAnew() {
         thread.arrives(
                 () -> {
-                    List<EndpointUpdate.Entry> all = new ArrayList<>();
+                    List<EndpointUpdate.Endpoint> all = new ArrayList<>();
                     for (int e = 0; e < engines.size(); e++) {
                         all.add(
                                 entry(
                                         e,
                                         engines.get(e).sinceDrain(calendar.now()) >= 0
-                                                ? EndpointUpdate.Standing.LEAVING
-                                                : EndpointUpdate.Standing.ACTIVE));
+                                                ? EndpointUpdate.Lifecycle.DRAINING
+                                                : EndpointUpdate.Lifecycle.ACTIVE));
                     }
-                    brain.listed(
-                            calendar.now(), new EndpointUpdate(EndpointUpdate.Kind.WHOLE, all));
+                    brain.onEndpointsUpdated(
+                            calendar.now(), new EndpointUpdate(EndpointUpdate.Kind.SNAPSHOT, all));
                     turnDue = true;
                 });
     }
 
     void knows(int count) {
-        List<EndpointUpdate.Entry> all = new ArrayList<>();
+        List<EndpointUpdate.Endpoint> all = new ArrayList<>();
         for (int e = 0; e < count; e++) {
-            all.add(entry(e, EndpointUpdate.Standing.ACTIVE));
+            all.add(entry(e, EndpointUpdate.Lifecycle.ACTIVE));
         }
-        brain.listed(calendar.now(), new EndpointUpdate(EndpointUpdate.Kind.WHOLE, all));
-        brain.turn(calendar.now());
+        brain.onEndpointsUpdated(
+                calendar.now(), new EndpointUpdate(EndpointUpdate.Kind.SNAPSHOT, all));
+        brain.runPendingActions(calendar.now());
     }
 
-    private static EndpointUpdate.Entry entry(int engine, EndpointUpdate.Standing standing) {
-        return new EndpointUpdate.Entry(engine, engine + 1, 0, 0, 0, standing, 1, 0);
+    private static EndpointUpdate.Endpoint entry(int engine, EndpointUpdate.Lifecycle standing) {
+        return new EndpointUpdate.Endpoint(engine, engine + 1, 0, 0, 0, standing, 1, 0);
     }
 
     // ---- Decisions.
     @Override
-    public void provide(int batch, int grantMb, int priority) {}
+    public void setGrantAndPriority(int batch, int grantMb, int priority) {}
 
     @Override
-    public void dispatch(int batch, int engine, long within) {
+    public void startAttempt(int batch, int engine, long within) {
         Taken b = batches.get(batch);
         Sent s = new Sent(b, b.dispatches++, engine);
         b.out.add(s);
@@ -446,55 +447,55 @@
     }
 
     @Override
-    public void callOff(int batch, int dispatch) {
+    public void cancelAttempt(int batch, int dispatch) {
         List.copyOf(batches.get(batch).out).stream()
                 .filter(s -> s.number == dispatch)
-                .forEach(s -> s.life.giveUp(calendar.now(), AttemptOutcome.CALLED_OFF));
+                .forEach(s -> s.life.giveUp(calendar.now(), AttemptOutcome.CANCELLED));
     }
 
     private void callOffAll(Taken b) {
-        List.copyOf(b.out).forEach(s -> s.life.giveUp(calendar.now(), AttemptOutcome.CALLED_OFF));
+        List.copyOf(b.out).forEach(s -> s.life.giveUp(calendar.now(), AttemptOutcome.CANCELLED));
     }
 
     @Override
-    public void pushBack(int batch, long comeBack) {
+    public void reject(int batch, long comeBack) {
         Taken b = batches.get(batch);
         answer(b, true);
         callOffAll(b);
     }
 
     @Override
-    public void error(int batch) {
+    public void fail(int batch) {
         answer(batches.get(batch), false);
     }
 
     @Override
-    public void forgetBatch(int batch) {
+    public void releaseRequest(int batch) {
         batches.remove(batch);
     }
 
     @Override
-    public void forgetKey(int key) {}
+    public void releaseKey(int key) {}
 
     @Override
-    public void forgetEngine(int engine) {}
+    public void releaseEngine(int engine) {}
 
     @Override
-    public void probe(int engine) {
+    public void probeEngine(int engine) {
         thread(
                 20,
                 () -> {
-                    brain.probed(calendar.now(), engine, AttemptOutcome.RETURNED, null);
+                    brain.onProbeResult(calendar.now(), engine, AttemptOutcome.SUCCEEDED, null);
                     turnDue = true;
                 });
     }
 
     @Override
-    public void wakeIn(long delay, long token) {
+    public void scheduleWakeUp(long delay, long token) {
         thread(
                 delay,
                 () -> {
-                    brain.woken(calendar.now(), token);
+                    brain.onWakeUp(calendar.now(), token);
                     turnDue = true;
                 });
     }
@@ -505,8 +506,8 @@
     /** What must be empty once all is over. */
     void close() {
         for (int e = 0; e < engines.size(); e++) {
-            if (brain.out(e) != 0) {
-                check.kept(brain.out(e) + " dispatches at engine " + e);
+            if (brain.attemptsInFlight(e) != 0) {
+                check.kept(brain.attemptsInFlight(e) + " dispatches at engine " + e);
             }
         }
         if (!batches.isEmpty()) {
@@ -623,7 +624,7 @@
                     answered,
                     loss -> {
                         if (fault == InjectedDefect.BROKEN_NEVER_RAN) {
-                            ended(AttemptOutcome.NO_CONNECTION, 0);
+                            ended(AttemptOutcome.CONNECT_FAILED, 0);
                         } else {
                             life.postFailed(calendar.now(), loss);
                         }
@@ -708,7 +709,7 @@
                                                                 && fault
                                                                         == InjectedDefect
                                                                                 .UNKNOWN_IS_OVER) {
-                                                            ended(AttemptOutcome.ERRORED, 0);
+                                                            ended(AttemptOutcome.FAILED, 0);
                                                         } else {
                                                             life.told(calendar.now(), word);
                                                         }
@@ -719,7 +720,7 @@
 
         private void lost(Loss loss) {
             if (loss == Loss.REFUSED && fault == InjectedDefect.REFUSED_IS_OVER) {
-                ended(AttemptOutcome.BROKEN, 0);
+                ended(AttemptOutcome.CONNECTION_LOST, 0);
             } else {
                 life.lost(calendar.now(), loss);
             }
@@ -758,7 +759,7 @@
                                                     () -> {
                                                         if (fault
                                                                 == InjectedDefect.DELETED_IS_OVER) {
-                                                            ended(AttemptOutcome.CALLED_OFF, 0);
+                                                            ended(AttemptOutcome.CANCELLED, 0);
                                                         } else {
                                                             life.deleted(calendar.now());
                                                         }
@@ -809,11 +810,11 @@
             if (!b.out.remove(this)) {
                 return;
             }
-            if (how == AttemptOutcome.RETURNED) {
+            if (how == AttemptOutcome.SUCCEEDED) {
                 answer(b, false);
             }
             turnDue = true;
-            brain.ended(
+            brain.onAttemptResult(
                     calendar.now(),
                     new AttemptResult(
                             b.batch,
@@ -830,7 +831,7 @@
                                     : fault == InjectedDefect.UNWRITTEN_END_IS_OVER
                                             ? Math.max(0, rest - SHORTER)
                                             : rest));
-            if (how == AttemptOutcome.RETURNED) {
+            if (how == AttemptOutcome.SUCCEEDED) {
                 callOffAll(b);
             }
         }
--- a/src/test/java/firstage/config/SettingsParserTest.java
+++ b/src/test/java/firstage/config/SettingsParserTest.java
@@ -17,15 +17,15 @@
     @Test
     void withoutTheNewKeysTheShapeIsTheEarlierOne() {
         Deployment d = read("limits.probing=true deductions.probe=0.01");
-        assertTrue(d.probesTell());
-        assertFalse(d.pages());
+        assertTrue(d.probesReportLoad());
+        assertFalse(d.memoryOvercommitPages());
     }
 
     @Test
     void theNewShapeIsReadFromItsKeys() {
         Deployment d = read("report.via=off report.fields= family_info.out_of_memory=page");
-        assertFalse(d.probesTell());
-        assertTrue(d.pages());
+        assertFalse(d.probesReportLoad());
+        assertTrue(d.memoryOvercommitPages());
     }
 
     @Test
--- a/src/test/java/firstage/emulator/LoadGeneratorTest.java
+++ b/src/test/java/firstage/emulator/LoadGeneratorTest.java
@@ -76,10 +76,10 @@
             manager.setDaemon(true);
             manager.start();
             stage.news(crowd::start);
-            while (most(plan, Effect.REPEATABLE) < 2 || count(plan, Effect.ONCE_ONLY) < 30) {
+            while (most(plan, Effect.IDEMPOTENT) < 2 || count(plan, Effect.NON_IDEMPOTENT) < 30) {
                 Thread.sleep(20);
             }
-            assertThat(most(plan, Effect.ONCE_ONLY)).isEqualTo(1);
+            assertThat(most(plan, Effect.NON_IDEMPOTENT)).isEqualTo(1);
             stage.close();
             stage.worker().awaitTermination();
             crowd.close();
--- a/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
+++ b/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
@@ -42,7 +42,7 @@
     @Test
     void givenUpBeforeItIsWrittenItNeverRan() {
         life.start();
-        life.giveUp(now, AttemptOutcome.CALLED_OFF);
+        life.giveUp(now, AttemptOutcome.CANCELLED);
         assertThat(life.wanted()).isFalse();
         life.rang(now, Alarm.DUE);
         assertThat(acts).containsExactly("post", "after 0 DUE", "NOT_SENT 0");
@@ -84,7 +84,7 @@
         written();
         life.posted(now, Word.NEWS);
         awaited = false;
-        life.giveUp(now + 10, AttemptOutcome.CALLED_OFF);
+        life.giveUp(now + 10, AttemptOutcome.CANCELLED);
         life.told(now + 80, Word.NEWS);
         life.rang(now + 200, Alarm.DELETE_AGAIN);
         life.deleted(now + 205);
@@ -104,7 +104,7 @@
         life.posted(now, Word.NEWS);
         awaited = false;
         limit = now + 200_000;
-        life.giveUp(now + 10, AttemptOutcome.CALLED_OFF);
+        life.giveUp(now + 10, AttemptOutcome.CANCELLED);
         life.rang(now + 210, Alarm.DUE);
         assertThat(life.lingers()).isTrue();
         assertThat(acts)
@@ -122,7 +122,7 @@
     void whatIsNeverProvenIsHeldUntilItsLimitAndItsEngineIsToldOn() {
         written();
         limit = now + 200_000;
-        life.giveUp(now + 10, AttemptOutcome.CALLED_OFF);
+        life.giveUp(now + 10, AttemptOutcome.CANCELLED);
         life.rang(now + 210, Alarm.DUE);
         assertThat(acts).endsWith("after 200790 FORGOTTEN", "CALLED_OFF 200790");
         assertThat(life.lingers()).isFalse();
@@ -140,7 +140,7 @@
         written();
         awaited = false;
         limit = now + 200_000;
-        life.giveUp(now + 10, AttemptOutcome.CALLED_OFF);
+        life.giveUp(now + 10, AttemptOutcome.CANCELLED);
         life.rang(now + 210, Alarm.DUE);
         life.deleted(now + AttemptStateMachine.FORGETS - 1);
         assertThat(acts).last().isEqualTo("after 5000 DELETE_AGAIN");
@@ -154,7 +154,7 @@
         written();
         life.posted(now, Word.NEWS);
         awaited = false;
-        life.giveUp(now + 10, AttemptOutcome.CALLED_OFF);
+        life.giveUp(now + 10, AttemptOutcome.CANCELLED);
         life.rang(now + 210, Alarm.DUE);
         assertThat(acts)
                 .containsExactly(
--- a/src/test/java/firstage/overload/LoadSheddingLevelTest.java
+++ b/src/test/java/firstage/overload/LoadSheddingLevelTest.java
@@ -69,7 +69,7 @@
 
         private void asked() {
             for (int band = 0; band < DemandHistogram.BANDS; band++) {
-                demand.came(band, asks[band] * STEP);
+                demand.arrivedWork(band, asks[band] * STEP);
                 queue[band] += asks[band] * STEP * (band < cut ? 0 : band == cut ? part : 1);
                 queue[band] = band < cut ? 0 : queue[band];
             }
@@ -83,15 +83,15 @@
                 served[band] += goes;
                 gone += goes;
             }
-            demand.sent(gone);
+            demand.startedWork(gone);
             double most = 2 * SECOND * CAPACITY / all.size();
             double over = Math.max(0, waits() - most) / Math.max(1, waits());
-            demand.lost(waits() * over);
+            demand.shedWork(waits() * over);
             for (int band = 0; band < DemandHistogram.BANDS; band++) {
                 queue[band] *= 1 - over;
             }
-            demand.waits(waits());
-            demand.runs(gone / STEP, 4 * CAPACITY);
+            demand.waitingWork(waits());
+            demand.runningThreads(gone / STEP, 4 * CAPACITY);
             level.measure(now, demand);
             level.look(now);
         }
--- a/src/test/java/firstage/policy/FakePolicyActions.java
+++ b/src/test/java/firstage/policy/FakePolicyActions.java
@@ -5,8 +5,8 @@
 import firstage.policy.api.AttemptResult;
 import firstage.policy.api.Deployment;
 import firstage.policy.api.EndpointUpdate;
-import firstage.policy.api.EndpointUpdate.Entry;
-import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.EndpointUpdate.Endpoint;
+import firstage.policy.api.EndpointUpdate.Lifecycle;
 import firstage.policy.api.IncomingRequest;
 import firstage.policy.api.PolicyActions;
 import firstage.policy.api.TrafficClass;
@@ -41,7 +41,7 @@
     boolean callOff;
     boolean secondCopies;
     double memoryMb = 16_000;
-    Effect loadEffect = Effect.ONCE_ONLY;
+    Effect loadEffect = Effect.NON_IDEMPOTENT;
     Scope scope = Scope.ALL;
     Set<Integer> lookupZones = Set.of();
     double furtherRatio = -1;
@@ -53,13 +53,13 @@
     FakePolicyActions start(int engines) {
         List<TrafficClass> groups =
                 List.of(
-                        group(SECOND, 5 * SECOND, 1, 0, Effect.REPEATABLE, false, 1, lookupZones),
+                        group(SECOND, 5 * SECOND, 1, 0, Effect.IDEMPOTENT, false, 1, lookupZones),
                         group(
                                 3 * SECOND,
                                 20 * SECOND,
                                 3,
                                 0.3,
-                                Effect.REPEATABLE,
+                                Effect.IDEMPOTENT,
                                 false,
                                 2,
                                 Set.of()),
@@ -72,9 +72,9 @@
                                 rank,
                                 0,
                                 groups,
-                                List.of(new Deployment.Machine(8, memoryMb)),
+                                List.of(new Deployment.MachineType(8, memoryMb)),
                                 rates.stream().map(r -> r / SECOND).toList(),
-                                new Deployment.Allowed(
+                                new Deployment.Capabilities(
                                         callOff, secondCopies, true, true, true, 4, 2 * SECOND),
                                 new Deployment.Rules(
                                         0.3,
@@ -93,12 +93,12 @@
                                 probesTell,
                                 pages),
                         this);
-        List<Entry> entries = new ArrayList<>();
+        List<Endpoint> entries = new ArrayList<>();
         for (int e = 0; e < engines; e++) {
-            entries.add(entry(e, Standing.ACTIVE, 0));
+            entries.add(entry(e, Lifecycle.ACTIVE, 0));
         }
-        brain.listed(now, new EndpointUpdate(EndpointUpdate.Kind.REMEMBERED, entries));
-        brain.turn(now);
+        brain.onEndpointsUpdated(now, new EndpointUpdate(EndpointUpdate.Kind.INITIAL, entries));
+        brain.runPendingActions(now);
         return this;
     }
 
@@ -129,17 +129,17 @@
     }
 
     /** Engines 0 and 1 stand in zone and cell 0, 2 and 3 in 1, and so on. */
-    Entry entry(int engine, Standing standing, long since) {
-        return new Entry(
+    Endpoint entry(int engine, Lifecycle standing, long since) {
+        return new Endpoint(
                 engine, engine + 1, engine / 2, 0, engine / 2, standing, 1, since, coldPart);
     }
 
-    FakePolicyActions change(int engine, Standing standing, long since) {
-        brain.listed(
+    FakePolicyActions change(int engine, Lifecycle standing, long since) {
+        brain.onEndpointsUpdated(
                 now,
                 new EndpointUpdate(
-                        EndpointUpdate.Kind.CHANGES, List.of(entry(engine, standing, since))));
-        brain.turn(now);
+                        EndpointUpdate.Kind.DELTA, List.of(entry(engine, standing, since))));
+        brain.runPendingActions(now);
         return this;
     }
 
@@ -149,7 +149,7 @@
 
     FakePolicyActions take(int batch, int group, int key, int memory, int customer) {
         long limit = group == LOOKUP ? 5 * SECOND : 20 * SECOND;
-        brain.taken(
+        brain.onRequest(
                 now,
                 new IncomingRequest(
                         batch,
@@ -162,26 +162,26 @@
                         batch,
                         false,
                         false));
-        brain.turn(now);
+        brain.runPendingActions(now);
         return this;
     }
 
     /** Whether it came before or after another of its key can't be told. */
     FakePolicyActions takeOutOfTurn(int batch, int key) {
-        brain.taken(
+        brain.onRequest(
                 now,
                 new IncomingRequest(
                         batch, LOAD, -1, key, now + 20 * SECOND, 20_000, 0, batch, false, true));
-        brain.turn(now);
+        brain.runPendingActions(now);
         return this;
     }
 
     FakePolicyActions takeReading(int batch, int group, int tables) {
-        brain.taken(
+        brain.onRequest(
                 now,
                 new IncomingRequest(
                         batch, group, -1, -1, now + 20 * SECOND, 2_000, 0, tables, false, false));
-        brain.turn(now);
+        brain.runPendingActions(now);
         return this;
     }
 
@@ -191,12 +191,12 @@
 
     /** The batch returns after so long. */
     FakePolicyActions slowly(int batch, long took) {
-        return end(batch, AttemptOutcome.RETURNED, took);
+        return end(batch, AttemptOutcome.SUCCEEDED, took);
     }
 
     /** The batch's dispatch ends, and its engine may hold it for so long. */
     FakePolicyActions endHeld(int batch, AttemptOutcome outcome, long mayHold) {
-        brain.ended(
+        brain.onAttemptResult(
                 now,
                 new AttemptResult(
                         batch,
@@ -209,13 +209,13 @@
                         false,
                         null,
                         mayHold));
-        brain.turn(now);
+        brain.runPendingActions(now);
         return this;
     }
 
     private FakePolicyActions end(int batch, AttemptOutcome outcome, long took) {
         int number = dispatches.get(batch) - 1;
-        brain.ended(
+        brain.onAttemptResult(
                 now,
                 new AttemptResult(
                         batch,
@@ -225,19 +225,19 @@
                         took,
                         0,
                         0,
-                        outcome == AttemptOutcome.RETURNED,
+                        outcome == AttemptOutcome.SUCCEEDED,
                         null,
                         0));
-        brain.turn(now);
+        brain.runPendingActions(now);
         return this;
     }
 
     FakePolicyActions note(int batch, AttemptProgress.Kind kind, double amount) {
-        brain.noted(
+        brain.onAttemptProgress(
                 now,
                 new AttemptProgress(
                         batch, dispatches.get(batch) - 1, lastEngine.get(batch), kind, amount));
-        brain.turn(now);
+        brain.runPendingActions(now);
         return this;
     }
 
@@ -245,8 +245,8 @@
     FakePolicyActions pass(long time) {
         for (long until = now + time; now < until; ) {
             now += 100;
-            brain.woken(now, 0);
-            brain.turn(now);
+            brain.onWakeUp(now, 0);
+            brain.runPendingActions(now);
         }
         return this;
     }
@@ -264,12 +264,12 @@
     }
 
     @Override
-    public void provide(int batch, int grantMb, int priority) {
+    public void setGrantAndPriority(int batch, int grantMb, int priority) {
         acts.add("provide " + batch + " " + grantMb);
     }
 
     @Override
-    public void dispatch(int batch, int engine, long within) {
+    public void startAttempt(int batch, int engine, long within) {
         dispatches.merge(batch, 1, Integer::sum);
         lastEngine.put(batch, engine);
         acts.add("dispatch " + batch);
@@ -277,47 +277,47 @@
     }
 
     @Override
-    public void callOff(int batch, int dispatch) {
+    public void cancelAttempt(int batch, int dispatch) {
         acts.add("callOff " + batch);
     }
 
     @Override
-    public void pushBack(int batch, long comeBack) {
+    public void reject(int batch, long comeBack) {
         acts.add("pushBack " + batch);
     }
 
     @Override
-    public void error(int batch) {
+    public void fail(int batch) {
         acts.add("error " + batch);
     }
 
     @Override
-    public void forgetBatch(int batch) {
+    public void releaseRequest(int batch) {
         acts.add("forget " + batch);
     }
 
     @Override
-    public void forgetKey(int key) {
+    public void releaseKey(int key) {
         acts.add("forgetKey " + key);
     }
 
     @Override
-    public void forgetEngine(int engine) {
+    public void releaseEngine(int engine) {
         acts.add("forgetEngine " + engine);
     }
 
     @Override
-    public void probe(int engine) {
+    public void probeEngine(int engine) {
         acts.add("probe " + engine);
     }
 
     @Override
-    public void subscribe() {
+    public void subscribeToEndpoints() {
         acts.add("subscribe");
     }
 
     @Override
-    public void wakeIn(long delay, long token) {
+    public void scheduleWakeUp(long delay, long token) {
         acts.add("wake");
     }
 
--- a/src/test/java/firstage/policy/WorkloadSchedulerTest.java
+++ b/src/test/java/firstage/policy/WorkloadSchedulerTest.java
@@ -8,7 +8,7 @@
 
 import firstage.policy.api.AttemptOutcome;
 import firstage.policy.api.AttemptProgress;
-import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.EndpointUpdate.Lifecycle;
 import firstage.policy.api.LoadReport;
 import firstage.policy.api.TrafficClass.Effect;
 import firstage.policy.api.TrafficClass.Scope;
@@ -34,8 +34,8 @@
     @Test
     void aLateOutcomeOfAClosedBatchSendsNothing() {
         host.start(2).take(1, LOOKUP);
-        host.brain.clientLeft(host.now, 1);
-        host.end(1, AttemptOutcome.NO_CONNECTION).pass(SECOND);
+        host.brain.onClientGone(host.now, 1);
+        host.end(1, AttemptOutcome.CONNECT_FAILED).pass(SECOND);
         assertThat(host.sent(1)).isEqualTo(1);
         assertThat(host.answered(1)).isFalse();
         assertThat(host.acts).contains("forget 1");
@@ -53,7 +53,7 @@
     @Test
     void whatCannotBeOverBeforeTheProgramEndsIsPushedBackInTime() {
         host.start(1).take(1, REPORT).take(2, LOAD);
-        host.brain.closing(host.now, host.now + 2 * SECOND);
+        host.brain.onShutdown(host.now, host.now + 2 * SECOND);
         host.take(3, REPORT).take(4, LOOKUP);
         assertThat(host.acts).contains("pushBack 3", "dispatch 4").doesNotContain("dispatch 3");
         host.pass(2 * SECOND - 200);
@@ -66,11 +66,11 @@
     @Test
     void anEngineThatLeftLongAgoIsForgottenOnceNothingIsOutThere() {
         host.start(2).take(1, LOOKUP);
-        host.change(host.on(1), Standing.LEFT, 0)
-                .change(1 - host.on(1), Standing.LEAVING, 0)
+        host.change(host.on(1), Lifecycle.GONE, 0)
+                .change(1 - host.on(1), Lifecycle.DRAINING, 0)
                 .pass(90 * SECOND);
         assertThat(host.acts).noneMatch(a -> a.startsWith("forgetEngine"));
-        host.end(1, AttemptOutcome.RETURNED);
+        host.end(1, AttemptOutcome.SUCCEEDED);
         for (int batch = 2; batch < 6; batch++) {
             host.take(batch, LOAD).pass(20 * SECOND);
         }
@@ -81,7 +81,7 @@
     // ---- Rule 2
     @Test
     void aOnceOnlyBatchThatMayHaveRunIsErroredNotRepeated() {
-        host.start(3).take(1, LOAD).end(1, AttemptOutcome.BROKEN).pass(SECOND);
+        host.start(3).take(1, LOAD).end(1, AttemptOutcome.CONNECTION_LOST).pass(SECOND);
         assertThat(host.sent(1)).isEqualTo(1);
         assertThat(host.acts).contains("error 1").doesNotContain("pushBack 1");
     }
@@ -90,49 +90,53 @@
     void aOnceOnlyBatchThatNeverRanGoesElsewhere() {
         host.start(3).take(1, LOAD);
         int first = host.on(1);
-        host.end(1, AttemptOutcome.NO_CONNECTION);
+        host.end(1, AttemptOutcome.CONNECT_FAILED);
         assertThat(host.sent(1)).isEqualTo(2);
         assertThat(host.on(1)).isNotEqualTo(first);
     }
 
     @Test
     void aReferencedBatchStaysInItsCell() {
-        host.loadEffect = Effect.REFERENCED;
+        host.loadEffect = Effect.IDEMPOTENT_WITH_KEY;
         host.scope = Scope.CELL;
         host.start(4).take(1, LOAD);
         int first = host.on(1);
-        host.end(1, AttemptOutcome.BROKEN).pass(SECOND / 10);
+        host.end(1, AttemptOutcome.CONNECTION_LOST).pass(SECOND / 10);
         assertThat(host.sent(1)).isEqualTo(2);
         assertThat(host.on(1) / 2).isEqualTo(first / 2);
     }
 
     @Test
     void aReferencedBatchIsNotRepeatedAfterItsWindow() {
-        host.loadEffect = Effect.REFERENCED;
-        host.start(2).take(1, LOAD).pass(7 * SECOND).end(1, AttemptOutcome.BROKEN).pass(SECOND);
+        host.loadEffect = Effect.IDEMPOTENT_WITH_KEY;
+        host.start(2)
+                .take(1, LOAD)
+                .pass(7 * SECOND)
+                .end(1, AttemptOutcome.CONNECTION_LOST)
+                .pass(SECOND);
         assertThat(host.sent(1)).isEqualTo(1);
         assertThat(host.acts).contains("pushBack 1");
     }
 
     @Test
     void theWindowCountsFromADispatchThatIsStillOut() {
-        host.loadEffect = Effect.REFERENCED;
+        host.loadEffect = Effect.IDEMPOTENT_WITH_KEY;
         host.secondCopies = true;
         host.start(3).take(1, LOAD).pass(2 * SECOND);
         assertThat(host.sent(1)).isEqualTo(2);
         for (int beat = 0; beat < 9; beat++) {
-            host.note(1, AttemptProgress.Kind.DONE, 0.1).pass(SECOND / 2);
+            host.note(1, AttemptProgress.Kind.FRACTION_DONE, 0.1).pass(SECOND / 2);
         }
         // The copy breaks within its own window of 6 s, but past that of the first, which never
         // came back.
-        host.end(1, AttemptOutcome.BROKEN).pass(SECOND);
+        host.end(1, AttemptOutcome.CONNECTION_LOST).pass(SECOND);
         assertThat(host.sent(1)).isEqualTo(2);
     }
 
     // ---- Rules 3, 4
     @Test
     void nothingGoesToADrainingEngine() {
-        host.start(2).change(0, Standing.LEAVING, 0);
+        host.start(2).change(0, Lifecycle.DRAINING, 0);
         for (int b = 0; b < 4; b++) {
             host.take(b, LOOKUP);
             assertThat(host.on(b)).isEqualTo(1);
@@ -142,12 +146,12 @@
     @Test
     void aColdEngineGetsNoMoreThanItsBudget() {
         host.managers = 2;
-        host.start(1).change(0, Standing.ACTIVE, host.now);
+        host.start(1).change(0, Lifecycle.ACTIVE, host.now);
         int sent = 0;
         for (int b = 0; b < 40; b++) {
             host.take(b, LOOKUP);
             if (host.sent(b) > 0) {
-                host.end(b, AttemptOutcome.RETURNED);
+                host.end(b, AttemptOutcome.SUCCEEDED);
                 sent++;
             }
         }
@@ -158,13 +162,13 @@
     @Test
     void anEngineThatWentDownCountsAsColdBeforeTheListSaysSo() {
         host.managers = 2;
-        host.start(1).take(1, LOOKUP).end(1, AttemptOutcome.NO_CONNECTION).pass(2 * SECOND);
-        host.end(1, AttemptOutcome.RETURNED);
+        host.start(1).take(1, LOOKUP).end(1, AttemptOutcome.CONNECT_FAILED).pass(2 * SECOND);
+        host.end(1, AttemptOutcome.SUCCEEDED);
         int sent = 0;
         for (int b = 2; b < 42; b++) {
             host.take(b, LOOKUP);
             if (host.sent(b) > 0) {
-                host.end(b, AttemptOutcome.RETURNED);
+                host.end(b, AttemptOutcome.SUCCEEDED);
                 sent++;
             }
         }
@@ -174,7 +178,7 @@
     @Test
     void aManagerThatJustStartedHoldsItsPartOfAnEngineThatWasColdBeforeForSpent() {
         host.managers = 2;
-        host.start(1).change(0, Standing.ACTIVE, host.now - SECOND).take(1, REPORT);
+        host.start(1).change(0, Lifecycle.ACTIVE, host.now - SECOND).take(1, REPORT);
         assertThat(host.sent(1)).isZero();
         // What the life before sent is out of the window.
         host.pass(2 * SECOND + SECOND / 10);
@@ -184,13 +188,13 @@
     @Test
     void earlyAnswersOfShortBatchesDoNotMakeTheNextSeemLightToAColdEngine() {
         host.managers = 2;
-        host.start(2).change(1, Standing.LEFT, 0);
+        host.start(2).change(1, Lifecycle.GONE, 0);
         for (int b = 0; b < 4; b++) {
             host.take(b, REPORT);
         }
         // Of four reports told as 2 s of work each, the short ones are over.
         host.slowly(0, 1_000).slowly(1, 1_000);
-        host.change(0, Standing.LEFT, 0).change(1, Standing.ACTIVE, host.now);
+        host.change(0, Lifecycle.GONE, 0).change(1, Lifecycle.ACTIVE, host.now);
         for (int b = 4; b < 24; b++) {
             host.take(b, REPORT);
             if (host.sent(b) > 0) {
@@ -208,11 +212,11 @@
                 .take(0, REPORT)
                 .pass(SECOND / 2)
                 .take(1, LOOKUP)
-                .end(1, AttemptOutcome.BROKEN);
-        host.note(0, AttemptProgress.Kind.DONE, 0.1);
-        host.end(0, AttemptOutcome.RETURNED);
+                .end(1, AttemptOutcome.CONNECTION_LOST);
+        host.note(0, AttemptProgress.Kind.FRACTION_DONE, 0.1);
+        host.end(0, AttemptOutcome.SUCCEEDED);
         for (int b = 2; b < 42; b++) {
-            host.take(b, LOOKUP).end(b, AttemptOutcome.RETURNED);
+            host.take(b, LOOKUP).end(b, AttemptOutcome.SUCCEEDED);
         }
         assertThat(host.dispatches).hasSize(42);
     }
@@ -224,9 +228,9 @@
             FakePolicyActions one = new FakePolicyActions();
             one.managers = 200;
             one.rank = rank;
-            one.start(2).take(0, LOOKUP).end(0, AttemptOutcome.RETURNED);
-            one.change(0, Standing.LEFT, 0)
-                    .change(1, Standing.ACTIVE, one.now)
+            one.start(2).take(0, LOOKUP).end(0, AttemptOutcome.SUCCEEDED);
+            one.change(0, Lifecycle.GONE, 0)
+                    .change(1, Lifecycle.ACTIVE, one.now)
                     .take(1, LOOKUP)
                     .take(2, LOOKUP);
             sent += one.sent(1) + one.sent(2);
@@ -258,10 +262,10 @@
         one.rank = rank;
         one.coldPart = coldPart;
         one.start(2);
-        one.brain.allotted(one.now, 1.0 / 160);
-        one.take(0, LOOKUP).end(0, AttemptOutcome.RETURNED);
-        one.change(0, Standing.LEFT, 0)
-                .change(1, Standing.ACTIVE, one.now)
+        one.brain.onQuotaChanged(one.now, 1.0 / 160);
+        one.take(0, LOOKUP).end(0, AttemptOutcome.SUCCEEDED);
+        one.change(0, Lifecycle.GONE, 0)
+                .change(1, Lifecycle.ACTIVE, one.now)
                 .take(1, LOOKUP)
                 .take(2, LOOKUP);
         return one.sent(1) + one.sent(2);
@@ -306,9 +310,9 @@
     void batchesOfOneKeyRunInTurnAndTheKeyRestsAfterABreak() {
         host.start(3).take(1, LOAD, 9, 0, -1).take(2, LOAD, 9, 0, -1).take(3, LOAD, 9, 0, -1);
         assertThat(host.sent(2)).isZero();
-        host.end(1, AttemptOutcome.RETURNED);
+        host.end(1, AttemptOutcome.SUCCEEDED);
         assertThat(host.sent(2)).isEqualTo(1);
-        host.end(2, AttemptOutcome.BROKEN).pass(SECOND / 2 - 200);
+        host.end(2, AttemptOutcome.CONNECTION_LOST).pass(SECOND / 2 - 200);
         assertThat(host.sent(3)).isZero();
         host.pass(400);
         assertThat(host.sent(3)).isEqualTo(1);
@@ -319,8 +323,8 @@
     void aBoundGroupWaitsRatherThanLeaveItsZone() {
         host.lookupZones = Set.of(1);
         host.start(4)
-                .change(2, Standing.LEFT, 0)
-                .change(3, Standing.LEFT, 0)
+                .change(2, Lifecycle.GONE, 0)
+                .change(3, Lifecycle.GONE, 0)
                 .take(1, LOOKUP)
                 .pass(5 * SECOND);
         assertThat(host.sent(1)).isZero();
@@ -332,7 +336,7 @@
         host.furtherRatio = 0.1;
         host.start(20);
         for (int b = 0; b < 10; b++) {
-            host.take(b, LOOKUP).end(b, AttemptOutcome.TURNED_AWAY);
+            host.take(b, LOOKUP).end(b, AttemptOutcome.REFUSED);
         }
         // One free and a tenth of ten taken.
         int further = host.dispatches.values().stream().mapToInt(n -> n - 1).sum();
@@ -350,21 +354,21 @@
     void aSpilledGrantTeachesALargerMargin() {
         host.start(1)
                 .take(1, LOOKUP, -1, 400, -1)
-                .note(1, AttemptProgress.Kind.SPILLS, 40)
-                .end(1, AttemptOutcome.RETURNED);
+                .note(1, AttemptProgress.Kind.SPILLING, 40)
+                .end(1, AttemptOutcome.SUCCEEDED);
         host.take(2, LOOKUP, -1, 400, -1);
         assertThat(host.acts).doesNotContain("provide 2 500");
     }
 
     @Test
     void underPressureWhatFitsNowhereIsSkippedAndHeldInOrder() {
-        host.start(1).take(1, REPORT).note(1, AttemptProgress.Kind.WAITS_FOR_MEMORY, 0);
+        host.start(1).take(1, REPORT).note(1, AttemptProgress.Kind.WAITING_FOR_MEMORY, 0);
         for (int b = 2; b < 40; b++) {
             host.take(b, b % 2 == 0 ? REPORT : LOOKUP);
         }
         List<String> sent = host.acts.stream().filter(a -> a.startsWith("dispatch")).toList();
         assertThat(sent).hasSizeLessThan(20);
-        host.end(1, AttemptOutcome.RETURNED);
+        host.end(1, AttemptOutcome.SUCCEEDED);
         assertThat(host.sent(1)).isEqualTo(1);
     }
 
@@ -387,7 +391,7 @@
         host.callOff = true;
         host.start(1).take(1, REPORT).take(2, REPORT);
         for (int beat = 0; beat < 4; beat++) {
-            host.pass(SECOND / 2).note(1, AttemptProgress.Kind.DONE, 0.1 + beat * 0.2);
+            host.pass(SECOND / 2).note(1, AttemptProgress.Kind.FRACTION_DONE, 0.1 + beat * 0.2);
         }
         assertThat(host.acts).contains("callOff 2").doesNotContain("callOff 1");
     }
@@ -397,7 +401,7 @@
         host.callOff = true;
         host.start(1)
                 .take(1, REPORT)
-                .note(1, AttemptProgress.Kind.WAITS_FOR_MEMORY, 0)
+                .note(1, AttemptProgress.Kind.WAITING_FOR_MEMORY, 0)
                 .pass(3 * SECOND);
         assertThat(host.acts).doesNotContain("callOff 1");
     }
@@ -405,9 +409,12 @@
     @Test
     void aRunawayIsCalledOffAndSentAgain() {
         host.callOff = true;
-        host.start(2).take(1, REPORT).pass(SECOND).note(1, AttemptProgress.Kind.DONE, 0.05);
+        host.start(2)
+                .take(1, REPORT)
+                .pass(SECOND)
+                .note(1, AttemptProgress.Kind.FRACTION_DONE, 0.05);
         assertThat(host.acts).contains("callOff 1");
-        host.end(1, AttemptOutcome.CALLED_OFF);
+        host.end(1, AttemptOutcome.CANCELLED);
         assertThat(host.sent(1)).isEqualTo(2);
     }
 
@@ -415,12 +422,12 @@
     void anEngineThatErrsAtOnceDoesNotDrawEveryBatch() {
         host.start(2);
         int bad = host.take(0, LOOKUP).on(0);
-        host.end(0, AttemptOutcome.ERRORED);
+        host.end(0, AttemptOutcome.FAILED);
         for (int b = 1; b < 20; b++) {
             host.take(b, LOOKUP);
-            host.end(b, host.on(b) == bad ? AttemptOutcome.ERRORED : AttemptOutcome.RETURNED);
+            host.end(b, host.on(b) == bad ? AttemptOutcome.FAILED : AttemptOutcome.SUCCEEDED);
             if (host.sent(b) > 1) {
-                host.end(b, AttemptOutcome.RETURNED);
+                host.end(b, AttemptOutcome.SUCCEEDED);
             }
         }
         long drawn = host.acts.stream().filter(a -> a.equals("dispatch to " + bad)).count();
@@ -431,7 +438,7 @@
     void batchesThatErrWhereverTheyGoCloseNoEngineAndGoNoFurther() {
         host.start(4);
         for (int b = 0; b < 8; b++) {
-            host.take(b, LOOKUP).end(b, AttemptOutcome.ERRORED).end(b, AttemptOutcome.ERRORED);
+            host.take(b, LOOKUP).end(b, AttemptOutcome.FAILED).end(b, AttemptOutcome.FAILED);
             assertThat(host.sent(b)).isEqualTo(2);
             assertThat(host.acts).contains("error " + b);
         }
@@ -458,7 +465,7 @@
         host.start(2)
                 .take(1, LOAD, 7, 0, -1)
                 .take(2, LOAD, 7, 0, -1)
-                .endHeld(1, AttemptOutcome.ERRORED, 2 * SECOND);
+                .endHeld(1, AttemptOutcome.FAILED, 2 * SECOND);
         assertThat(host.acts).contains("error 1");
         assertThat(host.pass(SECOND * 19 / 10).sent(2)).isZero();
         assertThat(host.pass(SECOND / 5).sent(2)).isEqualTo(1);
@@ -469,10 +476,10 @@
         host.start(1)
                 .take(1, REPORT)
                 .take(2, LOOKUP)
-                .end(2, AttemptOutcome.TURNED_AWAY)
+                .end(2, AttemptOutcome.REFUSED)
                 .take(3, LOOKUP);
         assertThat(host.sent(3)).isZero();
-        host.end(1, AttemptOutcome.RETURNED);
+        host.end(1, AttemptOutcome.SUCCEEDED);
         assertThat(host.sent(3)).isEqualTo(1);
     }
 
@@ -498,12 +505,12 @@
     @Test
     void theGateStaysShutWhileBatchesWait() {
         host.managers = 4;
-        host.start(1).take(1, REPORT).note(1, AttemptProgress.Kind.WAITS_FOR_MEMORY, 0);
+        host.start(1).take(1, REPORT).note(1, AttemptProgress.Kind.WAITING_FOR_MEMORY, 0);
         for (int b = 2; b < 30; b++) {
             host.take(b, REPORT);
         }
         for (int beat = 0; beat < 16; beat++) {
-            host.note(1, AttemptProgress.Kind.DONE, 0).pass(SECOND / 2);
+            host.note(1, AttemptProgress.Kind.FRACTION_DONE, 0).pass(SECOND / 2);
         }
         // Eight seconds after the only sign of pressure, the queue has not gone out at once.
         assertThat(host.dispatches).hasSizeLessThan(5);
@@ -513,7 +520,7 @@
     void aWaitForMemoryTakesFromTheMargin() {
         host.start(2)
                 .take(1, LOOKUP, -1, 400, -1)
-                .note(1, AttemptProgress.Kind.WAITS_FOR_MEMORY, 0);
+                .note(1, AttemptProgress.Kind.WAITING_FOR_MEMORY, 0);
         host.take(2, LOOKUP, -1, 400, -1);
         assertThat(host.acts).contains("provide 1 500").contains("provide 2 484");
     }
@@ -523,7 +530,7 @@
         host.managers = 4;
         host.start(1)
                 .take(1, REPORT, -1, 100, -1)
-                .note(1, AttemptProgress.Kind.WAITS_FOR_MEMORY, 0);
+                .note(1, AttemptProgress.Kind.WAITING_FOR_MEMORY, 0);
         host.take(2, REPORT, -1, 100, -1).take(3, REPORT, -1, 100, -1).take(4, LOOKUP, -1, 100, -1);
         assertThat(host.sent(3)).isZero();
         assertThat(host.sent(4)).isEqualTo(1);
@@ -534,7 +541,8 @@
         host.managers = 16;
         host.start(4);
         for (int e = 0; e < 4; e++) {
-            host.brain.probed(host.now, e, AttemptOutcome.RETURNED, new LoadReport(0, 5, 0, 0, 0));
+            host.brain.onProbeResult(
+                    host.now, e, AttemptOutcome.SUCCEEDED, new LoadReport(0, 5, 0, 0, 0));
         }
         // Four engines with a bound of one thread each: two reports of two threads, not one on
         // every engine.
@@ -549,7 +557,7 @@
         host.managers = 8;
         host.start(1)
                 .take(1, LOAD, -1, 100, -1)
-                .note(1, AttemptProgress.Kind.WAITS_FOR_MEMORY, 0)
+                .note(1, AttemptProgress.Kind.WAITING_FOR_MEMORY, 0)
                 .take(2, LOOKUP, -1, 100, -1);
         assertThat(host.sent(2)).isEqualTo(1);
     }
@@ -557,7 +565,7 @@
     @Test
     void aReportIsGivenUpByItsGoalWhileTheQueueIsLong() {
         host.estimate = false;
-        host.start(1).change(0, Standing.LEFT, 0).take(1, REPORT).pass(4 * SECOND);
+        host.start(1).change(0, Lifecycle.GONE, 0).take(1, REPORT).pass(4 * SECOND);
         // Its goal is 9 s off and its usual run takes 3 s; its late part could have waited until 17
         // s.
         assertThat(host.answered(1)).isFalse();
@@ -597,7 +605,7 @@
         assertThat(host.acts)
                 .as("while all is calm a probe earns nothing")
                 .noneMatch(act -> act.startsWith("probe"));
-        host.end(9, AttemptOutcome.RETURNED)
+        host.end(9, AttemptOutcome.SUCCEEDED)
                 .take(10, LOOKUP)
                 .slowly(10, 30_000)
                 .take(11, LOOKUP)
@@ -606,13 +614,13 @@
         assertThat(host.acts).contains("probe 0", "probe 1", "probe 2");
         assertThat(host.sent(1)).isZero();
         for (int e = 0; e < 3; e++) {
-            host.brain.probed(
+            host.brain.onProbeResult(
                     host.now,
                     e,
-                    AttemptOutcome.RETURNED,
+                    AttemptOutcome.SUCCEEDED,
                     new LoadReport(0, e == 1 ? 0 : 4, 0, 0, 0));
         }
-        host.brain.turn(host.now);
+        host.brain.runPendingActions(host.now);
         assertThat(host.on(1)).isEqualTo(1);
         // The three probes of a lookup would cost more than it can lose.
         host.acts.clear();
@@ -625,7 +633,7 @@
         host.managers = 64;
         host.probePrice = 0.01;
         host.probesTell = false;
-        host.start(3).take(9, REPORT).end(9, AttemptOutcome.RETURNED);
+        host.start(3).take(9, REPORT).end(9, AttemptOutcome.SUCCEEDED);
         host.take(10, LOOKUP).slowly(10, 30_000).take(11, LOOKUP).slowly(11, 30_000);
         host.take(1, REPORT);
         // Probed, it would wait for a load report that never comes, and be given up unsent.
@@ -637,11 +645,13 @@
     void anEngineThatToldOfACrowdIsPassedOverWhileThatIsFresh() {
         host.managers = 64;
         host.start(2);
-        host.brain.probed(host.now, 0, AttemptOutcome.RETURNED, new LoadReport(14, 0, 0, 0, 0));
-        host.brain.probed(host.now, 1, AttemptOutcome.RETURNED, new LoadReport(2, 0, 0, 0, 0));
+        host.brain.onProbeResult(
+                host.now, 0, AttemptOutcome.SUCCEEDED, new LoadReport(14, 0, 0, 0, 0));
+        host.brain.onProbeResult(
+                host.now, 1, AttemptOutcome.SUCCEEDED, new LoadReport(2, 0, 0, 0, 0));
         for (int b = 0; b < 8; b++) {
             assertThat(host.take(b, LOOKUP).on(b)).isEqualTo(1);
-            host.end(b, AttemptOutcome.RETURNED);
+            host.end(b, AttemptOutcome.SUCCEEDED);
         }
     }
 
--- a/src/test/java/firstage/server/discovery/EndpointParserTest.java
+++ b/src/test/java/firstage/server/discovery/EndpointParserTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import firstage.config.WireFields;
-import firstage.policy.api.EndpointUpdate.Standing;
+import firstage.policy.api.EndpointUpdate.Lifecycle;
 import firstage.server.ServerEvents.Listed;
 import firstage.server.TickClock;
 import java.io.IOException;
@@ -64,7 +64,7 @@
                                                 "0")))
                         .get(0);
         assertThat(framed).isEqualTo(known);
-        assertThat(framed.standing()).isEqualTo(Standing.LEAVING);
+        assertThat(framed.standing()).isEqualTo(Lifecycle.DRAINING);
         assertThat(framed.since()).isZero();
     }
 
