--- a/src/main/java/firstage/bench/BenchManager.java
+++ b/src/main/java/firstage/bench/BenchManager.java
@@ -72,14 +72,14 @@
     }
 
     private void look(long now) {
-        byte[] words = circle.look(now, manager.demand(now));
+        byte[] words = circle.evaluate(now, manager.demand(now));
         if (words.length > 0) {
             line("WRITE_PEER")
                     .append(" dst=all payload=")
                     .append(Base64.getEncoder().encodeToString(words))
                     .append('\n');
         }
-        scheduleWakeUp(BroadcastLoadShedding.LOOK, LOOK);
+        scheduleWakeUp(BroadcastLoadShedding.EVALUATION_INTERVAL, LOOK);
     }
 
     /** Tells the manager of one event; an unknown one is an error of the caller's line. */
@@ -113,7 +113,7 @@
                             now, engines.of(f.needWhole("engine")), outcome(f), report(f));
             case "DATAGRAM" -> {
                 if (circle != null) {
-                    circle.heard(now, f.index("by", 0), words(f.text("payload", "-")));
+                    circle.onMessage(now, f.index("by", 0), words(f.text("payload", "-")));
                 }
             }
             case "WAKE" -> {
--- a/src/main/java/firstage/cells/CellDirectory.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -30,207 +30,197 @@
  * <p>Times are tenths of a millisecond of a clock that only goes forward.
  */
 public final class CellDirectory {
-    private static final int DEPUTIES =
+    private static final int DELEGATES =
             3; // of a cell at once: two may die in one second, the next view has others
-    private static final long TELL_EVERY =
+    private static final long SEND_INTERVAL =
             10_000; // a deputy's datagram: some 1 KB a second, whatever the fleet
-    private static final long ROW_EVERY =
+    private static final long ROW_INTERVAL =
             50_000; // a row that does not change: 65 cells make 13 newer rows a second
     private static final long SILENT_AFTER =
             250_000; // of a row not renewed: five renewals, some on their way
-    private static final long LEAST_BETWEEN =
+    private static final long MIN_ROW_INTERVAL =
             5_000; // two renewals: a view that changes often is no flood
-    private static final long LOOK_EVERY = 5_000; // at what has grown old
-    private static final int ROWS_A_MESSAGE = 6; // 72 bytes on each message of the membership
-    private static final int TELLINGS =
+    private static final long EXPIRY_CHECK_INTERVAL = 5_000; // at what has grown old
+    private static final int MAX_ROWS_PER_MESSAGE = 6; // 72 bytes on each message of the membership
+    private static final int SENDS_PER_NEW_ROW =
             2; // of a newer row by each manager: one of seven hears of it by turns only
-    private static final int BY_TURNS =
+    private static final int ROWS_BY_TURNS =
             2; // of a message, newer or not: none stays unheard by chance
-    private static final int MOST =
+    private static final int MAX_DATAGRAM_BYTES =
             1_200; // bytes of a datagram: under the least MTU of IPv6 with its heads
-    private static final int HEAD = 1 + 3 * Integer.BYTES; // version, fleet, plan's number and mark
-    private static final int ROW =
+    private static final int HEADER_BYTES =
+            1 + 3 * Integer.BYTES; // version, fleet, plan's number and mark
+    private static final int ROW_BYTES =
             Short.BYTES + 2 * Integer.BYTES + 2; // cell, stamp, plan, here, cut
     private static final int VERSION = 1;
-    private static final int MOST_BYTE = 255;
+    private static final int MAX_BYTE = 255;
     private static final long NEVER = Long.MIN_VALUE / 4;
 
-    /** Carries the effects out; none of them calls back before it returns. */
-    public interface Effects {
-        /** To the manager at this place of that cell. */
-        void send(int cell, int slot, byte[] datagram);
-
-        /** Engines that could not be used may be now; {@link CellDirectory#uses} says which. */
-        void freed(long now);
-
-        /** A line for the log: what, of which cell, and why. */
-        void noteOfCell(long now, String what, String cell, String why);
-
-        /** What this manager sheds: the level's band, 0 for nothing. */
-        int cut();
-    }
-
     /** Faults put back one at a time. */
-    public enum Fault {
+    public enum InjectedDefect {
         NONE,
-        TOLD_TO_ALL,
-        DEPUTIES_FOR_GOOD,
-        GAINS_AT_ONCE,
-        LEAST_OF_THE_HEARD,
+        SENT_TO_ALL_CELLS,
+        FIXED_DELEGATES,
+        GAINS_BEFORE_RELEASE,
+        SILENT_MANAGERS_IGNORED,
         OLDER_ROW_WINS,
-        GAINS_COLD_PART
+        GAINS_WARM_UP_SHARE
     }
 
     /** How a cell is held. */
-    public enum Standing {
-        UNHEARD,
-        HEARD,
+    public enum CellState {
+        UNKNOWN,
+        ACTIVE,
         SILENT
     }
 
     private enum Event {
-        NEWER,
-        OLD
+        NEWER_ROW,
+        ROW_EXPIRED
     }
 
     private enum Effect {
         NONE,
-        MET,
+        FIRST_HEARD,
         LOST,
-        BACK
+        HEARD_AGAIN
     }
 
-    private record Rule(Standing state, Event event, Standing next, Effect effect) {}
+    private record Transition(CellState state, Event event, CellState next, Effect effect) {}
 
     /** State, event, next state, effect; what is not here changes nothing. */
-    private static final Rule[] TABLE = {
-        new Rule(Standing.UNHEARD, Event.NEWER, Standing.HEARD, Effect.MET),
-        new Rule(Standing.HEARD, Event.NEWER, Standing.HEARD, Effect.NONE),
-        new Rule(Standing.HEARD, Event.OLD, Standing.SILENT, Effect.LOST),
-        new Rule(Standing.SILENT, Event.NEWER, Standing.HEARD, Effect.BACK),
+    private static final Transition[] TRANSITIONS = {
+        new Transition(CellState.UNKNOWN, Event.NEWER_ROW, CellState.ACTIVE, Effect.FIRST_HEARD),
+        new Transition(CellState.ACTIVE, Event.NEWER_ROW, CellState.ACTIVE, Effect.NONE),
+        new Transition(CellState.ACTIVE, Event.ROW_EXPIRED, CellState.SILENT, Effect.LOST),
+        new Transition(CellState.SILENT, Event.NEWER_ROW, CellState.ACTIVE, Effect.HEARD_AGAIN),
     };
 
     /**
-     * A cell as it is known. {@code age}: since a newer row came, -1 for never; {@code plan}: the
-     * least in it.
+     * A cell as it is known. {@code age}: since a newer row came, -1 for never; {@code planNumber}:
+     * the least in it.
      */
-    public record Known(
+    public record CellStatus(
             String name,
             String zone,
-            Standing standing,
+            CellState state,
             long age,
-            int plan,
-            int here,
+            int planNumber,
+            int aliveManagers,
             int slots,
-            int cut) {}
-
-    private static final class Row {
-        private Standing standing = Standing.UNHEARD;
-        private int stamp;
-        private int plan;
-        private int here;
-        private int cut;
-        private long at = NEVER;
-        private int left;
+            int sheddingThreshold) {}
+
+    private static final class CellRow {
+        private CellState state = CellState.UNKNOWN;
+        private int timestamp;
+        private int planNumber;
+        private int aliveManagers;
+        private int sheddingThreshold;
+        private long receivedAt = NEVER;
+        private int sendsLeft;
     }
 
     private final CellPlan plan;
-    private final CellPlan before;
-    private final int mark;
-    private final int mine;
-    private final int slot;
+    private final CellPlan previousPlan;
+    private final int planFingerprint;
+    private final int ownCell;
+    private final int ownSlot;
     private final String name;
-    private final int fleet;
-    private final long lifeS;
-    private final RandomGenerator chance;
-    private final Effects effects;
-    private final Fault fault;
-    private final Row[] rows;
+    private final int fleetHash;
+    private final long startedAtUnixS;
+    private final RandomGenerator random;
+    private final CellActions actions;
+    private final InjectedDefect defect;
+    private final CellRow[] rows;
 
     /**
      * By place in this cell, the plan that the manager there holds, as it told; 0 where none did.
      */
-    private final int[] plans;
+    private final int[] planNumberBySlot;
 
-    private final ArrayDeque<Integer> fresh = new ArrayDeque<>();
-    private final Map<String, Long> refused = new HashMap<>();
+    private final ArrayDeque<Integer> newRows = new ArrayDeque<>();
+    private final Map<String, Long> rejectedMessages = new HashMap<>();
     private List<String> view;
 
     /** The largest view so far, for a fault put back. */
-    private List<String> first = List.of();
+    private List<String> largestView = List.of();
 
-    private boolean changed;
+    private boolean viewChanged;
     private long startedAt = NEVER;
-    private long nextTell;
-    private long nextRow;
-    private long nextLook;
-    private int turn;
-    private int next;
-    private boolean noted;
+    private long nextSendAt;
+    private long nextRowAt;
+    private long nextExpiryCheckAt;
+    private int nextDatagramRow;
+    private int lastDigestRow;
+    private boolean planConflictLogged;
 
     /**
-     * {@code before}: the plan that this one replaces, or null; {@code mine}, {@code slot}: this
-     * manager's cell and its place there; {@code fleet}: a name that all of it have; {@code life}:
-     * Unix ms of this start.
+     * {@code previousPlan}: the plan that this one replaces, or null; {@code ownCell}, {@code
+     * ownSlot}: this manager's cell and its place there; {@code fleetHash}: a name that all of it
+     * have; {@code life}: Unix ms of this start.
      */
     public CellDirectory(
             CellPlan plan,
-            CellPlan before,
-            int mine,
-            int slot,
+            CellPlan previousPlan,
+            int ownCell,
+            int ownSlot,
             String name,
             String fleet,
-            long life,
-            RandomGenerator chance,
-            Effects effects,
-            Fault fault) {
+            long startedAtUnixMs,
+            RandomGenerator random,
+            CellActions actions,
+            InjectedDefect defect) {
         this.plan = plan;
-        this.before = before;
-        mark = plan.mark();
-        this.mine = mine;
-        this.slot = slot;
+        this.previousPlan = previousPlan;
+        planFingerprint = plan.fingerprint();
+        this.ownCell = ownCell;
+        this.ownSlot = ownSlot;
         this.name = name;
-        this.fleet = fleet.hashCode();
-        lifeS = life / 1_000;
-        this.chance = chance;
-        this.effects = effects;
-        this.fault = fault;
-        rows = new Row[plan.cells().size()];
-        Arrays.setAll(rows, c -> new Row());
+        this.fleetHash = fleet.hashCode();
+        startedAtUnixS = startedAtUnixMs / 1_000;
+        this.random = random;
+        this.actions = actions;
+        this.defect = defect;
+        rows = new CellRow[plan.cells().size()];
+        Arrays.setAll(rows, cell -> new CellRow());
         view = List.of(name);
-        plans = new int[plan.cells().get(mine).slots()];
-        plans[slot] = plan.number();
+        planNumberBySlot = new int[plan.cells().get(ownCell).slots()];
+        planNumberBySlot[ownSlot] = plan.number();
     }
 
     // ---- Which engines.
     /** Whether this manager may use its part of an engine at this moment. */
-    public boolean uses(long engine, String zone) {
-        return plan.serves(mine, engine, zone)
-                && (before == null
-                        || before.serves(mine, engine, zone)
-                        || fault == Fault.GAINS_AT_ONCE
-                        || givenUp(engine, zone));
+    public boolean mayUse(long engine, String zone) {
+        return plan.serves(ownCell, engine, zone)
+                && (previousPlan == null
+                        || previousPlan.serves(ownCell, engine, zone)
+                        || defect == InjectedDefect.GAINS_BEFORE_RELEASE
+                        || releasedByFormerCells(engine, zone));
     }
 
     /**
      * Of what an engine that this manager uses bears while it is cold, its part; {@link
-     * CellPlan#coldPart}.
+     * CellPlan#warmUpShare}.
      */
-    public double coldPart(long engine, String zone) {
-        return plan.coldPart(fault == Fault.GAINS_COLD_PART ? null : before, mine, engine, zone);
+    public double warmUpShare(long engine, String zone) {
+        return plan.warmUpShare(
+                defect == InjectedDefect.GAINS_WARM_UP_SHARE ? null : previousPlan,
+                ownCell,
+                engine,
+                zone);
     }
 
     /** Whether it will: the new plan gives it, and others may not have given it up yet. */
     public boolean awaits(long engine, String zone) {
-        return plan.serves(mine, engine, zone) && !uses(engine, zone);
+        return plan.serves(ownCell, engine, zone) && !mayUse(engine, zone);
     }
 
     /** Whether all managers of all cells that lose it are known to hold the new plan. */
-    private boolean givenUp(long engine, String zone) {
-        List<Integer> now = plan.serving(engine, zone);
-        for (int c : before.serving(engine, zone)) {
-            int place = plan.index(before.cells().get(c).name());
-            if (!now.contains(place) && rows[place].plan < plan.number()) {
+    private boolean releasedByFormerCells(long engine, String zone) {
+        List<Integer> now = plan.servingCells(engine, zone);
+        for (int cell : previousPlan.servingCells(engine, zone)) {
+            int place = plan.indexOf(previousPlan.cells().get(cell).name());
+            if (!now.contains(place) && rows[place].planNumber < plan.number()) {
                 return false;
             }
         }
@@ -238,47 +228,47 @@
     }
 
     /** The cells that are not known to hold this plan in full. */
-    public List<String> behind() {
+    public List<String> cellsBehindPlan() {
         List<String> names = new ArrayList<>();
-        for (int c = 0; c < rows.length; c++) {
-            if (rows[c].plan < plan.number()) {
-                names.add(plan.cells().get(c).name());
+        for (int cell = 0; cell < rows.length; cell++) {
+            if (rows[cell].planNumber < plan.number()) {
+                names.add(plan.cells().get(cell).name());
             }
         }
         return names;
     }
 
     /** What is known of each cell, by place. */
-    public List<Known> known(long now) {
-        List<Known> all = new ArrayList<>();
-        for (int c = 0; c < rows.length; c++) {
-            CellPlan.Cell of = plan.cells().get(c);
-            Row r = rows[c];
+    public List<CellStatus> cells(long now) {
+        List<CellStatus> all = new ArrayList<>();
+        for (int cell = 0; cell < rows.length; cell++) {
+            CellPlan.Cell of = plan.cells().get(cell);
+            CellRow row = rows[cell];
             all.add(
-                    new Known(
+                    new CellStatus(
                             of.name(),
                             of.zone(),
-                            r.standing,
-                            r.at == NEVER ? -1 : now - r.at,
-                            r.plan,
-                            r.here,
+                            row.state,
+                            row.receivedAt == NEVER ? -1 : now - row.receivedAt,
+                            row.planNumber,
+                            row.aliveManagers,
                             of.slots(),
-                            r.cut));
+                            row.sheddingThreshold));
         }
         return all;
     }
 
     /** Messages that changed nothing, by cause. */
-    public Map<String, Long> refused() {
-        return refused;
+    public Map<String, Long> rejectedMessages() {
+        return rejectedMessages;
     }
 
     // ---- Time.
     /** The membership has another view of this cell. */
-    public void viewed(List<String> names) {
+    public void onViewChanged(List<String> names) {
         view = names;
-        first = names.size() > first.size() ? names : first;
-        changed = true;
+        largestView = names.size() > largestView.size() ? names : largestView;
+        viewChanged = true;
     }
 
     /** To be called each 20 ms or so. */
@@ -286,255 +276,272 @@
         if (startedAt == NEVER) {
             startedAt = now;
             // Managers that start together must not all speak at once.
-            nextTell = now + chance.nextLong(TELL_EVERY);
+            nextSendAt = now + random.nextLong(SEND_INTERVAL);
         }
-        if (now >= nextLook) {
-            nextLook = now + LOOK_EVERY;
-            for (int c = 0; c < rows.length; c++) {
-                if (c != mine && rows[c].at != NEVER && now - rows[c].at > SILENT_AFTER) {
-                    on(now, c, Event.OLD);
+        if (now >= nextExpiryCheckAt) {
+            nextExpiryCheckAt = now + EXPIRY_CHECK_INTERVAL;
+            for (int cell = 0; cell < rows.length; cell++) {
+                if (cell != ownCell
+                        && rows[cell].receivedAt != NEVER
+                        && now - rows[cell].receivedAt > SILENT_AFTER) {
+                    applyEvent(now, cell, Event.ROW_EXPIRED);
                 }
             }
         }
-        if (now >= nextRow) {
-            nextRow = now + LEAST_BETWEEN;
-            long place = place();
+        if (now >= nextRowAt) {
+            nextRowAt = now + MIN_ROW_INTERVAL;
+            long place = delegateRank();
             // The second and the third deputy renew it only where those before them do not.
-            if (place < DEPUTIES
-                    && (changed || now - rows[mine].at >= ROW_EVERY + place * TELL_EVERY)) {
-                renew(now);
+            if (place < DELEGATES
+                    && (viewChanged
+                            || now - rows[ownCell].receivedAt
+                                    >= ROW_INTERVAL + place * SEND_INTERVAL)) {
+                renewOwnRow(now);
             }
-            changed = false;
+            viewChanged = false;
         }
-        if (now >= nextTell) {
-            nextTell = now + TELL_EVERY;
-            if (place() < DEPUTIES) {
-                tell(now);
+        if (now >= nextSendAt) {
+            nextSendAt = now + SEND_INTERVAL;
+            if (delegateRank() < DELEGATES) {
+                sendRows(now);
             }
         }
     }
 
     /** This manager's place among those of its cell that are here; the first are its deputies. */
-    private long place() {
+    private long delegateRank() {
         // With the fault: those that were first of all for good, here or not.
-        List<String> of = fault == Fault.DEPUTIES_FOR_GOOD ? first : view;
-        return RendezvousHash.before(mine, of, name);
+        List<String> of = defect == InjectedDefect.FIXED_DELEGATES ? largestView : view;
+        return RendezvousHash.countBefore(ownCell, of, name);
     }
 
     /**
      * Only what each manager of the cell has said itself counts: a silent one may hold the old plan
      * and use it.
      */
-    private int least() {
+    private int leastPlanNumber() {
         return Math.min(
                 plan.number(),
-                Arrays.stream(plans)
-                        .filter(p -> p > 0 || fault != Fault.LEAST_OF_THE_HEARD)
+                Arrays.stream(planNumberBySlot)
+                        .filter(p -> p > 0 || defect != InjectedDefect.SILENT_MANAGERS_IGNORED)
                         .min()
                         .orElse(0));
     }
 
-    private void renew(long now) {
-        Row r = rows[mine];
-        int clock = (int) (lifeS + (now - startedAt) / TELL_EVERY);
-        newer(
+    private void renewOwnRow(long now) {
+        CellRow row = rows[ownCell];
+        int clock = (int) (startedAtUnixS + (now - startedAt) / SEND_INTERVAL);
+        applyRow(
                 now,
-                mine,
-                r.at != NEVER && r.stamp - clock >= 0 ? r.stamp + 1 : clock,
-                least(),
+                ownCell,
+                row.receivedAt != NEVER && row.timestamp - clock >= 0 ? row.timestamp + 1 : clock,
+                leastPlanNumber(),
                 view.size(),
-                effects.cut());
+                actions.sheddingThreshold());
     }
 
-    private void tell(long now) {
+    private void sendRows(long now) {
         if (rows.length < 2) {
             return;
         }
-        byte[] datagram = datagram();
-        if (fault == Fault.TOLD_TO_ALL) {
-            for (int c = 0; c < rows.length; c++) {
-                send(c, datagram);
+        byte[] datagram = encodeDatagram();
+        if (defect == InjectedDefect.SENT_TO_ALL_CELLS) {
+            for (int cell = 0; cell < rows.length; cell++) {
+                send(cell, datagram);
             }
             return;
         }
-        int to = chance.nextInt(rows.length - 1);
-        send(to >= mine ? to + 1 : to, datagram);
+        int to = random.nextInt(rows.length - 1);
+        send(to >= ownCell ? to + 1 : to, datagram);
     }
 
     private void send(int cell, byte[] datagram) {
-        if (cell != mine) {
-            effects.send(cell, chance.nextInt(plan.cells().get(cell).slots()), datagram);
+        if (cell != ownCell) {
+            actions.send(cell, random.nextInt(plan.cells().get(cell).slots()), datagram);
         }
     }
 
     // ---- Rows.
-    private void newer(long now, int cell, int stamp, int least, int here, int cut) {
-        Row r = rows[cell];
-        if (r.at != NEVER && stamp - r.stamp <= 0 && fault != Fault.OLDER_ROW_WINS) {
+    private void applyRow(
+            long now,
+            int cell,
+            int timestamp,
+            int planNumber,
+            int aliveManagers,
+            int sheddingThreshold) {
+        CellRow row = rows[cell];
+        if (row.receivedAt != NEVER
+                && timestamp - row.timestamp <= 0
+                && defect != InjectedDefect.OLDER_ROW_WINS) {
             return;
         }
-        r.stamp = stamp;
-        r.here = here;
-        r.cut = cut;
-        r.at = now;
-        if (r.left == 0) {
-            fresh.add(cell);
+        row.timestamp = timestamp;
+        row.aliveManagers = aliveManagers;
+        row.sheddingThreshold = sheddingThreshold;
+        row.receivedAt = now;
+        if (row.sendsLeft == 0) {
+            newRows.add(cell);
         }
-        r.left = TELLINGS;
-        on(now, cell, Event.NEWER);
+        row.sendsLeft = SENDS_PER_NEW_ROW;
+        applyEvent(now, cell, Event.NEWER_ROW);
         // A plan is never given back: a row from before, told again, takes nothing away.
-        if (least > r.plan) {
-            r.plan = least;
-            if (before != null && least >= plan.number()) {
-                effects.noteOfCell(
+        if (planNumber > row.planNumber) {
+            row.planNumber = planNumber;
+            if (previousPlan != null && planNumber >= plan.number()) {
+                actions.logCellEvent(
                         now,
                         "follows",
                         plan.cells().get(cell).name(),
                         "all of it hold plan " + plan.number());
-                effects.freed(now);
+                actions.enginesReleased(now);
             }
-        } else if (fault == Fault.OLDER_ROW_WINS) {
-            r.plan = least;
+        } else if (defect == InjectedDefect.OLDER_ROW_WINS) {
+            row.planNumber = planNumber;
         }
     }
 
-    private void on(long now, int cell, Event event) {
-        Row r = rows[cell];
-        for (Rule rule : TABLE) {
-            if (rule.state == r.standing && rule.event == event) {
-                r.standing = rule.next;
+    private void applyEvent(long now, int cell, Event event) {
+        CellRow row = rows[cell];
+        for (Transition transition : TRANSITIONS) {
+            if (transition.state == row.state && transition.event == event) {
+                row.state = transition.next;
                 String of = plan.cells().get(cell).name();
-                switch (rule.effect) {
+                switch (transition.effect) {
                     case NONE -> {}
-                    case MET -> effects.noteOfCell(now, "met", of, r.here + " of it are here");
+                    case FIRST_HEARD ->
+                            actions.logCellEvent(
+                                    now, "met", of, row.aliveManagers + " of it are here");
                     case LOST ->
-                            effects.noteOfCell(
+                            actions.logCellEvent(
                                     now,
                                     "silent",
                                     of,
-                                    "no row for " + SILENT_AFTER / TELL_EVERY + " s");
-                    case BACK ->
-                            effects.noteOfCell(now, "heard again", of, r.here + " of it are here");
+                                    "no row for " + SILENT_AFTER / SEND_INTERVAL + " s");
+                    case HEARD_AGAIN ->
+                            actions.logCellEvent(
+                                    now, "heard again", of, row.aliveManagers + " of it are here");
                 }
                 return;
             }
         }
     }
 
-    private BigEndianBytes head(int bytes) {
-        return new BigEndianBytes(new byte[HEAD + bytes])
+    private BigEndianBytes newMessage(int bytes) {
+        return new BigEndianBytes(new byte[HEADER_BYTES + bytes])
                 .put(VERSION, 1)
-                .put(fleet, 4)
+                .put(fleetHash, 4)
                 .put(plan.number(), 4)
-                .put(mark, 4);
+                .put(planFingerprint, 4);
     }
 
-    private void put(BigEndianBytes out, int cell) {
-        Row r = rows[cell];
+    private void writeRow(BigEndianBytes out, int cell) {
+        CellRow row = rows[cell];
         out.put(cell, 2)
-                .put(r.stamp, 4)
-                .put(r.plan, 4)
-                .put(Math.min(MOST_BYTE, r.here), 1)
-                .put(Math.min(MOST_BYTE, r.cut), 1);
+                .put(row.timestamp, 4)
+                .put(row.planNumber, 4)
+                .put(Math.min(MAX_BYTE, row.aliveManagers), 1)
+                .put(Math.min(MAX_BYTE, row.sheddingThreshold), 1);
     }
 
     /** All rows that are known, or as many as a datagram holds, by turns. */
-    private byte[] datagram() {
-        List<Integer> told = new ArrayList<>();
-        int room = (MOST - HEAD) / ROW;
-        for (int i = 0; i < rows.length && told.size() < room; i++) {
-            int c = (turn + i) % rows.length;
-            if (rows[c].standing == Standing.HEARD) {
-                told.add(c);
+    private byte[] encodeDatagram() {
+        List<Integer> selected = new ArrayList<>();
+        int room = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / ROW_BYTES;
+        for (int i = 0; i < rows.length && selected.size() < room; i++) {
+            int cell = (nextDatagramRow + i) % rows.length;
+            if (rows[cell].state == CellState.ACTIVE) {
+                selected.add(cell);
             }
         }
-        turn = (turn + room) % rows.length;
-        BigEndianBytes out = head(told.size() * ROW);
-        told.forEach(c -> put(out, c));
-        return out.all();
+        nextDatagramRow = (nextDatagramRow + room) % rows.length;
+        BigEndianBytes out = newMessage(selected.size() * ROW_BYTES);
+        selected.forEach(cell -> writeRow(out, cell));
+        return out.bytes();
     }
 
     /** What goes before the digest of the rooms above on each message within the cell. */
-    public byte[] digest(byte[] rest) {
-        List<Integer> told = new ArrayList<>();
-        for (int i = fresh.size(); i > 0 && told.size() < ROWS_A_MESSAGE; i--) {
-            int c = fresh.poll();
-            told.add(c);
-            if (--rows[c].left > 0) {
-                fresh.add(c);
+    public byte[] encodeDigest(byte[] rest) {
+        List<Integer> selected = new ArrayList<>();
+        for (int i = newRows.size(); i > 0 && selected.size() < MAX_ROWS_PER_MESSAGE; i--) {
+            int cell = newRows.poll();
+            selected.add(cell);
+            if (--rows[cell].sendsLeft > 0) {
+                newRows.add(cell);
             }
         }
-        int most = Math.min(ROWS_A_MESSAGE, told.size() + BY_TURNS);
-        for (int i = 0; i < rows.length && told.size() < most; i++) {
-            next = (next + 1) % rows.length;
-            if (rows[next].standing == Standing.HEARD && !told.contains(next)) {
-                told.add(next);
+        int most = Math.min(MAX_ROWS_PER_MESSAGE, selected.size() + ROWS_BY_TURNS);
+        for (int i = 0; i < rows.length && selected.size() < most; i++) {
+            lastDigestRow = (lastDigestRow + 1) % rows.length;
+            if (rows[lastDigestRow].state == CellState.ACTIVE
+                    && !selected.contains(lastDigestRow)) {
+                selected.add(lastDigestRow);
             }
         }
-        BigEndianBytes out = head(1 + told.size() * ROW + rest.length).put(told.size(), 1);
-        told.forEach(c -> put(out, c));
-        return out.put(rest).all();
+        BigEndianBytes out =
+                newMessage(1 + selected.size() * ROW_BYTES + rest.length).put(selected.size(), 1);
+        selected.forEach(cell -> writeRow(out, cell));
+        return out.put(rest).bytes();
     }
 
     /**
      * A digest told by the manager at this place of the cell: takes its own part, gives that of the
      * rooms above.
      */
-    public byte[] digested(long now, int from, byte[] bytes) {
+    public byte[] onDigest(long now, int from, byte[] bytes) {
         BigEndianBytes in = new BigEndianBytes(bytes);
-        int number = opened(now, in);
-        if (number < 0 || in.left() == 0) {
+        int number = readHeader(now, in);
+        if (number < 0 || in.remaining() == 0) {
             return new byte[0];
         }
         // A manager never goes back to an older plan: a message from before, told again, takes
         // nothing away.
-        plans[from] = Math.max(plans[from], number);
-        int count = in.take(1);
-        if (in.left() < count * ROW) {
-            refuse("spoilt rows");
+        planNumberBySlot[from] = Math.max(planNumberBySlot[from], number);
+        int count = in.read(1);
+        if (in.remaining() < count * ROW_BYTES) {
+            reject("spoilt rows");
             return new byte[0];
         }
         for (int i = 0; i < count; i++) {
-            take(now, in);
+            readRow(now, in);
         }
-        return in.rest();
+        return in.readRest();
     }
 
     /** A datagram from a manager of another cell. */
-    public void received(long now, byte[] datagram) {
+    public void onDatagram(long now, byte[] datagram) {
         BigEndianBytes in = new BigEndianBytes(datagram);
-        if (opened(now, in) < 0) {
+        if (readHeader(now, in) < 0) {
             return;
         }
-        if (in.left() % ROW != 0) {
-            refuse("spoilt rows");
+        if (in.remaining() % ROW_BYTES != 0) {
+            reject("spoilt rows");
             return;
         }
-        while (in.left() > 0) {
-            take(now, in);
+        while (in.remaining() > 0) {
+            readRow(now, in);
         }
     }
 
     /** The number of the teller's plan; -1 where it is nobody's of this fleet. */
-    private int opened(long now, BigEndianBytes in) {
-        if (in.left() < HEAD || in.take(1) != VERSION) {
-            refuse("another form");
+    private int readHeader(long now, BigEndianBytes in) {
+        if (in.remaining() < HEADER_BYTES || in.read(1) != VERSION) {
+            reject("another form");
             return -1;
         }
-        if (in.take(4) != fleet) {
-            refuse("another fleet");
+        if (in.read(4) != fleetHash) {
+            reject("another fleet");
             return -1;
         }
-        int number = in.take(4);
-        int other = in.take(4);
-        if (number == plan.number() && other != mark) {
-            refuse("another plan of this number");
-            if (!noted) {
-                noted = true;
-                effects.noteOfCell(
+        int number = in.read(4);
+        int other = in.read(4);
+        if (number == plan.number() && other != planFingerprint) {
+            reject("another plan of this number");
+            if (!planConflictLogged) {
+                planConflictLogged = true;
+                actions.logCellEvent(
                         now,
                         "differs",
-                        plan.cells().get(mine).name(),
+                        plan.cells().get(ownCell).name(),
                         "two plans have the number "
                                 + number
                                 + "; give the later one a higher number");
@@ -545,18 +552,18 @@
     }
 
     /** Cells keep their places from one plan to the next; new ones are added at the end. */
-    private void take(long now, BigEndianBytes in) {
-        int cell = in.take(2);
-        int stamp = in.take(4);
-        int least = in.take(4);
-        int here = in.take(1);
-        int cut = in.take(1);
+    private void readRow(long now, BigEndianBytes in) {
+        int cell = in.read(2);
+        int timestamp = in.read(4);
+        int planNumber = in.read(4);
+        int aliveManagers = in.read(1);
+        int sheddingThreshold = in.read(1);
         if (cell < rows.length) {
-            newer(now, cell, stamp, least, here, cut);
+            applyRow(now, cell, timestamp, planNumber, aliveManagers, sheddingThreshold);
         }
     }
 
-    private void refuse(String why) {
-        refused.merge(why, 1L, Long::sum);
+    private void reject(String why) {
+        rejectedMessages.merge(why, 1L, Long::sum);
     }
 }
--- a/src/main/java/firstage/cells/CellPlan.java
+++ b/src/main/java/firstage/cells/CellPlan.java
@@ -18,7 +18,7 @@
      * Of what a cold engine bears, for cells that gain it: what others gave up is known by their
      * word alone.
      */
-    private static final double FOR_GAINERS = 0.125;
+    private static final double GAINING_CELLS_FRACTION = 0.125;
 
     /**
      * {@code slots}: managers in it; {@code serves}: false for one whose engines are taken over by
@@ -27,25 +27,25 @@
     public record Cell(String name, String zone, int slots, boolean serves) {}
 
     /** What makes two plans the same; equal numbers with different marks are an operator's slip. */
-    public int mark() {
+    public int fingerprint() {
         StringBuilder text = new StringBuilder().append(number).append(' ').append(spread);
         cells.forEach(
-                c ->
+                cell ->
                         text.append(' ')
-                                .append(c.name)
+                                .append(cell.name)
                                 .append(' ')
-                                .append(c.zone)
+                                .append(cell.zone)
                                 .append(' ')
-                                .append(c.slots)
+                                .append(cell.slots)
                                 .append(' ')
-                                .append(c.serves));
+                                .append(cell.serves));
         return (int) LongHashFunction.xx3().hashChars(text);
     }
 
     /** The place of a cell; -1 where there is none of the name. */
-    public int index(String name) {
+    public int indexOf(String name) {
         return IntStream.range(0, cells.size())
-                .filter(c -> cells.get(c).name.equals(name))
+                .filter(cell -> cells.get(cell).name.equals(name))
                 .findFirst()
                 .orElse(-1);
     }
@@ -54,7 +54,7 @@
      * The part of each engine that one manager of this cell has: over all that serve an engine they
      * make one.
      */
-    public double part(int cell) {
+    public double share(int cell) {
         return 1.0 / (spread * cells.get(cell).slots);
     }
 
@@ -65,19 +65,19 @@
      * it and have not heard; those that gain it, the rest. {@code before}: the plan that this one
      * replaces, or null.
      */
-    public double coldPart(CellPlan before, int cell, long engine, String zone) {
-        if (before == null) {
-            return part(cell) * (1 - FOR_GAINERS);
+    public double warmUpShare(CellPlan previousPlan, int cell, long engine, String zone) {
+        if (previousPlan == null) {
+            return share(cell) * (1 - GAINING_CELLS_FRACTION);
         }
-        return before.serves(cell, engine, zone)
-                ? Math.min(part(cell), before.part(cell)) * (1 - FOR_GAINERS)
-                : part(cell) * FOR_GAINERS;
+        return previousPlan.serves(cell, engine, zone)
+                ? Math.min(share(cell), previousPlan.share(cell)) * (1 - GAINING_CELLS_FRACTION)
+                : share(cell) * GAINING_CELLS_FRACTION;
     }
 
     /** The cells that serve an engine, by place; none where its zone has none. */
-    public List<Integer> serving(long engine, String zone) {
+    public List<Integer> servingCells(long engine, String zone) {
         return IntStream.range(0, cells.size())
-                .filter(c -> serves(c, engine, zone))
+                .filter(cell -> serves(cell, engine, zone))
                 .boxed()
                 .toList();
     }
--- a/src/main/java/firstage/cells/EngineSubset.java
+++ b/src/main/java/firstage/cells/EngineSubset.java
@@ -17,52 +17,52 @@
     private final CellDirectory cells;
     private final ToLongFunction<T> id;
     private final Function<T, String> zone;
-    private final Predicate<T> gone;
-    private final Map<Long, T> awaited = new LinkedHashMap<>();
+    private final Predicate<T> isGone;
+    private final Map<Long, T> awaitedCount = new LinkedHashMap<>();
 
     /** How an entry of the list tells its engine's id and zone, and that the engine is gone. */
     public EngineSubset(
             CellDirectory cells,
             ToLongFunction<T> id,
             Function<T, String> zone,
-            Predicate<T> gone) {
+            Predicate<T> isGone) {
         this.cells = cells;
         this.id = id;
         this.zone = zone;
-        this.gone = gone;
+        this.isGone = isGone;
     }
 
     /** What of this is told on; {@code whole}: it takes the place of all that was told before. */
-    public List<T> pass(boolean whole, List<T> entries) {
-        if (whole) {
-            awaited.clear();
+    public List<T> filter(boolean replacesAll, List<T> entries) {
+        if (replacesAll) {
+            awaitedCount.clear();
         }
         List<T> passed = new ArrayList<>();
-        for (T e : entries) {
-            long engine = id.applyAsLong(e);
-            if (cells.uses(engine, zone.apply(e))) {
-                passed.add(e);
-            } else if (!gone.test(e) && cells.awaits(engine, zone.apply(e))) {
-                awaited.put(engine, e);
+        for (T entry : entries) {
+            long engine = id.applyAsLong(entry);
+            if (cells.mayUse(engine, zone.apply(entry))) {
+                passed.add(entry);
+            } else if (!isGone.test(entry) && cells.awaits(engine, zone.apply(entry))) {
+                awaitedCount.put(engine, entry);
             } else {
-                awaited.remove(engine);
+                awaitedCount.remove(engine);
             }
         }
         return passed;
     }
 
     /** What was kept and may be used now. */
-    public List<T> freed() {
+    public List<T> takeReleased() {
         List<T> passed =
-                awaited.values().stream()
-                        .filter(e -> cells.uses(id.applyAsLong(e), zone.apply(e)))
+                awaitedCount.values().stream()
+                        .filter(entry -> cells.mayUse(id.applyAsLong(entry), zone.apply(entry)))
                         .toList();
-        passed.forEach(e -> awaited.remove(id.applyAsLong(e)));
+        passed.forEach(entry -> awaitedCount.remove(id.applyAsLong(entry)));
         return passed;
     }
 
     /** How many engines are waited for. */
-    public int awaited() {
-        return awaited.size();
+    public int awaitedCount() {
+        return awaitedCount.size();
     }
 }
--- a/src/main/java/firstage/cli/PeersCommand.java
+++ b/src/main/java/firstage/cli/PeersCommand.java
@@ -52,7 +52,9 @@
     @Override
     public Integer call() throws IOException {
         String answer =
-                ask(firstage.server.ManagerConfig.address(address), MembershipTransport.ASKED);
+                ask(
+                        firstage.server.ManagerConfig.address(address),
+                        MembershipTransport.STATUS_REQUEST);
         boolean agreed = answer.contains("\"agreed\":true");
         if (json) {
             System.out.println(answer);
@@ -102,14 +104,14 @@
                     System.out.println(top);
                     System.out.printf(
                             "%-12s %-10s %-9s %-8s %-8s %-14s %s%n",
-                            "name", "zone", "standing", "in view", "link", "since", "version");
+                            "name", "zone", "state", "in view", "link", "since", "version");
                     while (in.nextToken() == JsonToken.START_OBJECT) {
                         Map<String, String> m = CommandRunner.fields(in);
                         System.out.printf(
                                 "%-12s %-10s %-9s %-8s %-8s %-14s %s%n",
                                 m.get("name"),
                                 m.get("zone"),
-                                m.get("standing"),
+                                m.get("state"),
                                 m.get("in view"),
                                 m.get("link"),
                                 m.get("since"),
--- a/src/main/java/firstage/cli/PeersFileReader.java
+++ b/src/main/java/firstage/cli/PeersFileReader.java
@@ -308,7 +308,7 @@
             names.toList().forEach(n -> served.add(String.valueOf(n)));
         }
         for (String of : served) {
-            if (plan.index(of) < 0) {
+            if (plan.indexOf(of) < 0) {
                 throw fault(
                         at,
                         "before.cells: '"
--- a/src/main/java/firstage/cli/ScaleCommand.java
+++ b/src/main/java/firstage/cli/ScaleCommand.java
@@ -309,7 +309,7 @@
                                 1,
                                 !bare,
                                 region != null ? 400 : 200,
-                                CellDirectory.Fault.NONE);
+                                CellDirectory.InjectedDefect.NONE);
                 rows.add(
                         heap
                                 ? heap(shape)
--- a/src/main/java/firstage/cli/ZonesCommand.java
+++ b/src/main/java/firstage/cli/ZonesCommand.java
@@ -54,8 +54,8 @@
         String answer =
                 PeersCommand.ask(
                         ManagerConfig.address(address),
-                        MembershipTransport.ORDERED + " " + order + " " + zone);
-        if (answer.equals(MembershipTransport.NO_ORDER)) {
+                        MembershipTransport.ZONE_ORDER_PREFIX + " " + order + " " + zone);
+        if (answer.equals(MembershipTransport.ZONE_ORDER_REJECTED)) {
             throw new IOException(
                     "the manager at "
                             + address
--- a/src/main/java/firstage/failover/FleetCoordinator.java
+++ b/src/main/java/firstage/failover/FleetCoordinator.java
@@ -3,6 +3,7 @@
 import firstage.overload.LoadSheddingLevel;
 import firstage.overload.OverloadDigest;
 import firstage.overload.ProbeCoordinator;
+import firstage.overload.SheddingActions;
 import firstage.policy.api.DemandHistogram;
 import java.util.Arrays;
 import java.util.List;
@@ -17,41 +18,50 @@
  */
 public final class FleetCoordinator {
     /** Faults put back, one for each part. */
-    public record Faults(
-            ProbeCoordinator.Fault trials,
-            LoadSheddingLevel.Fault level,
-            ZoneFailover.Fault zones) {
-        public static final Faults NONE =
-                new Faults(
-                        ProbeCoordinator.Fault.NONE,
-                        LoadSheddingLevel.Fault.NONE,
-                        ZoneFailover.Fault.NONE);
+    public record InjectedDefects(
+            ProbeCoordinator.InjectedDefect probes,
+            LoadSheddingLevel.InjectedDefect level,
+            ZoneFailover.InjectedDefect zones) {
+        public static final InjectedDefects NONE =
+                new InjectedDefects(
+                        ProbeCoordinator.InjectedDefect.NONE,
+                        LoadSheddingLevel.InjectedDefect.NONE,
+                        ZoneFailover.InjectedDefect.NONE);
 
         /**
          * By its name in lower case with dashes, of the first part that has it; null where none
          * has.
          */
-        public static Faults of(String name) {
-            Stream<Faults> all =
+        public static InjectedDefects named(String name) {
+            Stream<InjectedDefects> all =
                     Stream.of(
-                                    Arrays.stream(ProbeCoordinator.Fault.values())
-                                            .map(f -> new Faults(f, NONE.level, NONE.zones)),
-                                    Arrays.stream(LoadSheddingLevel.Fault.values())
-                                            .map(f -> new Faults(NONE.trials, f, NONE.zones)),
-                                    Arrays.stream(ZoneFailover.Fault.values())
-                                            .map(f -> new Faults(NONE.trials, NONE.level, f)))
+                                    Arrays.stream(ProbeCoordinator.InjectedDefect.values())
+                                            .map(
+                                                    f ->
+                                                            new InjectedDefects(
+                                                                    f, NONE.level, NONE.zones)),
+                                    Arrays.stream(LoadSheddingLevel.InjectedDefect.values())
+                                            .map(
+                                                    f ->
+                                                            new InjectedDefects(
+                                                                    NONE.probes, f, NONE.zones)),
+                                    Arrays.stream(ZoneFailover.InjectedDefect.values())
+                                            .map(
+                                                    f ->
+                                                            new InjectedDefects(
+                                                                    NONE.probes, NONE.level, f)))
                             .flatMap(part -> part);
             String word = name.toUpperCase(Locale.ROOT).replace('-', '_');
             return all.filter(
                             f ->
-                                    List.of(f.trials.name(), f.level.name(), f.zones.name())
+                                    List.of(f.probes.name(), f.level.name(), f.zones.name())
                                             .contains(word))
                     .findFirst()
                     .orElse(null);
         }
     }
 
-    private final ProbeCoordinator trials;
+    private final ProbeCoordinator probes;
     private final LoadSheddingLevel level;
     private final ZoneFailover zones;
 
@@ -61,89 +71,97 @@
      * which carries the digests.
      */
     public FleetCoordinator(
-            String me,
+            String self,
             int zone,
             int zoneCount,
-            long goal,
-            long warm,
+            long latencyObjective,
+            long warmUpDuration,
             long period,
-            ZoneFailover.Effects away,
-            LoadSheddingLevel.Effects cut,
-            Faults faults) {
-        zones = new ZoneFailover(me, zone, zoneCount, warm, away, faults.zones);
-        trials = new ProbeCoordinator(me, period, zones::othersTry, faults.trials);
-        level = new LoadSheddingLevel(me, goal, cut, faults.level);
+            ZoneActions zoneActions,
+            SheddingActions sheddingActions,
+            InjectedDefects defects) {
+        zones = new ZoneFailover(self, zone, zoneCount, warmUpDuration, zoneActions, defects.zones);
+        probes = new ProbeCoordinator(self, period, zones::setProbedByOthers, defects.probes);
+        level = new LoadSheddingLevel(self, latencyObjective, sheddingActions, defects.level);
     }
 
     /** Who is here. */
-    public void viewed(List<String> names) {
-        trials.viewed(names);
-        level.viewed(names);
-        zones.viewed(names);
+    public void onViewChanged(List<String> names) {
+        probes.onViewChanged(names);
+        level.onViewChanged(names);
+        zones.onViewChanged(names);
     }
 
     /**
      * How this manager's decisions hold an engine of the list; {@code triedAt}, {@code heardAt}:
      * when a batch last went there, when it last spoke.
      */
-    public void holds(long now, int zone, long engine, boolean closed, long triedAt, long heardAt) {
-        trials.holds(now, engine, closed, triedAt, heardAt);
-        zones.holds(zone, engine, closed, triedAt, heardAt);
+    public void updateEngine(
+            long now,
+            int zone,
+            long engine,
+            boolean ejected,
+            long lastAttemptAt,
+            long lastResponseAt) {
+        probes.updateEngine(now, engine, ejected, lastAttemptAt, lastResponseAt);
+        zones.updateEngine(zone, engine, ejected, lastAttemptAt, lastResponseAt);
     }
 
     /** The engine is off the list. */
-    public void forget(long engine) {
-        trials.forget(engine);
-        zones.forget(engine);
+    public void removeEngine(long engine) {
+        probes.removeEngine(engine);
+        zones.removeEngine(engine);
     }
 
     /**
      * Works all of it out, each tenth of a second or so, from what this manager was asked for and
      * the others told.
      */
-    public void look(long now, DemandHistogram demand) {
-        trials.look(now);
+    public void evaluate(long now, DemandHistogram demand) {
+        probes.evaluate(now);
         level.measure(now, demand);
-        level.sees(zones.mine(), zones.sees(now), zones.orders());
-        level.look(now);
-        zones.look(now, level.table(now));
+        level.setZoneObservations(
+                zones.ownZone(), zones.reportedPercent(now), zones.ordersToSend());
+        level.evaluate(now);
+        zones.evaluate(now, level.freshRows(now));
     }
 
     /** What this manager tells with each message of the membership. */
-    public byte[] digest(long now) {
-        List<OverloadDigest.Word> words = trials.words(now);
-        return OverloadDigest.write(words, level.rows(now, OverloadDigest.rows(words.size())));
+    public byte[] encodeDigest(long now) {
+        List<OverloadDigest.EngineReport> reports = probes.localReports(now);
+        return OverloadDigest.encode(
+                reports, level.rowsToSend(now, OverloadDigest.rows(reports.size())));
     }
 
     /** What another told; what can't be read says nothing. */
-    public void digested(long now, String from, byte[] digest) {
-        OverloadDigest.Told told = OverloadDigest.read(digest);
-        trials.heard(now, from, told.words());
-        level.heard(now, told.rows());
+    public void onDigest(long now, String from, byte[] digest) {
+        OverloadDigest.Contents contents = OverloadDigest.decode(digest);
+        probes.onReports(now, from, contents.reports());
+        level.onRows(now, contents.rows());
     }
 
     /** An operator's order on a zone. */
-    public void order(long now, int zone, ZoneFailover.Order order) {
-        zones.order(now, zone, order);
+    public void setZoneOrder(long now, int zone, ZoneFailover.Order order) {
+        zones.setOrder(now, zone, order);
     }
 
     /** By zone, what operators want. */
-    public Map<Integer, ZoneFailover.Order> ordered() {
-        return zones.ordered();
+    public Map<Integer, ZoneFailover.Order> zoneOrders() {
+        return zones.activeOrders();
     }
 
     /** The zones that are left, or on the way back. */
-    public List<Integer> zonesOut() {
-        return zones.out();
+    public List<Integer> evacuatedZones() {
+        return zones.evacuatedZones();
     }
 
     /** How many engines' trials are withheld from this manager. */
-    public long withheld() {
-        return trials.withheld();
+    public long withheldProbes() {
+        return probes.withheldCount();
     }
 
     /** The band of worth below which all is refused; 0 where nothing is. */
-    public int cut() {
-        return level.cut();
+    public int sheddingThreshold() {
+        return level.threshold();
     }
 }
--- a/src/main/java/firstage/failover/ZoneFailover.java
+++ b/src/main/java/firstage/failover/ZoneFailover.java
@@ -1,5 +1,6 @@
 package firstage.failover;
 
+import firstage.overload.LoadRow;
 import firstage.overload.LoadSheddingLevel;
 import firstage.overload.RendezvousHash;
 import java.util.Arrays;
@@ -32,48 +33,49 @@
      * Of one that it left, and whose engines others try: so one whose own evidence came too late
      * goes along.
      */
-    private static final int LEFT = 250;
+    private static final int EVACUATED = 250;
 
     /** Of one that it is on its way back to, and has not met yet: so all set out together. */
     private static final int RETURNING = 240;
 
-    private static final int ALL = 100; // per cent: what is told beyond is one of the above
-    private static final int BAD =
+    private static final int MAX_PERCENT = 100; // per cent: what is told beyond is one of the above
+    private static final int FAILED_PERCENT =
             60; // per cent of its known engines closed: a release or a rack is less
-    private static final int WELL =
+    private static final int HEALTHY_PERCENT =
             50; // per cent: those that are closed still are engine health's matter
-    private static final int LEAST_KNOWN = 2; // engines: one alone tells of itself
-    private static final long LATELY =
+    private static final int MIN_KNOWN_ENGINES = 2; // engines: one alone tells of itself
+    private static final long RECENT =
             30_000; // since an engine spoke: what is older says nothing of now
-    private static final long ANSWERS =
+    private static final long RESPONSE_TIME =
             20_000; // within this a usual batch comes back: before, a trial says nothing
-    private static final long SURE =
+    private static final long FAILURE_CONFIRMATION =
             5_000; // a verdict lasts before it is acted on: one late answer passes
-    private static final long WELL_FOR =
+    private static final long RECOVERY_CONFIRMATION =
             20_000; // before the way back: a flap of 3 s does not look like it
-    private static final long FIRST_HOLD =
+    private static final long FIRST_HOLD_TIME =
             100_000; // out at least: four flaps in two minutes; doubled up to ...
-    private static final long MOST_HOLD =
+    private static final long MAX_HOLD_TIME =
             600_000; // ... this: a zone that is well is back within a minute
-    private static final long FORGIVEN =
+    private static final long FAILURE_MEMORY =
             600_000; // in use so long, and the next failure counts as the first
-    private static final long LEAST_RAMP =
+    private static final long MIN_RAMP =
             20_000; // for the way back; else as long as engines take to warm up
-    private static final long TRY_EVERY =
+    private static final long PROBE_INTERVAL =
             20_000; // by an engine's owner: a batch in two seconds, whatever the fleet
-    private static final double USED = 1 / 3.0; // of all zones stay in use at least
-    private static final long STOOD_STILL = 10_000; // between two looks: then what is known is old
+    private static final double MIN_ZONES_IN_USE = 1 / 3.0; // of all zones stay in use at least
+    private static final long PAUSE_THRESHOLD =
+            10_000; // between two looks: then what is known is old
 
     private enum State {
-        IN,
-        OUT,
-        BACK
+        IN_USE,
+        EVACUATED,
+        RETURNING
     }
 
     private enum Event {
-        BAD,
-        WELL,
-        DUE,
+        FAILED,
+        HEALTHY,
+        RAMP_COMPLETE,
         ORDERED
     }
 
@@ -87,35 +89,23 @@
         HOLD
     }
 
-    private record Row(State state, Event event, State next) {}
+    private record Transition(State state, Event event, State next) {}
 
-    private static final Row[] TABLE = {
-        new Row(State.IN, Event.BAD, State.OUT),
-        new Row(State.IN, Event.ORDERED, State.OUT),
-        new Row(State.BACK, Event.ORDERED, State.OUT),
-        new Row(State.OUT, Event.WELL, State.BACK),
-        new Row(State.BACK, Event.BAD, State.OUT),
-        new Row(State.BACK, Event.DUE, State.IN),
+    private static final Transition[] TRANSITIONS = {
+        new Transition(State.IN_USE, Event.FAILED, State.EVACUATED),
+        new Transition(State.IN_USE, Event.ORDERED, State.EVACUATED),
+        new Transition(State.RETURNING, Event.ORDERED, State.EVACUATED),
+        new Transition(State.EVACUATED, Event.HEALTHY, State.RETURNING),
+        new Transition(State.RETURNING, Event.FAILED, State.EVACUATED),
+        new Transition(State.RETURNING, Event.RAMP_COMPLETE, State.IN_USE),
     };
 
     /** What is told of a zone of which nothing is seen, by its state. */
-    private static final Map<State, Integer> TELLS =
-            Map.of(State.IN, UNKNOWN, State.OUT, LEFT, State.BACK, RETURNING);
-
-    /** What is decided; none of it calls back. */
-    public interface Effects {
-        /**
-         * Whether this manager keeps away from an engine; where {@code restIsOver}, it is to be
-         * tried now.
-         */
-        void keepAway(long engine, boolean away, boolean restIsOver);
-
-        /** A zone is left, or used again: for the log of who keeps one. */
-        default void turned(int zone, String state) {}
-    }
+    private static final Map<State, Integer> REPORT_WITHOUT_OBSERVATION =
+            Map.of(State.IN_USE, UNKNOWN, State.EVACUATED, EVACUATED, State.RETURNING, RETURNING);
 
     /** Faults put back one at a time. */
-    public enum Fault {
+    public enum InjectedDefect {
         NONE,
         ONE_IS_ENOUGH,
         ALL_MAY_GO,
@@ -126,25 +116,25 @@
         ORDER_FORGOTTEN
     }
 
-    private static final class Known {
+    private static final class EngineObservation {
         private final int zone;
-        private boolean closed;
-        private long triedAt;
-        private long heardAt;
-        private boolean othersTry;
-        private boolean away;
+        private boolean ejected;
+        private long lastAttemptAt;
+        private long lastResponseAt;
+        private boolean probedByOthers;
+        private boolean avoided;
 
-        private Known(int zone) {
+        private EngineObservation(int zone) {
             this.zone = zone;
         }
     }
 
-    private static final class Zone {
-        private State state = State.IN;
+    private static final class ZoneState {
+        private State state = State.IN_USE;
         private long since;
-        private long badSince = -1;
-        private long wellSince = -1;
-        private long hold = FIRST_HOLD;
+        private long failedSince = -1;
+        private long healthySince = -1;
+        private long holdTime = FIRST_HOLD_TIME;
         private Order order = Order.NONE;
 
         /**
@@ -153,48 +143,56 @@
         private int orderedAt;
     }
 
-    private final String me;
-    private final int mine;
+    private final String self;
+    private final int ownZone;
     private final long ramp;
-    private final Effects effects;
-    private final Fault fault;
-    private final Zone[] zones;
-    private final Map<Long, Known> engines = new HashMap<>();
+    private final ZoneActions actions;
+    private final InjectedDefect defect;
+    private final ZoneState[] zones;
+    private final Map<Long, EngineObservation> engines = new HashMap<>();
     private List<String> view = List.of();
-    private long lookedAt = -1;
-    private long blindUntil = Long.MIN_VALUE / 4;
-
-    /** {@code mine}: this manager's zone; {@code warm}: how long engines take to warm up. */
-    public ZoneFailover(String me, int mine, int zones, long warm, Effects effects, Fault fault) {
-        this.me = me;
-        this.mine = mine;
-        this.ramp = Math.max(LEAST_RAMP, warm);
-        this.effects = effects;
-        this.fault = fault;
-        this.zones = new Zone[zones];
-        Arrays.setAll(this.zones, z -> new Zone());
+    private long evaluatedAt = -1;
+    private long observationsStaleUntil = Long.MIN_VALUE / 4;
+
+    /** {@code ownZone}: this manager's zone; {@code warm}: how long engines take to warm up. */
+    public ZoneFailover(
+            String self,
+            int ownZone,
+            int zones,
+            long warmUpDuration,
+            ZoneActions actions,
+            InjectedDefect defect) {
+        this.self = self;
+        this.ownZone = ownZone;
+        this.ramp = Math.max(MIN_RAMP, warmUpDuration);
+        this.actions = actions;
+        this.defect = defect;
+        this.zones = new ZoneState[zones];
+        Arrays.setAll(this.zones, z -> new ZoneState());
     }
 
     /** Who is here. */
-    public void viewed(List<String> names) {
+    public void onViewChanged(List<String> names) {
         view = List.copyOf(names);
     }
 
     /**
-     * How this manager itself holds an engine of the list; {@code triedAt}, {@code heardAt}: when a
-     * batch last went there, when it last spoke.
+     * How this manager itself holds an engine of the list; {@code lastAttemptAt}, {@code
+     * lastResponseAt}: when a batch last went there, when it last spoke.
      */
-    public void holds(int zone, long engine, boolean closed, long triedAt, long heardAt) {
+    public void updateEngine(
+            int zone, long engine, boolean ejected, long lastAttemptAt, long lastResponseAt) {
         if (zone >= 0 && zone < zones.length) {
-            Known k = engines.computeIfAbsent(engine, e -> new Known(zone));
-            k.closed = closed;
-            k.triedAt = triedAt;
-            k.heardAt = heardAt;
+            EngineObservation observation =
+                    engines.computeIfAbsent(engine, e -> new EngineObservation(zone));
+            observation.ejected = ejected;
+            observation.lastAttemptAt = lastAttemptAt;
+            observation.lastResponseAt = lastResponseAt;
         }
     }
 
     /** It is off the list. */
-    public void forget(long engine) {
+    public void removeEngine(long engine) {
         engines.remove(engine);
     }
 
@@ -202,29 +200,29 @@
      * The engine by itself is left to others to try, or no longer ({@link
      * firstage.overload.ProbeCoordinator}).
      */
-    public void othersTry(long engine, boolean others, boolean restIsOver) {
-        Known k = engines.get(engine);
-        if (k == null) {
-            effects.keepAway(engine, others, restIsOver);
+    public void setProbedByOthers(long engine, boolean probedByOthers, boolean backoffOver) {
+        EngineObservation observation = engines.get(engine);
+        if (observation == null) {
+            actions.setAvoided(engine, probedByOthers, backoffOver);
             return;
         }
-        k.othersTry = others;
-        if (zones[k.zone].state == State.IN) {
-            k.away = others;
-            effects.keepAway(engine, others, restIsOver);
+        observation.probedByOthers = probedByOthers;
+        if (zones[observation.zone].state == State.IN_USE) {
+            observation.avoided = probedByOthers;
+            actions.setAvoided(engine, probedByOthers, backoffOver);
         }
     }
 
     /** An operator asked this manager; it tells the others, and each that hears it tells it on. */
-    public void order(long now, int zone, Order order) {
+    public void setOrder(long now, int zone, Order order) {
         zones[zone].order = order;
-        zones[zone].orderedAt = LoadSheddingLevel.stamp(now);
+        zones[zone].orderedAt = LoadSheddingLevel.timestamp(now);
     }
 
     /**
      * The orders that are known, to be told with the rest; three figures each: zone, order, when.
      */
-    public int[] orders() {
+    public int[] ordersToSend() {
         return IntStream.range(0, zones.length)
                 .filter(z -> zones[z].orderedAt != 0)
                 .flatMap(z -> IntStream.of(z, zones[z].order.ordinal(), zones[z].orderedAt))
@@ -232,12 +230,14 @@
     }
 
     /** The later order counts: so one that was asked and started anew hears its own again. */
-    private void heed(List<LoadSheddingLevel.Row> rows) {
-        for (LoadSheddingLevel.Row r : rows) {
-            for (int i = 0; i + 2 < r.orders().length && fault != Fault.ORDER_FORGOTTEN; i += 3) {
-                int zone = r.orders()[i];
-                int order = r.orders()[i + 1];
-                int at = r.orders()[i + 2];
+    private void applyOrders(List<LoadRow> rows) {
+        for (LoadRow row : rows) {
+            for (int i = 0;
+                    i + 2 < row.zoneOrders().length && defect != InjectedDefect.ORDER_FORGOTTEN;
+                    i += 3) {
+                int zone = row.zoneOrders()[i];
+                int order = row.zoneOrders()[i + 1];
+                int at = row.zoneOrders()[i + 2];
                 boolean known =
                         zone >= 0
                                 && zone < zones.length
@@ -255,31 +255,38 @@
      * What this manager tells: by zone, per cent of the engines it knows of late that it holds
      * closed.
      */
-    public int[] sees(long now) {
-        awake(now);
+    public int[] reportedPercent(long now) {
+        detectPause(now);
         int[] closed = new int[zones.length];
         int[] known = new int[zones.length];
         int[] all = new int[zones.length];
         engines.forEach(
-                (engine, k) -> {
-                    Zone z = zones[k.zone];
+                (engine, observation) -> {
+                    ZoneState zone = zones[observation.zone];
                     // Of a zone that was left those count that this manager tries, and what came of
                     // it since.
-                    boolean counts = z.state == State.IN || !k.away;
-                    boolean spoke = k.heardAt > (z.state == State.IN ? now - LATELY : z.since);
+                    boolean counts = zone.state == State.IN_USE || !observation.avoided;
+                    boolean spoke =
+                            observation.lastResponseAt
+                                    > (zone.state == State.IN_USE ? now - RECENT : zone.since);
                     boolean shut =
-                            k.closed
-                                    && (z.state != State.BACK
-                                            || k.triedAt > z.since && now - k.triedAt > ANSWERS);
-                    all[k.zone]++;
-                    known[k.zone] += counts && (shut || spoke) ? 1 : 0;
-                    closed[k.zone] += counts && shut ? 1 : 0;
+                            observation.ejected
+                                    && (zone.state != State.RETURNING
+                                            || observation.lastAttemptAt > zone.since
+                                                    && now - observation.lastAttemptAt
+                                                            > RESPONSE_TIME);
+                    all[observation.zone]++;
+                    known[observation.zone] += counts && (shut || spoke) ? 1 : 0;
+                    closed[observation.zone] += counts && shut ? 1 : 0;
                 });
         int[] told = new int[zones.length];
         for (int z = 0; z < zones.length; z++) {
-            int least = zones[z].state == State.OUT ? 1 : Math.min(LEAST_KNOWN, all[z]);
-            boolean silent = known[z] == 0 || known[z] < least || now < blindUntil;
-            told[z] = !silent ? ALL * closed[z] / known[z] : TELLS.get(zones[z].state);
+            int least = zones[z].state == State.EVACUATED ? 1 : Math.min(MIN_KNOWN_ENGINES, all[z]);
+            boolean silent = known[z] == 0 || known[z] < least || now < observationsStaleUntil;
+            told[z] =
+                    !silent
+                            ? MAX_PERCENT * closed[z] / known[z]
+                            : REPORT_WITHOUT_OBSERVATION.get(zones[z].state);
         }
         return told;
     }
@@ -288,50 +295,55 @@
      * Who stood still knows nothing of now: what it holds is from before, or fell due in one
      * instant on waking.
      */
-    private void awake(long now) {
-        if (lookedAt >= 0 && now - lookedAt > STOOD_STILL && fault != Fault.STILL_COUNTS) {
-            blindUntil = now + LATELY;
+    private void detectPause(long now) {
+        if (evaluatedAt >= 0
+                && now - evaluatedAt > PAUSE_THRESHOLD
+                && defect != InjectedDefect.STILL_COUNTS) {
+            observationsStaleUntil = now + RECENT;
         }
-        lookedAt = now;
+        evaluatedAt = now;
     }
 
-    private boolean owns(long engine) {
-        return fault != Fault.NOBODY_TRIES && RendezvousHash.before(engine, view, me) == 0;
+    private boolean ownsProbe(long engine) {
+        return defect != InjectedDefect.NOBODY_TRIES
+                && RendezvousHash.countBefore(engine, view, self) == 0;
     }
 
     /**
      * Looks at all zones, each tenth of a second or so; {@code rows}: of all that are fresh, its
      * own included.
      */
-    public void look(long now, List<LoadSheddingLevel.Row> rows) {
-        awake(now);
-        heed(rows);
-        boolean[] bad = new boolean[zones.length];
+    public void evaluate(long now, List<LoadRow> rows) {
+        detectPause(now);
+        applyOrders(rows);
+        boolean[] failed = new boolean[zones.length];
         int worst = 0;
         for (int z = 0; z < zones.length; z++) {
-            bad[z] = bad(z, rows);
-            worst += bad[z] || zones[z].state == State.OUT ? 1 : 0;
+            failed[z] = failedByReports(z, rows);
+            worst += failed[z] || zones[z].state == State.EVACUATED ? 1 : 0;
         }
         boolean tooMany =
-                zones.length - worst < Math.max(1, USED * zones.length)
-                        && fault != Fault.ALL_MAY_GO;
+                zones.length - worst < Math.max(1, MIN_ZONES_IN_USE * zones.length)
+                        && defect != InjectedDefect.ALL_MAY_GO;
         for (int z = 0; z < zones.length; z++) {
-            look(
+            evaluate(
                     now,
                     z,
-                    bad[z] && !(tooMany && zones[z].state == State.IN) && now >= blindUntil,
+                    failed[z]
+                            && !(tooMany && zones[z].state == State.IN_USE)
+                            && now >= observationsStaleUntil,
                     rows);
         }
-        engines.forEach((engine, k) -> keep(now, engine, k));
+        engines.forEach((engine, observation) -> updateAvoidance(now, engine, observation));
     }
 
     /**
      * Whether most observers of most other zones, and of two where there are so many, hold it for
      * bad.
      */
-    private boolean bad(int zone, List<LoadSheddingLevel.Row> rows) {
+    private boolean failedByReports(int zone, List<LoadRow> rows) {
         // Of one that was left only what is seen counts, not who is away.
-        int also = zones[zone].state == State.IN ? LEFT : ALL;
+        int also = zones[zone].state == State.IN_USE ? EVACUATED : MAX_PERCENT;
         int voices = 0;
         int say = 0;
         for (int from = 0; from < zones.length; from++) {
@@ -339,103 +351,116 @@
             if (is != zone) {
                 int[] told =
                         rows.stream()
-                                .filter(r -> r.zone() == is)
-                                .mapToInt(r -> sees(r, zone))
-                                .filter(s -> s <= ALL || s == also)
+                                .filter(row -> row.zone() == is)
+                                .mapToInt(row -> reportedPercent(row, zone))
+                                .filter(s -> s <= MAX_PERCENT || s == also)
                                 .toArray();
-                long hold = Arrays.stream(told).filter(s -> s >= BAD).count();
+                long hold = Arrays.stream(told).filter(s -> s >= FAILED_PERCENT).count();
                 voices += told.length > 0 ? 1 : 0;
-                say += 2 * hold > told.length || fault == Fault.ONE_IS_ENOUGH && hold > 0 ? 1 : 0;
+                say +=
+                        2 * hold > told.length || defect == InjectedDefect.ONE_IS_ENOUGH && hold > 0
+                                ? 1
+                                : 0;
             }
         }
-        int needed = fault == Fault.ONE_IS_ENOUGH ? 1 : Math.min(2, zones.length - 1);
-        return say >= needed && (2 * say > voices || fault == Fault.ONE_IS_ENOUGH);
+        int needed = defect == InjectedDefect.ONE_IS_ENOUGH ? 1 : Math.min(2, zones.length - 1);
+        return say >= needed && (2 * say > voices || defect == InjectedDefect.ONE_IS_ENOUGH);
     }
 
-    private static int sees(LoadSheddingLevel.Row row, int zone) {
-        return zone < row.bad().length ? row.bad()[zone] : UNKNOWN;
+    private static int reportedPercent(LoadRow row, int zone) {
+        return zone < row.ejectedPercent().length ? row.ejectedPercent()[zone] : UNKNOWN;
     }
 
     /** Whether those that try its engines find most of them well. */
-    private static boolean well(int zone, List<LoadSheddingLevel.Row> rows) {
+    private static boolean healthyByReports(int zone, List<LoadRow> rows) {
         int[] told =
                 rows.stream()
-                        .mapToInt(r -> sees(r, zone))
-                        .filter(s -> s <= ALL || s == RETURNING)
+                        .mapToInt(row -> reportedPercent(row, zone))
+                        .filter(s -> s <= MAX_PERCENT || s == RETURNING)
                         .map(s -> s == RETURNING ? 0 : s)
                         .toArray();
-        return told.length > 0 && Arrays.stream(told).average().orElse(ALL) <= WELL;
+        return told.length > 0
+                && Arrays.stream(told).average().orElse(MAX_PERCENT) <= HEALTHY_PERCENT;
     }
 
-    private void look(long now, int at, boolean bad, List<LoadSheddingLevel.Row> rows) {
-        Zone z = zones[at];
-        boolean well = well(at, rows);
-        z.badSince = !bad ? -1 : z.badSince < 0 ? now : z.badSince;
-        z.wellSince = !well ? -1 : z.wellSince < 0 ? now : z.wellSince;
-        boolean held = now - z.since < z.hold && fault != Fault.NO_HOLD;
+    private void evaluate(long now, int at, boolean failed, List<LoadRow> rows) {
+        ZoneState zone = zones[at];
+        boolean healthy = healthyByReports(at, rows);
+        zone.failedSince = !failed ? -1 : zone.failedSince < 0 ? now : zone.failedSince;
+        zone.healthySince = !healthy ? -1 : zone.healthySince < 0 ? now : zone.healthySince;
+        boolean held = now - zone.since < zone.holdTime && defect != InjectedDefect.NO_HOLD;
         Event event =
-                z.order == Order.LEAVE
+                zone.order == Order.LEAVE
                         ? Event.ORDERED
-                        : z.order == Order.HOLD && z.state == State.OUT
-                                ? Event.WELL
-                                : bad && now - z.badSince >= SURE && z.order != Order.HOLD
-                                        ? Event.BAD
-                                        : z.state == State.OUT
-                                                        && well
-                                                        && now - z.wellSince >= WELL_FOR
+                        : zone.order == Order.HOLD && zone.state == State.EVACUATED
+                                ? Event.HEALTHY
+                                : failed
+                                                && now - zone.failedSince >= FAILURE_CONFIRMATION
+                                                && zone.order != Order.HOLD
+                                        ? Event.FAILED
+                                        : zone.state == State.EVACUATED
+                                                        && healthy
+                                                        && now - zone.healthySince
+                                                                >= RECOVERY_CONFIRMATION
                                                         && !held
-                                                ? Event.WELL
-                                                : z.state == State.BACK && now - z.since >= ramp
-                                                        ? Event.DUE
+                                                ? Event.HEALTHY
+                                                : zone.state == State.RETURNING
+                                                                && now - zone.since >= ramp
+                                                        ? Event.RAMP_COMPLETE
                                                         : null;
-        for (Row row : TABLE) {
-            if (row.state == z.state && row.event == event) {
-                if (row.next == State.OUT) {
+        for (Transition row : TRANSITIONS) {
+            if (row.state == zone.state && row.event == event) {
+                if (row.next == State.EVACUATED) {
                     // Failed on its way back, or soon after: longer out. In use for long, it is
                     // forgiven.
                     boolean again =
-                            row.state == State.BACK || z.since > 0 && now - z.since < FORGIVEN;
-                    z.hold =
+                            row.state == State.RETURNING
+                                    || zone.since > 0 && now - zone.since < FAILURE_MEMORY;
+                    zone.holdTime =
                             event == Event.ORDERED
                                     ? 0
-                                    : again ? Math.min(MOST_HOLD, 2 * z.hold) : FIRST_HOLD;
+                                    : again
+                                            ? Math.min(MAX_HOLD_TIME, 2 * zone.holdTime)
+                                            : FIRST_HOLD_TIME;
                 }
-                z.state = row.next;
-                z.since = now;
-                z.badSince = -1;
-                z.wellSince = -1;
-                effects.turned(at, row.next.name().toLowerCase(Locale.ROOT));
+                zone.state = row.next;
+                zone.since = now;
+                zone.failedSince = -1;
+                zone.healthySince = -1;
+                actions.logZoneState(
+                        at, row.next.name().toLowerCase(Locale.ROOT).replace('_', '-'));
                 return;
             }
         }
     }
 
-    private void keep(long now, long engine, Known k) {
-        Zone z = zones[k.zone];
-        boolean owned = z.state != State.IN && owns(engine);
+    private void updateAvoidance(long now, long engine, EngineObservation observation) {
+        ZoneState zone = zones[observation.zone];
+        boolean owned = zone.state != State.IN_USE && ownsProbe(engine);
         boolean away =
-                switch (z.state) {
-                    case IN -> k.othersTry;
-                    case OUT -> !owned;
-                    case BACK ->
+                switch (zone.state) {
+                    case IN_USE -> observation.probedByOthers;
+                    case EVACUATED -> !owned;
+                    case RETURNING ->
                             !owned
-                                    && now < z.since + place(k.zone) * ramp
-                                    && fault != Fault.ALL_AT_ONCE;
+                                    && now < zone.since + rampPosition(observation.zone) * ramp
+                                    && defect != InjectedDefect.ALL_AT_ONCE;
                 };
-        boolean tries = owned && k.closed && now - k.triedAt >= TRY_EVERY;
-        if (away != k.away || tries) {
-            k.away = away;
-            effects.keepAway(engine, away, tries || !away && z.state == State.BACK);
+        boolean tries =
+                owned && observation.ejected && now - observation.lastAttemptAt >= PROBE_INTERVAL;
+        if (away != observation.avoided || tries) {
+            observation.avoided = away;
+            actions.setAvoided(engine, away, tries || !away && zone.state == State.RETURNING);
         }
     }
 
     /** This manager's place on the way back to a zone, from 0 to 1. */
-    private double place(int zone) {
-        return (double) RendezvousHash.before(zone, view, me) / Math.max(1, view.size());
+    private double rampPosition(int zone) {
+        return (double) RendezvousHash.countBefore(zone, view, self) / Math.max(1, view.size());
     }
 
     /** By zone, what operators want. */
-    public Map<Integer, Order> ordered() {
+    public Map<Integer, Order> activeOrders() {
         Map<Integer, Order> ordered = new TreeMap<>();
         for (int z = 0; z < zones.length; z++) {
             if (zones[z].order != Order.NONE) {
@@ -446,15 +471,15 @@
     }
 
     /** The zones that are left, or on the way back. */
-    public List<Integer> out() {
+    public List<Integer> evacuatedZones() {
         return IntStream.range(0, zones.length)
-                .filter(z -> zones[z].state != State.IN)
+                .filter(z -> zones[z].state != State.IN_USE)
                 .boxed()
                 .toList();
     }
 
     /** This manager's own zone. */
-    public int mine() {
-        return mine;
+    public int ownZone() {
+        return ownZone;
     }
 }
--- a/src/main/java/firstage/faulttest/ManagerConfigWriter.java
+++ b/src/main/java/firstage/faulttest/ManagerConfigWriter.java
@@ -223,7 +223,7 @@
                                 "[[cell]]",
                                 "name = \"" + c.name() + "\"",
                                 "zone = \"" + c.zone() + "\"",
-                                "hosts = [" + hosts(plan, at, m, cells.index(c.name())) + "]"));
+                                "hosts = [" + hosts(plan, at, m, cells.indexOf(c.name())) + "]"));
             }
             Files.write(file, lines);
             return;
--- a/src/main/java/firstage/lifecycle/AttemptStateMachine.java
+++ b/src/main/java/firstage/lifecycle/AttemptStateMachine.java
@@ -16,8 +16,8 @@
  * held until nobody asked for it in {@link #FORGETS}, counted from our last call, and, where its
  * engine could not even be told, until its client's limit, which that engine knows.
  *
- * <p>Times are tenths of a millisecond. Every call is an event; effects go out by {@link Carrier},
- * which may call back at once only where said.
+ * <p>Times are tenths of a millisecond. Every call is an event; effects go out by {@link
+ * MembershipActions}, which may call back at once only where said.
  */
 public final class AttemptStateMachine {
     /**
--- a/src/main/java/firstage/lifecycle/ClientCallStateMachine.java
+++ b/src/main/java/firstage/lifecycle/ClientCallStateMachine.java
@@ -10,8 +10,8 @@
  * and not the batch. An answer that was written may be lost with its connection: it is kept for a
  * client that asks again.
  *
- * <p>Times are tenths of a millisecond. Effects go out by {@link Carrier}, which does not call back
- * before it returns.
+ * <p>Times are tenths of a millisecond. Effects go out by {@link MembershipActions}, which does not
+ * call back before it returns.
  */
 public final class ClientCallStateMachine {
     /** A first call is held so long: as the engines hold theirs. */
--- a/src/main/java/firstage/membership/Member.java
+++ b/src/main/java/firstage/membership/Member.java
@@ -9,20 +9,20 @@
         String name,
         String zone,
         long incarnation,
-        MemberState standing,
+        MemberState state,
         String version,
         double weight) {
     /** Whether this says more than that: a newer life, or worse of the same. */
     boolean overrides(Member other) {
         return incarnation > other.incarnation
-                || incarnation == other.incarnation && standing.compareTo(other.standing) > 0;
+                || incarnation == other.incarnation && state.compareTo(other.state) > 0;
     }
 
-    Member with(MemberState next) {
+    Member withState(MemberState next) {
         return new Member(name, zone, incarnation, next, version, weight);
     }
 
-    Member with(long next, MemberState is) {
+    Member withState(long next, MemberState is) {
         return new Member(name, zone, next, is, version, weight);
     }
 }
--- a/src/main/java/firstage/membership/MemberState.java
+++ b/src/main/java/firstage/membership/MemberState.java
@@ -5,8 +5,8 @@
  * intent.
  */
 public enum MemberState {
-    HERE,
-    DOUBTED,
-    GONE,
+    ALIVE,
+    SUSPECT,
+    DEAD,
     LEFT
 }
--- a/src/main/java/firstage/membership/MembershipMessage.java
+++ b/src/main/java/firstage/membership/MembershipMessage.java
@@ -3,26 +3,26 @@
 import java.util.List;
 
 /**
- * One datagram. {@code heardAgo}: tenths of a millisecond since its sender last heard the receiver,
- * -1 for never: a way that bears in one direction only shows by it. {@code lent}: members that its
- * sender has withdrawn its word from, so that others may use their part. {@code grants}: the answer
- * to a ping is such a word. {@code unheard}: whom the sender does not hear though others do. {@code
- * digest}: of the rooms above.
+ * One datagram. {@code lastHeardAgo}: tenths of a millisecond since its sender last heard the
+ * receiver, -1 for never: a way that bears in one direction only shows by it. {@code
+ * withdrawnGrants}: members that its sender has withdrawn its word from, so that others may use
+ * their part. {@code grantsQuota}: the answer to a ping is such a word. {@code unheardMembers}:
+ * whom the sender does not hear though others do. {@code digest}: of the rooms above.
  */
 public record MembershipMessage(
         String fleet,
         String from,
         long incarnation,
         Kind kind,
-        long seq,
+        long sequence,
         String target,
-        long view,
-        long hash,
-        long heardAgo,
-        boolean grants,
-        List<String> lent,
-        List<String> unheard,
-        List<Member> entries,
+        long viewNumber,
+        long viewHash,
+        long lastHeardAgo,
+        boolean grantsQuota,
+        List<String> withdrawnGrants,
+        List<String> unheardMembers,
+        List<Member> members,
         byte[] digest) {
     /**
      * PING asks, ACK answers; ASK wants a third one asked, VOUCH says that it answered; SYNC tells
@@ -31,9 +31,9 @@
     public enum Kind {
         PING,
         ACK,
-        ASK,
-        VOUCH,
+        PING_REQUEST,
+        INDIRECT_ACK,
         SYNC,
-        SYNC_BACK
+        SYNC_REPLY
     }
 }
--- a/src/main/java/firstage/membership/MembershipProtocol.java
+++ b/src/main/java/firstage/membership/MembershipProtocol.java
@@ -24,213 +24,199 @@
  */
 public final class MembershipProtocol {
     // ---- Constants: unit, and why this size. Times are in tenths of a millisecond.
-    private static final int HELPERS =
+    private static final int INDIRECT_PROBERS =
             3; // asked to probe in our place: one cut way or one lost message is borne
-    private static final long ACK_PART =
+    private static final long ACK_TIMEOUTS_PER_PERIOD =
             4; // of a period until helpers are asked: many times a way there and back
-    private static final int MOST_STRAIN =
+    private static final int MAX_LOCAL_HEALTH_PENALTY =
             6; // of our own slowness: probes wait up to so many times longer
-    private static final long GONE_AFTER =
+    private static final long SUSPICION_TIMEOUT =
             45_000; // of a doubt not denied: pauses of 3 s and 20% loss are borne
-    private static final long SETTLE =
+    private static final long VIEW_QUIET_TIME =
             2_500; // without a change before a view is made: a zone dies in one view
-    private static final long SETTLE_MOST =
+    private static final long MAX_VIEW_DELAY =
             8_000; // but no longer: a view must come while members flap, too
-    private static final long PAUSED =
+    private static final long PAUSE_THRESHOLD =
             4_000; // between two ticks: we were stopped; two probe periods
-    private static final long ALONE =
+    private static final long ISOLATION_TIMEOUT =
             10_000; // without any answer: it is we who are cut off, and judge nobody
-    private static final long UNHEARD =
+    private static final long UNHEARD_AFTER =
             12_000; // by one way while others vouch: six periods, loss alone is borne
-    private static final double FLAP_FREE =
+    private static final double FREE_RETURNS =
             2; // returns that cost nothing: a restart and a chance doubt
-    private static final long FLAP_STEP =
+    private static final long FIRST_HOLD_DOWN =
             5_000; // held out of the view after the third return, doubled with each
-    private static final long FLAP_MOST = 300_000; // but no longer
-    private static final long FLAP_FADE = 300_000; // in which half of the returns is forgotten
-    private static final int TELLINGS = 4; // times the logarithm of the fleet that a rumour is told
-    private static final long SYNC_EVERY =
+    private static final long MAX_HOLD_DOWN = 300_000; // but no longer
+    private static final long RETURNS_HALF_LIFE =
+            300_000; // in which half of the returns is forgotten
+    private static final int GOSSIP_FACTOR =
+            4; // times the logarithm of the fleet that a rumour is told
+    private static final long SYNC_INTERVAL =
             100_000; // tells all to one: what rumours missed comes within this
-    private static final int LOST_PROBE =
+    private static final int PERIODS_PER_RECONNECT_PROBE =
             3; // periods between probes of one that is gone: cut halves find each other
-    private static final int MOST_MEMBERS = 2_048; // invented names must not fill the memory
-    private static final int MOST_RUMOURS = 4_096; // pending at once: bounded against the same
-    private static final int FIRST =
+    private static final int MAX_MEMBERS = 2_048; // invented names must not fill the memory
+    private static final int MAX_PENDING_GOSSIP =
+            4_096; // pending at once: bounded against the same
+    private static final int STARTUP_PROBES =
             32; // addresses asked at a start: enough to be known, no burst on a large fleet
-    private static final int MOST_PENDING = 256; // probes out, ours and for others
+    private static final int MAX_PENDING_PROBES = 256; // probes out, ours and for others
 
     private enum Event {
         UNANSWERED,
-        DOUBT_TOLD,
-        GONE_TOLD,
-        LEFT_TOLD,
-        NEWER_HERE,
-        TIMED
+        SUSPECT_GOSSIP,
+        DEAD_GOSSIP,
+        LEFT_GOSSIP,
+        NEWER_ALIVE,
+        SUSPICION_TIMEOUT
     }
 
     private enum Effect {
         NONE,
-        TELL,
-        DOUBT,
+        GOSSIP,
+        SUSPECT,
         RETURN
     }
 
-    private record Row(MemberState state, Event event, MemberState next, Effect effect) {}
+    private record Transition(MemberState state, Event event, MemberState next, Effect effect) {}
 
     /**
      * State, event, next state, effect; what is not here changes nothing. Events that are told
      * carry no older life.
      */
-    private static final Row[] TABLE = {
-        new Row(MemberState.HERE, Event.UNANSWERED, MemberState.DOUBTED, Effect.DOUBT),
-        new Row(MemberState.HERE, Event.DOUBT_TOLD, MemberState.DOUBTED, Effect.DOUBT),
-        new Row(MemberState.HERE, Event.GONE_TOLD, MemberState.GONE, Effect.TELL),
-        new Row(MemberState.HERE, Event.LEFT_TOLD, MemberState.LEFT, Effect.TELL),
-        new Row(MemberState.HERE, Event.NEWER_HERE, MemberState.HERE, Effect.TELL),
-        new Row(MemberState.DOUBTED, Event.DOUBT_TOLD, MemberState.DOUBTED, Effect.DOUBT),
-        new Row(MemberState.DOUBTED, Event.GONE_TOLD, MemberState.GONE, Effect.TELL),
-        new Row(MemberState.DOUBTED, Event.LEFT_TOLD, MemberState.LEFT, Effect.TELL),
-        new Row(MemberState.DOUBTED, Event.NEWER_HERE, MemberState.HERE, Effect.RETURN),
-        new Row(MemberState.DOUBTED, Event.TIMED, MemberState.GONE, Effect.TELL),
-        new Row(MemberState.GONE, Event.LEFT_TOLD, MemberState.LEFT, Effect.TELL),
-        new Row(MemberState.GONE, Event.NEWER_HERE, MemberState.HERE, Effect.RETURN),
-        new Row(MemberState.LEFT, Event.NEWER_HERE, MemberState.HERE, Effect.RETURN),
+    private static final Transition[] TRANSITIONS = {
+        new Transition(MemberState.ALIVE, Event.UNANSWERED, MemberState.SUSPECT, Effect.SUSPECT),
+        new Transition(
+                MemberState.ALIVE, Event.SUSPECT_GOSSIP, MemberState.SUSPECT, Effect.SUSPECT),
+        new Transition(MemberState.ALIVE, Event.DEAD_GOSSIP, MemberState.DEAD, Effect.GOSSIP),
+        new Transition(MemberState.ALIVE, Event.LEFT_GOSSIP, MemberState.LEFT, Effect.GOSSIP),
+        new Transition(MemberState.ALIVE, Event.NEWER_ALIVE, MemberState.ALIVE, Effect.GOSSIP),
+        new Transition(
+                MemberState.SUSPECT, Event.SUSPECT_GOSSIP, MemberState.SUSPECT, Effect.SUSPECT),
+        new Transition(MemberState.SUSPECT, Event.DEAD_GOSSIP, MemberState.DEAD, Effect.GOSSIP),
+        new Transition(MemberState.SUSPECT, Event.LEFT_GOSSIP, MemberState.LEFT, Effect.GOSSIP),
+        new Transition(MemberState.SUSPECT, Event.NEWER_ALIVE, MemberState.ALIVE, Effect.RETURN),
+        new Transition(
+                MemberState.SUSPECT, Event.SUSPICION_TIMEOUT, MemberState.DEAD, Effect.GOSSIP),
+        new Transition(MemberState.DEAD, Event.LEFT_GOSSIP, MemberState.LEFT, Effect.GOSSIP),
+        new Transition(MemberState.DEAD, Event.NEWER_ALIVE, MemberState.ALIVE, Effect.RETURN),
+        new Transition(MemberState.LEFT, Event.NEWER_ALIVE, MemberState.ALIVE, Effect.RETURN),
     };
 
-    /** Carries the effects out; none of them calls back before it returns. */
-    public interface Carrier {
-        /**
-         * To the peer at this place of the seeds; {@code kind}: of the message, for what counts
-         * them.
-         */
-        void send(int seed, MembershipMessage.Kind kind, byte[] datagram);
-
-        /** A new view is in force. */
-        void changed(long now, MembershipView view);
-
-        /** A line for the log: what, of whom, and why. */
-        void note(long now, String what, String who, String why);
-
-        /** What the rooms above tell with each message, and what they are told by a member. */
-        byte[] digest(long now);
-
-        void digested(long now, String from, byte[] digest);
-    }
-
     /** Faults put back one at a time: a test that does not find them proves nothing. */
-    public enum Fault {
+    public enum InjectedDefect {
         NONE,
-        DENIAL_IGNORED,
-        OLDER_LIFE_WINS,
-        HOLD_DOWN_OFF,
-        PAUSE_UNSEEN,
-        NO_HELPERS,
-        ALONE_JUDGES
+        REFUTATION_IGNORED,
+        OLDER_INCARNATION_WINS,
+        FLAP_DAMPING_OFF,
+        PAUSE_NOT_DETECTED,
+        NO_INDIRECT_PROBES,
+        ISOLATED_MANAGER_JUDGES
     }
 
     /** What is known of one other. */
     private static final class Peer {
-        private Member is;
-        private int seed = -1;
-        private long heardAt = Long.MIN_VALUE / 4;
-        private long vouchedAt = Long.MIN_VALUE / 4;
-        private long hearsUsAgo = -1;
-        private long view;
-        private long hash;
-        private long doubtedAt;
-        private double flaps;
-        private long flapsAt;
-        private long outUntil;
-        private List<String> unheard = List.of();
-    }
-
-    private static final class Rumour {
+        private Member member;
+        private int address = -1;
+        private long lastHeardAt = Long.MIN_VALUE / 4;
+        private long indirectlyHeardAt = Long.MIN_VALUE / 4;
+        private long lastHeardUsAgo = -1;
+        private long viewNumber;
+        private long viewHash;
+        private long suspectedAt;
+        private double recentReturns;
+        private long lastReturnAt;
+        private long heldOutUntil;
+        private List<String> unheardMembers = List.of();
+    }
+
+    private static final class PendingGossip {
         private final String name;
-        private int told;
+        private int sentCount;
 
-        private Rumour(String name) {
+        private PendingGossip(String name) {
             this.name = name;
         }
     }
 
     /** A probe that is out: ours of a target, or one in place of another. */
     private static final class Probe {
-        private final long seq;
+        private final long sequence;
         private final String target;
-        private final int seed;
-        private final long sent;
-        private final String asker;
-        private final long askerSeq;
-        private boolean helped;
+        private final int address;
+        private final long sentAt;
+        private final String requester;
+        private final long requesterSequence;
+        private boolean indirect;
 
         private Probe(long seq, String target, int seed, long sent, String asker, long askerSeq) {
-            this.seq = seq;
+            this.sequence = seq;
             this.target = target;
-            this.seed = seed;
-            this.sent = sent;
-            this.asker = asker;
-            this.askerSeq = askerSeq;
+            this.address = seed;
+            this.sentAt = sent;
+            this.requester = asker;
+            this.requesterSequence = askerSeq;
         }
     }
 
     private final String fleet;
-    private final Carrier carrier;
-    private final RandomGenerator chance;
+    private final MembershipActions actions;
+    private final RandomGenerator random;
     private final MessageCodec codec;
     private final long period;
-    private final int seeds;
-    private final Fault fault;
+    private final int addresses;
+    private final InjectedDefect defect;
     private final QuotaLeases leases;
-    private Member me;
+    private Member self;
     private final TreeMap<String, Peer> peers = new TreeMap<>();
 
     /** By place of the seeds, who answered there last. */
-    private final String[] atSeed;
+    private final String[] nameByAddress;
 
-    private final ArrayDeque<Rumour> rumours = new ArrayDeque<>();
-    private final Map<String, Rumour> rumoured = new HashMap<>();
+    private final ArrayDeque<PendingGossip> gossipQueue = new ArrayDeque<>();
+    private final Map<String, PendingGossip> gossipByMember = new HashMap<>();
     private final Map<Long, Probe> probes = new LinkedHashMap<>();
-    private final PriorityQueue<Map.Entry<Long, String>> doubts =
+    private final PriorityQueue<Map.Entry<Long, String>> suspicions =
             new PriorityQueue<>(Comparator.comparingLong(Map.Entry::getKey));
-    private final Map<String, Long> refused = new TreeMap<>();
-    private final ArrayDeque<String> order = new ArrayDeque<>();
+    private final Map<String, Long> rejectedMessages = new TreeMap<>();
+    private final ArrayDeque<String> probeOrder = new ArrayDeque<>();
     private MembershipView view;
-    private long nextSeq;
-    private long nextProbe;
-    private long nextSync;
+    private long lastSequence;
+    private long nextProbeAt;
+    private long nextSyncAt;
     private long periods;
-    private int strain;
-    private long tickedAt = -1;
-    private long answeredAt;
+    private int localHealthPenalty;
+    private long lastTickAt = -1;
+    private long lastResponseAt;
     private long changedSince = -1;
     private long changedAt;
     private boolean leaving;
 
     /**
-     * {@code me} with a standing of HERE; {@code seeds}: how many addresses peers may be at; {@code
-     * period} between two probes. {@code leases} keeps who may use which part.
+     * {@code self} with a standing of HERE; {@code addresses}: how many addresses peers may be at;
+     * {@code period} between two probes. {@code leases} keeps who may use which part.
      */
     public MembershipProtocol(
             String fleet,
-            Member me,
-            int seeds,
+            Member self,
+            int addresses,
             long period,
-            int most,
-            RandomGenerator chance,
+            int maxDatagramBytes,
+            RandomGenerator random,
             QuotaLeases leases,
-            Carrier carrier,
-            Fault fault) {
+            MembershipActions actions,
+            InjectedDefect defect) {
         this.fleet = fleet;
-        this.me = me;
-        this.seeds = seeds;
+        this.self = self;
+        this.addresses = addresses;
         this.period = period;
-        this.chance = chance;
-        this.carrier = carrier;
-        this.fault = fault;
+        this.random = random;
+        this.actions = actions;
+        this.defect = defect;
         this.leases = leases;
-        codec = new MessageCodec(most);
-        atSeed = new String[seeds];
-        view = new MembershipView(0, hash(List.of(me.name())), List.of(me.name()));
+        codec = new MessageCodec(maxDatagramBytes);
+        nameByAddress = new String[addresses];
+        view = new MembershipView(0, hash(List.of(self.name())), List.of(self.name()));
     }
 
     // ---- What is asked of it.
@@ -239,105 +225,120 @@
     }
 
     public String name() {
-        return me.name();
+        return self.name();
     }
 
     /** All that is known, this manager first. */
-    public List<Member> entries() {
-        List<Member> all = new ArrayList<>(List.of(me));
-        peers.values().forEach(p -> all.add(p.is));
+    public List<Member> members() {
+        List<Member> all = new ArrayList<>(List.of(self));
+        peers.values().forEach(peer -> all.add(peer.member));
         return all;
     }
 
     /** Whether all that are here say the same view. */
-    public boolean agreed() {
-        return view.names().stream()
-                .filter(n -> !n.equals(me.name()))
+    public boolean viewAgreed() {
+        return view.memberNames().stream()
+                .filter(n -> !n.equals(self.name()))
                 .allMatch(
                         n ->
-                                peers.get(n).hash == view.hash()
-                                        && peers.get(n).view == view.number());
+                                peers.get(n).viewHash == view.hash()
+                                        && peers.get(n).viewNumber == view.number());
     }
 
     /** Of the members of the view, the share heard lately: how sure it may be of itself. */
-    public double sure(long now) {
-        long others = view.names().size() - 1;
+    public double confidence(long now) {
+        long others = view.memberNames().size() - 1;
         long heard =
-                view.names().stream()
+                view.memberNames().stream()
                         .filter(peers::containsKey)
                         .filter(
                                 n ->
-                                        now - Math.max(peers.get(n).heardAt, peers.get(n).vouchedAt)
-                                                < 5 * UNHEARD)
+                                        now
+                                                        - Math.max(
+                                                                peers.get(n).lastHeardAt,
+                                                                peers.get(n).indirectlyHeardAt)
+                                                < 5 * UNHEARD_AFTER)
                         .count();
-        return now - answeredAt > ALONE ? 0 : others == 0 ? 1 : (double) heard / others;
+        return now - lastResponseAt > ISOLATION_TIMEOUT
+                ? 0
+                : others == 0 ? 1 : (double) heard / others;
     }
 
     /**
      * How the way to a member bears: ok, deaf (we do not hear it), unheard (it does not hear us),
      * cut; none where gone.
      */
-    public String link(long now, String name) {
-        Peer p = peers.get(name);
-        if (p == null
-                || p.is.standing() == MemberState.GONE
-                || p.is.standing() == MemberState.LEFT) {
+    public String linkState(long now, String name) {
+        Peer peer = peers.get(name);
+        if (peer == null
+                || peer.member.state() == MemberState.DEAD
+                || peer.member.state() == MemberState.LEFT) {
             return "none";
         }
-        boolean deaf = now - p.heardAt > UNHEARD;
+        boolean deaf = now - peer.lastHeardAt > UNHEARD_AFTER;
         boolean unheard =
-                !deaf && (p.hearsUsAgo < 0 || p.hearsUsAgo > UNHEARD)
-                        || p.unheard.contains(me.name());
+                !deaf && (peer.lastHeardUsAgo < 0 || peer.lastHeardUsAgo > UNHEARD_AFTER)
+                        || peer.unheardMembers.contains(self.name());
         return deaf && unheard ? "cut" : deaf ? "deaf" : unheard ? "unheard" : "ok";
     }
 
     /** Datagrams that changed nothing, by cause. */
-    public Map<String, Long> refused() {
-        return refused;
+    public Map<String, Long> rejectedMessages() {
+        return rejectedMessages;
     }
 
     // ---- Time.
     /** To be called each 20 ms or so; a longer gap is taken for a pause of this process. */
     public void tick(long now) {
-        boolean paused = tickedAt >= 0 && now - tickedAt > PAUSED && fault != Fault.PAUSE_UNSEEN;
-        if (tickedAt < 0) {
-            answeredAt = now;
-            nextSync = now + period;
+        boolean paused =
+                lastTickAt >= 0
+                        && now - lastTickAt > PAUSE_THRESHOLD
+                        && defect != InjectedDefect.PAUSE_NOT_DETECTED;
+        if (lastTickAt < 0) {
+            lastResponseAt = now;
+            nextSyncAt = now + period;
             // To all at once, so that a fleet that starts together need not wait for its rounds to
             // come by.
             List<Integer> all = new ArrayList<>();
-            for (int s = 0; s < seeds; s++) {
+            for (int s = 0; s < addresses; s++) {
                 all.add(s);
             }
-            Collections.shuffle(all, new Random(chance.nextLong()));
-            all.subList(0, Math.min(seeds, FIRST)).forEach(s -> ping(now, null, s, null, 0));
+            Collections.shuffle(all, new Random(random.nextLong()));
+            all.subList(0, Math.min(addresses, STARTUP_PROBES))
+                    .forEach(s -> ping(now, null, s, null, 0));
         }
         if (paused) {
-            woke(now, now - tickedAt);
-        }
-        tickedAt = now;
-        expire(now);
-        while (!doubts.isEmpty() && doubts.peek().getKey() <= now) {
-            Map.Entry<Long, String> due = doubts.poll();
-            Peer p = peers.get(due.getValue());
-            if (p.is.standing() == MemberState.DOUBTED && p.doubtedAt + GONE_AFTER <= now) {
-                if (alone(now)) {
+            onPauseDetected(now, now - lastTickAt);
+        }
+        lastTickAt = now;
+        expireProbes(now);
+        while (!suspicions.isEmpty() && suspicions.peek().getKey() <= now) {
+            Map.Entry<Long, String> due = suspicions.poll();
+            Peer peer = peers.get(due.getValue());
+            if (peer.member.state() == MemberState.SUSPECT
+                    && peer.suspectedAt + SUSPICION_TIMEOUT <= now) {
+                if (isolated(now)) {
                     // Nobody answers: it is this manager that is cut off.
-                    doubt(now, p);
+                    startSuspicion(now, peer);
                 } else {
-                    on(now, p, Event.TIMED, p.is.with(MemberState.GONE), "not heard of again");
+                    applyEvent(
+                            now,
+                            peer,
+                            Event.SUSPICION_TIMEOUT,
+                            peer.member.withState(MemberState.DEAD),
+                            "not heard of again");
                 }
             }
         }
-        if (now >= nextProbe) {
-            nextProbe = now + period;
+        if (now >= nextProbeAt) {
+            nextProbeAt = now + period;
             probe(now);
         }
-        if (now >= nextSync && !leaving) {
-            nextSync = now + SYNC_EVERY / 2 + chance.nextLong(SYNC_EVERY);
+        if (now >= nextSyncAt && !leaving) {
+            nextSyncAt = now + SYNC_INTERVAL / 2 + random.nextLong(SYNC_INTERVAL);
             sync(now);
         }
-        settle(now);
+        updateView(now);
     }
 
     /**
@@ -345,80 +346,94 @@
      * hold it for gone; all that it has out is answered late through its own fault. It judges
      * nobody by what is from before, and denies at once what may have been said of it.
      */
-    private void woke(long now, long gap) {
+    private void onPauseDetected(long now, long gap) {
         probes.clear();
-        strain = MOST_STRAIN;
-        answeredAt = Math.min(answeredAt, now - ALONE - 1);
-        for (Peer p : peers.values()) {
-            p.heardAt += gap;
+        localHealthPenalty = MAX_LOCAL_HEALTH_PENALTY;
+        lastResponseAt = Math.min(lastResponseAt, now - ISOLATION_TIMEOUT - 1);
+        for (Peer peer : peers.values()) {
+            peer.lastHeardAt += gap;
         }
-        doubts.clear();
+        suspicions.clear();
         peers.values().stream()
-                .filter(p -> p.is.standing() == MemberState.DOUBTED)
-                .forEach(p -> doubt(now, p));
-        me = me.with(me.incarnation() + 1, me.standing());
-        rumour(me.name());
-        carrier.note(now, "woke", me.name(), "stopped for " + gap / 10 + " ms");
+                .filter(peer -> peer.member.state() == MemberState.SUSPECT)
+                .forEach(peer -> startSuspicion(now, peer));
+        self = self.withState(self.incarnation() + 1, self.state());
+        gossip(self.name());
+        actions.logMemberEvent(now, "woke", self.name(), "stopped for " + gap / 10 + " ms");
         // Once to each of some: who doubts this manager hears of it before the doubt counts.
-        somebody(now, HELPERS, null).forEach(p -> ping(now, p.is.name(), p.seed, null, 0));
+        randomPeers(now, INDIRECT_PROBERS, null)
+                .forEach(peer -> ping(now, peer.member.name(), peer.address, null, 0));
     }
 
-    private boolean alone(long now) {
-        return now - answeredAt > ALONE && fault != Fault.ALONE_JUDGES;
+    private boolean isolated(long now) {
+        return now - lastResponseAt > ISOLATION_TIMEOUT
+                && defect != InjectedDefect.ISOLATED_MANAGER_JUDGES;
     }
 
-    private long patience() {
-        return period * (1 + strain) / ACK_PART;
+    private long ackTimeout() {
+        return period * (1 + localHealthPenalty) / ACK_TIMEOUTS_PER_PERIOD;
     }
 
-    private void expire(long now) {
-        for (Probe p : List.copyOf(probes.values())) {
-            if (p.asker != null || p.target == null) {
-                if (now - p.sent > 4 * period) {
-                    probes.remove(p.seq);
+    private void expireProbes(long now) {
+        for (Probe probe : List.copyOf(probes.values())) {
+            if (probe.requester != null || probe.target == null) {
+                if (now - probe.sentAt > 4 * period) {
+                    probes.remove(probe.sequence);
                 }
                 continue;
             }
-            Peer of = peers.get(p.target);
-            if (!p.helped && now - p.sent > patience()) {
-                p.helped = true;
-                if (fault != Fault.NO_HELPERS) {
-                    for (Peer helper : somebody(now, HELPERS, p.target)) {
+            Peer target = peers.get(probe.target);
+            if (!probe.indirect && now - probe.sentAt > ackTimeout()) {
+                probe.indirect = true;
+                if (defect != InjectedDefect.NO_INDIRECT_PROBES) {
+                    for (Peer helper : randomPeers(now, INDIRECT_PROBERS, probe.target)) {
                         send(
                                 now,
-                                helper.seed,
-                                message(now, helper, MembershipMessage.Kind.ASK, p.seq, p.target));
+                                helper.address,
+                                newMessage(
+                                        now,
+                                        helper,
+                                        MembershipMessage.Kind.PING_REQUEST,
+                                        probe.sequence,
+                                        probe.target));
                     }
                 }
-            } else if (p.helped && now - p.sent > 3 * patience() + period / 2) {
-                probes.remove(p.seq);
-                strain = Math.min(MOST_STRAIN, strain + (alone(now) ? 1 : 0));
-                boolean heardSince = Math.max(of.heardAt, of.vouchedAt) > p.sent;
-                if (!alone(now) && !heardSince) {
-                    on(
+            } else if (probe.indirect && now - probe.sentAt > 3 * ackTimeout() + period / 2) {
+                probes.remove(probe.sequence);
+                localHealthPenalty =
+                        Math.min(
+                                MAX_LOCAL_HEALTH_PENALTY,
+                                localHealthPenalty + (isolated(now) ? 1 : 0));
+                boolean heardSince =
+                        Math.max(target.lastHeardAt, target.indirectlyHeardAt) > probe.sentAt;
+                if (!isolated(now) && !heardSince) {
+                    applyEvent(
                             now,
-                            of,
+                            target,
                             Event.UNANSWERED,
-                            of.is.with(MemberState.DOUBTED),
-                            "no answer, nor to " + HELPERS + " others");
+                            target.member.withState(MemberState.SUSPECT),
+                            "no answer, nor to " + INDIRECT_PROBERS + " others");
                 }
             }
         }
     }
 
     // ---- Probing.
-    private List<Peer> here() {
+    private List<Peer> alivePeers() {
         return peers.values().stream()
-                .filter(p -> p.is.standing() == MemberState.HERE && p.seed >= 0)
+                .filter(peer -> peer.member.state() == MemberState.ALIVE && peer.address >= 0)
                 .toList();
     }
 
-    private List<Peer> somebody(long now, int count, String but) {
+    private List<Peer> randomPeers(long now, int count, String but) {
         List<Peer> from =
-                new ArrayList<>(here().stream().filter(p -> !p.is.name().equals(but)).toList());
+                new ArrayList<>(
+                        alivePeers().stream()
+                                .filter(peer -> !peer.member.name().equals(but))
+                                .toList());
         List<Peer> some = new ArrayList<>();
         while (some.size() < count && !from.isEmpty()) {
-            some.add(from.remove(chance.nextInt(from.size())));
+            some.add(from.remove(random.nextInt(from.size())));
         }
         return some;
     }
@@ -428,28 +443,32 @@
             return;
         }
         periods++;
-        Peer target = next();
+        Peer target = nextProbeTarget();
         if (target != null) {
-            ping(now, target.is.name(), target.seed, null, 0);
+            ping(now, target.member.name(), target.address, null, 0);
         }
-        if (target == null || periods % LOST_PROBE == 0) {
+        if (target == null || periods % PERIODS_PER_RECONNECT_PROBE == 0) {
             // Addresses at which nobody is known to be, and those of who is gone, in turn by
             // chance.
-            List<Integer> silent = new ArrayList<>();
-            for (int s = 0; s < seeds; s++) {
-                Peer at = atSeed[s] == null ? null : peers.get(atSeed[s]);
-                if (at == null
-                        || at.is.standing() == MemberState.GONE
-                        || at.is.standing() == MemberState.LEFT) {
-                    silent.add(s);
+            List<Integer> unreachableAddresses = new ArrayList<>();
+            for (int address = 0; address < addresses; address++) {
+                Peer peer =
+                        nameByAddress[address] == null ? null : peers.get(nameByAddress[address]);
+                if (peer == null
+                        || peer.member.state() == MemberState.DEAD
+                        || peer.member.state() == MemberState.LEFT) {
+                    unreachableAddresses.add(address);
                 }
             }
-            for (int i = 0; i < (target == null ? 3 : 1) && !silent.isEmpty(); i++) {
-                int s = silent.remove(chance.nextInt(silent.size()));
+            for (int i = 0; i < (target == null ? 3 : 1) && !unreachableAddresses.isEmpty(); i++) {
+                int address =
+                        unreachableAddresses.remove(random.nextInt(unreachableAddresses.size()));
                 ping(
                         now,
-                        atSeed[s] == null || peers.get(atSeed[s]) == null ? null : atSeed[s],
-                        s,
+                        nameByAddress[address] == null || peers.get(nameByAddress[address]) == null
+                                ? null
+                                : nameByAddress[address],
+                        address,
                         null,
                         0);
             }
@@ -457,367 +476,418 @@
     }
 
     /** In turn through a shuffled order: each is probed within two rounds, whatever chance does. */
-    private Peer next() {
+    private Peer nextProbeTarget() {
         for (int round = 0; round < 2; round++) {
-            while (!order.isEmpty()) {
-                Peer p = peers.get(order.poll());
-                if (p != null
-                        && p.seed >= 0
-                        && (p.is.standing() == MemberState.HERE
-                                || p.is.standing() == MemberState.DOUBTED)) {
-                    return p;
+            while (!probeOrder.isEmpty()) {
+                Peer peer = peers.get(probeOrder.poll());
+                if (peer != null
+                        && peer.address >= 0
+                        && (peer.member.state() == MemberState.ALIVE
+                                || peer.member.state() == MemberState.SUSPECT)) {
+                    return peer;
                 }
             }
             List<String> names = new ArrayList<>(peers.keySet());
-            Collections.shuffle(names, new Random(chance.nextLong()));
-            order.addAll(names);
+            Collections.shuffle(names, new Random(random.nextLong()));
+            probeOrder.addAll(names);
         }
         return null;
     }
 
-    private void ping(long now, String target, int seed, String asker, long askerSeq) {
-        if (probes.size() >= MOST_PENDING) {
+    private void ping(
+            long now, String target, int address, String requester, long requesterSequence) {
+        if (probes.size() >= MAX_PENDING_PROBES) {
             return;
         }
-        Probe p = new Probe(++nextSeq, target, seed, now, asker, askerSeq);
+        Probe probe = new Probe(++lastSequence, target, address, now, requester, requesterSequence);
         Peer of = target == null ? null : peers.get(target);
         boolean judged =
                 of != null
-                        && (of.is.standing() == MemberState.HERE
-                                || of.is.standing() == MemberState.DOUBTED);
-        probes.put(p.seq, judged || asker != null ? p : new Probe(p.seq, null, seed, now, null, 0));
+                        && (of.member.state() == MemberState.ALIVE
+                                || of.member.state() == MemberState.SUSPECT);
+        probes.put(
+                probe.sequence,
+                judged || requester != null
+                        ? probe
+                        : new Probe(probe.sequence, null, address, now, null, 0));
         send(
                 now,
-                seed,
-                message(now, of, MembershipMessage.Kind.PING, p.seq, target == null ? "" : target));
+                address,
+                newMessage(
+                        now,
+                        of,
+                        MembershipMessage.Kind.PING,
+                        probe.sequence,
+                        target == null ? "" : target));
     }
 
     private void sync(long now) {
-        List<Peer> one = somebody(now, 1, null);
+        List<Peer> one = randomPeers(now, 1, null);
         if (!one.isEmpty()) {
-            tellAll(now, one.get(0), MembershipMessage.Kind.SYNC);
+            sendAllMembers(now, one.get(0), MembershipMessage.Kind.SYNC);
         }
     }
 
     /** All that is known, in as many datagrams as it takes. */
-    private void tellAll(long now, Peer to, MembershipMessage.Kind kind) {
-        List<Member> all = entries();
-        int room = codec.room(carrier.digest(now).length);
+    private void sendAllMembers(long now, Peer to, MembershipMessage.Kind kind) {
+        List<Member> all = members();
+        int room = codec.maxMembers(actions.outgoingDigest(now).length);
         for (int from = 0; from < all.size(); from += room) {
-            MembershipMessage m = message(now, to, kind, 0, "");
+            MembershipMessage message = newMessage(now, to, kind, 0, "");
             send(
                     now,
-                    to.seed,
+                    to.address,
                     new MembershipMessage(
-                            m.fleet(),
-                            m.from(),
-                            m.incarnation(),
-                            m.kind(),
-                            m.seq(),
-                            m.target(),
-                            m.view(),
-                            m.hash(),
-                            m.heardAgo(),
+                            message.fleet(),
+                            message.from(),
+                            message.incarnation(),
+                            message.kind(),
+                            message.sequence(),
+                            message.target(),
+                            message.viewNumber(),
+                            message.viewHash(),
+                            message.lastHeardAgo(),
                             false,
-                            m.lent(),
-                            m.unheard(),
+                            message.withdrawnGrants(),
+                            message.unheardMembers(),
                             all.subList(from, Math.min(all.size(), from + room)),
-                            m.digest()));
+                            message.digest()));
         }
     }
 
     // ---- Messages.
-    private MembershipMessage message(
-            long now, Peer to, MembershipMessage.Kind kind, long seq, String target) {
-        long ago = to == null || to.heardAt < 0 ? -1 : Math.max(0, now - to.heardAt);
-        byte[] digest = carrier.digest(now);
-        List<Member> told = new ArrayList<>(List.of(me));
-        if (to != null && to.is.standing() != MemberState.HERE) {
+    private MembershipMessage newMessage(
+            long now, Peer to, MembershipMessage.Kind kind, long sequence, String target) {
+        long ago = to == null || to.lastHeardAt < 0 ? -1 : Math.max(0, now - to.lastHeardAt);
+        byte[] digest = actions.outgoingDigest(now);
+        List<Member> told = new ArrayList<>(List.of(self));
+        if (to != null && to.member.state() != MemberState.ALIVE) {
             // Whoever is doubted is told so first: it can deny it in its next word.
-            told.add(to.is);
+            told.add(to.member);
         }
-        int most = (int) Math.ceil(TELLINGS * Math.log(peers.size() + 2.0) / Math.log(2));
-        int room = codec.room(digest.length) - told.size();
-        for (int i = 0; i < room && i < rumours.size() && !rumours.isEmpty(); i++) {
-            Rumour r = rumours.poll();
+        int most = (int) Math.ceil(GOSSIP_FACTOR * Math.log(peers.size() + 2.0) / Math.log(2));
+        int room = codec.maxMembers(digest.length) - told.size();
+        for (int i = 0; i < room && i < gossipQueue.size() && !gossipQueue.isEmpty(); i++) {
+            PendingGossip r = gossipQueue.poll();
             Peer of = peers.get(r.name);
-            Member entry = of == null ? me : of.is;
+            Member entry = of == null ? self : of.member;
             if (!told.contains(entry)) {
                 told.add(entry);
             }
-            if (++r.told < most) {
-                rumours.add(r);
+            if (++r.sentCount < most) {
+                gossipQueue.add(r);
             } else {
-                rumoured.remove(r.name, r);
+                gossipByMember.remove(r.name, r);
             }
         }
         boolean grants =
                 kind == MembershipMessage.Kind.ACK
                         && to != null
-                        && leases.grants(now, to.is.name());
+                        && leases.grantTo(now, to.member.name());
         return new MembershipMessage(
                 fleet,
-                me.name(),
-                me.incarnation(),
+                self.name(),
+                self.incarnation(),
                 kind,
-                seq,
+                sequence,
                 target,
                 view.number(),
                 view.hash(),
                 ago,
                 grants,
-                kind == MembershipMessage.Kind.ACK ? leases.lent(now) : List.of(),
-                unheard(now),
+                kind == MembershipMessage.Kind.ACK ? leases.withdrawGrants(now) : List.of(),
+                unheardMembers(now),
                 told,
                 digest);
     }
 
-    private List<String> unheard(long now) {
+    private List<String> unheardMembers(long now) {
         List<String> names = new ArrayList<>();
-        for (Peer p : peers.values()) {
-            if (p.is.standing() == MemberState.HERE
-                    && now - p.heardAt > UNHEARD
-                    && now - p.vouchedAt < UNHEARD
+        for (Peer peer : peers.values()) {
+            if (peer.member.state() == MemberState.ALIVE
+                    && now - peer.lastHeardAt > UNHEARD_AFTER
+                    && now - peer.indirectlyHeardAt < UNHEARD_AFTER
                     && names.size() < 8) {
-                names.add(p.is.name());
+                names.add(peer.member.name());
             }
         }
         return names;
     }
 
-    private void send(long now, int seed, MembershipMessage m) {
-        if (seed >= 0) {
-            carrier.send(seed, m.kind(), codec.write(m));
+    private void send(long now, int address, MembershipMessage message) {
+        if (address >= 0) {
+            actions.send(address, message.kind(), codec.encode(message));
         }
     }
 
-    private void rumour(String name) {
-        Rumour old = rumoured.remove(name);
+    private void gossip(String name) {
+        PendingGossip old = gossipByMember.remove(name);
         if (old != null) {
-            rumours.remove(old);
+            gossipQueue.remove(old);
         }
-        if (rumours.size() < MOST_RUMOURS) {
-            Rumour fresh = new Rumour(name);
-            rumours.addFirst(fresh);
-            rumoured.put(name, fresh);
+        if (gossipQueue.size() < MAX_PENDING_GOSSIP) {
+            PendingGossip fresh = new PendingGossip(name);
+            gossipQueue.addFirst(fresh);
+            gossipByMember.put(name, fresh);
         }
     }
 
-    private void refuse(String why) {
-        refused.merge(why, 1L, Long::sum);
+    private void reject(String reason) {
+        rejectedMessages.merge(reason, 1L, Long::sum);
     }
 
     /**
      * A datagram that came from the address at this place of the seeds; from any other, the carrier
      * drops it.
      */
-    public void received(long now, int seed, byte[] bytes) {
-        MembershipMessage m;
+    public void onDatagram(long now, int address, byte[] bytes) {
+        MembershipMessage message;
         try {
-            m = codec.read(bytes);
-        } catch (MessageCodec.Unusable fault) {
-            refuse(fault.getMessage());
+            message = codec.decode(bytes);
+        } catch (MessageCodec.MalformedMessageException fault) {
+            reject(fault.getMessage());
             return;
         }
-        if (!m.fleet().equals(fleet)) {
-            refuse("another fleet");
+        if (!message.fleet().equals(fleet)) {
+            reject("another fleet");
             return;
         }
-        if (m.from().equals(me.name())) {
-            refuse("our own name");
+        if (message.from().equals(self.name())) {
+            reject("our own name");
             return;
         }
-        Peer p = peers.get(m.from());
-        if (p != null && m.incarnation() < p.is.incarnation()) {
-            refuse("an older life");
-            if (now - p.heardAt > period && p.seed == seed && p.is.standing() != MemberState.LEFT) {
+        Peer peer = peers.get(message.from());
+        if (peer != null && message.incarnation() < peer.member.incarnation()) {
+            reject("an older life");
+            if (now - peer.lastHeardAt > period
+                    && peer.address == address
+                    && peer.member.state() != MemberState.LEFT) {
                 // A clock set back gives a restart an older life: it learns by this and goes
                 // beyond.
-                send(now, seed, message(now, p, MembershipMessage.Kind.VOUCH, 0, m.from()));
+                send(
+                        now,
+                        address,
+                        newMessage(
+                                now, peer, MembershipMessage.Kind.INDIRECT_ACK, 0, message.from()));
             }
             return;
         }
-        if (p != null
-                && p.seed >= 0
-                && p.seed != seed
-                && p.is.standing() == MemberState.HERE
-                && now - p.heardAt < UNHEARD) {
-            refuse("two of one name");
-            carrier.note(
-                    now, "doubled", m.from(), "two managers have this name; give each its own");
+        if (peer != null
+                && peer.address >= 0
+                && peer.address != address
+                && peer.member.state() == MemberState.ALIVE
+                && now - peer.lastHeardAt < UNHEARD_AFTER) {
+            reject("two of one name");
+            actions.logMemberEvent(
+                    now,
+                    "doubled",
+                    message.from(),
+                    "two managers have this name; give each its own");
             return;
         }
-        if (p == null) {
-            p = learn(now, new Member(m.from(), "", m.incarnation(), MemberState.HERE, "", 1));
-            if (p == null) {
+        if (peer == null) {
+            peer =
+                    addPeer(
+                            now,
+                            new Member(
+                                    message.from(),
+                                    "",
+                                    message.incarnation(),
+                                    MemberState.ALIVE,
+                                    "",
+                                    1));
+            if (peer == null) {
                 return;
             }
         }
-        boolean wasLost = p.is.standing() == MemberState.GONE;
-        p.seed = seed;
-        atSeed[seed] = m.from();
-        p.heardAt = now;
-        p.hearsUsAgo = m.heardAgo();
-        p.view = m.view();
-        p.hash = m.hash();
-        p.unheard = m.unheard();
-        m.entries().forEach(e -> told(now, e));
-        if (wasLost && p.is.standing() == MemberState.HERE) {
+        boolean wasDead = peer.member.state() == MemberState.DEAD;
+        peer.address = address;
+        nameByAddress[address] = message.from();
+        peer.lastHeardAt = now;
+        peer.lastHeardUsAgo = message.lastHeardAgo();
+        peer.viewNumber = message.viewNumber();
+        peer.viewHash = message.viewHash();
+        peer.unheardMembers = message.unheardMembers();
+        message.members().forEach(member -> applyGossip(now, member));
+        if (wasDead && peer.member.state() == MemberState.ALIVE) {
             // Two halves that were cut from each other meet: all that either knows is told at once.
-            tellAll(now, p, MembershipMessage.Kind.SYNC);
+            sendAllMembers(now, peer, MembershipMessage.Kind.SYNC);
         }
-        carrier.digested(now, m.from(), m.digest());
-        switch (m.kind()) {
+        actions.digestReceived(now, message.from(), message.digest());
+        switch (message.kind()) {
             case PING ->
-                    send(now, seed, message(now, p, MembershipMessage.Kind.ACK, m.seq(), m.from()));
-            case ACK -> acked(now, p, m);
-            case ASK -> {
-                Peer target = peers.get(m.target());
-                if (target != null && target.seed >= 0) {
-                    ping(now, m.target(), target.seed, m.from(), m.seq());
+                    send(
+                            now,
+                            address,
+                            newMessage(
+                                    now,
+                                    peer,
+                                    MembershipMessage.Kind.ACK,
+                                    message.sequence(),
+                                    message.from()));
+            case ACK -> onAck(now, peer, message);
+            case PING_REQUEST -> {
+                Peer target = peers.get(message.target());
+                if (target != null && target.address >= 0) {
+                    ping(now, message.target(), target.address, message.from(), message.sequence());
                 }
             }
-            case VOUCH -> {
-                Probe mine = probes.get(m.seq());
-                Peer target = peers.get(m.target());
-                if (mine != null && target != null && m.target().equals(mine.target)) {
-                    target.vouchedAt = now;
-                    probes.remove(m.seq());
+            case INDIRECT_ACK -> {
+                Probe mine = probes.get(message.sequence());
+                Peer target = peers.get(message.target());
+                if (mine != null && target != null && message.target().equals(mine.target)) {
+                    target.indirectlyHeardAt = now;
+                    probes.remove(message.sequence());
                 }
             }
-            case SYNC -> tellAll(now, p, MembershipMessage.Kind.SYNC_BACK);
-            case SYNC_BACK -> {}
+            case SYNC -> sendAllMembers(now, peer, MembershipMessage.Kind.SYNC_REPLY);
+            case SYNC_REPLY -> {}
         }
-        if (m.view() > view.number() && m.hash() == view.hash()) {
-            view = new MembershipView(m.view(), view.hash(), view.names());
+        if (message.viewNumber() > view.number() && message.viewHash() == view.hash()) {
+            view = new MembershipView(message.viewNumber(), view.hash(), view.memberNames());
         }
     }
 
-    private void acked(long now, Peer p, MembershipMessage m) {
-        Probe mine = probes.remove(m.seq());
+    private void onAck(long now, Peer peer, MembershipMessage message) {
+        Probe mine = probes.remove(message.sequence());
         if (mine == null) {
-            refuse("an answer to nothing");
+            reject("an answer to nothing");
             return;
         }
-        answeredAt = now;
-        strain = Math.max(0, strain - 1);
-        leases.answered(now, mine.sent, p.is.name(), m.grants(), m.lent());
-        Peer asker = mine.asker == null ? null : peers.get(mine.asker);
-        if (asker != null) {
+        lastResponseAt = now;
+        localHealthPenalty = Math.max(0, localHealthPenalty - 1);
+        leases.onResponse(
+                now,
+                mine.sentAt,
+                peer.member.name(),
+                message.grantsQuota(),
+                message.withdrawnGrants());
+        Peer requester = mine.requester == null ? null : peers.get(mine.requester);
+        if (requester != null) {
             send(
                     now,
-                    asker.seed,
-                    message(now, asker, MembershipMessage.Kind.VOUCH, mine.askerSeq, m.from()));
+                    requester.address,
+                    newMessage(
+                            now,
+                            requester,
+                            MembershipMessage.Kind.INDIRECT_ACK,
+                            mine.requesterSequence,
+                            message.from()));
         }
     }
 
     // ---- What is told of members.
-    private Peer learn(long now, Member e) {
-        if (peers.size() >= MOST_MEMBERS) {
-            refuse("too many members");
+    private Peer addPeer(long now, Member member) {
+        if (peers.size() >= MAX_MEMBERS) {
+            reject("too many members");
             return null;
         }
-        Peer p = new Peer();
-        p.is = e;
-        peers.put(e.name(), p);
-        if (e.standing() == MemberState.DOUBTED) {
-            doubt(now, p);
+        Peer peer = new Peer();
+        peer.member = member;
+        peers.put(member.name(), peer);
+        if (member.state() == MemberState.SUSPECT) {
+            startSuspicion(now, peer);
         }
-        rumour(e.name());
-        stirred(now);
-        carrier.note(
+        gossip(member.name());
+        noteChange(now);
+        actions.logMemberEvent(
                 now,
                 "joined",
-                e.name(),
-                "heard of, " + e.standing().name().toLowerCase(java.util.Locale.ROOT));
-        return p;
+                member.name(),
+                "heard of, " + member.state().name().toLowerCase(java.util.Locale.ROOT));
+        return peer;
     }
 
     /** Its time to deny begins, or begins anew. */
-    private void doubt(long now, Peer p) {
-        p.doubtedAt = now;
-        doubts.add(Map.entry(now + GONE_AFTER, p.is.name()));
+    private void startSuspicion(long now, Peer peer) {
+        peer.suspectedAt = now;
+        suspicions.add(Map.entry(now + SUSPICION_TIMEOUT, peer.member.name()));
     }
 
-    private void told(long now, Member e) {
-        if (e.name().equals(me.name())) {
-            boolean denies =
-                    e.standing() != MemberState.HERE
-                                    && e.incarnation() >= me.incarnation()
+    private void applyGossip(long now, Member member) {
+        if (member.name().equals(self.name())) {
+            boolean refutes =
+                    member.state() != MemberState.ALIVE
+                                    && member.incarnation() >= self.incarnation()
                                     && !leaving
-                            || e.incarnation() > me.incarnation();
-            if (denies && fault != Fault.DENIAL_IGNORED) {
-                me = me.with(e.incarnation() + 1, me.standing());
-                strain = Math.min(MOST_STRAIN, strain + 1);
-                rumour(me.name());
-                carrier.note(
+                            || member.incarnation() > self.incarnation();
+            if (refutes && defect != InjectedDefect.REFUTATION_IGNORED) {
+                self = self.withState(member.incarnation() + 1, self.state());
+                localHealthPenalty = Math.min(MAX_LOCAL_HEALTH_PENALTY, localHealthPenalty + 1);
+                gossip(self.name());
+                actions.logMemberEvent(
                         now,
                         "denied",
-                        me.name(),
-                        "was told to be " + e.standing().name().toLowerCase(java.util.Locale.ROOT));
+                        self.name(),
+                        "was told to be "
+                                + member.state().name().toLowerCase(java.util.Locale.ROOT));
             }
             return;
         }
-        Peer p = peers.get(e.name());
-        if (p == null) {
-            if (e.standing() == MemberState.HERE || e.standing() == MemberState.DOUBTED) {
-                learn(now, e);
+        Peer peer = peers.get(member.name());
+        if (peer == null) {
+            if (member.state() == MemberState.ALIVE || member.state() == MemberState.SUSPECT) {
+                addPeer(now, member);
             }
             return;
         }
-        if (!e.overrides(p.is) && fault != Fault.OLDER_LIFE_WINS) {
-            if (e.incarnation() == p.is.incarnation()
-                    && p.is.zone().isEmpty()
-                    && !e.zone().isEmpty()) {
-                p.is =
+        if (!member.overrides(peer.member) && defect != InjectedDefect.OLDER_INCARNATION_WINS) {
+            if (member.incarnation() == peer.member.incarnation()
+                    && peer.member.zone().isEmpty()
+                    && !member.zone().isEmpty()) {
+                peer.member =
                         new Member(
-                                e.name(),
-                                e.zone(),
-                                e.incarnation(),
-                                p.is.standing(),
-                                e.version(),
-                                e.weight());
+                                member.name(),
+                                member.zone(),
+                                member.incarnation(),
+                                peer.member.state(),
+                                member.version(),
+                                member.weight());
             }
             return;
         }
-        on(
+        applyEvent(
                 now,
-                p,
-                switch (e.standing()) {
-                    case HERE -> Event.NEWER_HERE;
-                    case DOUBTED -> Event.DOUBT_TOLD;
-                    case GONE -> Event.GONE_TOLD;
-                    case LEFT -> Event.LEFT_TOLD;
+                peer,
+                switch (member.state()) {
+                    case ALIVE -> Event.NEWER_ALIVE;
+                    case SUSPECT -> Event.SUSPECT_GOSSIP;
+                    case DEAD -> Event.DEAD_GOSSIP;
+                    case LEFT -> Event.LEFT_GOSSIP;
                 },
-                e,
+                member,
                 "told");
     }
 
-    private void on(long now, Peer p, Event event, Member e, String why) {
-        for (Row row : TABLE) {
-            if (row.state == p.is.standing() && row.event == event) {
-                MemberState before = p.is.standing();
-                p.is = e.with(row.next);
-                switch (row.effect) {
+    private void applyEvent(long now, Peer peer, Event event, Member member, String reason) {
+        for (Transition transition : TRANSITIONS) {
+            if (transition.state == peer.member.state() && transition.event == event) {
+                MemberState before = peer.member.state();
+                peer.member = member.withState(transition.next);
+                switch (transition.effect) {
                     case NONE -> {}
-                    case TELL -> rumour(e.name());
-                    case DOUBT -> {
-                        doubt(now, p);
-                        rumour(e.name());
+                    case GOSSIP -> gossip(member.name());
+                    case SUSPECT -> {
+                        startSuspicion(now, peer);
+                        gossip(member.name());
                     }
                     case RETURN -> {
-                        returned(now, p);
-                        rumour(e.name());
+                        recordReturn(now, peer);
+                        gossip(member.name());
                     }
                 }
-                if (before != row.next) {
-                    leases.silent(
+                if (before != transition.next) {
+                    leases.setUnreachable(
+                            now,
+                            member.name(),
+                            transition.next == MemberState.DEAD
+                                    || transition.next == MemberState.LEFT);
+                    noteChange(now);
+                    actions.logMemberEvent(
                             now,
-                            e.name(),
-                            row.next == MemberState.GONE || row.next == MemberState.LEFT);
-                    stirred(now);
-                    carrier.note(
-                            now, row.next.name().toLowerCase(java.util.Locale.ROOT), e.name(), why);
+                            transition.next.name().toLowerCase(java.util.Locale.ROOT),
+                            member.name(),
+                            reason);
                 }
                 return;
             }
@@ -825,41 +895,56 @@
     }
 
     /** Who comes and goes is held out of the view for longer each time; quiet time forgives. */
-    private void returned(long now, Peer p) {
-        p.flaps = p.flaps * Math.pow(0.5, (double) (now - p.flapsAt) / FLAP_FADE) + 1;
-        p.flapsAt = now;
-        if (p.flaps > FLAP_FREE && fault != Fault.HOLD_DOWN_OFF) {
-            p.outUntil =
+    private void recordReturn(long now, Peer peer) {
+        peer.recentReturns =
+                peer.recentReturns
+                                * Math.pow(
+                                        0.5, (double) (now - peer.lastReturnAt) / RETURNS_HALF_LIFE)
+                        + 1;
+        peer.lastReturnAt = now;
+        if (peer.recentReturns > FREE_RETURNS && defect != InjectedDefect.FLAP_DAMPING_OFF) {
+            peer.heldOutUntil =
                     now
                             + (long)
                                     Math.min(
-                                            FLAP_MOST,
-                                            FLAP_STEP
+                                            MAX_HOLD_DOWN,
+                                            FIRST_HOLD_DOWN
                                                     * Math.pow(
-                                                            2, Math.min(10, p.flaps - FLAP_FREE)));
+                                                            2,
+                                                            Math.min(
+                                                                    10,
+                                                                    peer.recentReturns
+                                                                            - FREE_RETURNS)));
         }
     }
 
     // ---- The view.
-    private void stirred(long now) {
+    private void noteChange(long now) {
         changedSince = changedSince < 0 ? now : changedSince;
         changedAt = now;
     }
 
-    private void settle(long now) {
-        boolean held = peers.values().stream().anyMatch(p -> p.outUntil > 0 && p.outUntil <= now);
-        if (held) {
-            peers.values().forEach(p -> p.outUntil = p.outUntil <= now ? 0 : p.outUntil);
-            stirred(now);
-        }
-        if (changedSince < 0 || now - changedAt < SETTLE && now - changedSince < SETTLE_MOST) {
+    private void updateView(long now) {
+        boolean holdDownEnded =
+                peers.values().stream()
+                        .anyMatch(peer -> peer.heldOutUntil > 0 && peer.heldOutUntil <= now);
+        if (holdDownEnded) {
+            peers.values()
+                    .forEach(
+                            peer ->
+                                    peer.heldOutUntil =
+                                            peer.heldOutUntil <= now ? 0 : peer.heldOutUntil);
+            noteChange(now);
+        }
+        if (changedSince < 0
+                || now - changedAt < VIEW_QUIET_TIME && now - changedSince < MAX_VIEW_DELAY) {
             return;
         }
         changedSince = -1;
-        List<String> names = new ArrayList<>(List.of(me.name()));
+        List<String> names = new ArrayList<>(List.of(self.name()));
         peers.forEach(
-                (name, p) -> {
-                    if (p.is.standing() == MemberState.HERE && p.outUntil <= now) {
+                (name, peer) -> {
+                    if (peer.member.state() == MemberState.ALIVE && peer.heldOutUntil <= now) {
                         names.add(name);
                     }
                 });
@@ -870,14 +955,14 @@
         }
         long highest =
                 peers.values().stream()
-                        .filter(p -> p.hash != hash)
-                        .mapToLong(p -> p.view)
+                        .filter(peer -> peer.viewHash != hash)
+                        .mapToLong(peer -> peer.viewNumber)
                         .max()
                         .orElse(0);
         long same =
                 peers.values().stream()
-                        .filter(p -> p.hash == hash)
-                        .mapToLong(p -> p.view)
+                        .filter(peer -> peer.viewHash == hash)
+                        .mapToLong(peer -> peer.viewNumber)
                         .max()
                         .orElse(0);
         view =
@@ -887,7 +972,7 @@
                                 : Math.max(view.number(), highest) + 1,
                         hash,
                         List.copyOf(names));
-        carrier.changed(now, view);
+        actions.viewChanged(now, view);
     }
 
     private static long hash(Collection<String> names) {
@@ -897,10 +982,18 @@
     /** SIGTERM: it says so, a few times over; nobody takes it for dead. */
     public void leave(long now) {
         leaving = true;
-        me = me.with(me.incarnation() + 1, MemberState.LEFT);
-        rumour(me.name());
-        for (Peer p : somebody(now, 2 * HELPERS, null)) {
-            send(now, p.seed, message(now, p, MembershipMessage.Kind.PING, ++nextSeq, p.is.name()));
+        self = self.withState(self.incarnation() + 1, MemberState.LEFT);
+        gossip(self.name());
+        for (Peer peer : randomPeers(now, 2 * INDIRECT_PROBERS, null)) {
+            send(
+                    now,
+                    peer.address,
+                    newMessage(
+                            now,
+                            peer,
+                            MembershipMessage.Kind.PING,
+                            ++lastSequence,
+                            peer.member.name()));
         }
     }
 }
--- a/src/main/java/firstage/membership/MessageCodec.java
+++ b/src/main/java/firstage/membership/MessageCodec.java
@@ -16,208 +16,204 @@
  */
 public final class MessageCodec {
     /** The most that goes into one datagram: under the least MTU of IPv6 with its heads. */
-    public static final int MOST = 1_200;
+    public static final int MAX_DATAGRAM_BYTES = 1_200;
 
     private static final int VERSION = 1;
-    private static final int HEAD = 200;
-    private static final int MOST_NAME = 64;
-    private static final int MOST_NAMES = 64;
-    private static final int MOST_ENTRIES = 64;
-    private static final int ENTRY = 48;
+    private static final int HEADER_BYTES = 200;
+    private static final int MAX_NAME_LENGTH = 64;
+    private static final int MAX_NAMES = 64;
+    private static final int MAX_MEMBERS = 64;
+    private static final int MEMBER_BYTES = 48;
     private final CBORFactory cbor = new CBORFactory();
-    private final int most;
+    private final int maxBytes;
 
-    /** {@code most}: bytes a datagram may hold. */
-    public MessageCodec(int most) {
-        this.most = most;
+    /** {@code maxBytes}: bytes a datagram may hold. */
+    public MessageCodec(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     /** What is wrong with a datagram. */
-    public static final class Unusable extends Exception {
+    public static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Unusable(String what) {
+        MalformedMessageException(String what) {
             super(what, null, false, false);
         }
     }
 
     /** How many entries like these go into one datagram beside the rest. */
-    public int room(int digest) {
-        return Math.max(1, (most - HEAD - digest) / ENTRY);
+    public int maxMembers(int digestBytes) {
+        return Math.max(1, (maxBytes - HEADER_BYTES - digestBytes) / MEMBER_BYTES);
     }
 
     /** The bytes, with as many entries as fit. */
-    public byte[] write(MembershipMessage m) {
-        for (int entries = Math.min(m.entries().size(), MOST_ENTRIES); ; entries--) {
-            byte[] bytes = write(m, entries);
-            if (bytes.length <= most || entries == 0) {
+    public byte[] encode(MembershipMessage message) {
+        for (int members = Math.min(message.members().size(), MAX_MEMBERS); ; members--) {
+            byte[] bytes = encode(message, members);
+            if (bytes.length <= maxBytes || members == 0) {
                 return bytes;
             }
         }
     }
 
-    private byte[] write(MembershipMessage m, int entries) {
+    private byte[] encode(MembershipMessage message, int members) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
-        try (JsonGenerator g = cbor.createGenerator(out)) {
-            g.writeStartArray();
-            g.writeNumber(VERSION);
-            g.writeString(m.fleet());
-            g.writeString(m.from());
-            g.writeNumber(m.incarnation());
-            g.writeNumber(m.kind().ordinal());
-            g.writeNumber(m.seq());
-            g.writeString(m.target());
-            g.writeNumber(m.view());
-            g.writeNumber(m.hash());
-            g.writeNumber(m.heardAgo());
-            g.writeBoolean(m.grants());
-            names(g, m.lent());
-            names(g, m.unheard());
-            g.writeStartArray();
-            for (Member e : m.entries().subList(0, entries)) {
-                g.writeStartArray();
-                g.writeString(e.name());
-                g.writeString(e.zone());
-                g.writeNumber(e.incarnation());
-                g.writeNumber(e.standing().ordinal());
-                g.writeString(e.version());
-                g.writeNumber((float) e.weight());
-                g.writeEndArray();
+        try (JsonGenerator generator = cbor.createGenerator(out)) {
+            generator.writeStartArray();
+            generator.writeNumber(VERSION);
+            generator.writeString(message.fleet());
+            generator.writeString(message.from());
+            generator.writeNumber(message.incarnation());
+            generator.writeNumber(message.kind().ordinal());
+            generator.writeNumber(message.sequence());
+            generator.writeString(message.target());
+            generator.writeNumber(message.viewNumber());
+            generator.writeNumber(message.viewHash());
+            generator.writeNumber(message.lastHeardAgo());
+            generator.writeBoolean(message.grantsQuota());
+            names(generator, message.withdrawnGrants());
+            names(generator, message.unheardMembers());
+            generator.writeStartArray();
+            for (Member member : message.members().subList(0, members)) {
+                generator.writeStartArray();
+                generator.writeString(member.name());
+                generator.writeString(member.zone());
+                generator.writeNumber(member.incarnation());
+                generator.writeNumber(member.state().ordinal());
+                generator.writeString(member.version());
+                generator.writeNumber((float) member.weight());
+                generator.writeEndArray();
             }
-            g.writeEndArray();
-            g.writeBinary(m.digest());
-            g.writeEndArray();
+            generator.writeEndArray();
+            generator.writeBinary(message.digest());
+            generator.writeEndArray();
         } catch (IOException fault) {
             throw new IllegalStateException("bytes in memory take all", fault);
         }
         return out.toByteArray();
     }
 
-    private static void names(JsonGenerator g, List<String> names) throws IOException {
-        g.writeStartArray();
-        for (String name : names.subList(0, Math.min(MOST_NAMES, names.size()))) {
-            g.writeString(name);
+    private static void names(JsonGenerator generator, List<String> names) throws IOException {
+        generator.writeStartArray();
+        for (String name : names.subList(0, Math.min(MAX_NAMES, names.size()))) {
+            generator.writeString(name);
         }
-        g.writeEndArray();
+        generator.writeEndArray();
     }
 
     /**
      * Reads it; whatever is not whole and in form is refused with its cause in two or three words.
      */
-    public MembershipMessage read(byte[] bytes) throws Unusable {
-        if (bytes.length > most) {
-            throw new Unusable("too long");
+    public MembershipMessage decode(byte[] bytes) throws MalformedMessageException {
+        if (bytes.length > maxBytes) {
+            throw new MalformedMessageException("too long");
         }
         try (JsonParser in = cbor.createParser(bytes)) {
-            need(in.nextToken() == JsonToken.START_ARRAY);
-            need(in.nextToken() == JsonToken.VALUE_NUMBER_INT);
+            require(in.nextToken() == JsonToken.START_ARRAY);
+            require(in.nextToken() == JsonToken.VALUE_NUMBER_INT);
             if (in.getIntValue() < VERSION) {
-                throw new Unusable("older form");
+                throw new MalformedMessageException("older form");
             }
-            String fleet = text(in);
-            String from = text(in);
-            long incarnation = whole(in);
-            int kind = (int) whole(in);
-            need(kind >= 0 && kind < MembershipMessage.Kind.values().length);
-            long seq = whole(in);
-            String target = text(in);
-            long view = whole(in);
-            long hash = whole(in);
-            long heardAgo = whole(in);
-            JsonToken grants = in.nextToken();
-            need(grants == JsonToken.VALUE_TRUE || grants == JsonToken.VALUE_FALSE);
-            List<String> lent = names(in);
-            List<String> unheard = names(in);
-            List<Member> entries = entries(in);
-            need(in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
+            String fleet = readText(in);
+            String from = readText(in);
+            long incarnation = readLong(in);
+            int kind = (int) readLong(in);
+            require(kind >= 0 && kind < MembershipMessage.Kind.values().length);
+            long sequence = readLong(in);
+            String target = readText(in);
+            long viewNumber = readLong(in);
+            long viewHash = readLong(in);
+            long lastHeardAgo = readLong(in);
+            JsonToken grantsQuota = in.nextToken();
+            require(grantsQuota == JsonToken.VALUE_TRUE || grantsQuota == JsonToken.VALUE_FALSE);
+            List<String> withdrawnGrants = names(in);
+            List<String> unheardMembers = names(in);
+            List<Member> members = readMembers(in);
+            require(in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
             byte[] digest = in.getBinaryValue();
             // What a newer form adds stands here; the array must end all the same.
             JsonToken more = in.nextToken();
             while (more != JsonToken.END_ARRAY) {
-                need(more != null);
+                require(more != null);
                 in.skipChildren();
                 more = in.nextToken();
             }
-            need(in.nextToken() == null && !from.isEmpty() && incarnation > 0);
+            require(in.nextToken() == null && !from.isEmpty() && incarnation > 0);
             return new MembershipMessage(
                     fleet,
                     from,
                     incarnation,
                     MembershipMessage.Kind.values()[kind],
-                    seq,
+                    sequence,
                     target,
-                    view,
-                    hash,
-                    heardAgo,
-                    grants == JsonToken.VALUE_TRUE,
-                    lent,
-                    unheard,
-                    entries,
+                    viewNumber,
+                    viewHash,
+                    lastHeardAgo,
+                    grantsQuota == JsonToken.VALUE_TRUE,
+                    withdrawnGrants,
+                    unheardMembers,
+                    members,
                     digest);
         } catch (IOException fault) {
-            throw new Unusable("spoilt");
+            throw new MalformedMessageException("spoilt");
         }
     }
 
-    private static void need(boolean holds) throws Unusable {
+    private static void require(boolean holds) throws MalformedMessageException {
         if (!holds) {
-            throw new Unusable("spoilt");
+            throw new MalformedMessageException("spoilt");
         }
     }
 
-    private static String text(JsonParser in) throws IOException, Unusable {
-        need(in.nextToken() == JsonToken.VALUE_STRING);
+    private static String readText(JsonParser in) throws IOException, MalformedMessageException {
+        require(in.nextToken() == JsonToken.VALUE_STRING);
         String text = in.getText();
-        need(text.length() <= MOST_NAME);
+        require(text.length() <= MAX_NAME_LENGTH);
         return text;
     }
 
-    private static long whole(JsonParser in) throws IOException, Unusable {
-        need(in.nextToken() == JsonToken.VALUE_NUMBER_INT);
+    private static long readLong(JsonParser in) throws IOException, MalformedMessageException {
+        require(in.nextToken() == JsonToken.VALUE_NUMBER_INT);
         return in.getLongValue();
     }
 
-    private static List<String> names(JsonParser in) throws IOException, Unusable {
-        need(in.nextToken() == JsonToken.START_ARRAY);
+    private static List<String> names(JsonParser in) throws IOException, MalformedMessageException {
+        require(in.nextToken() == JsonToken.START_ARRAY);
         List<String> names = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
-            need(
+            require(
                     in.currentToken() == JsonToken.VALUE_STRING
-                            && names.size() < MOST_NAMES
-                            && in.getText().length() <= MOST_NAME);
+                            && names.size() < MAX_NAMES
+                            && in.getText().length() <= MAX_NAME_LENGTH);
             names.add(in.getText());
         }
         return names;
     }
 
-    private static List<Member> entries(JsonParser in) throws IOException, Unusable {
-        need(in.nextToken() == JsonToken.START_ARRAY);
-        List<Member> entries = new ArrayList<>();
+    private static List<Member> readMembers(JsonParser in)
+            throws IOException, MalformedMessageException {
+        require(in.nextToken() == JsonToken.START_ARRAY);
+        List<Member> members = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
-            need(in.currentToken() == JsonToken.START_ARRAY && entries.size() < MOST_ENTRIES);
-            String name = text(in);
-            String zone = text(in);
-            long incarnation = whole(in);
-            int standing = (int) whole(in);
-            need(
-                    standing >= 0
-                            && standing < MemberState.values().length
+            require(in.currentToken() == JsonToken.START_ARRAY && members.size() < MAX_MEMBERS);
+            String name = readText(in);
+            String zone = readText(in);
+            long incarnation = readLong(in);
+            int state = (int) readLong(in);
+            require(
+                    state >= 0
+                            && state < MemberState.values().length
                             && !name.isEmpty()
                             && incarnation > 0);
-            String version = text(in);
-            need(in.nextToken().isNumeric());
+            String version = readText(in);
+            require(in.nextToken().isNumeric());
             double weight = in.getDoubleValue();
-            need(weight >= 0 && weight <= 1_000);
-            entries.add(
+            require(weight >= 0 && weight <= 1_000);
+            members.add(
                     new Member(
-                            name,
-                            zone,
-                            incarnation,
-                            MemberState.values()[standing],
-                            version,
-                            weight));
-            need(in.nextToken() == JsonToken.END_ARRAY);
+                            name, zone, incarnation, MemberState.values()[state], version, weight));
+            require(in.nextToken() == JsonToken.END_ARRAY);
         }
-        return entries;
+        return members;
     }
 }
--- a/src/main/java/firstage/membership/QuotaLeases.java
+++ b/src/main/java/firstage/membership/QuotaLeases.java
@@ -21,149 +21,168 @@
  */
 public final class QuotaLeases {
     /** Of a manager's share that is its own for good: cut off from all, it still serves half. */
-    static final double FLOOR = 0.5;
+    static final double GUARANTEED_FRACTION = 0.5;
 
     /**
      * The least time that a word lasts: many probe rounds of a small fleet, so that loss alone
      * seldom ends it.
      */
-    private static final long LEAST = 30_000;
+    private static final long MIN_GRANT_DURATION = 30_000;
 
     /** Rounds in which each is asked once: a word lasts so many. */
-    private static final double ROUNDS = 1.5;
+    private static final double GRANT_PROBE_ROUNDS = 1.5;
 
     /**
      * Clocks run alike to a twentieth; the rest is for what is between looking at a clock and
      * acting.
      */
-    private static final double BETWEEN = 1.05;
+    private static final double CLOCK_DRIFT_FACTOR = 1.05;
 
-    private static final long MARGIN = 1_500;
-    private static final long LONG_AGO = Long.MIN_VALUE / 4;
-
-    /**
-     * Stores that this manager is about to withdraw words, so that its next life waits before it
-     * gives any.
-     */
-    public interface Keeper {
-        /** To be answered by {@link #kept} once it is on the disk. */
-        void keep();
-    }
+    private static final long WAIT_MARGIN = 1_500;
+    private static final long NEVER = Long.MIN_VALUE / 4;
 
     /** Faults put back one at a time. */
-    public enum Fault {
+    public enum InjectedDefect {
         NONE,
-        TOO_EARLY,
-        FORGETS_ITS_LIFE_BEFORE,
-        MINORITY_TAKES,
-        FROM_THE_ANSWER
+        NO_WITHDRAWAL_WAIT,
+        PREVIOUS_INCARNATION_FORGOTTEN,
+        MINORITY_SUFFICES,
+        GRANT_TIMED_FROM_RESPONSE
     }
 
     /** How this manager holds another. */
-    private static final class Held {
-        private boolean silent;
-        private long givenAt = LONG_AGO;
-        private long withdrawnAt = LONG_AGO;
+    private static final class PeerGrant {
+        private boolean unreachable;
+        private long grantedAt = NEVER;
+        private long withdrawnAt = NEVER;
     }
 
-    private final int all;
-    private final double part;
+    private final int managers;
+    private final double fullShare;
     private final int majority;
-    private final int enough;
-    private final long lasts;
-    private final long wait;
-    private final Fault fault;
-    private final Keeper keeper;
-    private final Map<String, Held> held = new HashMap<>();
+    private final int quorum;
+    private final long grantDuration;
+    private final long withdrawalWait;
+    private final InjectedDefect defect;
+    private final LeaseActions actions;
+    private final Map<String, PeerGrant> peers = new HashMap<>();
 
     /** Until when each one's word to this manager counts. */
-    private final Map<String, Long> words = new HashMap<>();
+    private final Map<String, Long> grantExpiries = new HashMap<>();
 
     /** By member, who withdrew its word from it, and until when that counts. */
-    private final Map<String, Map<String, Long>> withdrawn = new HashMap<>();
+    private final Map<String, Map<String, Long>> withdrawalExpiries = new HashMap<>();
 
-    private final boolean lentBefore;
+    private final boolean mayHaveWithdrawnBefore;
     private long startedAt = -1;
-    private boolean asked;
-    private boolean kept;
+    private boolean storeRequested;
+    private boolean onWithdrawalMarkStored;
     private double share = -1;
     private long shareUntil;
 
     /**
-     * {@code all}: how many managers there are by the settings; {@code period} between two probes
-     * of one manager; {@code lentBefore}: the life before may have withdrawn words.
+     * {@code managers}: how many managers there are by the settings; {@code period} between two
+     * probes of one manager; {@code mayHaveWithdrawnBefore}: the life before may have withdrawn
+     * words.
      */
-    public QuotaLeases(int all, long period, boolean lentBefore, Keeper keeper, Fault fault) {
-        this(all, 1.0 / Math.max(1, all), period, lentBefore, keeper, fault);
+    public QuotaLeases(
+            int managers,
+            long period,
+            boolean mayHaveWithdrawnBefore,
+            LeaseActions actions,
+            InjectedDefect defect) {
+        this(
+                managers,
+                1.0 / Math.max(1, managers),
+                period,
+                mayHaveWithdrawnBefore,
+                actions,
+                defect);
     }
 
     /**
-     * In a fleet of cells: {@code all} in this manager's cell, {@code part} of each engine that is
-     * its own. Words are among those of a cell only, so their length and their majority do not grow
-     * with the fleet.
+     * In a fleet of cells: {@code managers} in this manager's cell, {@code fullShare} of each
+     * engine that is its own. Words are among those of a cell only, so their length and their
+     * majority do not grow with the fleet.
      */
     public QuotaLeases(
-            int all, double part, long period, boolean lentBefore, Keeper keeper, Fault fault) {
-        this.all = Math.max(1, all);
-        this.part = part;
-        this.lentBefore = lentBefore && fault != Fault.FORGETS_ITS_LIFE_BEFORE;
-        this.keeper = keeper;
-        this.fault = fault;
-        majority = this.all / 2 + 1;
-        enough = this.all - majority + 1;
-        lasts = Math.max(LEAST, (long) (ROUNDS * this.all * period));
-        wait = fault == Fault.TOO_EARLY ? 0 : (long) (lasts * BETWEEN) + MARGIN;
+            int managers,
+            double fullShare,
+            long period,
+            boolean mayHaveWithdrawnBefore,
+            LeaseActions actions,
+            InjectedDefect defect) {
+        this.managers = Math.max(1, managers);
+        this.fullShare = fullShare;
+        this.mayHaveWithdrawnBefore =
+                mayHaveWithdrawnBefore && defect != InjectedDefect.PREVIOUS_INCARNATION_FORGOTTEN;
+        this.actions = actions;
+        this.defect = defect;
+        majority = this.managers / 2 + 1;
+        quorum = this.managers - majority + 1;
+        grantDuration =
+                Math.max(MIN_GRANT_DURATION, (long) (GRANT_PROBE_ROUNDS * this.managers * period));
+        withdrawalWait =
+                defect == InjectedDefect.NO_WITHDRAWAL_WAIT
+                        ? 0
+                        : (long) (grantDuration * CLOCK_DRIFT_FACTOR) + WAIT_MARGIN;
     }
 
-    private void begin(long now) {
+    private void recordStart(long now) {
         startedAt = startedAt < 0 ? now : startedAt;
     }
 
     /**
      * Whether so long after its start it may do what its life before may have done the opposite of.
      */
-    private boolean settled(long now) {
-        return now - startedAt > wait || fault == Fault.FORGETS_ITS_LIFE_BEFORE;
+    private boolean pastStartupWait(long now) {
+        return now - startedAt > withdrawalWait
+                || defect == InjectedDefect.PREVIOUS_INCARNATION_FORGOTTEN;
     }
 
-    private Held of(String name) {
-        return held.computeIfAbsent(name, n -> new Held());
+    private PeerGrant peer(String name) {
+        return peers.computeIfAbsent(name, n -> new PeerGrant());
     }
 
     /** The membership's word on another: gone or left, or here. */
-    public void silent(long now, String name, boolean is) {
-        begin(now);
-        of(name).silent = is;
+    public void setUnreachable(long now, String name, boolean unreachable) {
+        recordStart(now);
+        peer(name).unreachable = unreachable;
         share = -1;
     }
 
-    /** What {@link Keeper#keep} was asked for is done. */
-    public void kept() {
-        kept = true;
+    /** What {@link LeaseActions#storeWithdrawalMark} was asked for is done. */
+    public void onWithdrawalMarkStored() {
+        onWithdrawalMarkStored = true;
     }
 
     /** Whether an answer to this member carries this manager's word; asked for each answer. */
-    boolean grants(long now, String name) {
-        begin(now);
-        Held h = of(name);
-        boolean gives = !h.silent && now - h.withdrawnAt > wait && (!lentBefore || settled(now));
-        h.givenAt = gives ? now : h.givenAt;
+    boolean grantTo(long now, String name) {
+        recordStart(now);
+        PeerGrant peer = peer(name);
+        boolean gives =
+                !peer.unreachable
+                        && now - peer.withdrawnAt > withdrawalWait
+                        && (!mayHaveWithdrawnBefore || pastStartupWait(now));
+        peer.grantedAt = gives ? now : peer.grantedAt;
         return gives;
     }
 
     /** Whom this manager's word is withdrawn from; told with each answer. */
-    List<String> lent(long now) {
-        begin(now);
+    List<String> withdrawGrants(long now) {
+        recordStart(now);
         List<String> names = new ArrayList<>();
-        held.forEach(
-                (name, h) -> {
-                    if (h.silent && now - h.givenAt > wait && settled(now)) {
-                        if (!asked) {
-                            asked = true;
-                            keeper.keep();
+        peers.forEach(
+                (name, peer) -> {
+                    if (peer.unreachable
+                            && now - peer.grantedAt > withdrawalWait
+                            && pastStartupWait(now)) {
+                        if (!storeRequested) {
+                            storeRequested = true;
+                            actions.storeWithdrawalMark();
                         }
-                        if (kept) {
-                            h.withdrawnAt = now;
+                        if (onWithdrawalMarkStored) {
+                            peer.withdrawnAt = now;
                             names.add(name);
                         }
                     }
@@ -171,14 +190,19 @@
         return names;
     }
 
-    /** An answer that came at {@code now} to what was asked at {@code asked}. */
-    void answered(long now, long asked, String from, boolean grants, List<String> lent) {
-        long until = (fault == Fault.FROM_THE_ANSWER ? now : asked) + lasts;
+    /** An answer that came at {@code now} to what was asked at {@code storeRequested}. */
+    void onResponse(
+            long now, long requestedAt, String from, boolean grants, List<String> withdrawnGrants) {
+        long until =
+                (defect == InjectedDefect.GRANT_TIMED_FROM_RESPONSE ? now : requestedAt)
+                        + grantDuration;
         if (grants) {
-            words.merge(from, until, Math::max);
+            grantExpiries.merge(from, until, Math::max);
         }
-        for (String name : lent) {
-            withdrawn.computeIfAbsent(name, n -> new HashMap<>()).merge(from, until, Math::max);
+        for (String name : withdrawnGrants) {
+            withdrawalExpiries
+                    .computeIfAbsent(name, n -> new HashMap<>())
+                    .merge(from, until, Math::max);
         }
         share = -1;
     }
@@ -186,35 +210,38 @@
     /** The part of each engine that this manager may use at this moment. */
     public double share(long now) {
         if (share < 0 || now >= shareUntil) {
-            reckon(now);
+            recompute(now);
         }
         return share;
     }
 
-    private void reckon(long now) {
+    private void recompute(long now) {
         shareUntil = Long.MAX_VALUE;
-        words.values().removeIf(until -> until <= now);
-        words.values().forEach(until -> shareUntil = Math.min(shareUntil, until));
-        double base = part;
+        grantExpiries.values().removeIf(until -> until <= now);
+        grantExpiries.values().forEach(until -> shareUntil = Math.min(shareUntil, until));
+        double base = fullShare;
         // Its own word counts for itself, and is never withdrawn.
-        boolean whole = words.size() + 1 >= enough;
-        share = base * (whole ? 1 : FLOOR);
-        if (whole) {
-            withdrawn.forEach(
+        boolean fullShareGranted = grantExpiries.size() + 1 >= quorum;
+        share = base * (fullShareGranted ? 1 : GUARANTEED_FRACTION);
+        if (fullShareGranted) {
+            withdrawalExpiries.forEach(
                     (name, by) -> {
                         by.values().removeIf(until -> until <= now);
                         by.values().forEach(until -> shareUntil = Math.min(shareUntil, until));
-                        Held mine = held.get(name);
-                        boolean own = mine != null && mine.silent && now - mine.withdrawnAt < lasts;
-                        if (own) {
-                            shareUntil = Math.min(shareUntil, mine.withdrawnAt + lasts);
+                        PeerGrant mine = peers.get(name);
+                        boolean withdrawnByThisManager =
+                                mine != null
+                                        && mine.unreachable
+                                        && now - mine.withdrawnAt < grantDuration;
+                        if (withdrawnByThisManager) {
+                            shareUntil = Math.min(shareUntil, mine.withdrawnAt + grantDuration);
                         }
-                        if (by.size() + (own ? 1 : 0)
-                                >= (fault == Fault.MINORITY_TAKES ? 1 : majority)) {
-                            share += base * (1 - FLOOR) / (all - 1);
+                        if (by.size() + (withdrawnByThisManager ? 1 : 0)
+                                >= (defect == InjectedDefect.MINORITY_SUFFICES ? 1 : majority)) {
+                            share += base * (1 - GUARANTEED_FRACTION) / (managers - 1);
                         }
                     });
-            withdrawn.values().removeIf(Map::isEmpty);
+            withdrawalExpiries.values().removeIf(Map::isEmpty);
         }
     }
 }
--- a/src/main/java/firstage/overload/BroadcastLoadShedding.java
+++ b/src/main/java/firstage/overload/BroadcastLoadShedding.java
@@ -12,62 +12,68 @@
  */
 public final class BroadcastLoadShedding {
     /** Between two looks. */
-    public static final long LOOK = 1_000;
+    public static final long EVALUATION_INTERVAL = 1_000;
 
-    private static final long TELL =
+    private static final long SEND_INTERVAL =
             2_500; // a cut that is a quarter of a second old; half of it would tell no more
-    private static final long HERE =
+    private static final long PEER_TIMEOUT =
             30_000; // a manager that told nothing so long is taken to be gone
-    private static final double STIR =
+    private static final double MIN_LOAD =
             0.4; // of what engines bear: under it all is open whatever the others tell
-    private final int me;
+    private final int self;
     private final LoadSheddingLevel level;
-    private final Map<Integer, Long> heardAt = new HashMap<>();
-    private long toldAt = Long.MIN_VALUE / 4;
-    private int here = -1;
+    private final Map<Integer, Long> lastHeardAt = new HashMap<>();
+    private long sentAt = Long.MIN_VALUE / 4;
+    private int alivePeers = -1;
 
-    /** {@code me}: its number among the managers; {@code goal}: the shortest of a service group. */
-    public BroadcastLoadShedding(int me, long goal, LoadSheddingLevel.Effects effects) {
-        this.me = me;
+    /**
+     * {@code self}: its number among the managers; {@code goal}: the shortest of a service group.
+     */
+    public BroadcastLoadShedding(int self, long latencyObjective, SheddingActions actions) {
+        this.self = self;
         level =
                 new LoadSheddingLevel(
-                        String.valueOf(me), goal, effects, LoadSheddingLevel.Fault.NONE);
+                        String.valueOf(self),
+                        latencyObjective,
+                        actions,
+                        LoadSheddingLevel.InjectedDefect.NONE);
     }
 
     /**
-     * Works out the cut, to be called each {@link #LOOK}; what all are to be told now, empty for
-     * nothing.
+     * Works out the cut, to be called each {@link #EVALUATION_INTERVAL}; what all are to be told
+     * now, empty for nothing.
      */
-    public byte[] look(long now, DemandHistogram demand) {
-        heardAt.values().removeIf(at -> now - at >= HERE);
-        if (heardAt.size() != here) {
-            viewed();
+    public byte[] evaluate(long now, DemandHistogram demand) {
+        lastHeardAt.values().removeIf(at -> now - at >= PEER_TIMEOUT);
+        if (lastHeardAt.size() != alivePeers) {
+            updateView();
         }
         level.measure(now, demand);
-        level.look(now);
-        boolean stirs =
-                demand.runningThreads() > STIR * demand.threadCapacity() / (heardAt.size() + 1)
+        level.evaluate(now);
+        boolean loaded =
+                demand.runningThreads()
+                                > MIN_LOAD * demand.threadCapacity() / (lastHeardAt.size() + 1)
                         || demand.waitingWork() > 0;
-        if (!stirs || now - toldAt < TELL) {
+        if (!loaded || now - sentAt < SEND_INTERVAL) {
             return new byte[0];
         }
-        toldAt = now;
-        return OverloadDigest.write(List.of(), level.rows(now, 1));
+        sentAt = now;
+        return OverloadDigest.encode(List.of(), level.rowsToSend(now, 1));
     }
 
-    private void viewed() {
-        here = heardAt.size();
-        List<String> names = new ArrayList<>(List.of(String.valueOf(me)));
-        heardAt.keySet().forEach(by -> names.add(String.valueOf(by)));
-        level.viewed(names);
+    private void updateView() {
+        alivePeers = lastHeardAt.size();
+        List<String> names = new ArrayList<>(List.of(String.valueOf(self)));
+        lastHeardAt.keySet().forEach(by -> names.add(String.valueOf(by)));
+        level.onViewChanged(names);
     }
 
     /** Another told all; what can't be read says nothing. */
-    public void heard(long now, int by, byte[] words) {
-        heardAt.put(by, now);
-        if (heardAt.size() != here) {
-            viewed();
+    public void onMessage(long now, int manager, byte[] digest) {
+        lastHeardAt.put(manager, now);
+        if (lastHeardAt.size() != alivePeers) {
+            updateView();
         }
-        level.heard(now, OverloadDigest.read(words).rows());
+        level.onRows(now, OverloadDigest.decode(digest).rows());
     }
 }
