--- a/src/main/java/firstage/overload/LoadSheddingLevel.java
+++ b/src/main/java/firstage/overload/LoadSheddingLevel.java
@@ -31,45 +31,40 @@
  * second.
  */
 public final class LoadSheddingLevel {
-    private static final double SMOOTH =
+    private static final double SMOOTHING_TIME =
             3_000; // of rates: a storm shows in its first second, a lone report does not
-    private static final long FRESH =
+    private static final long ROW_LIFETIME =
             30_000; // a row counts: some rounds of a small fleet, fewer than a restart takes
-    private static final double WAIT =
+    private static final double MAX_WAIT_FRACTION =
             0.5; // of the shortest goal may be spent waiting: the rest is run and chance
-    private static final double LOST =
+    private static final double SHED_WORK_WEIGHT =
             1; // second of what the queue gave up counts as waiting: it would have been
-    private static final double DRAIN = 2; // seconds in which what waits too long is to be gone
-    private static final double GROW =
+    private static final double DRAIN_TIME_S =
+            2; // seconds in which what waits too long is to be gone
+    private static final double MAX_GROWTH =
             2; // times what is sent that may come beside it while nothing waits
-    private static final double DROP =
+    private static final double MAX_REDUCTION =
             0.5; // of what is sent at most held back: what runs ends by itself
-    private static final double BUSY =
+    private static final double BUSY_THRESHOLD =
             0.8; // of the threads that engines bear: the first long ones are in by then
-    private static final double BY_BUSY =
+    private static final double REDUCTION_PER_BUSY =
             1.5; // of what is sent held back for each whole of it beyond that
-    private static final double OUTSIZED =
+    private static final double MAX_ROW_WEIGHT =
             4; // times the others' mean that one row counts for: a skewed fleet's most
     private static final double TENTHS = 10_000;
-    private static final long STAMP =
+    private static final long TIMESTAMP_UNIT =
             100; // what is told is dated in steps of 10 ms: 32 bits are a year and more
 
-    /** What is decided. */
-    public interface Effects {
-        /** Batches of a lower band are refused, and of this band all but this part. */
-        void cut(long now, int band, double part);
-    }
-
     /**
      * Up to so many members each message tells all rows; beyond, rows go by turns and cost the same
      * for any size.
      */
-    private static final int ALL_AT_ONCE = 24;
+    private static final int MAX_VIEW_FOR_ALL_ROWS = 24;
 
-    private static final int BY_TURNS = 6;
+    private static final int ROWS_BY_TURNS = 6;
 
     /** Faults put back one at a time. */
-    public enum Fault {
+    public enum InjectedDefect {
         NONE,
         NO_PEERS,
         NEVER_OLD,
@@ -79,185 +74,198 @@
         NO_WAY_BACK
     }
 
-    /**
-     * What one manager tells of itself. {@code name}: a hash; {@code stamp}: of its own clock, the
-     * later is the newer; {@code came} by band, {@code sent}: rates; {@code waits}: seconds of
-     * work; {@code runs}: threads; {@code zone}: its own; {@code bad}: by zone, per cent of its
-     * engines that it holds closed; {@code orders}: what operators want of zones ({@link
-     * firstage.failover.ZoneFailover}).
-     */
-    public record Row(
-            int name,
-            int stamp,
-            double[] came,
-            double sent,
-            double waits,
-            double runs,
-            int zone,
-            int[] bad,
-            int[] orders) {}
-
-    private record Told(Row row, long at) {}
+    private record ReceivedRow(LoadRow row, long receivedAt) {}
 
-    private final int me;
-    private final double target;
-    private final Effects effects;
-    private final Fault fault;
-    private final Map<Integer, Told> told = new HashMap<>();
-    private final double[] cameBefore = new double[DemandHistogram.BANDS];
-    private final double[] came = new double[DemandHistogram.BANDS];
-    private double sentBefore;
-    private double lostBefore;
-    private double sent;
-    private double lost;
-    private double waits;
-    private double runs;
-    private double bears;
+    private final int self;
+    private final double targetDelayS;
+    private final SheddingActions actions;
+    private final InjectedDefect defect;
+    private final Map<Integer, ReceivedRow> rowsByManager = new HashMap<>();
+    private final double[] previousArrivedWork = new double[DemandHistogram.BANDS];
+    private final double[] arrivalRates = new double[DemandHistogram.BANDS];
+    private double previousStartedWork;
+    private double previousShedWork;
+    private double startRate;
+    private double shedRate;
+    private double queuedWork;
+    private double runningThreads;
+    private double threadCapacity;
     private long measuredAt = -1;
     private Set<Integer> view = Set.of();
-    private int turn;
-    private int zone;
-    private int[] bad = new int[0];
-    private int[] orders = new int[0];
-    private int cut;
-    private double part = 1;
+    private int nextRow;
+    private int ownZone;
+    private int[] ejectedPercent = new int[0];
+    private int[] zoneOrders = new int[0];
+    private int threshold;
+    private double admittedPart = 1;
 
     /** {@code goal}: the shortest response goal of a service group. */
-    public LoadSheddingLevel(String me, long goal, Effects effects, Fault fault) {
-        this.me = id(me);
-        this.target = goal / TENTHS * WAIT;
-        this.effects = effects;
-        this.fault = fault;
+    public LoadSheddingLevel(
+            String self, long latencyObjective, SheddingActions actions, InjectedDefect defect) {
+        this.self = managerHash(self);
+        this.targetDelayS = latencyObjective / TENTHS * MAX_WAIT_FRACTION;
+        this.actions = actions;
+        this.defect = defect;
     }
 
     /**
      * A moment as it is told: the later is the greater by difference, for half of a year and more.
      */
-    public static int stamp(long now) {
-        return (int) (now / STAMP);
+    public static int timestamp(long now) {
+        return (int) (now / TIMESTAMP_UNIT);
     }
 
-    static int id(String name) {
+    static int managerHash(String name) {
         return (int) LongHashFunction.xx3().hashChars(name);
     }
 
     /** Who is here. */
-    public void viewed(List<String> names) {
-        view = new HashSet<>(names.stream().map(LoadSheddingLevel::id).toList());
-        told.keySet().retainAll(view);
+    public void onViewChanged(List<String> names) {
+        view = new HashSet<>(names.stream().map(LoadSheddingLevel::managerHash).toList());
+        rowsByManager.keySet().retainAll(view);
     }
 
     /** Rows that another tells, its own and such as it was told. */
-    public void heard(long now, List<Row> rows) {
-        for (Row r : rows) {
-            Told before = told.get(r.name);
+    public void onRows(long now, List<LoadRow> rows) {
+        for (LoadRow row : rows) {
+            ReceivedRow before = rowsByManager.get(row.managerHash());
             boolean newer =
-                    before == null || r.stamp - before.row.stamp > 0 || fault == Fault.OLDER_WINS;
-            if (r.name != me && view.contains(r.name) && newer) {
-                told.put(r.name, new Told(r, now));
+                    before == null
+                            || row.timestamp() - before.row.timestamp() > 0
+                            || defect == InjectedDefect.OLDER_WINS;
+            if (row.managerHash() != self && view.contains(row.managerHash()) && newer) {
+                rowsByManager.put(row.managerHash(), new ReceivedRow(row, now));
             }
         }
     }
 
-    private boolean isFresh(long now, Told t) {
-        return now - t.at < FRESH || fault == Fault.NEVER_OLD;
+    private boolean isFresh(long now, ReceivedRow received) {
+        return now - received.receivedAt < ROW_LIFETIME || defect == InjectedDefect.NEVER_OLD;
     }
 
     /**
      * What this manager tells: its own row first, then those it was told, by turns where there is
      * no room for all.
      */
-    public List<Row> rows(long now, int room) {
-        int most = view.size() > ALL_AT_ONCE ? Math.min(room, BY_TURNS) : room;
-        List<Row> others = others(now);
-        List<Row> rows = new ArrayList<>(List.of(mine(now)));
+    public List<LoadRow> rowsToSend(long now, int maxRows) {
+        int most = view.size() > MAX_VIEW_FOR_ALL_ROWS ? Math.min(maxRows, ROWS_BY_TURNS) : maxRows;
+        List<LoadRow> others = freshPeerRows(now);
+        List<LoadRow> rows = new ArrayList<>(List.of(localRow(now)));
         for (int i = 0; i < others.size() && rows.size() < most; i++) {
-            rows.add(others.get((turn + i) % others.size()));
+            rows.add(others.get((nextRow + i) % others.size()));
         }
-        turn = others.isEmpty() ? 0 : (turn + rows.size() - 1) % others.size();
+        nextRow = others.isEmpty() ? 0 : (nextRow + rows.size() - 1) % others.size();
         return rows;
     }
 
-    private List<Row> others(long now) {
-        return told.values().stream().filter(t -> isFresh(now, t)).map(Told::row).toList();
+    private List<LoadRow> freshPeerRows(long now) {
+        return rowsByManager.values().stream()
+                .filter(received -> isFresh(now, received))
+                .map(ReceivedRow::row)
+                .toList();
     }
 
-    private Row mine(long now) {
-        return new Row(me, stamp(now), came.clone(), sent, waits, runs, zone, bad, orders);
+    private LoadRow localRow(long now) {
+        return new LoadRow(
+                self,
+                timestamp(now),
+                arrivalRates.clone(),
+                startRate,
+                queuedWork,
+                runningThreads,
+                ownZone,
+                ejectedPercent,
+                zoneOrders);
     }
 
     /** What this manager's own decisions count, to be told each tenth of a second or so. */
-    public void measure(long now, DemandHistogram d) {
-        double[] all = d.arrivedWork();
+    public void measure(long now, DemandHistogram demand) {
+        double[] arrivedWork = demand.arrivedWork();
         if (measuredAt >= 0 && now > measuredAt) {
-            double time = now - measuredAt;
-            double by = 1 - Math.exp(-time / SMOOTH);
-            for (int i = 0; i < all.length; i++) {
-                came[i] += ((all[i] - cameBefore[i]) / time - came[i]) * by;
+            double elapsed = now - measuredAt;
+            double weight = 1 - Math.exp(-elapsed / SMOOTHING_TIME);
+            for (int i = 0; i < arrivedWork.length; i++) {
+                arrivalRates[i] +=
+                        ((arrivedWork[i] - previousArrivedWork[i]) / elapsed - arrivalRates[i])
+                                * weight;
             }
-            sent += ((d.startedWork() - sentBefore) / time - sent) * by;
-            lost += ((d.shedWork() - lostBefore) / time - lost) * by;
-            waits += (d.waitingWork() / TENTHS + lost * LOST - waits) * by;
-            runs += (d.runningThreads() - runs) * by;
+            startRate +=
+                    ((demand.startedWork() - previousStartedWork) / elapsed - startRate) * weight;
+            shedRate += ((demand.shedWork() - previousShedWork) / elapsed - shedRate) * weight;
+            queuedWork +=
+                    (demand.waitingWork() / TENTHS + shedRate * SHED_WORK_WEIGHT - queuedWork)
+                            * weight;
+            runningThreads += (demand.runningThreads() - runningThreads) * weight;
         }
-        bears = d.threadCapacity();
+        threadCapacity = demand.threadCapacity();
         measuredAt = now;
-        System.arraycopy(all, 0, cameBefore, 0, all.length);
-        sentBefore = d.startedWork();
-        lostBefore = d.shedWork();
+        System.arraycopy(arrivedWork, 0, previousArrivedWork, 0, arrivedWork.length);
+        previousStartedWork = demand.startedWork();
+        previousShedWork = demand.shedWork();
     }
 
     /** What it sees of the zones, to be told with the rest. */
-    public void sees(int ownZone, int[] badByZone, int[] ordersOfZones) {
-        zone = ownZone;
-        bad = badByZone;
-        orders = ordersOfZones;
+    public void setZoneObservations(int ownZone, int[] badByZone, int[] ordersOfZones) {
+        ownZone = ownZone;
+        ejectedPercent = badByZone;
+        zoneOrders = ordersOfZones;
     }
 
     /** All fresh rows, its own first. */
-    public List<Row> table(long now) {
-        List<Row> rows = new ArrayList<>(List.of(mine(now)));
-        rows.addAll(fault == Fault.NO_PEERS ? List.of() : others(now));
+    public List<LoadRow> freshRows(long now) {
+        List<LoadRow> rows = new ArrayList<>(List.of(localRow(now)));
+        rows.addAll(defect == InjectedDefect.NO_PEERS ? List.of() : freshPeerRows(now));
         return rows;
     }
 
     /** Works out the cut; to be called after {@link #measure}. */
-    public void look(long now) {
-        List<Row> rows = table(now);
+    public void evaluate(long now) {
+        List<LoadRow> rows = freshRows(now);
         // Who is here and not heard is taken to be as the others are.
         double whole = Math.max(1, (double) view.size() / rows.size());
-        double sends = rows.stream().mapToDouble(Row::sent).sum();
+        double sends = rows.stream().mapToDouble(LoadRow::startRate).sum();
         double delay =
-                fault == Fault.WAITS_UNSEEN
+                defect == InjectedDefect.WAITS_UNSEEN
                         ? 0
-                        : limited(rows, Row::waits).sum() / Math.max(0.01, sends);
-        double busy = limited(rows, Row::runs).sum() * whole / Math.max(1, bears);
-        ToDoubleFunction<Row> asks = r -> Arrays.stream(r.came).sum();
+                        : limited(rows, LoadRow::queuedWork).sum() / Math.max(0.01, sends);
+        double busy =
+                limited(rows, LoadRow::runningThreads).sum() * whole / Math.max(1, threadCapacity);
+        ToDoubleFunction<LoadRow> asks = row -> Arrays.stream(row.arrivalRates()).sum();
         double[] all = rows.stream().mapToDouble(asks).toArray();
         double[] wants = limited(rows, asks).toArray();
-        double byDelay = delay <= target ? GROW * (1 - delay / target) : (target - delay) / DRAIN;
+        double byDelay =
+                delay <= targetDelayS
+                        ? MAX_GROWTH * (1 - delay / targetDelayS)
+                        : (targetDelayS - delay) / DRAIN_TIME_S;
         double step =
-                Math.max(-DROP, busy > BUSY ? Math.min(byDelay, (BUSY - busy) * BY_BUSY) : byDelay);
-        double left = sends * (1 + (fault == Fault.NO_WAY_BACK ? Math.min(0, step) : step));
+                Math.max(
+                        -MAX_REDUCTION,
+                        busy > BUSY_THRESHOLD
+                                ? Math.min(byDelay, (BUSY_THRESHOLD - busy) * REDUCTION_PER_BUSY)
+                                : byDelay);
+        double left =
+                sends * (1 + (defect == InjectedDefect.NO_WAY_BACK ? Math.min(0, step) : step));
         int band = DemandHistogram.BANDS;
         double asked = 0;
         while (band > 0 && left >= 0) {
             band--;
             asked = 0;
             for (int r = 0; r < wants.length; r++) {
-                asked += all[r] > 0 ? rows.get(r).came[band] * wants[r] / all[r] : 0;
+                asked += all[r] > 0 ? rows.get(r).arrivalRates()[band] * wants[r] / all[r] : 0;
             }
             left -= asked;
         }
-        boolean open = left >= 0 || rows.size() < 2 && view.size() > 1 && fault != Fault.NO_PEERS;
-        tell(now, open ? 0 : band, open ? 1 : 1 + left / asked);
+        boolean open =
+                left >= 0
+                        || rows.size() < 2 && view.size() > 1 && defect != InjectedDefect.NO_PEERS;
+        apply(now, open ? 0 : band, open ? 1 : 1 + left / asked);
     }
 
-    private void tell(long now, int nextCut, double nextPart) {
-        if (nextCut != cut || nextPart != part) {
-            cut = nextCut;
-            part = nextPart;
-            effects.cut(now, cut, part);
+    private void apply(long now, int nextCut, double nextPart) {
+        if (nextCut != threshold || nextPart != admittedPart) {
+            threshold = nextCut;
+            admittedPart = nextPart;
+            actions.setThreshold(now, threshold, admittedPart);
         }
     }
 
@@ -266,16 +274,16 @@
      * the others: what one alone claims, a mistake or a lie, moves the fleet no further. What one
      * claims to send only makes it refuse less.
      */
-    private DoubleStream limited(List<Row> rows, ToDoubleFunction<Row> figure) {
+    private DoubleStream limited(List<LoadRow> rows, ToDoubleFunction<LoadRow> figure) {
         double all = rows.stream().mapToDouble(figure).sum();
-        boolean free = fault == Fault.NO_LIMIT || rows.size() < 2;
+        boolean free = defect == InjectedDefect.NO_LIMIT || rows.size() < 2;
         return rows.stream()
                 .mapToDouble(figure)
-                .map(f -> free ? f : Math.min(f, OUTSIZED * (all - f) / (rows.size() - 1)));
+                .map(f -> free ? f : Math.min(f, MAX_ROW_WEIGHT * (all - f) / (rows.size() - 1)));
     }
 
     /** The band below which all is refused; 0 where nothing is. */
-    public int cut() {
-        return cut;
+    public int threshold() {
+        return threshold;
     }
 }
--- a/src/main/java/firstage/overload/OverloadDigest.java
+++ b/src/main/java/firstage/overload/OverloadDigest.java
@@ -19,58 +19,59 @@
     private static final int VERSION = 1;
 
     /** So many engines fit beside the rest; the sickest of a zone's loss come by turns. */
-    public static final int MOST = 24;
+    public static final int MAX_REPORTS = 24;
 
     /** Of a digest: half of a datagram and more is left to the membership. */
-    private static final int BYTES = 560;
+    private static final int MAX_BYTES = 560;
 
-    private static final int WORD_BYTES = 14;
+    private static final int REPORT_BYTES = 14;
     private static final int ROW_BYTES = 26;
-    private static final int LEAST_ROWS = 6;
-    private static final int ROW_HEAD = 18;
+    private static final int MIN_ROWS = 6;
+    private static final int ROW_HEADER_BYTES = 18;
 
     /** A thousandth of a core; with eight steps an octave a byte reaches four million. */
-    private static final double LEAST = 0.001;
+    private static final double SMALLEST_FIGURE = 0.001;
 
-    private static final double STEPS = 8;
-    private static final byte[] NOTHING = new byte[0];
+    private static final double STEPS_PER_OCTAVE = 8;
+    private static final byte[] NO_BYTES = new byte[0];
     private static final CBORFactory CBOR = new CBORFactory();
 
     /**
      * Of one engine, by the id that all know: whether it is held closed, or was opened after that;
-     * {@code ago}: tenths of a millisecond since it was last tried, or opened.
+     * {@code age}: tenths of a millisecond since it was last tried, or opened.
      */
-    public record Word(long engine, boolean closed, long ago) {}
+    public record EngineReport(long engine, boolean ejected, long age) {}
 
     private OverloadDigest() {}
 
     /** What is told: of engines, and the rows of the level, as many as there is room for. */
-    public record Told(List<Word> words, List<LoadSheddingLevel.Row> rows) {
-        static final Told NOTHING = new Told(List.of(), List.of());
+    public record Contents(List<EngineReport> reports, List<LoadRow> rows) {
+        static final Contents EMPTY = new Contents(List.of(), List.of());
     }
 
     /** So many rows are told beside these words. */
-    public static int rows(int words) {
-        return Math.max(LEAST_ROWS, (BYTES - Math.min(MOST, words) * WORD_BYTES) / ROW_BYTES);
+    public static int rows(int reports) {
+        return Math.max(
+                MIN_ROWS, (MAX_BYTES - Math.min(MAX_REPORTS, reports) * REPORT_BYTES) / ROW_BYTES);
     }
 
-    public static byte[] write(List<Word> words, List<LoadSheddingLevel.Row> rows) {
-        if (words.isEmpty() && rows.isEmpty()) {
-            return NOTHING;
+    public static byte[] encode(List<EngineReport> reports, List<LoadRow> rows) {
+        if (reports.isEmpty() && rows.isEmpty()) {
+            return NO_BYTES;
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream(128);
-        try (JsonGenerator g = CBOR.createGenerator(out)) {
-            g.writeStartArray();
-            g.writeNumber(VERSION);
-            g.writeStartArray();
-            for (Word w : words.subList(0, Math.min(MOST, words.size()))) {
-                g.writeNumber(w.engine);
-                g.writeBoolean(w.closed);
-                g.writeNumber(w.ago);
+        try (JsonGenerator generator = CBOR.createGenerator(out)) {
+            generator.writeStartArray();
+            generator.writeNumber(VERSION);
+            generator.writeStartArray();
+            for (EngineReport report : reports.subList(0, Math.min(MAX_REPORTS, reports.size()))) {
+                generator.writeNumber(report.engine);
+                generator.writeBoolean(report.ejected);
+                generator.writeNumber(report.age);
             }
-            g.writeEndArray();
-            g.writeBinary(bytes(rows));
-            g.writeEndArray();
+            generator.writeEndArray();
+            generator.writeBinary(encodeRows(rows));
+            generator.writeEndArray();
         } catch (IOException fault) {
             throw new IllegalStateException("bytes in memory take all", fault);
         }
@@ -81,44 +82,44 @@
      * Each: name, stamp, sent, waits, runs, a bit for each band that was asked for, its zone, what
      * it sees of each, operators' orders, and those bands' figures.
      */
-    private static byte[] bytes(List<LoadSheddingLevel.Row> rows) {
+    private static byte[] encodeRows(List<LoadRow> rows) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(rows.size() * ROW_BYTES);
-        for (LoadSheddingLevel.Row r : rows) {
-            put(out, r.name());
-            put(out, r.stamp());
-            out.write(coarse(r.sent()));
-            out.write(coarse(r.waits()));
-            out.write(coarse(r.runs()));
+        for (LoadRow row : rows) {
+            writeInt(out, row.managerHash());
+            writeInt(out, row.timestamp());
+            out.write(quantize(row.startRate()));
+            out.write(quantize(row.queuedWork()));
+            out.write(quantize(row.runningThreads()));
             int asked = 0;
             for (int band = 0; band < DemandHistogram.BANDS; band++) {
-                asked |= coarse(r.came()[band]) != 0 ? 1 << band : 0;
+                asked |= quantize(row.arrivalRates()[band]) != 0 ? 1 << band : 0;
             }
-            put(out, asked);
-            out.write(r.zone());
-            out.write(r.bad().length);
-            out.write(r.orders().length);
-            for (int share : r.bad()) {
+            writeInt(out, asked);
+            out.write(row.zone());
+            out.write(row.ejectedPercent().length);
+            out.write(row.zoneOrders().length);
+            for (int share : row.ejectedPercent()) {
                 out.write(share);
             }
-            for (int figure : r.orders()) {
-                put(out, figure);
+            for (int figure : row.zoneOrders()) {
+                writeInt(out, figure);
             }
             for (int band = 0; band < DemandHistogram.BANDS; band++) {
                 if ((asked & 1 << band) != 0) {
-                    out.write(coarse(r.came()[band]));
+                    out.write(quantize(row.arrivalRates()[band]));
                 }
             }
         }
         return out.toByteArray();
     }
 
-    private static void put(ByteArrayOutputStream out, int number) {
+    private static void writeInt(ByteArrayOutputStream out, int number) {
         for (int shift = Integer.SIZE - Byte.SIZE; shift >= 0; shift -= Byte.SIZE) {
             out.write(number >>> shift);
         }
     }
 
-    private static int number(byte[] in, int at) {
+    private static int readInt(byte[] in, int at) {
         int number = 0;
         for (int i = 0; i < Integer.BYTES; i++) {
             number = number << Byte.SIZE | in[at + i] & 0xFF;
@@ -126,93 +127,99 @@
         return number;
     }
 
-    private static List<LoadSheddingLevel.Row> rows(byte[] in) {
-        List<LoadSheddingLevel.Row> rows = new ArrayList<>();
+    private static List<LoadRow> rows(byte[] in) {
+        List<LoadRow> rows = new ArrayList<>();
         int at = 0;
-        while (in.length - at >= ROW_HEAD) {
-            int asked = number(in, at + ROW_HEAD - Integer.BYTES - 3);
-            int next = at + ROW_HEAD;
-            int[] bad = new int[Byte.toUnsignedInt(in[next - 2])];
-            int[] orders = new int[Byte.toUnsignedInt(in[next - 1])];
+        while (in.length - at >= ROW_HEADER_BYTES) {
+            int asked = readInt(in, at + ROW_HEADER_BYTES - Integer.BYTES - 3);
+            int next = at + ROW_HEADER_BYTES;
+            int[] ejectedPercent = new int[Byte.toUnsignedInt(in[next - 2])];
+            int[] zoneOrders = new int[Byte.toUnsignedInt(in[next - 1])];
             if (in.length - next
-                    < bad.length + orders.length * Integer.BYTES + Integer.bitCount(asked)) {
+                    < ejectedPercent.length
+                            + zoneOrders.length * Integer.BYTES
+                            + Integer.bitCount(asked)) {
                 return List.of();
             }
-            for (int zone = 0; zone < bad.length; zone++) {
-                bad[zone] = Byte.toUnsignedInt(in[next++]);
+            for (int zone = 0; zone < ejectedPercent.length; zone++) {
+                ejectedPercent[zone] = Byte.toUnsignedInt(in[next++]);
             }
-            for (int i = 0; i < orders.length; i++) {
-                orders[i] = number(in, next);
+            for (int i = 0; i < zoneOrders.length; i++) {
+                zoneOrders[i] = readInt(in, next);
                 next += Integer.BYTES;
             }
-            double[] came = new double[DemandHistogram.BANDS];
+            double[] arrivalRates = new double[DemandHistogram.BANDS];
             for (int band = 0; band < DemandHistogram.BANDS; band++) {
-                came[band] = (asked & 1 << band) != 0 ? fine(in[next++]) : 0;
+                arrivalRates[band] = (asked & 1 << band) != 0 ? dequantize(in[next++]) : 0;
             }
             int figures = at + 2 * Integer.BYTES;
             rows.add(
-                    new LoadSheddingLevel.Row(
-                            number(in, at),
-                            number(in, at + Integer.BYTES),
-                            came,
-                            fine(in[figures]),
-                            fine(in[figures + 1]),
-                            fine(in[figures + 2]),
-                            Byte.toUnsignedInt(in[at + ROW_HEAD - 3]),
-                            bad,
-                            orders));
+                    new LoadRow(
+                            readInt(in, at),
+                            readInt(in, at + Integer.BYTES),
+                            arrivalRates,
+                            dequantize(in[figures]),
+                            dequantize(in[figures + 1]),
+                            dequantize(in[figures + 2]),
+                            Byte.toUnsignedInt(in[at + ROW_HEADER_BYTES - 3]),
+                            ejectedPercent,
+                            zoneOrders));
             at = next;
         }
         return rows;
     }
 
     /** A figure in one byte, in steps of an eighth of an octave; 0 for next to nothing. */
-    private static byte coarse(double figure) {
+    private static byte quantize(double figure) {
         return (byte)
-                (figure < LEAST
+                (figure < SMALLEST_FIGURE
                         ? 0
                         : Math.min(
                                 255,
-                                1 + Math.round(STEPS * Math.log(figure / LEAST) / Math.log(2))));
+                                1
+                                        + Math.round(
+                                                STEPS_PER_OCTAVE
+                                                        * Math.log(figure / SMALLEST_FIGURE)
+                                                        / Math.log(2))));
     }
 
-    private static double fine(byte coarse) {
+    private static double dequantize(byte coarse) {
         int step = Byte.toUnsignedInt(coarse);
-        return step == 0 ? 0 : LEAST * Math.pow(2, (step - 1) / STEPS);
+        return step == 0 ? 0 : SMALLEST_FIGURE * Math.pow(2, (step - 1) / STEPS_PER_OCTAVE);
     }
 
     /**
      * What was told; nothing where it can't be read: then this manager goes by its own news alone.
      */
-    public static Told read(byte[] bytes) {
+    public static Contents decode(byte[] bytes) {
         if (bytes.length == 0) {
-            return Told.NOTHING;
+            return Contents.EMPTY;
         }
-        List<Word> words = new ArrayList<>();
+        List<EngineReport> reports = new ArrayList<>();
         try (JsonParser in = CBOR.createParser(bytes)) {
             if (in.nextToken() != JsonToken.START_ARRAY
                     || in.nextToken() != JsonToken.VALUE_NUMBER_INT
                     || in.nextToken() != JsonToken.START_ARRAY) {
-                return Told.NOTHING;
+                return Contents.EMPTY;
             }
-            while (in.nextToken() == JsonToken.VALUE_NUMBER_INT && words.size() < MOST) {
+            while (in.nextToken() == JsonToken.VALUE_NUMBER_INT && reports.size() < MAX_REPORTS) {
                 long engine = in.getLongValue();
-                JsonToken closed = in.nextToken();
-                if (closed != JsonToken.VALUE_TRUE && closed != JsonToken.VALUE_FALSE
+                JsonToken ejected = in.nextToken();
+                if (ejected != JsonToken.VALUE_TRUE && ejected != JsonToken.VALUE_FALSE
                         || in.nextToken() != JsonToken.VALUE_NUMBER_INT) {
-                    return Told.NOTHING;
+                    return Contents.EMPTY;
                 }
-                words.add(
-                        new Word(
+                reports.add(
+                        new EngineReport(
                                 engine,
-                                closed == JsonToken.VALUE_TRUE,
+                                ejected == JsonToken.VALUE_TRUE,
                                 Math.max(0, in.getLongValue())));
             }
             // One of an older form tells no rows.
             boolean more = in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT;
-            return new Told(words, more ? rows(in.getBinaryValue()) : List.of());
+            return new Contents(reports, more ? rows(in.getBinaryValue()) : List.of());
         } catch (IOException spoilt) {
-            return Told.NOTHING;
+            return Contents.EMPTY;
         }
     }
 }
--- a/src/main/java/firstage/overload/ProbeCoordinator.java
+++ b/src/main/java/firstage/overload/ProbeCoordinator.java
@@ -1,6 +1,6 @@
 package firstage.overload;
 
-import firstage.overload.OverloadDigest.Word;
+import firstage.overload.OverloadDigest.EngineReport;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -24,65 +24,60 @@
  * none, it goes by itself as ever. Times are tenths of a millisecond.
  */
 public final class ProbeCoordinator {
-    private static final int SEVERAL =
+    private static final int REPORTERS_NEEDED =
             3; // hold it closed before it is the engine: one or two may share a bad way
-    private static final long LEAST_FRESH = 30_000; // a word lasts: some rounds of a small fleet
-    private static final double ROUNDS =
+    private static final long MIN_REPORT_LIFETIME =
+            30_000; // a word lasts: some rounds of a small fleet
+    private static final double REPORT_PROBE_ROUNDS =
             1.5; // and of a large one, in rounds in which each hears each
-    private static final long TRY_EVERY =
+    private static final long PROBE_INTERVAL =
             20_000; // by the owner: a batch in two seconds there, whatever the fleet
-    private static final long HEARD =
+    private static final long RECENT_RESPONSE =
             20_000; // by ourselves of late: our own news is better than others'
-    private static final double MOST_PART =
+    private static final double MAX_AVOIDED_FRACTION =
             0.34; // of the engines are kept away from: else it is not the engines
-    private static final long NO_TRIAL =
+    private static final long OWNER_IDLE_TIMEOUT =
             120_000; // an owner without a batch to try it with is passed over after this
-    private static final long STEP =
+    private static final long RETURN_STEP =
             2_500; // between steps back: a short batch must have come back by then
-    private static final long FREE =
+    private static final long INDEPENDENT_AFTER_RETURN =
             50_000; // after a step back: until a usual batch must have come back
-    private static final long OPENED_FOR =
+    private static final long READMISSION_REPORTED_FOR =
             60_000; // it is told that an engine was opened: all steps of a large fleet
 
     private enum State {
         OWN,
         WITHHELD,
-        STEPPING
+        RETURNING
     }
 
     private enum Event {
-        SHARED,
-        MINE,
-        ALONE,
-        OPENED,
-        DUE
+        PROBED_BY_OTHER,
+        PROBE_OWNER,
+        NOT_SHARED,
+        READMITTED,
+        STEP_DUE
     }
 
-    private record Row(State state, Event event, State next) {}
+    private record Transition(State state, Event event, State next) {}
 
     /**
      * State, event, next state: whether this manager's right to try an engine is its own, withheld,
      * or due by its step.
      */
-    private static final Row[] TABLE = {
-        new Row(State.OWN, Event.SHARED, State.WITHHELD),
-        new Row(State.WITHHELD, Event.MINE, State.OWN),
-        new Row(State.WITHHELD, Event.ALONE, State.OWN),
-        new Row(State.WITHHELD, Event.OPENED, State.STEPPING),
-        new Row(State.STEPPING, Event.SHARED, State.WITHHELD),
-        new Row(State.STEPPING, Event.MINE, State.OWN),
-        new Row(State.STEPPING, Event.ALONE, State.OWN),
-        new Row(State.STEPPING, Event.DUE, State.OWN),
+    private static final Transition[] TRANSITIONS = {
+        new Transition(State.OWN, Event.PROBED_BY_OTHER, State.WITHHELD),
+        new Transition(State.WITHHELD, Event.PROBE_OWNER, State.OWN),
+        new Transition(State.WITHHELD, Event.NOT_SHARED, State.OWN),
+        new Transition(State.WITHHELD, Event.READMITTED, State.RETURNING),
+        new Transition(State.RETURNING, Event.PROBED_BY_OTHER, State.WITHHELD),
+        new Transition(State.RETURNING, Event.PROBE_OWNER, State.OWN),
+        new Transition(State.RETURNING, Event.NOT_SHARED, State.OWN),
+        new Transition(State.RETURNING, Event.STEP_DUE, State.OWN),
     };
 
-    /** What is decided; none of it calls back. */
-    public interface Effects {
-        /** Whether others try this engine; where {@code now} is true as well, its rest is over. */
-        void othersTry(long engine, boolean others, boolean restIsOver);
-    }
-
     /** Faults put back one at a time. */
-    public enum Fault {
+    public enum InjectedDefect {
         NONE,
         ALL_OWN,
         WORDS_NEVER_END,
@@ -90,72 +85,74 @@
         ALONE_IS_SHARED
     }
 
-    private record Told(Word word, long at) {}
+    private record ReceivedReport(EngineReport report, long receivedAt) {}
 
-    private static final class Sick {
+    private static final class EngineProbing {
         private State state = State.OWN;
-        private boolean closed;
-        private long triedAt;
-        private long heardAt;
-        private long openHeard = Long.MIN_VALUE / 4;
-        private long openedAt = Long.MIN_VALUE / 4;
-        private long dueAt;
-        private long freeUntil;
+        private boolean ejected;
+        private long lastAttemptAt;
+        private long lastResponseAt;
+        private long readmissionReportedAt = Long.MIN_VALUE / 4;
+        private long readmittedAt = Long.MIN_VALUE / 4;
+        private long stepAt;
+        private long independentUntil;
     }
 
-    private final String me;
-    private final Effects effects;
-    private final Fault fault;
-    private final Map<Long, Sick> engines = new HashMap<>();
-    private final Map<String, Map<Long, Told>> told = new HashMap<>();
+    private final String self;
+    private final ProbeActions actions;
+    private final InjectedDefect defect;
+    private final Map<Long, EngineProbing> engines = new HashMap<>();
+    private final Map<String, Map<Long, ReceivedReport>> reportsByManager = new HashMap<>();
     private final long period;
     private Set<String> view = Set.of();
-    private long fresh = LEAST_FRESH;
-    private int turn;
+    private long reportLifetime = MIN_REPORT_LIFETIME;
+    private int nextReport;
 
     /** {@code period} between two probes of the membership, which carries the words. */
-    public ProbeCoordinator(String me, long period, Effects effects, Fault fault) {
-        this.me = me;
+    public ProbeCoordinator(String self, long period, ProbeActions actions, InjectedDefect defect) {
+        this.self = self;
         this.period = period;
-        this.effects = effects;
-        this.fault = fault;
+        this.actions = actions;
+        this.defect = defect;
     }
 
     /** Who is here. */
-    public void viewed(List<String> names) {
+    public void onViewChanged(List<String> names) {
         view = new HashSet<>(names);
-        told.keySet().retainAll(view);
-        fresh = Math.max(LEAST_FRESH, (long) (ROUNDS * names.size() * period));
+        reportsByManager.keySet().retainAll(view);
+        reportLifetime =
+                Math.max(MIN_REPORT_LIFETIME, (long) (REPORT_PROBE_ROUNDS * names.size() * period));
     }
 
     /** What another tells now: it takes the place of all that it told before. */
-    public void heard(long now, String from, List<Word> words) {
-        Map<Long, Told> all = new HashMap<>();
-        words.forEach(w -> all.put(w.engine(), new Told(w, now)));
+    public void onReports(long now, String from, List<EngineReport> reports) {
+        Map<Long, ReceivedReport> all = new HashMap<>();
+        reports.forEach(report -> all.put(report.engine(), new ReceivedReport(report, now)));
         if (all.isEmpty()) {
-            told.remove(from);
+            reportsByManager.remove(from);
         } else {
-            told.put(from, all);
+            reportsByManager.put(from, all);
         }
     }
 
     /**
-     * How this manager itself holds an engine of the list; {@code triedAt}, {@code heardAt}: when a
-     * batch last went there, when it last spoke.
+     * How this manager itself holds an engine of the list; {@code lastAttemptAt}, {@code
+     * lastResponseAt}: when a batch last went there, when it last spoke.
      */
-    public void holds(long now, long engine, boolean closed, long triedAt, long heardAt) {
-        Sick s = engines.computeIfAbsent(engine, e -> new Sick());
-        if (s.closed && !closed) {
-            s.openedAt = now;
-            s.state = State.OWN;
+    public void updateEngine(
+            long now, long engine, boolean ejected, long lastAttemptAt, long lastResponseAt) {
+        EngineProbing state = engines.computeIfAbsent(engine, e -> new EngineProbing());
+        if (state.ejected && !ejected) {
+            state.readmittedAt = now;
+            state.state = State.OWN;
         }
-        s.closed = closed;
-        s.triedAt = Math.max(s.triedAt, triedAt);
-        s.heardAt = Math.max(s.heardAt, heardAt);
+        state.ejected = ejected;
+        state.lastAttemptAt = Math.max(state.lastAttemptAt, lastAttemptAt);
+        state.lastResponseAt = Math.max(state.lastResponseAt, lastResponseAt);
     }
 
     /** It is off the list. */
-    public void forget(long engine) {
+    public void removeEngine(long engine) {
         engines.remove(engine);
     }
 
@@ -163,153 +160,183 @@
      * What this manager tells: the engines it holds closed, and those it opened of late; by turns
      * where they are many.
      */
-    public List<Word> words(long now) {
-        List<Word> words = new ArrayList<>();
+    public List<EngineReport> localReports(long now) {
+        List<EngineReport> reports = new ArrayList<>();
         engines.forEach(
-                (engine, s) -> {
-                    long opened = Math.max(s.openedAt, s.openHeard);
-                    if (s.closed && opened <= s.triedAt) {
-                        words.add(new Word(engine, true, Math.max(0, now - s.triedAt)));
-                    } else if (now - opened < OPENED_FOR) {
+                (engine, state) -> {
+                    long readmittedAt = Math.max(state.readmittedAt, state.readmissionReportedAt);
+                    if (state.ejected && readmittedAt <= state.lastAttemptAt) {
+                        reports.add(
+                                new EngineReport(
+                                        engine, true, Math.max(0, now - state.lastAttemptAt)));
+                    } else if (now - readmittedAt < READMISSION_REPORTED_FOR) {
                         // Passed on by who heard it, too: so it is with all in a few rounds.
-                        words.add(new Word(engine, false, now - opened));
+                        reports.add(new EngineReport(engine, false, now - readmittedAt));
                     }
                 });
-        words.sort(Comparator.comparingLong(Word::engine));
-        if (words.size() <= OverloadDigest.MOST) {
-            return words;
+        reports.sort(Comparator.comparingLong(EngineReport::engine));
+        if (reports.size() <= OverloadDigest.MAX_REPORTS) {
+            return reports;
         }
-        List<Word> some = new ArrayList<>();
-        turn = (turn + OverloadDigest.MOST) % words.size();
-        for (int i = 0; i < OverloadDigest.MOST; i++) {
-            some.add(words.get((turn + i) % words.size()));
+        List<EngineReport> some = new ArrayList<>();
+        nextReport = (nextReport + OverloadDigest.MAX_REPORTS) % reports.size();
+        for (int i = 0; i < OverloadDigest.MAX_REPORTS; i++) {
+            some.add(reports.get((nextReport + i) % reports.size()));
         }
         return some;
     }
 
-    private boolean isFresh(long now, Told t) {
-        return now - t.at < fresh || fault == Fault.WORDS_NEVER_END;
+    private boolean isFresh(long now, ReceivedReport received) {
+        return now - received.receivedAt < reportLifetime
+                || defect == InjectedDefect.WORDS_NEVER_END;
     }
 
     /** Looks at all that is sick; to be called each tenth of a second or so. */
-    public void look(long now) {
-        Set<Long> sick = new HashSet<>();
+    public void evaluate(long now) {
+        Set<Long> suspects = new HashSet<>();
         engines.forEach(
-                (engine, s) -> {
-                    if (s.closed || s.state != State.OWN) {
-                        sick.add(engine);
+                (engine, state) -> {
+                    if (state.ejected || state.state != State.OWN) {
+                        suspects.add(engine);
                     }
                 });
-        told.values()
+        reportsByManager
+                .values()
                 .forEach(
-                        words ->
-                                words.values().stream()
-                                        .filter(t -> t.word.closed())
-                                        .forEach(t -> sick.add(t.word.engine())));
-        sick.retainAll(engines.keySet());
+                        reports ->
+                                reports.values().stream()
+                                        .filter(received -> received.report.ejected())
+                                        .forEach(
+                                                received ->
+                                                        suspects.add(received.report.engine())));
+        suspects.retainAll(engines.keySet());
         long others =
-                sick.stream()
-                        .filter(e -> !engines.get(e).closed && closers(now, e).size() >= several())
+                suspects.stream()
+                        .filter(
+                                e ->
+                                        !engines.get(e).ejected
+                                                && reporters(now, e).size() >= reportersNeeded())
                         .count();
-        boolean most = others > MOST_PART * engines.size();
-        sick.forEach(engine -> look(now, engine, engines.get(engine), most));
+        boolean mostEjected = others > MAX_AVOIDED_FRACTION * engines.size();
+        suspects.forEach(engine -> evaluate(now, engine, engines.get(engine), mostEjected));
     }
 
-    private int several() {
-        return Math.max(2, Math.min(SEVERAL, (view.size() + 1) / 2));
+    private int reportersNeeded() {
+        return Math.max(2, Math.min(REPORTERS_NEEDED, (view.size() + 1) / 2));
     }
 
     /** Who else holds it closed, by fresh words. */
-    private List<String> closers(long now, long engine) {
-        List<String> closers = new ArrayList<>();
-        told.forEach(
-                (name, words) -> {
-                    Told t = words.get(engine);
-                    if (t != null && isFresh(now, t) && t.word.closed()) {
-                        closers.add(name);
+    private List<String> reporters(long now, long engine) {
+        List<String> reporters = new ArrayList<>();
+        reportsByManager.forEach(
+                (name, reports) -> {
+                    ReceivedReport received = reports.get(engine);
+                    if (received != null && isFresh(now, received) && received.report.ejected()) {
+                        reporters.add(name);
                     }
                 });
-        return closers;
+        return reporters;
     }
 
-    private void look(long now, long engine, Sick s, boolean most) {
-        List<String> closers = closers(now, engine);
+    private void evaluate(long now, long engine, EngineProbing state, boolean mostEjected) {
+        List<String> reporters = reporters(now, engine);
         List<String> ready =
                 new ArrayList<>(
-                        closers.stream()
+                        reporters.stream()
                                 .filter(
                                         n ->
-                                                told.get(n).get(engine).word.ago()
+                                                reportsByManager.get(n).get(engine).report.age()
                                                                 + now
-                                                                - told.get(n).get(engine).at
-                                                        < NO_TRIAL)
+                                                                - reportsByManager
+                                                                        .get(n)
+                                                                        .get(engine)
+                                                                        .receivedAt
+                                                        < OWNER_IDLE_TIMEOUT)
                                 .toList());
-        told.values()
+        reportsByManager
+                .values()
                 .forEach(
-                        words -> {
-                            Told t = words.get(engine);
-                            if (t != null && isFresh(now, t) && !t.word.closed()) {
-                                s.openHeard = Math.max(s.openHeard, t.at - t.word.ago());
+                        reports -> {
+                            ReceivedReport received = reports.get(engine);
+                            if (received != null
+                                    && isFresh(now, received)
+                                    && !received.report.ejected()) {
+                                state.readmissionReportedAt =
+                                        Math.max(
+                                                state.readmissionReportedAt,
+                                                received.receivedAt - received.report.age());
                             }
                         });
-        if (s.closed) {
-            closers.add(me);
-            if (now - s.triedAt < NO_TRIAL) {
-                ready.add(me);
+        if (state.ejected) {
+            reporters.add(self);
+            if (now - state.lastAttemptAt < OWNER_IDLE_TIMEOUT) {
+                ready.add(self);
             }
         }
         // Held closed by others only: our own fresh news, or a sickness of most engines, is better
         // than their word.
         boolean shared =
-                now >= s.freeUntil
-                                && closers.size() >= several()
-                                && (s.closed || !most && now - s.heardAt > HEARD)
-                        || fault == Fault.ALONE_IS_SHARED;
-        boolean mine =
-                s.closed
-                        && fault != Fault.ALONE_IS_SHARED
-                        && (fault == Fault.ALL_OWN
-                                || (ready.isEmpty() ? closers : ready)
+                now >= state.independentUntil
+                                && reporters.size() >= reportersNeeded()
+                                && (state.ejected
+                                        || !mostEjected
+                                                && now - state.lastResponseAt > RECENT_RESPONSE)
+                        || defect == InjectedDefect.ALONE_IS_SHARED;
+        boolean owner =
+                state.ejected
+                        && defect != InjectedDefect.ALONE_IS_SHARED
+                        && (defect == InjectedDefect.ALL_OWN
+                                || (ready.isEmpty() ? reporters : ready)
                                         .stream()
                                                 .max(
                                                         Comparator.comparingLong(
                                                                 n ->
                                                                         RendezvousHash.rank(
                                                                                 engine, n)))
-                                                .orElse(me)
-                                                .equals(me));
+                                                .orElse(self)
+                                                .equals(self));
         // What was opened before this manager last tried it in vain says nothing.
-        boolean open = s.openHeard > s.triedAt;
+        boolean readmitted = state.readmissionReportedAt > state.lastAttemptAt;
         Event event =
-                open && s.state != State.OWN
-                        ? s.state == State.STEPPING && now >= s.dueAt ? Event.DUE : Event.OPENED
-                        : !shared ? Event.ALONE : mine ? Event.MINE : open ? null : Event.SHARED;
-        for (Row row : TABLE) {
-            if (row.state == s.state && row.event == event && row.next != s.state) {
-                s.state = row.next;
-                if (s.state == State.STEPPING) {
+                readmitted && state.state != State.OWN
+                        ? state.state == State.RETURNING && now >= state.stepAt
+                                ? Event.STEP_DUE
+                                : Event.READMITTED
+                        : !shared
+                                ? Event.NOT_SHARED
+                                : owner
+                                        ? Event.PROBE_OWNER
+                                        : readmitted ? null : Event.PROBED_BY_OTHER;
+        for (Transition row : TRANSITIONS) {
+            if (row.state == state.state && row.event == event && row.next != state.state) {
+                state.state = row.next;
+                if (state.state == State.RETURNING) {
                     // Those before this one in the order of the engine, doubled with each step.
-                    long before = RendezvousHash.before(engine, view, me);
+                    long before = RendezvousHash.countBefore(engine, view, self);
                     int step =
-                            fault == Fault.ALL_AT_ONCE
+                            defect == InjectedDefect.ALL_AT_ONCE
                                     ? 0
                                     : Long.SIZE - Long.numberOfLeadingZeros(before + 1) - 1;
-                    s.dueAt = now + step * STEP;
+                    state.stepAt = now + step * RETURN_STEP;
                 }
                 // Whoever was led back looks for itself first: what the others tell may be from
                 // before.
-                s.freeUntil = event == Event.DUE ? now + FREE : s.freeUntil;
-                effects.othersTry(engine, s.state != State.OWN, event == Event.DUE);
+                state.independentUntil =
+                        event == Event.STEP_DUE
+                                ? now + INDEPENDENT_AFTER_RETURN
+                                : state.independentUntil;
+                actions.setProbedByOthers(
+                        engine, state.state != State.OWN, event == Event.STEP_DUE);
                 return;
             }
         }
-        if (event == Event.MINE && shared && now - s.triedAt >= TRY_EVERY) {
-            effects.othersTry(engine, false, true);
+        if (event == Event.PROBE_OWNER && shared && now - state.lastAttemptAt >= PROBE_INTERVAL) {
+            actions.setProbedByOthers(engine, false, true);
         }
     }
 
     /** How many engines' trials are withheld from this manager. */
-    public long withheld() {
-        return engines.values().stream().filter(s -> s.state != State.OWN).count();
+    public long withheldCount() {
+        return engines.values().stream().filter(state -> state.state != State.OWN).count();
     }
 }
--- a/src/main/java/firstage/overload/RendezvousHash.java
+++ b/src/main/java/firstage/overload/RendezvousHash.java
@@ -16,8 +16,8 @@
     }
 
     /** How many of these come before this one. */
-    public static long before(long thing, Collection<String> names, String me) {
-        long mine = rank(thing, me);
+    public static long countBefore(long thing, Collection<String> names, String self) {
+        long mine = rank(thing, self);
         return names.stream().filter(n -> rank(thing, n) > mine).count();
     }
 }
--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -1,12 +1,14 @@
 package firstage.scale;
 
+import firstage.cells.CellActions;
 import firstage.cells.CellDirectory;
 import firstage.cells.CellPlan;
 import firstage.cells.EngineSubset;
 import firstage.failover.FleetCoordinator;
-import firstage.failover.ZoneFailover;
+import firstage.failover.ZoneActions;
 import firstage.membership.Member;
 import firstage.membership.MemberState;
+import firstage.membership.MembershipActions;
 import firstage.membership.MembershipMessage;
 import firstage.membership.MembershipProtocol;
 import firstage.membership.MembershipView;
@@ -34,7 +36,7 @@
  * --peers} carries them, its own address, real datagrams and a real watch of the list; no clients
  * and no engines. On its process's one thread.
  */
-final class HollowManager implements MembershipProtocol.Carrier, CellDirectory.Effects {
+final class HollowManager implements MembershipActions, CellActions {
     private static final int MOST = 1_200;
     private static final long GOAL = 10_000;
     private static final long WARM = 130_000;
@@ -125,11 +127,11 @@
     }
 
     int views() {
-        return members == null ? 0 : members.view().names().size();
+        return members == null ? 0 : members.view().memberNames().size();
     }
 
     List<String> view() {
-        return members == null ? List.of() : members.view().names();
+        return members == null ? List.of() : members.view().memberNames();
     }
 
     /** Of its own slice the part in force. */
@@ -141,8 +143,8 @@
         return cells == null
                 ? 0
                 : (int)
-                        cells.known(clock.now()).stream()
-                                .filter(k -> k.standing() == CellDirectory.Standing.HEARD)
+                        cells.cells(clock.now()).stream()
+                                .filter(k -> k.state() == CellDirectory.CellState.ACTIVE)
                                 .count();
     }
 
@@ -165,9 +167,9 @@
                         lentBefore,
                         () -> {
                             lentBefore = true;
-                            leases.kept();
+                            leases.onWithdrawalMarkStored();
                         },
-                        QuotaLeases.Fault.NONE);
+                        QuotaLeases.InjectedDefect.NONE);
         long started = System.currentTimeMillis();
         startedMs = started;
         int zone = plan.zones().indexOf(plan.zoneOf(number));
@@ -179,30 +181,30 @@
                         GOAL,
                         WARM,
                         plan.period(),
-                        new ZoneFailover.Effects() {
+                        new ZoneActions() {
                             @Override
-                            public void keepAway(long engine, boolean away, boolean restIsOver) {
+                            public void setAvoided(long engine, boolean away, boolean restIsOver) {
                                 // No engines stand behind it.
                             }
 
                             @Override
-                            public void turned(int turned, String state) {
+                            public void logZoneState(int turned, String state) {
                                 // The same.
                             }
                         },
                         (now, band, part) -> {},
-                        FleetCoordinator.Faults.NONE);
+                        FleetCoordinator.InjectedDefects.NONE);
         members =
                 new MembershipProtocol(
                         plan.name(),
-                        new Member(name(), plan.zoneOf(number), started, MemberState.HERE, "", 1),
+                        new Member(name(), plan.zoneOf(number), started, MemberState.ALIVE, "", 1),
                         plan.together(),
                         plan.period(),
                         MOST,
                         chances.create(seed),
                         leases,
                         this,
-                        MembershipProtocol.Fault.NONE);
+                        MembershipProtocol.InjectedDefect.NONE);
         cells =
                 cellPlan == null
                         ? null
@@ -216,7 +218,7 @@
                                 started,
                                 chances.create(~seed),
                                 this,
-                                CellDirectory.Fault.NONE);
+                                CellDirectory.InjectedDefect.NONE);
         sieve =
                 cells == null
                         ? null
@@ -241,7 +243,7 @@
     }
 
     private void took(List<Listed> entries) {
-        (sieve == null ? entries : sieve.pass(false, entries)).forEach(e -> engines.add(e.id));
+        (sieve == null ? entries : sieve.filter(false, entries)).forEach(e -> engines.add(e.id));
     }
 
     private void follow() throws IOException {
@@ -279,7 +281,7 @@
                 demand.arrivedWork(DemandHistogram.BANDS / 2 + 2 * b, WORK * LOOK / BANDS);
             }
             demand.startedWork(WORK * LOOK);
-            together.look(now, demand);
+            together.evaluate(now, demand);
             if (retries) {
                 retries = false;
                 follow();
@@ -350,9 +352,9 @@
             Integer seat = seats.get(from);
             if (seat != null) {
                 reading = seat;
-                members.received(clock.now(), seat, bytes);
+                members.onDatagram(clock.now(), seat, bytes);
             } else if (cells != null) {
-                cells.received(clock.now(), bytes);
+                cells.onDatagram(clock.now(), bytes);
             }
         }
     }
@@ -380,44 +382,44 @@
     }
 
     @Override
-    public void changed(long now, MembershipView view) {
-        together.viewed(view.names());
+    public void viewChanged(long now, MembershipView view) {
+        together.onViewChanged(view.memberNames());
         if (cells != null) {
-            cells.viewed(view.names());
+            cells.onViewChanged(view.memberNames());
         }
         witness.viewed(this, view);
     }
 
     @Override
-    public void note(long now, String what, String who, String why) {
+    public void logMemberEvent(long now, String what, String who, String why) {
         // Its views say what is asked of it.
     }
 
     @Override
-    public void noteOfCell(long now, String what, String who, String why) {
+    public void logCellEvent(long now, String what, String who, String why) {
         if (what.equals("silent") || what.equals("heard again")) {
             witness.noted(this, what, who);
         }
     }
 
     @Override
-    public byte[] digest(long now) {
-        byte[] rest = together.digest(now);
-        return cells == null ? rest : cells.digest(rest);
+    public byte[] outgoingDigest(long now) {
+        byte[] rest = together.encodeDigest(now);
+        return cells == null ? rest : cells.encodeDigest(rest);
     }
 
     @Override
-    public void digested(long now, String from, byte[] digest) {
-        together.digested(now, from, cells == null ? digest : cells.digested(now, reading, digest));
+    public void digestReceived(long now, String from, byte[] digest) {
+        together.onDigest(now, from, cells == null ? digest : cells.onDigest(now, reading, digest));
     }
 
     @Override
-    public void freed(long now) {
-        sieve.freed().forEach(e -> engines.add(e.id));
+    public void enginesReleased(long now) {
+        sieve.takeReleased().forEach(e -> engines.add(e.id));
     }
 
     @Override
-    public int cut() {
-        return together.cut();
+    public int sheddingThreshold() {
+        return together.sheddingThreshold();
     }
 }
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -234,7 +234,7 @@
 
     @Override
     public void viewed(HollowManager who, MembershipView view) {
-        awaited.forEach(a -> look(a, who, view.names()));
+        awaited.forEach(a -> look(a, who, view.memberNames()));
         awaited.removeIf(a -> a.waiting.isEmpty());
     }
 
--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -138,7 +138,7 @@
         for (Place p : f.places()) {
             if (p.up() && p.cells() != null) {
                 p.cells()
-                        .known(f.calendar().now())
+                        .cells(f.calendar().now())
                         .forEach(k -> ages.addValue(k.age() < 0 ? 99 : k.age() / 1e4));
             }
         }
@@ -259,8 +259,8 @@
 
     private static boolean hearsAll(SimulatedCells.Place p, long now) {
         return p.cells() == null
-                || p.cells().known(now).stream()
-                        .allMatch(k -> k.standing() == CellDirectory.Standing.HEARD);
+                || p.cells().cells(now).stream()
+                        .allMatch(k -> k.state() == CellDirectory.CellState.ACTIVE);
     }
 
     private static double rate(SimulatedCells f, int seconds) {
--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -334,7 +334,7 @@
 
     @Override
     public long stoodStill() {
-        return peers == null ? 0 : peers.stoodStill();
+        return peers == null ? 0 : peers.pauseDuration();
     }
 
     private void keepAway(long engine, boolean away, boolean restIsOver) {
@@ -353,8 +353,8 @@
     private void lookTogether() {
         for (int engine = 0; engine < engines.count(); engine++) {
             if (engines.listed(engine)) {
-                peers.together()
-                        .holds(
+                peers.fleetCoordinator()
+                        .updateEngine(
                                 clock.now(),
                                 zoneOf.getOrDefault(engine, -1),
                                 ids.id(engine),
@@ -363,7 +363,7 @@
                                 manager.lastResponseAt(engine));
             }
         }
-        peers.together().look(clock.now(), manager.demand(clock.now()));
+        peers.fleetCoordinator().evaluate(clock.now(), manager.demand(clock.now()));
         later(TOGETHER_MS, this::lookTogether);
     }
 
@@ -701,7 +701,7 @@
     @Override
     public void releaseEngine(int engine) {
         if (peers != null) {
-            peers.together().forget(ids.id(engine));
+            peers.fleetCoordinator().removeEngine(ids.id(engine));
         }
         ids.release(engine);
         engines.forget(engine);
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -2,18 +2,21 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
+import firstage.cells.CellActions;
 import firstage.cells.CellDirectory;
 import firstage.cells.EngineSubset;
 import firstage.failover.FleetCoordinator;
+import firstage.failover.ZoneActions;
 import firstage.failover.ZoneFailover;
 import firstage.membership.Member;
 import firstage.membership.MemberState;
+import firstage.membership.MembershipActions;
 import firstage.membership.MembershipMessage;
 import firstage.membership.MembershipProtocol;
 import firstage.membership.MembershipView;
 import firstage.membership.QuotaLeases;
-import firstage.overload.LoadSheddingLevel;
-import firstage.overload.ProbeCoordinator;
+import firstage.overload.ProbeActions;
+import firstage.overload.SheddingActions;
 import firstage.policy.api.Deployment;
 import firstage.policy.api.EndpointUpdate;
 import firstage.server.Counters;
@@ -49,97 +52,96 @@
 import org.xnio.channels.SocketAddressBuffer;
 
 /** The membership's datagrams, clock and log, all on the one I/O thread. */
-public final class MembershipTransport
-        implements MembershipProtocol.Carrier, CellDirectory.Effects {
+public final class MembershipTransport implements MembershipActions, CellActions {
     /** What a view is asked for by, from this machine only. */
-    public static final String ASKED = "firstage view 1";
+    public static final String STATUS_REQUEST = "firstage view 1";
 
     /** What an order begins with; what is wanted and the zone's name follow. */
-    public static final String ORDERED = "firstage zone 1";
+    public static final String ZONE_ORDER_PREFIX = "firstage zone 1";
 
     /** The answer to an order that can't be used. */
-    public static final String NO_ORDER = "firstage zone 1 unknown";
+    public static final String ZONE_ORDER_REJECTED = "firstage zone 1 unknown";
 
     private static final Logger LOG = Logger.getLogger(MembershipTransport.class.getName());
     private static final int TICK_MS = 20;
-    private static final int MOST = 1_200;
+    private static final int MAX_DATAGRAM_BYTES = 1_200;
 
     /** Tenths of a millisecond: three ticks; less is a busy machine, not a stop. */
-    private static final long STILL = 600;
+    private static final long PAUSE_THRESHOLD = 600;
 
     /** What lay there during a stop is read within this after it. */
-    private static final long READS = 1_000;
+    private static final long BACKLOG_READ_TIME = 1_000;
 
-    private static final int MOST_A_LOOK = 64;
+    private static final int MAX_DATAGRAMS_PER_READ = 64;
 
     /** Cells that an answer names in each of its lists. */
-    private static final int MOST_NAMED = 8;
+    private static final int MAX_CELLS_NAMED = 8;
 
-    private final PeerConfig list;
+    private final PeerConfig config;
     private final TickClock clock;
     private final Counters counters;
     private final XnioIoThread io;
-    private final MembershipProtocol members;
+    private final MembershipProtocol protocol;
     private final QuotaLeases leases;
-    private final FleetCoordinator together;
-    private final List<String> areas;
+    private final FleetCoordinator fleetCoordinator;
+    private final List<String> zoneNames;
 
     /** Null where the fleet is one; so is the sieve. */
     private final CellDirectory cells;
 
-    private final EngineSubset<Listed> sieve;
-    private final Consumer<List<Listed>> free;
-    private final Map<InetSocketAddress, Integer> seeds = new HashMap<>();
+    private final EngineSubset<Listed> engineSubset;
+    private final Consumer<List<Listed>> onEnginesReleased;
+    private final Map<InetSocketAddress, Integer> addressIndex = new HashMap<>();
 
     /** Where managers of other cells are. */
-    private final Set<InetSocketAddress> others = new HashSet<>();
+    private final Set<InetSocketAddress> otherCellAddresses = new HashSet<>();
 
-    private final ByteBuffer shared = ByteBuffer.allocateDirect(MOST + 1);
-    private final SocketAddressBuffer from = new SocketAddressBuffer();
+    private final ByteBuffer receiveBuffer = ByteBuffer.allocateDirect(MAX_DATAGRAM_BYTES + 1);
+    private final SocketAddressBuffer senderAddress = new SocketAddressBuffer();
     private MulticastMessageChannel channel;
     private boolean closed;
 
     /** The place whose datagram is being read. */
-    private int reading;
+    private int currentSender;
 
-    private long tickedAt;
-    private long wokeAt = Long.MIN_VALUE / 4;
-    private long stoppedFor;
+    private long lastTickAt;
+    private long pauseDetectedAt = Long.MIN_VALUE / 4;
+    private long lastPause;
 
     /**
      * {@code started}: Unix ms, the number of this life; {@code keepAway}, {@code cut}: what the
-     * managers together decide for this one; {@code free}: is told of engines that it may use from
-     * now on.
+     * managers together decide for this one; {@code onEnginesReleased}: is told of engines that it
+     * may use from now on.
      */
     public MembershipTransport(
-            PeerConfig list,
-            ManagerConfig assignment,
+            PeerConfig config,
+            ManagerConfig managerConfig,
             long started,
             XnioIoThread io,
             TickClock clock,
             Counters counters,
-            ProbeCoordinator.Effects keepAway,
-            LoadSheddingLevel.Effects cut,
-            Consumer<List<Listed>> free) {
-        this.list = list;
-        Deployment deployment = assignment.deployment();
-        areas = List.of(assignment.settings().text("areas", "").split(","));
-        together =
+            ProbeActions probeActions,
+            SheddingActions sheddingActions,
+            Consumer<List<Listed>> onEnginesReleased) {
+        this.config = config;
+        Deployment deployment = managerConfig.deployment();
+        zoneNames = List.of(managerConfig.settings().text("areas", "").split(","));
+        fleetCoordinator =
                 new FleetCoordinator(
-                        list.name(),
+                        config.name(),
                         deployment.zone(),
-                        areas.size(),
+                        zoneNames.size(),
                         deployment.shortestLatencyObjective(),
                         deployment.rules().warmUpDuration(),
-                        list.period(),
-                        new ZoneFailover.Effects() {
+                        config.period(),
+                        new ZoneActions() {
                             @Override
-                            public void keepAway(long engine, boolean away, boolean restIsOver) {
-                                keepAway.othersTry(engine, away, restIsOver);
+                            public void setAvoided(long engine, boolean away, boolean restIsOver) {
+                                probeActions.setProbedByOthers(engine, away, restIsOver);
                             }
 
                             @Override
-                            public void turned(int zone, String state) {
+                            public void logZoneState(int zone, String state) {
                                 LOG.info(
                                         () ->
                                                 "zone {\"zone\":"
@@ -149,79 +151,83 @@
                                                         + "\"}");
                             }
                         },
-                        cut,
-                        FleetCoordinator.Faults.NONE);
-        int all = deployment.managers();
+                        sheddingActions,
+                        FleetCoordinator.InjectedDefects.NONE);
+        int managers = deployment.managers();
         long seed = deployment.seed();
         this.io = io;
         this.clock = clock;
         this.counters = counters;
-        this.free = free;
-        list.addresses().forEach(a -> seeds.put(a, seeds.size()));
-        PeerConfig.InCells in = list.in();
-        RandomGeneratorFactory<RandomGenerator> chances =
+        this.onEnginesReleased = onEnginesReleased;
+        config.addresses().forEach(a -> addressIndex.put(a, addressIndex.size()));
+        PeerConfig.InCells cellConfig = config.in();
+        RandomGeneratorFactory<RandomGenerator> randomFactory =
                 RandomGeneratorFactory.of("L64X128MixRandom");
         cells =
-                in == null
+                cellConfig == null
                         ? null
                         : new CellDirectory(
-                                in.plan(),
-                                in.before(),
-                                in.cell(),
-                                in.slot(),
-                                list.name(),
-                                list.fleet(),
+                                cellConfig.plan(),
+                                cellConfig.before(),
+                                cellConfig.cell(),
+                                cellConfig.slot(),
+                                config.name(),
+                                config.fleet(),
                                 started,
-                                chances.create(~seed),
+                                randomFactory.create(~seed),
                                 this,
-                                CellDirectory.Fault.NONE);
-        sieve =
-                in == null
+                                CellDirectory.InjectedDefect.NONE);
+        engineSubset =
+                cellConfig == null
                         ? null
                         : new EngineSubset<>(
                                 cells,
                                 Listed::id,
-                                e -> area(e.zone()),
+                                e -> zoneName(e.zone()),
                                 e -> e.standing() == EndpointUpdate.Lifecycle.GONE);
-        if (in != null) {
-            in.addresses().forEach(others::addAll);
-            others.removeAll(list.addresses());
+        if (cellConfig != null) {
+            cellConfig.addresses().forEach(otherCellAddresses::addAll);
+            otherCellAddresses.removeAll(config.addresses());
         }
         String version = MembershipTransport.class.getPackage().getImplementationVersion();
         leases =
                 new QuotaLeases(
-                        in == null ? all : list.addresses().size(),
-                        in == null ? 1.0 / all : in.plan().part(in.cell()),
-                        list.period(),
-                        Files.exists(list.mark()),
-                        this::keep,
-                        QuotaLeases.Fault.NONE);
-        members =
+                        cellConfig == null ? managers : config.addresses().size(),
+                        cellConfig == null
+                                ? 1.0 / managers
+                                : cellConfig.plan().share(cellConfig.cell()),
+                        config.period(),
+                        Files.exists(config.mark()),
+                        this::storeWithdrawalMark,
+                        QuotaLeases.InjectedDefect.NONE);
+        protocol =
                 new MembershipProtocol(
-                        list.fleet(),
+                        config.fleet(),
                         new Member(
-                                list.name(),
-                                list.zone(),
+                                config.name(),
+                                config.zone(),
                                 started,
-                                MemberState.HERE,
+                                MemberState.ALIVE,
                                 version == null ? "" : version,
-                                list.weight()),
-                        seeds.size(),
-                        list.period(),
-                        MOST,
-                        chances.create(seed),
+                                config.weight()),
+                        addressIndex.size(),
+                        config.period(),
+                        MAX_DATAGRAM_BYTES,
+                        randomFactory.create(seed),
                         leases,
                         this,
-                        MembershipProtocol.Fault.NONE);
+                        MembershipProtocol.InjectedDefect.NONE);
     }
 
-    private String area(int zone) {
-        return zone >= 0 && zone < areas.size() ? areas.get(zone) : "";
+    private String zoneName(int zone) {
+        return zone >= 0 && zone < zoneNames.size() ? zoneNames.get(zone) : "";
     }
 
     /** Of an event of the list what this manager may use; all of it where the fleet is one. */
     public List<Listed> served(EndpointUpdate.Kind kind, List<Listed> entries) {
-        return sieve == null ? entries : sieve.pass(kind != EndpointUpdate.Kind.DELTA, entries);
+        return engineSubset == null
+                ? entries
+                : engineSubset.filter(kind != EndpointUpdate.Kind.DELTA, entries);
     }
 
     /**
@@ -229,17 +235,17 @@
      * fleet is one.
      */
     public double coldPart(Listed e) {
-        return cells == null ? 0 : cells.coldPart(e.id(), area(e.zone()));
+        return cells == null ? 0 : cells.warmUpShare(e.id(), zoneName(e.zone()));
     }
 
     /** Listens. */
     public void listen(XnioWorker worker) throws IOException {
-        channel = worker.createUdpServer(list.listen(), null, OptionMap.EMPTY);
+        channel = worker.createUdpServer(config.listen(), null, OptionMap.EMPTY);
     }
 
     /** Begins; on the I/O thread. */
     public void start() {
-        channel.getReadSetter().set(c -> readable());
+        channel.getReadSetter().set(c -> onReadable());
         channel.resumeReads();
         tick();
     }
@@ -253,21 +259,23 @@
      * How long this process was stopped just now: since its last tick, or until the one that came
      * late.
      */
-    public long stoodStill() {
+    public long pauseDuration() {
         long now = clock.now();
-        long since = tickedAt == 0 ? 0 : now - tickedAt;
-        return Math.max(since > STILL ? since : 0, now - wokeAt < READS ? stoppedFor : 0);
+        long since = lastTickAt == 0 ? 0 : now - lastTickAt;
+        return Math.max(
+                since > PAUSE_THRESHOLD ? since : 0,
+                now - pauseDetectedAt < BACKLOG_READ_TIME ? lastPause : 0);
     }
 
     private void tick() {
         if (!closed) {
             long now = clock.now();
-            if (tickedAt > 0 && now - tickedAt > STILL) {
-                wokeAt = now;
-                stoppedFor = now - tickedAt;
+            if (lastTickAt > 0 && now - lastTickAt > PAUSE_THRESHOLD) {
+                pauseDetectedAt = now;
+                lastPause = now - lastTickAt;
             }
-            tickedAt = now;
-            members.tick(clock.now());
+            lastTickAt = now;
+            protocol.tick(clock.now());
             if (cells != null) {
                 cells.tick(clock.now());
             }
@@ -279,26 +287,26 @@
      * A life that withdraws its word says so to the next one first; a disk may block, so not on
      * this thread.
      */
-    private void keep() {
+    private void storeWithdrawalMark() {
         Thread writer =
                 new Thread(
                         () -> {
                             try (FileChannel file =
                                     FileChannel.open(
-                                            list.mark(),
+                                            config.mark(),
                                             StandardOpenOption.CREATE,
                                             StandardOpenOption.WRITE)) {
                                 file.write(
                                         ByteBuffer.wrap(
                                                 "withdrew\n".getBytes(StandardCharsets.US_ASCII)));
                                 file.force(true);
-                                io.execute(leases::kept);
+                                io.execute(leases::onWithdrawalMarkStored);
                             } catch (IOException fault) {
                                 // Then it withdraws nothing: the others' room stays unused, and no
                                 // rule is at stake.
                                 LOG.warning(
                                         "no mark can be kept at "
-                                                + list.mark()
+                                                + config.mark()
                                                 + ": "
                                                 + fault.getMessage());
                             }
@@ -308,31 +316,33 @@
         writer.start();
     }
 
-    private void readable() {
+    private void onReadable() {
         try {
-            for (int i = 0; i < MOST_A_LOOK; i++) {
-                shared.clear();
-                int n = channel.receiveFrom(from, shared);
+            for (int i = 0; i < MAX_DATAGRAMS_PER_READ; i++) {
+                receiveBuffer.clear();
+                int n = channel.receiveFrom(senderAddress, receiveBuffer);
                 if (n <= 0) {
                     return;
                 }
-                shared.flip();
-                byte[] bytes = new byte[shared.remaining()];
-                shared.get(bytes);
-                InetSocketAddress source = from.getSourceAddress(InetSocketAddress.class);
-                Integer seed = seeds.get(source);
+                receiveBuffer.flip();
+                byte[] bytes = new byte[receiveBuffer.remaining()];
+                receiveBuffer.get(bytes);
+                InetSocketAddress source = senderAddress.getSourceAddress(InetSocketAddress.class);
+                Integer seed = addressIndex.get(source);
                 if (seed != null) {
-                    reading = seed;
-                    members.received(clock.now(), seed, bytes);
-                } else if (others.contains(source)) {
-                    cells.received(clock.now(), bytes);
+                    currentSender = seed;
+                    protocol.onDatagram(clock.now(), seed, bytes);
+                } else if (otherCellAddresses.contains(source)) {
+                    cells.onDatagram(clock.now(), bytes);
                 } else if (source.getAddress().isLoopbackAddress()
-                        && Arrays.equals(bytes, ASKED.getBytes(StandardCharsets.US_ASCII))) {
+                        && Arrays.equals(
+                                bytes, STATUS_REQUEST.getBytes(StandardCharsets.US_ASCII))) {
                     channel.sendTo(
-                            source, ByteBuffer.wrap(told().getBytes(StandardCharsets.UTF_8)));
+                            source, ByteBuffer.wrap(statusJson().getBytes(StandardCharsets.UTF_8)));
                 } else if (source.getAddress().isLoopbackAddress()
-                        && new String(bytes, StandardCharsets.UTF_8).startsWith(ORDERED + " ")) {
-                    String answer = ordered(bytes) ? told() : NO_ORDER;
+                        && new String(bytes, StandardCharsets.UTF_8)
+                                .startsWith(ZONE_ORDER_PREFIX + " ")) {
+                    String answer = applyZoneOrder(bytes) ? statusJson() : ZONE_ORDER_REJECTED;
                     channel.sendTo(
                             source, ByteBuffer.wrap(answer.getBytes(StandardCharsets.UTF_8)));
                 } else {
@@ -348,16 +358,16 @@
      * An operator's order, {@code firstage zone 1 leave north}; false where it is none that can be
      * used.
      */
-    private boolean ordered(byte[] bytes) {
+    private boolean applyZoneOrder(byte[] bytes) {
         String[] words = new String(bytes, StandardCharsets.UTF_8).split(" ", 5);
-        int zone = words.length < 5 ? -1 : areas.indexOf(words[4]);
+        int zone = words.length < 5 ? -1 : zoneNames.indexOf(words[4]);
         if (zone < 0) {
             return false;
         }
         for (ZoneFailover.Order order : ZoneFailover.Order.values()) {
             if (order.name().toLowerCase(Locale.ROOT).equals(words[3])) {
                 LOG.info(() -> "zone {\"zone\":" + zone + ",\"ordered\":\"" + words[3] + "\"}");
-                together.order(clock.now(), zone, order);
+                fleetCoordinator.setZoneOrder(clock.now(), zone, order);
                 return true;
             }
         }
@@ -365,52 +375,56 @@
     }
 
     /** What it knows, as JSON. */
-    private String told() throws IOException {
+    private String statusJson() throws IOException {
         long now = clock.now();
         StringWriter text = new StringWriter();
         try (JsonGenerator out = new JsonFactory().createGenerator(text)) {
             out.writeStartObject();
-            out.writeStringField("fleet", list.fleet());
-            out.writeStringField("name", list.name());
-            out.writeNumberField("view", members.view().number());
-            out.writeBooleanField("agreed", members.agreed());
-            out.writeNumberField("sure", members.sure(now));
+            out.writeStringField("fleet", config.fleet());
+            out.writeStringField("name", config.name());
+            out.writeNumberField("view", protocol.view().number());
+            out.writeBooleanField("agreed", protocol.viewAgreed());
+            out.writeNumberField("sure", protocol.confidence(now));
             out.writeNumberField("share", leases.share(now));
-            out.writeNumberField("trials withheld", together.withheld());
-            out.writeNumberField("cut", together.cut());
+            out.writeNumberField("trials withheld", fleetCoordinator.withheldProbes());
+            out.writeNumberField("cut", fleetCoordinator.sheddingThreshold());
             out.writeStringField(
                     "zones left",
-                    together.zonesOut().stream().map(areas::get).collect(Collectors.joining(" ")));
+                    fleetCoordinator.evacuatedZones().stream()
+                            .map(zoneNames::get)
+                            .collect(Collectors.joining(" ")));
             out.writeStringField(
                     "zones ordered",
-                    together.ordered().entrySet().stream()
+                    fleetCoordinator.zoneOrders().entrySet().stream()
                             .map(
                                     e ->
-                                            areas.get(e.getKey())
+                                            zoneNames.get(e.getKey())
                                                     + " "
                                                     + e.getValue().name().toLowerCase(Locale.ROOT))
                             .collect(Collectors.joining(" ")));
             if (cells != null) {
-                tellCells(out, now);
+                writeCells(out, now);
             }
             out.writeArrayFieldStart("members");
-            for (Member e : members.entries()) {
+            for (Member e : protocol.members()) {
                 out.writeStartObject();
                 out.writeStringField("name", e.name());
                 out.writeStringField("zone", e.zone());
-                out.writeStringField("standing", e.standing().name().toLowerCase(Locale.ROOT));
+                out.writeStringField("state", e.state().name().toLowerCase(Locale.ROOT));
                 out.writeNumberField("since", e.incarnation());
                 out.writeStringField("version", e.version());
                 out.writeNumberField("weight", e.weight());
                 out.writeStringField(
                         "link",
-                        e.name().equals(list.name()) ? "self" : members.link(now, e.name()));
-                out.writeBooleanField("in view", members.view().names().contains(e.name()));
+                        e.name().equals(config.name())
+                                ? "self"
+                                : protocol.linkState(now, e.name()));
+                out.writeBooleanField("in view", protocol.view().memberNames().contains(e.name()));
                 out.writeEndObject();
             }
             out.writeEndArray();
             out.writeObjectFieldStart("refused");
-            for (Map.Entry<String, Long> r : members.refused().entrySet()) {
+            for (Map.Entry<String, Long> r : protocol.rejectedMessages().entrySet()) {
                 out.writeNumberField(r.getKey(), r.getValue());
             }
             out.writeEndObject();
@@ -423,77 +437,79 @@
      * The cells in two numbers and, where not all is well, by name: one answer must fit into a
      * datagram.
      */
-    private void tellCells(JsonGenerator out, long now) throws IOException {
-        PeerConfig.InCells in = list.in();
-        List<CellDirectory.Known> known = cells.known(now);
+    private void writeCells(JsonGenerator out, long now) throws IOException {
+        PeerConfig.InCells in = config.in();
+        List<CellDirectory.CellStatus> known = cells.cells(now);
         out.writeStringField("cell", in.plan().cells().get(in.cell()).name());
         out.writeNumberField("plan", in.plan().number());
         out.writeNumberField("cells", known.size());
         out.writeNumberField(
                 "cells heard",
-                known.stream().filter(k -> k.standing() == CellDirectory.Standing.HEARD).count());
+                known.stream().filter(k -> k.state() == CellDirectory.CellState.ACTIVE).count());
         out.writeNumberField(
-                "managers here", known.stream().mapToInt(CellDirectory.Known::here).sum());
+                "managers here",
+                known.stream().mapToInt(CellDirectory.CellStatus::aliveManagers).sum());
         out.writeStringField(
                 "cells silent",
-                some(
+                abbreviate(
                         known.stream()
-                                .filter(k -> k.standing() == CellDirectory.Standing.SILENT)
-                                .map(CellDirectory.Known::name)
+                                .filter(k -> k.state() == CellDirectory.CellState.SILENT)
+                                .map(CellDirectory.CellStatus::name)
                                 .toList()));
         out.writeStringField(
                 "cells short",
-                some(
+                abbreviate(
                         known.stream()
                                 .filter(
                                         k ->
-                                                k.here() < k.slots()
-                                                        && k.standing()
-                                                                == CellDirectory.Standing.HEARD)
-                                .map(k -> k.name() + ":" + k.here() + "/" + k.slots())
+                                                k.aliveManagers() < k.slots()
+                                                        && k.state()
+                                                                == CellDirectory.CellState.ACTIVE)
+                                .map(k -> k.name() + ":" + k.aliveManagers() + "/" + k.slots())
                                 .toList()));
         out.writeStringField(
                 "cells shedding",
-                some(
+                abbreviate(
                         known.stream()
-                                .filter(k -> k.cut() > 0)
-                                .map(k -> k.name() + ":" + k.cut())
+                                .filter(k -> k.sheddingThreshold() > 0)
+                                .map(k -> k.name() + ":" + k.sheddingThreshold())
                                 .toList()));
-        out.writeStringField("plan not held by", some(cells.behind()));
-        out.writeNumberField("engines waited for", sieve.awaited());
+        out.writeStringField("plan not held by", abbreviate(cells.cellsBehindPlan()));
+        out.writeNumberField("engines waited for", engineSubset.awaitedCount());
     }
 
-    private static String some(List<String> names) {
-        return String.join(" ", names.subList(0, Math.min(MOST_NAMED, names.size())))
-                + (names.size() > MOST_NAMED
-                        ? " and " + (names.size() - MOST_NAMED) + " more"
+    private static String abbreviate(List<String> names) {
+        return String.join(" ", names.subList(0, Math.min(MAX_CELLS_NAMED, names.size())))
+                + (names.size() > MAX_CELLS_NAMED
+                        ? " and " + (names.size() - MAX_CELLS_NAMED) + " more"
                         : "");
     }
 
     /** It ends by intent; the others are told. */
     public void leave() {
-        members.leave(clock.now());
+        protocol.leave(clock.now());
     }
 
     public void close() {
         closed = true;
-        members.refused().forEach((why, n) -> counters.add("datagrams refused: " + why, n));
+        protocol.rejectedMessages()
+                .forEach((why, n) -> counters.add("datagrams refused: " + why, n));
         if (cells != null) {
-            cells.refused().forEach((why, n) -> counters.add("rows refused: " + why, n));
+            cells.rejectedMessages().forEach((why, n) -> counters.add("rows refused: " + why, n));
         }
         IoUtils.safeClose(channel);
     }
 
     @Override
     public void send(int seed, MembershipMessage.Kind kind, byte[] datagram) {
-        if (list.in() == null || seed != list.in().slot()) {
-            send(list.addresses().get(seed), datagram);
+        if (config.in() == null || seed != config.in().slot()) {
+            send(config.addresses().get(seed), datagram);
         }
     }
 
     @Override
     public void send(int cell, int slot, byte[] datagram) {
-        send(list.in().addresses().get(cell).get(slot), datagram);
+        send(config.in().addresses().get(cell).get(slot), datagram);
     }
 
     private void send(InetSocketAddress to, byte[] datagram) {
@@ -509,38 +525,38 @@
     }
 
     @Override
-    public void freed(long now) {
-        List<Listed> may = sieve.freed();
+    public void enginesReleased(long now) {
+        List<Listed> may = engineSubset.takeReleased();
         if (!may.isEmpty()) {
             LOG.info(() -> "cell {\"engines taken over\":" + may.size() + "}");
-            free.accept(may);
+            onEnginesReleased.accept(may);
         }
     }
 
     @Override
-    public int cut() {
-        return together.cut();
+    public int sheddingThreshold() {
+        return fleetCoordinator.sheddingThreshold();
     }
 
     @Override
-    public void changed(long now, MembershipView view) {
-        together.viewed(view.names());
+    public void viewChanged(long now, MembershipView view) {
+        fleetCoordinator.onViewChanged(view.memberNames());
         if (cells != null) {
-            cells.viewed(view.names());
+            cells.onViewChanged(view.memberNames());
         }
         LOG.info(
                 () ->
                         "view {\"number\":"
                                 + view.number()
                                 + ",\"members\":\""
-                                + String.join(" ", view.names())
+                                + String.join(" ", view.memberNames())
                                 + "\",\"share\":"
                                 + String.format(Locale.ROOT, "%.4f", leases.share(now))
                                 + "}");
     }
 
     @Override
-    public void note(long now, String what, String who, String why) {
+    public void logMemberEvent(long now, String what, String who, String why) {
         LOG.info(
                 () ->
                         "member {\"is\":\""
@@ -553,7 +569,7 @@
     }
 
     @Override
-    public void noteOfCell(long now, String what, String cell, String why) {
+    public void logCellEvent(long now, String what, String cell, String why) {
         LOG.info(
                 () ->
                         "cell {\"is\":\""
@@ -566,18 +582,19 @@
     }
 
     @Override
-    public byte[] digest(long now) {
-        byte[] rest = together.digest(now);
-        return cells == null ? rest : cells.digest(rest);
+    public byte[] outgoingDigest(long now) {
+        byte[] rest = fleetCoordinator.encodeDigest(now);
+        return cells == null ? rest : cells.encodeDigest(rest);
     }
 
     @Override
-    public void digested(long now, String name, byte[] digest) {
-        together.digested(now, name, cells == null ? digest : cells.digested(now, reading, digest));
+    public void digestReceived(long now, String name, byte[] digest) {
+        fleetCoordinator.onDigest(
+                now, name, cells == null ? digest : cells.onDigest(now, currentSender, digest));
     }
 
     /** What this manager works out with the others; on the I/O thread. */
-    public FleetCoordinator together() {
-        return together;
+    public FleetCoordinator fleetCoordinator() {
+        return fleetCoordinator;
     }
 }
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -219,7 +219,7 @@
                         choice.bounds());
         manager = choice.start(deployment, this);
         if (cells != null) {
-            manager.onQuotaChanged(calendar.now(), cells.part(plan.cellOf(number)));
+            manager.onQuotaChanged(calendar.now(), cells.share(plan.cellOf(number)));
         }
         if (choice.peers() != null) {
             together =
@@ -256,7 +256,7 @@
     private void look(int mine) {
         if (mine == life && up) {
             for (int e : list.keySet()) {
-                together.holds(
+                together.updateEngine(
                         calendar.now(),
                         plan.zoneOf(e),
                         e,
@@ -264,7 +264,7 @@
                         manager.lastAttemptAt(e),
                         manager.lastResponseAt(e));
             }
-            together.look(calendar.now(), manager.demand(calendar.now()));
+            together.evaluate(calendar.now(), manager.demand(calendar.now()));
             calendar.in(LOOK, () -> look(mine));
         }
     }
@@ -272,12 +272,12 @@
     /** Words of one are with the other after their way; nothing where either is down by then. */
     void tells(ManagerModel other) {
         if (together != null && up) {
-            byte[] digest = together.digest(calendar.now());
+            byte[] digest = together.encodeDigest(calendar.now());
             calendar.in(
                     way(),
                     () -> {
                         if (other.up && other.together != null) {
-                            other.together.digested(calendar.now(), name(), digest);
+                            other.together.onDigest(calendar.now(), name(), digest);
                         }
                     });
         }
@@ -286,7 +286,7 @@
     /** Who is up. */
     void viewed(List<String> names) {
         if (together != null) {
-            together.viewed(names);
+            together.onViewChanged(names);
         }
     }
 
@@ -395,7 +395,7 @@
         double coldPart =
                 cells == null || choice.coldBySettings()
                         ? 0
-                        : cells.coldPart(null, plan.cellOf(number), mark(engine), zone(engine));
+                        : cells.warmUpShare(null, plan.cellOf(number), mark(engine), zone(engine));
         return new EndpointUpdate.Endpoint(
                 engine, mark(engine), 0, 0, 0, standing, 1, since, coldPart);
     }
--- a/src/main/java/firstage/simulation/PolicyUnderTest.java
+++ b/src/main/java/firstage/simulation/PolicyUnderTest.java
@@ -18,7 +18,7 @@
         String name,
         BaselinePolicy.Kind plain,
         double bounds,
-        FleetCoordinator.Faults peers,
+        FleetCoordinator.InjectedDefects peers,
         boolean coldBySettings) {
     private static final String BRAIN = "brain";
     private static final String COLD = BRAIN + ":cold=settings";
@@ -36,15 +36,16 @@
             return new PolicyUnderTest(text, null, 1, null, true);
         }
         if (text.equals(PEERS)) {
-            return new PolicyUnderTest(text, null, 1, FleetCoordinator.Faults.NONE, false);
+            return new PolicyUnderTest(text, null, 1, FleetCoordinator.InjectedDefects.NONE, false);
         }
         if (text.startsWith(PEERS + "=")
-                && FleetCoordinator.Faults.of(text.substring(PEERS.length() + 1)) != null) {
+                && FleetCoordinator.InjectedDefects.named(text.substring(PEERS.length() + 1))
+                        != null) {
             return new PolicyUnderTest(
                     text,
                     null,
                     1,
-                    FleetCoordinator.Faults.of(text.substring(PEERS.length() + 1)),
+                    FleetCoordinator.InjectedDefects.named(text.substring(PEERS.length() + 1)),
                     false);
         }
         if (text.startsWith(BRAIN + ":bounds=")) {
--- a/src/main/java/firstage/simulation/schedule/MembershipFigures.java
+++ b/src/main/java/firstage/simulation/schedule/MembershipFigures.java
@@ -17,7 +17,10 @@
     private static SimulatedMembership field(int count, long seed) {
         SimulatedMembership f =
                 new SimulatedMembership(
-                        count, seed, MembershipProtocol.Fault.NONE, QuotaLeases.Fault.NONE);
+                        count,
+                        seed,
+                        MembershipProtocol.InjectedDefect.NONE,
+                        QuotaLeases.InjectedDefect.NONE);
         f.startAll();
         f.pass(5 * SECOND);
         f.changes();
@@ -37,7 +40,10 @@
         for (long seed = 0; seed < seeds; seed++) {
             SimulatedMembership first =
                     new SimulatedMembership(
-                            count, seed, MembershipProtocol.Fault.NONE, QuotaLeases.Fault.NONE);
+                            count,
+                            seed,
+                            MembershipProtocol.InjectedDefect.NONE,
+                            QuotaLeases.InjectedDefect.NONE);
             long took = first.startAll();
             never += took < 0 ? 1 : 0;
             start.addValue(took / 1e4);
--- a/src/main/java/firstage/simulation/schedule/SimulatedCells.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedCells.java
@@ -1,11 +1,13 @@
 package firstage.simulation.schedule;
 
+import firstage.cells.CellActions;
 import firstage.cells.CellDirectory;
 import firstage.cells.CellPlan;
 import firstage.failover.FleetCoordinator;
-import firstage.failover.ZoneFailover;
+import firstage.failover.ZoneActions;
 import firstage.membership.Member;
 import firstage.membership.MemberState;
+import firstage.membership.MembershipActions;
 import firstage.membership.MembershipMessage;
 import firstage.membership.MembershipProtocol;
 import firstage.membership.MembershipView;
@@ -62,7 +64,7 @@
             int spread,
             boolean rooms,
             long tick,
-            CellDirectory.Fault fault) {
+            CellDirectory.InjectedDefect fault) {
         /** How many cells there are. */
         public int cells() {
             return cell == 0 ? 1 : managers / cell;
@@ -73,15 +75,15 @@
     public enum Kind {
         PING,
         ACK,
-        ASK,
-        VOUCH,
+        PING_REQUEST,
+        INDIRECT_ACK,
         SYNC,
-        SYNC_BACK,
+        SYNC_REPLY,
         ROWS
     }
 
     /** One place at which a manager runs, one life after another. */
-    public final class Place implements MembershipProtocol.Carrier, CellDirectory.Effects {
+    public final class Place implements MembershipActions, CellActions {
         private final int number;
         private final int cell;
         private final int slot;
@@ -142,7 +144,7 @@
             leases =
                     new QuotaLeases(
                             peers,
-                            shape.cell == 0 ? 1.0 / peers : next.part(cell),
+                            shape.cell == 0 ? 1.0 / peers : next.share(cell),
                             PERIOD,
                             lentBefore,
                             () -> {
@@ -151,11 +153,11 @@
                                         50,
                                         () -> {
                                             if (life == mine) {
-                                                leases.kept();
+                                                leases.onWithdrawalMarkStored();
                                             }
                                         });
                             },
-                            QuotaLeases.Fault.NONE);
+                            QuotaLeases.InjectedDefect.NONE);
             members =
                     new MembershipProtocol(
                             "field",
@@ -163,7 +165,7 @@
                                     name(number),
                                     zone(cell),
                                     calendar.now() + 1,
-                                    MemberState.HERE,
+                                    MemberState.ALIVE,
                                     "1",
                                     1),
                             peers,
@@ -172,7 +174,7 @@
                             CHANCES.create(chance.nextLong()),
                             leases,
                             this,
-                            MembershipProtocol.Fault.NONE);
+                            MembershipProtocol.InjectedDefect.NONE);
             CellPlan was = next.number() > holds.number() ? holds : null;
             cells =
                     shape.cell == 0
@@ -198,20 +200,20 @@
                                     GOAL,
                                     WARM,
                                     PERIOD,
-                                    new ZoneFailover.Effects() {
+                                    new ZoneActions() {
                                         @Override
-                                        public void keepAway(
+                                        public void setAvoided(
                                                 long engine, boolean away, boolean restIsOver) {
                                             // No engines stand behind it.
                                         }
 
                                         @Override
-                                        public void turned(int zone, String state) {
+                                        public void logZoneState(int zone, String state) {
                                             // The same.
                                         }
                                     },
                                     (now, band, part) -> {},
-                                    FleetCoordinator.Faults.NONE)
+                                    FleetCoordinator.InjectedDefects.NONE)
                             : null;
             tick(mine);
             look(mine);
@@ -248,7 +250,7 @@
                     demand.arrivedWork(DemandHistogram.BANDS / 2 + 2 * b, WORK * LOOK / BANDS);
                 }
                 demand.startedWork(WORK * LOOK);
-                together.look(calendar.now(), demand);
+                together.evaluate(calendar.now(), demand);
                 calendar.in(LOOK, () -> look(mine));
             }
         }
@@ -268,7 +270,7 @@
                     () -> {
                         Place there = places.get(to);
                         there.from = seat;
-                        there.members.received(calendar.now(), seat, datagram);
+                        there.members.onDatagram(calendar.now(), seat, datagram);
                     });
         }
 
@@ -277,7 +279,7 @@
             counted(Kind.ROWS, datagram);
             int to = toCell * shape.cell + toSlot;
             if (to < places.size()) {
-                pass(to, () -> places.get(to).cells.received(calendar.now(), datagram));
+                pass(to, () -> places.get(to).cells.onDatagram(calendar.now(), datagram));
             }
         }
 
@@ -297,47 +299,47 @@
         }
 
         @Override
-        public void changed(long now, MembershipView view) {
+        public void viewChanged(long now, MembershipView view) {
             if (cells != null) {
-                cells.viewed(view.names());
+                cells.onViewChanged(view.memberNames());
             }
             if (together != null) {
-                together.viewed(view.names());
+                together.onViewChanged(view.memberNames());
             }
         }
 
         @Override
-        public void note(long now, String what, String who, String why) {
+        public void logMemberEvent(long now, String what, String who, String why) {
             // Told to nobody: what is wanted of it is asked for.
         }
 
         @Override
-        public void noteOfCell(long now, String what, String cell, String why) {
+        public void logCellEvent(long now, String what, String cell, String why) {
             // The same.
         }
 
         @Override
-        public byte[] digest(long now) {
-            byte[] rest = together == null ? new byte[0] : together.digest(now);
-            return cells == null ? rest : cells.digest(rest);
+        public byte[] outgoingDigest(long now) {
+            byte[] rest = together == null ? new byte[0] : together.encodeDigest(now);
+            return cells == null ? rest : cells.encodeDigest(rest);
         }
 
         @Override
-        public void digested(long now, String who, byte[] digest) {
-            byte[] rest = cells == null ? digest : cells.digested(now, from, digest);
+        public void digestReceived(long now, String who, byte[] digest) {
+            byte[] rest = cells == null ? digest : cells.onDigest(now, from, digest);
             if (together != null) {
-                together.digested(now, who, rest);
+                together.onDigest(now, who, rest);
             }
         }
 
         @Override
-        public void freed(long now) {
+        public void enginesReleased(long now) {
             // Asked for by those who look.
         }
 
         @Override
-        public int cut() {
-            return together == null ? 0 : together.cut();
+        public int sheddingThreshold() {
+            return together == null ? 0 : together.sheddingThreshold();
         }
     }
 
@@ -437,7 +439,7 @@
                 }
             }
         }
-        Set<String> names = one == null ? Set.of() : new HashSet<>(one.names());
+        Set<String> names = one == null ? Set.of() : new HashSet<>(one.memberNames());
         return names.size() == up
                 && cell.stream().allMatch(p -> p.up == names.contains(name(p.number)));
     }
@@ -465,7 +467,8 @@
         int left = to.size();
         for (long t = 0; t <= most && left > 0; t += 100) {
             for (int i = 0; i < known.length; i++) {
-                if (known[i] < 0 && !to.get(i).members.view().names().contains(name(killed))) {
+                if (known[i] < 0
+                        && !to.get(i).members.view().memberNames().contains(name(killed))) {
                     known[i] = t;
                     left--;
                 }
@@ -482,7 +485,7 @@
         for (Place p : places) {
             if (p.up) {
                 up++;
-                sum += p.share() / (shape.cell == 0 ? 1.0 / places.size() : plan.part(p.cell));
+                sum += p.share() / (shape.cell == 0 ? 1.0 / places.size() : plan.share(p.cell));
             }
         }
         return up == 0 ? 0 : sum / up;
--- a/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
@@ -2,6 +2,7 @@
 
 import firstage.membership.Member;
 import firstage.membership.MemberState;
+import firstage.membership.MembershipActions;
 import firstage.membership.MembershipMessage;
 import firstage.membership.MembershipProtocol;
 import firstage.membership.MembershipView;
@@ -26,7 +27,7 @@
     private static final int MOST = 1_200;
 
     /** One place at which a manager runs, one life after another. */
-    public final class Place implements MembershipProtocol.Carrier {
+    public final class Place implements MembershipActions {
         private final int number;
         private MembershipProtocol members;
         private QuotaLeases leases;
@@ -73,7 +74,7 @@
                                         50,
                                         () -> {
                                             if (life == mine) {
-                                                leases.kept();
+                                                leases.onWithdrawalMarkStored();
                                             }
                                         });
                             },
@@ -85,7 +86,7 @@
                                     "m" + number,
                                     "z" + number % 2,
                                     calendar.now() + 1,
-                                    MemberState.HERE,
+                                    MemberState.ALIVE,
                                     "1",
                                     1),
                             places.size(),
@@ -142,7 +143,7 @@
             Runnable reads =
                     () -> {
                         if (life == mine) {
-                            members.received(calendar.now(), from, datagram);
+                            members.onDatagram(calendar.now(), from, datagram);
                         }
                     };
             if (calendar.now() < pausedUntil) {
@@ -167,29 +168,29 @@
         }
 
         @Override
-        public void changed(long now, MembershipView view) {
+        public void viewChanged(long now, MembershipView view) {
             views++;
-            changes.add("m" + number + " " + view.number() + " " + view.names().size());
+            changes.add("m" + number + " " + view.number() + " " + view.memberNames().size());
         }
 
         @Override
-        public void note(long now, String what, String who, String why) {
-            if (what.equals("gone")) {
+        public void logMemberEvent(long now, String what, String who, String why) {
+            if (what.equals("dead")) {
                 int whom = Integer.parseInt(who.substring(1));
                 if (places.get(whom).up) {
                     falselyGone.add(
-                            now / 10 + " ms: m" + number + " holds m" + whom + " for gone: " + why);
+                            now / 10 + " ms: m" + number + " holds m" + whom + " for dead: " + why);
                 }
             }
         }
 
         @Override
-        public byte[] digest(long now) {
+        public byte[] outgoingDigest(long now) {
             return new byte[0];
         }
 
         @Override
-        public void digested(long now, String from, byte[] digest) {
+        public void digestReceived(long now, String from, byte[] digest) {
             // The field has no rooms above.
         }
     }
@@ -198,8 +199,8 @@
             RandomGeneratorFactory.of("L64X128MixRandom");
     private final EventQueue calendar = new EventQueue(START);
     private final RandomGenerator chance;
-    private final MembershipProtocol.Fault fault;
-    private final QuotaLeases.Fault leaseFault;
+    private final MembershipProtocol.InjectedDefect fault;
+    private final QuotaLeases.InjectedDefect leaseFault;
     private final List<Place> places = new ArrayList<>();
     private final boolean[][] cut;
     private final List<String> falselyGone = new ArrayList<>();
@@ -208,7 +209,10 @@
     private double doubled;
 
     public SimulatedMembership(
-            int count, long seed, MembershipProtocol.Fault fault, QuotaLeases.Fault leaseFault) {
+            int count,
+            long seed,
+            MembershipProtocol.InjectedDefect fault,
+            QuotaLeases.InjectedDefect leaseFault) {
         chance = CHANCES.create(seed);
         this.fault = fault;
         this.leaseFault = leaseFault;
@@ -269,7 +273,7 @@
                 one = one == null ? v : one;
                 if (v.hash() != one.hash()
                         || v.number() != one.number()
-                        || !up.equals(Set.copyOf(v.names()))) {
+                        || !up.equals(Set.copyOf(v.memberNames()))) {
                     return false;
                 }
             }
@@ -301,11 +305,11 @@
                 t += 100) {
             for (Place p : places) {
                 if (p.up
-                        && p.members.entries().stream()
+                        && p.members.members().stream()
                                 .anyMatch(
                                         e ->
                                                 e.name().equals("m" + gone)
-                                                        && e.standing() != MemberState.HERE)) {
+                                                        && e.state() != MemberState.ALIVE)) {
                     known.putIfAbsent(p.number, t);
                 }
             }
@@ -315,7 +319,7 @@
         return List.copyOf(known.values());
     }
 
-    /** Live managers that were held for gone: when, by whom. */
+    /** Live managers that were held for dead: when, by whom. */
     public List<String> falselyGone() {
         return falselyGone;
     }
--- a/src/test/java/firstage/cells/CellDirectoryTest.java
+++ b/src/test/java/firstage/cells/CellDirectoryTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.cells.CellDirectory.Fault;
+import firstage.cells.CellDirectory.InjectedDefect;
 import firstage.cells.CellPlan.Cell;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -36,16 +36,16 @@
     }
 
     /** A manager without a membership: what it tells is kept, and heard by whom a test wants. */
-    private static final class Manager implements CellDirectory.Effects {
+    private static final class Manager implements CellActions {
         private final String name;
         private final int cell;
         private final int slot;
-        private final Fault fault;
+        private final InjectedDefect fault;
         private CellDirectory cells;
         private final List<byte[]> told = new ArrayList<>();
         private int freed;
 
-        private Manager(String name, int cell, int slot, Fault fault) {
+        private Manager(String name, int cell, int slot, InjectedDefect fault) {
             this.name = name;
             this.cell = cell;
             this.slot = slot;
@@ -65,7 +65,7 @@
                             RandomGeneratorFactory.of("L64X128MixRandom").create(name.hashCode()),
                             this,
                             fault);
-            cells.viewed(cell == 0 ? List.of("a0", "a1") : List.of(name));
+            cells.onViewChanged(cell == 0 ? List.of("a0", "a1") : List.of(name));
         }
 
         @Override
@@ -74,17 +74,17 @@
         }
 
         @Override
-        public void freed(long now) {
+        public void enginesReleased(long now) {
             freed++;
         }
 
         @Override
-        public void noteOfCell(long now, String what, String of, String why) {
+        public void logCellEvent(long now, String what, String of, String why) {
             // Not looked at.
         }
 
         @Override
-        public int cut() {
+        public int sheddingThreshold() {
             return 0;
         }
     }
@@ -93,7 +93,7 @@
         private final List<Manager> all;
         private long now = 100 * SECOND;
 
-        private Group(Fault fault) {
+        private Group(InjectedDefect fault) {
             all =
                     List.of(
                             new Manager("a0", 0, 0, fault),
@@ -114,14 +114,15 @@
         private void within(int from, int to) {
             all.get(to)
                     .cells
-                    .digested(now, all.get(from).slot, all.get(from).cells.digest(new byte[0]));
+                    .onDigest(
+                            now, all.get(from).slot, all.get(from).cells.encodeDigest(new byte[0]));
         }
 
         /** All that this one ever told, or the last of it, comes now. */
         private void across(int from, int to, boolean first) {
             List<byte[]> told = all.get(from).told;
             if (!told.isEmpty()) {
-                all.get(to).cells.received(now, told.get(first ? 0 : told.size() - 1));
+                all.get(to).cells.onDatagram(now, told.get(first ? 0 : told.size() - 1));
             }
         }
 
@@ -147,7 +148,7 @@
         private double sum(long engine) {
             double sum = 0;
             for (Manager m : all) {
-                sum += m.cells.uses(engine, "z") ? OLD.part(m.cell) : 0;
+                sum += m.cells.mayUse(engine, "z") ? OLD.share(m.cell) : 0;
             }
             return sum;
         }
@@ -156,11 +157,11 @@
     /** Some that move from the first cell to the third, and some that stay. */
     private static final long[] ENGINES =
             LongStream.range(1, 40)
-                    .filter(e -> !OLD.serving(e, "z").equals(NEW.serving(e, "z")))
+                    .filter(e -> !OLD.servingCells(e, "z").equals(NEW.servingCells(e, "z")))
                     .limit(3)
                     .toArray();
 
-    private static double worst(int depth, Fault fault) {
+    private static double worst(int depth, InjectedDefect fault) {
         return IntStream.range(0, 1 << 3 * depth)
                 .parallel()
                 .mapToDouble(
@@ -186,13 +187,13 @@
     @Test
     void inNoOrderOfFiveEventsAreThePartsOfAMovingEngineMoreThanTheWhole() {
         assertThat(ENGINES).hasSize(3);
-        assertThat(worst(Integer.getInteger("firstage.cells", 5), Fault.NONE))
+        assertThat(worst(Integer.getInteger("firstage.cells", 5), InjectedDefect.NONE))
                 .isLessThanOrEqualTo(1 + 1e-9);
     }
 
     @ParameterizedTest
-    @CsvSource({"GAINS_AT_ONCE", "LEAST_OF_THE_HEARD"})
-    void aFaultPutBackPassesTheWhole(Fault fault) {
+    @CsvSource({"GAINS_BEFORE_RELEASE", "SILENT_MANAGERS_IGNORED"})
+    void aFaultPutBackPassesTheWhole(InjectedDefect fault) {
         assertThat(worst(4, fault)).isGreaterThan(1 + 1e-9);
     }
 
@@ -200,10 +201,10 @@
      * Each manager holds whichever plan it likes, and believes whatever it heard: the rule rests on
      * nobody's word.
      */
-    private static double coldParts(CellPlan was, CellPlan is, long engine, Fault fault) {
+    private static double coldParts(CellPlan was, CellPlan is, long engine, InjectedDefect fault) {
         double sum = 0;
         for (int c = 0; c < is.cells().size(); c++) {
-            double old = was.serves(c, engine, "n") ? was.coldPart(null, c, engine, "n") : 0;
+            double old = was.serves(c, engine, "n") ? was.warmUpShare(null, c, engine, "n") : 0;
             double now = 0;
             if (is.serves(c, engine, "n")) {
                 CellDirectory cells =
@@ -218,14 +219,14 @@
                                 RandomGeneratorFactory.of("L64X128MixRandom").create(c),
                                 new Manager("x", c, 0, fault),
                                 fault);
-                now = cells.coldPart(engine, "n");
+                now = cells.warmUpShare(engine, "n");
             }
             sum += is.cells().get(c).slots() * Math.max(old, now);
         }
         return sum;
     }
 
-    private static double worstColdParts(Fault fault) {
+    private static double worstColdParts(InjectedDefect fault) {
         Random chance = new Random(11);
         double worst = 0;
         for (int i = 0; i < 300; i++) {
@@ -257,26 +258,26 @@
 
     @Test
     void whateverIsHeldAndHeardThePartsOfAColdEngineAreAtMostTheWhole() {
-        assertThat(worstColdParts(Fault.NONE)).isBetween(0.99, 1 + 1e-9);
-        assertThat(worstColdParts(Fault.GAINS_COLD_PART)).isGreaterThan(1.5);
+        assertThat(worstColdParts(InjectedDefect.NONE)).isBetween(0.99, 1 + 1e-9);
+        assertThat(worstColdParts(InjectedDefect.GAINS_WARM_UP_SHARE)).isGreaterThan(1.5);
     }
 
     @Test
     void onceAllThatLoseAnEngineHoldTheNewPlanItIsTakenOver() {
-        Group g = new Group(Fault.NONE);
+        Group g = new Group(InjectedDefect.NONE);
         long moves =
                 LongStream.range(1, 100)
                         .filter(
                                 e ->
-                                        OLD.serving(e, "z").equals(List.of(0))
-                                                && NEW.serving(e, "z").equals(List.of(2)))
+                                        OLD.servingCells(e, "z").equals(List.of(0))
+                                                && NEW.servingCells(e, "z").equals(List.of(2)))
                         .findFirst()
                         .orElseThrow();
-        assertThat(g.all.get(0).cells.uses(moves, "z")).isTrue();
+        assertThat(g.all.get(0).cells.mayUse(moves, "z")).isTrue();
         for (int e = 0; e < 4; e++) {
             g.play(e);
         }
-        assertThat(g.all.get(3).cells.uses(moves, "z")).isFalse();
+        assertThat(g.all.get(3).cells.mayUse(moves, "z")).isFalse();
         assertThat(g.all.get(3).cells.awaits(moves, "z")).isTrue();
         for (int i = 0; i < 3; i++) {
             g.play(4);
@@ -284,7 +285,7 @@
             g.play(6);
             g.play(7);
         }
-        assertThat(g.all.get(3).cells.uses(moves, "z")).isTrue();
+        assertThat(g.all.get(3).cells.mayUse(moves, "z")).isTrue();
         assertThat(g.all.get(3).freed).isPositive();
         assertThat(g.sum(moves)).isEqualTo(1);
     }
@@ -301,13 +302,13 @@
         int[] served = new int[26];
         for (long e = 1; e <= 1_720; e++) {
             String zone = e % 2 == 0 ? "n" : "s";
-            List<Integer> by = plan.serving(e, zone);
+            List<Integer> by = plan.servingCells(e, zone);
             assertThat(by).hasSize(4).allMatch(c -> plan.cells().get(c).zone().equals(zone));
             for (int c = 0; c < 26; c++) {
                 assertThat(plan.serves(c, e, zone)).isEqualTo(by.contains(c));
                 served[c] += by.contains(c) ? 1 : 0;
             }
-            assertThat(by.stream().mapToDouble(c -> 40 * plan.part(c)).sum()).isEqualTo(1);
+            assertThat(by.stream().mapToDouble(c -> 40 * plan.share(c)).sum()).isEqualTo(1);
         }
         // 860 engines a zone, four cells each, over 13: 265 on the mean.
         assertThat(Arrays.stream(served)).allMatch(n -> n > 215 && n < 315);
@@ -319,8 +320,8 @@
         CellPlan after = new CellPlan(2, 2, cells(9));
         int moved = 0;
         for (long e = 1; e <= 900; e++) {
-            List<Integer> was = before.serving(e, "n");
-            List<Integer> is = after.serving(e, "n");
+            List<Integer> was = before.servingCells(e, "n");
+            List<Integer> is = after.servingCells(e, "n");
             if (!was.containsAll(is)) {
                 assertThat(is).contains(8);
                 assertThat(is.stream().filter(c -> c != 8)).allMatch(was::contains);
@@ -336,20 +337,20 @@
 
     @Test
     void whatIsSpoiltOrOfOthersChangesNothing() {
-        Group g = new Group(Fault.NONE);
+        Group g = new Group(InjectedDefect.NONE);
         CellDirectory a = g.all.get(0).cells;
         byte[] good = g.all.get(2).told.get(0);
         for (int length = 0; length < good.length; length++) {
-            a.received(g.now, Arrays.copyOf(good, length));
-            a.digested(g.now, 1, Arrays.copyOf(good, length));
+            a.onDatagram(g.now, Arrays.copyOf(good, length));
+            a.onDigest(g.now, 1, Arrays.copyOf(good, length));
         }
         Random chance = new Random(5);
         for (int i = 0; i < 5_000; i++) {
             byte[] bad = good.clone();
             bad[chance.nextInt(13)] ^= (byte) (1 << chance.nextInt(8));
-            a.received(g.now, bad);
+            a.onDatagram(g.now, bad);
         }
-        assertThat(a.refused())
+        assertThat(a.rejectedMessages())
                 .containsKeys("another form", "another fleet", "another plan of this number");
         CellDirectory other =
                 new CellDirectory(
@@ -362,23 +363,23 @@
                         1_000_000,
                         RandomGeneratorFactory.of("L64X128MixRandom").create(1),
                         g.all.get(2),
-                        Fault.NONE);
-        assertThat(other.digested(g.now, 0, a.digest(new byte[] {7}))).isEmpty();
-        assertThat(a.digested(g.now, 1, g.all.get(1).cells.digest(new byte[] {7})))
+                        InjectedDefect.NONE);
+        assertThat(other.onDigest(g.now, 0, a.encodeDigest(new byte[] {7}))).isEmpty();
+        assertThat(a.onDigest(g.now, 1, g.all.get(1).cells.encodeDigest(new byte[] {7})))
                 .containsExactly(7);
     }
 
     @Test
     void theSieveKeepsWhatIsAwaitedAndNothingElse() {
-        Group g = new Group(Fault.NONE);
+        Group g = new Group(InjectedDefect.NONE);
         Manager c = g.all.get(3);
         c.start(NEW, OLD);
         EngineSubset<Long> sieve = new EngineSubset<>(c.cells, e -> e, e -> "z", e -> false);
         List<Long> engines = LongStream.range(1, 200).boxed().toList();
         List<Long> mine =
-                engines.stream().filter(e -> NEW.serving(e, "z").equals(List.of(2))).toList();
-        assertThat(sieve.pass(true, engines)).isEmpty();
-        assertThat(sieve.awaited()).isEqualTo(mine.size()).isBetween(60, 140);
+                engines.stream().filter(e -> NEW.servingCells(e, "z").equals(List.of(2))).toList();
+        assertThat(sieve.filter(true, engines)).isEmpty();
+        assertThat(sieve.awaitedCount()).isEqualTo(mine.size()).isBetween(60, 140);
         for (int e = 0; e < 3; e++) {
             g.play(e);
         }
@@ -388,8 +389,8 @@
             g.play(6);
             g.play(7);
         }
-        assertThat(sieve.freed()).isEqualTo(mine);
-        assertThat(sieve.awaited()).isZero();
-        assertThat(sieve.pass(false, engines)).isEqualTo(mine);
+        assertThat(sieve.takeReleased()).isEqualTo(mine);
+        assertThat(sieve.awaitedCount()).isZero();
+        assertThat(sieve.filter(false, engines)).isEqualTo(mine);
     }
 }
--- a/src/test/java/firstage/cells/SimulatedCellsTest.java
+++ b/src/test/java/firstage/cells/SimulatedCellsTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.cells.CellDirectory.Fault;
-import firstage.cells.CellDirectory.Known;
-import firstage.cells.CellDirectory.Standing;
+import firstage.cells.CellDirectory.CellState;
+import firstage.cells.CellDirectory.CellStatus;
+import firstage.cells.CellDirectory.InjectedDefect;
 import firstage.overload.RendezvousHash;
 import firstage.simulation.schedule.SimulatedCells;
 import firstage.simulation.schedule.SimulatedCells.Place;
@@ -27,7 +27,7 @@
 class SimulatedCellsTest {
     private static final long SECOND = 10_000;
 
-    private static SimulatedCells field(int managers, int cell, Fault fault) {
+    private static SimulatedCells field(int managers, int cell, InjectedDefect fault) {
         SimulatedCells f = new SimulatedCells(new Shape(managers, cell, 2, 1, true, 400, fault), 7);
         f.start(SECOND);
         assertThat(f.untilAgreed(20 * SECOND)).isNotNegative();
@@ -35,8 +35,8 @@
         return f;
     }
 
-    private static Known known(SimulatedCells f, int by, int cell) {
-        return f.places().get(by).cells().known(f.calendar().now()).get(cell);
+    private static CellStatus known(SimulatedCells f, int by, int cell) {
+        return f.places().get(by).cells().cells(f.calendar().now()).get(cell);
     }
 
     private static List<Place> of(SimulatedCells f, int cell) {
@@ -45,10 +45,10 @@
 
     @Test
     void allKnowAllCellsAndHowManyAreHere() {
-        SimulatedCells f = field(32, 8, Fault.NONE);
+        SimulatedCells f = field(32, 8, InjectedDefect.NONE);
         for (Place p : f.places()) {
-            assertThat(p.cells().known(f.calendar().now()))
-                    .allMatch(k -> k.standing() == Standing.HEARD && k.here() == 8);
+            assertThat(p.cells().cells(f.calendar().now()))
+                    .allMatch(k -> k.state() == CellState.ACTIVE && k.aliveManagers() == 8);
         }
     }
 
@@ -58,63 +58,63 @@
      */
     @ParameterizedTest
     @EnumSource(
-            value = Fault.class,
-            names = {"NONE", "DEPUTIES_FOR_GOOD"})
-    void whereAllDeputiesAreKilledTheCellIsHeardStill(Fault fault) {
+            value = InjectedDefect.class,
+            names = {"NONE", "FIXED_DELEGATES"})
+    void whereAllDeputiesAreKilledTheCellIsHeardStill(InjectedDefect fault) {
         SimulatedCells f = field(32, 8, fault);
         List<String> names = of(f, 1).stream().map(p -> p.members().name()).toList();
         of(f, 1).stream()
                 .sorted(
                         Comparator.comparing(
-                                p -> RendezvousHash.before(1, names, p.members().name())))
+                                p -> RendezvousHash.countBefore(1, names, p.members().name())))
                 .limit(3)
                 .toList()
                 .forEach(Place::kill);
         f.pass(45 * SECOND);
-        assertThat(known(f, 0, 1).standing())
-                .isEqualTo(fault == Fault.NONE ? Standing.HEARD : Standing.SILENT);
-        if (fault == Fault.NONE) {
-            assertThat(known(f, 0, 1).here()).isEqualTo(5);
+        assertThat(known(f, 0, 1).state())
+                .isEqualTo(fault == InjectedDefect.NONE ? CellState.ACTIVE : CellState.SILENT);
+        if (fault == InjectedDefect.NONE) {
+            assertThat(known(f, 0, 1).aliveManagers()).isEqualTo(5);
         }
     }
 
     /** With the fault old rows, told on and on, keep a dead cell alive. */
     @ParameterizedTest
     @EnumSource(
-            value = Fault.class,
+            value = InjectedDefect.class,
             names = {"NONE", "OLDER_ROW_WINS"})
-    void aCellThatDiesAsOneIsSilentToAllAndHeardAgain(Fault fault) {
+    void aCellThatDiesAsOneIsSilentToAllAndHeardAgain(InjectedDefect fault) {
         SimulatedCells f = field(32, 8, fault);
         of(f, 1).forEach(Place::kill);
         f.pass(60 * SECOND);
         List<Place> others = f.places().stream().filter(Place::up).toList();
-        if (fault != Fault.NONE) {
+        if (fault != InjectedDefect.NONE) {
             assertThat(others)
                     .anyMatch(
                             p ->
-                                    p.cells().known(f.calendar().now()).get(1).standing()
-                                            == Standing.HEARD);
+                                    p.cells().cells(f.calendar().now()).get(1).state()
+                                            == CellState.ACTIVE);
             return;
         }
         assertThat(others)
                 .allMatch(
                         p ->
-                                p.cells().known(f.calendar().now()).get(1).standing()
-                                        == Standing.SILENT);
+                                p.cells().cells(f.calendar().now()).get(1).state()
+                                        == CellState.SILENT);
         of(f, 1).forEach(Place::start);
         f.pass(20 * SECOND);
         assertThat(others)
                 .allMatch(
                         p ->
-                                p.cells().known(f.calendar().now()).get(1).standing()
-                                        == Standing.HEARD);
+                                p.cells().cells(f.calendar().now()).get(1).state()
+                                        == CellState.ACTIVE);
     }
 
     /** No part takes what the other uses; healed, they are one again. */
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 4})
     void aCellCutInTwoNeverUsesMoreThanTheWhole(int apart) {
-        SimulatedCells f = field(24, 8, Fault.NONE);
+        SimulatedCells f = field(24, 8, InjectedDefect.NONE);
         f.cut(p -> p < apart, true);
         for (int i = 0; i < 120; i++) {
             f.pass(SECOND / 2);
@@ -138,19 +138,18 @@
      */
     @Test
     void aRegionAloneKeepsItsSlicesAndComesBackWithoutABurst() {
-        SimulatedCells f = field(48, 8, Fault.NONE);
+        SimulatedCells f = field(48, 8, InjectedDefect.NONE);
         long usual = seconds(f, 10);
         // Every other cell is of the one region, as the zones are.
         f.cut(p -> p / 8 % 2 == 0, true);
         f.pass(120 * SECOND);
         assertThat(f.inForce()).isEqualTo(1);
-        assertThat(known(f, 0, 1).standing()).isEqualTo(Standing.SILENT);
-        assertThat(known(f, 0, 2).standing()).isEqualTo(Standing.HEARD);
+        assertThat(known(f, 0, 1).state()).isEqualTo(CellState.SILENT);
+        assertThat(known(f, 0, 2).state()).isEqualTo(CellState.ACTIVE);
         f.cut(p -> false, false);
         assertThat(seconds(f, 10)).isLessThan(usual * 6 / 5);
         f.pass(20 * SECOND);
-        assertThat(IntStream.range(0, 6))
-                .allMatch(c -> known(f, 0, c).standing() == Standing.HEARD);
+        assertThat(IntStream.range(0, 6)).allMatch(c -> known(f, 0, c).state() == CellState.ACTIVE);
     }
 
     private static long seconds(SimulatedCells f, int count) {
@@ -165,9 +164,9 @@
      */
     @ParameterizedTest
     @EnumSource(
-            value = Fault.class,
-            names = {"NONE", "GAINS_AT_ONCE"})
-    void whilePlansChangeTheSlicesOfNoEnginePassTheWhole(Fault fault) {
+            value = InjectedDefect.class,
+            names = {"NONE", "GAINS_BEFORE_RELEASE"})
+    void whilePlansChangeTheSlicesOfNoEnginePassTheWhole(InjectedDefect fault) {
         double worst = 0;
         double last = 0;
         for (int seed = 0; seed < 4; seed++) {
@@ -203,9 +202,9 @@
             f.pass(90 * SECOND);
             worst = Math.max(worst, most(f));
             last = most(f);
-            assertThat(f.places()).allMatch(p -> p.cells().behind().isEmpty());
+            assertThat(f.places()).allMatch(p -> p.cells().cellsBehindPlan().isEmpty());
         }
-        if (fault == Fault.NONE) {
+        if (fault == InjectedDefect.NONE) {
             assertThat(worst).isLessThanOrEqualTo(1 + 1e-9);
             assertThat(last).isGreaterThan(0.999);
         } else {
@@ -219,7 +218,7 @@
             String zone = "z" + engine % 2;
             double sum = 0;
             for (Place p : f.places()) {
-                sum += p.up() && p.cells().uses(engine, zone) ? p.share() : 0;
+                sum += p.up() && p.cells().mayUse(engine, zone) ? p.share() : 0;
             }
             most = Math.max(most, sum);
         }
--- a/src/test/java/firstage/failover/ZoneFailoverTest.java
+++ b/src/test/java/firstage/failover/ZoneFailoverTest.java
@@ -53,21 +53,24 @@
         private final Map<Integer, Long> turnedAt = new HashMap<>();
         private boolean runs = true;
 
-        private One(int number, ZoneFailover.Fault fault) {
+        private One(int number, ZoneFailover.InjectedDefect fault) {
             name = "m" + number;
             zone = number % ZONES;
             level =
                     new LoadSheddingLevel(
-                            name, SECOND, (at, band, part) -> {}, LoadSheddingLevel.Fault.NONE);
+                            name,
+                            SECOND,
+                            (at, band, part) -> {},
+                            LoadSheddingLevel.InjectedDefect.NONE);
             zones =
                     new ZoneFailover(
                             name,
                             zone,
                             ZONES,
                             WARM,
-                            new ZoneFailover.Effects() {
+                            new ZoneActions() {
                                 @Override
-                                public void keepAway(
+                                public void setAvoided(
                                         long engine, boolean keepsAway, boolean restIsOver) {
                                     away.put(engine, keepsAway);
                                     if (restIsOver) {
@@ -76,7 +79,7 @@
                                 }
 
                                 @Override
-                                public void turned(int which, String state) {
+                                public void logZoneState(int which, String state) {
                                     turns.add(which + " " + state);
                                     turnedAt.put(which, now);
                                 }
@@ -106,10 +109,10 @@
                 if (!isAway(e) && (!closed[e] || now - triedAt[e] >= 2 * SECOND)) {
                     use(e);
                 }
-                zones.holds(e % ZONES, e, closed[e], triedAt[e], heardAt[e]);
+                zones.updateEngine(e % ZONES, e, closed[e], triedAt[e], heardAt[e]);
             }
-            level.sees(zone, zones.sees(now), zones.orders());
-            zones.look(now, level.table(now));
+            level.setZoneObservations(zone, zones.reportedPercent(now), zones.ordersToSend());
+            zones.evaluate(now, level.freshRows(now));
         }
 
         private int used(int which) {
@@ -121,15 +124,15 @@
         }
     }
 
-    private void fleet(int managers, ZoneFailover.Fault fault) {
+    private void fleet(int managers, ZoneFailover.InjectedDefect fault) {
         for (int m = 0; m < managers; m++) {
             all.add(new One(m, fault));
         }
         List<String> names = all.stream().map(o -> o.name).toList();
         all.forEach(
                 o -> {
-                    o.level.viewed(names);
-                    o.zones.viewed(names);
+                    o.level.onViewChanged(names);
+                    o.zones.onViewChanged(names);
                 });
         for (int from = 0; from < ZONES; from++) {
             for (int to = 0; to < ZONES; to++) {
@@ -152,17 +155,17 @@
                 for (One o : all) {
                     One other = all.get(chance.nextInt(all.size()));
                     if (other != o && o.runs && other.runs && talks[o.zone][other.zone]) {
-                        other.level.heard(
+                        other.level.onRows(
                                 now,
-                                OverloadDigest.read(
-                                                OverloadDigest.write(
-                                                        List.of(), o.level.rows(now, 20)))
+                                OverloadDigest.decode(
+                                                OverloadDigest.encode(
+                                                        List.of(), o.level.rowsToSend(now, 20)))
                                         .rows());
-                        o.level.heard(
+                        o.level.onRows(
                                 now,
-                                OverloadDigest.read(
-                                                OverloadDigest.write(
-                                                        List.of(), other.level.rows(now, 20)))
+                                OverloadDigest.decode(
+                                                OverloadDigest.encode(
+                                                        List.of(), other.level.rowsToSend(now, 20)))
                                         .rows());
                     }
                 }
@@ -172,7 +175,7 @@
 
     private long leavings() {
         return all.stream()
-                .mapToLong(o -> o.turns.stream().filter(t -> t.endsWith(" out")).count())
+                .mapToLong(o -> o.turns.stream().filter(t -> t.endsWith(" evacuated")).count())
                 .max()
                 .orElse(0);
     }
@@ -180,12 +183,12 @@
     /** Soon, by all in nearly the same moment, with a manager that goes on trying each engine. */
     @Test
     void aDeadZoneIsLeftByAllAndComeBackToInSteps() {
-        fleet(24, ZoneFailover.Fault.NONE);
+        fleet(24, ZoneFailover.InjectedDefect.NONE);
         pass(10);
         engines(1, false);
         long died = now;
         pass(5);
-        assertThat(all).allMatch(o -> o.zones.out().equals(List.of(1)));
+        assertThat(all).allMatch(o -> o.zones.evacuatedZones().equals(List.of(1)));
         assertThat(all.stream().mapToLong(o -> o.turnedAt.get(1) - died))
                 .allMatch(t -> t <= 2.5 * SECOND);
         long first = all.stream().mapToLong(o -> o.turnedAt.get(1)).min().orElse(0);
@@ -203,12 +206,13 @@
             seen.add((int) all.stream().filter(o -> o.used(1) == ENGINES / ZONES).count());
         }
         assertThat(seen).hasSizeGreaterThan(4);
-        assertThat(all).allMatch(o -> o.zones.out().isEmpty() && o.used(1) == ENGINES / ZONES);
+        assertThat(all)
+                .allMatch(o -> o.zones.evacuatedZones().isEmpty() && o.used(1) == ENGINES / ZONES);
     }
 
     @Test
     void aCutBetweenTwoZonesIsTheirsAlone() {
-        fleet(12, ZoneFailover.Fault.NONE);
+        fleet(12, ZoneFailover.InjectedDefect.NONE);
         pass(5);
         bears[0][2] = false;
         talks[0][2] = false;
@@ -222,7 +226,7 @@
     /** Engines of it are alive inside: those outside leave, those inside go on. */
     @Test
     void aZoneThatIsCutOffServesItself() {
-        fleet(12, ZoneFailover.Fault.NONE);
+        fleet(12, ZoneFailover.InjectedDefect.NONE);
         pass(5);
         for (int z = 0; z < 2; z++) {
             bears[z][2] = false;
@@ -235,13 +239,13 @@
                 .allMatch(
                         o ->
                                 o.zone == 2
-                                        ? !o.zones.out().contains(2)
-                                        : o.zones.out().equals(List.of(2)));
+                                        ? !o.zones.evacuatedZones().contains(2)
+                                        : o.zones.evacuatedZones().equals(List.of(2)));
     }
 
     @Test
     void whereAllIsBadNobodyLeaves() {
-        fleet(12, ZoneFailover.Fault.NONE);
+        fleet(12, ZoneFailover.InjectedDefect.NONE);
         pass(5);
         for (int z = 0; z < ZONES; z++) {
             engines(z, false);
@@ -252,13 +256,16 @@
 
     @Test
     void ofThreeZonesTwoMayFailAndTheLastStays() {
-        fleet(12, ZoneFailover.Fault.NONE);
+        fleet(12, ZoneFailover.InjectedDefect.NONE);
         pass(5);
         engines(0, false);
         engines(1, false);
         pass(10);
         assertThat(all)
-                .allMatch(o -> o.zones.out().equals(List.of(0, 1)) && o.used(2) == ENGINES / ZONES);
+                .allMatch(
+                        o ->
+                                o.zones.evacuatedZones().equals(List.of(0, 1))
+                                        && o.used(2) == ENGINES / ZONES);
         engines(2, false);
         pass(10);
         assertThat(all).allMatch(o -> o.used(2) == ENGINES / ZONES);
@@ -266,7 +273,7 @@
 
     @Test
     void aZoneThatFlapsIsHeldOutLongerEachTime() {
-        fleet(12, ZoneFailover.Fault.NONE);
+        fleet(12, ZoneFailover.InjectedDefect.NONE);
         pass(5);
         for (int s = 0; s < 120; s += 3) {
             engines(1, s / 3 % 2 == 1);
@@ -275,13 +282,13 @@
         assertThat(leavings()).isBetween(1L, 4L);
         engines(1, true);
         pass(90);
-        assertThat(all).allMatch(o -> o.zones.out().isEmpty());
+        assertThat(all).allMatch(o -> o.zones.evacuatedZones().isEmpty());
     }
 
     /** A release takes a third of its engines, a rack half: that is no zone. */
     @Test
     void someBadEnginesAreNoZone() {
-        fleet(12, ZoneFailover.Fault.NONE);
+        fleet(12, ZoneFailover.InjectedDefect.NONE);
         pass(5);
         all.forEach(
                 o -> {
@@ -316,7 +323,7 @@
 
     @Test
     void whoStoodStillHasNoVoice() {
-        fleet(12, ZoneFailover.Fault.NONE);
+        fleet(12, ZoneFailover.InjectedDefect.NONE);
         paused();
         assertThat(all).allMatch(o -> o.turns.isEmpty());
     }
@@ -324,39 +331,42 @@
     /** Told to one, known to all, also to the one when it starts anew; and taken back. */
     @Test
     void anOperatorsWordIsHeededByAllAndOutlivesTheOneThatWasAsked() {
-        fleet(12, ZoneFailover.Fault.NONE);
+        fleet(12, ZoneFailover.InjectedDefect.NONE);
         pass(5);
-        all.get(4).zones.order(now, 2, ZoneFailover.Order.LEAVE);
+        all.get(4).zones.setOrder(now, 2, ZoneFailover.Order.LEAVE);
         pass(3);
-        assertThat(all).allMatch(o -> o.zones.out().equals(List.of(2)));
-        restart(4, ZoneFailover.Fault.NONE);
+        assertThat(all).allMatch(o -> o.zones.evacuatedZones().equals(List.of(2)));
+        restart(4, ZoneFailover.InjectedDefect.NONE);
         pass(3);
-        assertThat(all).allMatch(o -> o.zones.out().equals(List.of(2)));
+        assertThat(all).allMatch(o -> o.zones.evacuatedZones().equals(List.of(2)));
         pass(30);
-        assertThat(all).allMatch(o -> o.zones.out().equals(List.of(2)));
-        all.get(7).zones.order(now, 2, ZoneFailover.Order.HOLD);
+        assertThat(all).allMatch(o -> o.zones.evacuatedZones().equals(List.of(2)));
+        all.get(7).zones.setOrder(now, 2, ZoneFailover.Order.HOLD);
         pass(15);
-        assertThat(all).allMatch(o -> o.zones.out().isEmpty());
+        assertThat(all).allMatch(o -> o.zones.evacuatedZones().isEmpty());
         engines(2, false);
         pass(20);
-        assertThat(all).allMatch(o -> o.zones.out().isEmpty());
-        all.get(1).zones.order(now, 2, ZoneFailover.Order.NONE);
+        assertThat(all).allMatch(o -> o.zones.evacuatedZones().isEmpty());
+        all.get(1).zones.setOrder(now, 2, ZoneFailover.Order.NONE);
         pass(5);
-        assertThat(all).allMatch(o -> o.zones.out().equals(List.of(2)));
+        assertThat(all).allMatch(o -> o.zones.evacuatedZones().equals(List.of(2)));
     }
 
-    private void restart(int number, ZoneFailover.Fault fault) {
+    private void restart(int number, ZoneFailover.InjectedDefect fault) {
         all.set(number, new One(number, fault));
         List<String> names = all.stream().map(o -> o.name).toList();
-        all.get(number).level.viewed(names);
-        all.get(number).zones.viewed(names);
+        all.get(number).level.onViewChanged(names);
+        all.get(number).zones.onViewChanged(names);
     }
 
     @ParameterizedTest
-    @EnumSource(value = ZoneFailover.Fault.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void faultsAreFound(ZoneFailover.Fault fault) {
+    @EnumSource(
+            value = ZoneFailover.InjectedDefect.class,
+            mode = EnumSource.Mode.EXCLUDE,
+            names = "NONE")
+    void faultsAreFound(ZoneFailover.InjectedDefect fault) {
         fleet(12, fault);
-        if (fault == ZoneFailover.Fault.STILL_COUNTS) {
+        if (fault == ZoneFailover.InjectedDefect.STILL_COUNTS) {
             paused();
             assertThat(all).anyMatch(o -> !o.turns.isEmpty());
             return;
@@ -373,7 +383,7 @@
                     engines(z, false);
                 }
                 pass(10);
-                assertThat(all).anyMatch(o -> o.zones.out().size() == ZONES);
+                assertThat(all).anyMatch(o -> o.zones.evacuatedZones().size() == ZONES);
             }
             case NO_HOLD -> {
                 for (int s = 0; s < 120; s += 3) {
@@ -383,18 +393,18 @@
                 assertThat(leavings()).isGreaterThan(4);
             }
             case ORDER_FORGOTTEN -> {
-                all.get(4).zones.order(now, 2, ZoneFailover.Order.LEAVE);
+                all.get(4).zones.setOrder(now, 2, ZoneFailover.Order.LEAVE);
                 pass(3);
                 restart(4, fault);
                 pass(3);
-                assertThat(all).anyMatch(o -> o.zones.out().isEmpty());
+                assertThat(all).anyMatch(o -> o.zones.evacuatedZones().isEmpty());
             }
             case NOBODY_TRIES -> {
                 engines(1, false);
                 pass(10);
                 engines(1, true);
                 pass(30);
-                assertThat(all).anyMatch(o -> !o.zones.out().isEmpty());
+                assertThat(all).anyMatch(o -> !o.zones.evacuatedZones().isEmpty());
             }
             default -> {
                 engines(1, false);
--- a/src/test/java/firstage/faulttest/FaultTestIT.java
+++ b/src/test/java/firstage/faulttest/FaultTestIT.java
@@ -70,7 +70,7 @@
         holds(play("calm", true, ""));
         for (int m = 0; m < 4; m++) {
             assertThat(told(m, "view {")).anyMatch(line -> line.contains("m0 m1 m2 m3"));
-            assertThat(told(m, "\"is\":\"doubted\"")).isEmpty();
+            assertThat(told(m, "\"is\":\"suspect\"")).isEmpty();
         }
         try (Stream<Path> files = Files.list(folder)) {
             assertThat(files.map(p -> p.getFileName().toString()).collect(Collectors.toSet()))
@@ -91,12 +91,12 @@
 at = "2 s"
 who = "managers 3"
 """));
-        assertThat(told(0, "member {\"is\":\"doubted\",\"name\":\"m3\"")).isNotEmpty();
+        assertThat(told(0, "member {\"is\":\"suspect\",\"name\":\"m3\"")).isNotEmpty();
         // Back with a new life, it is one of them again.
         List<String> views = told(0, "view {");
         assertThat(views).anyMatch(line -> line.contains("\"m0 m1 m2\""));
         assertThat(views.subList(2, views.size())).anyMatch(line -> line.contains("m0 m1 m2 m3"));
-        assertThat(told(0, "\"is\":\"gone\"")).isEmpty();
+        assertThat(told(0, "\"is\":\"dead\"")).isEmpty();
     }
 
     /**
--- a/src/test/java/firstage/membership/MembershipProtocolTest.java
+++ b/src/test/java/firstage/membership/MembershipProtocolTest.java
@@ -17,8 +17,9 @@
 class MembershipProtocolTest {
     private static final long SECOND = 10_000;
 
-    private static SimulatedMembership field(int count, MembershipProtocol.Fault fault) {
-        SimulatedMembership f = new SimulatedMembership(count, 7, fault, QuotaLeases.Fault.NONE);
+    private static SimulatedMembership field(int count, MembershipProtocol.InjectedDefect fault) {
+        SimulatedMembership f =
+                new SimulatedMembership(count, 7, fault, QuotaLeases.InjectedDefect.NONE);
         assertThat(f.startAll()).isNotNegative();
         f.pass(5 * SECOND);
         f.changes();
@@ -44,16 +45,16 @@
 
     @Test
     void aOneSidedCutOfOnePairLeavesBothMembersAndIsTold() {
-        SimulatedMembership f = field(6, MembershipProtocol.Fault.NONE);
+        SimulatedMembership f = field(6, MembershipProtocol.InjectedDefect.NONE);
         f.cut(1, 0, true);
         f.pass(3 * SECOND);
         assertThat(f.falselyGone()).isEmpty();
         assertThat(f.agreed()).isTrue();
         MembershipProtocol zero = f.places().get(0).members();
         MembershipProtocol one = f.places().get(1).members();
-        assertThat(zero.link(f.calendar().now(), "m1")).isIn("deaf", "cut");
-        assertThat(one.link(f.calendar().now(), "m0")).isIn("unheard", "cut");
-        assertThat(zero.link(f.calendar().now(), "m2")).isEqualTo("ok");
+        assertThat(zero.linkState(f.calendar().now(), "m1")).isIn("deaf", "cut");
+        assertThat(one.linkState(f.calendar().now(), "m0")).isIn("unheard", "cut");
+        assertThat(zero.linkState(f.calendar().now(), "m2")).isEqualTo("ok");
         f.pass(20 * SECOND);
         assertThat(f.agreed()).isTrue();
         assertThat(f.falselyGone()).isEmpty();
@@ -61,7 +62,7 @@
 
     @Test
     void withoutHelpersAOneSidedCutTakesALiveOneForDoubted() {
-        SimulatedMembership f = field(6, MembershipProtocol.Fault.NO_HELPERS);
+        SimulatedMembership f = field(6, MembershipProtocol.InjectedDefect.NO_INDIRECT_PROBES);
         f.cut(1, 0, true);
         f.cut(0, 1, true);
         f.pass(6 * SECOND);
@@ -70,14 +71,17 @@
 
     @Test
     void aDoubtThatIsNotDeniedTakesALiveOneForGone() {
-        for (MembershipProtocol.Fault fault :
-                List.of(MembershipProtocol.Fault.NONE, MembershipProtocol.Fault.DENIAL_IGNORED)) {
+        for (MembershipProtocol.InjectedDefect fault :
+                List.of(
+                        MembershipProtocol.InjectedDefect.NONE,
+                        MembershipProtocol.InjectedDefect.REFUTATION_IGNORED)) {
             SimulatedMembership f = field(5, fault);
             isolate(f, 2, true);
             f.pass(2 * SECOND);
             isolate(f, 2, false);
             f.pass(20 * SECOND);
-            assertThat(f.falselyGone().isEmpty()).isEqualTo(fault == MembershipProtocol.Fault.NONE);
+            assertThat(f.falselyGone().isEmpty())
+                    .isEqualTo(fault == MembershipProtocol.InjectedDefect.NONE);
         }
     }
 
@@ -90,50 +94,54 @@
 
     @Test
     void whoWasStoppedDoubtsItselfFirst() {
-        SimulatedMembership good = field(5, MembershipProtocol.Fault.NONE);
+        SimulatedMembership good = field(5, MembershipProtocol.InjectedDefect.NONE);
         good.places().get(2).pause(8 * SECOND);
         good.pass(8 * SECOND + 200);
-        List<Member> held = good.places().get(2).members().entries();
-        assertThat(held).allMatch(e -> e.standing() == MemberState.HERE);
+        List<Member> held = good.places().get(2).members().members();
+        assertThat(held).allMatch(e -> e.state() == MemberState.ALIVE);
         good.pass(5 * SECOND);
         assertThat(good.agreed()).isTrue();
     }
 
     @Test
     void whoIsCutOffFromAllJudgesNobodyAndWithTheFaultHoldsAllForGone() {
-        for (MembershipProtocol.Fault fault :
-                List.of(MembershipProtocol.Fault.NONE, MembershipProtocol.Fault.ALONE_JUDGES)) {
+        for (MembershipProtocol.InjectedDefect fault :
+                List.of(
+                        MembershipProtocol.InjectedDefect.NONE,
+                        MembershipProtocol.InjectedDefect.ISOLATED_MANAGER_JUDGES)) {
             SimulatedMembership f = field(6, fault);
             isolate(f, 0, true);
             f.pass(30 * SECOND);
             long gone =
-                    f.places().get(0).members().entries().stream()
-                            .filter(e -> e.standing() == MemberState.GONE)
+                    f.places().get(0).members().members().stream()
+                            .filter(e -> e.state() == MemberState.DEAD)
                             .count();
-            assertThat(gone).isEqualTo(fault == MembershipProtocol.Fault.NONE ? 0 : 5);
-            assertThat(f.places().get(0).members().sure(f.calendar().now())).isZero();
+            assertThat(gone).isEqualTo(fault == MembershipProtocol.InjectedDefect.NONE ? 0 : 5);
+            assertThat(f.places().get(0).members().confidence(f.calendar().now())).isZero();
         }
     }
 
     @Test
     void anOlderLifeNeverOverridesANewerOne() {
-        for (MembershipProtocol.Fault fault :
-                List.of(MembershipProtocol.Fault.NONE, MembershipProtocol.Fault.OLDER_LIFE_WINS)) {
+        for (MembershipProtocol.InjectedDefect fault :
+                List.of(
+                        MembershipProtocol.InjectedDefect.NONE,
+                        MembershipProtocol.InjectedDefect.OLDER_INCARNATION_WINS)) {
             SimulatedMembership f = field(4, fault);
             MembershipProtocol one = f.places().get(1).members();
             long now = f.calendar().now();
             long life =
-                    one.entries().stream()
+                    one.members().stream()
                             .filter(e -> e.name().equals("m2"))
                             .findFirst()
                             .orElseThrow()
                             .incarnation();
             // m2 repeats what was said of m3 in a life before.
-            one.received(
+            one.onDatagram(
                     now,
                     2,
                     new MessageCodec(1_200)
-                            .write(
+                            .encode(
                                     new MembershipMessage(
                                             "field",
                                             "m2",
@@ -152,18 +160,18 @@
                                                             "m3",
                                                             "z1",
                                                             5,
-                                                            MemberState.GONE,
+                                                            MemberState.DEAD,
                                                             "1",
                                                             1)),
                                             new byte[0])));
-            assertThat(one.entries())
+            assertThat(one.members())
                     .filteredOn(e -> e.name().equals("m3"))
                     .allMatch(
                             e ->
-                                    e.standing()
-                                            == (fault == MembershipProtocol.Fault.NONE
-                                                    ? MemberState.HERE
-                                                    : MemberState.GONE));
+                                    e.state()
+                                            == (fault == MembershipProtocol.InjectedDefect.NONE
+                                                    ? MemberState.ALIVE
+                                                    : MemberState.DEAD));
         }
     }
 
@@ -175,8 +183,8 @@
                     field(
                             6,
                             i == 0
-                                    ? MembershipProtocol.Fault.NONE
-                                    : MembershipProtocol.Fault.HOLD_DOWN_OFF);
+                                    ? MembershipProtocol.InjectedDefect.NONE
+                                    : MembershipProtocol.InjectedDefect.FLAP_DAMPING_OFF);
             for (int round = 0; round < 40; round++) {
                 boolean cut = round % 2 == 0;
                 isolate(f, 0, cut);
@@ -189,12 +197,12 @@
 
     @Test
     void spoiltForeignAndOldDatagramsChangeNothing() {
-        SimulatedMembership f = field(3, MembershipProtocol.Fault.NONE);
+        SimulatedMembership f = field(3, MembershipProtocol.InjectedDefect.NONE);
         MembershipProtocol one = f.places().get(1).members();
         long now = f.calendar().now();
         byte[] good =
                 new MessageCodec(1_200)
-                        .write(
+                        .encode(
                                 new MembershipMessage(
                                         "field",
                                         "m2",
@@ -210,11 +218,11 @@
                                         List.of(),
                                         List.of(
                                                 new Member(
-                                                        "m0", "z", 99, MemberState.GONE, "1", 1)),
+                                                        "m0", "z", 99, MemberState.DEAD, "1", 1)),
                                         new byte[0]));
         byte[] foreign =
                 new MessageCodec(1_200)
-                        .write(
+                        .encode(
                                 new MembershipMessage(
                                         "other",
                                         "m2",
@@ -231,9 +239,9 @@
                                         List.of(),
                                         new byte[0]));
         RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(1);
-        one.received(now, 2, good);
-        one.received(now, 2, foreign);
-        one.received(now, 2, new byte[2_000]);
+        one.onDatagram(now, 2, good);
+        one.onDatagram(now, 2, foreign);
+        one.onDatagram(now, 2, new byte[2_000]);
         for (int i = 0; i < 20_000; i++) {
             byte[] spoilt = good.clone();
             for (int n = 0; n <= chance.nextInt(4); n++) {
@@ -244,27 +252,27 @@
             // Of an older life, whatever else was spoilt, or not to be read at all; a new name is
             // another matter.
             try {
-                MembershipMessage m = new MessageCodec(1_200).read(cut);
+                MembershipMessage m = new MessageCodec(1_200).decode(cut);
                 if (!m.from().equals("m2") || m.incarnation() > 1) {
                     continue;
                 }
-            } catch (MessageCodec.Unusable expected) {
+            } catch (MessageCodec.MalformedMessageException expected) {
                 // Refused below, too.
             }
-            one.received(now, 2, cut);
+            one.onDatagram(now, 2, cut);
         }
-        assertThat(one.entries()).hasSize(3).allMatch(e -> e.standing() == MemberState.HERE);
-        assertThat(one.refused())
+        assertThat(one.members()).hasSize(3).allMatch(e -> e.state() == MemberState.ALIVE);
+        assertThat(one.rejectedMessages())
                 .containsKeys("an older life", "another fleet", "too long", "spoilt");
     }
 
     @Test
     void twoOfOneNameAreToldAndTheFirstStays() {
-        SimulatedMembership f = field(3, MembershipProtocol.Fault.NONE);
+        SimulatedMembership f = field(3, MembershipProtocol.InjectedDefect.NONE);
         MembershipProtocol one = f.places().get(1).members();
         byte[] second =
                 new MessageCodec(1_200)
-                        .write(
+                        .encode(
                                 new MembershipMessage(
                                         "field",
                                         "m2",
@@ -280,20 +288,20 @@
                                         List.of(),
                                         List.of(),
                                         new byte[0]));
-        one.received(f.calendar().now(), 0, second);
-        assertThat(one.refused()).containsKey("two of one name");
+        one.onDatagram(f.calendar().now(), 0, second);
+        assertThat(one.rejectedMessages()).containsKey("two of one name");
     }
 
     @Test
     void whoLeavesByIntentIsNotDoubtedAndANewLifeIsKnown() {
-        SimulatedMembership f = field(4, MembershipProtocol.Fault.NONE);
+        SimulatedMembership f = field(4, MembershipProtocol.InjectedDefect.NONE);
         f.places().get(2).members().leave(f.calendar().now());
         f.pass(SECOND / 2);
         f.places().get(2).kill();
         f.pass(SECOND);
-        assertThat(f.places().get(0).members().entries())
+        assertThat(f.places().get(0).members().members())
                 .filteredOn(e -> e.name().equals("m2"))
-                .allMatch(e -> e.standing() == MemberState.LEFT);
+                .allMatch(e -> e.state() == MemberState.LEFT);
         assertThat(f.agreed()).isTrue();
         f.places().get(2).start();
         assertThat(f.untilAgreed(5 * SECOND)).isNotNegative();
--- a/src/test/java/firstage/membership/QuotaLeasesTest.java
+++ b/src/test/java/firstage/membership/QuotaLeasesTest.java
@@ -25,13 +25,13 @@
      */
     private static final class Group {
         private final int all;
-        private final QuotaLeases.Fault fault;
+        private final QuotaLeases.InjectedDefect fault;
         private final QuotaLeases[] leases;
         private final boolean[] lentBefore;
         private final double[] pace;
         private long now = 100 * SECOND;
 
-        private Group(int all, QuotaLeases.Fault fault) {
+        private Group(int all, QuotaLeases.InjectedDefect fault) {
             this.all = all;
             this.fault = fault;
             leases = new QuotaLeases[all];
@@ -53,7 +53,7 @@
                                 lentBefore[m] = true;
                             },
                             fault);
-            leases[m].silent(clock(m), "nobody", false);
+            leases[m].setUnreachable(clock(m), "nobody", false);
         }
 
         private long clock(int m) {
@@ -62,21 +62,21 @@
 
         /** One asked another {@code late} ago, by its own clock, and hears the answer now. */
         private void asks(int a, int b, long late) {
-            leases[b].kept();
+            leases[b].onWithdrawalMarkStored();
             long asked = clock(a) - late;
-            leases[a].answered(
+            leases[a].onResponse(
                     clock(a),
                     asked,
                     "m" + b,
-                    leases[b].grants(clock(b), "m" + a),
-                    leases[b].lent(clock(b)));
+                    leases[b].grantTo(clock(b), "m" + a),
+                    leases[b].withdrawGrants(clock(b)));
         }
 
         /** Both hold each other for gone, or here. */
         private void silent(int a, boolean is) {
             for (int m = 0; m < all; m++) {
                 if (m != a) {
-                    leases[m].silent(clock(m), "m" + a, is);
+                    leases[m].setUnreachable(clock(m), "m" + a, is);
                 }
             }
         }
@@ -107,7 +107,7 @@
      * The most that is in use in any order of so many events; the last of them are an answer to
      * each.
      */
-    private static double worst(int depth, QuotaLeases.Fault fault) {
+    private static double worst(int depth, QuotaLeases.InjectedDefect fault) {
         return IntStream.range(0, 1 << 3 * depth)
                 .parallel()
                 .mapToDouble(
@@ -130,12 +130,12 @@
     /** Eight on demand (-Dfirstage.leases=8): some minutes. */
     @Test
     void amongThreeNoOrderOfSixEventsPassesTheWhole() {
-        assertThat(worst(Integer.getInteger("firstage.leases", 6), QuotaLeases.Fault.NONE))
+        assertThat(worst(Integer.getInteger("firstage.leases", 6), QuotaLeases.InjectedDefect.NONE))
                 .isLessThanOrEqualTo(1 + 1e-9);
     }
 
     /** Random plays of four to nine: answers lost, late and doubled, cuts, stops, new lives. */
-    private static double hostile(long seed, QuotaLeases.Fault fault) {
+    private static double hostile(long seed, QuotaLeases.InjectedDefect fault) {
         RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         Group g = new Group(3 + chance.nextInt(7), fault);
         List<Runnable> late = new ArrayList<>();
@@ -161,10 +161,11 @@
                 }
                 case 3 -> {
                     // Asked and answered now, and read only later.
-                    boolean grants = g.leases[b].grants(g.clock(b), "m" + a);
-                    List<String> lent = g.leases[b].lent(g.clock(b));
+                    boolean grants = g.leases[b].grantTo(g.clock(b), "m" + a);
+                    List<String> lent = g.leases[b].withdrawGrants(g.clock(b));
                     long asked = g.clock(a);
-                    late.add(() -> g.leases[a].answered(g.clock(a), asked, "m" + b, grants, lent));
+                    late.add(
+                            () -> g.leases[a].onResponse(g.clock(a), asked, "m" + b, grants, lent));
                 }
                 case 4 -> {
                     if (!late.isEmpty()) {
@@ -182,7 +183,7 @@
         return worst;
     }
 
-    private static double worstOf(int seeds, QuotaLeases.Fault fault) {
+    private static double worstOf(int seeds, QuotaLeases.InjectedDefect fault) {
         double worst = 0;
         for (long seed = 0; seed < seeds; seed++) {
             worst = Math.max(worst, hostile(seed, fault));
@@ -192,18 +193,21 @@
 
     @Test
     void noHostilePlayPassesTheWhole() {
-        assertThat(worstOf(3_000, QuotaLeases.Fault.NONE)).isLessThanOrEqualTo(1 + 1e-9);
+        assertThat(worstOf(3_000, QuotaLeases.InjectedDefect.NONE)).isLessThanOrEqualTo(1 + 1e-9);
     }
 
     @ParameterizedTest
-    @EnumSource(value = QuotaLeases.Fault.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void aFaultPutBackPassesIt(QuotaLeases.Fault fault) {
+    @EnumSource(
+            value = QuotaLeases.InjectedDefect.class,
+            mode = EnumSource.Mode.EXCLUDE,
+            names = "NONE")
+    void aFaultPutBackPassesIt(QuotaLeases.InjectedDefect fault) {
         assertThat(worstOf(3_000, fault)).isGreaterThan(1 + 1e-9);
     }
 
     @Test
     void whoIsGoneLeavesHalfOfItsShareToTheOthersAndTakesItBack() {
-        Group g = new Group(4, QuotaLeases.Fault.NONE);
+        Group g = new Group(4, QuotaLeases.InjectedDefect.NONE);
         for (int i = 0; i < 200; i++) {
             g.now += SECOND / 5;
             for (int m = 0; m < 3; m++) {
@@ -226,7 +230,8 @@
 
     @Test
     void cutOffFromAllItKeepsHalfAndOneOfTwoKeepsAll() {
-        assertThat(new Group(4, QuotaLeases.Fault.NONE).leases[0].share(0)).isEqualTo(0.125);
-        assertThat(new Group(2, QuotaLeases.Fault.NONE).leases[0].share(0)).isEqualTo(0.5);
+        assertThat(new Group(4, QuotaLeases.InjectedDefect.NONE).leases[0].share(0))
+                .isEqualTo(0.125);
+        assertThat(new Group(2, QuotaLeases.InjectedDefect.NONE).leases[0].share(0)).isEqualTo(0.5);
     }
 }
--- a/src/test/java/firstage/overload/LoadSheddingLevelTest.java
+++ b/src/test/java/firstage/overload/LoadSheddingLevelTest.java
@@ -44,13 +44,13 @@
         private final double[] asks = new double[DemandHistogram.BANDS];
         private final double[] queue = new double[DemandHistogram.BANDS];
         private final double[] served = new double[DemandHistogram.BANDS];
-        private final List<List<LoadSheddingLevel.Row>> sent = new ArrayList<>();
+        private final List<List<LoadRow>> sent = new ArrayList<>();
         private int cut;
         private double part = 1;
         private boolean up = true;
         private boolean lies;
 
-        private One(String name, LoadSheddingLevel.Fault fault) {
+        private One(String name, LoadSheddingLevel.InjectedDefect fault) {
             this.name = name;
             level =
                     new LoadSheddingLevel(
@@ -93,23 +93,24 @@
             demand.waitingWork(waits());
             demand.runningThreads(gone / STEP, 4 * CAPACITY);
             level.measure(now, demand);
-            level.look(now);
+            level.evaluate(now);
         }
 
-        private List<LoadSheddingLevel.Row> tells() {
-            List<LoadSheddingLevel.Row> rows =
-                    OverloadDigest.read(
-                                    OverloadDigest.write(
-                                            List.of(), level.rows(now, OverloadDigest.rows(0))))
+        private List<LoadRow> tells() {
+            List<LoadRow> rows =
+                    OverloadDigest.decode(
+                                    OverloadDigest.encode(
+                                            List.of(),
+                                            level.rowsToSend(now, OverloadDigest.rows(0))))
                             .rows();
             if (lies) {
                 double[] came = new double[DemandHistogram.BANDS];
                 came[DemandHistogram.BANDS - 1] = 1e5;
                 rows.set(
                         0,
-                        new LoadSheddingLevel.Row(
-                                rows.get(0).name(),
-                                rows.get(0).stamp(),
+                        new LoadRow(
+                                rows.get(0).managerHash(),
+                                rows.get(0).timestamp(),
                                 came,
                                 0,
                                 1e5,
@@ -123,7 +124,7 @@
         }
     }
 
-    private void fleet(int count, LoadSheddingLevel.Fault fault) {
+    private void fleet(int count, LoadSheddingLevel.InjectedDefect fault) {
         for (int m = 0; m < count; m++) {
             all.add(new One("m" + m, fault));
         }
@@ -132,7 +133,7 @@
 
     private void viewed() {
         List<String> names = all.stream().filter(o -> o.up).map(o -> o.name).toList();
-        all.forEach(o -> o.level.viewed(names));
+        all.forEach(o -> o.level.onViewChanged(names));
     }
 
     /** In seconds of work a second, over the fleet: the same at each. */
@@ -149,11 +150,11 @@
             if (now / STEP % 2 == 0) {
                 for (One o : up) {
                     One other = up.get(chance.nextInt(up.size()));
-                    List<LoadSheddingLevel.Row> there = o.tells();
-                    List<LoadSheddingLevel.Row> back = other.tells();
+                    List<LoadRow> there = o.tells();
+                    List<LoadRow> back = other.tells();
                     if (other != o && chance.nextDouble() >= loss) {
-                        other.level.heard(now, there);
-                        o.level.heard(now, back);
+                        other.level.onRows(now, there);
+                        o.level.onRows(now, back);
                     }
                 }
             }
@@ -179,7 +180,7 @@
 
     @Test
     void inCalmNothingIsRefused() {
-        fleet(12, LoadSheddingLevel.Fault.NONE);
+        fleet(12, LoadSheddingLevel.InjectedDefect.NONE);
         calm();
         pass(20);
         assertThat(all).allMatch(o -> o.cut == 0 && o.part == 1);
@@ -188,7 +189,7 @@
     /** What is worth more is served, at once and by all alike, and all is open soon after. */
     @Test
     void inAStormAllRefuseTheSameAndOpenAgain() {
-        fleet(12, LoadSheddingLevel.Fault.NONE);
+        fleet(12, LoadSheddingLevel.InjectedDefect.NONE);
         calm();
         pass(10);
         storm();
@@ -217,7 +218,7 @@
                     {3, 0, 0, 95}, {12, 30, 0, 95}, {12, 0, 5, 95}, {40, 30, 2, 95}, {12, 0, 25, 85}
                 }) {
             all.clear();
-            fleet(is[0], LoadSheddingLevel.Fault.NONE);
+            fleet(is[0], LoadSheddingLevel.InjectedDefect.NONE);
             loss = is[1] / 100.0;
             late = is[2];
             storm();
@@ -240,7 +241,7 @@
 
     @Test
     void aClassThatOneManagerCarriesIsServedThereByTheFleetsLevel() {
-        fleet(12, LoadSheddingLevel.Fault.NONE);
+        fleet(12, LoadSheddingLevel.InjectedDefect.NONE);
         asks(LOW, 3 * CAPACITY);
         all.get(3).asks[HIGH] = 0.1 * CAPACITY;
         pass(5);
@@ -255,12 +256,12 @@
      */
     @Test
     void allRowsArePassedOnByTurns() {
-        fleet(97, LoadSheddingLevel.Fault.NONE);
+        fleet(97, LoadSheddingLevel.InjectedDefect.NONE);
         LoadSheddingLevel one = all.get(0).level;
-        all.forEach(o -> one.heard(now, o.level.rows(now, 1)));
+        all.forEach(o -> one.onRows(now, o.level.rowsToSend(now, 1)));
         Set<Integer> told = new HashSet<>();
         for (int i = 0; i < 20; i++) {
-            one.rows(now, 8).forEach(r -> told.add(r.name()));
+            one.rowsToSend(now, 8).forEach(r -> told.add(r.managerHash()));
         }
         assertThat(told).hasSize(97);
     }
@@ -273,7 +274,7 @@
         assertThat(DemandHistogram.band(0, SECOND, false)).isZero();
         assertThat(DemandHistogram.band(Double.MAX_VALUE, 0, true))
                 .isLessThan(DemandHistogram.BANDS);
-        fleet(6, LoadSheddingLevel.Fault.NONE);
+        fleet(6, LoadSheddingLevel.InjectedDefect.NONE);
         asks(DemandHistogram.band(100, SECOND, false), 0.3 * CAPACITY);
         asks(DemandHistogram.band(0.1, SECOND, false), 3 * CAPACITY);
         pass(15);
@@ -286,7 +287,7 @@
      */
     @Test
     void whatTheDeadToldEnds() {
-        fleet(12, LoadSheddingLevel.Fault.NONE);
+        fleet(12, LoadSheddingLevel.InjectedDefect.NONE);
         storm();
         pass(10);
         all.subList(6, 12).forEach(o -> o.up = false);
@@ -300,7 +301,7 @@
     /** It claims a thousandfold load of the best worth, and that all of it waits. */
     @Test
     void oneThatLiesCostsLittle() {
-        fleet(12, LoadSheddingLevel.Fault.NONE);
+        fleet(12, LoadSheddingLevel.InjectedDefect.NONE);
         all.get(0).lies = true;
         calm();
         pass(10);
@@ -314,10 +315,10 @@
     /** Each fault is seen by one of the stories above. */
     @ParameterizedTest
     @EnumSource(
-            value = LoadSheddingLevel.Fault.class,
+            value = LoadSheddingLevel.InjectedDefect.class,
             mode = EnumSource.Mode.EXCLUDE,
             names = "NONE")
-    void faultsAreFound(LoadSheddingLevel.Fault fault) {
+    void faultsAreFound(LoadSheddingLevel.InjectedDefect fault) {
         fleet(12, fault);
         switch (fault) {
             case NO_PEERS -> {
@@ -337,11 +338,11 @@
                 assertThat(all.get(0).cut).isGreaterThan(0);
             }
             case OLDER_WINS -> {
-                List<LoadSheddingLevel.Row> old = all.get(1).tells();
+                List<LoadRow> old = all.get(1).tells();
                 pass(2);
-                all.get(0).level.heard(now, all.get(1).tells());
-                all.get(0).level.heard(now, old);
-                assertThat(all.get(0).level.rows(now, 40)).contains(old.get(0));
+                all.get(0).level.onRows(now, all.get(1).tells());
+                all.get(0).level.onRows(now, old);
+                assertThat(all.get(0).level.rowsToSend(now, 40)).contains(old.get(0));
             }
             case NO_LIMIT -> {
                 all.get(0).lies = true;
--- a/src/test/java/firstage/overload/ProbeCoordinatorTest.java
+++ b/src/test/java/firstage/overload/ProbeCoordinatorTest.java
@@ -30,7 +30,7 @@
         private long triedAt;
         private int led;
 
-        private One(String name, ProbeCoordinator.Fault fault) {
+        private One(String name, ProbeCoordinator.InjectedDefect fault) {
             this.name = name;
             trials =
                     new ProbeCoordinator(
@@ -49,9 +49,10 @@
 
         private void look() {
             for (long e = 0; e < ENGINES; e++) {
-                trials.holds(now, e, closed.contains(e), closed.contains(e) ? triedAt : 0, 0);
+                trials.updateEngine(
+                        now, e, closed.contains(e), closed.contains(e) ? triedAt : 0, 0);
             }
-            trials.look(now);
+            trials.evaluate(now);
         }
     }
 
@@ -59,17 +60,18 @@
     private long now = 100 * SECOND;
     private boolean told = true;
 
-    private void fleet(int count, ProbeCoordinator.Fault fault) {
+    private void fleet(int count, ProbeCoordinator.InjectedDefect fault) {
         List<String> names = new ArrayList<>();
         for (int m = 0; m < count; m++) {
             all.add(new One("m" + m, fault));
             names.add("m" + m);
         }
-        all.forEach(o -> o.trials.viewed(names));
+        all.forEach(o -> o.trials.onViewChanged(names));
     }
 
-    private static List<OverloadDigest.Word> carried(List<OverloadDigest.Word> words) {
-        return OverloadDigest.read(OverloadDigest.write(words, List.of())).words();
+    private static List<OverloadDigest.EngineReport> carried(
+            List<OverloadDigest.EngineReport> words) {
+        return OverloadDigest.decode(OverloadDigest.encode(words, List.of())).reports();
     }
 
     private void pass(long time) {
@@ -78,8 +80,8 @@
                 o.look();
                 One other = all.get(chance.nextInt(all.size()));
                 if (told && other != o) {
-                    other.trials.heard(now, o.name, carried(o.trials.words(now)));
-                    o.trials.heard(now, other.name, carried(other.trials.words(now)));
+                    other.trials.onReports(now, o.name, carried(o.trials.localReports(now)));
+                    o.trials.onReports(now, other.name, carried(other.trials.localReports(now)));
                 }
             }
         }
@@ -98,7 +100,7 @@
 
     @Test
     void ofManyThatHoldItClosedOneTriesAndAllOthersKeepAway() {
-        fleet(12, ProbeCoordinator.Fault.NONE);
+        fleet(12, ProbeCoordinator.InjectedDefect.NONE);
         closes(3, 6);
         pass(5 * SECOND);
         assertThat(free(3)).isOne();
@@ -114,7 +116,7 @@
 
     @Test
     void withTheFaultThatAllOwnItAllTry() {
-        fleet(12, ProbeCoordinator.Fault.ALL_OWN);
+        fleet(12, ProbeCoordinator.InjectedDefect.ALL_OWN);
         closes(3, 12);
         pass(5 * SECOND);
         assertThat(free(3)).isGreaterThan(1);
@@ -122,12 +124,12 @@
 
     @Test
     void whatOnlyOneHoldsClosedIsItsOwnMatter() {
-        fleet(12, ProbeCoordinator.Fault.NONE);
+        fleet(12, ProbeCoordinator.InjectedDefect.NONE);
         closes(3, 1);
         pass(10 * SECOND);
         assertThat(free(3)).isEqualTo(12);
         all.clear();
-        fleet(12, ProbeCoordinator.Fault.ALONE_IS_SHARED);
+        fleet(12, ProbeCoordinator.InjectedDefect.ALONE_IS_SHARED);
         closes(3, 1);
         pass(10 * SECOND);
         assertThat(free(3)).isLessThan(12);
@@ -135,8 +137,10 @@
 
     @Test
     void whereWordsStopEachGoesByItselfAgain() {
-        for (ProbeCoordinator.Fault fault :
-                List.of(ProbeCoordinator.Fault.NONE, ProbeCoordinator.Fault.WORDS_NEVER_END)) {
+        for (ProbeCoordinator.InjectedDefect fault :
+                List.of(
+                        ProbeCoordinator.InjectedDefect.NONE,
+                        ProbeCoordinator.InjectedDefect.WORDS_NEVER_END)) {
             all.clear();
             told = true;
             fleet(8, fault);
@@ -144,7 +148,7 @@
             pass(5 * SECOND);
             told = false;
             pass(10 * SECOND);
-            assertThat(free(3) == 8).isEqualTo(fault == ProbeCoordinator.Fault.NONE);
+            assertThat(free(3) == 8).isEqualTo(fault == ProbeCoordinator.InjectedDefect.NONE);
         }
     }
 
@@ -153,7 +157,11 @@
         int[] most = new int[2];
         for (int i = 0; i < 2; i++) {
             all.clear();
-            fleet(32, i == 0 ? ProbeCoordinator.Fault.NONE : ProbeCoordinator.Fault.ALL_AT_ONCE);
+            fleet(
+                    32,
+                    i == 0
+                            ? ProbeCoordinator.InjectedDefect.NONE
+                            : ProbeCoordinator.InjectedDefect.ALL_AT_ONCE);
             closes(3, 20);
             pass(8 * SECOND);
             One owner =
@@ -174,7 +182,7 @@
 
     @Test
     void oneThatLiesMovesNobodyAndASicknessOfMostEnginesMovesNoneThatIsWell() {
-        fleet(9, ProbeCoordinator.Fault.NONE);
+        fleet(9, ProbeCoordinator.InjectedDefect.NONE);
         for (long e = 0; e < ENGINES; e++) {
             closes(e, 1);
         }
@@ -192,8 +200,8 @@
         double[] came = new double[DemandHistogram.BANDS];
         came[3] = 0.5;
         came[31] = 4_000;
-        LoadSheddingLevel.Row row =
-                new LoadSheddingLevel.Row(
+        LoadRow row =
+                new LoadRow(
                         -7,
                         1 << 31,
                         came,
@@ -204,28 +212,28 @@
                         new int[] {0, 255, 60},
                         new int[] {1, 2, -9});
         byte[] good =
-                OverloadDigest.write(
+                OverloadDigest.encode(
                         List.of(
-                                new OverloadDigest.Word(7, true, 5),
-                                new OverloadDigest.Word(1L << 40, false, 0)),
+                                new OverloadDigest.EngineReport(7, true, 5),
+                                new OverloadDigest.EngineReport(1L << 40, false, 0)),
                         List.of(row, row));
-        assertThat(OverloadDigest.read(good).words()).hasSize(2);
-        LoadSheddingLevel.Row read = OverloadDigest.read(good).rows().get(1);
-        assertThat(read.name()).isEqualTo(-7);
-        assertThat(read.stamp()).isEqualTo(1 << 31);
-        assertThat(read.sent()).isCloseTo(17.3, Percentage.withPercentage(5));
-        assertThat(read.came()[31]).isCloseTo(4_000, Percentage.withPercentage(5));
-        assertThat(read.came()[4]).isZero();
+        assertThat(OverloadDigest.decode(good).reports()).hasSize(2);
+        LoadRow read = OverloadDigest.decode(good).rows().get(1);
+        assertThat(read.managerHash()).isEqualTo(-7);
+        assertThat(read.timestamp()).isEqualTo(1 << 31);
+        assertThat(read.startRate()).isCloseTo(17.3, Percentage.withPercentage(5));
+        assertThat(read.arrivalRates()[31]).isCloseTo(4_000, Percentage.withPercentage(5));
+        assertThat(read.arrivalRates()[4]).isZero();
         assertThat(read.zone()).isEqualTo(2);
-        assertThat(read.bad()).containsExactly(0, 255, 60);
-        assertThat(read.orders()).containsExactly(1, 2, -9);
-        assertThat(OverloadDigest.read(new byte[0]).words()).isEmpty();
-        assertThat(OverloadDigest.write(List.of(), List.of())).isEmpty();
+        assertThat(read.ejectedPercent()).containsExactly(0, 255, 60);
+        assertThat(read.zoneOrders()).containsExactly(1, 2, -9);
+        assertThat(OverloadDigest.decode(new byte[0]).reports()).isEmpty();
+        assertThat(OverloadDigest.encode(List.of(), List.of())).isEmpty();
         for (int i = 0; i < 20_000; i++) {
             byte[] spoilt = good.clone();
             spoilt[chance.nextInt(spoilt.length)] = (byte) chance.nextInt();
-            assertThat(OverloadDigest.read(spoilt).words().size())
-                    .isLessThanOrEqualTo(OverloadDigest.MOST);
+            assertThat(OverloadDigest.decode(spoilt).reports().size())
+                    .isLessThanOrEqualTo(OverloadDigest.MAX_REPORTS);
         }
     }
 }
--- a/src/test/java/firstage/scale/ScalingSlopesTest.java
+++ b/src/test/java/firstage/scale/ScalingSlopesTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.cells.CellDirectory.Fault;
+import firstage.cells.CellDirectory.InjectedDefect;
 import firstage.simulation.schedule.SimulatedCells.Shape;
 import java.util.List;
 import java.util.Map;
@@ -23,7 +23,7 @@
      */
     private static final double BY_A_THOUSAND = 120;
 
-    private static List<Map<String, Double>> rows(Fault fault) {
+    private static List<Map<String, Double>> rows(InjectedDefect fault) {
         return IntStream.of(50, 100, 200)
                 .parallel()
                 .mapToObj(
@@ -38,7 +38,7 @@
 
     @Test
     void aManagersCostDoesNotGrowWithTheFleet() {
-        List<Map<String, Double>> rows = rows(Fault.NONE);
+        List<Map<String, Double>> rows = rows(InjectedDefect.NONE);
         assertThat(rows)
                 .allSatisfy(
                         r -> {
@@ -52,6 +52,6 @@
     /** One kind of message sent to all cells. */
     @Test
     void aMessageSentToAllIsFound() {
-        assertThat(flat(rows(Fault.TOLD_TO_ALL))).isFalse();
+        assertThat(flat(rows(InjectedDefect.SENT_TO_ALL_CELLS))).isFalse();
     }
 }
--- a/src/test/java/firstage/server/CellsIT.java
+++ b/src/test/java/firstage/server/CellsIT.java
@@ -118,7 +118,7 @@
     /** What it tells of its view; again and again, until that has these words. */
     private String await(String cell, String words) throws IOException {
         String[] to = at(cell, 64).split(":");
-        byte[] asked = MembershipTransport.ASKED.getBytes(StandardCharsets.US_ASCII);
+        byte[] asked = MembershipTransport.STATUS_REQUEST.getBytes(StandardCharsets.US_ASCII);
         DatagramPacket answer = new DatagramPacket(new byte[64 * 1024], 64 * 1024);
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             socket.setSoTimeout(200);
