--- a/src/main/java/firstage/cli/PeersFileReader.java
+++ b/src/main/java/firstage/cli/PeersFileReader.java
@@ -2,8 +2,8 @@
 
 import firstage.cells.CellPlan;
 import firstage.config.MalformedLineException;
-import firstage.server.ManagerConfig;
-import firstage.server.membership.PeerConfig;
+import firstage.config.ManagerConfig;
+import firstage.config.PeerConfig;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
--- a/src/main/java/firstage/cli/RehearseCommand.java
+++ b/src/main/java/firstage/cli/RehearseCommand.java
@@ -1,6 +1,6 @@
 package firstage.cli;
 
-import firstage.server.ManagerConfig;
+import firstage.config.ManagerConfig;
 import firstage.server.ManagerServer;
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/firstage/cli/ServeCommand.java
+++ b/src/main/java/firstage/cli/ServeCommand.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import firstage.config.MalformedLineException;
-import firstage.server.ManagerConfig;
+import firstage.config.ManagerConfig;
+import firstage.config.PeerConfig;
 import firstage.server.ManagerServer;
-import firstage.server.membership.PeerConfig;
 import java.io.FileNotFoundException;
 import java.io.IOException;
 import java.net.BindException;
--- a/src/main/java/firstage/cli/ZonesCommand.java
+++ b/src/main/java/firstage/cli/ZonesCommand.java
@@ -1,6 +1,6 @@
 package firstage.cli;
 
-import firstage.server.ManagerConfig;
+import firstage.config.ManagerConfig;
 import firstage.server.membership.MembershipTransport;
 import java.io.IOException;
 import java.util.concurrent.Callable;
--- a/src/main/java/firstage/server/ManagerConfig.java
+++ b/src/main/java/firstage/config/ManagerConfig.java
@@ -1,12 +1,9 @@
-package firstage.server;
+package firstage.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.io.JsonEOFException;
-import firstage.config.MalformedLineException;
-import firstage.config.SettingsParser;
-import firstage.config.WireFields;
 import firstage.policy.api.Deployment;
 import firstage.policy.api.TrafficClass;
 import java.io.IOException;
--- a/src/main/java/firstage/server/membership/PeerConfig.java
+++ b/src/main/java/firstage/config/PeerConfig.java
@@ -1,4 +1,4 @@
-package firstage.server.membership;
+package firstage.config;
 
 import firstage.cells.CellPlan;
 import java.net.InetSocketAddress;
--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -1,6 +1,8 @@
 package firstage.server;
 
 import firstage.config.IdRegistry;
+import firstage.config.ManagerConfig;
+import firstage.config.PeerConfig;
 import firstage.lifecycle.ArrivalSequencer;
 import firstage.lifecycle.KeyOrderMonitor;
 import firstage.policy.WorkloadScheduler;
@@ -17,7 +19,6 @@
 import firstage.server.discovery.EndpointWatcher;
 import firstage.server.engine.EngineClients;
 import firstage.server.membership.MembershipTransport;
-import firstage.server.membership.PeerConfig;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -1,8 +1,8 @@
 package firstage.server.client;
 
+import firstage.config.ManagerConfig;
 import firstage.config.WireFields;
 import firstage.server.Counters;
-import firstage.server.ManagerConfig;
 import firstage.server.RequestExchange;
 import firstage.server.ServerEvents;
 import firstage.server.TickClock;
--- a/src/main/java/firstage/server/discovery/EndpointParser.java
+++ b/src/main/java/firstage/server/discovery/EndpointParser.java
@@ -1,9 +1,9 @@
 package firstage.server.discovery;
 
 import firstage.config.MalformedLineException;
+import firstage.config.ManagerConfig;
 import firstage.config.WireFields;
 import firstage.policy.api.EndpointUpdate.Lifecycle;
-import firstage.server.ManagerConfig;
 import firstage.server.ServerEvents.Listed;
 import firstage.server.TickClock;
 import java.io.IOException;
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -1,8 +1,8 @@
 package firstage.server.discovery;
 
+import firstage.config.ManagerConfig;
 import firstage.policy.api.EndpointUpdate.Kind;
 import firstage.server.Counters;
-import firstage.server.ManagerConfig;
 import firstage.server.ServerEvents;
 import firstage.server.TickClock;
 import java.io.IOException;
--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -1,10 +1,10 @@
 package firstage.server.engine;
 
+import firstage.config.ManagerConfig;
 import firstage.policy.api.AttemptOutcome;
 import firstage.policy.api.EndpointUpdate.Lifecycle;
 import firstage.policy.api.LoadReport;
 import firstage.server.Counters;
-import firstage.server.ManagerConfig;
 import firstage.server.RequestExchange;
 import firstage.server.ServerEvents;
 import firstage.server.TickClock;
--- a/src/test/java/firstage/server/CellsIT.java
+++ b/src/test/java/firstage/server/CellsIT.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import firstage.cells.CellPlan;
+import firstage.config.ManagerConfig;
 import firstage.faulttest.LoopbackAddresses;
 import firstage.faulttest.ManagerConfigWriter;
 import firstage.server.membership.MembershipTransport;
