--- a/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
+++ b/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
@@ -36,7 +36,7 @@
         life.posted(now, Word.NEWS);
         life.told(now + 2_500, Word.PAGE);
         life.told(now + 2_510, Word.LAST);
-        assertThat(acts).containsExactly("ask", "fetch 1", "RETURNED 0");
+        assertThat(acts).containsExactly("ask", "fetch 1", "SUCCEEDED 0");
     }
 
     @Test
@@ -95,7 +95,7 @@
                         "delete",
                         "after 120 DELETE_AGAIN",
                         "delete",
-                        "CALLED_OFF 0");
+                        "CANCELLED 0");
     }
 
     @Test
@@ -112,9 +112,9 @@
         life.deleteFailed(now + 2_510, Loss.UNREACHED);
         life.rang(now + 3_010, Alarm.DELETE_AGAIN);
         life.deleted(now + 3_020);
-        assertThat(acts).endsWith("after 500 DELETE_AGAIN", "delete", "CALLED_OFF 0");
+        assertThat(acts).endsWith("after 500 DELETE_AGAIN", "delete", "CANCELLED 0");
         life.rang(now + 200_990, Alarm.FORGOTTEN);
-        assertThat(acts).endsWith("CALLED_OFF 0");
+        assertThat(acts).endsWith("CANCELLED 0");
         assertThat(done).isEqualTo(1);
     }
 
@@ -124,7 +124,7 @@
         limit = now + 200_000;
         life.giveUp(now + 10, AttemptOutcome.CANCELLED);
         life.rang(now + 210, Alarm.DUE);
-        assertThat(acts).endsWith("after 200790 FORGOTTEN", "CALLED_OFF 200790");
+        assertThat(acts).endsWith("after 200790 FORGOTTEN", "CANCELLED 200790");
         assertThat(life.lingers()).isFalse();
         life.deleted(now + 300);
         life.rang(now + 5_300, Alarm.DELETE_AGAIN);
@@ -145,7 +145,7 @@
         life.deleted(now + AttemptStateMachine.FORGETS - 1);
         assertThat(acts).last().isEqualTo("after 5000 DELETE_AGAIN");
         life.deleted(now + AttemptStateMachine.FORGETS + 5_000);
-        assertThat(acts).last().isEqualTo("CALLED_OFF 0");
+        assertThat(acts).last().isEqualTo("CANCELLED 0");
     }
 
     @Test
@@ -161,7 +161,7 @@
                         "ask",
                         "after 200 DUE",
                         "delete",
-                        "CALLED_OFF " + (AttemptStateMachine.FORGETS - 210));
+                        "CANCELLED " + (AttemptStateMachine.FORGETS - 210));
         assertThat(done).isEqualTo(1);
     }
 
@@ -177,7 +177,7 @@
                         "after 200 DUE",
                         "delete",
                         "after " + (AttemptStateMachine.FORGETS + 5 - 210) + " FORGOTTEN",
-                        "ERRORED " + (AttemptStateMachine.FORGETS + 5 - 210));
+                        "FAILED " + (AttemptStateMachine.FORGETS + 5 - 210));
     }
 
     @Test
@@ -190,7 +190,9 @@
         life.rang(now + 600, Alarm.AGAIN);
         lives = false;
         life.lost(now + 700, Loss.REFUSED);
-        assertThat(acts).last().isEqualTo("BROKEN " + (AttemptStateMachine.FORGETS + 600 - 700));
+        assertThat(acts)
+                .last()
+                .isEqualTo("CONNECTION_LOST " + (AttemptStateMachine.FORGETS + 600 - 700));
     }
 
     @Test
@@ -199,11 +201,11 @@
         life.posted(now, Word.ERROR);
         assertThat(acts).containsExactly("after 200 DUE", "delete");
         life.deleted(now + 10);
-        assertThat(acts).last().isEqualTo("ERRORED 0");
+        assertThat(acts).last().isEqualTo("FAILED 0");
         life = new AttemptStateMachine(this, false);
         written();
         life.posted(now, Word.ERROR);
-        assertThat(acts).containsExactly("ERRORED 0");
+        assertThat(acts).containsExactly("FAILED 0");
     }
 
     @Test
@@ -225,17 +227,17 @@
         life.postFailed(now, Loss.RESET);
         life.postFailed(now, Loss.RESET);
         life.postFailed(now, Loss.RESET);
-        assertThat(acts).containsExactly("post", "post", "post", "NO_CONNECTION 0");
+        assertThat(acts).containsExactly("post", "post", "post", "CONNECT_FAILED 0");
     }
 
     @Test
     void nothingIsToldAfterItsEnd() {
         written();
-        life.posted(now, Word.TURNED_AWAY);
+        life.posted(now, Word.REFUSED);
         life.told(now, Word.LAST);
         life.giveUp(now, AttemptOutcome.TIMED_OUT);
         life.rang(now, Alarm.DUE);
-        assertThat(acts).containsExactly("TURNED_AWAY 0");
+        assertThat(acts).containsExactly("REFUSED 0");
     }
 
     @Override
