--- a/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
+++ b/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
@@ -233,7 +233,7 @@
     @Test
     void nothingIsToldAfterItsEnd() {
         written();
-        life.posted(now, Word.REFUSED);
+        life.posted(now, Word.TURNED_AWAY);
         life.told(now, Word.LAST);
         life.giveUp(now, AttemptOutcome.TIMED_OUT);
         life.rang(now, Alarm.DUE);
