--- a/src/main/java/firstage/cli/PeersCommand.java
+++ b/src/main/java/firstage/cli/PeersCommand.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
+import firstage.config.ManagerConfig;
 import firstage.server.membership.MembershipTransport;
 import java.io.IOException;
 import java.net.DatagramPacket;
