--- a/src/main/java/firstage/bench/BenchAdapter.java
+++ b/src/main/java/firstage/bench/BenchAdapter.java
@@ -67,13 +67,13 @@
         WireFields f = new WireFields(line);
         switch (word) {
             case "SYNC" -> {
-                round = f.need("n");
-                now = WireFields.tenths(f.needNumber("now"));
+                round = f.require("n");
+                now = WireFields.secondsToTicks(f.requireDouble("now"));
             }
             case "DEFINE_LIST" -> {
                 filling = new ArrayList<>();
-                expected = f.index("elements", 0);
-                lists.put(f.index("ref", 0), filling);
+                expected = f.getInt("elements", 0);
+                lists.put(f.getInt("ref", 0), filling);
             }
             case "ITEM" -> {
                 if (filling == null || filling.size() == expected) {
@@ -86,7 +86,7 @@
     }
 
     private void event(String word, WireFields f) {
-        String number = f.need("i");
+        String number = f.require("i");
         if (word.equals("DOWN")) {
             // What the killed manager still meant to do dies with it.
             seats.remove(number);
--- a/src/main/java/firstage/bench/BenchManager.java
+++ b/src/main/java/firstage/bench/BenchManager.java
@@ -60,10 +60,10 @@
 
     BenchManager(String number, WireFields setup) {
         this.number = number;
-        Deployment deployment = SettingsParser.read(setup);
+        Deployment deployment = SettingsParser.parse(setup);
         this.manager = new WorkloadScheduler(deployment, this);
         circle =
-                !setup.flag("limits.peers")
+                !setup.getBoolean("limits.peers")
                         ? null
                         : new BroadcastLoadShedding(
                                 deployment.rank(),
@@ -89,20 +89,20 @@
                     manager.onRequest(
                             now,
                             new IncomingRequest(
-                                    batches.of(f.need("request_id")),
-                                    (int) f.needWhole("tier_class"),
-                                    f.index("org", 0),
-                                    f.has("table") ? keys.of(f.need("table")) : -1,
-                                    WireFields.tenths(f.needNumber("not_after")),
-                                    f.time("plan_cost"),
-                                    (int) f.number("mem_mb", 0),
-                                    f.index("tables", -1),
-                                    f.flag("retry"),
+                                    batches.indexFor(f.require("request_id")),
+                                    (int) f.requireLong("tier_class"),
+                                    f.getInt("org", 0),
+                                    f.has("table") ? keys.indexFor(f.require("table")) : -1,
+                                    WireFields.secondsToTicks(f.requireDouble("not_after")),
+                                    f.getTicks("plan_cost"),
+                                    (int) f.getDouble("mem_mb", 0),
+                                    f.getInt("tables", -1),
+                                    f.getBoolean("retry"),
                                     false));
             case "SETTLED" -> settled(now, f);
             case "PROGRESS" -> progress(now, f);
             case "TIMED_OUT_CLIENT" -> {
-                int batch = batches.find(f.need("request_id"));
+                int batch = batches.findIndex(f.require("request_id"));
                 if (batch >= 0) {
                     manager.onClientGone(now, batch);
                 }
@@ -110,17 +110,17 @@
             case "ENDPOINTS" -> manager.onEndpointsUpdated(now, list(f, lists));
             case "PING_RESULT" ->
                     manager.onProbeResult(
-                            now, engines.of(f.needWhole("engine")), outcome(f), report(f));
+                            now, engines.indexFor(f.requireLong("engine")), outcome(f), report(f));
             case "DATAGRAM" -> {
                 if (circle != null) {
-                    circle.heard(now, f.index("by", 0), words(f.text("payload", "-")));
+                    circle.heard(now, f.getInt("by", 0), words(f.getString("payload", "-")));
                 }
             }
             case "WAKE" -> {
-                if (f.whole("nonce", 0) == LOOK) {
+                if (f.getLong("nonce", 0) == LOOK) {
                     look(now);
                 } else {
-                    manager.onWakeUp(now, f.whole("nonce", 0));
+                    manager.onWakeUp(now, f.getLong("nonce", 0));
                 }
             }
             case "FLOWING" -> {}
@@ -144,31 +144,31 @@
     }
 
     private void settled(long now, WireFields f) {
-        int batch = batches.find(f.need("request_id"));
+        int batch = batches.findIndex(f.require("request_id"));
         if (batch < 0) {
             return;
         }
-        long stats = f.whole("stats", 0);
+        long stats = f.getLong("stats", 0);
         manager.onAttemptResult(
                 now,
                 new AttemptResult(
                         batch,
-                        f.index("attempt", 0),
-                        engines.of(f.needWhole("engine")),
+                        f.getInt("attempt", 0),
+                        engines.indexFor(f.requireLong("engine")),
                         outcome(f),
-                        f.time("delay_seen"),
+                        f.getTicks("delay_seen"),
                         (stats >> 12) * 10,
                         (int) (stats & 4095) * 4,
-                        f.flag("terminal"),
+                        f.getBoolean("terminal"),
                         report(f),
                         0));
     }
 
     private void progress(long now, WireFields f) {
-        int batch = batches.find(f.need("request_id"));
-        double amount = f.number("amount", 0);
+        int batch = batches.findIndex(f.require("request_id"));
+        double amount = f.getDouble("amount", 0);
         AttemptProgress.Kind kind =
-                switch (f.index("what", 0)) {
+                switch (f.getInt("what", 0)) {
                     case 1 -> AttemptProgress.Kind.FRACTION_DONE;
                     case 2 -> AttemptProgress.Kind.SPILLING;
                     case 3 ->
@@ -182,8 +182,8 @@
                     now,
                     new AttemptProgress(
                             batch,
-                            f.index("attempt", 0),
-                            engines.of(f.needWhole("engine")),
+                            f.getInt("attempt", 0),
+                            engines.indexFor(f.requireLong("engine")),
                             kind,
                             amount));
         }
@@ -191,7 +191,7 @@
 
     private EndpointUpdate list(WireFields f, Map<Integer, List<WireFields>> lists) {
         EndpointUpdate.Kind kind =
-                switch (f.need("mode")) {
+                switch (f.require("mode")) {
                     case "incr" -> EndpointUpdate.Kind.DELTA;
                     case "total" -> EndpointUpdate.Kind.SNAPSHOT;
                     case "warm_copy" -> EndpointUpdate.Kind.INITIAL;
@@ -199,37 +199,38 @@
                 };
         List<EndpointUpdate.Endpoint> entries = new ArrayList<>();
         if (kind != EndpointUpdate.Kind.FAILED) {
-            List<WireFields> items = lists.get(f.index("ref", 0));
+            List<WireFields> items = lists.get(f.getInt("ref", 0));
             if (items == null) {
-                throw new MalformedLineException("list " + f.index("ref", 0) + " was not declared");
+                throw new MalformedLineException(
+                        "list " + f.getInt("ref", 0) + " was not declared");
             }
             for (WireFields item : items) {
-                long id = item.needWhole("engine");
+                long id = item.requireLong("engine");
                 EndpointUpdate.Lifecycle standing =
-                        switch (item.text("health", "active")) {
+                        switch (item.getString("health", "active")) {
                             case "active" -> EndpointUpdate.Lifecycle.ACTIVE;
                             case "leaving" -> EndpointUpdate.Lifecycle.DRAINING;
                             default -> EndpointUpdate.Lifecycle.GONE;
                         };
                 entries.add(
                         new EndpointUpdate.Endpoint(
-                                engines.of(id),
+                                engines.indexFor(id),
                                 id,
-                                item.index("locality", 0),
-                                item.index("class_of_host", 0),
-                                item.index("cell", 0),
+                                item.getInt("locality", 0),
+                                item.getInt("class_of_host", 0),
+                                item.getInt("cell", 0),
                                 standing,
-                                item.number("heft", 1),
-                                item.time("since")));
+                                item.getDouble("heft", 1),
+                                item.getTicks("since")));
             }
         }
         return new EndpointUpdate(kind, entries);
     }
 
     private static AttemptOutcome outcome(WireFields f) {
-        AttemptOutcome outcome = OUTCOMES.get(f.need("how"));
+        AttemptOutcome outcome = OUTCOMES.get(f.require("how"));
         if (outcome == null) {
-            throw new MalformedLineException("unknown outcome " + f.need("how"));
+            throw new MalformedLineException("unknown outcome " + f.require("how"));
         }
         return outcome;
     }
@@ -238,13 +239,13 @@
         if (!f.has("gauge")) {
             return null;
         }
-        WireFields g = new WireFields(" " + f.need("gauge").replace(':', '=').replace(',', ' '));
+        WireFields g = new WireFields(" " + f.require("gauge").replace(':', '=').replace(',', ' '));
         return new LoadReport(
-                g.number("active", Double.NaN),
-                g.number("waiting", Double.NaN),
-                g.number("cpu", Double.NaN),
-                g.number("x0", Double.NaN),
-                g.number("x1", Double.NaN));
+                g.getDouble("active", Double.NaN),
+                g.getDouble("waiting", Double.NaN),
+                g.getDouble("cpu", Double.NaN),
+                g.getDouble("x0", Double.NaN),
+                g.getDouble("x1", Double.NaN));
     }
 
     private static byte[] words(String base64) {
@@ -256,7 +257,7 @@
     }
 
     private StringBuilder line(String action, int batch) {
-        return line(action).append(" request_id=").append(batches.id(batch));
+        return line(action).append(" request_id=").append(batches.idOf(batch));
     }
 
     @Override
@@ -273,9 +274,9 @@
     public void startAttempt(int batch, int engine, long within) {
         line("DISPATCH", batch)
                 .append(" engine=")
-                .append(engines.id(engine))
+                .append(engines.idOf(engine))
                 .append(" within=")
-                .append(WireFields.seconds(within))
+                .append(WireFields.formatSeconds(within))
                 .append('\n');
     }
 
@@ -286,7 +287,10 @@
 
     @Override
     public void reject(int batch, long comeBack) {
-        line("DENY", batch).append(" come_back=").append(WireFields.seconds(comeBack)).append('\n');
+        line("DENY", batch)
+                .append(" come_back=")
+                .append(WireFields.formatSeconds(comeBack))
+                .append('\n');
     }
 
     @Override
@@ -311,7 +315,7 @@
 
     @Override
     public void probeEngine(int engine) {
-        line("TEST").append(" engine=").append(engines.id(engine)).append('\n');
+        line("TEST").append(" engine=").append(engines.idOf(engine)).append('\n');
     }
 
     @Override
@@ -323,7 +327,7 @@
     public void scheduleWakeUp(long delay, long token) {
         line("ARM")
                 .append(" in=")
-                .append(WireFields.seconds(delay))
+                .append(WireFields.formatSeconds(delay))
                 .append(" nonce=")
                 .append(token)
                 .append('\n');
--- a/src/main/java/firstage/cli/PeersCommand.java
+++ b/src/main/java/firstage/cli/PeersCommand.java
@@ -52,7 +52,7 @@
 
     @Override
     public Integer call() throws IOException {
-        String answer = ask(ManagerConfig.address(address), MembershipTransport.ASKED);
+        String answer = ask(ManagerConfig.parseAddress(address), MembershipTransport.ASKED);
         boolean agreed = answer.contains("\"agreed\":true");
         if (json) {
             System.out.println(answer);
--- a/src/main/java/firstage/cli/PeersFileReader.java
+++ b/src/main/java/firstage/cli/PeersFileReader.java
@@ -72,14 +72,17 @@
      * its own word.
      */
     static void hold(PeerConfig list) throws IOException {
-        if (list.in() == null) {
+        if (list.cellPlacement() == null) {
             return;
         }
         Path held =
-                list.mark()
+                list.withdrawalMark()
                         .resolveSibling(
-                                list.mark().getFileName().toString().replace(".withdrew", ".plan"));
-        int number = list.in().plan().number();
+                                list.withdrawalMark()
+                                        .getFileName()
+                                        .toString()
+                                        .replace(".withdrew", ".plan"));
+        int number = list.cellPlacement().plan().number();
         int before = 0;
         if (Files.exists(held)) {
             String text = Files.readString(held).trim();
@@ -129,7 +132,7 @@
 
     private InetSocketAddress address(TomlPosition at, String key, Object value) {
         try {
-            return ManagerConfig.address(String.valueOf(value));
+            return ManagerConfig.parseAddress(String.valueOf(value));
         } catch (MalformedLineException fault) {
             throw fault(at, key + ": '" + value + "' is no address; \"127.0.0.1:7946\" would do");
         }
@@ -166,7 +169,7 @@
         }
         InetSocketAddress listen =
                 address(toml.inputPositionOf(List.of("listen")), "listen", text("listen", null));
-        PeerConfig.InCells in = toml.get(List.of("cell")) == null ? null : inCells(listen);
+        PeerConfig.CellPlacement in = toml.get(List.of("cell")) == null ? null : inCells(listen);
         if (in == null) {
             for (String key : List.of("plan", "spread", "before")) {
                 if (toml.get(List.of(key)) != null) {
@@ -187,7 +190,7 @@
                 weight == null ? 1 : ((Number) weight).doubleValue(),
                 listen,
                 period,
-                in == null ? peers() : in.addresses().get(in.cell()),
+                in == null ? peers() : in.addressesByCell().get(in.cell()),
                 file.resolveSibling(file.getFileName() + ".withdrew"),
                 in);
     }
@@ -199,7 +202,7 @@
         return (int) (long) number;
     }
 
-    private PeerConfig.InCells inCells(InetSocketAddress listen) {
+    private PeerConfig.CellPlacement inCells(InetSocketAddress listen) {
         if (!(toml.get(List.of("cell")) instanceof TomlArray array) || array.size() > MOST_CELLS) {
             throw fault(
                     "cell",
@@ -262,7 +265,7 @@
         for (int c = 0; c < addresses.size(); c++) {
             int slot = addresses.get(c).indexOf(listen);
             if (slot >= 0) {
-                return new PeerConfig.InCells(plan, before(plan), c, slot, addresses);
+                return new PeerConfig.CellPlacement(plan, before(plan), c, slot, addresses);
             }
         }
         throw fault("listen", "stands in no cell's hosts; add it to its cell");
--- a/src/main/java/firstage/cli/ServeCommand.java
+++ b/src/main/java/firstage/cli/ServeCommand.java
@@ -204,14 +204,15 @@
             try {
                 ManagerConfig next = read();
                 LOG.info(() -> "read anew in " + (System.nanoTime() - since) / 1_000_000 + " ms");
-                if (next.name().equals(first.name()) && next.listen().equals(first.listen())) {
+                if (next.name().equals(first.name())
+                        && next.listenAddress().equals(first.listenAddress())) {
                     node.told(next);
                 } else {
                     LOG.warning(
                             "the new configuration is another manager's: "
                                     + next.name()
                                     + " at "
-                                    + next.listen());
+                                    + next.listenAddress());
                 }
             } catch (IOException | RuntimeException fault) {
                 LOG.warning("the new configuration can't be read: " + Main.oneLine(fault));
--- a/src/main/java/firstage/cli/ZonesCommand.java
+++ b/src/main/java/firstage/cli/ZonesCommand.java
@@ -53,7 +53,7 @@
         String order = wanted == Wanted.health ? "none" : wanted.name();
         String answer =
                 PeersCommand.ask(
-                        ManagerConfig.address(address),
+                        ManagerConfig.parseAddress(address),
                         MembershipTransport.ORDERED + " " + order + " " + zone);
         if (answer.equals(MembershipTransport.NO_ORDER)) {
             throw new IOException(
--- a/src/main/java/firstage/config/IdRegistry.java
+++ b/src/main/java/firstage/config/IdRegistry.java
@@ -7,42 +7,45 @@
 
 /** Maps the wire's ids to small indices and back; released indices serve again. */
 public final class IdRegistry<T> {
-    private final Map<T, Integer> byId = new HashMap<>();
-    private final List<T> ids = new ArrayList<>();
-    private final List<Integer> free = new ArrayList<>();
+    private final Map<T, Integer> indexById = new HashMap<>();
+    private final List<T> idByIndex = new ArrayList<>();
+    private final List<Integer> freeIndices = new ArrayList<>();
 
-    public int of(T id) {
-        Integer known = byId.get(id);
+    public int indexFor(T id) {
+        Integer known = indexById.get(id);
         if (known != null) {
             return known;
         }
-        int index = free.isEmpty() ? ids.size() : free.remove(free.size() - 1);
-        if (index == ids.size()) {
-            ids.add(id);
+        int index =
+                freeIndices.isEmpty()
+                        ? idByIndex.size()
+                        : freeIndices.remove(freeIndices.size() - 1);
+        if (index == idByIndex.size()) {
+            idByIndex.add(id);
         } else {
-            ids.set(index, id);
+            idByIndex.set(index, id);
         }
-        byId.put(id, index);
+        indexById.put(id, index);
         return index;
     }
 
-    /** The index of {@code id}, or -1 if it has none. */
-    public int find(T id) {
-        return byId.getOrDefault(id, -1);
+    /** The index of {@code idOf}, or -1 if it has none. */
+    public int findIndex(T id) {
+        return indexById.getOrDefault(id, -1);
     }
 
-    public T id(int index) {
-        return ids.get(index);
+    public T idOf(int index) {
+        return idByIndex.get(index);
     }
 
     /** How many ids have an index. */
-    public int inUse() {
-        return byId.size();
+    public int size() {
+        return indexById.size();
     }
 
     public void release(int index) {
-        byId.remove(ids.get(index));
-        ids.set(index, null);
-        free.add(index);
+        indexById.remove(idByIndex.get(index));
+        idByIndex.set(index, null);
+        freeIndices.add(index);
     }
 }
--- a/src/main/java/firstage/config/ManagerConfig.java
+++ b/src/main/java/firstage/config/ManagerConfig.java
@@ -20,11 +20,11 @@
  */
 public record ManagerConfig(
         String name,
-        InetSocketAddress listen,
-        InetSocketAddress coordinator,
-        int descriptors,
-        int memoryMb,
-        Map<?, ?> known,
+        InetSocketAddress listenAddress,
+        InetSocketAddress coordinatorAddress,
+        int maxFileDescriptors,
+        int memoryLimitMb,
+        Map<?, ?> initialEndpoints,
         WireFields settings,
         Deployment deployment) {
 
@@ -32,32 +32,36 @@
      * Descriptors for what is no connection to an engine or a client: files, selectors, the
      * coordinator.
      */
-    private static final int RESERVE = 40;
+    private static final int RESERVED_DESCRIPTORS = 40;
 
-    private static final int UNBIDDEN = 16;
-    private static final int CLIENTS_PART = 8;
-    private static final long LONGEST_COUNTED = 30_000;
-    private static final long AFTER_LONGEST = 7_000;
+    private static final int EXCESS_CLIENT_CONNECTIONS = 16;
+    private static final int CLIENT_MEMORY_DIVISOR = 8;
+    private static final long MAX_COUNTED_TIMEOUT = 30_000;
+    private static final long SHUTDOWN_MARGIN = 7_000;
 
     /**
      * How many connections clients may hold: they hold a third of the descriptors, and some should
      * not be there.
      */
-    public int clientConnections() {
-        return descriptors > 0 ? descriptors / 3 + UNBIDDEN : Integer.MAX_VALUE / 2;
+    public int maxClientConnections() {
+        return maxFileDescriptors > 0
+                ? maxFileDescriptors / 3 + EXCESS_CLIENT_CONNECTIONS
+                : Integer.MAX_VALUE / 2;
     }
 
     /**
      * How many bytes of statements and answers may be kept for clients: an eighth of the memory.
      */
-    public long clientBytes() {
-        return memoryMb > 0 ? memoryMb * (1L << 20) / CLIENTS_PART : Long.MAX_VALUE / 2;
+    public long maxClientBytes() {
+        return memoryLimitMb > 0
+                ? memoryLimitMb * (1L << 20) / CLIENT_MEMORY_DIVISOR
+                : Long.MAX_VALUE / 2;
     }
 
     /** How many connections to engines may be held: what is left. */
-    public int engineConnections() {
-        return descriptors > 0
-                ? Math.max(1, descriptors - RESERVE - clientConnections())
+    public int maxEngineConnections() {
+        return maxFileDescriptors > 0
+                ? Math.max(1, maxFileDescriptors - RESERVED_DESCRIPTORS - maxClientConnections())
                 : Integer.MAX_VALUE / 2;
     }
 
@@ -65,13 +69,13 @@
      * After SIGTERM it is killed no sooner: the longest time limit, 3 s where it is longer, and 0.7
      * s more.
      */
-    public long endsWithin() {
+    public long shutdownTimeout() {
         long longest =
                 deployment.trafficClasses().stream()
                         .mapToLong(TrafficClass::timeout)
                         .max()
                         .orElse(0);
-        return Math.min(longest, LONGEST_COUNTED) + AFTER_LONGEST;
+        return Math.min(longest, MAX_COUNTED_TIMEOUT) + SHUTDOWN_MARGIN;
     }
 
     /** Reads it; the message of the exception names the fault. */
@@ -86,17 +90,17 @@
             }
             WireFields top = new WireFields(all);
             Map<Object, Object> told = new LinkedHashMap<>(settings);
-            told.put("init_seed", seed(top.text("seed", "0")));
+            told.put("init_seed", seed(top.getString("seed", "0")));
             WireFields fields = new WireFields(told);
             return new ManagerConfig(
-                    top.text("name", "manager"),
-                    address(top.need("listen")),
-                    top.has("coordinator") ? address(top.need("coordinator")) : null,
-                    top.index("limits.sockets", 0),
-                    top.index("limits.memory_mb", 0),
+                    top.getString("name", "manager"),
+                    parseAddress(top.require("listen")),
+                    top.has("coordinator") ? parseAddress(top.require("coordinator")) : null,
+                    top.getInt("limits.sockets", 0),
+                    top.getInt("limits.memory_mb", 0),
                     all.get("known") instanceof Map<?, ?> known ? known : Map.of(),
                     fields,
-                    SettingsParser.read(fields));
+                    SettingsParser.parse(fields));
         }
     }
 
@@ -109,7 +113,7 @@
     }
 
     /** Host and port, as numbers: there are no names to look up. */
-    public static InetSocketAddress address(String hostPort) {
+    public static InetSocketAddress parseAddress(String hostPort) {
         int colon = hostPort.lastIndexOf(':');
         try {
             String host = hostPort.substring(0, colon);
--- a/src/main/java/firstage/config/SettingsParser.java
+++ b/src/main/java/firstage/config/SettingsParser.java
@@ -16,11 +16,11 @@
 public final class SettingsParser {
     private SettingsParser() {}
 
-    public static Deployment read(WireFields f) {
+    public static Deployment parse(WireFields f) {
         String via = word(f, "report.via", "on_probe", Set.of("inline", "on_probe", "off"));
         String whenShort =
                 word(f, "family_info.out_of_memory", "wait", Set.of("wait", "shrink", "page"));
-        if (via.equals("off") && !f.text("report.fields", "").isEmpty()) {
+        if (via.equals("off") && !f.getString("report.fields", "").isEmpty()) {
             // Old shape names values, new shape sends none: engines would be taken for silent about
             // load.
             throw new MalformedLineException(
@@ -30,20 +30,20 @@
         String[] loads = list(f, "family_info.class_load");
         String[] yields = list(f, "family_info.yields_to_loads");
         List<TrafficClass> groups = new ArrayList<>();
-        int count = f.index("classes.count", 0);
+        int count = f.getInt("classes.count", 0);
         for (int g = 0; g < count; g++) {
             String at = "classes." + g + ".";
             groups.add(
                     new TrafficClass(
-                            f.time(at + "target"),
-                            f.number(at + "aim_stretch", 0),
-                            f.time(at + "deadline"),
-                            f.number(at + "worth", 1),
-                            f.number(at + "late_value", 0),
-                            effect(f.text(at + "effect", "fragile")),
-                            scope(f.text(at + "group", "cell")),
-                            f.time(at + "window"),
-                            f.flag(at + "by_arrival"),
+                            f.getTicks(at + "target"),
+                            f.getDouble(at + "aim_stretch", 0),
+                            f.getTicks(at + "deadline"),
+                            f.getDouble(at + "worth", 1),
+                            f.getDouble(at + "late_value", 0),
+                            effect(f.getString(at + "effect", "fragile")),
+                            scope(f.getString(at + "group", "cell")),
+                            f.getTicks(at + "window"),
+                            f.getBoolean(at + "by_arrival"),
                             g < threads.length ? Math.max(1, whole(threads[g])) : 1,
                             g < loads.length && loads[g].equals("true"),
                             g < yields.length && yields[g].equals("true"),
@@ -60,51 +60,52 @@
                             k < memory.length ? number(memory[k]) : 0));
         }
         List<Double> rates = new ArrayList<>();
-        for (int c = 0; c < f.index("tenants.count", 0); c++) {
-            rates.add(f.number("tenants." + c + ".quota_per_s", 0) / WireFields.tenths(1));
+        for (int c = 0; c < f.getInt("tenants.count", 0); c++) {
+            rates.add(
+                    f.getDouble("tenants." + c + ".quota_per_s", 0) / WireFields.secondsToTicks(1));
         }
         Deployment.Capabilities allowed =
                 new Deployment.Capabilities(
-                        f.flag("limits.may_cancel"),
-                        f.flag("limits.second_copies"),
-                        f.flag("limits.retry_after"),
-                        f.flag("family_info.takes_grants"),
-                        f.flag("family_info.lanes_count"),
-                        f.index("limits.max_attempts", 1),
-                        f.time("limits.max_retry_after"));
+                        f.getBoolean("limits.may_cancel"),
+                        f.getBoolean("limits.second_copies"),
+                        f.getBoolean("limits.retry_after"),
+                        f.getBoolean("family_info.takes_grants"),
+                        f.getBoolean("family_info.lanes_count"),
+                        f.getInt("limits.max_attempts", 1),
+                        f.getTicks("limits.max_retry_after"));
         boolean budget = f.has("rules.further_ratio") || f.has("rules.free_resends");
         Deployment.Rules rules =
                 new Deployment.Rules(
-                        f.number("rules.cold_from", 0),
-                        f.time("rules.ramp_time"),
-                        f.number("rules.tip_multiple", 0),
-                        f.time("rules.fall"),
-                        f.time("rules.key_quiet"),
-                        budget ? f.number("rules.further_ratio", 0) : -1,
-                        f.number("rules.free_resends", 0),
-                        f.time("rules.ratio_span"));
+                        f.getDouble("rules.cold_from", 0),
+                        f.getTicks("rules.ramp_time"),
+                        f.getDouble("rules.tip_multiple", 0),
+                        f.getTicks("rules.fall"),
+                        f.getTicks("rules.key_quiet"),
+                        budget ? f.getDouble("rules.further_ratio", 0) : -1,
+                        f.getDouble("rules.free_resends", 0),
+                        f.getTicks("rules.ratio_span"));
         return new Deployment(
-                f.whole("init_seed", 0),
-                Math.max(1, f.index("group_size", 1)),
-                f.index("rank", 0),
-                f.index("zone", 0),
+                f.getLong("init_seed", 0),
+                Math.max(1, f.getInt("group_size", 1)),
+                f.getInt("rank", 0),
+                f.getInt("zone", 0),
                 groups,
                 machines,
                 rates,
                 allowed,
                 rules,
-                f.number("family_info.largest_share", 1),
-                f.time("family_info.progress_pace"),
-                f.text("discovery", "").equals("subscribe"),
-                f.number("deductions.cross_zone", 0) > 0,
-                f.flag("limits.probing") ? f.number("deductions.probe", 0) : -1,
-                !via.equals("off") && !f.text("report.fields", "waiting").isEmpty(),
+                f.getDouble("family_info.largest_share", 1),
+                f.getTicks("family_info.progress_pace"),
+                f.getString("discovery", "").equals("subscribe"),
+                f.getDouble("deductions.cross_zone", 0) > 0,
+                f.getBoolean("limits.probing") ? f.getDouble("deductions.probe", 0) : -1,
+                !via.equals("off") && !f.getString("report.fields", "waiting").isEmpty(),
                 whenShort.equals("page"));
     }
 
     /** A word from a known set; absent, the one that keeps the earlier shape. */
     private static String word(WireFields f, String name, String absent, Set<String> known) {
-        String value = f.text(name, absent);
+        String value = f.getString(name, absent);
         if (!known.contains(value)) {
             throw new MalformedLineException(
                     name + " = " + value + " is none of " + new TreeSet<>(known));
@@ -141,7 +142,7 @@
     }
 
     private static String[] list(WireFields f, String name) {
-        String value = f.text(name, "");
+        String value = f.getString(name, "");
         return value.isEmpty() ? new String[0] : value.split(",");
     }
 
--- a/src/main/java/firstage/config/WireFields.java
+++ b/src/main/java/firstage/config/WireFields.java
@@ -33,7 +33,7 @@
     }
 
     /** A value as it stands in a list: the wire replaces commas in names, too. */
-    public static String plain(String name) {
+    public static String escapeCommas(String name) {
         return name.replace(',', '_');
     }
 
@@ -50,7 +50,7 @@
             parts.put(
                     path,
                     list.stream()
-                            .map(part -> plain(String.valueOf(part)))
+                            .map(part -> escapeCommas(String.valueOf(part)))
                             .collect(Collectors.joining(",")));
         } else if (value != null) {
             parts.put(path, value.toString());
@@ -61,7 +61,7 @@
         return parts.containsKey(name);
     }
 
-    public String need(String name) {
+    public String require(String name) {
         String value = parts.get(name);
         if (value == null) {
             throw new MalformedLineException("missing " + name);
@@ -69,53 +69,53 @@
         return value;
     }
 
-    public long needWhole(String name) {
+    public long requireLong(String name) {
         try {
-            return Long.parseLong(need(name));
+            return Long.parseLong(require(name));
         } catch (NumberFormatException fault) {
             throw new MalformedLineException(name + " is no whole number");
         }
     }
 
-    public double needNumber(String name) {
+    public double requireDouble(String name) {
         try {
-            return Double.parseDouble(need(name));
+            return Double.parseDouble(require(name));
         } catch (NumberFormatException fault) {
             throw new MalformedLineException(name + " is no number");
         }
     }
 
-    public String text(String name, String absent) {
+    public String getString(String name, String absent) {
         return parts.getOrDefault(name, absent);
     }
 
-    public long whole(String name, long absent) {
-        return has(name) ? needWhole(name) : absent;
+    public long getLong(String name, long absent) {
+        return has(name) ? requireLong(name) : absent;
     }
 
-    public int index(String name, int absent) {
-        return (int) whole(name, absent);
+    public int getInt(String name, int absent) {
+        return (int) getLong(name, absent);
     }
 
-    public double number(String name, double absent) {
-        return has(name) ? needNumber(name) : absent;
+    public double getDouble(String name, double absent) {
+        return has(name) ? requireDouble(name) : absent;
     }
 
-    public boolean flag(String name) {
+    public boolean getBoolean(String name) {
         String value = parts.get(name);
         return "1".equals(value) || "true".equals(value);
     }
 
-    public long time(String name) {
-        return tenths(number(name, 0));
+    public long getTicks(String name) {
+        return secondsToTicks(getDouble(name, 0));
     }
 
-    public static long tenths(double seconds) {
+    public static long secondsToTicks(double seconds) {
         return (long) Math.floor(seconds * TENTHS_PER_SECOND + 1e-6);
     }
 
     /** Seconds as the wire writes them. */
-    public static String seconds(long tenths) {
+    public static String formatSeconds(long tenths) {
         long abs = Math.abs(tenths);
         String fraction = Long.toString(10_000 + abs % 10_000).substring(1);
         return (tenths < 0 ? "-" : "") + abs / 10_000 + "." + fraction;
--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -160,7 +160,7 @@
                     door.accept();
                     sweep();
                 });
-        LOG.info(() -> assignment.name() + " listens on " + assignment.listen());
+        LOG.info(() -> assignment.name() + " listens on " + assignment.listenAddress());
     }
 
     /** A new configuration: it reaches the list's follower only. */
@@ -168,7 +168,7 @@
         io.execute(
                 () -> {
                     counters.count("configurations read anew");
-                    LOG.info(() -> "the coordinator is at " + next.coordinator());
+                    LOG.info(() -> "the coordinator is at " + next.coordinatorAddress());
                     follower.follow(next);
                 });
     }
@@ -198,7 +198,7 @@
                             () ->
                                     manager.onShutdown(
                                             clock.now(),
-                                            since + assignment.endsWithin() - LAST_WORDS));
+                                            since + assignment.shutdownTimeout() - LAST_WORDS));
                     later(
                             STILL_SENT_MS,
                             () -> {
@@ -340,7 +340,7 @@
 
     private void keepAway(long engine, boolean away, boolean restIsOver) {
         counters.count(away ? "engines left to others" : "engines taken back");
-        int index = ids.find(engine);
+        int index = ids.findIndex(engine);
         if (index >= 0) {
             tell("away", () -> manager.onProbeOwnership(clock.now(), index, away, restIsOver));
         }
@@ -358,7 +358,7 @@
                         .holds(
                                 clock.now(),
                                 zoneOf.getOrDefault(engine, -1),
-                                ids.id(engine),
+                                ids.idOf(engine),
                                 manager.isUnavailable(engine),
                                 manager.lastAttemptAt(engine),
                                 manager.lastResponseAt(engine));
@@ -437,7 +437,7 @@
             if (!turnKnown) {
                 counters.count("batches whose turn can't be told");
             }
-            x.batch = batches.of(x);
+            x.batch = batches.indexFor(x);
             note(What.TOLD, x, turnKnown ? 1 : 0, 0);
             if (x.key != null && turnKnown) {
                 watch.told(x.key, x.id);
@@ -451,7 +451,7 @@
                                             x.batch,
                                             b.group,
                                             b.customer,
-                                            b.key == null ? -1 : keys.of(b.key),
+                                            b.key == null ? -1 : keys.indexFor(b.key),
                                             x.notAfter,
                                             b.estimate,
                                             b.memoryMb,
@@ -597,7 +597,7 @@
     private void tellListed(EndpointUpdate.Kind kind, List<Listed> entries) {
         List<EndpointUpdate.Endpoint> told = new ArrayList<>();
         for (Listed e : entries) {
-            int index = ids.of(e.id());
+            int index = ids.indexFor(e.id());
             zoneOf.put(index, e.zone());
             engines.listed(index, e);
             told.add(
@@ -628,7 +628,7 @@
     // ---- What is decided.
     @Override
     public void setGrantAndPriority(int batch, int grantMb, int priority) {
-        RequestExchange x = batches.id(batch);
+        RequestExchange x = batches.idOf(batch);
         x.grantMb = grantMb;
         x.priority = priority;
         x.out.forEach(d -> d.priority(priority));
@@ -636,7 +636,7 @@
 
     @Override
     public void startAttempt(int batch, int engine, long within) {
-        RequestExchange x = batches.id(batch);
+        RequestExchange x = batches.idOf(batch);
         counters.count("dispatches out");
         out++;
         note(What.DISPATCHED, x, x.dispatches, engine);
@@ -660,7 +660,7 @@
 
     @Override
     public void cancelAttempt(int batch, int dispatch) {
-        for (RequestExchange.Dispatch d : List.copyOf(batches.id(batch).out)) {
+        for (RequestExchange.Dispatch d : List.copyOf(batches.idOf(batch).out)) {
             if (d.number() == dispatch) {
                 d.giveUp(AttemptOutcome.CANCELLED);
             }
@@ -669,7 +669,7 @@
 
     @Override
     public void reject(int batch, long comeBack) {
-        RequestExchange x = batches.id(batch);
+        RequestExchange x = batches.idOf(batch);
         if (x.pushedBack(comeBack)) {
             over("batches pushed back", x);
         }
@@ -678,7 +678,7 @@
 
     @Override
     public void fail(int batch) {
-        RequestExchange x = batches.id(batch);
+        RequestExchange x = batches.idOf(batch);
         if (x.errored()) {
             over("batches errored", x);
         }
@@ -686,7 +686,7 @@
 
     @Override
     public void releaseRequest(int batch) {
-        RequestExchange x = batches.id(batch);
+        RequestExchange x = batches.idOf(batch);
         counters.hold(
                 x.over() && x.out.isEmpty(),
                 "a batch that is forgotten has its answer and nothing out");
@@ -702,7 +702,7 @@
     @Override
     public void releaseEngine(int engine) {
         if (peers != null) {
-            peers.together().forget(ids.id(engine));
+            peers.together().forget(ids.idOf(engine));
         }
         ids.release(engine);
         engines.forget(engine);
--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -137,18 +137,18 @@
         this.clock = clock;
         this.counters = counters;
         this.tidings = tidings;
-        this.address = assignment.listen();
-        mostConnections = assignment.clientConnections();
-        mostBytes = assignment.clientBytes();
+        this.address = assignment.listenAddress();
+        mostConnections = assignment.maxClientConnections();
+        mostBytes = assignment.maxClientBytes();
         callers = new ClientConnections(io, counters, mostConnections);
         WireFields settings = assignment.settings();
-        for (int i = 0; i < settings.index("classes.count", 0); i++) {
-            groups.add(settings.text("classes." + i + ".name", ""));
-            double limit = settings.number("classes." + i + ".deadline", 0) * 1_000;
+        for (int i = 0; i < settings.getInt("classes.count", 0); i++) {
+            groups.add(settings.getString("classes." + i + ".name", ""));
+            double limit = settings.getDouble("classes." + i + ".deadline", 0) * 1_000;
             limits.add(limit > 0 ? limit : MOST_FIGURE);
         }
-        for (int i = 0; i < settings.index("tenants.count", 0); i++) {
-            customers.add(settings.text("tenants." + i + ".name", ""));
+        for (int i = 0; i < settings.getInt("tenants.count", 0); i++) {
+            customers.add(settings.getString("tenants." + i + ".name", ""));
         }
     }
 
--- a/src/main/java/firstage/server/discovery/EndpointParser.java
+++ b/src/main/java/firstage/server/discovery/EndpointParser.java
@@ -25,8 +25,8 @@
 
     EndpointParser(TickClock clock, WireFields settings) {
         this.clock = clock;
-        zones = Arrays.asList(settings.text("areas", "").split(","));
-        kinds = Arrays.asList(settings.text("kinds", "").split(","));
+        zones = Arrays.asList(settings.getString("areas", "").split(","));
+        kinds = Arrays.asList(settings.getString("kinds", "").split(","));
     }
 
     List<Listed> read(ByteBuffer payload) throws IOException {
@@ -70,21 +70,21 @@
         for (Object instance : instances) {
             WireFields f = new WireFields((Map<?, ?>) instance);
             Lifecycle standing =
-                    switch (f.text("lifecycle", "Ready")) {
+                    switch (f.getString("lifecycle", "Ready")) {
                         case "Ready" -> Lifecycle.ACTIVE;
                         case "Terminating" -> Lifecycle.DRAINING;
                         default -> Lifecycle.GONE;
                     };
             engines.add(
                     new Listed(
-                            id(f.need("instanceId")),
-                            ManagerConfig.address(f.need("hostPort")),
-                            zones.indexOf(WireFields.plain(f.text("zone", ""))),
-                            kinds.indexOf(WireFields.plain(f.text("machineType", ""))),
-                            f.index("cell", 0),
+                            id(f.require("instanceId")),
+                            ManagerConfig.parseAddress(f.require("hostPort")),
+                            zones.indexOf(WireFields.escapeCommas(f.getString("zone", ""))),
+                            kinds.indexOf(WireFields.escapeCommas(f.getString("machineType", ""))),
+                            f.getInt("cell", 0),
                             standing,
-                            f.number("weight", 1),
-                            clock.of(f.whole("startedAtMs", 0))));
+                            f.getDouble("weight", 1),
+                            clock.of(f.getLong("startedAtMs", 0))));
         }
         return engines;
     }
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -108,12 +108,12 @@
         since = clock.now();
         heard = false;
         try {
-            if (assignment.known().get("updates") instanceof List<?> updates) {
+            if (assignment.initialEndpoints().get("updates") instanceof List<?> updates) {
                 for (Object update : updates) {
                     known((Map<?, ?>) update);
                 }
             }
-            Object index = assignment.known().get("index");
+            Object index = assignment.initialEndpoints().get("index");
             last = Math.max(last, index == null ? 0 : Long.parseLong(String.valueOf(index)));
         } catch (RuntimeException fault) {
             counters.count("malformed lists");
@@ -123,7 +123,7 @@
         if (coordinator == null) {
             io.executeAfter(this::confirm, UNHEARD_MS, TimeUnit.MILLISECONDS);
         }
-        coordinator = assignment.coordinator();
+        coordinator = assignment.coordinatorAddress();
         leave();
         connect();
     }
--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -50,11 +50,11 @@
         this.clock = clock;
         this.counters = counters;
         this.tidings = tidings;
-        connectMs = Math.max(1, assignment.settings().time("limits.connect_timeout") / 10);
+        connectMs = Math.max(1, assignment.settings().getTicks("limits.connect_timeout") / 10);
         probeMs = connectMs;
-        long keepalive = assignment.settings().time("limits.keepalive");
+        long keepalive = assignment.settings().getTicks("limits.keepalive");
         mostIdle = (keepalive > 0 ? keepalive : DEFAULT_KEEPALIVE) / 2;
-        cap = assignment.engineConnections();
+        cap = assignment.maxEngineConnections();
     }
 
     boolean full() {
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -124,7 +124,7 @@
             Consumer<List<Listed>> free) {
         this.list = list;
         Deployment deployment = assignment.deployment();
-        areas = List.of(assignment.settings().text("areas", "").split(","));
+        areas = List.of(assignment.settings().getString("areas", "").split(","));
         together =
                 new FleetCoordinator(
                         list.name(),
@@ -132,7 +132,7 @@
                         areas.size(),
                         deployment.shortestLatencyObjective(),
                         deployment.rules().warmUpDuration(),
-                        list.period(),
+                        list.probeInterval(),
                         new ZoneFailover.Effects() {
                             @Override
                             public void keepAway(long engine, boolean away, boolean restIsOver) {
@@ -158,8 +158,8 @@
         this.clock = clock;
         this.counters = counters;
         this.free = free;
-        list.addresses().forEach(a -> seeds.put(a, seeds.size()));
-        PeerConfig.InCells in = list.in();
+        list.peerAddresses().forEach(a -> seeds.put(a, seeds.size()));
+        PeerConfig.CellPlacement in = list.cellPlacement();
         RandomGeneratorFactory<RandomGenerator> chances =
                 RandomGeneratorFactory.of("L64X128MixRandom");
         cells =
@@ -167,7 +167,7 @@
                         ? null
                         : new CellDirectory(
                                 in.plan(),
-                                in.before(),
+                                in.previousPlan(),
                                 in.cell(),
                                 in.slot(),
                                 list.name(),
@@ -185,16 +185,16 @@
                                 e -> area(e.zone()),
                                 e -> e.standing() == EndpointUpdate.Lifecycle.GONE);
         if (in != null) {
-            in.addresses().forEach(others::addAll);
-            others.removeAll(list.addresses());
+            in.addressesByCell().forEach(others::addAll);
+            others.removeAll(list.peerAddresses());
         }
         String version = MembershipTransport.class.getPackage().getImplementationVersion();
         leases =
                 new QuotaLeases(
-                        in == null ? all : list.addresses().size(),
+                        in == null ? all : list.peerAddresses().size(),
                         in == null ? 1.0 / all : in.plan().part(in.cell()),
-                        list.period(),
-                        Files.exists(list.mark()),
+                        list.probeInterval(),
+                        Files.exists(list.withdrawalMark()),
                         this::keep,
                         QuotaLeases.Fault.NONE);
         members =
@@ -208,7 +208,7 @@
                                 version == null ? "" : version,
                                 list.weight()),
                         seeds.size(),
-                        list.period(),
+                        list.probeInterval(),
                         MOST,
                         chances.create(seed),
                         leases,
@@ -235,7 +235,7 @@
 
     /** Listens. */
     public void listen(XnioWorker worker) throws IOException {
-        channel = worker.createUdpServer(list.listen(), null, OptionMap.EMPTY);
+        channel = worker.createUdpServer(list.listenAddress(), null, OptionMap.EMPTY);
     }
 
     /** Begins; on the I/O thread. */
@@ -286,7 +286,7 @@
                         () -> {
                             try (FileChannel file =
                                     FileChannel.open(
-                                            list.mark(),
+                                            list.withdrawalMark(),
                                             StandardOpenOption.CREATE,
                                             StandardOpenOption.WRITE)) {
                                 file.write(
@@ -299,7 +299,7 @@
                                 // rule is at stake.
                                 LOG.warning(
                                         "no mark can be kept at "
-                                                + list.mark()
+                                                + list.withdrawalMark()
                                                 + ": "
                                                 + fault.getMessage());
                             }
@@ -425,7 +425,7 @@
      * datagram.
      */
     private void tellCells(JsonGenerator out, long now) throws IOException {
-        PeerConfig.InCells in = list.in();
+        PeerConfig.CellPlacement in = list.cellPlacement();
         List<CellDirectory.Known> known = cells.known(now);
         out.writeStringField("cell", in.plan().cells().get(in.cell()).name());
         out.writeNumberField("plan", in.plan().number());
@@ -487,14 +487,14 @@
 
     @Override
     public void send(int seed, MembershipMessage.Kind kind, byte[] datagram) {
-        if (list.in() == null || seed != list.in().slot()) {
-            send(list.addresses().get(seed), datagram);
+        if (list.cellPlacement() == null || seed != list.cellPlacement().slot()) {
+            send(list.peerAddresses().get(seed), datagram);
         }
     }
 
     @Override
     public void send(int cell, int slot, byte[] datagram) {
-        send(list.in().addresses().get(cell).get(slot), datagram);
+        send(list.cellPlacement().addressesByCell().get(cell).get(slot), datagram);
     }
 
     private void send(InetSocketAddress to, byte[] datagram) {
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -332,7 +332,7 @@
     /** A client's try is here. */
     void take(TrueRequest is, long notAfter) {
         Open b = new Open(new RuleChecker.Try(is, number, notAfter));
-        b.index = batches.of(b);
+        b.index = batches.indexFor(b);
         open.add(b);
         rules.took(b.is);
         int mine = life;
@@ -344,7 +344,7 @@
                         b.index,
                         is.group,
                         plan.customers().size() > 1 ? is.customer : 0,
-                        is.key < 0 ? -1 : keys.of(is.key),
+                        is.key < 0 ? -1 : keys.indexFor(is.key),
                         notAfter,
                         is.estimate,
                         is.memoryTold,
@@ -408,7 +408,7 @@
     // ---- What is decided.
     @Override
     public void setGrantAndPriority(int batch, int grantMb, int priority) {
-        Open b = batches.id(batch);
+        Open b = batches.idOf(batch);
         b.grant = grantMb;
         b.priority = priority;
         for (Sent s : b.out) {
@@ -418,7 +418,7 @@
 
     @Override
     public void startAttempt(int batch, int engine, long within) {
-        Open b = batches.id(batch);
+        Open b = batches.idOf(batch);
         EngineModel e = engines.get(engine);
         rules.dispatched(calendar.now(), b.is, engine);
         if (e.standing() != EngineModel.Standing.UP
@@ -439,7 +439,7 @@
 
     @Override
     public void cancelAttempt(int batch, int dispatch) {
-        for (Sent s : List.copyOf(batches.id(batch).out)) {
+        for (Sent s : List.copyOf(batches.idOf(batch).out)) {
             if (s.number == dispatch) {
                 calendar.in(way(), () -> s.engine.callOff(s.job));
                 calendar.in(1, () -> s.over(AttemptOutcome.CANCELLED));
@@ -449,7 +449,7 @@
 
     @Override
     public void reject(int batch, long comeBack) {
-        Open b = batches.id(batch);
+        Open b = batches.idOf(batch);
         if (!b.over) {
             b.over = true;
             rules.answered(calendar.now(), b.is, true);
@@ -459,7 +459,7 @@
 
     @Override
     public void fail(int batch) {
-        Open b = batches.id(batch);
+        Open b = batches.idOf(batch);
         if (!b.over) {
             b.over = true;
             rules.answered(calendar.now(), b.is, false);
@@ -469,7 +469,7 @@
 
     @Override
     public void releaseRequest(int batch) {
-        open.remove(batches.id(batch));
+        open.remove(batches.idOf(batch));
         batches.release(batch);
     }
 
--- a/src/test/java/firstage/config/SettingsParserTest.java
+++ b/src/test/java/firstage/config/SettingsParserTest.java
@@ -11,7 +11,7 @@
 /** Old shape and new are told apart by settings alone; a mix of them is refused, naming the key. */
 class SettingsParserTest {
     private static Deployment read(String settings) {
-        return SettingsParser.read(new WireFields("POWER_ON " + settings));
+        return SettingsParser.parse(new WireFields("POWER_ON " + settings));
     }
 
     @Test
--- a/src/test/java/firstage/server/CellsIT.java
+++ b/src/test/java/firstage/server/CellsIT.java
@@ -65,11 +65,11 @@
                 plan,
                 new ManagerConfigWriter.Place(
                         cell,
-                        ManagerConfig.address(at(cell, 60)),
+                        ManagerConfig.parseAddress(at(cell, 60)),
                         null,
                         rank,
                         0,
-                        e -> ManagerConfig.address(at("a", 62))),
+                        e -> ManagerConfig.parseAddress(at("a", 62))),
                 rank);
         return file;
     }
