--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -255,133 +255,157 @@
                 deployment.tenantRates().stream()
                         .map(r -> new TokenBucket(r * share, CUSTOMER_SPAN))
                         .toList();
-        for (TrafficClass is : deployment.trafficClasses()) {
-            groups.add(new TrafficClassStats(is, FIRST_MARGIN, FIRST_BEST, GROUP_SAMPLES));
+        for (TrafficClass trafficClass : deployment.trafficClasses()) {
+            groups.add(
+                    new TrafficClassStats(trafficClass, FIRST_MARGIN, FIRST_BEST, GROUP_SAMPLES));
         }
     }
 
     // ---- News.
     @Override
     public void onRequest(long now, IncomingRequest arrival) {
-        RequestState b =
+        RequestState request =
                 new RequestState(arrival, groups.get(arrival.trafficClass()), arrivals++, now);
-        if (b.key >= 0 && arrival.orderUnknown()) {
-            KeyQueue turn = turns.computeIfAbsent(b.key, k -> new KeyQueue());
-            turn.restUntil = Math.max(turn.restUntil, now + TURN_REST);
-        } else if (b.key >= 0) {
-            turns.computeIfAbsent(b.key, k -> new KeyQueue()).line.add(b);
+        if (request.orderingKey >= 0 && arrival.orderUnknown()) {
+            KeyQueue turn = turns.computeIfAbsent(request.orderingKey, k -> new KeyQueue());
+            turn.quietUntil = Math.max(turn.quietUntil, now + TURN_REST);
+        } else if (request.orderingKey >= 0) {
+            turns.computeIfAbsent(request.orderingKey, k -> new KeyQueue()).waiting.add(request);
         } else if (arrival.orderingKey() >= 0 && !turns.containsKey(arrival.orderingKey())) {
             host.releaseKey(arrival.orderingKey());
         }
-        TrafficClass is = b.group.is;
-        b.goalAt =
+        TrafficClass trafficClass = request.classStats.trafficClass;
+        request.objectiveAt =
                 now
-                        + is.latencyObjective()
-                        + (long) (is.latencyObjectivePerWork() * b.expectedWork() / is.threads());
-        b.overShare =
+                        + trafficClass.latencyObjective()
+                        + (long)
+                                (trafficClass.latencyObjectivePerWork()
+                                        * request.expectedWork()
+                                        / trafficClass.threads());
+        request.overQuota =
                 arrival.tenant() >= 0
                         && arrival.tenant() < quotas.size()
-                        && !quotas.get(arrival.tenant()).take();
-        worth.add(is.priorityWeight());
+                        && !quotas.get(arrival.tenant()).tryAcquire();
+        worth.add(trafficClass.priorityWeight());
         if (arrival.estimatedWork() > 0) {
-            b.group.told.add(arrival.estimatedWork());
+            request.classStats.estimatedWork.add(arrival.estimatedWork());
         }
-        batches.put(arrival.request(), b);
+        batches.put(arrival.request(), request);
         stirred = true;
         taken.add(now, 1);
-        b.band = DemandHistogram.band(is.priorityWeight(), b.expectedWork(), b.overShare);
-        demand.arrivedWork(b.band, b.expectedWork());
-        if (b.key >= 0 && arrival.orderUnknown()
-                || b.band == cut && chance.nextDouble() >= cutPart) {
+        request.priorityBand =
+                DemandHistogram.band(
+                        trafficClass.priorityWeight(), request.expectedWork(), request.overQuota);
+        demand.arrivedWork(request.priorityBand, request.expectedWork());
+        if (request.orderingKey >= 0 && arrival.orderUnknown()
+                || request.priorityBand == cut && chance.nextDouble() >= cutPart) {
             // Run in the wrong turn it would break its key's order unseen; not run, it harms
             // nobody.
-            giveUp(b);
+            giveUp(request);
         } else {
-            held.put(b.order, b);
+            held.put(request.arrivalOrder, request);
         }
     }
 
     @Override
     public void onAttemptResult(long now, AttemptResult ending) {
-        RequestState b = batches.get(ending.request());
-        Attempt f = b == null ? null : b.flight(ending.attempt());
-        if (f == null) {
+        RequestState request = batches.get(ending.request());
+        Attempt attempt = request == null ? null : request.attemptInFlight(ending.attempt());
+        if (attempt == null) {
             return;
         }
-        EngineState e = f.engine;
+        EngineState engine = attempt.engine;
         AttemptOutcome how = ending.outcome();
-        b.out.remove(f);
-        e.land(f);
+        request.attemptsInFlight.remove(attempt);
+        engine.release(attempt);
         stirred = true;
         if (how.mayHaveRun) {
-            b.ran(f);
+            request.recordPossibleExecution(attempt);
         }
         if (TELLS.containsKey(how)) {
-            e.heard = now;
-            health(now, e, TELLS.get(how));
+            engine.lastResponseAt = now;
+            health(now, engine, TELLS.get(how));
         }
-        blame(now, b, e, how);
+        blame(now, request, engine, how);
         if (how == AttemptOutcome.REFUSED) {
-            press(now, e);
-        } else if (how == AttemptOutcome.TIMED_OUT && usable(e)) {
+            press(now, engine);
+        } else if (how == AttemptOutcome.TIMED_OUT && usable(engine)) {
             // Where nothing comes back no answer tells of a jam; a silent engine is no sign of one.
-            slowed(now, e, (now - f.sent) * b.group.is.threads() / b.expectedWork());
+            slowed(
+                    now,
+                    engine,
+                    (now - attempt.sentAt)
+                            * request.classStats.trafficClass.threads()
+                            / request.expectedWork());
         } else if (how == AttemptOutcome.SUCCEEDED) {
-            e.spoke(now, f);
-            learn(now, f, ending);
+            engine.recordProgress(now, attempt);
+            learn(now, attempt, ending);
         }
-        report(now, e, ending.loadReport());
-        KeyQueue turn = turns.get(b.key);
+        report(now, engine, ending.loadReport());
+        KeyQueue turn = turns.get(request.orderingKey);
         if (turn != null) {
             // What may run on rests: an error may stand for a dispatch that was called off.
             long rest =
                     how.mayHaveRun && how != AttemptOutcome.SUCCEEDED ? rules.keyQuietPeriod() : 0;
             rest = Math.max(ending.mayStillRunFor(), rest);
-            turn.restUntil = Math.max(turn.restUntil, now + rest);
+            turn.quietUntil = Math.max(turn.quietUntil, now + rest);
         }
-        if (ending.requestClosed() || b.closed) {
-            close(b);
-        } else if (b.out.isEmpty() && mayGoAgain(now, b) && now < lastMoment(b)) {
-            held.put(b.order, b);
-        } else if (b.out.isEmpty()) {
-            giveUp(b);
+        if (ending.requestClosed() || request.closed) {
+            close(request);
+        } else if (request.attemptsInFlight.isEmpty()
+                && mayGoAgain(now, request)
+                && now < lastMoment(request)) {
+            held.put(request.arrivalOrder, request);
+        } else if (request.attemptsInFlight.isEmpty()) {
+            giveUp(request);
         }
     }
 
     @Override
     public void onAttemptProgress(long now, AttemptProgress note) {
-        RequestState b = batches.get(note.request());
-        Attempt f = b == null ? null : b.flight(note.attempt());
-        if (f == null) {
+        RequestState request = batches.get(note.request());
+        Attempt attempt = request == null ? null : request.attemptInFlight(note.attempt());
+        if (attempt == null) {
             return;
         }
-        EngineState e = f.engine;
-        e.spoke(now, f);
-        health(now, e, News.SIGN);
-        f.standsStill = note.kind() == AttemptProgress.Kind.WAITING_FOR_TABLE_LOAD;
-        f.inLine = note.kind() == AttemptProgress.Kind.WAITING_FOR_MEMORY;
+        EngineState engine = attempt.engine;
+        engine.recordProgress(now, attempt);
+        health(now, engine, News.SIGN);
+        attempt.blockedByTableLoad = note.kind() == AttemptProgress.Kind.WAITING_FOR_TABLE_LOAD;
+        attempt.queuedForMemory = note.kind() == AttemptProgress.Kind.WAITING_FOR_MEMORY;
         switch (note.kind()) {
             case FRACTION_DONE -> {
-                f.share = Math.max(note.amount(), f.share);
-                if (f.share > 0.05 && b.is.estimatedWork() > 0 && !f.waited) {
-                    double whole = (now - f.sent) / f.share * b.group.is.threads();
-                    slowed(now, e, whole / b.is.estimatedWork() / b.group.best());
+                attempt.fractionDone = Math.max(note.amount(), attempt.fractionDone);
+                if (attempt.fractionDone > 0.05
+                        && request.incoming.estimatedWork() > 0
+                        && !attempt.wasBlocked) {
+                    double whole =
+                            (now - attempt.sentAt)
+                                    / attempt.fractionDone
+                                    * request.classStats.trafficClass.threads();
+                    slowed(
+                            now,
+                            engine,
+                            whole / request.incoming.estimatedWork() / request.classStats.best());
                 }
-                rescue(now, f);
+                rescue(now, attempt);
             }
-            case SPILLING -> f.shortGrant = true;
+            case SPILLING -> attempt.spilled = true;
             case WAITING_FOR_MEMORY -> {
                 // Memory that others wait for was granted too freely: margins give way before
                 // batches do.
-                b.group.margin =
-                        Math.max(LEAST_MARGIN, b.group.margin - (f.waited ? 0 : MARGIN_DOWN * 2));
-                f.waited = true;
-                press(now, e);
-                shrink(now, e, false);
+                request.classStats.grantMargin =
+                        Math.max(
+                                LEAST_MARGIN,
+                                request.classStats.grantMargin
+                                        - (attempt.wasBlocked ? 0 : MARGIN_DOWN * 2));
+                attempt.wasBlocked = true;
+                press(now, engine);
+                shrink(now, engine, false);
             }
             case WAITING_FOR_TABLE_LOAD -> {
-                f.waited = true;
-                e.loaded.put(b.is.tableGroup(), now + 2 * notePace);
+                attempt.wasBlocked = true;
+                engine.tableLoadsUntil.put(request.incoming.tableGroup(), now + 2 * notePace);
             }
         }
     }
@@ -393,7 +417,7 @@
 
     @Override
     public void onClientPresence(long now, int batch, boolean away) {
-        Optional.ofNullable(batches.get(batch)).ifPresent(b -> b.away = away);
+        Optional.ofNullable(batches.get(batch)).ifPresent(request -> request.clientAway = away);
         stirred = true;
     }
 
@@ -402,9 +426,10 @@
         double ratio = next / share;
         part *= ratio;
         share = next;
-        for (EngineState e : engines.values()) {
-            e.slice = Math.min(e.memory, e.slice * ratio);
-            e.bound = Math.min(e.cores * THREADS_PER_CORE, e.bound * ratio);
+        for (EngineState engine : engines.values()) {
+            engine.memorySliceMb = Math.min(engine.memoryMb, engine.memorySliceMb * ratio);
+            engine.threadLimit =
+                    Math.min(engine.cores * THREADS_PER_CORE, engine.threadLimit * ratio);
         }
         stirred = true;
     }
@@ -414,8 +439,10 @@
         List<EngineState> used =
                 engines.values().stream().filter(WorkloadScheduler::usable).toList();
         demand.runningThreads(
-                used.stream().mapToInt(e -> e.threads).sum(),
-                used.stream().mapToDouble(e -> e.cores * THREADS_PER_CORE * cold(now, e)).sum());
+                used.stream().mapToInt(engine -> engine.reservedThreads).sum(),
+                used.stream()
+                        .mapToDouble(engine -> engine.cores * THREADS_PER_CORE * cold(now, engine))
+                        .sum());
         return demand;
     }
 
@@ -437,16 +464,16 @@
         subscribe |= list.kind() == EndpointUpdate.Kind.FAILED;
         if (list.kind() == EndpointUpdate.Kind.SNAPSHOT
                 || list.kind() == EndpointUpdate.Kind.INITIAL) {
-            engines.values().forEach(e -> e.standing = Lifecycle.GONE);
+            engines.values().forEach(engine -> engine.lifecycle = Lifecycle.GONE);
         }
         stirred = true;
         for (EndpointUpdate.Endpoint entry : list.endpoints()) {
-            EngineState e = engine(entry.engine());
-            if (e.listed(entry)) {
-                health(now, e, News.RESTARTED);
+            EngineState engine = engine(entry.engine());
+            if (engine.applyEndpoint(entry)) {
+                health(now, engine, News.RESTARTED);
             }
-            if (e.cores == 0 || e.kind != entry.machineType()) {
-                measure(e, entry.machineType());
+            if (engine.cores == 0 || engine.machineType != entry.machineType()) {
+                measure(engine, entry.machineType());
             }
         }
     }
@@ -455,13 +482,13 @@
      * Slice and bound at their start: this manager's part of the engine. Untold sizes count as one
      * core.
      */
-    private void measure(EngineState e, int kind) {
+    private void measure(EngineState engine, int kind) {
         Deployment.MachineType m = kind >= 0 && kind < machines.size() ? machines.get(kind) : null;
-        e.kind = kind;
-        e.cores = m == null || m.cores() <= 0 ? 1 : m.cores();
-        e.memory = m == null || m.memoryMb() <= 0 ? Double.MAX_VALUE / 4 : m.memoryMb();
-        e.slice = e.memory * POOL_SHARE * share;
-        e.bound = e.cores * THREADS_PER_CORE * share;
+        engine.machineType = kind;
+        engine.cores = m == null || m.cores() <= 0 ? 1 : m.cores();
+        engine.memoryMb = m == null || m.memoryMb() <= 0 ? Double.MAX_VALUE / 4 : m.memoryMb();
+        engine.memorySliceMb = engine.memoryMb * POOL_SHARE * share;
+        engine.threadLimit = engine.cores * THREADS_PER_CORE * share;
     }
 
     @Override
@@ -478,23 +505,24 @@
         nextBeat = 0;
     }
 
-    private void report(long now, EngineState e, LoadReport report) {
+    private void report(long now, EngineState engine, LoadReport report) {
         if (report == null) {
             return;
         }
-        e.toldAt = now;
-        e.noLine = report.queuedForMemory() < 1;
-        usual.add(e.crowd);
-        double busy = report.activeThreads() / e.cores / THREADS_PER_CORE;
+        engine.loadReportedAt = now;
+        engine.memoryQueueEmpty = report.queuedForMemory() < 1;
+        usual.add(engine.reportedLoad);
+        double busy = report.activeThreads() / engine.cores / THREADS_PER_CORE;
         double[] told = {report.queuedForMemory(), report.memoryShare(), busy};
-        e.crowd = Arrays.stream(told).filter(f -> f > 0).max().orElse(0); // not a number: not told
-        if (e.crowd >= 1) {
-            press(now, e);
+        engine.reportedLoad =
+                Arrays.stream(told).filter(f -> f > 0).max().orElse(0); // not a number: not told
+        if (engine.reportedLoad >= 1) {
+            press(now, engine);
         }
     }
 
-    private void press(long now, EngineState e) {
-        e.pressedUntil = now + PRESSED;
+    private void press(long now, EngineState engine) {
+        engine.saturatedUntil = now + PRESSED;
     }
 
     // ---- Release.
@@ -529,39 +557,56 @@
         int room = room();
         double waits = 0;
         Map<Long, Double> failed = new HashMap<>();
-        for (RequestState b :
+        for (RequestState request :
                 held.isEmpty() ? List.<RequestState>of() : new ArrayList<>(held.values())) {
             // What the fleet has no room for is told so at once: held, it would only be late later.
-            boolean below = b.dispatches == 0 && b.band < cut;
-            boolean mayGo = !below && !b.away && now < lastMoment(b) && myTurn(now, b);
-            boolean byTables = b.group.is.blockedByTableLoads() || b.group.is.tableLoad();
+            boolean below = request.attemptsStarted == 0 && request.priorityBand < cut;
+            boolean mayGo =
+                    !below
+                            && !request.clientAway
+                            && now < lastMoment(request)
+                            && myTurn(now, request);
+            boolean byTables =
+                    request.classStats.trafficClass.blockedByTableLoads()
+                            || request.classStats.trafficClass.tableLoad();
             long like =
-                    !mayGo || b.dispatches > 0 || b.key >= 0 || looks(b)
+                    !mayGo
+                                    || request.attemptsStarted > 0
+                                    || request.orderingKey >= 0
+                                    || looks(request)
                             ? -1
-                            : ((byTables ? b.is.tableGroup() + 1L : 0) * groups.size()
-                                                    + b.is.trafficClass())
+                            : ((byTables ? request.incoming.tableGroup() + 1L : 0) * groups.size()
+                                                    + request.incoming.trafficClass())
                                             * 4
-                                    + priority(b);
+                                    + priority(request);
             boolean vain =
-                    like >= 0 && failed.getOrDefault(like, Double.MAX_VALUE) <= b.memoryFigure();
+                    like >= 0
+                            && failed.getOrDefault(like, Double.MAX_VALUE)
+                                    <= request.expectedMemoryMb();
             roomless = vain;
-            EngineState e = mayGo && !vain ? choose(now, b) : null;
-            crowded |= mayGo && e == null;
-            waits += mayGo && e == null && roomless && b.dispatches == 0 ? b.expectedWork() : 0;
-            if (e == null && like >= 0) {
-                failed.merge(like, b.memoryFigure(), Math::min);
+            EngineState engine = mayGo && !vain ? choose(now, request) : null;
+            crowded |= mayGo && engine == null;
+            waits +=
+                    mayGo && engine == null && roomless && request.attemptsStarted == 0
+                            ? request.expectedWork()
+                            : 0;
+            if (engine == null && like >= 0) {
+                failed.merge(like, request.expectedMemoryMb(), Math::min);
             }
-            if (e != null) {
-                send(now, b, e);
+            if (engine != null) {
+                send(now, request, engine);
             } else if (below
-                    || now >= giveUpAt(b)
-                    || b.dispatches == 0
+                    || now >= giveUpAt(request)
+                    || request.attemptsStarted == 0
                             && held.size()
-                                    > room * (b.overShare && cut == 0 ? OVER_SHARE_ROOM : 1)) {
-                held.remove(b.order);
-                if (b.out.isEmpty()) {
-                    demand.shedWork(below ? 0 : b.expectedWork());
-                    giveUp(b);
+                                    > room
+                                            * (request.overQuota && cut == 0
+                                                    ? OVER_SHARE_ROOM
+                                                    : 1)) {
+                held.remove(request.arrivalOrder);
+                if (request.attemptsInFlight.isEmpty()) {
+                    demand.shedWork(below ? 0 : request.expectedWork());
+                    giveUp(request);
                 }
             }
         }
@@ -571,7 +616,7 @@
     private int room() {
         int all =
                 engines.values().stream()
-                        .mapToInt(e -> e.standing == Lifecycle.ACTIVE ? e.cores : 0)
+                        .mapToInt(engine -> engine.lifecycle == Lifecycle.ACTIVE ? engine.cores : 0)
                         .sum();
         return (int) Math.max(HELD_PER_CORE, all * share * HELD_PER_CORE);
     }
@@ -582,133 +627,165 @@
      * long: else all of it would be sent late. A single estimate scatters too much to say that a
      * goal is past.
      */
-    private long giveUpAt(RequestState b) {
-        boolean told = b.is.estimatedWork() > 0;
-        double run = b.expectedRun() * (told ? 1 : Math.max(1, fleet.quantile(0.5)));
-        boolean byGoal = b.group.is.lateValueShare() == 0 || crowded && !told;
-        return Math.min(lastMoment(b), (byGoal ? b.goalAt : b.is.deadline()) - (long) run);
+    private long giveUpAt(RequestState request) {
+        boolean told = request.incoming.estimatedWork() > 0;
+        double run = request.expectedDuration() * (told ? 1 : Math.max(1, fleet.quantile(0.5)));
+        boolean byGoal = request.classStats.trafficClass.lateValueShare() == 0 || crowded && !told;
+        return Math.min(
+                lastMoment(request),
+                (byGoal ? request.objectiveAt : request.incoming.deadline()) - (long) run);
     }
 
     /**
      * The last moment at which it may be sent: before its limit, and to be over before the program
      * ends.
      */
-    private long lastMoment(RequestState b) {
-        return Math.min(b.is.deadline() - LAST_CALL, closesAt - b.expectedRun());
+    private long lastMoment(RequestState request) {
+        return Math.min(
+                request.incoming.deadline() - LAST_CALL, closesAt - request.expectedDuration());
     }
 
-    private void send(long now, RequestState b, EngineState e) {
-        held.remove(b.order);
-        demand.startedWork(b.dispatches == 0 ? b.expectedWork() : 0);
-        Attempt f = new Attempt(b, e, b.dispatches++, now, grant(b, e), priority(b));
-        further.add(now, f.number > 0 ? 1 : 0);
+    private void send(long now, RequestState request, EngineState engine) {
+        held.remove(request.arrivalOrder);
+        demand.startedWork(request.attemptsStarted == 0 ? request.expectedWork() : 0);
+        Attempt attempt =
+                new Attempt(
+                        request,
+                        engine,
+                        request.attemptsStarted++,
+                        now,
+                        grant(request, engine),
+                        priority(request));
+        further.add(now, attempt.number > 0 ? 1 : 0);
         if (allowed.grants() || allowed.priorities()) {
             host.setGrantAndPriority(
-                    b.is.request(), allowed.grants() ? (int) Math.ceil(f.grant) : 0, f.priority);
+                    request.incoming.request(),
+                    allowed.grants() ? (int) Math.ceil(attempt.grantMb) : 0,
+                    attempt.priority);
         }
-        host.startAttempt(b.is.request(), e.index, 0);
-        b.out.add(f);
-        b.last = e;
-        e.take(f);
-        e.sentAt = now;
-        e.cold.add(now, cold(now, e) < 1 ? b.group.weight() : 0);
+        host.startAttempt(request.incoming.request(), engine.id, 0);
+        request.attemptsInFlight.add(attempt);
+        request.lastEngine = engine;
+        engine.reserve(attempt);
+        engine.lastAttemptAt = now;
+        engine.warmUpWork.add(now, cold(now, engine) < 1 ? request.classStats.warmUpWork() : 0);
     }
 
-    private int priority(RequestState b) {
+    private int priority(RequestState request) {
         double top =
                 groups.stream()
-                        .mapToDouble(g -> g.is.priorityWeight() / g.usualWork())
+                        .mapToDouble(
+                                classStats ->
+                                        classStats.trafficClass.priorityWeight()
+                                                / classStats.typicalWork())
                         .max()
                         .orElse(1);
-        double rate = b.group.is.priorityWeight() / Math.max(1, b.expectedWork()) / top;
+        double rate =
+                request.classStats.trafficClass.priorityWeight()
+                        / Math.max(1, request.expectedWork())
+                        / top;
         return rate >= 0.6
                 ? FIRST_RANK
-                : rate >= 0.1 || b.group.is.tableLoad() ? 2 : rate >= 0.03 ? 1 : 0;
+                : rate >= 0.1 || request.classStats.trafficClass.tableLoad()
+                        ? 2
+                        : rate >= 0.03 ? 1 : 0;
     }
 
     /**
      * The told estimate or the mean true memory, with the margin; else half a core's memory a
      * thread.
      */
-    private double grant(RequestState b, EngineState e) {
-        TrafficClassStats g = b.group;
-        double figure = b.memoryFigure();
+    private double grant(RequestState request, EngineState engine) {
+        TrafficClassStats classStats = request.classStats;
+        double figure = request.expectedMemoryMb();
         double want =
-                figure > 0 ? figure * (1 + g.margin) : e.memory / e.cores / 2 * g.is.threads();
-        return Math.max(1, Math.min(want, largestGrant * e.memory));
+                figure > 0
+                        ? figure * (1 + classStats.grantMargin)
+                        : engine.memoryMb / engine.cores / 2 * classStats.trafficClass.threads();
+        return Math.max(1, Math.min(want, largestGrant * engine.memoryMb));
     }
 
     // ---- Choice of engine.
     /**
      * The fitting engine with the most free room; where none fits, one without pressure; else none.
      */
-    private EngineState choose(long now, RequestState b) {
-        if (b.dispatches > 0 && !mayGoAgain(now, b)) {
+    private EngineState choose(long now, RequestState request) {
+        if (request.attemptsStarted > 0 && !mayGoAgain(now, request)) {
             return null;
         }
         double bounds = 0;
         int out = 0;
-        for (EngineState e : engines.values()) {
-            bounds += usable(e) ? e.bound : 0;
-            out += e.threads;
+        for (EngineState engine : engines.values()) {
+            bounds += usable(engine) ? engine.threadLimit : 0;
+            out += engine.reservedThreads;
         }
-        boolean first = priority(b) == FIRST_RANK;
-        boolean small = part < b.group.is.threads();
-        double[] loadOrder = loadOrder(b);
-        boolean looks = looks(b);
-        if (looks && now >= b.lookedAt + LOOK_AGAIN) {
-            look(now, b);
+        boolean first = priority(request) == FIRST_RANK;
+        boolean small = part < request.classStats.trafficClass.threads();
+        double[] loadOrder = loadOrder(request);
+        boolean looks = looks(request);
+        if (looks && now >= request.probedAt + LOOK_AGAIN) {
+            look(now, request);
         }
-        if (looks && now < b.lookedAt + LOOK_WAIT && !b.toldAll()) {
+        if (looks && now < request.probedAt + LOOK_WAIT && !request.allProbesAnswered()) {
             return null;
         }
         EngineState best = null;
         double most = Double.NEGATIVE_INFINITY;
-        for (EngineState e : looks ? b.looked : engines.values()) {
-            if (!open(now, b, e)) {
+        for (EngineState engine : looks ? request.probedEngines : engines.values()) {
+            if (!open(now, request, engine)) {
                 continue;
             }
             roomless = true;
-            double warm = cold(now, e);
-            double grant = grant(b, e);
-            int threads = b.group.is.threads();
+            double warm = cold(now, engine);
+            double grant = grant(request, engine);
+            int threads = request.classStats.trafficClass.threads();
             // Many managers with one lone batch each would fill an engine: all bounds together
             // still hold.
             // One of the first rank may run past the bound: many short ones would starve behind
             // long ones.
-            boolean only = first && !e.runs(FIRST_RANK);
+            boolean only = first && !engine.hasAttemptOfPriority(FIRST_RANK);
             boolean lone =
-                    e.flights.isEmpty() && (out == 0 || out + threads <= bounds)
+                    engine.attemptsInFlight.isEmpty() && (out == 0 || out + threads <= bounds)
                             || small && only && allowed.priorities() && top.quantile(0.5) < SLOW;
             // One batch of the fleet's is spent on it now: all would wait until this manager has
             // room.
-            boolean trial = e.triesForAll && e.health == EngineHealth.HALF_OPEN;
+            boolean trial = engine.probeOwner && engine.health == EngineHealth.HALF_OPEN;
             boolean fits =
                     lone
                             || trial
-                            || e.reserved + grant <= e.slice * warm
-                                    && (e.threads + threads <= e.bound * warm || only);
+                            || engine.reservedMb + grant <= engine.memorySliceMb * warm
+                                    && (engine.reservedThreads + threads
+                                                    <= engine.threadLimit * warm
+                                            || only);
             boolean easy =
                     warm >= 1
-                            && !pressed(now, e)
-                            && e.reserved + grant <= e.memory
-                            && e.threads + threads <= e.cores * THREADS_PER_CORE;
-            boolean told = looks && e.toldAt >= b.lookedAt && e.crowd < 1;
-            if (looks && !told || !fits && !easy && !(told && e.noLine && e.flights.isEmpty())) {
+                            && !pressed(now, engine)
+                            && engine.reservedMb + grant <= engine.memoryMb
+                            && engine.reservedThreads + threads <= engine.cores * THREADS_PER_CORE;
+            boolean told =
+                    looks && engine.loadReportedAt >= request.probedAt && engine.reportedLoad < 1;
+            if (looks && !told
+                    || !fits
+                            && !easy
+                            && !(told
+                                    && engine.memoryQueueEmpty
+                                    && engine.attemptsInFlight.isEmpty())) {
                 continue;
             }
-            double free = (e.slice * warm - e.reserved) / (e.memory * POOL_SHARE * share);
+            double free =
+                    (engine.memorySliceMb * warm - engine.reservedMb)
+                            / (engine.memoryMb * POOL_SHARE * share);
             double merit =
                     (trial ? CROWDING : 0)
                             + (fits ? 100 : 0)
                             + Math.max(-20, Math.floor(free * ROOM_STEPS)) * 2
-                            + (nearby && e.zone == zone ? 1 : 0)
-                            + nearness(b, e, loadOrder)
-                            - (small ? CROWDING * crowd(now, e) : 0)
-                            - (e == b.last ? 50 : 0);
+                            + (nearby && engine.zone == zone ? 1 : 0)
+                            + nearness(request, engine, loadOrder)
+                            - (small ? CROWDING * crowd(now, engine) : 0)
+                            - (engine == request.lastEngine ? 50 : 0);
             if (merit > most) {
                 most = merit;
-                best = e;
+                best = engine;
             }
         }
         return best;
@@ -717,28 +794,34 @@
     /**
      * How crowded an engine is held to be: as it told, and the older that is, the more as all tell.
      */
-    private double crowd(long now, EngineState e) {
+    private double crowd(long now, EngineState engine) {
         double all = usual.or(0);
-        return all + (e.crowd - all) * Math.max(0, 1 - (double) (now - e.toldAt) / FRESH);
+        return all
+                + (engine.reportedLoad - all)
+                        * Math.max(0, 1 - (double) (now - engine.loadReportedAt) / FRESH);
     }
 
     /** Whether this batch looks at some engines before it goes. */
-    private boolean looks(RequestState b) {
+    private boolean looks(RequestState request) {
         return probePrice >= 0
-                && b.group.is.priorityWeight() * LOOK_SHARE >= probePrice * worth.or(1)
-                && part < b.group.is.threads()
+                && request.classStats.trafficClass.priorityWeight() * LOOK_SHARE
+                        >= probePrice * worth.or(1)
+                && part < request.classStats.trafficClass.threads()
                 && fleet.quantile(0.5) >= CALM;
     }
 
-    private void look(long now, RequestState b) {
-        b.lookedAt = now;
+    private void look(long now, RequestState request) {
+        request.probedAt = now;
         List<EngineState> from =
-                new ArrayList<>(engines.values().stream().filter(e -> open(now, b, e)).toList());
-        b.looked =
+                new ArrayList<>(
+                        engines.values().stream()
+                                .filter(engine -> open(now, request, engine))
+                                .toList());
+        request.probedEngines =
                 chance.ints(Math.min(LOOKS, from.size()), 0, Integer.MAX_VALUE)
                         .mapToObj(i -> from.remove(i % from.size()))
                         .toList();
-        b.looked.forEach(e -> host.probeEngine(e.index));
+        request.probedEngines.forEach(engine -> host.probeEngine(engine.id));
     }
 
     /**
@@ -747,35 +830,35 @@
      * coldest for the tables first, by their numbers. Where our part of an engine is under this
      * batch, chance keeps managers apart.
      */
-    private double nearness(RequestState b, EngineState e, double[] loadOrder) {
-        double affinity = e.affinity(b.is.tableGroup());
+    private double nearness(RequestState request, EngineState engine, double[] loadOrder) {
+        double affinity = engine.affinity(request.incoming.tableGroup());
         if (loadOrder != null) {
             int others = Math.min(managers, (int) Math.ceil(loadOrder.length * READERS_FROM));
             return (Arrays.binarySearch(loadOrder, affinity) - rank) % others == 0 ? OWN_PLACE : 0;
         }
-        return part >= b.group.is.threads() ? affinity : chance.nextDouble();
+        return part >= request.classStats.trafficClass.threads() ? affinity : chance.nextDouble();
     }
 
     /** The active engines' affinities to a load's tables, coldest first; null for other batches. */
-    private double[] loadOrder(RequestState b) {
-        return !b.group.is.tableLoad() || b.is.tableGroup() < 0
+    private double[] loadOrder(RequestState request) {
+        return !request.classStats.trafficClass.tableLoad() || request.incoming.tableGroup() < 0
                 ? null
                 : engines.values().stream()
-                        .filter(e -> e.standing == Lifecycle.ACTIVE)
-                        .mapToDouble(e -> e.affinity(b.is.tableGroup()))
+                        .filter(engine -> engine.lifecycle == Lifecycle.ACTIVE)
+                        .mapToDouble(engine -> engine.affinity(request.incoming.tableGroup()))
                         .sorted()
                         .toArray();
     }
 
     @Override
     public int attemptsInFlight(int engine) {
-        return engines.containsKey(engine) ? engine(engine).flights.size() : 0;
+        return engines.containsKey(engine) ? engine(engine).attemptsInFlight.size() : 0;
     }
 
     @Override
     public boolean isUnavailable(int engine) {
         return engines.containsKey(engine)
-                && engine(engine).standing == Lifecycle.ACTIVE
+                && engine(engine).lifecycle == Lifecycle.ACTIVE
                 && Set.of(
                                 EngineHealth.UNAVAILABLE,
                                 EngineHealth.UNRESPONSIVE,
@@ -785,12 +868,12 @@
 
     @Override
     public long lastAttemptAt(int engine) {
-        return engines.containsKey(engine) ? engine(engine).sentAt : 0;
+        return engines.containsKey(engine) ? engine(engine).lastAttemptAt : 0;
     }
 
     @Override
     public long lastResponseAt(int engine) {
-        return engines.containsKey(engine) ? engine(engine).heard : 0;
+        return engines.containsKey(engine) ? engine(engine).lastResponseAt : 0;
     }
 
     /**
@@ -799,50 +882,58 @@
      */
     @Override
     public void onProbeOwnership(long now, int engine, boolean others, boolean restIsOver) {
-        engine(engine).othersTry = others;
-        engine(engine).triesForAll = restIsOver;
-        engine(engine).restUntil = restIsOver ? now : engine(engine).restUntil;
+        engine(engine).probedByOthers = others;
+        engine(engine).probeOwner = restIsOver;
+        engine(engine).backoffUntil = restIsOver ? now : engine(engine).backoffUntil;
         stirred = true;
     }
 
-    private static boolean usable(EngineState e) {
-        return e.standing == Lifecycle.ACTIVE
-                && !e.othersTry
-                && (e.health == EngineHealth.AVAILABLE || e.health == EngineHealth.HALF_OPEN);
+    private static boolean usable(EngineState engine) {
+        return engine.lifecycle == Lifecycle.ACTIVE
+                && !engine.probedByOthers
+                && (engine.health == EngineHealth.AVAILABLE
+                        || engine.health == EngineHealth.HALF_OPEN);
     }
 
     /** Whether rules and health let this batch go to this engine at all. */
-    private boolean open(long now, RequestState b, EngineState e) {
-        TrafficClass is = b.group.is;
-        if (!usable(e)
-                || !allows(is.zones(), e.zone)
-                || !allows(is.machineTypes(), e.kind)
-                || b.out.stream().anyMatch(f -> f.engine == e)) {
+    private boolean open(long now, RequestState request, EngineState engine) {
+        TrafficClass trafficClass = request.classStats.trafficClass;
+        if (!usable(engine)
+                || !allows(trafficClass.zones(), engine.zone)
+                || !allows(trafficClass.machineTypes(), engine.machineType)
+                || request.attemptsInFlight.stream()
+                        .anyMatch(attempt -> attempt.engine == engine)) {
             return false;
         }
         // A trial costs one repeatable batch at most; a once-only one would be lost with it.
         // Who tries for all has lost some there before, which are out still: only its trial must be
         // one.
         boolean tried =
-                e.triesForAll
-                        ? e.flights.stream().anyMatch(f -> f.sent >= e.restUntil)
-                        : !e.flights.isEmpty();
-        if (e.health == EngineHealth.HALF_OPEN && (tried || is.effect() != Effect.IDEMPOTENT)) {
+                engine.probeOwner
+                        ? engine.attemptsInFlight.stream()
+                                .anyMatch(attempt -> attempt.sentAt >= engine.backoffUntil)
+                        : !engine.attemptsInFlight.isEmpty();
+        if (engine.health == EngineHealth.HALF_OPEN
+                && (tried || trafficClass.effect() != Effect.IDEMPOTENT)) {
             return false;
         }
-        if ((b.mayHaveRun || !b.out.isEmpty()) && is.effect() == Effect.IDEMPOTENT_WITH_KEY) {
-            EngineState first = b.mayHaveRun ? b.firstEngine : b.out.get(0).engine;
-            if (is.idempotencyScope() == Scope.ZONE && first.zone != e.zone
-                    || is.idempotencyScope() == Scope.CELL && first.cell != e.cell) {
+        if ((request.mayHaveRun || !request.attemptsInFlight.isEmpty())
+                && trafficClass.effect() == Effect.IDEMPOTENT_WITH_KEY) {
+            EngineState first =
+                    request.mayHaveRun
+                            ? request.firstExecutionEngine
+                            : request.attemptsInFlight.get(0).engine;
+            if (trafficClass.idempotencyScope() == Scope.ZONE && first.zone != engine.zone
+                    || trafficClass.idempotencyScope() == Scope.CELL && first.cell != engine.cell) {
                 return false;
             }
         }
-        if ((is.blockedByTableLoads() || is.tableLoad())
-                && b.is.tableGroup() >= 0
-                && e.holdsLoad(now, b.is.tableGroup())) {
+        if ((trafficClass.blockedByTableLoads() || trafficClass.tableLoad())
+                && request.incoming.tableGroup() >= 0
+                && engine.hasTableLoad(now, request.incoming.tableGroup())) {
             return false;
         }
-        return cold(now, e) >= 1 || coldRoom(now, b, e);
+        return cold(now, engine) >= 1 || coldRoom(now, request, engine);
     }
 
     private static boolean allows(Set<Integer> places, int place) {
@@ -853,11 +944,13 @@
      * The share of its capacity an engine is sure to have: from the rule's start figure to 1 when
      * warm.
      */
-    private double cold(long now, EngineState e) {
+    private double cold(long now, EngineState engine) {
         // News of a start comes late: engines that were down, seen by many at once, would be pushed
         // over.
-        long age = now - e.start();
-        if (e.start() <= 0 || age >= rules.warmUpDuration() || rules.initialCapacityShare() <= 0) {
+        long age = now - engine.lastStartAt();
+        if (engine.lastStartAt() <= 0
+                || age >= rules.warmUpDuration()
+                || rules.initialCapacityShare() <= 0) {
             return 1;
         }
         double straight = Math.max(0, (double) age / rules.warmUpDuration());
@@ -866,24 +959,32 @@
     }
 
     /** Rule 4: this manager's part of what a cold engine stands in any fall window. */
-    private boolean coldRoom(long now, RequestState b, EngineState e) {
+    private boolean coldRoom(long now, RequestState request, EngineState engine) {
         if (rules.overloadMultiple() <= 0) {
             return true;
         }
         // What our life before sent it is forgotten, and counts still: it may have spent our whole
         // part.
-        if (e.start() < startedAt && now < startedAt + rules.overloadWindow()) {
+        if (engine.lastStartAt() < startedAt && now < startedAt + rules.overloadWindow()) {
             return false;
         }
-        double work = b.group.weight();
+        double work = request.classStats.warmUpWork();
         // No peer's word makes room on a cold engine: the rule rests on our own part alone.
-        double own = Math.min(share, e.coldPart > 0 ? e.coldPart : base);
-        double sent = e.cold.touching(now);
+        double own = Math.min(share, engine.warmUpShare > 0 ? engine.warmUpShare : base);
+        double sent = engine.warmUpWork.upperBound(now);
         double stands =
-                rules.overloadMultiple() * cold(now, e) * e.cores * FULL * rules.overloadWindow();
+                rules.overloadMultiple()
+                        * cold(now, engine)
+                        * engine.cores
+                        * FULL
+                        * rules.overloadWindow();
         // Where each part is under any batch, short ones draw lots, which all managers know alike.
         double lot =
-                (rank * GOLDEN + e.affinity((int) ((now - e.start()) / rules.overloadWindow())))
+                (rank * GOLDEN
+                                + engine.affinity(
+                                        (int)
+                                                ((now - engine.lastStartAt())
+                                                        / rules.overloadWindow())))
                         % 1;
         return sent + work <= stands * own * COLD_SAFETY
                 || sent == 0
@@ -897,120 +998,137 @@
      * it. A batch that may go elsewhere is tried there first: one that errs there, too, tells
      * nothing of engines.
      */
-    private void blame(long now, RequestState b, EngineState e, AttemptOutcome how) {
+    private void blame(long now, RequestState request, EngineState engine, AttemptOutcome how) {
         EngineState blamed = null;
         if (how == AttemptOutcome.SUCCEEDED) {
-            e.errors = 0;
-            blamed = b.erredAt == e ? null : b.erredAt;
+            engine.consecutiveFailures = 0;
+            blamed = request.firstFailedEngine == engine ? null : request.firstFailedEngine;
         } else if (how == AttemptOutcome.FAILED) {
-            b.errors += b.erredAt == e ? 0 : 1;
-            b.erredAt = b.erredAt == null ? e : b.erredAt;
-            blamed = b.group.is.effect() == Effect.IDEMPOTENT ? null : e;
+            request.failedEngines += request.firstFailedEngine == engine ? 0 : 1;
+            request.firstFailedEngine =
+                    request.firstFailedEngine == null ? engine : request.firstFailedEngine;
+            blamed = request.classStats.trafficClass.effect() == Effect.IDEMPOTENT ? null : engine;
         }
-        if (blamed != null && ++blamed.errors >= ERRORS_IN_A_ROW) {
+        if (blamed != null && ++blamed.consecutiveFailures >= ERRORS_IN_A_ROW) {
             health(now, blamed, News.BROKE);
         }
     }
 
-    private void learn(long now, Attempt f, AttemptResult ending) {
-        RequestState b = f.batch;
-        TrafficClassStats g = b.group;
-        EngineState e = f.engine;
-        int threads = g.is.threads();
+    private void learn(long now, Attempt attempt, AttemptResult ending) {
+        RequestState request = attempt.request;
+        TrafficClassStats classStats = request.classStats;
+        EngineState engine = attempt.engine;
+        int threads = classStats.trafficClass.threads();
         // Neither told nor estimated: a usual batch should need no more than half its goal.
         double truth =
                 ending.actualWork() > 0
                         ? ending.actualWork()
-                        : b.is.estimatedWork() > 0
-                                ? b.is.estimatedWork()
-                                : g.is.latencyObjective() * threads / 2.0;
+                        : request.incoming.estimatedWork() > 0
+                                ? request.incoming.estimatedWork()
+                                : classStats.trafficClass.latencyObjective() * threads / 2.0;
         double ratio = ending.duration() * threads / truth;
-        if (!f.waited) {
-            g.ran(ratio, GROUP_SAMPLES);
+        if (!attempt.wasBlocked) {
+            classStats.recordLatencyRatio(ratio, GROUP_SAMPLES);
         }
-        g.work.add(
+        classStats.work.add(
                 ending.actualWork() > 0
                         ? ending.actualWork()
                         : ending.duration() * (double) threads);
-        double figure = b.memoryFigure();
+        double figure = request.expectedMemoryMb();
         if (figure > 0) {
             boolean tooShort =
-                    ending.actualMemoryMb() > 0 ? ending.actualMemoryMb() > f.grant : f.shortGrant;
-            double step = tooShort ? MARGIN_UP : pressed(now, e) ? -MARGIN_DOWN : -MARGIN_DOWN / 4;
-            g.margin += step * Math.max(1, EARLY / ++g.taught);
-            g.margin = Math.max(LEAST_MARGIN, Math.min(MOST_MARGIN, g.margin));
+                    ending.actualMemoryMb() > 0
+                            ? ending.actualMemoryMb() > attempt.grantMb
+                            : attempt.spilled;
+            double step =
+                    tooShort ? MARGIN_UP : pressed(now, engine) ? -MARGIN_DOWN : -MARGIN_DOWN / 4;
+            classStats.grantMargin += step * Math.max(1, EARLY / ++classStats.grantSamples);
+            classStats.grantMargin =
+                    Math.max(LEAST_MARGIN, Math.min(MOST_MARGIN, classStats.grantMargin));
         }
         if (ending.actualMemoryMb() > 0) {
-            g.memory.add(ending.actualMemoryMb());
-            g.best = Math.min(g.best, BEST_OF_TRUTH);
-            if (f.shortGrant && ending.actualMemoryMb() <= f.grant) {
+            classStats.memoryMb.add(ending.actualMemoryMb());
+            classStats.best = Math.min(classStats.best, BEST_OF_TRUTH);
+            if (attempt.spilled && ending.actualMemoryMb() <= attempt.grantMb) {
                 // It needed no more than was named, yet spilled: the engine had no more to give.
-                press(now, e);
-                shrink(now, e, false);
+                press(now, engine);
+                shrink(now, engine, false);
             }
         }
-        double slowness = ratio / g.best();
-        if (!f.waited) {
-            slowed(now, e, slowness);
+        double slowness = ratio / classStats.best();
+        if (!attempt.wasBlocked) {
+            slowed(now, engine, slowness);
         }
-        if (f.priority == FIRST_RANK) {
+        if (attempt.priority == FIRST_RANK) {
             top.add(slowness);
         }
-        if (slowness < CALM && slowness(e) < CALM) {
+        if (slowness < CALM && slowness(engine) < CALM) {
             // Both grow only while in use: an idle hour must not open the engine for a burst.
-            if (e.threads + threads >= e.bound / 2) {
-                e.bound = Math.min(e.cores * THREADS_PER_CORE, e.bound + threads * GROW);
+            if (engine.reservedThreads + threads >= engine.threadLimit / 2) {
+                engine.threadLimit =
+                        Math.min(
+                                engine.cores * THREADS_PER_CORE,
+                                engine.threadLimit + threads * GROW);
             }
-            if (e.reserved + f.grant >= e.slice / 2) {
-                e.slice = Math.min(e.memory, e.slice + f.grant * GROW);
+            if (engine.reservedMb + attempt.grantMb >= engine.memorySliceMb / 2) {
+                engine.memorySliceMb =
+                        Math.min(engine.memoryMb, engine.memorySliceMb + attempt.grantMb * GROW);
             }
         }
     }
 
     /** A cold engine is slow by nature: that is no pressure, and least of all on the others. */
-    private void slowed(long now, EngineState e, double slowness) {
-        e.slow.add(slowness * cold(now, e));
-        fleet.add(slowness * cold(now, e));
+    private void slowed(long now, EngineState engine, double slowness) {
+        engine.latencyRatios.add(slowness * cold(now, engine));
+        fleet.add(slowness * cold(now, engine));
     }
 
-    private void shrink(long now, EngineState e, boolean slow) {
-        boolean due = now - e.shrunk >= SHRINK_GAP;
-        e.shrunk = due ? now : e.shrunk;
+    private void shrink(long now, EngineState engine, boolean slow) {
+        boolean due = now - engine.lastShrunkAt >= SHRINK_GAP;
+        engine.lastShrunkAt = due ? now : engine.lastShrunkAt;
         if (due && !slow) {
-            e.slice = Math.max(e.memory * POOL_SHARE * share / 2, e.slice * SHRINK);
+            engine.memorySliceMb =
+                    Math.max(
+                            engine.memoryMb * POOL_SHARE * share / 2,
+                            engine.memorySliceMb * SHRINK);
         } else if (due) {
-            double used = part < 1 ? Math.min(e.bound, e.threads) : e.bound;
-            e.bound = Math.max(e.cores * LEAST_PER_CORE * share, used * SHRINK);
+            double used =
+                    part < 1
+                            ? Math.min(engine.threadLimit, engine.reservedThreads)
+                            : engine.threadLimit;
+            engine.threadLimit = Math.max(engine.cores * LEAST_PER_CORE * share, used * SHRINK);
         }
     }
 
-    private boolean pressed(long now, EngineState e) {
-        return now < e.pressedUntil || slowness(e) > SLOW;
+    private boolean pressed(long now, EngineState engine) {
+        return now < engine.saturatedUntil || slowness(engine) > SLOW;
     }
 
     /**
      * The median latency over the best; of all engines where this one has answered too little of
      * late.
      */
-    private double slowness(EngineState e) {
-        return (e.slow.total() >= ENOUGH ? e.slow : fleet).quantile(0.5);
+    private double slowness(EngineState engine) {
+        return (engine.latencyRatios.total() >= ENOUGH ? engine.latencyRatios : fleet)
+                .quantile(0.5);
     }
 
-    private void health(long now, EngineState e, News news) {
+    private void health(long now, EngineState engine, News news) {
         for (Row row : HEALTH) {
-            if ((row.state == null || row.state == e.health)
+            if ((row.state == null || row.state == engine.health)
                     && row.news == news
-                    && row.next != e.health) {
-                e.health = row.next;
-                e.downAt = row.next == EngineHealth.UNAVAILABLE ? now : e.downAt;
-                e.othersTry &= row.next != EngineHealth.AVAILABLE;
-                e.triesForAll &= row.next != EngineHealth.AVAILABLE;
+                    && row.next != engine.health) {
+                engine.health = row.next;
+                engine.suspectedRestartAt =
+                        row.next == EngineHealth.UNAVAILABLE ? now : engine.suspectedRestartAt;
+                engine.probedByOthers &= row.next != EngineHealth.AVAILABLE;
+                engine.probeOwner &= row.next != EngineHealth.AVAILABLE;
                 boolean rests = row.act == Act.REST;
-                e.restUntil = rests ? now + e.rest : e.restUntil;
-                e.rest =
+                engine.backoffUntil = rests ? now + engine.backoff : engine.backoffUntil;
+                engine.backoff =
                         rests
-                                ? Math.min(MOST_REST, e.rest * 2)
-                                : row.act == Act.CLEAR ? FIRST_REST : e.rest;
+                                ? Math.min(MOST_REST, engine.backoff * 2)
+                                : row.act == Act.CLEAR ? FIRST_REST : engine.backoff;
                 return;
             }
         }
@@ -1025,47 +1143,52 @@
         if (fade) {
             fleet.halve();
             top.halve();
-            groups.forEach(g -> g.best *= BEST_DRIFT);
-            quotas.forEach(q -> q.fill(FADE));
+            groups.forEach(classStats -> classStats.best *= BEST_DRIFT);
+            quotas.forEach(q -> q.refill(FADE));
             nextFade = now + FADE;
         }
         if (now >= closesAt) {
             // What ends with the program gets no answer here, while another manager can still run
             // it.
             List.copyOf(batches.values()).stream()
-                    .filter(b -> !b.closed && leave(b).pushBack)
+                    .filter(request -> !request.closed && leave(request).pushBack)
                     .forEach(this::giveUp);
         }
-        for (EngineState e : engines.values()) {
+        for (EngineState engine : engines.values()) {
             if (fade) {
-                if (slowness(e) > SLOW) {
-                    press(now, e);
-                    shrink(now, e, true);
-                } else if (crowded && pressed(now, e)) {
+                if (slowness(engine) > SLOW) {
+                    press(now, engine);
+                    shrink(now, engine, true);
+                } else if (crowded && pressed(now, engine)) {
                     // While batches wait, growth ends it: opened at once, the queue floods the
                     // engine.
-                    press(now, e);
+                    press(now, engine);
                 }
-                e.slow.halve();
+                engine.latencyRatios.halve();
             }
-            if (e.health != EngineHealth.AVAILABLE && now >= e.restUntil && !e.othersTry) {
-                health(now, e, News.RESTED);
+            if (engine.health != EngineHealth.AVAILABLE
+                    && now >= engine.backoffUntil
+                    && !engine.probedByOthers) {
+                health(now, engine, News.RESTED);
             }
-            for (int i = 0; i < e.flights.size(); i++) {
-                Attempt f = e.flights.get(i);
-                if (!f.inLine && !f.batch.closed && now - Math.max(f.sent, e.heard) > patience(f)) {
-                    health(now, e, News.QUIET);
+            for (int i = 0; i < engine.attemptsInFlight.size(); i++) {
+                Attempt attempt = engine.attemptsInFlight.get(i);
+                if (!attempt.queuedForMemory
+                        && !attempt.request.closed
+                        && now - Math.max(attempt.sentAt, engine.lastResponseAt)
+                                > patience(attempt)) {
+                    health(now, engine, News.QUIET);
                 }
-                rescue(now, f);
+                rescue(now, attempt);
             }
         }
         // With each release engines leave for good: what is known of them would pile up.
         List<Integer> left =
-                engines.keySet().stream().filter(id -> engine(id).leftFor(now) > KEPT).toList();
+                engines.keySet().stream().filter(id -> engine(id).goneFor(now) > KEPT).toList();
         left.forEach(engines::remove);
         left.forEach(host::releaseEngine);
         List<Integer> over =
-                turns.keySet().stream().filter(key -> turns.get(key).isOver(now)).toList();
+                turns.keySet().stream().filter(key -> turns.get(key).isIdle(now)).toList();
         over.forEach(turns::remove);
         over.forEach(host::releaseKey);
     }
@@ -1074,110 +1197,123 @@
      * How long an engine may be mute with this dispatch out: a few note paces, else well over its
      * run.
      */
-    private long patience(Attempt f) {
+    private long patience(Attempt attempt) {
         return notePace > 0
                 ? (long) (notePace * NOTES_MISSED)
-                : SILENT_WITHOUT_NOTES + 2 * f.batch.expectedRun();
+                : SILENT_WITHOUT_NOTES + 2 * attempt.request.expectedDuration();
     }
 
     /**
      * A dispatch that gets nowhere is called off, or a copy is sent beside it, where both are
      * allowed.
      */
-    private void rescue(long now, Attempt f) {
-        RequestState b = f.batch;
+    private void rescue(long now, Attempt attempt) {
+        RequestState request = attempt.request;
         // Lost, too, is a dispatch without notes on an engine that speaks of others: dropped
         // somewhere.
         boolean lost =
-                f.engine.health == EngineHealth.UNRESPONSIVE
-                        || f.engine.health == EngineHealth.UNAVAILABLE
-                        || notePace > 0 && !f.inLine && now - f.heard > patience(f);
-        if (b.closed
-                || f.givenUp
-                || !(lost || f.standsStill || runaway(now, f))
-                || b.dispatches >= allowed.maxAttempts()
-                || leave(b).again == Again.NO) {
+                attempt.engine.health == EngineHealth.UNRESPONSIVE
+                        || attempt.engine.health == EngineHealth.UNAVAILABLE
+                        || notePace > 0
+                                && !attempt.queuedForMemory
+                                && now - attempt.lastProgressAt > patience(attempt);
+        if (request.closed
+                || attempt.abandoned
+                || !(lost || attempt.blockedByTableLoad || runaway(now, attempt))
+                || request.attemptsStarted >= allowed.maxAttempts()
+                || leave(request).again == Again.NO) {
             return;
         }
-        if (allowed.cancel() && (b.group.is.effect() == Effect.IDEMPOTENT || lost)) {
-            f.givenUp = true;
-            host.cancelAttempt(b.is.request(), f.number);
-        } else if (lost && allowed.hedging() && now < giveUpAt(b)) {
-            f.givenUp = true;
-            held.put(b.order, b);
+        if (allowed.cancel()
+                && (request.classStats.trafficClass.effect() == Effect.IDEMPOTENT || lost)) {
+            attempt.abandoned = true;
+            host.cancelAttempt(request.incoming.request(), attempt.number);
+        } else if (lost && allowed.hedging() && now < giveUpAt(request)) {
+            attempt.abandoned = true;
+            held.put(request.arrivalOrder, request);
         }
     }
 
     /**
      * Far behind its estimate by its own notes, while a fresh dispatch could still make the goal.
      */
-    private boolean runaway(long now, Attempt f) {
-        RequestState b = f.batch;
-        double fresh = b.expectedRun();
+    private boolean runaway(long now, Attempt attempt) {
+        RequestState request = attempt.request;
+        double fresh = request.expectedDuration();
         return allowed.cancel()
-                && b.is.estimatedWork() > 0
-                && f.share > 0
-                && !f.waited
-                && (now - f.sent) / f.share * (1 - f.share) > RUNAWAY * fresh
-                && now + fresh < b.goalAt;
+                && request.incoming.estimatedWork() > 0
+                && attempt.fractionDone > 0
+                && !attempt.wasBlocked
+                && (now - attempt.sentAt) / attempt.fractionDone * (1 - attempt.fractionDone)
+                        > RUNAWAY * fresh
+                && now + fresh < request.objectiveAt;
     }
 
     // ---- Rules.
-    private Leave leave(RequestState b) {
-        boolean ran = b.mayHaveRun || !b.out.isEmpty();
+    private Leave leave(RequestState request) {
+        boolean ran = request.mayHaveRun || !request.attemptsInFlight.isEmpty();
         return Arrays.stream(LEAVES)
-                .filter(l -> l.effect == b.group.is.effect() && l.mayHaveRun == ran)
+                .filter(
+                        l ->
+                                l.effect == request.classStats.trafficClass.effect()
+                                        && l.mayHaveRun == ran)
                 .findFirst()
                 .orElseThrow();
     }
 
-    private boolean mayGoAgain(long now, RequestState b) {
-        Again again = leave(b).again;
+    private boolean mayGoAgain(long now, RequestState request) {
+        Again again = leave(request).again;
         return again != Again.NO
-                && b.dispatches < allowed.maxAttempts()
-                && b.errors < ERRORS_OF_ONE
-                && (b.out.isEmpty() || allowed.hedging())
+                && request.attemptsStarted < allowed.maxAttempts()
+                && request.failedEngines < ERRORS_OF_ONE
+                && (request.attemptsInFlight.isEmpty() || allowed.hedging())
                 && (again != Again.IN_SCOPE
-                        || now < b.firstSent(now) + b.group.is.idempotencyWindow())
-                && (b.dispatches == 0 || withinBudget(now));
+                        || now
+                                < request.firstSentAt(now)
+                                        + request.classStats.trafficClass.idempotencyWindow())
+                && (request.attemptsStarted == 0 || withinBudget(now));
     }
 
     /** Rule 7. */
     private boolean withinBudget(long now) {
         return rules.retryRatio() < 0
-                || further.touching(now) + 1
-                        <= rules.retryAllowance() + rules.retryRatio() * taken.within(now);
+                || further.upperBound(now) + 1
+                        <= rules.retryAllowance() + rules.retryRatio() * taken.lowerBound(now);
     }
 
     /** Rule 5: the first in its key's line goes, after the rest an earlier one left behind. */
-    private boolean myTurn(long now, RequestState b) {
-        KeyQueue turn = turns.get(b.key);
-        return turn == null || turn.line.peek() == b && (b.dispatches > 0 || now >= turn.restUntil);
+    private boolean myTurn(long now, RequestState request) {
+        KeyQueue turn = turns.get(request.orderingKey);
+        return turn == null
+                || turn.waiting.peek() == request
+                        && (request.attemptsStarted > 0 || now >= turn.quietUntil);
     }
 
     /** Answers at once; a pushback only where trying again is harmless. */
-    private void giveUp(RequestState b) {
-        TrafficClass is = b.group.is;
+    private void giveUp(RequestState request) {
+        TrafficClass trafficClass = request.classStats.trafficClass;
         boolean dropped =
-                is.effect() == Effect.IDEMPOTENT_WITH_KEY && is.idempotencyScope() == Scope.ALL;
-        if (b.errors < ERRORS_OF_ONE && (leave(b).pushBack || dropped)) {
+                trafficClass.effect() == Effect.IDEMPOTENT_WITH_KEY
+                        && trafficClass.idempotencyScope() == Scope.ALL;
+        if (request.failedEngines < ERRORS_OF_ONE && (leave(request).pushBack || dropped)) {
             long comeBack = allowed.retryAfter() ? Math.min(COME_BACK, allowed.maxRetryAfter()) : 0;
-            host.reject(b.is.request(), comeBack);
+            host.reject(request.incoming.request(), comeBack);
         } else {
-            host.fail(b.is.request());
+            host.fail(request.incoming.request());
         }
-        close(b);
+        close(request);
     }
 
-    private void close(RequestState b) {
-        b.closed = true;
-        held.remove(b.order);
-        if (b.out.isEmpty() && batches.remove(b.is.request()) != null) {
-            KeyQueue turn = turns.get(b.key);
+    private void close(RequestState request) {
+        request.closed = true;
+        held.remove(request.arrivalOrder);
+        if (request.attemptsInFlight.isEmpty()
+                && batches.remove(request.incoming.request()) != null) {
+            KeyQueue turn = turns.get(request.orderingKey);
             if (turn != null) {
-                turn.line.remove(b);
+                turn.waiting.remove(request);
             }
-            host.releaseRequest(b.is.request());
+            host.releaseRequest(request.incoming.request());
         }
     }
 
--- a/src/main/java/firstage/policy/state/KeyQueue.java
+++ b/src/main/java/firstage/policy/state/KeyQueue.java
@@ -4,10 +4,10 @@
 
 /** The line of one key. */
 public final class KeyQueue {
-    public final ArrayDeque<RequestState> line = new ArrayDeque<>();
-    public long restUntil;
+    public final ArrayDeque<RequestState> waiting = new ArrayDeque<>();
+    public long quietUntil;
 
-    public boolean isOver(long now) {
-        return line.isEmpty() && now >= restUntil;
+    public boolean isIdle(long now) {
+        return waiting.isEmpty() && now >= quietUntil;
     }
 }
--- a/src/main/java/firstage/policy/state/RequestState.java
+++ b/src/main/java/firstage/policy/state/RequestState.java
@@ -6,23 +6,23 @@
 
 /** A batch that is open, or closed with a dispatch still out. */
 public final class RequestState {
-    public final IncomingRequest is;
-    public final TrafficClassStats group;
+    public final IncomingRequest incoming;
+    public final TrafficClassStats classStats;
 
     /** Place in the order of arrival at this manager. */
-    public final long order;
+    public final long arrivalOrder;
 
-    public final long taken;
+    public final long acceptedAt;
 
     /** Its key where its group keeps order, else -1. */
-    public final int key;
+    public final int orderingKey;
 
-    public long goalAt;
-    public int dispatches;
-    public boolean overShare;
+    public long objectiveAt;
+    public int attemptsStarted;
+    public boolean overQuota;
 
     /** Of its worth (door.Demand). */
-    public int band;
+    public int priorityBand;
 
     /**
      * Of the dispatches that are over, one may have run; the first such was sent then, to that
@@ -30,38 +30,42 @@
      */
     public boolean mayHaveRun;
 
-    public long firstRun;
-    public EngineState firstEngine;
-    public EngineState last;
+    public long firstExecutionAt;
+    public EngineState firstExecutionEngine;
+    public EngineState lastEngine;
 
     /** Engines that it erred at, and the first of them. */
-    public int errors;
+    public int failedEngines;
 
-    public EngineState erredAt;
+    public EngineState firstFailedEngine;
     public boolean closed;
 
     /** Its client may have left: it is not to be sent. */
-    public boolean away;
+    public boolean clientAway;
 
     /** The engines asked for their load before it goes, and when. */
-    public List<EngineState> looked = List.of();
-
-    public long lookedAt;
-    public final List<Attempt> out = new ArrayList<>();
-
-    public RequestState(IncomingRequest is, TrafficClassStats group, long order, long taken) {
-        this.is = is;
-        this.group = group;
-        this.order = order;
-        this.taken = taken;
-        this.key = group.is.ordered() ? is.orderingKey() : -1;
+    public List<EngineState> probedEngines = List.of();
+
+    public long probedAt;
+    public final List<Attempt> attemptsInFlight = new ArrayList<>();
+
+    public RequestState(
+            IncomingRequest incoming,
+            TrafficClassStats classStats,
+            long arrivalOrder,
+            long acceptedAt) {
+        this.incoming = incoming;
+        this.classStats = classStats;
+        this.arrivalOrder = arrivalOrder;
+        this.acceptedAt = acceptedAt;
+        this.orderingKey = classStats.trafficClass.ordered() ? incoming.orderingKey() : -1;
     }
 
     /** A dispatch that is over may have run. */
-    public void ran(Attempt f) {
-        if (!mayHaveRun || f.sent < firstRun) {
-            firstRun = f.sent;
-            firstEngine = f.engine;
+    public void recordPossibleExecution(Attempt attempt) {
+        if (!mayHaveRun || attempt.sentAt < firstExecutionAt) {
+            firstExecutionAt = attempt.sentAt;
+            firstExecutionEngine = attempt.engine;
         }
         mayHaveRun = true;
     }
@@ -70,38 +74,42 @@
      * When the earliest dispatch was sent that may have run or is still out; {@code now} without
      * any.
      */
-    public long firstSent(long now) {
-        long first = mayHaveRun ? firstRun : now;
-        for (Attempt f : out) {
-            first = Math.min(first, f.sent);
+    public long firstSentAt(long now) {
+        long first = mayHaveRun ? firstExecutionAt : now;
+        for (Attempt attempt : attemptsInFlight) {
+            first = Math.min(first, attempt.sentAt);
         }
         return first;
     }
 
     /** The told estimate, as the group runs at its best, else the work of a usual batch. */
     public double expectedWork() {
-        return is.estimatedWork() > 0 ? is.estimatedWork() * group.best() : group.usualWork();
+        return incoming.estimatedWork() > 0
+                ? incoming.estimatedWork() * classStats.best()
+                : classStats.typicalWork();
     }
 
     /** How long that takes on its threads. */
-    public long expectedRun() {
-        return (long) expectedWork() / group.is.threads();
+    public long expectedDuration() {
+        return (long) expectedWork() / classStats.trafficClass.threads();
     }
 
     /** The told estimate of its memory, else the group's mean; 0 without both. */
-    public double memoryFigure() {
-        return is.estimatedMemoryMb() > 0 ? is.estimatedMemoryMb() : group.memory.or(0);
+    public double expectedMemoryMb() {
+        return incoming.estimatedMemoryMb() > 0
+                ? incoming.estimatedMemoryMb()
+                : classStats.memoryMb.or(0);
     }
 
     /** Whether all engines it looked at have told of their load since. */
-    public boolean toldAll() {
-        return looked.stream().allMatch(e -> e.toldAt >= lookedAt);
+    public boolean allProbesAnswered() {
+        return probedEngines.stream().allMatch(engine -> engine.loadReportedAt >= probedAt);
     }
 
-    public Attempt flight(int number) {
-        for (Attempt f : out) {
-            if (f.number == number) {
-                return f;
+    public Attempt attemptInFlight(int number) {
+        for (Attempt attempt : attemptsInFlight) {
+            if (attempt.number == number) {
+                return attempt;
             }
         }
         return null;
--- a/src/main/java/firstage/policy/state/SlidingWindowCounter.java
+++ b/src/main/java/firstage/policy/state/SlidingWindowCounter.java
@@ -24,12 +24,12 @@
     }
 
     /** What was added in pieces that lie wholly within the window: never too much. */
-    public double within(long now) {
+    public double lowerBound(long now) {
         return sum(now - span);
     }
 
     /** What was added in pieces that touch the window: never too little. */
-    public double touching(long now) {
+    public double upperBound(long now) {
         return sum(now - span - piece);
     }
 
--- a/src/main/java/firstage/policy/state/TrafficClassStats.java
+++ b/src/main/java/firstage/policy/state/TrafficClassStats.java
@@ -4,44 +4,44 @@
 
 /** A service group and what was learned of it. */
 public final class TrafficClassStats {
-    public final TrafficClass is;
+    public final TrafficClass trafficClass;
     public final DecayingMean work;
 
     /** The estimates of what came, whether it was answered or not. */
-    public final DecayingMean told;
+    public final DecayingMean estimatedWork;
 
-    public final DecayingMean memory;
+    public final DecayingMean memoryMb;
 
     /** Latency x threads over the batch's figure of work. */
-    public final LogHistogram pace = new LogHistogram();
+    public final LogHistogram latencyRatios = new LogHistogram();
 
     /** The lowest median pace of late. */
     public double best;
 
-    public double margin;
+    public double grantMargin;
 
     /** Answers that taught the margin. */
-    public int taught;
+    public int grantSamples;
 
-    public TrafficClassStats(TrafficClass is, double margin, double best, int samples) {
-        this.is = is;
-        this.margin = margin;
+    public TrafficClassStats(TrafficClass trafficClass, double margin, double best, int samples) {
+        this.trafficClass = trafficClass;
+        this.grantMargin = margin;
         this.best = best;
         work = new DecayingMean(samples);
-        told = new DecayingMean(samples);
-        memory = new DecayingMean(samples);
+        estimatedWork = new DecayingMean(samples);
+        memoryMb = new DecayingMean(samples);
     }
 
     public double best() {
-        return pace.total() > 0 ? Math.min(best, pace.quantile(0.5)) : best;
+        return latencyRatios.total() > 0 ? Math.min(best, latencyRatios.quantile(0.5)) : best;
     }
 
     /** A pace seen; the lowest median of so many is kept. */
-    public void ran(double ratio, int samples) {
-        pace.add(ratio);
-        if (pace.total() >= samples) {
+    public void recordLatencyRatio(double ratio, int samples) {
+        latencyRatios.add(ratio);
+        if (latencyRatios.total() >= samples) {
             best = best();
-            pace.halve();
+            latencyRatios.halve();
         }
     }
 
@@ -50,12 +50,12 @@
      * of the short ones: a mean of them alone pushed cold engines over, so it is no less than the
      * mean of what was told of all that came.
      */
-    public double weight() {
-        return Math.max(usualWork(), told.or(0));
+    public double warmUpWork() {
+        return Math.max(typicalWork(), estimatedWork.or(0));
     }
 
     /** Work of a usual batch; the goal where nothing is known yet. */
-    public double usualWork() {
-        return work.or(is.latencyObjective());
+    public double typicalWork() {
+        return work.or(trafficClass.latencyObjective());
     }
 }
