--- a/src/main/java/firstage/bench/BenchManager.java
+++ b/src/main/java/firstage/bench/BenchManager.java
@@ -113,7 +113,7 @@
                             now, engines.indexFor(f.requireLong("engine")), outcome(f), report(f));
             case "DATAGRAM" -> {
                 if (circle != null) {
-                    circle.onMessage(now, f.index("by", 0), words(f.text("payload", "-")));
+                    circle.onMessage(now, f.getInt("by", 0), words(f.getString("payload", "-")));
                 }
             }
             case "WAKE" -> {
--- a/src/main/java/firstage/cli/PeersCommand.java
+++ b/src/main/java/firstage/cli/PeersCommand.java
@@ -53,9 +53,7 @@
     @Override
     public Integer call() throws IOException {
         String answer =
-                ask(
-                        firstage.server.ManagerConfig.address(address),
-                        MembershipTransport.STATUS_REQUEST);
+                ask(ManagerConfig.parseAddress(address), MembershipTransport.STATUS_REQUEST);
         boolean agreed = answer.contains("\"agreed\":true");
         if (json) {
             System.out.println(answer);
--- a/src/main/java/firstage/cli/ZonesCommand.java
+++ b/src/main/java/firstage/cli/ZonesCommand.java
@@ -53,7 +53,7 @@
         String order = wanted == Wanted.health ? "none" : wanted.name();
         String answer =
                 PeersCommand.ask(
-                        ManagerConfig.address(address),
+                        ManagerConfig.parseAddress(address),
                         MembershipTransport.ZONE_ORDER_PREFIX + " " + order + " " + zone);
         if (answer.equals(MembershipTransport.ZONE_ORDER_REJECTED)) {
             throw new IOException(
--- a/src/main/java/firstage/overload/LoadSheddingLevel.java
+++ b/src/main/java/firstage/overload/LoadSheddingLevel.java
@@ -93,7 +93,7 @@
     private long measuredAt = -1;
     private Set<Integer> view = Set.of();
     private int nextRow;
-    private int ownZone;
+    private int zone;
     private int[] ejectedPercent = new int[0];
     private int[] zoneOrders = new int[0];
     private int threshold;
@@ -173,7 +173,7 @@
                 startRate,
                 queuedWork,
                 runningThreads,
-                ownZone,
+                zone,
                 ejectedPercent,
                 zoneOrders);
     }
@@ -206,7 +206,7 @@
 
     /** What it sees of the zones, to be told with the rest. */
     public void setZoneObservations(int ownZone, int[] badByZone, int[] ordersOfZones) {
-        ownZone = ownZone;
+        zone = ownZone;
         ejectedPercent = badByZone;
         zoneOrders = ordersOfZones;
     }
--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -702,7 +702,7 @@
     @Override
     public void releaseEngine(int engine) {
         if (peers != null) {
-            peers.fleetCoordinator().removeEngine(ids.id(engine));
+            peers.fleetCoordinator().removeEngine(ids.idOf(engine));
         }
         ids.release(engine);
         engines.forget(engine);
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -126,7 +126,7 @@
             Consumer<List<Listed>> onEnginesReleased) {
         this.config = config;
         Deployment deployment = managerConfig.deployment();
-        zoneNames = List.of(managerConfig.settings().text("areas", "").split(","));
+        zoneNames = List.of(managerConfig.settings().getString("areas", "").split(","));
         fleetCoordinator =
                 new FleetCoordinator(
                         config.name(),
@@ -134,7 +134,7 @@
                         zoneNames.size(),
                         deployment.shortestLatencyObjective(),
                         deployment.rules().warmUpDuration(),
-                        config.period(),
+                        config.probeInterval(),
                         new ZoneActions() {
                             @Override
                             public void setAvoided(long engine, boolean away, boolean restIsOver) {
@@ -160,8 +160,8 @@
         this.clock = clock;
         this.counters = counters;
         this.onEnginesReleased = onEnginesReleased;
-        config.addresses().forEach(a -> addressIndex.put(a, addressIndex.size()));
-        PeerConfig.InCells cellConfig = config.in();
+        config.peerAddresses().forEach(a -> addressIndex.put(a, addressIndex.size()));
+        PeerConfig.CellPlacement cellConfig = config.cellPlacement();
         RandomGeneratorFactory<RandomGenerator> randomFactory =
                 RandomGeneratorFactory.of("L64X128MixRandom");
         cells =
@@ -169,7 +169,7 @@
                         ? null
                         : new CellDirectory(
                                 cellConfig.plan(),
-                                cellConfig.before(),
+                                cellConfig.previousPlan(),
                                 cellConfig.cell(),
                                 cellConfig.slot(),
                                 config.name(),
@@ -187,18 +187,18 @@
                                 e -> zoneName(e.zone()),
                                 e -> e.standing() == EndpointUpdate.Lifecycle.GONE);
         if (cellConfig != null) {
-            cellConfig.addresses().forEach(otherCellAddresses::addAll);
-            otherCellAddresses.removeAll(config.addresses());
+            cellConfig.addressesByCell().forEach(otherCellAddresses::addAll);
+            otherCellAddresses.removeAll(config.peerAddresses());
         }
         String version = MembershipTransport.class.getPackage().getImplementationVersion();
         leases =
                 new QuotaLeases(
-                        cellConfig == null ? managers : config.addresses().size(),
+                        cellConfig == null ? managers : config.peerAddresses().size(),
                         cellConfig == null
                                 ? 1.0 / managers
                                 : cellConfig.plan().share(cellConfig.cell()),
-                        config.period(),
-                        Files.exists(config.mark()),
+                        config.probeInterval(),
+                        Files.exists(config.withdrawalMark()),
                         this::storeWithdrawalMark,
                         QuotaLeases.InjectedDefect.NONE);
         protocol =
@@ -212,7 +212,7 @@
                                 version == null ? "" : version,
                                 config.weight()),
                         addressIndex.size(),
-                        config.period(),
+                        config.probeInterval(),
                         MAX_DATAGRAM_BYTES,
                         randomFactory.create(seed),
                         leases,
@@ -241,7 +241,7 @@
 
     /** Listens. */
     public void listen(XnioWorker worker) throws IOException {
-        channel = worker.createUdpServer(config.listen(), null, OptionMap.EMPTY);
+        channel = worker.createUdpServer(config.listenAddress(), null, OptionMap.EMPTY);
     }
 
     /** Begins; on the I/O thread. */
@@ -294,7 +294,7 @@
                         () -> {
                             try (FileChannel file =
                                     FileChannel.open(
-                                            config.mark(),
+                                            config.withdrawalMark(),
                                             StandardOpenOption.CREATE,
                                             StandardOpenOption.WRITE)) {
                                 file.write(
@@ -307,7 +307,7 @@
                                 // rule is at stake.
                                 LOG.warning(
                                         "no mark can be kept at "
-                                                + config.mark()
+                                                + config.withdrawalMark()
                                                 + ": "
                                                 + fault.getMessage());
                             }
@@ -439,7 +439,7 @@
      * datagram.
      */
     private void writeCells(JsonGenerator out, long now) throws IOException {
-        PeerConfig.InCells in = config.in();
+        PeerConfig.CellPlacement in = config.cellPlacement();
         List<CellDirectory.CellStatus> known = cells.cells(now);
         out.writeStringField("cell", in.plan().cells().get(in.cell()).name());
         out.writeNumberField("plan", in.plan().number());
@@ -503,14 +503,14 @@
 
     @Override
     public void send(int seed, MembershipMessage.Kind kind, byte[] datagram) {
-        if (config.in() == null || seed != config.in().slot()) {
-            send(config.addresses().get(seed), datagram);
+        if (config.cellPlacement() == null || seed != config.cellPlacement().slot()) {
+            send(config.peerAddresses().get(seed), datagram);
         }
     }
 
     @Override
     public void send(int cell, int slot, byte[] datagram) {
-        send(config.in().addresses().get(cell).get(slot), datagram);
+        send(config.cellPlacement().addressesByCell().get(cell).get(slot), datagram);
     }
 
     private void send(InetSocketAddress to, byte[] datagram) {
