--- /dev/null
+++ b/src/main/java/firstage/policy/EngineEligibility.java
@@ -0,0 +1,65 @@
+package firstage.policy;
+
+import firstage.policy.api.TrafficClass;
+import firstage.policy.api.TrafficClass.Effect;
+import firstage.policy.state.EngineState;
+import firstage.policy.state.RequestState;
+import java.util.Set;
+
+/** Whether rules and health let a request go to an engine at all, capacity aside. */
+final class EngineEligibility {
+    private final SlowStartBudget slowStart;
+    private final ConcurrencyLimiter limiter;
+
+    EngineEligibility(SlowStartBudget slowStart, ConcurrencyLimiter limiter) {
+        this.slowStart = slowStart;
+        this.limiter = limiter;
+    }
+
+    boolean isEligible(long now, RequestState request, EngineState engine) {
+        TrafficClass trafficClass = request.trafficClass();
+        return OutlierDetector.isUsable(engine)
+                && allows(trafficClass.zones(), engine.zone)
+                && allows(trafficClass.machineTypes(), engine.machineType)
+                && !hasAttemptAt(request, engine)
+                && OutlierDetector.admits(engine, trafficClass.effect())
+                && isInIdempotencyScope(request, engine)
+                && !isBlockedByTableLoad(now, request, engine)
+                && slowStart.allows(now, request, engine, limiter.quotaShare());
+    }
+
+    private static boolean allows(Set<Integer> places, int place) {
+        return places.isEmpty() || places.contains(place);
+    }
+
+    private static boolean hasAttemptAt(RequestState request, EngineState engine) {
+        return request.attemptsInFlight.stream().anyMatch(attempt -> attempt.engine == engine);
+    }
+
+    /** Repetitions are dropped only where the first attempt went, in its scope. */
+    private static boolean isInIdempotencyScope(RequestState request, EngineState engine) {
+        TrafficClass trafficClass = request.trafficClass();
+        boolean repetition = request.mayHaveRun || !request.attemptsInFlight.isEmpty();
+        if (!repetition || trafficClass.effect() != Effect.IDEMPOTENT_WITH_KEY) {
+            return true;
+        }
+        EngineState first =
+                request.mayHaveRun
+                        ? request.firstExecutionEngine
+                        : request.attemptsInFlight.get(0).engine;
+        return switch (trafficClass.idempotencyScope()) {
+            case ZONE -> first.zone == engine.zone;
+            case CELL -> first.cell == engine.cell;
+            case ALL -> true;
+        };
+    }
+
+    private static boolean isBlockedByTableLoad(
+            long now, RequestState request, EngineState engine) {
+        TrafficClass trafficClass = request.trafficClass();
+        int tableGroup = request.incoming.tableGroup();
+        return (trafficClass.blockedByTableLoads() || trafficClass.tableLoad())
+                && tableGroup >= 0
+                && engine.hasTableLoad(now, tableGroup);
+    }
+}
--- /dev/null
+++ b/src/main/java/firstage/policy/LoadProbing.java
@@ -0,0 +1,103 @@
+package firstage.policy;
+
+import firstage.policy.api.Deployment;
+import firstage.policy.api.PolicyActions;
+import firstage.policy.api.TrafficClass;
+import firstage.policy.state.DecayingMean;
+import firstage.policy.state.EngineState;
+import firstage.policy.state.RequestState;
+import firstage.util.Ticks;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.random.RandomGenerator;
+
+/**
+ * Asks some random engines for their load before a costly request goes to one of them, where this
+ * manager's share of an engine is too small to know its load otherwise.
+ */
+final class LoadProbing {
+    /** Engines asked: two choices, and one to spare. */
+    private static final int PROBED_ENGINES = 3;
+
+    /** Of a request's priority weight that one probe may cost. */
+    private static final double MAX_COST_SHARE = 0.01;
+
+    private static final long ANSWER_TIMEOUT = Ticks.ofMillis(20);
+
+    /** Where all were full. */
+    private static final long PROBE_INTERVAL = Ticks.ofMillis(500);
+
+    private static final int MEAN_SAMPLES = 64;
+
+    /** Where engines may not be probed. */
+    private static final double NO_PROBES = -1;
+
+    private final RandomGenerator random;
+    private final PolicyActions actions;
+    private final EngineEligibility eligibility;
+    private final ConcurrencyLimiter limiter;
+    private final LatencyTracker latency;
+
+    /** In shares of the mean request's priority weight. */
+    private final double probePrice;
+
+    private final DecayingMean meanPriorityWeight = new DecayingMean(MEAN_SAMPLES);
+
+    LoadProbing(
+            Deployment deployment,
+            RandomGenerator random,
+            PolicyActions actions,
+            EngineEligibility eligibility,
+            ConcurrencyLimiter limiter,
+            LatencyTracker latency) {
+        // A probe whose answer tells no load would be paid for and waited for in vain.
+        probePrice = deployment.probesReportLoad() ? deployment.probePrice() : NO_PROBES;
+        this.random = random;
+        this.actions = actions;
+        this.eligibility = eligibility;
+        this.limiter = limiter;
+        this.latency = latency;
+    }
+
+    void onRequest(TrafficClass trafficClass) {
+        meanPriorityWeight.add(trafficClass.priorityWeight());
+    }
+
+    /** Whether this request goes only to an engine that was probed for it. */
+    boolean needsProbes(RequestState request) {
+        return probePrice >= 0
+                && request.trafficClass().priorityWeight() * MAX_COST_SHARE
+                        >= probePrice * meanPriorityWeight.or(1)
+                && limiter.isShareBelowOneRequest(request.trafficClass())
+                && !latency.isFleetCalm();
+    }
+
+    /** Probes engines for this request where that is due. */
+    void probeIfDue(long now, RequestState request, Collection<EngineState> engines) {
+        if (now < request.probedAt + PROBE_INTERVAL) {
+            return;
+        }
+        request.probedAt = now;
+        List<EngineState> candidates =
+                new ArrayList<>(
+                        engines.stream()
+                                .filter(engine -> eligibility.isEligible(now, request, engine))
+                                .toList());
+        request.probedEngines =
+                random.ints(Math.min(PROBED_ENGINES, candidates.size()), 0, Integer.MAX_VALUE)
+                        .mapToObj(number -> candidates.remove(number % candidates.size()))
+                        .toList();
+        request.probedEngines.forEach(engine -> actions.probeEngine(engine.id));
+    }
+
+    /** Whether answers are still to come, and worth the wait. */
+    boolean isWaiting(long now, RequestState request) {
+        return now < request.probedAt + ANSWER_TIMEOUT && !request.allProbesAnswered();
+    }
+
+    /** Whether the engine answered the probe for this request, and was not full. */
+    boolean reportedCapacity(RequestState request, EngineState engine) {
+        return engine.loadReportedAt >= request.probedAt && engine.reportedLoad < 1;
+    }
+}
--- a/src/main/java/firstage/policy/state/EngineState.java
+++ b/src/main/java/firstage/policy/state/EngineState.java
@@ -126,6 +126,7 @@
 
     /** Reserves what the dispatch needs. */
     public void reserve(Attempt attempt) {
+        lastAttemptAt = attempt.sentAt;
         reservedMb += attempt.grantMb;
         reservedThreads += attempt.request.classStats.trafficClass.threads();
         attemptsInFlight.add(attempt);
--- a/src/main/java/firstage/policy/state/RequestState.java
+++ b/src/main/java/firstage/policy/state/RequestState.java
@@ -1,6 +1,8 @@
 package firstage.policy.state;
 
+import firstage.policy.api.DemandHistogram;
 import firstage.policy.api.IncomingRequest;
+import firstage.policy.api.TrafficClass;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -61,6 +63,28 @@
         this.orderingKey = classStats.trafficClass.ordered() ? incoming.orderingKey() : -1;
     }
 
+    public TrafficClass trafficClass() {
+        return classStats.trafficClass;
+    }
+
+    /** Sets when it is to be answered: the class' latency objective, longer for more work. */
+    public void setObjective() {
+        TrafficClass trafficClass = trafficClass();
+        objectiveAt =
+                acceptedAt
+                        + trafficClass.latencyObjective()
+                        + (long)
+                                (trafficClass.latencyObjectivePerWork()
+                                        * expectedWork()
+                                        / trafficClass.threads());
+    }
+
+    /** Sets its band, by priority weight for expected work. */
+    public void setPriorityBand() {
+        priorityBand =
+                DemandHistogram.band(trafficClass().priorityWeight(), expectedWork(), overQuota);
+    }
+
     /** A dispatch that is over may have run. */
     public void recordPossibleExecution(Attempt attempt) {
         if (!mayHaveRun || attempt.sentAt < firstExecutionAt) {
@@ -85,7 +109,7 @@
     /** The told estimate, as the group runs at its best, else the work of a usual batch. */
     public double expectedWork() {
         return incoming.estimatedWork() > 0
-                ? incoming.estimatedWork() * classStats.best()
+                ? incoming.estimatedWork() * classStats.bestRatio()
                 : classStats.typicalWork();
     }
 
--- a/src/main/java/firstage/policy/state/TrafficClassStats.java
+++ b/src/main/java/firstage/policy/state/TrafficClassStats.java
@@ -16,31 +16,41 @@
     public final LogHistogram latencyRatios = new LogHistogram();
 
     /** The lowest median pace of late. */
-    public double best;
+    public double lowestRatio;
 
     public double grantMargin;
 
     /** Answers that taught the margin. */
     public int grantSamples;
 
-    public TrafficClassStats(TrafficClass trafficClass, double margin, double best, int samples) {
+    public TrafficClassStats(
+            TrafficClass trafficClass, double grantMargin, double lowestRatio, int samples) {
         this.trafficClass = trafficClass;
-        this.grantMargin = margin;
-        this.best = best;
+        this.grantMargin = grantMargin;
+        this.lowestRatio = lowestRatio;
         work = new DecayingMean(samples);
         estimatedWork = new DecayingMean(samples);
         memoryMb = new DecayingMean(samples);
     }
 
-    public double best() {
-        return latencyRatios.total() > 0 ? Math.min(best, latencyRatios.quantile(0.5)) : best;
+    public double bestRatio() {
+        return latencyRatios.total() > 0
+                ? Math.min(lowestRatio, latencyRatios.quantile(0.5))
+                : lowestRatio;
+    }
+
+    /** Counts the estimated work of a request, in ticks on one thread; 0 is no estimate. */
+    public void recordEstimate(long work) {
+        if (work > 0) {
+            estimatedWork.add(work);
+        }
     }
 
     /** A pace seen; the lowest median of so many is kept. */
     public void recordLatencyRatio(double ratio, int samples) {
         latencyRatios.add(ratio);
         if (latencyRatios.total() >= samples) {
-            best = best();
+            lowestRatio = bestRatio();
             latencyRatios.halve();
         }
     }
