--- a/src/main/java/firstage/cli/ServeCommand.java
+++ b/src/main/java/firstage/cli/ServeCommand.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import firstage.config.MalformedLineException;
-import firstage.server.ManagerConfig;
+import firstage.config.ManagerConfig;
+import firstage.config.PeerConfig;
 import firstage.server.ManagerServer;
-import firstage.server.membership.PeerConfig;
 import java.io.FileNotFoundException;
 import java.io.IOException;
 import java.net.BindException;
@@ -204,14 +204,15 @@
             try {
                 ManagerConfig next = read();
                 LOG.info(() -> "read anew in " + (System.nanoTime() - since) / 1_000_000 + " ms");
-                if (next.name().equals(first.name()) && next.listen().equals(first.listen())) {
+                if (next.name().equals(first.name())
+                        && next.listenAddress().equals(first.listenAddress())) {
                     node.told(next);
                 } else {
                     LOG.warning(
                             "the new configuration is another manager's: "
                                     + next.name()
                                     + " at "
-                                    + next.listen());
+                                    + next.listenAddress());
                 }
             } catch (IOException | RuntimeException fault) {
                 LOG.warning("the new configuration can't be read: " + Main.oneLine(fault));
--- a/src/main/java/firstage/cli/ZonesCommand.java
+++ b/src/main/java/firstage/cli/ZonesCommand.java
@@ -1,6 +1,6 @@
 package firstage.cli;
 
-import firstage.server.ManagerConfig;
+import firstage.config.ManagerConfig;
 import firstage.server.membership.MembershipTransport;
 import java.io.IOException;
 import java.util.concurrent.Callable;
@@ -53,7 +53,7 @@
         String order = wanted == Wanted.health ? "none" : wanted.name();
         String answer =
                 PeersCommand.ask(
-                        ManagerConfig.address(address),
+                        ManagerConfig.parseAddress(address),
                         MembershipTransport.ORDERED + " " + order + " " + zone);
         if (answer.equals(MembershipTransport.NO_ORDER)) {
             throw new IOException(
