--- a/src/main/java/firstage/policy/LoadProbing.java
+++ b/src/main/java/firstage/policy/LoadProbing.java
@@ -68,7 +68,7 @@
     boolean needsProbes(RequestState request) {
         return probePrice >= 0
                 && request.trafficClass().priorityWeight() * MAX_COST_SHARE
-                        >= probePrice * meanPriorityWeight.or(1)
+                        >= probePrice * meanPriorityWeight.orElse(1)
                 && limiter.isShareBelowOneRequest(request.trafficClass())
                 && !latency.isFleetCalm();
     }
--- a/src/main/java/firstage/policy/LoadReportTracker.java
+++ b/src/main/java/firstage/policy/LoadReportTracker.java
@@ -35,7 +35,7 @@
 
     /** The load as reported, and the older that is, the more the mean of all engines. */
     double estimatedLoad(long now, EngineState engine) {
-        double mean = meanLoad.or(0);
+        double mean = meanLoad.orElse(0);
         double weight = Math.max(0, 1 - (double) (now - engine.loadReportedAt) / REPORT_VALIDITY);
         return mean + (engine.reportedLoad - mean) * weight;
     }
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -133,7 +133,7 @@
         probing.onRequest(stats.trafficClass);
         request.setObjective();
         stats.recordEstimate(incoming.estimatedWork());
-        requests.put(incoming.request(), request);
+        requests.put(incoming.requestId(), request);
         queuePassDue = true;
         retries.recordAccepted(now);
         request.setPriorityBand();
@@ -148,8 +148,8 @@
 
     @Override
     public void onAttemptResult(long now, AttemptResult result) {
-        RequestState request = requests.get(result.request());
-        Attempt attempt = request == null ? null : request.attemptInFlight(result.attempt());
+        RequestState request = requests.get(result.requestId());
+        Attempt attempt = request == null ? null : request.attemptInFlight(result.attemptNumber());
         if (attempt == null) {
             return;
         }
@@ -208,8 +208,9 @@
 
     @Override
     public void onAttemptProgress(long now, AttemptProgress progress) {
-        RequestState request = requests.get(progress.request());
-        Attempt attempt = request == null ? null : request.attemptInFlight(progress.attempt());
+        RequestState request = requests.get(progress.requestId());
+        Attempt attempt =
+                request == null ? null : request.attemptInFlight(progress.attemptNumber());
         if (attempt == null) {
             return;
         }
@@ -267,7 +268,7 @@
         }
         queuePassDue = true;
         for (EndpointUpdate.Endpoint endpoint : update.endpoints()) {
-            EngineState engine = engines.get(endpoint.engine());
+            EngineState engine = engines.get(endpoint.engineId());
             if (engine.applyEndpoint(endpoint)) {
                 outliers.onSignal(now, engine, OutlierDetector.Signal.RESTARTED);
             }
@@ -430,7 +431,7 @@
         switch (stuckAttempts.remedyFor(now, attempt)) {
             case CANCEL -> {
                 attempt.abandoned = true;
-                actions.cancelAttempt(request.incoming.request(), attempt.number);
+                actions.cancelAttempt(request.incoming.requestId(), attempt.number);
             }
             case HEDGE -> {
                 if (now < queue.timeoutAt(request)) {
@@ -512,7 +513,7 @@
                         grants.grantMb(request, engine),
                         priorities.of(request));
         retries.recordAttempt(now, attempt);
-        int requestId = request.incoming.request();
+        int requestId = request.incoming.requestId();
         if (capabilities.grants() || capabilities.priorities()) {
             int grantMb = capabilities.grants() ? (int) Math.ceil(attempt.grantMb) : 0;
             actions.setGrantAndPriority(requestId, grantMb, attempt.priority);
@@ -527,9 +528,9 @@
     /** Answers the client at once; a rejection only where trying again is harmless. */
     private void rejectOrFail(RequestState request) {
         if (retries.rejectsRatherThanFails(request)) {
-            actions.reject(request.incoming.request(), retries.retryAfter());
+            actions.reject(request.incoming.requestId(), retries.retryAfter());
         } else {
-            actions.fail(request.incoming.request());
+            actions.fail(request.incoming.requestId());
         }
         close(request);
     }
@@ -537,7 +538,7 @@
     private void close(RequestState request) {
         request.closed = true;
         queue.remove(request);
-        int requestId = request.incoming.request();
+        int requestId = request.incoming.requestId();
         if (request.attemptsInFlight.isEmpty() && requests.remove(requestId) != null) {
             keys.remove(request);
             actions.releaseRequest(requestId);
--- a/src/main/java/firstage/policy/api/AttemptOutcome.java
+++ b/src/main/java/firstage/policy/api/AttemptOutcome.java
@@ -1,6 +1,6 @@
 package firstage.policy.api;
 
-/** The ways a dispatch can end. */
+/** The ways in which an attempt can end. */
 public enum AttemptOutcome {
     SUCCEEDED(true),
     FAILED(true),
--- a/src/main/java/firstage/policy/api/AttemptProgress.java
+++ b/src/main/java/firstage/policy/api/AttemptProgress.java
@@ -1,8 +1,13 @@
 package firstage.policy.api;
 
-/** Word on a dispatch that is still out. */
-public record AttemptProgress(int request, int attempt, int engine, Kind kind, double amount) {
-    /** DONE: share done; SPILLS: MB missing; the waits carry no amount. */
+/**
+ * A progress report on an attempt that is in flight.
+ *
+ * @param amount by kind: the fraction done (0 to 1), the MB that are missing, else unused
+ */
+public record AttemptProgress(
+        int requestId, int attemptNumber, int engineId, Kind kind, double amount) {
+    /** What is reported. */
     public enum Kind {
         FRACTION_DONE,
         SPILLING,
--- a/src/main/java/firstage/policy/api/EndpointUpdate.java
+++ b/src/main/java/firstage/policy/api/EndpointUpdate.java
@@ -2,8 +2,9 @@
 
 import java.util.List;
 
-/** The list of engines: the whole of it, or what changed. FAILED leaves the earlier list valid. */
+/** The endpoint list: all of it, or what changed; FAILED leaves the earlier list valid. */
 public record EndpointUpdate(Kind kind, List<Endpoint> endpoints) {
+    /** What an update holds. */
     public enum Kind {
         SNAPSHOT,
         DELTA,
@@ -11,6 +12,7 @@
         FAILED
     }
 
+    /** Whether an engine takes new requests, only ends its own, or has left. */
     public enum Lifecycle {
         ACTIVE,
         DRAINING,
@@ -18,12 +20,16 @@
     }
 
     /**
-     * {@code stableHash} is the same at every manager; {@code startedAt} 0 means started long ago;
-     * {@code warmUpShare}: of what it bears while it is cold this manager's part, by what no
-     * other's word can change; 0: by the settings, one of all.
+     * One engine.
+     *
+     * @param stableHash the same at every manager
+     * @param cell the idempotency cell that it stands in
+     * @param startedAt in ticks; 0 for long ago
+     * @param warmUpShare this manager's share of what the engine bears while it warms up, where no
+     *     other manager can change it; 0: one of all managers
      */
     public record Endpoint(
-            int engine,
+            int engineId,
             long stableHash,
             int zone,
             int machineType,
@@ -32,17 +38,17 @@
             double weight,
             long startedAt,
             double warmUpShare) {
-        /** Of a fleet whose managers all use all engines. */
+        /** An engine of a fleet whose managers all use all engines. */
         public Endpoint(
-                int engine,
-                long mark,
+                int engineId,
+                long stableHash,
                 int zone,
-                int kind,
+                int machineType,
                 int cell,
-                Lifecycle standing,
+                Lifecycle lifecycle,
                 double weight,
-                long since) {
-            this(engine, mark, zone, kind, cell, standing, weight, since, 0);
+                long startedAt) {
+            this(engineId, stableHash, zone, machineType, cell, lifecycle, weight, startedAt, 0);
         }
     }
 }
--- a/src/main/java/firstage/policy/api/IncomingRequest.java
+++ b/src/main/java/firstage/policy/api/IncomingRequest.java
@@ -1,13 +1,20 @@
 package firstage.policy.api;
 
 /**
- * A batch just taken. {@code tenant}, {@code orderingKey} and {@code tableGroup} are -1 and the
- * estimates 0 when absent; {@code estimatedWork} is the work of all its threads as time on one.
- * {@code orderUnknown}: whether it came before or after another of its key that was taken can't be
- * told.
+ * A request that was just accepted.
+ *
+ * @param trafficClass index in {@link Deployment#trafficClasses}
+ * @param tenant index in {@link Deployment#tenantRates}; -1 for none
+ * @param orderingKey -1 for none
+ * @param deadline when its client gives up, in ticks
+ * @param estimatedWork work of all its threads, in ticks on one; 0 where not known
+ * @param estimatedMemoryMb 0 where not known
+ * @param tableGroup the tables that it reads or loads; -1 for none
+ * @param retry whether its client sent it before
+ * @param orderUnknown whether its place among accepted requests of its key can't be told
  */
 public record IncomingRequest(
-        int request,
+        int requestId,
         int trafficClass,
         int tenant,
         int orderingKey,
--- a/src/main/java/firstage/policy/api/LoadReport.java
+++ b/src/main/java/firstage/policy/api/LoadReport.java
@@ -1,6 +1,10 @@
 package firstage.policy.api;
 
-/** An engine's load report; a figure it does not tell is NaN. Shares run from 0 to 1. */
+/**
+ * An engine's load; a figure that it does not report is not a number. Shares run from 0 to 1.
+ *
+ * @param queuedForMemory requests that wait for memory
+ */
 public record LoadReport(
         double activeThreads,
         double queuedForMemory,
--- a/src/main/java/firstage/policy/api/PolicyActions.java
+++ b/src/main/java/firstage/policy/api/PolicyActions.java
@@ -1,37 +1,48 @@
 package firstage.policy.api;
 
-/** Carries the effects of decisions out. A host decides nothing. */
+/** Carries out what a scheduling policy decides; implementations decide nothing. */
 public interface PolicyActions {
-    /** Names the memory grant (MB) and priority for the batch's next dispatch. */
-    void setGrantAndPriority(int batch, int grantMb, int priority);
+    /** Sets the memory grant in MB (0: none) and the priority of the request's next attempt. */
+    void setGrantAndPriority(int requestId, int grantMb, int priority);
 
     /**
-     * Sends the batch to the engine; {@code within} 0 leaves the time-out to the client's limit.
+     * Starts an attempt of the request at an engine.
+     *
+     * @param timeout in ticks; 0 leaves it to the client's deadline
      */
-    void startAttempt(int batch, int engine, long within);
+    void startAttempt(int requestId, int engineId, long timeout);
 
-    void cancelAttempt(int batch, int dispatch);
+    /** Cancels an attempt; its result still follows. */
+    void cancelAttempt(int requestId, int attemptNumber);
 
-    void reject(int batch, long comeBack);
+    /**
+     * Rejects the request: the client may try again without harm.
+     *
+     * @param retryAfter for how many ticks it is to stay away; 0 where it can't be told
+     */
+    void reject(int requestId, long retryAfter);
 
-    void fail(int batch);
+    /** Answers the client that its request failed. */
+    void fail(int requestId);
 
-    /** The batch is closed and has no dispatch out: its index may serve again. */
-    void releaseRequest(int batch);
+    /** The request is closed and has no attempt in flight: its id may be reused. */
+    void releaseRequest(int requestId);
 
-    /** No batch waits for this key and it has rested: its index may serve again. */
+    /** No request waits for this ordering key, and its pause is over: its id may be reused. */
     void releaseKey(int key);
 
-    /** The engine left long ago and has no dispatch out: its index may serve again. */
-    void releaseEngine(int engine);
+    /** The engine left long ago and has no attempt in flight: its id may be reused. */
+    void releaseEngine(int engineId);
 
-    void probeEngine(int engine);
+    /** Asks an engine for its load; {@link SchedulingPolicy#onProbeResult} follows. */
+    void probeEngine(int engineId);
 
-    /** A host whose list comes unasked leaves it. */
+    /** Starts the watch of the endpoint list; nothing to do where the list comes unasked. */
     default void subscribeToEndpoints() {}
 
+    /** {@link SchedulingPolicy#onWakeUp} is to be called with this token after a delay in ticks. */
     void scheduleWakeUp(long delay, long token);
 
-    /** A line for the people on call. */
+    /** A line for the operators' log. */
     void log(String line);
 }
--- a/src/main/java/firstage/policy/api/SchedulingPolicy.java
+++ b/src/main/java/firstage/policy/api/SchedulingPolicy.java
@@ -1,80 +1,96 @@
 package firstage.policy.api;
 
 /**
- * What a workload manager is told. Calls carry the clock; {@link #runPendingActions} ends each
- * round of news.
+ * The events that a scheduling policy receives. Each call carries the time {@code now} in ticks;
+ * {@link #runPendingActions} ends the events of one moment. A policy acts through {@link
+ * PolicyActions} only. Ids of requests, engines and keys are small numbers that the caller may
+ * reuse once they were released.
  */
 public interface SchedulingPolicy {
-    void onRequest(long now, IncomingRequest arrival);
+    /** A request was accepted from a client. */
+    void onRequest(long now, IncomingRequest request);
 
-    void onAttemptResult(long now, AttemptResult ending);
+    /** An attempt ended; ignored where it is not in flight. */
+    void onAttemptResult(long now, AttemptResult result);
 
-    void onAttemptProgress(long now, AttemptProgress note);
+    /** An engine reported progress of an attempt; ignored where it is not in flight. */
+    void onAttemptProgress(long now, AttemptProgress progress);
 
-    /** The client left, or its time is up: the batch is closed and owed nothing more. */
-    void onClientGone(long now, int batch);
+    /** The client left, or its deadline passed: the request is closed and gets no answer. */
+    void onClientGone(long now, int requestId);
 
-    /** The client is not there, and may have left: its batch is not to be sent until it is back. */
-    default void onClientPresence(long now, int batch, boolean away) {}
+    /** Whether the client is away and may have left: then its request is not started. */
+    default void onClientPresence(long now, int requestId, boolean away) {}
 
-    void onEndpointsUpdated(long now, EndpointUpdate list);
-
-    void onProbeResult(long now, int engine, AttemptOutcome outcome, LoadReport report);
+    /** The endpoint list, or a change of it, arrived; or its watch failed. */
+    void onEndpointsUpdated(long now, EndpointUpdate update);
 
     /**
-     * The part of each engine that it may use now: its own share by the settings, less while it
-     * hears too few of the others, more where those have given it up. Where nobody shares, it is
-     * never told.
+     * A probe of an engine was answered, or failed.
+     *
+     * @param report null where the answer carried no load report
      */
-    default void onQuotaChanged(long now, double share) {}
+    void onProbeResult(long now, int engineId, AttemptOutcome outcome, LoadReport report);
 
     /**
-     * Whether it holds this engine for down or silent, and when it last sent a batch there; 0 for
-     * never.
+     * The share of each engine that this manager may use now: its own by the settings, less while
+     * it hears from too few other managers, more where those have released theirs. Never called
+     * without fleet control.
+     *
+     * @param share above 0, at most 1
      */
-    default boolean isUnavailable(int engine) {
+    default void onQuotaChanged(long now, double share) {}
+
+    /** Whether this engine is on the endpoint list and held to be down or unresponsive. */
+    default boolean isUnavailable(int engineId) {
         return false;
     }
 
-    default long lastAttemptAt(int engine) {
+    /** When the last attempt was sent to this engine, in ticks; 0 for never. */
+    default long lastAttemptAt(int engineId) {
         return 0;
     }
 
-    /** When this engine last spoke; 0 or less for never. */
-    default long lastResponseAt(int engine) {
+    /** When this engine last responded, in ticks; 0 or less for never. */
+    default long lastResponseAt(int engineId) {
         return 0;
     }
 
     /**
-     * Others hold this engine for sick and try it, and it is to keep away; or no longer. Where
-     * {@code restIsOver}, it may be tried now: they found it well, or this manager tries it for
-     * all. Where nobody shares, it is never told.
+     * Who probes an ejected engine. Never called without fleet control.
+     *
+     * @param others whether other managers probe it, and this one is to keep away
+     * @param backoffOver whether it may be probed now: others found it well, or this manager is the
+     *     probe owner
      */
-    default void onProbeOwnership(long now, int engine, boolean others, boolean restIsOver) {}
+    default void onProbeOwnership(long now, int engineId, boolean others, boolean backoffOver) {}
 
-    /** What it was asked for and what it sent; null where it keeps no count. */
+    /** The work asked for and started; empty where the policy keeps no count. */
     default DemandHistogram demand(long now) {
-        return null;
+        return new DemandHistogram();
     }
 
     /**
-     * The fleet has no room for what is worth less: batches of a lower {@link DemandHistogram#band}
-     * are to be answered at once, and of those in it all but this part. Where nobody shares, it is
-     * never told.
+     * The fleet lacks capacity for low priorities: requests of a lower {@link
+     * DemandHistogram#priorityBand} than {@code band} are answered at once, and of those in it all
+     * but a share. Never called without fleet control.
+     *
+     * @param admittedShare from 0 to 1
      */
-    default void onSheddingThreshold(long now, int band, double part) {}
+    default void onSheddingThreshold(long now, int band, double admittedShare) {}
 
     /**
-     * It takes batches for a short while yet, and what has no answer at {@code endsAt} never gets
-     * one.
+     * The program ends soon: requests are still accepted for a short while, and what has no answer
+     * at {@code endsAt} (ticks) never gets one.
      */
     void onShutdown(long now, long endsAt);
 
+    /** The time of {@link PolicyActions#scheduleWakeUp} has come. */
     void onWakeUp(long now, long token);
 
-    /** How many of its dispatches it holds to be out at this engine. */
-    int attemptsInFlight(int engine);
+    /** How many attempts are in flight at this engine. */
+    int attemptsInFlight(int engineId);
 
-    /** All news of this moment has been told; now act on it. */
+    /** All events of this moment have been told; now act on them. */
     void runPendingActions(long now);
 }
--- a/src/main/java/firstage/policy/api/package-info.java
+++ b/src/main/java/firstage/policy/api/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The interface of the decisions: {@link firstage.policy.api.SchedulingPolicy} is what comes in,
- * {@link firstage.policy.api.PolicyActions} carries the effects out, the records are what both
- * speak of. Times are whole tenths of a millisecond; batches, engines and keys are small indices.
+ * The interface of the decisions: {@link firstage.policy.api.SchedulingPolicy} receives events,
+ * {@link firstage.policy.api.PolicyActions} carries out actions, the records are what both speak
+ * of. Times and durations are in ticks of a tenth of a millisecond ({@link firstage.util.Ticks}).
  */
 package firstage.policy.api;
--- a/src/main/java/firstage/policy/state/DecayingMean.java
+++ b/src/main/java/firstage/policy/state/DecayingMean.java
@@ -6,10 +6,12 @@
     private double sum;
     private double count;
 
+    /** A mean over about so many samples. */
     public DecayingMean(double limit) {
         this.limit = limit;
     }
 
+    /** Adds a sample. */
     public void add(double sample) {
         sum += sample;
         count++;
@@ -20,7 +22,7 @@
     }
 
     /** The mean, or {@code unknown} without samples. */
-    public double or(double unknown) {
+    public double orElse(double unknown) {
         return count > 0 ? sum / count : unknown;
     }
 }
--- a/src/main/java/firstage/policy/state/EngineState.java
+++ b/src/main/java/firstage/policy/state/EngineState.java
@@ -7,84 +7,121 @@
 import java.util.List;
 import java.util.Map;
 
-/** An engine as this workload manager sees it. */
+/**
+ * An engine as this workload manager sees it. The first fields are those of the endpoint list; each
+ * other group belongs to one rule of {@link firstage.policy}. Times are in ticks.
+ */
 public final class EngineState {
     public final int id;
+
+    // ---- The endpoint list.
+
+    /** The same at every manager. */
     public long stableHash;
+
     public int zone;
-    public int machineType;
+
+    /** The idempotency cell that it stands in. */
     public int cell;
+
     public Lifecycle lifecycle = Lifecycle.GONE;
+
+    /** 0 for long ago. */
     public long startedAt;
 
-    /** Of what it bears while it is cold, this manager's part; 0: by the settings. */
+    /** This manager's share of what it bears while it warms up; 0: by the settings. */
     public double warmUpShare;
 
-    /** Since when it is known to have left, with nothing out; 0 if it has not. */
+    /** Since when it is known to have left, with no attempt in flight; 0 if it has not. */
     private long goneSince;
 
+    // ---- Its size, and the limits of this manager (ConcurrencyLimiter).
+
+    public int machineType;
+
+    /** 0 until it is known. */
     public int cores;
+
     public double memoryMb;
+
+    /** How much memory this manager's attempts may reserve. */
     public double memorySliceMb;
+
+    /** How many threads they may use. */
     public double threadLimit;
 
-    /** What this manager has reserved here: MB and threads. */
-    public double reservedMb;
+    /** There was a sign of saturation; it is taken to last until then. */
+    public long saturatedUntil;
 
+    public long lastShrunkAt;
+
+    // ---- What this manager has in flight here.
+
+    public double reservedMb;
     public int reservedThreads;
+
+    /** In the order of their start. */
     public final List<Attempt> attemptsInFlight = new ArrayList<>();
+
+    /** When an attempt was last sent here; 0 for never. */
+    public long lastAttemptAt;
+
+    // ---- Health (OutlierDetector).
+
     public EngineHealth health = EngineHealth.AVAILABLE;
 
-    /** Another manager tries it, and tells when it is well. */
+    /** Other managers probe it, and tell when it is available. */
     public boolean probedByOthers;
 
     /**
-     * It is tried for all others, or they found it well: what was lost there before does not keep
-     * from trying.
+     * This manager probes it for all, or others found it available: attempts lost here before do
+     * not keep from probing.
      */
     public boolean probeOwner;
 
-    /** When a batch last went there; 0 for never. */
-    public long lastAttemptAt;
-
+    /** How long it is left alone after the next ejection. */
     public long backoff;
+
     public long backoffUntil;
     public long lastResponseAt;
 
-    /** When it last seemed to have gone down, and may have started anew; 0 if it did not. */
+    /** When it last seemed to go down, and may have restarted; 0 if it did not. */
     public long suspectedRestartAt;
 
-    /** Errors since it last returned a batch. */
+    /** Since its last success. */
     public int consecutiveFailures;
 
-    public long saturatedUntil;
+    // ---- Its own load reports (LoadReportTracker).
 
-    /** When it last told of its load, and how crowded it said it was: 1 is full. */
     public long loadReportedAt = Long.MIN_VALUE / 2;
 
+    /** 1 is full. */
     public double reportedLoad;
 
-    /** It told that no batch waits in its line for memory. */
+    /** It reported that no request waits for memory. */
     public boolean memoryQueueEmpty;
 
-    public long lastShrunkAt;
+    // ---- Latency (LatencyTracker) and table loads.
 
-    /** Latency over the best of its group. */
+    /** Latencies over the best of the traffic class. */
     public final LogHistogram latencyRatios = new LogHistogram();
 
-    /** Tables that a load holds here, and until when it is taken so. */
+    /** Table groups that are held to be loaded here, and until when. */
     public final Map<Integer, Long> tableLoadsUntil = new HashMap<>();
 
-    /** Work sent while cold, over the fall window. */
+    // ---- Warm-up (SlowStartBudget).
+
+    /** Work sent while it warmed up, over the overload window. */
     public final SlidingWindowCounter warmUpWork;
 
+    /** An engine that nothing is known of. */
     public EngineState(int id, long initialBackoff, SlidingWindowCounter warmUpWork) {
         this.backoff = initialBackoff;
         this.warmUpWork = warmUpWork;
         this.id = id;
     }
 
-    /** What the list says of it; true where it says so of a new start. */
+    /** Takes over what the endpoint list says; true where that tells of a restart. */
     public boolean applyEndpoint(Endpoint entry) {
         boolean restarted = entry.startedAt() > startedAt && stableHash != 0;
         stableHash = entry.stableHash();
@@ -100,8 +137,8 @@
     }
 
     /**
-     * One of its dispatches was spoken of; what was out before it seemed to go down proves that it
-     * did not.
+     * It reported on one of its attempts; one that was sent before a suspected restart proves that
+     * there was none.
      */
     public void recordProgress(long now, Attempt attempt) {
         lastResponseAt = now;
@@ -109,14 +146,14 @@
         suspectedRestartAt = attempt.sentAt < suspectedRestartAt ? 0 : suspectedRestartAt;
     }
 
-    /** Its latest start, told or feared; 0 for long ago. */
+    /** Its latest start, as listed or suspected; 0 for long ago. */
     public long lastStartAt() {
         return Math.max(startedAt, suspectedRestartAt);
     }
 
     /**
-     * How long it has been off the list with nothing out; asked now and then, it counts from the
-     * first time.
+     * For how many ticks it has been off the endpoint list with no attempt in flight, from the
+     * first call on.
      */
     public long goneFor(long now) {
         boolean left = lifecycle == Lifecycle.GONE && attemptsInFlight.isEmpty();
@@ -124,7 +161,7 @@
         return left ? now - goneSince : 0;
     }
 
-    /** Reserves what the dispatch needs. */
+    /** Reserves what the attempt needs, which is sent now. */
     public void reserve(Attempt attempt) {
         lastAttemptAt = attempt.sentAt;
         reservedMb += attempt.grantMb;
@@ -132,7 +169,7 @@
         attemptsInFlight.add(attempt);
     }
 
-    /** Frees what the dispatch reserved. */
+    /** Releases what the attempt reserved. */
     public void release(Attempt attempt) {
         if (attemptsInFlight.remove(attempt)) {
             reservedMb = attemptsInFlight.isEmpty() ? 0 : reservedMb - attempt.grantMb;
@@ -140,12 +177,12 @@
         }
     }
 
-    /** Whether a batch of this priority runs here. */
+    /** Whether this manager has an attempt of this priority in flight here. */
     public boolean hasAttemptOfPriority(int priority) {
         return attemptsInFlight.stream().anyMatch(attempt -> attempt.priority == priority);
     }
 
-    /** Whether a load is known to hold these tables here. */
+    /** Whether this table group is known to be loaded here. */
     public boolean hasTableLoad(long now, int tableGroup) {
         if (tableLoadsUntil.getOrDefault(tableGroup, 0L) > now) {
             return true;
@@ -159,7 +196,7 @@
         return false;
     }
 
-    /** A number from 0 to 1, the same at every manager, that mixes this engine with the tables. */
+    /** A hash of this engine and the table group, from 0 to 1, the same at every manager. */
     public double affinity(int tableGroup) {
         long hash = stableHash * 0x9E3779B97F4A7C15L ^ tableGroup * 0xC2B2AE3D27D4EB4FL;
         hash = (hash ^ (hash >>> 29)) * 0xBF58476D1CE4E5B9L;
--- a/src/main/java/firstage/policy/state/LogHistogram.java
+++ b/src/main/java/firstage/policy/state/LogHistogram.java
@@ -1,16 +1,17 @@
 package firstage.policy.state;
 
-/** Coarse bins of half an octave around 1. */
+/** Ratios in bins of half an octave around 1; old samples lose weight by {@link #halve}. */
 public final class LogHistogram {
     private static final int COUNT = 17;
     private final double[] weights = new double[COUNT];
     private double total;
 
-    /** The quantile last asked for, until the next change. */
+    /** The quantile computed last, valid until the next change. */
     private double cachedShare = -1;
 
     private double cachedQuantile;
 
+    /** Adds a sample. */
     public void add(double ratio) {
         double octaves = Math.log(Math.max(ratio, 1e-9)) / Math.log(2);
         weights[(int) Math.max(0, Math.min(COUNT - 1, Math.floor(octaves * 2 + COUNT / 2.0)))]++;
@@ -18,6 +19,7 @@
         cachedShare = -1;
     }
 
+    /** Halves the weight of all samples. */
     public void halve() {
         for (int i = 0; i < COUNT; i++) {
             weights[i] /= 2;
@@ -31,10 +33,7 @@
         return total;
     }
 
-    /**
-     * The ratio below which this share of the samples lies, straight within a bin; 1 without
-     * samples.
-     */
+    /** The ratio below which this share of the samples lies, interpolated; 1 without samples. */
     public double quantile(double share) {
         if (share != cachedShare) {
             cachedQuantile = computeQuantile(share);
--- a/src/main/java/firstage/policy/state/RequestState.java
+++ b/src/main/java/firstage/policy/state/RequestState.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A batch that is open, or closed with a dispatch still out. */
+/** A request that is open, or closed with an attempt in flight. */
 public final class RequestState {
     public final IncomingRequest incoming;
     public final TrafficClassStats classStats;
@@ -14,43 +14,55 @@
     /** Place in the order of arrival at this manager. */
     public final long arrivalOrder;
 
+    /** In ticks. */
     public final long acceptedAt;
 
-    /** Its key where its group keeps order, else -1. */
+    /** Its ordering key where its traffic class is ordered, else -1. */
     public final int orderingKey;
 
+    /** When it is to be answered by its latency objective, in ticks. */
     public long objectiveAt;
+
     public int attemptsStarted;
+
+    /** Whether it came beyond its tenant's quota. */
     public boolean overQuota;
 
-    /** Of its worth (door.Demand). */
+    /** See {@link DemandHistogram#priorityBand}. */
     public int priorityBand;
 
-    /**
-     * Of the dispatches that are over, one may have run; the first such was sent then, to that
-     * engine.
-     */
+    /** Whether one of the attempts that have ended may have run. */
     public boolean mayHaveRun;
 
+    /** When the first such attempt was sent, in ticks, and to which engine. */
     public long firstExecutionAt;
+
     public EngineState firstExecutionEngine;
+
+    /** Where the latest attempt went; null before the first. */
     public EngineState lastEngine;
 
-    /** Engines that it erred at, and the first of them. */
+    /** At how many engines it failed. */
     public int failedEngines;
 
+    /** The first of them; null for none. */
     public EngineState firstFailedEngine;
+
+    /** Answered, or its client is gone. */
     public boolean closed;
 
-    /** Its client may have left: it is not to be sent. */
+    /** Its client may have left: it is not to be started. */
     public boolean clientAway;
 
-    /** The engines asked for their load before it goes, and when. */
+    /** The engines probed for their load before it starts, and when, in ticks. */
     public List<EngineState> probedEngines = List.of();
 
     public long probedAt;
+
+    /** In the order of their start. */
     public final List<Attempt> attemptsInFlight = new ArrayList<>();
 
+    /** An open request that nothing was started for. */
     public RequestState(
             IncomingRequest incoming,
             TrafficClassStats classStats,
@@ -63,6 +75,7 @@
         this.orderingKey = classStats.trafficClass.ordered() ? incoming.orderingKey() : -1;
     }
 
+    /** What the deployment states of its traffic class. */
     public TrafficClass trafficClass() {
         return classStats.trafficClass;
     }
@@ -82,10 +95,11 @@
     /** Sets its band, by priority weight for expected work. */
     public void setPriorityBand() {
         priorityBand =
-                DemandHistogram.band(trafficClass().priorityWeight(), expectedWork(), overQuota);
+                DemandHistogram.priorityBand(
+                        trafficClass().priorityWeight(), expectedWork(), overQuota);
     }
 
-    /** A dispatch that is over may have run. */
+    /** An attempt that has ended may have run. */
     public void recordPossibleExecution(Attempt attempt) {
         if (!mayHaveRun || attempt.sentAt < firstExecutionAt) {
             firstExecutionAt = attempt.sentAt;
@@ -95,8 +109,8 @@
     }
 
     /**
-     * When the earliest dispatch was sent that may have run or is still out; {@code now} without
-     * any.
+     * When the earliest attempt was sent that may have run or is in flight, in ticks; {@code now}
+     * where there is none.
      */
     public long firstSentAt(long now) {
         long first = mayHaveRun ? firstExecutionAt : now;
@@ -106,30 +120,31 @@
         return first;
     }
 
-    /** The told estimate, as the group runs at its best, else the work of a usual batch. */
+    /** The estimate, times the best ratio of its class; else the work of a typical request. */
     public double expectedWork() {
         return incoming.estimatedWork() > 0
                 ? incoming.estimatedWork() * classStats.bestRatio()
                 : classStats.typicalWork();
     }
 
-    /** How long that takes on its threads. */
+    /** How many ticks that takes on its threads. */
     public long expectedDuration() {
         return (long) expectedWork() / classStats.trafficClass.threads();
     }
 
-    /** The told estimate of its memory, else the group's mean; 0 without both. */
+    /** The estimate of its memory, else the mean of its class; 0 without both. */
     public double expectedMemoryMb() {
         return incoming.estimatedMemoryMb() > 0
                 ? incoming.estimatedMemoryMb()
-                : classStats.memoryMb.or(0);
+                : classStats.memoryMb.orElse(0);
     }
 
-    /** Whether all engines it looked at have told of their load since. */
+    /** Whether all engines probed for it have reported their load since. */
     public boolean allProbesAnswered() {
         return probedEngines.stream().allMatch(engine -> engine.loadReportedAt >= probedAt);
     }
 
+    /** The attempt of this number; null where it is not in flight. */
     public Attempt attemptInFlight(int number) {
         for (Attempt attempt : attemptsInFlight) {
             if (attempt.number == number) {
--- a/src/main/java/firstage/policy/state/SlidingWindowCounter.java
+++ b/src/main/java/firstage/policy/state/SlidingWindowCounter.java
@@ -2,41 +2,55 @@
 
 import java.util.ArrayDeque;
 
-/** Adds up amounts over a sliding window in pieces; a piece is as old as its first entry. */
+/**
+ * Sums amounts over a sliding window, which is cut into pieces; a piece is as old as its first
+ * amount. Times are in ticks.
+ */
 public final class SlidingWindowCounter {
-    private final ArrayDeque<double[]> pieces = new ArrayDeque<>();
+    private static final class Piece {
+        private final long startedAt;
+        private double sum;
+
+        private Piece(long startedAt) {
+            this.startedAt = startedAt;
+        }
+    }
+
+    private final ArrayDeque<Piece> pieces = new ArrayDeque<>();
     private final long span;
-    private final long piece;
+    private final long pieceSpan;
 
+    /** A window over so many ticks, in so many pieces. */
     public SlidingWindowCounter(long span, int pieces) {
         this.span = span;
-        this.piece = span / pieces;
+        this.pieceSpan = span / pieces;
     }
 
+    /** Adds an amount now. */
     public void add(long now, double amount) {
-        while (!pieces.isEmpty() && pieces.peek()[0] < now - span - piece) {
+        while (!pieces.isEmpty() && pieces.peek().startedAt < now - span - pieceSpan) {
             pieces.poll();
         }
-        if (pieces.isEmpty() || now - pieces.peekLast()[0] > piece) {
-            pieces.add(new double[] {now, 0});
+        if (pieces.isEmpty() || now - pieces.peekLast().startedAt > pieceSpan) {
+            pieces.add(new Piece(now));
         }
-        pieces.peekLast()[1] += amount;
+        pieces.peekLast().sum += amount;
     }
 
-    /** What was added in pieces that lie wholly within the window: never too much. */
+    /** The sum of the pieces that lie wholly within the window: never too much. */
     public double lowerBound(long now) {
-        return sum(now - span);
+        return sumSince(now - span);
     }
 
-    /** What was added in pieces that touch the window: never too little. */
+    /** The sum of the pieces that touch the window: never too little. */
     public double upperBound(long now) {
-        return sum(now - span - piece);
+        return sumSince(now - span - pieceSpan);
     }
 
-    private double sum(long from) {
+    private double sumSince(long from) {
         double sum = 0;
-        for (double[] one : pieces) {
-            sum += one[0] >= from ? one[1] : 0;
+        for (Piece piece : pieces) {
+            sum += piece.startedAt >= from ? piece.sum : 0;
         }
         return sum;
     }
--- a/src/main/java/firstage/policy/state/TrafficClassStats.java
+++ b/src/main/java/firstage/policy/state/TrafficClassStats.java
@@ -2,27 +2,32 @@
 
 import firstage.policy.api.TrafficClass;
 
-/** A service group and what was learned of it. */
+/** A traffic class and what was learned of it. */
 public final class TrafficClassStats {
     public final TrafficClass trafficClass;
+
+    /** The true or measured work of its successes. */
     public final DecayingMean work;
 
-    /** The estimates of what came, whether it was answered or not. */
+    /** The estimated work of all its requests, whether they were answered or not. */
     public final DecayingMean estimatedWork;
 
+    /** The true memory of its successes. */
     public final DecayingMean memoryMb;
 
-    /** Latency x threads over the batch's figure of work. */
+    /** Latency times threads over the known or estimated work. */
     public final LogHistogram latencyRatios = new LogHistogram();
 
-    /** The lowest median pace of late. */
+    /** The lowest median of those ratios so far. */
     public double lowestRatio;
 
+    /** What is added to the expected memory for a grant, as a share of it. */
     public double grantMargin;
 
-    /** Answers that taught the margin. */
+    /** Successes that the margin has learned from. */
     public int grantSamples;
 
+    /** Starts with this margin and ratio; means are over so many samples. */
     public TrafficClassStats(
             TrafficClass trafficClass, double grantMargin, double lowestRatio, int samples) {
         this.trafficClass = trafficClass;
@@ -33,6 +38,7 @@
         memoryMb = new DecayingMean(samples);
     }
 
+    /** The lowest median ratio, now or so far. */
     public double bestRatio() {
         return latencyRatios.total() > 0
                 ? Math.min(lowestRatio, latencyRatios.quantile(0.5))
@@ -46,7 +52,7 @@
         }
     }
 
-    /** A pace seen; the lowest median of so many is kept. */
+    /** Adds a ratio; the lowest median of so many samples is kept. */
     public void recordLatencyRatio(double ratio, int samples) {
         latencyRatios.add(ratio);
         if (latencyRatios.total() >= samples) {
@@ -56,16 +62,15 @@
     }
 
     /**
-     * Work of a usual batch as the cold rule weighs it. The first answers after a start are those
-     * of the short ones: a mean of them alone pushed cold engines over, so it is no less than the
-     * mean of what was told of all that came.
+     * The work of a typical request against the budget of an engine that warms up: no less than the
+     * mean estimate, as the first successes after a start are those of short requests.
      */
     public double warmUpWork() {
-        return Math.max(typicalWork(), estimatedWork.or(0));
+        return Math.max(typicalWork(), estimatedWork.orElse(0));
     }
 
-    /** Work of a usual batch; the goal where nothing is known yet. */
+    /** The work of a typical request; the latency objective where none is known. */
     public double typicalWork() {
-        return work.or(trafficClass.latencyObjective());
+        return work.orElse(trafficClass.latencyObjective());
     }
 }
--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -613,7 +613,7 @@
                             peers == null ? 0 : peers.coldPart(e)));
         }
         if (kind == EndpointUpdate.Kind.SNAPSHOT) {
-            engines.keepOnly(told.stream().map(EndpointUpdate.Endpoint::engine).toList());
+            engines.keepOnly(told.stream().map(EndpointUpdate.Endpoint::engineId).toList());
         }
         tell(
                 "listed",
--- a/src/main/java/firstage/simulation/BaselinePolicy.java
+++ b/src/main/java/firstage/simulation/BaselinePolicy.java
@@ -62,7 +62,7 @@
     @Override
     public void onRequest(long now, IncomingRequest arrival) {
         Open b = new Open(arrival);
-        open.put(arrival.request(), b);
+        open.put(arrival.requestId(), b);
         TrafficClass is = deployment.trafficClasses().get(arrival.trafficClass());
         if (is.ordered() && arrival.orderingKey() >= 0) {
             ArrayDeque<Open> line =
@@ -80,13 +80,13 @@
 
     private void go(Open b) {
         if (up.isEmpty()) {
-            host.reject(b.is.request(), 0);
+            host.reject(b.is.requestId(), 0);
             close(b);
             return;
         }
         b.engine = pick();
         out.merge(b.engine, 1, Integer::sum);
-        host.startAttempt(b.is.request(), b.engine, 0);
+        host.startAttempt(b.is.requestId(), b.engine, 0);
     }
 
     private int pick() {
@@ -110,17 +110,17 @@
 
     @Override
     public void onAttemptResult(long now, AttemptResult ending) {
-        Open b = open.get(ending.request());
+        Open b = open.get(ending.requestId());
         if (b == null) {
             return;
         }
-        out.merge(ending.engine(), -1, Integer::sum);
+        out.merge(ending.engineId(), -1, Integer::sum);
         b.engine = -1;
         if (!ending.requestClosed()) {
             if (ending.outcome().mayHaveRun) {
-                host.fail(b.is.request());
+                host.fail(b.is.requestId());
             } else {
-                host.reject(b.is.request(), 0);
+                host.reject(b.is.requestId(), 0);
             }
         }
         boolean rests = ending.outcome() != AttemptOutcome.SUCCEEDED && ending.outcome().mayHaveRun;
@@ -148,7 +148,7 @@
     }
 
     private void close(Open b) {
-        if (b.engine < 0 && open.remove(b.is.request()) != null) {
+        if (b.engine < 0 && open.remove(b.is.requestId()) != null) {
             ArrayDeque<Open> line = keys.get(b.is.orderingKey());
             if (line != null) {
                 line.remove(b);
@@ -156,7 +156,7 @@
                     keys.remove(b.is.orderingKey());
                 }
             }
-            host.releaseRequest(b.is.request());
+            host.releaseRequest(b.is.requestId());
         }
     }
 
@@ -176,9 +176,9 @@
             up.clear();
         }
         for (EndpointUpdate.Endpoint e : list.endpoints()) {
-            up.remove((Integer) e.engine());
+            up.remove((Integer) e.engineId());
             if (e.lifecycle() == EndpointUpdate.Lifecycle.ACTIVE) {
-                up.add(e.engine());
+                up.add(e.engineId());
             }
         }
     }
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -242,7 +242,7 @@
                             choice.peers());
             look(life);
         }
-        list.values().forEach(e -> rules.toldStart(number, e.engine(), e.startedAt()));
+        list.values().forEach(e -> rules.toldStart(number, e.engineId(), e.startedAt()));
         manager.onEndpointsUpdated(
                 calendar.now(),
                 new EndpointUpdate(EndpointUpdate.Kind.INITIAL, List.copyOf(list.values())));
--- a/src/test/java/firstage/overload/LoadSheddingLevelTest.java
+++ b/src/test/java/firstage/overload/LoadSheddingLevelTest.java
@@ -267,17 +267,18 @@
 
     @Test
     void worthThatDiffersAThousandfoldIsToldApart() {
-        assertThat(DemandHistogram.band(1_000, SECOND, false)).isEqualTo(DemandHistogram.BANDS - 1);
-        assertThat(DemandHistogram.band(1, SECOND, false))
-                .isLessThan(DemandHistogram.band(1.5, SECOND, false));
-        assertThat(DemandHistogram.band(0, SECOND, false)).isZero();
-        assertThat(DemandHistogram.band(Double.MAX_VALUE, 0, true))
+        assertThat(DemandHistogram.priorityBand(1_000, SECOND, false))
+                .isEqualTo(DemandHistogram.BANDS - 1);
+        assertThat(DemandHistogram.priorityBand(1, SECOND, false))
+                .isLessThan(DemandHistogram.priorityBand(1.5, SECOND, false));
+        assertThat(DemandHistogram.priorityBand(0, SECOND, false)).isZero();
+        assertThat(DemandHistogram.priorityBand(Double.MAX_VALUE, 0, true))
                 .isLessThan(DemandHistogram.BANDS);
         fleet(6, LoadSheddingLevel.Fault.NONE);
-        asks(DemandHistogram.band(100, SECOND, false), 0.3 * CAPACITY);
-        asks(DemandHistogram.band(0.1, SECOND, false), 3 * CAPACITY);
+        asks(DemandHistogram.priorityBand(100, SECOND, false), 0.3 * CAPACITY);
+        asks(DemandHistogram.priorityBand(0.1, SECOND, false), 3 * CAPACITY);
         pass(15);
-        assertThat(served(DemandHistogram.band(100, SECOND, false)))
+        assertThat(served(DemandHistogram.priorityBand(100, SECOND, false)))
                 .isGreaterThan(0.9 * 15 * 0.3 * CAPACITY);
     }
 
