--- a/src/main/java/firstage/bench/BenchAdapter.java
+++ b/src/main/java/firstage/bench/BenchAdapter.java
@@ -18,27 +18,40 @@
 import java.util.Map;
 
 /**
- * Reads rounds of events from the wire, hands them to their managers and writes one reply a round.
+ * Reads rounds of events from the simulator, hands them to their managers and writes one reply a
+ * round. A line that can't be read is skipped and reported on standard error; a manager that fails
+ * is reported in the reply.
  */
 public final class BenchAdapter {
+    private static final int BUFFER_CHARS = 1 << 16;
+    private static final int MAX_REPORTED_CHARS = 200;
+
     private final BufferedReader in;
     private final Writer out;
     private final PrintStream err;
-    private final Map<String, BenchManager> seats = new HashMap<>();
-    private final Map<Integer, List<WireFields>> lists = new HashMap<>();
+    private final Map<String, BenchManager> managers = new HashMap<>();
+
+    /** The managers with events in this round, in the order of their first event. */
+    private final Map<String, BenchManager> managersInRound = new LinkedHashMap<>();
+
+    private final Map<Integer, List<WireFields>> endpointLists = new HashMap<>();
+
+    /** The endpoint list whose entries are being read; null before the first. */
+    private List<WireFields> openList;
 
-    /** The managers with news in this round, in the order of their first event. */
-    private final Map<String, BenchManager> called = new LinkedHashMap<>();
+    private int openListSize;
 
-    private final StringBuilder faults = new StringBuilder();
-    private List<WireFields> filling;
-    private int expected;
+    private final StringBuilder failures = new StringBuilder();
     private long now;
-    private String round;
+    private String roundNumber;
 
+    /** Reads from {@code in}, replies on {@code out}, reports on {@code err}. */
     public BenchAdapter(InputStream in, PrintStream out, PrintStream err) {
-        this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
-        this.out = new BufferedWriter(new OutputStreamWriter(out, StandardCharsets.UTF_8), 1 << 16);
+        this.in =
+                new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_CHARS);
+        this.out =
+                new BufferedWriter(
+                        new OutputStreamWriter(out, StandardCharsets.UTF_8), BUFFER_CHARS);
         this.err = err;
     }
 
@@ -49,89 +62,108 @@
                 continue;
             }
             try {
-                read(line);
+                readLine(line);
             } catch (MalformedLineException fault) {
-                String shown = line.length() > 200 ? line.substring(0, 200) + "..." : line;
-                err.println("skipped a line: " + fault.getMessage() + ": " + shown);
+                reportSkipped(line, fault);
             }
         }
     }
 
-    private void read(String line) throws IOException {
+    private void reportSkipped(String line, MalformedLineException fault) {
+        String shown =
+                line.length() > MAX_REPORTED_CHARS
+                        ? line.substring(0, MAX_REPORTED_CHARS) + "..."
+                        : line;
+        err.println("skipped a line: " + fault.getMessage() + ": " + shown);
+    }
+
+    private void readLine(String line) throws IOException {
         int space = line.indexOf(' ');
-        String word = space < 0 ? line : line.substring(0, space);
-        if (word.equals("COMMIT")) {
+        String kind = space < 0 ? line : line.substring(0, space);
+        if (kind.equals(BenchWire.ROUND_END)) {
             reply();
             return;
         }
-        WireFields f = new WireFields(line);
-        switch (word) {
-            case "SYNC" -> {
-                round = f.require("n");
-                now = WireFields.secondsToTicks(f.requireDouble("now"));
-            }
-            case "DEFINE_LIST" -> {
-                filling = new ArrayList<>();
-                expected = f.getInt("elements", 0);
-                lists.put(f.getInt("ref", 0), filling);
+        WireFields fields = new WireFields(line);
+        switch (kind) {
+            case BenchWire.ROUND_START -> {
+                roundNumber = fields.require(BenchWire.ROUND_NUMBER);
+                now = WireFields.secondsToTicks(fields.requireDouble(BenchWire.ROUND_CLOCK));
             }
-            case "ITEM" -> {
-                if (filling == null || filling.size() == expected) {
-                    throw new MalformedLineException("an entry outside its list");
-                }
-                filling.add(f);
-            }
-            default -> event(word, f);
+            case BenchWire.LIST_START -> startList(fields);
+            case BenchWire.LIST_ENTRY -> addListEntry(fields);
+            default -> onEvent(kind, fields);
+        }
+    }
+
+    private void startList(WireFields fields) {
+        openList = new ArrayList<>();
+        openListSize = fields.getInt(BenchWire.LIST_SIZE, 0);
+        endpointLists.put(fields.getInt(BenchWire.LIST_NUMBER, 0), openList);
+    }
+
+    private void addListEntry(WireFields entry) {
+        if (openList == null || openList.size() == openListSize) {
+            throw new MalformedLineException("an entry outside its list");
         }
+        openList.add(entry);
     }
 
-    private void event(String word, WireFields f) {
-        String number = f.require("i");
-        if (word.equals("DOWN")) {
-            // What the killed manager still meant to do dies with it.
-            seats.remove(number);
-            called.remove(number);
+    private void onEvent(String kind, WireFields event) {
+        String number = event.require(BenchWire.MANAGER);
+        if (kind.equals(BenchWire.MANAGER_KILLED)) {
+            // Actions that a killed manager has not sent yet die with it.
+            managers.remove(number);
+            managersInRound.remove(number);
             return;
         }
-        BenchManager seat = null;
         try {
-            if (word.equals("POWER_ON")) {
-                seats.put(number, new BenchManager(number, f));
+            if (kind.equals(BenchWire.MANAGER_STARTED)) {
+                managers.put(number, new BenchManager(number, event));
             }
-            seat = seats.get(number);
-            if (seat == null) {
+            BenchManager manager = managers.get(number);
+            if (manager == null) {
                 throw new MalformedLineException("no manager runs as " + number);
             }
-            called.put(number, seat);
-            if (!word.equals("POWER_ON")) {
-                seat.tell(now, word, f, lists);
+            managersInRound.put(number, manager);
+            if (!kind.equals(BenchWire.MANAGER_STARTED)) {
+                manager.onEvent(now, kind, event, endpointLists);
             }
         } catch (MalformedLineException fault) {
             throw fault;
-        } catch (RuntimeException fault) {
-            fatal(number, fault);
+        } catch (RuntimeException failure) {
+            addFailure(number, failure);
         }
     }
 
-    private void fatal(String number, RuntimeException fault) {
-        fault.printStackTrace(err);
-        String text = String.valueOf(fault).replace('\n', ' ');
-        faults.append("FATAL i=").append(number).append(" line=").append(text).append('\n');
+    private void addFailure(String number, RuntimeException failure) {
+        failure.printStackTrace(err);
+        String text = String.valueOf(failure).replace('\n', ' ');
+        failures.append(BenchWire.MANAGER_FAILED)
+                .append(' ')
+                .append(BenchWire.MANAGER)
+                .append('=')
+                .append(number)
+                .append(' ')
+                .append(BenchWire.TEXT)
+                .append('=')
+                .append(text)
+                .append('\n');
     }
 
     private void reply() throws IOException {
-        for (Map.Entry<String, BenchManager> entry : called.entrySet()) {
+        for (Map.Entry<String, BenchManager> entry : managersInRound.entrySet()) {
             try {
-                entry.getValue().turn(now);
-            } catch (RuntimeException fault) {
-                fatal(entry.getKey(), fault);
+                entry.getValue().runPendingActions(now);
+            } catch (RuntimeException failure) {
+                addFailure(entry.getKey(), failure);
             }
             out.write(entry.getValue().takeReply());
         }
-        called.clear();
-        out.write(faults.toString());
-        faults.setLength(0);
-        out.write("FINISHED n=" + round + "\n");
+        managersInRound.clear();
+        out.write(failures.toString());
+        failures.setLength(0);
+        out.write(BenchWire.REPLY_END + " " + BenchWire.ROUND_NUMBER + "=" + roundNumber + "\n");
         out.flush();
     }
 }
--- a/src/main/java/firstage/bench/package-info.java
+++ b/src/main/java/firstage/bench/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The bench adapter: the wire's lines on one side, many workload managers on the other. No
- * decisions.
+ * The adapter to the users' simulator: its lines on one side, many workload managers on the other.
+ * The simulator's words are mapped here. No decisions.
  */
 package firstage.bench;
--- a/src/main/java/firstage/cli/RehearseCommand.java
+++ b/src/main/java/firstage/cli/RehearseCommand.java
@@ -1,6 +1,6 @@
 package firstage.cli;
 
-import firstage.config.ManagerConfig;
+import firstage.config.ManagerConfigReader;
 import firstage.server.ManagerServer;
 import java.io.IOException;
 import java.io.InputStream;
@@ -43,7 +43,7 @@
         ManagerServer node;
         try {
             Files.writeString(file, ASSIGNMENT.formatted(loopback.getHostAddress() + ":" + port));
-            node = new ManagerServer(ManagerConfig.read(file), null);
+            node = new ManagerServer(ManagerConfigReader.read(file), null);
         } finally {
             Files.delete(file);
         }
--- a/src/main/java/firstage/cli/ServeCommand.java
+++ b/src/main/java/firstage/cli/ServeCommand.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import firstage.config.MalformedLineException;
 import firstage.config.ManagerConfig;
+import firstage.config.ManagerConfigReader;
 import firstage.config.PeerConfig;
 import firstage.server.ManagerServer;
 import java.io.FileNotFoundException;
@@ -157,7 +158,7 @@
     }
 
     private ManagerConfig read() throws IOException {
-        return patiently(FILE_PATIENCE_MS, () -> ManagerConfig.read(file));
+        return patiently(FILE_PATIENCE_MS, () -> ManagerConfigReader.read(file));
     }
 
     private static <T> T patiently(long patienceMs, Step<T> step) throws IOException {
--- a/src/main/java/firstage/config/PeerConfig.java
+++ b/src/main/java/firstage/config/PeerConfig.java
@@ -6,11 +6,19 @@
 import java.util.List;
 
 /**
- * What a manager is told of its peers: the fleet's name, its own name, zone and weight, where its
- * datagrams come in, how often it probes (tenths of a millisecond), and each address at which a
- * peer may ever be. {@code withdrawalMark}: the file beside it that tells the next life that this
- * one withdrew its word from somebody. {@code cellPlacement}: its place in a fleet of cells, or
- * null where the fleet is one.
+ * What a manager is told of its peers.
+ *
+ * @param fleet the fleet's name; datagrams of another fleet are dropped
+ * @param name its own name, unlike that of any peer
+ * @param zone its zone's name
+ * @param weight of the traffic that it wants, told to the others
+ * @param listenAddress where its datagrams come in
+ * @param probeInterval the ticks between two probes
+ * @param peerAddresses each address at which a peer may ever be; in a fleet of cells those of its
+ *     own cell, one a slot, its own among them
+ * @param withdrawalMark the file beside the peers file that tells the next process that this one
+ *     withdrew its word from a peer
+ * @param cellPlacement its place in a fleet of cells, or null where the fleet is one
  */
 public record PeerConfig(
         String fleet,
@@ -23,9 +31,13 @@
         Path withdrawalMark,
         CellPlacement cellPlacement) {
     /**
-     * {@code plan}, {@code previousPlan}: the cells, and those that they replace or null; {@code
-     * cell}, {@code slot}: its own place; {@code peerAddresses} by cell and slot. {@link
-     * PeerConfig#peerAddresses} are those of its own cell, all slots, its own among them.
+     * A manager's place in a fleet of cells.
+     *
+     * @param plan the cells
+     * @param previousPlan the plan that this one replaces, or null
+     * @param cell the index of its own cell in the plan
+     * @param slot the index of its own address in the cell
+     * @param addressesByCell the managers' addresses by cell and slot
      */
     public record CellPlacement(
             CellPlan plan,
--- /dev/null
+++ b/src/main/java/firstage/config/SettingsKeys.java
@@ -0,0 +1,147 @@
+package firstage.config;
+
+/**
+ * The names of the settings as the users' pages fix them: paths with dots under which {@link
+ * WireFields} keeps a deployment's settings. No other class spells them out.
+ */
+public final class SettingsKeys {
+    /** Appended to the path of a list of objects: how many it has. */
+    public static final String COUNT_SUFFIX = ".count";
+
+    // The manager itself.
+    public static final String RANDOM_SEED = "init_seed";
+    public static final String MANAGER_COUNT = "group_size";
+    public static final String MANAGER_RANK = "rank";
+    public static final String MANAGER_ZONE = "zone";
+
+    /** The zones' names, in the order by which numbers mean them. */
+    public static final String ZONE_NAMES = "areas";
+
+    /** The machine types' names, in the order by which numbers mean them. */
+    public static final String MACHINE_TYPE_NAMES = "kinds";
+
+    /** How endpoint lists arrive: {@link #DISCOVERY_SUBSCRIBE} where a manager has to ask. */
+    public static final String DISCOVERY = "discovery";
+
+    public static final String DISCOVERY_SUBSCRIBE = "subscribe";
+
+    // Traffic classes, each under classes.N.
+    public static final String CLASSES = "classes";
+    public static final String CLASS_NAME = "name";
+
+    /** The latency objective, in seconds. */
+    public static final String CLASS_LATENCY_OBJECTIVE = "target";
+
+    /** Added to the latency objective: this many times a request's work over its threads. */
+    public static final String CLASS_LATENCY_OBJECTIVE_PER_WORK = "aim_stretch";
+
+    /** The time that a client waits over all its tries, in seconds. */
+    public static final String CLASS_TIMEOUT = "deadline";
+
+    public static final String CLASS_PRIORITY_WEIGHT = "worth";
+
+    /** The share of the priority weight that an answer past its latency objective still earns. */
+    public static final String CLASS_LATE_VALUE_SHARE = "late_value";
+
+    public static final String CLASS_EFFECT = "effect";
+    public static final String CLASS_IDEMPOTENCY_SCOPE = "group";
+
+    /** How long repeats are discarded, in seconds. */
+    public static final String CLASS_IDEMPOTENCY_WINDOW = "window";
+
+    public static final String CLASS_ORDERED = "by_arrival";
+    public static final String CLASS_ZONES = "allowed_in";
+    public static final String CLASS_MACHINE_TYPES = "served_on";
+
+    // Lists with one entry a traffic class.
+    public static final String CLASS_THREADS = "family_info.dop";
+    public static final String CLASS_TABLE_LOAD = "family_info.class_load";
+    public static final String CLASS_BLOCKED_BY_TABLE_LOADS = "family_info.yields_to_loads";
+
+    // Lists with one entry a machine type.
+    public static final String MACHINE_CORES = "family_info.kind_cores";
+    public static final String MACHINE_MEMORY_MB = "family_info.size_mb";
+
+    // Engines.
+    public static final String MAX_GRANT_SHARE = "family_info.largest_share";
+
+    /** The time between two progress reports, in seconds; 0: none come. */
+    public static final String PROGRESS_INTERVAL = "family_info.progress_pace";
+
+    /** What happens when grants pass an engine's memory: wait, shrink or page. */
+    public static final String MEMORY_OVERCOMMIT = "family_info.out_of_memory";
+
+    public static final String GRANTS_HEEDED = "family_info.takes_grants";
+    public static final String PRIORITIES_HEEDED = "family_info.lanes_count";
+
+    /** How load reports arrive: inline, on_probe or off. */
+    public static final String LOAD_REPORT_CHANNEL = "report.via";
+
+    public static final String LOAD_REPORT_FIELDS = "report.fields";
+
+    // Tenants, each under tenants.N.
+    public static final String TENANTS = "tenants";
+    public static final String TENANT_NAME = "name";
+
+    /** Requests a second over all managers. */
+    public static final String TENANT_RATE = "quota_per_s";
+
+    // What the deployment permits, and its limits.
+    public static final String MAY_CANCEL = "limits.may_cancel";
+    public static final String MAY_HEDGE = "limits.second_copies";
+    public static final String MAY_PROBE = "limits.probing";
+    public static final String MAY_MESSAGE_PEERS = "limits.peers";
+    public static final String CLIENTS_HEED_RETRY_AFTER = "limits.retry_after";
+
+    /** The longest advice that a client observes, in seconds. */
+    public static final String MAX_RETRY_AFTER = "limits.max_retry_after";
+
+    public static final String MAX_ATTEMPTS = "limits.max_attempts";
+
+    /** Seconds after which a connection that is not established has failed. */
+    public static final String CONNECT_TIMEOUT = "limits.connect_timeout";
+
+    /** Seconds after which an idle connection closes. */
+    public static final String KEEPALIVE = "limits.keepalive";
+
+    // The deployment's rules.
+
+    /** The share of its capacity that a started engine has at least. */
+    public static final String INITIAL_CAPACITY_SHARE = "rules.cold_from";
+
+    /** Seconds after which a started engine is warm at the latest. */
+    public static final String WARM_UP_DURATION = "rules.ramp_time";
+
+    /** An engine that warms up falls over when sent this many times its capacity. */
+    public static final String OVERLOAD_MULTIPLE = "rules.tip_multiple";
+
+    /** The seconds over which {@link #OVERLOAD_MULTIPLE} is counted. */
+    public static final String OVERLOAD_WINDOW = "rules.fall";
+
+    /** Seconds that an ordering key rests after an attempt that may still run. */
+    public static final String KEY_QUIET_PERIOD = "rules.key_quiet";
+
+    /** Retries permitted for each request received. */
+    public static final String RETRY_RATIO = "rules.further_ratio";
+
+    /** Retries permitted beside {@link #RETRY_RATIO}, whatever the traffic. */
+    public static final String RETRY_ALLOWANCE = "rules.free_resends";
+
+    /** The seconds over which retries are counted. */
+    public static final String RETRY_WINDOW = "rules.ratio_span";
+
+    // What is taken off the score.
+    public static final String CROSS_ZONE_COST = "deductions.cross_zone";
+    public static final String PROBE_COST = "deductions.probe";
+
+    private SettingsKeys() {}
+
+    /**
+     * The path of one field of one entry in a list of objects, such as {@code classes.2.name}.
+     *
+     * @param list the list, {@link #CLASSES} or {@link #TENANTS}
+     */
+    public static String entry(String list, int index, String field) {
+        return list + "." + index + "." + field;
+    }
+}
--- a/src/main/java/firstage/config/SettingsParser.java
+++ b/src/main/java/firstage/config/SettingsParser.java
@@ -10,105 +10,162 @@
 import java.util.TreeSet;
 
 /**
- * Turns the wire's settings into what the decisions are told of a deployment. Unknown keys are
- * skipped.
+ * Turns a deployment's settings into what the scheduling policy is told of it. The words of the
+ * users' pages end here. Unknown keys are skipped; a key that is absent leaves its feature off.
  */
 public final class SettingsParser {
-    private SettingsParser() {}
-
-    public static Deployment parse(WireFields f) {
-        String via = word(f, "report.via", "on_probe", Set.of("inline", "on_probe", "off"));
-        String whenShort =
-                word(f, "family_info.out_of_memory", "wait", Set.of("wait", "shrink", "page"));
-        if (via.equals("off") && !f.getString("report.fields", "").isEmpty()) {
-            // Old shape names values, new shape sends none: engines would be taken for silent about
-            // load.
+    private static final String REPORTS_OFF = "off";
+    private static final Set<String> REPORT_CHANNELS = Set.of("inline", "on_probe", REPORTS_OFF);
+    private static final String REPORT_CHANNEL_DEFAULT = "on_probe";
+
+    private static final String OVERCOMMIT_PAGES = "page";
+    private static final Set<String> OVERCOMMIT_MODES = Set.of("wait", "shrink", OVERCOMMIT_PAGES);
+    private static final String OVERCOMMIT_DEFAULT = "wait";
+
+    private final WireFields settings;
+
+    private SettingsParser(WireFields settings) {
+        this.settings = settings;
+    }
+
+    /**
+     * Reads a deployment's settings.
+     *
+     * @throws MalformedLineException where a value can't be read or two values contradict each
+     *     other; the message names the keys
+     */
+    public static Deployment parse(WireFields settings) {
+        return new SettingsParser(settings).deployment();
+    }
+
+    private Deployment deployment() {
+        boolean probesReportLoad = probesReportLoad();
+        boolean memoryOvercommitPages =
+                oneOf(SettingsKeys.MEMORY_OVERCOMMIT, OVERCOMMIT_DEFAULT, OVERCOMMIT_MODES)
+                        .equals(OVERCOMMIT_PAGES);
+        return new Deployment(
+                settings.getLong(SettingsKeys.RANDOM_SEED, 0),
+                Math.max(1, settings.getInt(SettingsKeys.MANAGER_COUNT, 1)),
+                settings.getInt(SettingsKeys.MANAGER_RANK, 0),
+                settings.getInt(SettingsKeys.MANAGER_ZONE, 0),
+                trafficClasses(),
+                machineTypes(),
+                tenantRates(),
+                capabilities(),
+                rules(),
+                settings.getDouble(SettingsKeys.MAX_GRANT_SHARE, 1),
+                settings.getTicks(SettingsKeys.PROGRESS_INTERVAL),
+                settings.getString(SettingsKeys.DISCOVERY, "")
+                        .equals(SettingsKeys.DISCOVERY_SUBSCRIBE),
+                settings.getDouble(SettingsKeys.CROSS_ZONE_COST, 0) > 0,
+                settings.getBoolean(SettingsKeys.MAY_PROBE)
+                        ? settings.getDouble(SettingsKeys.PROBE_COST, 0)
+                        : -1,
+                probesReportLoad,
+                memoryOvercommitPages);
+    }
+
+    private boolean probesReportLoad() {
+        boolean off =
+                oneOf(SettingsKeys.LOAD_REPORT_CHANNEL, REPORT_CHANNEL_DEFAULT, REPORT_CHANNELS)
+                        .equals(REPORTS_OFF);
+        if (off && !settings.getString(SettingsKeys.LOAD_REPORT_FIELDS, "").isEmpty()) {
+            // Engines would be taken for unresponsive: values are named, and none ever comes.
             throw new MalformedLineException(
                     "report.fields names values while report.via = off; set one of them");
         }
-        String[] threads = list(f, "family_info.dop");
-        String[] loads = list(f, "family_info.class_load");
-        String[] yields = list(f, "family_info.yields_to_loads");
-        List<TrafficClass> groups = new ArrayList<>();
-        int count = f.getInt("classes.count", 0);
-        for (int g = 0; g < count; g++) {
-            String at = "classes." + g + ".";
-            groups.add(
+        return !off && !settings.getString(SettingsKeys.LOAD_REPORT_FIELDS, "waiting").isEmpty();
+    }
+
+    private List<TrafficClass> trafficClasses() {
+        String[] threads = list(SettingsKeys.CLASS_THREADS);
+        String[] tableLoads = list(SettingsKeys.CLASS_TABLE_LOAD);
+        String[] blockedByTableLoads = list(SettingsKeys.CLASS_BLOCKED_BY_TABLE_LOADS);
+        List<TrafficClass> classes = new ArrayList<>();
+        int count = settings.getInt(SettingsKeys.CLASSES + SettingsKeys.COUNT_SUFFIX, 0);
+        for (int index = 0; index < count; index++) {
+            String path = SettingsKeys.entry(SettingsKeys.CLASSES, index, "");
+            classes.add(
                     new TrafficClass(
-                            f.getTicks(at + "target"),
-                            f.getDouble(at + "aim_stretch", 0),
-                            f.getTicks(at + "deadline"),
-                            f.getDouble(at + "worth", 1),
-                            f.getDouble(at + "late_value", 0),
-                            effect(f.getString(at + "effect", "fragile")),
-                            scope(f.getString(at + "group", "cell")),
-                            f.getTicks(at + "window"),
-                            f.getBoolean(at + "by_arrival"),
-                            g < threads.length ? Math.max(1, whole(threads[g])) : 1,
-                            g < loads.length && loads[g].equals("true"),
-                            g < yields.length && yields[g].equals("true"),
-                            places(f, at + "allowed_in", "areas"),
-                            places(f, at + "served_on", "kinds")));
+                            settings.getTicks(path + SettingsKeys.CLASS_LATENCY_OBJECTIVE),
+                            settings.getDouble(
+                                    path + SettingsKeys.CLASS_LATENCY_OBJECTIVE_PER_WORK, 0),
+                            settings.getTicks(path + SettingsKeys.CLASS_TIMEOUT),
+                            settings.getDouble(path + SettingsKeys.CLASS_PRIORITY_WEIGHT, 1),
+                            settings.getDouble(path + SettingsKeys.CLASS_LATE_VALUE_SHARE, 0),
+                            effect(settings.getString(path + SettingsKeys.CLASS_EFFECT, "fragile")),
+                            scope(
+                                    settings.getString(
+                                            path + SettingsKeys.CLASS_IDEMPOTENCY_SCOPE, "cell")),
+                            settings.getTicks(path + SettingsKeys.CLASS_IDEMPOTENCY_WINDOW),
+                            settings.getBoolean(path + SettingsKeys.CLASS_ORDERED),
+                            index < threads.length ? Math.max(1, wholeNumber(threads[index])) : 1,
+                            isTrue(tableLoads, index),
+                            isTrue(blockedByTableLoads, index),
+                            indices(path + SettingsKeys.CLASS_ZONES, SettingsKeys.ZONE_NAMES),
+                            indices(
+                                    path + SettingsKeys.CLASS_MACHINE_TYPES,
+                                    SettingsKeys.MACHINE_TYPE_NAMES)));
         }
-        String[] cores = list(f, "family_info.kind_cores");
-        String[] memory = list(f, "family_info.size_mb");
-        List<Deployment.MachineType> machines = new ArrayList<>();
-        for (int k = 0; k < Math.max(cores.length, memory.length); k++) {
-            machines.add(
+        return classes;
+    }
+
+    private List<Deployment.MachineType> machineTypes() {
+        String[] cores = list(SettingsKeys.MACHINE_CORES);
+        String[] memoryMb = list(SettingsKeys.MACHINE_MEMORY_MB);
+        List<Deployment.MachineType> machineTypes = new ArrayList<>();
+        for (int type = 0; type < Math.max(cores.length, memoryMb.length); type++) {
+            machineTypes.add(
                     new Deployment.MachineType(
-                            k < cores.length ? (int) number(cores[k]) : 0,
-                            k < memory.length ? number(memory[k]) : 0));
+                            type < cores.length ? wholeNumber(cores[type]) : 0,
+                            type < memoryMb.length ? number(memoryMb[type]) : 0));
         }
+        return machineTypes;
+    }
+
+    /** Each tenant's rate in requests a tick. */
+    private List<Double> tenantRates() {
         List<Double> rates = new ArrayList<>();
-        for (int c = 0; c < f.getInt("tenants.count", 0); c++) {
-            rates.add(
-                    f.getDouble("tenants." + c + ".quota_per_s", 0) / WireFields.secondsToTicks(1));
+        int count = settings.getInt(SettingsKeys.TENANTS + SettingsKeys.COUNT_SUFFIX, 0);
+        for (int tenant = 0; tenant < count; tenant++) {
+            String key = SettingsKeys.entry(SettingsKeys.TENANTS, tenant, SettingsKeys.TENANT_RATE);
+            rates.add(settings.getDouble(key, 0) / WireFields.secondsToTicks(1));
         }
-        Deployment.Capabilities allowed =
-                new Deployment.Capabilities(
-                        f.getBoolean("limits.may_cancel"),
-                        f.getBoolean("limits.second_copies"),
-                        f.getBoolean("limits.retry_after"),
-                        f.getBoolean("family_info.takes_grants"),
-                        f.getBoolean("family_info.lanes_count"),
-                        f.getInt("limits.max_attempts", 1),
-                        f.getTicks("limits.max_retry_after"));
-        boolean budget = f.has("rules.further_ratio") || f.has("rules.free_resends");
-        Deployment.Rules rules =
-                new Deployment.Rules(
-                        f.getDouble("rules.cold_from", 0),
-                        f.getTicks("rules.ramp_time"),
-                        f.getDouble("rules.tip_multiple", 0),
-                        f.getTicks("rules.fall"),
-                        f.getTicks("rules.key_quiet"),
-                        budget ? f.getDouble("rules.further_ratio", 0) : -1,
-                        f.getDouble("rules.free_resends", 0),
-                        f.getTicks("rules.ratio_span"));
-        return new Deployment(
-                f.getLong("init_seed", 0),
-                Math.max(1, f.getInt("group_size", 1)),
-                f.getInt("rank", 0),
-                f.getInt("zone", 0),
-                groups,
-                machines,
-                rates,
-                allowed,
-                rules,
-                f.getDouble("family_info.largest_share", 1),
-                f.getTicks("family_info.progress_pace"),
-                f.getString("discovery", "").equals("subscribe"),
-                f.getDouble("deductions.cross_zone", 0) > 0,
-                f.getBoolean("limits.probing") ? f.getDouble("deductions.probe", 0) : -1,
-                !via.equals("off") && !f.getString("report.fields", "waiting").isEmpty(),
-                whenShort.equals("page"));
-    }
-
-    /** A word from a known set; absent, the one that keeps the earlier shape. */
-    private static String word(WireFields f, String name, String absent, Set<String> known) {
-        String value = f.getString(name, absent);
+        return rates;
+    }
+
+    private Deployment.Capabilities capabilities() {
+        return new Deployment.Capabilities(
+                settings.getBoolean(SettingsKeys.MAY_CANCEL),
+                settings.getBoolean(SettingsKeys.MAY_HEDGE),
+                settings.getBoolean(SettingsKeys.CLIENTS_HEED_RETRY_AFTER),
+                settings.getBoolean(SettingsKeys.GRANTS_HEEDED),
+                settings.getBoolean(SettingsKeys.PRIORITIES_HEEDED),
+                settings.getInt(SettingsKeys.MAX_ATTEMPTS, 1),
+                settings.getTicks(SettingsKeys.MAX_RETRY_AFTER));
+    }
+
+    private Deployment.Rules rules() {
+        boolean hasRetryBudget =
+                settings.has(SettingsKeys.RETRY_RATIO)
+                        || settings.has(SettingsKeys.RETRY_ALLOWANCE);
+        return new Deployment.Rules(
+                settings.getDouble(SettingsKeys.INITIAL_CAPACITY_SHARE, 0),
+                settings.getTicks(SettingsKeys.WARM_UP_DURATION),
+                settings.getDouble(SettingsKeys.OVERLOAD_MULTIPLE, 0),
+                settings.getTicks(SettingsKeys.OVERLOAD_WINDOW),
+                settings.getTicks(SettingsKeys.KEY_QUIET_PERIOD),
+                hasRetryBudget ? settings.getDouble(SettingsKeys.RETRY_RATIO, 0) : -1,
+                settings.getDouble(SettingsKeys.RETRY_ALLOWANCE, 0),
+                settings.getTicks(SettingsKeys.RETRY_WINDOW));
+    }
+
+    /** A word from a known set. */
+    private String oneOf(String key, String defaultValue, Set<String> known) {
+        String value = settings.getString(key, defaultValue);
         if (!known.contains(value)) {
             throw new MalformedLineException(
-                    name + " = " + value + " is none of " + new TreeSet<>(known));
+                    key + " = " + value + " is none of " + new TreeSet<>(known));
         }
         return value;
     }
@@ -129,7 +186,11 @@
         };
     }
 
-    private static int whole(String word) {
+    private static boolean isTrue(String[] list, int index) {
+        return index < list.length && list[index].equals("true");
+    }
+
+    private static int wholeNumber(String word) {
         return (int) number(word);
     }
 
@@ -141,18 +202,18 @@
         }
     }
 
-    private static String[] list(WireFields f, String name) {
-        String value = f.getString(name, "");
+    private String[] list(String key) {
+        String value = settings.getString(key, "");
         return value.isEmpty() ? new String[0] : value.split(",");
     }
 
-    /** Places may be given by number, as list entries have them, or by name. */
-    private static Set<Integer> places(WireFields f, String name, String names) {
-        Set<Integer> places = new HashSet<>();
-        List<String> known = Arrays.asList(list(f, names));
-        for (String place : list(f, name)) {
-            places.add(known.contains(place) ? known.indexOf(place) : whole(place));
+    /** The entries of a list, given by number or by one of the names under {@code namesKey}. */
+    private Set<Integer> indices(String key, String namesKey) {
+        Set<Integer> indices = new HashSet<>();
+        List<String> names = Arrays.asList(list(namesKey));
+        for (String entry : list(key)) {
+            indices.add(names.contains(entry) ? names.indexOf(entry) : wholeNumber(entry));
         }
-        return places;
+        return indices;
     }
 }
