--- a/src/main/java/firstage/cells/CellDirectory.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -1,6 +1,7 @@
 package firstage.cells;
 
 import firstage.overload.RendezvousHash;
+import firstage.util.Ticks;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -33,14 +34,14 @@
     private static final int DELEGATES =
             3; // of a cell at once: two may die in one second, the next view has others
     private static final long SEND_INTERVAL =
-            10_000; // a deputy's datagram: some 1 KB a second, whatever the fleet
+            Ticks.ofSeconds(1); // a deputy's datagram: some 1 KB a second, whatever the fleet
     private static final long ROW_INTERVAL =
-            50_000; // a row that does not change: 65 cells make 13 newer rows a second
+            Ticks.ofSeconds(5); // a row that does not change: 65 cells make 13 newer rows a second
     private static final long SILENT_AFTER =
-            250_000; // of a row not renewed: five renewals, some on their way
+            Ticks.ofSeconds(25); // of a row not renewed: five renewals, some on their way
     private static final long MIN_ROW_INTERVAL =
-            5_000; // two renewals: a view that changes often is no flood
-    private static final long EXPIRY_CHECK_INTERVAL = 5_000; // at what has grown old
+            Ticks.ofMillis(500); // two renewals: a view that changes often is no flood
+    private static final long EXPIRY_CHECK_INTERVAL = Ticks.ofMillis(500); // at what has grown old
     private static final int MAX_ROWS_PER_MESSAGE = 6; // 72 bytes on each message of the membership
     private static final int SENDS_PER_NEW_ROW =
             2; // of a newer row by each manager: one of seven hears of it by turns only
--- a/src/main/java/firstage/failover/ZoneFailover.java
+++ b/src/main/java/firstage/failover/ZoneFailover.java
@@ -3,6 +3,7 @@
 import firstage.overload.LoadRow;
 import firstage.overload.LoadSheddingLevel;
 import firstage.overload.RendezvousHash;
+import firstage.util.Ticks;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
@@ -45,26 +46,27 @@
             50; // per cent: those that are closed still are engine health's matter
     private static final int MIN_KNOWN_ENGINES = 2; // engines: one alone tells of itself
     private static final long RECENT =
-            30_000; // since an engine spoke: what is older says nothing of now
+            Ticks.ofSeconds(3); // since an engine spoke: what is older says nothing of now
     private static final long RESPONSE_TIME =
-            20_000; // within this a usual batch comes back: before, a trial says nothing
+            Ticks.ofSeconds(
+                    2); // within this a usual batch comes back: before, a trial says nothing
     private static final long FAILURE_CONFIRMATION =
-            5_000; // a verdict lasts before it is acted on: one late answer passes
+            Ticks.ofMillis(500); // a verdict lasts before it is acted on: one late answer passes
     private static final long RECOVERY_CONFIRMATION =
-            20_000; // before the way back: a flap of 3 s does not look like it
+            Ticks.ofSeconds(2); // before the way back: a flap of 3 s does not look like it
     private static final long FIRST_HOLD_TIME =
-            100_000; // out at least: four flaps in two minutes; doubled up to ...
+            Ticks.ofSeconds(10); // out at least: four flaps in two minutes; doubled up to ...
     private static final long MAX_HOLD_TIME =
-            600_000; // ... this: a zone that is well is back within a minute
+            Ticks.ofSeconds(60); // ... this: a zone that is well is back within a minute
     private static final long FAILURE_MEMORY =
-            600_000; // in use so long, and the next failure counts as the first
+            Ticks.ofSeconds(60); // in use so long, and the next failure counts as the first
     private static final long MIN_RAMP =
-            20_000; // for the way back; else as long as engines take to warm up
+            Ticks.ofSeconds(2); // for the way back; else as long as engines take to warm up
     private static final long PROBE_INTERVAL =
-            20_000; // by an engine's owner: a batch in two seconds, whatever the fleet
+            Ticks.ofSeconds(2); // by an engine's owner: a batch in two seconds, whatever the fleet
     private static final double MIN_ZONES_IN_USE = 1 / 3.0; // of all zones stay in use at least
     private static final long PAUSE_THRESHOLD =
-            10_000; // between two looks: then what is known is old
+            Ticks.ofSeconds(1); // between two looks: then what is known is old
 
     private enum State {
         IN_USE,
--- a/src/main/java/firstage/membership/Member.java
+++ b/src/main/java/firstage/membership/Member.java
@@ -22,7 +22,7 @@
         return new Member(name, zone, incarnation, next, version, weight);
     }
 
-    Member withState(long next, MemberState is) {
-        return new Member(name, zone, next, is, version, weight);
+    Member withIncarnation(long next, MemberState state) {
+        return new Member(name, zone, next, state, version, weight);
     }
 }
--- /dev/null
+++ b/src/main/java/firstage/membership/MemberTable.java
@@ -0,0 +1,88 @@
+package firstage.membership;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.TreeMap;
+import java.util.random.RandomGenerator;
+
+/** This manager's own member record and its peers, by name and by address. */
+final class MemberTable {
+    private final TreeMap<String, Peer> peers = new TreeMap<>();
+
+    /** By index of the address, who was last heard there. */
+    private final String[] nameByAddress;
+
+    private Member self;
+
+    MemberTable(Member self, int addresses) {
+        this.self = self;
+        nameByAddress = new String[addresses];
+    }
+
+    Member self() {
+        return self;
+    }
+
+    void updateSelf(Member next) {
+        self = next;
+    }
+
+    /** The peer of this name, or null. */
+    Peer peer(String name) {
+        return peers.get(name);
+    }
+
+    Collection<Peer> peers() {
+        return peers.values();
+    }
+
+    List<String> peerNames() {
+        return new ArrayList<>(peers.keySet());
+    }
+
+    int peerCount() {
+        return peers.size();
+    }
+
+    Peer add(Member member) {
+        Peer peer = new Peer(member);
+        peers.put(member.name(), peer);
+        return peer;
+    }
+
+    void heardAt(int address, String name) {
+        nameByAddress[address] = name;
+    }
+
+    /** Who was last heard at an address, or null. */
+    Peer peerAt(int address) {
+        return nameByAddress[address] == null ? null : peers.get(nameByAddress[address]);
+    }
+
+    int addresses() {
+        return nameByAddress.length;
+    }
+
+    /** All that is known, this manager first. */
+    List<Member> members() {
+        List<Member> all = new ArrayList<>(List.of(self));
+        peers.values().forEach(peer -> all.add(peer.member()));
+        return all;
+    }
+
+    /** So many alive peers by random choice, but the one of the name {@code except}. */
+    List<Peer> randomAlive(RandomGenerator random, int count, String except) {
+        List<Peer> candidates =
+                new ArrayList<>(
+                        peers.values().stream()
+                                .filter(p -> p.state() == MemberState.ALIVE && p.hasAddress())
+                                .filter(p -> !p.name().equals(except))
+                                .toList());
+        List<Peer> chosen = new ArrayList<>();
+        while (chosen.size() < count && !candidates.isEmpty()) {
+            chosen.add(candidates.remove(random.nextInt(candidates.size())));
+        }
+        return chosen;
+    }
+}
--- /dev/null
+++ b/src/main/java/firstage/membership/MemberTransition.java
@@ -0,0 +1,58 @@
+package firstage.membership;
+
+/**
+ * One row of the state machine of a member as this manager holds it. Alive: it answers. Suspect: a
+ * probe was not answered, here or at another manager; it can refute that by a higher incarnation.
+ * Dead: it did not refute in time. Left: it said that it ends. Gossip of an older incarnation is
+ * dropped before it becomes an event; what is not in the table changes nothing.
+ */
+record MemberTransition(MemberState state, Event event, MemberState next, Effect effect) {
+    /** What happens to a member. */
+    enum Event {
+        UNANSWERED,
+        SUSPECT_GOSSIP,
+        DEAD_GOSSIP,
+        LEFT_GOSSIP,
+        NEWER_ALIVE,
+        SUSPICION_TIMEOUT
+    }
+
+    /** What goes with the change of state. */
+    enum Effect {
+        NONE,
+        GOSSIP,
+        SUSPECT,
+        RETURN
+    }
+
+    private static final MemberTransition[] TABLE = {
+        of(MemberState.ALIVE, Event.UNANSWERED, MemberState.SUSPECT, Effect.SUSPECT),
+        of(MemberState.ALIVE, Event.SUSPECT_GOSSIP, MemberState.SUSPECT, Effect.SUSPECT),
+        of(MemberState.ALIVE, Event.DEAD_GOSSIP, MemberState.DEAD, Effect.GOSSIP),
+        of(MemberState.ALIVE, Event.LEFT_GOSSIP, MemberState.LEFT, Effect.GOSSIP),
+        of(MemberState.ALIVE, Event.NEWER_ALIVE, MemberState.ALIVE, Effect.GOSSIP),
+        of(MemberState.SUSPECT, Event.SUSPECT_GOSSIP, MemberState.SUSPECT, Effect.SUSPECT),
+        of(MemberState.SUSPECT, Event.DEAD_GOSSIP, MemberState.DEAD, Effect.GOSSIP),
+        of(MemberState.SUSPECT, Event.LEFT_GOSSIP, MemberState.LEFT, Effect.GOSSIP),
+        of(MemberState.SUSPECT, Event.NEWER_ALIVE, MemberState.ALIVE, Effect.RETURN),
+        of(MemberState.SUSPECT, Event.SUSPICION_TIMEOUT, MemberState.DEAD, Effect.GOSSIP),
+        of(MemberState.DEAD, Event.LEFT_GOSSIP, MemberState.LEFT, Effect.GOSSIP),
+        of(MemberState.DEAD, Event.NEWER_ALIVE, MemberState.ALIVE, Effect.RETURN),
+        of(MemberState.LEFT, Event.NEWER_ALIVE, MemberState.ALIVE, Effect.RETURN),
+    };
+
+    private static MemberTransition of(
+            MemberState state, Event event, MemberState next, Effect effect) {
+        return new MemberTransition(state, event, next, effect);
+    }
+
+    /** The row for a state and an event, or null where nothing changes. */
+    static MemberTransition find(MemberState state, Event event) {
+        for (MemberTransition row : TABLE) {
+            if (row.state == state && row.event == event) {
+                return row;
+            }
+        }
+        return null;
+    }
+}
--- a/src/main/java/firstage/membership/MembershipMessage.java
+++ b/src/main/java/firstage/membership/MembershipMessage.java
@@ -36,4 +36,23 @@
         SYNC,
         SYNC_REPLY
     }
+
+    /** The same with these member records and without a grant of quota. */
+    MembershipMessage withMembers(List<Member> records) {
+        return new MembershipMessage(
+                fleet,
+                from,
+                incarnation,
+                kind,
+                sequence,
+                target,
+                viewNumber,
+                viewHash,
+                lastHeardAgo,
+                false,
+                withdrawnGrants,
+                unheardMembers,
+                records,
+                digest);
+    }
 }
--- /dev/null
+++ b/src/main/java/firstage/membership/MessageSender.java
@@ -0,0 +1,123 @@
+package firstage.membership;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** Builds messages, gossip of changed members on each, and sends them. */
+final class MessageSender {
+    /** Peers named as unheard on one message. */
+    private static final int MAX_UNHEARD_NAMED = 8;
+
+    private final String fleet;
+    private final MemberTable table;
+    private final ViewAgreement views;
+    private final QuotaLeases leases;
+    private final MembershipActions actions;
+    private final MessageCodec codec;
+    private final GossipQueue gossip = new GossipQueue();
+
+    MessageSender(
+            String fleet,
+            MemberTable table,
+            ViewAgreement views,
+            QuotaLeases leases,
+            MembershipActions actions,
+            MessageCodec codec) {
+        this.fleet = fleet;
+        this.table = table;
+        this.views = views;
+        this.leases = leases;
+        this.actions = actions;
+        this.codec = codec;
+    }
+
+    /** The record of this member changed and is to be passed on. */
+    void gossip(String name) {
+        gossip.add(name);
+    }
+
+    /** To a peer, at the address where it was last heard. */
+    void send(long now, Peer to, MembershipMessage.Kind kind, long sequence, String target) {
+        send(to.address(), newMessage(now, to, kind, sequence, target));
+    }
+
+    /** To whoever is at an address; {@code to}: who is thought to be, or null. */
+    void sendTo(
+            long now,
+            int address,
+            Peer to,
+            MembershipMessage.Kind kind,
+            long sequence,
+            String target) {
+        send(address, newMessage(now, to, kind, sequence, target));
+    }
+
+    /** All that is known, in as many datagrams as it takes. */
+    void sendAllMembers(long now, Peer to, MembershipMessage.Kind kind) {
+        List<Member> all = table.members();
+        int room = codec.maxMembers(actions.outgoingDigest(now).length);
+        for (int from = 0; from < all.size(); from += room) {
+            List<Member> part = all.subList(from, Math.min(all.size(), from + room));
+            send(to.address(), newMessage(now, to, kind, 0, "").withMembers(part));
+        }
+    }
+
+    private void send(int address, MembershipMessage message) {
+        if (address >= 0) {
+            actions.send(address, message.kind(), codec.encode(message));
+        }
+    }
+
+    private MembershipMessage newMessage(
+            long now, Peer to, MembershipMessage.Kind kind, long sequence, String target) {
+        byte[] digest = actions.outgoingDigest(now);
+        List<Member> records = recordsFor(to, digest.length);
+        boolean isAck = kind == MembershipMessage.Kind.ACK;
+        boolean grantsQuota = isAck && to != null && leases.grantTo(now, to.name());
+        Member self = table.self();
+        MembershipView view = views.view();
+        return new MembershipMessage(
+                fleet,
+                self.name(),
+                self.incarnation(),
+                kind,
+                sequence,
+                target,
+                view.number(),
+                view.hash(),
+                to == null ? -1 : to.lastHeardAgo(now),
+                grantsQuota,
+                isAck ? leases.withdrawGrants(now) : List.of(),
+                unheardMembers(now),
+                records,
+                digest);
+    }
+
+    private List<Member> recordsFor(Peer to, int digestBytes) {
+        List<Member> records = new ArrayList<>(List.of(table.self()));
+        if (to != null && to.state() != MemberState.ALIVE) {
+            // A suspect hears of it first, so that it can refute in its next message.
+            records.add(to.member());
+        }
+        gossip.takeInto(
+                records,
+                codec.maxMembers(digestBytes) - records.size(),
+                GossipQueue.sendsPerChange(table.peerCount()),
+                name -> table.peer(name) == null ? table.self() : table.peer(name).member());
+        return records;
+    }
+
+    /** Whom this manager does not hear though others do. */
+    private List<String> unheardMembers(long now) {
+        List<String> names = new ArrayList<>();
+        for (Peer peer : table.peers()) {
+            if (peer.state() == MemberState.ALIVE
+                    && peer.timeSinceHeard(now) > Peer.UNHEARD_AFTER
+                    && peer.timeSinceIndirectlyHeard(now) < Peer.UNHEARD_AFTER
+                    && names.size() < MAX_UNHEARD_NAMED) {
+                names.add(peer.name());
+            }
+        }
+        return names;
+    }
+}
--- a/src/main/java/firstage/membership/QuotaLeases.java
+++ b/src/main/java/firstage/membership/QuotaLeases.java
@@ -1,5 +1,6 @@
 package firstage.membership;
 
+import firstage.util.Ticks;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -27,7 +28,7 @@
      * The least time that a word lasts: many probe rounds of a small fleet, so that loss alone
      * seldom ends it.
      */
-    private static final long MIN_GRANT_DURATION = 30_000;
+    private static final long MIN_GRANT_DURATION = Ticks.ofSeconds(3);
 
     /** Rounds in which each is asked once: a word lasts so many. */
     private static final double GRANT_PROBE_ROUNDS = 1.5;
@@ -38,7 +39,7 @@
      */
     private static final double CLOCK_DRIFT_FACTOR = 1.05;
 
-    private static final long WAIT_MARGIN = 1_500;
+    private static final long WAIT_MARGIN = Ticks.ofMillis(150);
     private static final long NEVER = Long.MIN_VALUE / 4;
 
     /** Faults put back one at a time. */
--- /dev/null
+++ b/src/main/java/firstage/membership/ViewAgreement.java
@@ -0,0 +1,108 @@
+package firstage.membership;
+
+import firstage.util.Ticks;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.List;
+import net.openhft.hashing.LongHashFunction;
+
+/**
+ * The view of this manager: the alive members that are not held out for flapping. A new view is
+ * made when members have not changed for a short time, at the latest after a longer one. Managers
+ * with the same members come to the same number: each takes the highest number that it is told for
+ * the same hash, or one more than any it knows for another.
+ */
+final class ViewAgreement {
+    /** Without a change before a view is made: a zone that fails leaves in one view. */
+    private static final long QUIET_TIME = Ticks.ofMillis(250);
+
+    /** A view is made after this even while members keep flapping. */
+    private static final long MAX_DELAY = Ticks.ofMillis(800);
+
+    private final MemberTable table;
+    private final MembershipActions actions;
+    private MembershipView view;
+    private long changedSince = -1;
+    private long changedAt;
+
+    ViewAgreement(MemberTable table, MembershipActions actions) {
+        this.table = table;
+        this.actions = actions;
+        List<String> names = List.of(table.self().name());
+        view = new MembershipView(0, hash(names), names);
+    }
+
+    MembershipView view() {
+        return view;
+    }
+
+    /** A member changed its state. */
+    void onMemberChanged(long now) {
+        changedSince = changedSince < 0 ? now : changedSince;
+        changedAt = now;
+    }
+
+    /** Whether all members of the view say that they have the same. */
+    boolean isAgreed() {
+        return view.memberNames().stream()
+                .filter(name -> !name.equals(table.self().name()))
+                .map(table::peer)
+                .allMatch(p -> p.viewHash() == view.hash() && p.viewNumber() == view.number());
+    }
+
+    /** Another has the same members under a higher number. */
+    void onPeerView(long number, long hash) {
+        if (number > view.number() && hash == view.hash()) {
+            view = new MembershipView(number, view.hash(), view.memberNames());
+        }
+    }
+
+    /** Makes a new view where it is time to. */
+    void update(long now) {
+        endHoldDowns(now);
+        if (changedSince < 0 || now - changedAt < QUIET_TIME && now - changedSince < MAX_DELAY) {
+            return;
+        }
+        changedSince = -1;
+        List<String> names = new ArrayList<>(List.of(table.self().name()));
+        for (Peer peer : table.peers()) {
+            if (peer.state() == MemberState.ALIVE && !peer.damping().isHeldOut(now)) {
+                names.add(peer.name());
+            }
+        }
+        Collections.sort(names);
+        long hash = hash(names);
+        if (hash != view.hash()) {
+            view = new MembershipView(nextNumber(hash), hash, List.copyOf(names));
+            actions.viewChanged(now, view);
+        }
+    }
+
+    private void endHoldDowns(long now) {
+        boolean ended = false;
+        for (Peer peer : table.peers()) {
+            ended |= peer.damping().endIfOver(now);
+        }
+        if (ended) {
+            onMemberChanged(now);
+        }
+    }
+
+    private long nextNumber(long hash) {
+        long highestOther = view.number();
+        long highestSame = 0;
+        for (Peer peer : table.peers()) {
+            if (peer.viewHash() == hash) {
+                highestSame = Math.max(highestSame, peer.viewNumber());
+            } else {
+                highestOther = Math.max(highestOther, peer.viewNumber());
+            }
+        }
+        return highestSame > highestOther ? highestSame : highestOther + 1;
+    }
+
+    private static long hash(Collection<String> names) {
+        return LongHashFunction.xx3().hashChars(String.join(",", names));
+    }
+}
--- a/src/main/java/firstage/overload/BroadcastLoadShedding.java
+++ b/src/main/java/firstage/overload/BroadcastLoadShedding.java
@@ -1,6 +1,7 @@
 package firstage.overload;
 
 import firstage.policy.api.DemandHistogram;
+import firstage.util.Ticks;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -12,12 +13,13 @@
  */
 public final class BroadcastLoadShedding {
     /** Between two looks. */
-    public static final long EVALUATION_INTERVAL = 1_000;
+    public static final long EVALUATION_INTERVAL = Ticks.ofMillis(100);
 
     private static final long SEND_INTERVAL =
-            2_500; // a cut that is a quarter of a second old; half of it would tell no more
+            Ticks.ofMillis(
+                    250); // a cut that is a quarter of a second old; half of it would tell no more
     private static final long PEER_TIMEOUT =
-            30_000; // a manager that told nothing so long is taken to be gone
+            Ticks.ofSeconds(3); // a manager that told nothing so long is taken to be gone
     private static final double MIN_LOAD =
             0.4; // of what engines bear: under it all is open whatever the others tell
     private final int self;
--- a/src/main/java/firstage/overload/LoadSheddingLevel.java
+++ b/src/main/java/firstage/overload/LoadSheddingLevel.java
@@ -1,6 +1,7 @@
 package firstage.overload;
 
 import firstage.policy.api.DemandHistogram;
+import firstage.util.Ticks;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -34,7 +35,8 @@
     private static final double SMOOTHING_TIME =
             3_000; // of rates: a storm shows in its first second, a lone report does not
     private static final long ROW_LIFETIME =
-            30_000; // a row counts: some rounds of a small fleet, fewer than a restart takes
+            Ticks.ofSeconds(
+                    3); // a row counts: some rounds of a small fleet, fewer than a restart takes
     private static final double MAX_WAIT_FRACTION =
             0.5; // of the shortest goal may be spent waiting: the rest is run and chance
     private static final double SHED_WORK_WEIGHT =
@@ -53,7 +55,8 @@
             4; // times the others' mean that one row counts for: a skewed fleet's most
     private static final double TENTHS = 10_000;
     private static final long TIMESTAMP_UNIT =
-            100; // what is told is dated in steps of 10 ms: 32 bits are a year and more
+            Ticks.ofMillis(
+                    10); // what is told is dated in steps of 10 ms: 32 bits are a year and more
 
     /**
      * Up to so many members each message tells all rows; beyond, rows go by turns and cost the same
--- a/src/main/java/firstage/overload/ProbeCoordinator.java
+++ b/src/main/java/firstage/overload/ProbeCoordinator.java
@@ -1,6 +1,7 @@
 package firstage.overload;
 
 import firstage.overload.OverloadDigest.EngineReport;
+import firstage.util.Ticks;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -27,23 +28,24 @@
     private static final int REPORTERS_NEEDED =
             3; // hold it closed before it is the engine: one or two may share a bad way
     private static final long MIN_REPORT_LIFETIME =
-            30_000; // a word lasts: some rounds of a small fleet
+            Ticks.ofSeconds(3); // a word lasts: some rounds of a small fleet
     private static final double REPORT_PROBE_ROUNDS =
             1.5; // and of a large one, in rounds in which each hears each
     private static final long PROBE_INTERVAL =
-            20_000; // by the owner: a batch in two seconds there, whatever the fleet
+            Ticks.ofSeconds(2); // by the owner: a batch in two seconds there, whatever the fleet
     private static final long RECENT_RESPONSE =
-            20_000; // by ourselves of late: our own news is better than others'
+            Ticks.ofSeconds(2); // by ourselves of late: our own news is better than others'
     private static final double MAX_AVOIDED_FRACTION =
             0.34; // of the engines are kept away from: else it is not the engines
     private static final long OWNER_IDLE_TIMEOUT =
-            120_000; // an owner without a batch to try it with is passed over after this
+            Ticks.ofSeconds(
+                    12); // an owner without a batch to try it with is passed over after this
     private static final long RETURN_STEP =
-            2_500; // between steps back: a short batch must have come back by then
+            Ticks.ofMillis(250); // between steps back: a short batch must have come back by then
     private static final long INDEPENDENT_AFTER_RETURN =
-            50_000; // after a step back: until a usual batch must have come back
+            Ticks.ofSeconds(5); // after a step back: until a usual batch must have come back
     private static final long READMISSION_REPORTED_FOR =
-            60_000; // it is told that an engine was opened: all steps of a large fleet
+            Ticks.ofSeconds(6); // it is told that an engine was opened: all steps of a large fleet
 
     private enum State {
         OWN,
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -24,6 +24,7 @@
 import firstage.server.Counters;
 import firstage.server.ServerEvents.Listed;
 import firstage.server.TickClock;
+import firstage.util.Ticks;
 import java.io.IOException;
 import java.io.StringWriter;
 import java.net.InetSocketAddress;
@@ -68,10 +69,10 @@
     private static final int MAX_DATAGRAM_BYTES = 1_200;
 
     /** Tenths of a millisecond: three ticks; less is a busy machine, not a stop. */
-    private static final long PAUSE_THRESHOLD = 600;
+    private static final long PAUSE_THRESHOLD = Ticks.ofMillis(60);
 
     /** What lay there during a stop is read within this after it. */
-    private static final long BACKLOG_READ_TIME = 1_000;
+    private static final long BACKLOG_READ_TIME = Ticks.ofMillis(100);
 
     private static final int MAX_DATAGRAMS_PER_READ = 64;
 
