--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -39,6 +39,9 @@
     /** Each decay interval: an outdated best is forgotten in minutes. */
     private static final double BEST_RATIO_DRIFT = 1.002;
 
+    /** Progress up to this share says little about the whole. */
+    private static final double MIN_TELLING_PROGRESS = 0.05;
+
     private final LogHistogram allEngines = new LogHistogram();
     private final LogHistogram topPriority = new LogHistogram();
 
@@ -94,9 +97,14 @@
         record(attempt.engine, ratio, capacityShare);
     }
 
-    /** An attempt that is running has done a share of its work: so its whole time is known. */
+    /** An attempt in flight has done a share of its estimated work: its whole time is known. */
     void recordProgress(long now, Attempt attempt, double capacityShare) {
         RequestState request = attempt.request;
+        if (attempt.fractionDone <= MIN_TELLING_PROGRESS
+                || request.incoming.estimatedWork() <= 0
+                || attempt.wasBlocked) {
+            return;
+        }
         double wholeWork =
                 (now - attempt.sentAt) / attempt.fractionDone * request.trafficClass().threads();
         double ratio =
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -40,9 +40,6 @@
     /** Between passes over the queue without an event. */
     private static final long QUEUE_PASS_INTERVAL = Ticks.ofMillis(50);
 
-    /** Progress below this share says little about the whole. */
-    private static final double MIN_TELLING_PROGRESS = 0.05;
-
     private final PolicyActions actions;
     private final Deployment.Capabilities capabilities;
     private final long progressInterval;
@@ -222,11 +219,7 @@
         switch (progress.kind()) {
             case FRACTION_DONE -> {
                 attempt.fractionDone = Math.max(progress.amount(), attempt.fractionDone);
-                if (attempt.fractionDone > MIN_TELLING_PROGRESS
-                        && request.incoming.estimatedWork() > 0
-                        && !attempt.wasBlocked) {
-                    latency.recordProgress(now, attempt, slowStart.capacityShare(now, engine));
-                }
+                latency.recordProgress(now, attempt, slowStart.capacityShare(now, engine));
                 rescueIfStuck(now, attempt);
             }
             case SPILLING -> attempt.spilled = true;
