--- a/src/main/java/firstage/cli/PeersCommand.java
+++ b/src/main/java/firstage/cli/PeersCommand.java
@@ -110,7 +110,7 @@
                                 "%-12s %-10s %-9s %-8s %-8s %-14s %s%n",
                                 m.get("name"),
                                 m.get("zone"),
-                                m.get("state"),
+                                state(m.get("standing")),
                                 m.get("in view"),
                                 m.get("link"),
                                 m.get("since"),
@@ -124,4 +124,14 @@
             }
         }
     }
+
+    /** The term for a member's state, by the word of the status answer. */
+    private static String state(String standing) {
+        return switch (standing) {
+            case "here" -> "alive";
+            case "doubted" -> "suspect";
+            case "gone" -> "dead";
+            default -> standing;
+        };
+    }
 }
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -411,7 +411,7 @@
                 out.writeStartObject();
                 out.writeStringField("name", e.name());
                 out.writeStringField("zone", e.zone());
-                out.writeStringField("state", e.state().name().toLowerCase(Locale.ROOT));
+                out.writeStringField("standing", standingOnWire(e.state()));
                 out.writeNumberField("since", e.incarnation());
                 out.writeStringField("version", e.version());
                 out.writeNumberField("weight", e.weight());
@@ -598,4 +598,17 @@
     public FleetCoordinator fleetCoordinator() {
         return fleetCoordinator;
     }
+
+    /**
+     * The word of the status answer for a member's state, as older versions of {@code peers} read
+     * it.
+     */
+    private static String standingOnWire(MemberState state) {
+        return switch (state) {
+            case ALIVE -> "here";
+            case SUSPECT -> "doubted";
+            case DEAD -> "gone";
+            case LEFT -> "left";
+        };
+    }
 }
--- a/src/test/java/firstage/faulttest/FaultTestIT.java
+++ b/src/test/java/firstage/faulttest/FaultTestIT.java
@@ -176,7 +176,7 @@
                                                                 Files.readString(
                                                                         Path.of(
                                                                                 "deploy",
-                                                                                "fault-test",
+                                                                                "fault-tests",
                                                                                 "calm.toml"))),
                                                         1,
                                                         folder,
