--- a/src/main/java/firstage/policy/EngineEligibility.java
+++ b/src/main/java/firstage/policy/EngineEligibility.java
@@ -2,6 +2,7 @@
 
 import firstage.policy.api.TrafficClass;
 import firstage.policy.api.TrafficClass.Effect;
+import firstage.policy.state.Attempt;
 import firstage.policy.state.EngineState;
 import firstage.policy.state.RequestState;
 import java.util.Set;
@@ -33,7 +34,12 @@
     }
 
     private static boolean hasAttemptAt(RequestState request, EngineState engine) {
-        return request.attemptsInFlight.stream().anyMatch(attempt -> attempt.engine == engine);
+        for (Attempt attempt : request.attemptsInFlight) {
+            if (attempt.engine == engine) {
+                return true;
+            }
+        }
+        return false;
     }
 
     /** Repetitions are dropped only where the first attempt went, in its scope. */
--- a/src/main/java/firstage/policy/EngineSelector.java
+++ b/src/main/java/firstage/policy/EngineSelector.java
@@ -98,15 +98,13 @@
             }
             metEligibleEngine = true;
             double capacityShare = slowStart.capacityShare(now, engine);
-            boolean fits = fits(request, engine, capacityShare, top, withinLimits);
-            boolean accepts =
-                    probed
-                            ? probing.reportedCapacity(request, engine)
-                                    && (fits
-                                            || isUncontended(now, request, engine, capacityShare)
-                                            || engine.memoryQueueEmpty
-                                                    && engine.attemptsInFlight.isEmpty())
-                            : fits || isUncontended(now, request, engine, capacityShare);
+            double grantMb = grants.grantMb(request, engine);
+            boolean fits = fits(request, engine, grantMb, capacityShare, top, withinLimits);
+            boolean accepts = fits || isUncontended(now, request, engine, grantMb, capacityShare);
+            if (probed) {
+                boolean idle = engine.memoryQueueEmpty && engine.attemptsInFlight.isEmpty();
+                accepts = probing.reportedCapacity(request, engine) && (accepts || idle);
+            }
             if (accepts) {
                 double score = score(now, request, engine, capacityShare, fits, loadOrder);
                 if (score > bestScore) {
@@ -137,6 +135,7 @@
     private boolean fits(
             RequestState request,
             EngineState engine,
+            double grantMb,
             double capacityShare,
             boolean top,
             boolean withinLimits) {
@@ -152,7 +151,7 @@
         // The probe owner may exceed its slice; otherwise recovery would wait for its capacity.
         return lone
                 || OutlierDetector.isFleetProbe(engine)
-                || limiter.hasMemory(engine, grants.grantMb(request, engine), capacityShare)
+                || limiter.hasMemory(engine, grantMb, capacityShare)
                         && (limiter.hasThreads(
                                         engine, request.trafficClass().threads(), capacityShare)
                                 || onlyTop);
@@ -160,11 +159,14 @@
 
     /** Whether the engine shows no sign of saturation, so that our limits need not bind. */
     private boolean isUncontended(
-            long now, RequestState request, EngineState engine, double capacityShare) {
+            long now,
+            RequestState request,
+            EngineState engine,
+            double grantMb,
+            double capacityShare) {
         return capacityShare >= 1
                 && !limiter.isSaturated(now, engine, latency)
-                && limiter.isWithinEngine(
-                        engine, grants.grantMb(request, engine), request.trafficClass().threads());
+                && limiter.isWithinEngine(engine, grantMb, request.trafficClass().threads());
     }
 
     private double score(
