--- /dev/null
+++ b/src/main/java/firstage/cli/PlanNumberFile.java
@@ -0,0 +1,72 @@
+package firstage.cli;
+
+import firstage.cells.CellPlan;
+import firstage.config.InvalidConfigException;
+import firstage.config.PeerConfig;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.FileChannel;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
+
+/**
+ * The file beside a peers file that holds the number of the newest cell plan that this manager has
+ * followed: {@code peers.toml.plan}, one line of digits. A manager that was started with an older
+ * plan would use engines that others have taken over by its own word, so it refuses.
+ */
+final class PlanNumberFile {
+    private static final String SUFFIX = ".plan";
+
+    private PlanNumberFile() {}
+
+    /**
+     * Stores the number of the manager's plan, on the disk before it tells anybody. Does nothing
+     * where the fleet has no cells.
+     *
+     * @throws InvalidConfigException where a newer plan was followed before
+     */
+    static void store(Path peersFile, PeerConfig peers) throws IOException {
+        if (peers.cellPlacement() == null) {
+            return;
+        }
+        CellPlan plan = peers.cellPlacement().plan();
+        Path file = peersFile.resolveSibling(peersFile.getFileName() + SUFFIX);
+        int stored = read(file);
+        if (stored > plan.number()) {
+            throw new InvalidConfigException(
+                    peersFile.toString(),
+                    InvalidConfigException.NO_LINE,
+                    "plan: "
+                            + plan.number()
+                            + " is older than "
+                            + stored
+                            + ", which this manager held; give it the newer file");
+        }
+        if (stored < plan.number()) {
+            write(file, plan.number());
+        }
+    }
+
+    /** The number in the file; 0 where there is none that can be read. */
+    private static int read(Path file) throws IOException {
+        if (!Files.exists(file)) {
+            return 0;
+        }
+        String text = Files.readString(file).trim();
+        return text.matches("[0-9]{1,9}") ? Integer.parseInt(text) : 0;
+    }
+
+    private static void write(Path file, int number) throws IOException {
+        try (FileChannel channel =
+                FileChannel.open(
+                        file,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING)) {
+            channel.write(ByteBuffer.wrap((number + "\n").getBytes(StandardCharsets.US_ASCII)));
+            channel.force(true);
+        }
+    }
+}
--- a/src/main/java/firstage/cli/RehearseCommand.java
+++ b/src/main/java/firstage/cli/RehearseCommand.java
@@ -1,5 +1,6 @@
 package firstage.cli;
 
+import firstage.config.ManagerConfig;
 import firstage.config.ManagerConfigReader;
 import firstage.server.ManagerServer;
 import java.io.IOException;
@@ -12,11 +13,11 @@
 import java.nio.file.Path;
 
 /**
- * Takes one batch and plays its engine too, over loopback, so that the build can archive the
- * classes that a start needs: a manager that was killed is back sooner.
+ * {@code rehearse}: serves one request over loopback and plays its engine too, so that the build
+ * can archive the classes that a start needs.
  */
 final class RehearseCommand {
-    private static final String ASSIGNMENT =
+    private static final String CONFIG =
             """
             {"name":"rehearsal","listen":"%1$s","known":{"index":1,"updates":[{"index":1,
               "endpoints":{"reset":true,
@@ -25,37 +26,49 @@
                "family_info":{"takes_grants":true,"lanes_count":true},
                "limits":{"connect_timeout":0.25}}}
             """;
-    private static final String CALL =
+    private static final String REQUEST =
             "POST /ops/batch HTTP/1.1\r\nHost: rehearsal\r\nX-Job-Id: 0123456789abcdef\r\n"
                     + "X-Allow-Ms: 500\r\nContent-Length: 8\r\n\r\nSELECT 1";
 
-    private static final int MOST_WAIT_MS = 5_000;
+    private static final int MAX_WAIT_MS = 5_000;
 
     private RehearseCommand() {}
 
-    static void run() throws IOException {
+    /** Ends the program where it fails. */
+    static void run() {
+        try {
+            rehearse();
+        } catch (IOException | RuntimeException fault) {
+            Main.exitUnusable("no rehearsal: " + Main.oneLine(fault));
+        }
+    }
+
+    private static void rehearse() throws IOException {
         InetAddress loopback = InetAddress.getLoopbackAddress();
         int port;
-        try (ServerSocket free = new ServerSocket(0, 1, loopback)) {
-            port = free.getLocalPort();
+        try (ServerSocket unused = new ServerSocket(0, 1, loopback)) {
+            port = unused.getLocalPort();
+        }
+        ManagerServer server = new ManagerServer(config(loopback, port), null);
+        server.start();
+        try (Socket client = new Socket(loopback, port)) {
+            client.setSoTimeout(MAX_WAIT_MS);
+            client.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
+            InputStream response = client.getInputStream();
+            if (response.read() < 0) {
+                throw new IOException("no answer in the rehearsal");
+            }
         }
+        server.close();
+    }
+
+    private static ManagerConfig config(InetAddress loopback, int port) throws IOException {
         Path file = Files.createTempFile("rehearsal", ".json");
-        ManagerServer node;
         try {
-            Files.writeString(file, ASSIGNMENT.formatted(loopback.getHostAddress() + ":" + port));
-            node = new ManagerServer(ManagerConfigReader.read(file), null);
+            Files.writeString(file, CONFIG.formatted(loopback.getHostAddress() + ":" + port));
+            return ManagerConfigReader.read(file);
         } finally {
             Files.delete(file);
         }
-        node.start();
-        try (Socket client = new Socket(loopback, port)) {
-            client.setSoTimeout(MOST_WAIT_MS);
-            client.getOutputStream().write(CALL.getBytes(StandardCharsets.US_ASCII));
-            InputStream answer = client.getInputStream();
-            if (answer.read() < 0) {
-                throw new IOException("no answer in the rehearsal");
-            }
-        }
-        node.close();
     }
 }
