--- a/src/main/java/firstage/cli/FleetCommand.java
+++ b/src/main/java/firstage/cli/FleetCommand.java
@@ -145,7 +145,7 @@
     static final class Run extends Runs implements Callable<Integer> {
         @Option(
                 names = "--choice",
-                defaultValue = "brain",
+                defaultValue = "scheduler",
                 description = "what decides (${DEFAULT-VALUE})")
         private String choice;
 
--- a/src/main/java/firstage/simulation/PolicyUnderTest.java
+++ b/src/main/java/firstage/simulation/PolicyUnderTest.java
@@ -20,62 +20,86 @@
         double bounds,
         FleetCoordinator.Faults peers,
         boolean coldBySettings) {
-    private static final String BRAIN = "brain";
-    private static final String COLD = BRAIN + ":cold=settings";
-    private static final String PEERS = BRAIN + ":peers";
+    private static final String SCHEDULER = "scheduler";
+
+    /** The word of earlier versions for {@link #SCHEDULER}, still understood. */
+    private static final String SCHEDULER_ALIAS = "brain";
+
+    private static final String COLD_BY_SETTINGS = ":cold=settings";
+    private static final String PEERS = ":peers";
+    private static final String BOUNDS = ":bounds=";
+    private static final double MAX_BOUNDS = 1_000;
 
     /**
-     * {@code brain}, {@code brain:bounds=4}, {@code random}, {@code round-robin}, ...; a fault
-     * names what would do.
+     * Reads a choice such as {@code scheduler}, {@code scheduler:bounds=4}, {@code random} or
+     * {@code round-robin}.
+     *
+     * @throws InvalidPlanException where there is no such choice; the message names what would do
      */
     public static PolicyUnderTest of(String text) {
-        if (text.equals(BRAIN)) {
+        for (String scheduler : List.of(SCHEDULER, SCHEDULER_ALIAS)) {
+            if (text.equals(scheduler) || text.startsWith(scheduler + ":")) {
+                return scheduler(text, text.substring(scheduler.length()));
+            }
+        }
+        for (BaselinePolicy.Kind kind : BaselinePolicy.Kind.values()) {
+            if (kind.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(text)) {
+                return new PolicyUnderTest(text, kind, 1, null, false);
+            }
+        }
+        throw unknown(text);
+    }
+
+    private static PolicyUnderTest scheduler(String text, String variant) {
+        if (variant.isEmpty()) {
             return new PolicyUnderTest(text, null, 1, null, false);
         }
-        if (text.equals(COLD)) {
+        if (variant.equals(COLD_BY_SETTINGS)) {
             return new PolicyUnderTest(text, null, 1, null, true);
         }
-        if (text.equals(PEERS)) {
+        if (variant.equals(PEERS)) {
             return new PolicyUnderTest(text, null, 1, FleetCoordinator.Faults.NONE, false);
         }
-        if (text.startsWith(PEERS + "=")
-                && FleetCoordinator.Faults.of(text.substring(PEERS.length() + 1)) != null) {
-            return new PolicyUnderTest(
-                    text,
-                    null,
-                    1,
-                    FleetCoordinator.Faults.of(text.substring(PEERS.length() + 1)),
-                    false);
-        }
-        if (text.startsWith(BRAIN + ":bounds=")) {
-            try {
-                double bounds = Double.parseDouble(text.substring((BRAIN + ":bounds=").length()));
-                if (bounds > 0 && bounds <= 1_000) {
-                    return new PolicyUnderTest(text, null, bounds, null, false);
-                }
-            } catch (NumberFormatException fault) {
-                // Told below.
+        if (variant.startsWith(PEERS + "=")) {
+            FleetCoordinator.Faults faults =
+                    FleetCoordinator.Faults.of(variant.substring(PEERS.length() + 1));
+            if (faults != null) {
+                return new PolicyUnderTest(text, null, 1, faults, false);
             }
-            throw new InvalidPlanException(
-                    0, "'" + text + "': bounds takes a number above 0, such as brain:bounds=4");
         }
-        for (BaselinePolicy.Kind kind : BaselinePolicy.Kind.values()) {
-            if (kind.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(text)) {
-                return new PolicyUnderTest(text, kind, 1, null, false);
+        if (variant.startsWith(BOUNDS)) {
+            return new PolicyUnderTest(
+                    text, null, bounds(text, variant.substring(BOUNDS.length())), null, false);
+        }
+        throw unknown(text);
+    }
+
+    private static double bounds(String text, String number) {
+        try {
+            double bounds = Double.parseDouble(number);
+            if (bounds > 0 && bounds <= MAX_BOUNDS) {
+                return bounds;
             }
+        } catch (NumberFormatException fault) {
+            // Told below.
         }
         throw new InvalidPlanException(
+                0, "'" + text + "': bounds takes a number above 0, such as scheduler:bounds=4");
+    }
+
+    private static InvalidPlanException unknown(String text) {
+        return new InvalidPlanException(
                 0, "'" + text + "' is no choice; there are " + String.join(", ", names()));
     }
 
-    /** What {@link #of} knows. */
+    /** The choices that {@link #of} knows. */
     public static List<String> names() {
         return List.of(
-                BRAIN,
-                COLD,
-                PEERS,
-                PEERS + "=FAULT",
-                BRAIN + ":bounds=N",
+                SCHEDULER,
+                SCHEDULER + COLD_BY_SETTINGS,
+                SCHEDULER + PEERS,
+                SCHEDULER + PEERS + "=FAULT",
+                SCHEDULER + BOUNDS + "N",
                 "random",
                 "round-robin",
                 "least-outstanding",
--- a/src/test/java/firstage/config/SettingsParserTest.java
+++ b/src/test/java/firstage/config/SettingsParserTest.java
@@ -15,21 +15,21 @@
     }
 
     @Test
-    void withoutTheNewKeysTheShapeIsTheEarlierOne() {
-        Deployment d = read("limits.probing=true deductions.probe=0.01");
-        assertTrue(d.probesReportLoad());
-        assertFalse(d.memoryOvercommitPages());
+    void parse_withoutTheNewKeys_keepsTheEarlierShape() {
+        Deployment deployment = read("limits.probing=true deductions.probe=0.01");
+        assertTrue(deployment.probesReportLoad());
+        assertFalse(deployment.memoryOvercommitPages());
     }
 
     @Test
-    void theNewShapeIsReadFromItsKeys() {
-        Deployment d = read("report.via=off report.fields= family_info.out_of_memory=page");
-        assertFalse(d.probesReportLoad());
-        assertTrue(d.memoryOvercommitPages());
+    void parse_newKeys_givesTheNewShape() {
+        Deployment deployment = read("report.via=off report.fields= family_info.out_of_memory=page");
+        assertFalse(deployment.probesReportLoad());
+        assertTrue(deployment.memoryOvercommitPages());
     }
 
     @Test
-    void aMixOfShapesIsRefusedNamingTheKey() {
+    void parse_mixOfShapes_isRefusedNamingTheKey() {
         MalformedLineException fault =
                 assertThrows(
                         MalformedLineException.class,
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void anUnknownWordIsRefusedNamingTheKey() {
+    void parse_unknownWord_isRefusedNamingTheKey() {
         MalformedLineException fault =
                 assertThrows(
                         MalformedLineException.class, () -> read("family_info.out_of_memory=swap"));
