--- a/src/main/java/firstage/cli/CommandRunner.java
+++ b/src/main/java/firstage/cli/CommandRunner.java
@@ -12,28 +12,27 @@
  * can't be used.
  */
 final class CommandRunner {
-    private static final int FAULT = 2;
-
     private CommandRunner() {}
 
     /** What a parser that stands in a JSON object finds there, as text, up to the object's end. */
-    static Map<String, String> fields(JsonParser in) throws IOException {
+    static Map<String, String> fields(JsonParser parser) throws IOException {
         Map<String, String> fields = new LinkedHashMap<>();
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String name = in.currentName();
-            in.nextToken();
-            fields.put(name, in.getText());
+        while (parser.nextToken() == JsonToken.FIELD_NAME) {
+            String name = parser.currentName();
+            parser.nextToken();
+            fields.put(name, parser.getText());
         }
         return fields;
     }
 
+    /** Runs a command by its arguments; the exit code. */
     static int run(Object command, String name, String[] args) {
-        CommandLine line = new CommandLine(command);
-        line.setExecutionExceptionHandler(
+        CommandLine commandLine = new CommandLine(command);
+        commandLine.setExecutionExceptionHandler(
                 (fault, failed, parsed) -> {
                     System.err.println(name + ": " + Main.oneLine(fault));
-                    return FAULT;
+                    return Main.UNUSABLE_STATUS;
                 });
-        return line.execute(args);
+        return commandLine.execute(args);
     }
 }
--- /dev/null
+++ b/src/main/java/firstage/cli/FaultTestRunCommand.java
@@ -0,0 +1,181 @@
+package firstage.cli;
+
+import firstage.faulttest.FaultTestRun;
+import firstage.faulttest.OrphanedProcesses;
+import firstage.simulation.FleetPlan;
+import firstage.simulation.FleetPlanReader;
+import firstage.simulation.InvalidPlanException;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import java.util.Locale;
+import java.util.Optional;
+import java.util.concurrent.Callable;
+import java.util.stream.Stream;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
+/** {@code fault-test run}. */
+@Command(
+        name = "run",
+        mixinStandardHelpOptions = true,
+        description = "Plays a plan and says what came of it.")
+final class FaultTestRunCommand implements Callable<Integer> {
+    private static final String KEPT = "kept";
+    private static final String VOID = "void";
+    private static final int BROKEN_STATUS = 1;
+    private static final int MAX_MANAGERS = 100;
+
+    @Parameters(
+            index = "0",
+            paramLabel = "FILE",
+            description = "the plan; deploy/fault-tests has some")
+    private Path file;
+
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "what chance draws (${DEFAULT-VALUE})")
+    private long seed;
+
+    @Option(
+            names = "--managers",
+            paramLabel = "N",
+            description = "another number of managers than the plan's")
+    private Integer managers;
+
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
+            description = "where the record goes (a new folder in target/fault-test)")
+    private Path out;
+
+    @Option(
+            names = "--jar",
+            defaultValue = "target/firstage.jar",
+            description = "the program (${DEFAULT-VALUE})")
+    private Path jar;
+
+    @Option(
+            names = "--against",
+            paramLabel = "JAR",
+            description = "plays the same with this jar, too")
+    private Path against;
+
+    @Option(names = "--peers", description = "tells the managers of each other")
+    private boolean peers;
+
+    @Override
+    public Integer call() throws IOException {
+        FleetPlan plan = plan();
+        OrphanedProcesses.sweep().forEach(line -> System.err.println("fault-test: " + line));
+        Path folder = out != null ? out : newFolder(plan);
+        FaultTestRun.Result result = play(plan, folder, jar);
+        if (against == null) {
+            print(result, Optional.empty());
+            System.out.println("record: " + folder);
+        } else {
+            Path folderAgainst = folder.resolveSibling(folder.getFileName() + "-against");
+            print(result, Optional.of(play(plan, folderAgainst, against)));
+        }
+        return status(result);
+    }
+
+    private Path newFolder(FleetPlan plan) {
+        long process = ProcessHandle.current().pid();
+        return Path.of("target", "fault-test", plan.name() + "-" + seed + "-" + process);
+    }
+
+    private static int status(FaultTestRun.Result result) {
+        return result.verdict().equals(KEPT) || result.verdict().equals(VOID) ? 0 : BROKEN_STATUS;
+    }
+
+    private FleetPlan plan() throws IOException {
+        if (managers != null && (managers < 1 || managers > MAX_MANAGERS)) {
+            throw new InvalidPlanException(
+                    0, "--managers " + managers + " is impossible; 1 to 100 would do");
+        }
+        try {
+            FleetPlan plan = FleetPlanReader.read(planText());
+            FaultTestRun.check(plan);
+            if (plan.cells() != null && !peers) {
+                throw new InvalidPlanException(
+                        0, " managers.cell: cells are told with the peers; --peers would do");
+            }
+            return plan;
+        } catch (NoSuchFileException fault) {
+            throw new InvalidPlanException(
+                    0, file + " does not exist; fault-test list names plans");
+        } catch (InvalidPlanException fault) {
+            throw new InvalidPlanException(0, file + ":" + fault.getMessage());
+        }
+    }
+
+    /** With the number of managers that are to be started: other numbers are checked against it. */
+    private String planText() throws IOException {
+        String text = Files.readString(file);
+        return managers == null
+                ? text
+                : text.replaceFirst(
+                        "(?m)(^\\[managers\\][^\\[]*?^count\\s*=\\s*)\\d+", "$1" + managers);
+    }
+
+    private FaultTestRun.Result play(FleetPlan plan, Path folder, Path program) throws IOException {
+        String command = ServeCommandLine.of(program);
+        boolean interactive = System.console() != null;
+        Files.createDirectories(folder);
+        Files.copy(file, folder.resolve("plan.toml"), StandardCopyOption.REPLACE_EXISTING);
+        FaultTestRun.Result result =
+                FaultTestRun.play(
+                        new FaultTestRun.Order(
+                                plan,
+                                seed,
+                                folder.toAbsolutePath(),
+                                program.toAbsolutePath(),
+                                command,
+                                peers,
+                                line -> {
+                                    if (interactive) {
+                                        System.err.print("\r" + line + "   ");
+                                    }
+                                }));
+        if (interactive) {
+            System.err.println();
+        }
+        return result;
+    }
+
+    private static String firstLine(FaultTestRun.Result result) {
+        return switch (result.verdict()) {
+            case VOID -> "void: " + result.isVoid();
+            case "broken" -> "broken: " + result.broken().get(0);
+            case "missed" -> "missed: " + result.missed().get(0);
+            default -> KEPT;
+        };
+    }
+
+    private static void print(FaultTestRun.Result result, Optional<FaultTestRun.Result> against) {
+        System.out.println(
+                firstLine(result)
+                        + against.map(other -> "   |   against: " + firstLine(other)).orElse(""));
+        Stream.concat(result.broken().stream(), result.missed().stream())
+                .skip(result.verdict().equals(VOID) ? 0 : 1)
+                .forEach(line -> System.out.println("also: " + line));
+        result.figures()
+                .forEach(
+                        (name, value) ->
+                                System.out.printf(
+                                        Locale.ROOT,
+                                        "%-28s %10.4f%s%n",
+                                        name,
+                                        value,
+                                        against.map(other -> figure(other, name)).orElse("")));
+    }
+
+    private static String figure(FaultTestRun.Result result, String name) {
+        return String.format(Locale.ROOT, " %10.4f", result.figures().get(name));
+    }
+}
--- /dev/null
+++ b/src/main/java/firstage/cli/FaultTestShowCommand.java
@@ -0,0 +1,97 @@
+package firstage.cli;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonParser;
+import firstage.simulation.InvalidPlanException;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Locale;
+import java.util.Map;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
+/** {@code fault-test show}. */
+@Command(
+        name = "show",
+        mixinStandardHelpOptions = true,
+        description =
+                "Prints the story of a batch, an engine, a manager or a moment over all"
+                        + " processes.")
+final class FaultTestShowCommand implements Callable<Integer> {
+    // Fields of the timeline's events.
+    private static final String TIME_MS = "ms";
+    private static final String KIND = "what";
+    private static final String REQUEST = "batch";
+
+    private static final double MAX_DISTANCE_MS = 500;
+
+    @Parameters(index = "0", paramLabel = "DIR", description = "the record of a run")
+    private Path folder;
+
+    @Option(names = "--batch", paramLabel = "ID", description = "events of this batch")
+    private String batch;
+
+    @Option(names = "--engine", paramLabel = "N", description = "events at this engine")
+    private String engine;
+
+    @Option(names = "--manager", paramLabel = "N", description = "events at this manager")
+    private String manager;
+
+    @Option(
+            names = "--at",
+            paramLabel = "S",
+            description = "events within half a second of this second")
+    private Double at;
+
+    @Override
+    public Integer call() throws IOException {
+        Path file = folder.resolve("timeline.jsonl");
+        if (!Files.exists(file)) {
+            throw new InvalidPlanException(
+                    0, file + " does not exist; name the folder that fault-test run printed");
+        }
+        int shown = 0;
+        for (String line : Files.readAllLines(file)) {
+            Map<String, String> event = event(line);
+            if (isWanted(event)) {
+                shown++;
+                print(event);
+            }
+        }
+        if (shown == 0) {
+            throw new InvalidPlanException(0, "nothing of that kind in " + file);
+        }
+        return 0;
+    }
+
+    /** Without options all events but those of single requests are wanted. */
+    private boolean isWanted(Map<String, String> event) {
+        if (batch == null && engine == null && manager == null && at == null) {
+            return !event.containsKey(REQUEST);
+        }
+        return (batch == null || batch.equals(event.get(REQUEST)))
+                && (engine == null || engine.equals(event.get("engine")))
+                && (manager == null || manager.equals(event.get("manager")))
+                && (at == null || Math.abs(timeMs(event) - at * 1_000) <= MAX_DISTANCE_MS);
+    }
+
+    private static double timeMs(Map<String, String> event) {
+        return Double.parseDouble(event.get(TIME_MS));
+    }
+
+    private static void print(Map<String, String> event) {
+        double timeMs = timeMs(event);
+        event.remove(TIME_MS);
+        System.out.printf(Locale.ROOT, "%10.1f ms  %-12s %s%n", timeMs, event.remove(KIND), event);
+    }
+
+    private static Map<String, String> event(String line) throws IOException {
+        try (JsonParser parser = new JsonFactory().createParser(line)) {
+            parser.nextToken();
+            return CommandRunner.fields(parser);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/firstage/cli/FleetCompareCommand.java
@@ -0,0 +1,57 @@
+package firstage.cli;
+
+import firstage.simulation.FleetPlan;
+import firstage.simulation.InvalidPlanException;
+import firstage.simulation.PairedComparison;
+import firstage.simulation.PolicyUnderTest;
+import firstage.simulation.SimulationResult;
+import java.io.IOException;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/** {@code fleet compare}. */
+@Command(
+        name = "compare",
+        mixinStandardHelpOptions = true,
+        description =
+                "Plays two choices on the same seeds and says which is better, or that nobody"
+                        + " can tell.")
+final class FleetCompareCommand extends FleetOptions implements Callable<Integer> {
+    private static final int LEFT_BETTER_STATUS = 10;
+    private static final int RIGHT_BETTER_STATUS = 11;
+
+    @Option(names = "--left", required = true, description = "one choice")
+    private String left;
+
+    @Option(names = "--right", required = true, description = "the other")
+    private String right;
+
+    @Override
+    public Integer call() throws IOException {
+        FleetPlan plan = plan();
+        if (seeds() < 2) {
+            throw new InvalidPlanException(
+                    0, "--seeds " + seeds() + " is too few to compare; 2 or more would do");
+        }
+        List<SimulationResult> results =
+                play(plan, List.of(PolicyUnderTest.of(left), PolicyUnderTest.of(right)));
+        PairedComparison comparison =
+                new PairedComparison(
+                        results.subList(0, seeds()), results.subList(seeds(), 2 * seeds()));
+        System.out.println(
+                origin(plan) + ": left " + left + ", right " + right + " (engines simulated)");
+        FleetTables.print(System.out, comparison);
+        if (out().isPresent()) {
+            FleetFiles.write(out().get(), origin(plan), results, Optional.of(comparison));
+        }
+        return switch (comparison.verdict()) {
+            case LEFT -> LEFT_BETTER_STATUS;
+            case RIGHT -> RIGHT_BETTER_STATUS;
+            case NONE -> 0;
+            case BROKEN -> FleetCommand.RULE_BROKEN_STATUS;
+        };
+    }
+}
--- /dev/null
+++ b/src/main/java/firstage/cli/FleetOptions.java
@@ -0,0 +1,105 @@
+package firstage.cli;
+
+import firstage.simulation.FleetPlan;
+import firstage.simulation.FleetPlanReader;
+import firstage.simulation.FleetSimulation;
+import firstage.simulation.InvalidPlanException;
+import firstage.simulation.PolicyUnderTest;
+import firstage.simulation.SimulationResult;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.stream.IntStream;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
+/** The options that all of {@code fleet} take, and how runs are played by them. */
+class FleetOptions {
+    @Parameters(index = "0", paramLabel = "FILE", description = "the fleet file")
+    private Path file;
+
+    @Option(
+            names = "--seeds",
+            defaultValue = "8",
+            description = "how many runs of each choice (${DEFAULT-VALUE})")
+    private int seeds;
+
+    @Option(names = "--seed", defaultValue = "1", description = "the first seed (${DEFAULT-VALUE})")
+    private long seed;
+
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
+            description = "writes tables (CSV, JSON) and a chart there")
+    private Path out;
+
+    /** The plan that the file sets. */
+    FleetPlan plan() throws IOException {
+        if (seeds < 1) {
+            throw new InvalidPlanException(
+                    0, "--seeds " + seeds + " is impossible; 1 or more would do");
+        }
+        try {
+            return FleetPlanReader.read(Files.readString(file));
+        } catch (NoSuchFileException fault) {
+            throw new InvalidPlanException(0, file + " does not exist; name a fleet file");
+        } catch (InvalidPlanException fault) {
+            throw new InvalidPlanException(0, file + ":" + fault.getMessage());
+        }
+    }
+
+    /**
+     * Plays each choice on each seed, on all cores; in the order of the seeds, choice by choice.
+     */
+    List<SimulationResult> play(FleetPlan plan, List<PolicyUnderTest> choices) {
+        AtomicInteger finished = new AtomicInteger();
+        int runs = seeds * choices.size();
+        boolean interactive = System.console() != null;
+        return IntStream.range(0, runs)
+                .parallel()
+                .mapToObj(
+                        run -> {
+                            SimulationResult result =
+                                    FleetSimulation.play(
+                                            plan, choices.get(run / seeds), seed + run % seeds);
+                            int finishedRuns = finished.incrementAndGet();
+                            if (interactive) {
+                                System.err.printf("\r%d of %d runs", finishedRuns, runs);
+                            }
+                            return result;
+                        })
+                .toList();
+    }
+
+    /** How many runs of each choice. */
+    int seeds() {
+        return seeds;
+    }
+
+    /** Where tables and a chart go, if anywhere. */
+    Optional<Path> out() {
+        return Optional.ofNullable(out);
+    }
+
+    /** What figures were made of: plan, seeds and version. */
+    String origin(FleetPlan plan) {
+        return plan.name()
+                + ", "
+                + file.getFileName()
+                + ", seeds "
+                + seed
+                + " to "
+                + (seed + seeds - 1)
+                + ", firstage "
+                + version();
+    }
+
+    private static String version() {
+        String version = FleetCommand.class.getPackage().getImplementationVersion();
+        return version == null ? "of this tree" : version;
+    }
+}
--- /dev/null
+++ b/src/main/java/firstage/cli/ScaleRunCommand.java
@@ -0,0 +1,135 @@
+package firstage.cli;
+
+import firstage.scale.ScalePlan;
+import firstage.scale.ScaleRun;
+import firstage.simulation.InvalidPlanException;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Locale;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
+/** {@code scale run}. */
+@Command(name = "run", mixinStandardHelpOptions = true, description = "Plays a plan on processes.")
+final class ScaleRunCommand implements Callable<Integer> {
+    private static final int VOID_STATUS = 1;
+
+    @Parameters(index = "0", paramLabel = "FILE", description = "the plan; deploy/scale has some")
+    private Path file;
+
+    @Option(names = "--hollow", paramLabel = "N", description = "another number of hollow managers")
+    private Integer hollow;
+
+    @Option(names = "--real", paramLabel = "N", description = "another number of real ones")
+    private Integer real;
+
+    @Option(
+            names = "--cell",
+            paramLabel = "N",
+            description = "managers in a cell; 0: the fleet is one")
+    private Integer cell;
+
+    @Option(names = "--engines", paramLabel = "N", description = "another number of engines")
+    private Integer engines;
+
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "what chance draws (${DEFAULT-VALUE})")
+    private long seed;
+
+    @Option(
+            names = "--out",
+            paramLabel = "DIR",
+            description = "where the figures go (a new folder in" + " target/scale)")
+    private Path out;
+
+    @Option(
+            names = "--jar",
+            defaultValue = "target/firstage.jar",
+            description = "the program (${DEFAULT-VALUE})")
+    private Path jar;
+
+    @Override
+    public Integer call() throws IOException {
+        String text = planText();
+        ScalePlan plan = ScaleCommand.readPlan(file, text);
+        ScaleRun.check(plan);
+        String command = ServeCommandLine.of(jar);
+        Path folder = folder(plan);
+        Files.createDirectories(folder);
+        Path planInForce = Files.writeString(folder.resolve("plan.toml"), text);
+        ScaleRun.Result result = play(plan, planInForce, folder, command);
+        ScaleFigures.writeJson(folder.resolve("figures.json"), result.figures());
+        ScaleFigures.writeCsv(folder.resolve("figures.csv"), List.of(result.figures()));
+        boolean played = result.isVoid() == null;
+        System.out.println(played ? "played" : "void: " + result.isVoid());
+        result.figures()
+                .forEach(
+                        (figure, value) ->
+                                System.out.printf(Locale.ROOT, "%-50s %12.3f%n", figure, value));
+        System.out.println("figures: " + folder);
+        return played ? 0 : VOID_STATUS;
+    }
+
+    /** The plan with the numbers that the options give. */
+    private String planText() throws IOException {
+        String text;
+        try {
+            text = Files.readString(file);
+        } catch (NoSuchFileException fault) {
+            throw new InvalidPlanException(0, file + " does not exist; deploy/scale has plans");
+        }
+        text = withNumber(text, "managers", "hollow", hollow);
+        text = withNumber(text, "managers", "real", real);
+        text = withNumber(text, "managers", "cell", cell);
+        text = withNumber(text, "engines", "count", engines);
+        return cell != null && cell == 0 ? withNumber(text, "managers", "spread", 1) : text;
+    }
+
+    private static String withNumber(String text, String section, String key, Integer value) {
+        return value == null
+                ? text
+                : text.replaceFirst(
+                        "(?m)(^\\[" + section + "\\][^\\[]*?^" + key + "\\s*=\\s*)" + "\\d+",
+                        "$1" + value);
+    }
+
+    private Path folder(ScalePlan plan) {
+        Path folder =
+                out != null
+                        ? out
+                        : Path.of(
+                                "target",
+                                "scale",
+                                plan.name()
+                                        + "-"
+                                        + plan.managers()
+                                        + "-"
+                                        + ProcessHandle.current().pid());
+        return folder.toAbsolutePath();
+    }
+
+    private ScaleRun.Result play(ScalePlan plan, Path planInForce, Path folder, String command)
+            throws IOException {
+        boolean interactive = System.console() != null;
+        return ScaleRun.play(
+                new ScaleRun.Order(
+                        plan,
+                        planInForce,
+                        seed,
+                        folder,
+                        jar.toAbsolutePath(),
+                        command,
+                        line -> {
+                            if (interactive) {
+                                System.err.println(line);
+                            }
+                        }));
+    }
+}
--- /dev/null
+++ b/src/main/java/firstage/cli/ScaleSlopesCommand.java
@@ -0,0 +1,164 @@
+package firstage.cli;
+
+import firstage.cells.CellDirectory;
+import firstage.scale.ScalingSlopes;
+import firstage.simulation.InvalidPlanException;
+import firstage.simulation.schedule.SimulatedCells.Shape;
+import firstage.util.Ticks;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/** {@code scale slopes}. */
+@Command(
+        name = "slopes",
+        mixinStandardHelpOptions = true,
+        description =
+                "Plays a fleet's control in virtual time at several sizes, and fits what"
+                        + " grows.")
+final class ScaleSlopesCommand implements Callable<Integer> {
+    private static final int MIN_MANAGERS = 2;
+    private static final int MAX_MANAGERS = 4_000;
+    private static final int MAX_REGION_MINUTES = 1_440;
+    private static final long EVALUATION_INTERVAL = Ticks.ofMillis(20);
+    private static final long REGION_EVALUATION_INTERVAL = Ticks.ofMillis(40);
+    private static final long TICKS_PER_MINUTE = Ticks.ofSeconds(60);
+
+    @Option(
+            names = "--sizes",
+            split = ",",
+            defaultValue = "80,160,320",
+            paramLabel = "N",
+            description = "managers, rising (${DEFAULT-VALUE})")
+    private List<Integer> sizes;
+
+    @Option(
+            names = "--cell",
+            defaultValue = "40",
+            description = "managers in a cell; 0: the fleet is one" + " (${DEFAULT-VALUE})")
+    private int cell;
+
+    @Option(
+            names = "--zones",
+            defaultValue = "2",
+            description = "zones in which cells lie by turns" + " (${DEFAULT-VALUE})")
+    private int zones;
+
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "what chance draws (${DEFAULT-VALUE})")
+    private long seed;
+
+    @Option(names = "--deep", description = "a mass restart and a day's restarts, too")
+    private boolean deep;
+
+    @Option(
+            names = "--bare",
+            description = "the membership alone, without the words of the rooms above")
+    private boolean bare;
+
+    @Option(
+            names = "--region",
+            paramLabel = "MIN",
+            description =
+                    "plays two regions that lose each other for so many minutes, and nothing"
+                            + " else")
+    private Integer region;
+
+    @Option(
+            names = "--heap",
+            description = "what a manager's state takes of the heap, and nothing else")
+    private boolean heap;
+
+    @Option(names = "--out", paramLabel = "DIR", description = "slopes.csv goes there")
+    private Path out;
+
+    @Override
+    public Integer call() throws IOException {
+        List<Map<String, Double>> rows = new ArrayList<>();
+        for (int size : sizes) {
+            check(size);
+            Map<String, Double> row = play(size);
+            rows.add(row);
+            System.out.println("simulated, " + size + " managers");
+            row.forEach(
+                    (figure, value) ->
+                            System.out.printf(Locale.ROOT, "  %-56s %12.3f%n", figure, value));
+        }
+        printSlopes(rows);
+        if (out != null) {
+            Files.createDirectories(out);
+            ScaleFigures.writeCsv(out.resolve("slopes.csv"), rows);
+        }
+        return 0;
+    }
+
+    private void check(int size) {
+        if (size < MIN_MANAGERS
+                || size > MAX_MANAGERS
+                || cell < 0
+                || cell > 0 && size % cell != 0) {
+            throw new InvalidPlanException(
+                    0,
+                    "--sizes: "
+                            + size
+                            + " is impossible; up to 4000, whole cells of "
+                            + cell
+                            + ", would do");
+        }
+        if (region != null && (region < 1 || region > MAX_REGION_MINUTES)) {
+            throw new InvalidPlanException(
+                    0, "--region " + region + " is impossible; 1 to 1440 minutes would do");
+        }
+    }
+
+    private Map<String, Double> play(int size) {
+        Shape shape =
+                new Shape(
+                        size,
+                        cell,
+                        zones,
+                        1,
+                        !bare,
+                        region != null ? REGION_EVALUATION_INTERVAL : EVALUATION_INTERVAL,
+                        CellDirectory.Fault.NONE);
+        if (heap) {
+            return heap(shape);
+        }
+        return region != null
+                ? ScalingSlopes.region(shape, seed, region * TICKS_PER_MINUTE)
+                : ScalingSlopes.play(shape, seed, deep);
+    }
+
+    private Map<String, Double> heap(Shape shape) {
+        Map<String, Double> row = new LinkedHashMap<>();
+        row.put("managers", (double) shape.managers());
+        row.put("heap of a manager, KB", ScalingSlopes.heap(shape, seed));
+        return row;
+    }
+
+    private static void printSlopes(List<Map<String, Double>> rows) {
+        System.out.println("slopes, for a thousand managers more, and their standard error");
+        rows.get(0).keySet().stream()
+                .skip(1)
+                .forEach(
+                        figure -> {
+                            double[] slope = ScalingSlopes.slope(rows, figure);
+                            System.out.printf(
+                                    Locale.ROOT,
+                                    "  %-56s %12.3f +- %.3f%n",
+                                    figure,
+                                    slope[0],
+                                    slope[1]);
+                        });
+    }
+}
