--- a/src/main/java/firstage/simulation/PolicyUnderTest.java
+++ b/src/main/java/firstage/simulation/PolicyUnderTest.java
@@ -18,7 +18,7 @@
         String name,
         BaselinePolicy.Kind plain,
         double bounds,
-        FleetCoordinator.Faults peers,
+        FleetCoordinator.InjectedDefects peers,
         boolean coldBySettings) {
     private static final String SCHEDULER = "scheduler";
 
