--- a/src/main/java/firstage/cli/CellsSectionReader.java
+++ b/src/main/java/firstage/cli/CellsSectionReader.java
@@ -231,7 +231,7 @@
             names.toList().forEach(name -> served.add(String.valueOf(name)));
         }
         for (String name : served) {
-            if (plan.index(name) < 0) {
+            if (plan.indexOf(name) < 0) {
                 throw toml.invalid(
                         position,
                         "before.cells: '"
--- a/src/main/java/firstage/cli/ScaleSlopesCommand.java
+++ b/src/main/java/firstage/cli/ScaleSlopesCommand.java
@@ -130,7 +130,7 @@
                         1,
                         !bare,
                         region != null ? REGION_EVALUATION_INTERVAL : EVALUATION_INTERVAL,
-                        CellDirectory.Fault.NONE);
+                        CellDirectory.InjectedDefect.NONE);
         if (heap) {
             return heap(shape);
         }
--- a/src/main/java/firstage/simulation/PolicyUnderTest.java
+++ b/src/main/java/firstage/simulation/PolicyUnderTest.java
@@ -58,13 +58,13 @@
             return new PolicyUnderTest(text, null, 1, null, true);
         }
         if (variant.equals(PEERS)) {
-            return new PolicyUnderTest(text, null, 1, FleetCoordinator.Faults.NONE, false);
+            return new PolicyUnderTest(text, null, 1, FleetCoordinator.InjectedDefects.NONE, false);
         }
         if (variant.startsWith(PEERS + "=")) {
-            FleetCoordinator.Faults faults =
-                    FleetCoordinator.Faults.of(variant.substring(PEERS.length() + 1));
-            if (faults != null) {
-                return new PolicyUnderTest(text, null, 1, faults, false);
+            FleetCoordinator.InjectedDefects defects =
+                    FleetCoordinator.InjectedDefects.named(variant.substring(PEERS.length() + 1));
+            if (defects != null) {
+                return new PolicyUnderTest(text, null, 1, defects, false);
             }
         }
         if (variant.startsWith(BOUNDS)) {
--- a/src/test/java/firstage/simulation/PolicyUnderTestTest.java
+++ b/src/test/java/firstage/simulation/PolicyUnderTestTest.java
@@ -26,7 +26,7 @@
         assertThat(PolicyUnderTest.of("scheduler:bounds=4").bounds()).isEqualTo(4);
         assertThat(PolicyUnderTest.of("scheduler:cold=settings").coldBySettings()).isTrue();
         assertThat(PolicyUnderTest.of("scheduler:peers").peers())
-                .isEqualTo(FleetCoordinator.Faults.NONE);
+                .isEqualTo(FleetCoordinator.InjectedDefects.NONE);
         assertThat(PolicyUnderTest.of("two-choices").plain())
                 .isEqualTo(BaselinePolicy.Kind.TWO_CHOICES);
     }
