--- a/src/main/java/firstage/cli/RehearseCommand.java
+++ b/src/main/java/firstage/cli/RehearseCommand.java
@@ -56,6 +56,6 @@
                 throw new IOException("no answer in the rehearsal");
             }
         }
-        node.close();
+        node.shutDown();
     }
 }
--- a/src/main/java/firstage/cli/ServeCommand.java
+++ b/src/main/java/firstage/cli/ServeCommand.java
@@ -90,7 +90,7 @@
                 signal -> {
                     ending = true;
                     if (serves) {
-                        node.close();
+                        node.shutDown();
                     }
                 });
         patiently(
@@ -107,7 +107,7 @@
                 });
         serves = true;
         if (ending) {
-            node.close();
+            node.shutDown();
         }
         Thread reader = new Thread(() -> readAnew(node, told), "configuration");
         reader.setDaemon(true);
@@ -205,7 +205,7 @@
                 ManagerConfig next = read();
                 LOG.info(() -> "read anew in " + (System.nanoTime() - since) / 1_000_000 + " ms");
                 if (next.name().equals(first.name()) && next.listen().equals(first.listen())) {
-                    node.told(next);
+                    node.reconfigure(next);
                 } else {
                     LOG.warning(
                             "the new configuration is another manager's: "
--- a/src/main/java/firstage/lifecycle/ArrivalSequencer.java
+++ b/src/main/java/firstage/lifecycle/ArrivalSequencer.java
@@ -20,45 +20,45 @@
  */
 public final class ArrivalSequencer<B> {
     /** Carries the effects out. */
-    public interface Carrier<B> {
+    public interface ArrivalActions<B> {
         /**
-         * To be answered by {@link ArrivalSequencer#passed} once all that has come until now is
-         * read and told.
+         * To be answered by {@link ArrivalSequencer#onReadBarrierPassed} once all that has come
+         * until now is read and told.
          */
-        void barrier(Object key);
+        void requestReadBarrier(Object key);
 
         /** The batch is taken; where its turn is unknown it must not run. */
-        void taken(B batch, boolean turnKnown);
+        void deliver(B request, boolean orderKnown);
     }
 
-    private final Carrier<B> carrier;
-    private final Map<Object, B> unsettled = new HashMap<>();
+    private final ArrivalActions<B> actions;
+    private final Map<Object, B> firstByKey = new HashMap<>();
 
-    public ArrivalSequencer(Carrier<B> carrier) {
-        this.carrier = carrier;
+    public ArrivalSequencer(ArrivalActions<B> actions) {
+        this.actions = actions;
     }
 
     /** A batch was read whole; {@code key} null where nobody waits for its turn. */
-    public void came(B batch, Object key) {
+    public void onRequestRead(B request, Object key) {
         if (key == null) {
-            carrier.taken(batch, true);
-        } else if (unsettled.putIfAbsent(key, batch) == null) {
-            carrier.barrier(key);
+            actions.deliver(request, true);
+        } else if (firstByKey.putIfAbsent(key, request) == null) {
+            actions.requestReadBarrier(key);
         } else {
-            carrier.taken(batch, false);
+            actions.deliver(request, false);
         }
     }
 
     /** All that had come when the barrier was asked for has been told. */
-    public void passed(Object key) {
-        B first = unsettled.remove(key);
+    public void onReadBarrierPassed(Object key) {
+        B first = firstByKey.remove(key);
         if (first != null) {
-            carrier.taken(first, true);
+            actions.deliver(first, true);
         }
     }
 
     /** Batches that were read and not told yet. */
-    public int unsettled() {
-        return unsettled.size();
+    public int undelivered() {
+        return firstByKey.size();
     }
 }
--- a/src/main/java/firstage/lifecycle/ClientCallStateMachine.java
+++ b/src/main/java/firstage/lifecycle/ClientCallStateMachine.java
@@ -10,18 +10,18 @@
  * and not the batch. An answer that was written may be lost with its connection: it is kept for a
  * client that asks again.
  *
- * <p>Times are tenths of a millisecond. Effects go out by {@link Carrier}, which does not call back
- * before it returns.
+ * <p>Times are tenths of a millisecond. Effects go out by {@link ArrivalActions}, which does not
+ * call back before it returns.
  */
 public final class ClientCallStateMachine {
     /** A first call is held so long: as the engines hold theirs. */
-    public static final long FIRST_HELD = 2_500;
+    public static final long FIRST_CALL_HOLD = 2_500;
 
     /**
      * A client calls again at once, three times at most; so long it may take, and an answer be
      * asked for anew.
      */
-    public static final long AGAIN = 20_000;
+    public static final long RECONNECT_TIMEOUT = 20_000;
 
     /**
      * One that has not called at its path within this may be gone: a way there and back takes
@@ -29,202 +29,288 @@
      * that left must cost no engine anything, so that a statement which is just on its way comes in
      * time, too.
      */
-    public static final long MISSED = 500;
+    public static final long POLL_GRACE = 500;
 
     /** Carries the effects out. */
-    public interface Carrier {
+    public interface ClientCallActions {
         /** Answers the first call with the path. */
-        void givePath();
+        void respondWithPollPath();
 
         /** Answers all calls that are held with the batch's answer. */
-        void give();
+        void respond();
 
         /**
-         * Sets the one timer, to be told by {@link ClientCallStateMachine#due}; the one before is
-         * void.
+         * Sets the one timer, to be told by {@link ClientCallStateMachine#onTimeout}; the one
+         * before is void.
          */
-        void arm(long delay);
+        void startTimer(long delay);
 
         /** The timer is void. */
-        void disarm();
+        void stopTimer();
 
         /** Ends the connections of all calls that are held. */
-        void closeHeld();
+        void closeHeldCalls();
 
         /** Answers all calls that are held: errored, for it is given up and may have run. */
-        void failHeld();
+        void failHeldCalls();
 
         /** Nobody asks at the path, and nobody may any more: it is not to be sent on. */
-        void away();
+        void markClientAbsent();
 
         /** It is asked for again. */
-        void back();
+        void markClientPresent();
 
         /** The client is gone, or gave up, before there was an answer: it is owed nothing. */
-        void left();
+        void markClientGone();
 
         /** Nobody asks any more: the call is off the books. Called once. */
-        void forget();
+        void release();
     }
 
     enum State {
-        FIRST,
-        PATHED,
-        AWAY,
-        HELD,
-        ANSWERED,
-        GIVEN,
-        OVER
+        FIRST_CALL_HELD,
+        POLL_PATH_SENT,
+        CLIENT_ABSENT,
+        POLL_HELD,
+        ANSWER_READY,
+        ANSWER_SENT,
+        RELEASED
     }
 
     private enum Event {
-        DUE,
-        ASKED,
-        ANSWER,
-        FIRST_BROKE,
-        LAST_BROKE,
-        GAVE_UP
+        TIMEOUT,
+        POLL,
+        ANSWER_AVAILABLE,
+        FIRST_CALL_BROKEN,
+        LAST_POLL_BROKEN,
+        CLIENT_CANCELLED
     }
 
-    private enum Effect {
-        GIVE_PATH,
-        GIVE,
-        ARM_SHORT,
-        ARM_REST,
-        ARM,
-        DISARM,
-        CLOSE,
-        FAIL,
-        AWAY,
-        BACK,
-        LEFT,
-        FORGET
+    private enum Action {
+        RESPOND_WITH_POLL_PATH,
+        RESPOND,
+        START_POLL_GRACE,
+        START_REMAINING_RECONNECT_TIMEOUT,
+        START_RECONNECT_TIMEOUT,
+        STOP_TIMER,
+        CLOSE_HELD_CALLS,
+        FAIL_HELD_CALLS,
+        MARK_CLIENT_ABSENT,
+        MARK_CLIENT_PRESENT,
+        MARK_CLIENT_GONE,
+        RELEASE
     }
 
-    private record Row(State next, List<Effect> effects) {}
+    private record Transition(State next, List<Action> actions) {}
 
-    private static final Map<State, Map<Event, Row>> TABLE = new EnumMap<>(State.class);
+    private static final Map<State, Map<Event, Transition>> TRANSITIONS =
+            new EnumMap<>(State.class);
 
-    private static void row(State state, Event event, State next, Effect... effects) {
-        TABLE.computeIfAbsent(state, s -> new EnumMap<>(Event.class))
-                .put(event, new Row(next, List.of(effects)));
+    private static void transition(State state, Event event, State next, Action... actions) {
+        TRANSITIONS
+                .computeIfAbsent(state, s -> new EnumMap<>(Event.class))
+                .put(event, new Transition(next, List.of(actions)));
     }
 
     // State, event, next state, effects. What is not here changes nothing.
     static {
-        row(State.FIRST, Event.DUE, State.PATHED, Effect.GIVE_PATH, Effect.ARM_SHORT);
-        row(State.FIRST, Event.ANSWER, State.OVER, Effect.GIVE, Effect.DISARM, Effect.FORGET);
+        transition(
+                State.FIRST_CALL_HELD,
+                Event.TIMEOUT,
+                State.POLL_PATH_SENT,
+                Action.RESPOND_WITH_POLL_PATH,
+                Action.START_POLL_GRACE);
+        transition(
+                State.FIRST_CALL_HELD,
+                Event.ANSWER_AVAILABLE,
+                State.RELEASED,
+                Action.RESPOND,
+                Action.STOP_TIMER,
+                Action.RELEASE);
         // With no path yet a client that closes gives up.
-        row(
-                State.FIRST,
-                Event.FIRST_BROKE,
-                State.OVER,
-                Effect.CLOSE,
-                Effect.DISARM,
-                Effect.FORGET,
-                Effect.LEFT);
-        row(
-                State.FIRST,
-                Event.GAVE_UP,
-                State.OVER,
-                Effect.CLOSE,
-                Effect.DISARM,
-                Effect.FORGET,
-                Effect.LEFT);
-        row(State.PATHED, Event.ASKED, State.HELD, Effect.DISARM);
-        row(State.PATHED, Event.ANSWER, State.ANSWERED, Effect.ARM);
-        row(State.PATHED, Event.DUE, State.AWAY, Effect.ARM_REST, Effect.AWAY);
-        row(State.PATHED, Event.GAVE_UP, State.OVER, Effect.DISARM, Effect.FORGET, Effect.LEFT);
+        transition(
+                State.FIRST_CALL_HELD,
+                Event.FIRST_CALL_BROKEN,
+                State.RELEASED,
+                Action.CLOSE_HELD_CALLS,
+                Action.STOP_TIMER,
+                Action.RELEASE,
+                Action.MARK_CLIENT_GONE);
+        transition(
+                State.FIRST_CALL_HELD,
+                Event.CLIENT_CANCELLED,
+                State.RELEASED,
+                Action.CLOSE_HELD_CALLS,
+                Action.STOP_TIMER,
+                Action.RELEASE,
+                Action.MARK_CLIENT_GONE);
+        transition(State.POLL_PATH_SENT, Event.POLL, State.POLL_HELD, Action.STOP_TIMER);
+        transition(
+                State.POLL_PATH_SENT,
+                Event.ANSWER_AVAILABLE,
+                State.ANSWER_READY,
+                Action.START_RECONNECT_TIMEOUT);
+        transition(
+                State.POLL_PATH_SENT,
+                Event.TIMEOUT,
+                State.CLIENT_ABSENT,
+                Action.START_REMAINING_RECONNECT_TIMEOUT,
+                Action.MARK_CLIENT_ABSENT);
+        transition(
+                State.POLL_PATH_SENT,
+                Event.CLIENT_CANCELLED,
+                State.RELEASED,
+                Action.STOP_TIMER,
+                Action.RELEASE,
+                Action.MARK_CLIENT_GONE);
         // The harm prevented: a client that closed and can't say so, or whose word is late, is
         // worked for in vain. One
         // whose connection broke finds its batch where it was.
-        row(State.AWAY, Event.ASKED, State.HELD, Effect.DISARM, Effect.BACK);
-        row(State.AWAY, Event.ANSWER, State.ANSWERED, Effect.ARM);
-        row(State.AWAY, Event.DUE, State.OVER, Effect.FORGET, Effect.LEFT);
-        row(State.AWAY, Event.GAVE_UP, State.OVER, Effect.DISARM, Effect.FORGET, Effect.LEFT);
+        transition(
+                State.CLIENT_ABSENT,
+                Event.POLL,
+                State.POLL_HELD,
+                Action.STOP_TIMER,
+                Action.MARK_CLIENT_PRESENT);
+        transition(
+                State.CLIENT_ABSENT,
+                Event.ANSWER_AVAILABLE,
+                State.ANSWER_READY,
+                Action.START_RECONNECT_TIMEOUT);
+        transition(
+                State.CLIENT_ABSENT,
+                Event.TIMEOUT,
+                State.RELEASED,
+                Action.RELEASE,
+                Action.MARK_CLIENT_GONE);
+        transition(
+                State.CLIENT_ABSENT,
+                Event.CLIENT_CANCELLED,
+                State.RELEASED,
+                Action.STOP_TIMER,
+                Action.RELEASE,
+                Action.MARK_CLIENT_GONE);
         // Which of two calls is the later one can't be told by when they come in: both are held,
         // and both answered.
-        row(State.HELD, Event.ANSWER, State.GIVEN, Effect.GIVE, Effect.ARM);
-        row(State.HELD, Event.LAST_BROKE, State.AWAY, Effect.ARM, Effect.AWAY);
+        transition(
+                State.POLL_HELD,
+                Event.ANSWER_AVAILABLE,
+                State.ANSWER_SENT,
+                Action.RESPOND,
+                Action.START_RECONNECT_TIMEOUT);
+        transition(
+                State.POLL_HELD,
+                Event.LAST_POLL_BROKEN,
+                State.CLIENT_ABSENT,
+                Action.START_RECONNECT_TIMEOUT,
+                Action.MARK_CLIENT_ABSENT);
         // The harm prevented: a client's time may be up before ours says so, as it counts from
         // before it sent; its held
         // call would end with no answer at all, and that is a batch lost.
-        row(State.HELD, Event.GAVE_UP, State.OVER, Effect.FAIL, Effect.FORGET, Effect.LEFT);
-        row(State.ANSWERED, Event.ASKED, State.GIVEN, Effect.GIVE, Effect.ARM);
-        row(State.ANSWERED, Event.DUE, State.OVER, Effect.FORGET);
-        row(State.ANSWERED, Event.GAVE_UP, State.OVER, Effect.DISARM, Effect.FORGET);
-        row(State.GIVEN, Event.ASKED, State.GIVEN, Effect.GIVE, Effect.ARM);
-        row(State.GIVEN, Event.DUE, State.OVER, Effect.FORGET);
-        row(State.GIVEN, Event.GAVE_UP, State.OVER, Effect.CLOSE, Effect.DISARM, Effect.FORGET);
+        transition(
+                State.POLL_HELD,
+                Event.CLIENT_CANCELLED,
+                State.RELEASED,
+                Action.FAIL_HELD_CALLS,
+                Action.RELEASE,
+                Action.MARK_CLIENT_GONE);
+        transition(
+                State.ANSWER_READY,
+                Event.POLL,
+                State.ANSWER_SENT,
+                Action.RESPOND,
+                Action.START_RECONNECT_TIMEOUT);
+        transition(State.ANSWER_READY, Event.TIMEOUT, State.RELEASED, Action.RELEASE);
+        transition(
+                State.ANSWER_READY,
+                Event.CLIENT_CANCELLED,
+                State.RELEASED,
+                Action.STOP_TIMER,
+                Action.RELEASE);
+        transition(
+                State.ANSWER_SENT,
+                Event.POLL,
+                State.ANSWER_SENT,
+                Action.RESPOND,
+                Action.START_RECONNECT_TIMEOUT);
+        transition(State.ANSWER_SENT, Event.TIMEOUT, State.RELEASED, Action.RELEASE);
+        transition(
+                State.ANSWER_SENT,
+                Event.CLIENT_CANCELLED,
+                State.RELEASED,
+                Action.CLOSE_HELD_CALLS,
+                Action.STOP_TIMER,
+                Action.RELEASE);
     }
 
-    private final Carrier carrier;
-    private State state = State.FIRST;
+    private final ClientCallActions actions;
+    private State state = State.FIRST_CALL_HELD;
 
-    public ClientCallStateMachine(Carrier carrier) {
-        this.carrier = carrier;
+    public ClientCallStateMachine(ClientCallActions actions) {
+        this.actions = actions;
     }
 
     /** The first call is held. */
     public void start() {
-        carrier.arm(FIRST_HELD);
+        actions.startTimer(FIRST_CALL_HOLD);
     }
 
     /** The timer that was set last. */
-    public void due() {
-        on(Event.DUE);
+    public void onTimeout() {
+        handle(Event.TIMEOUT);
     }
 
     /** The client asks at the path; its call is held from here on. */
-    public void asked() {
-        on(Event.ASKED);
+    public void onPoll() {
+        handle(Event.POLL);
     }
 
     /** There is an answer. */
-    public void answer() {
-        on(Event.ANSWER);
+    public void onAnswerAvailable() {
+        handle(Event.ANSWER_AVAILABLE);
     }
 
     /** The connection of the first call ended under it. */
-    public void firstBroke() {
-        on(Event.FIRST_BROKE);
+    public void onFirstCallBroken() {
+        handle(Event.FIRST_CALL_BROKEN);
     }
 
     /** The connection of a call at the path ended under it, and no other is held. */
-    public void lastBroke() {
-        on(Event.LAST_BROKE);
+    public void onLastPollBroken() {
+        handle(Event.LAST_POLL_BROKEN);
     }
 
     /** The client gave up by the path, or did what no client of ours does. */
-    public void gaveUp() {
-        on(Event.GAVE_UP);
+    public void onClientCancelled() {
+        handle(Event.CLIENT_CANCELLED);
     }
 
     /** Whether its client has its answer, or is owed none. */
-    public boolean settled() {
-        return state == State.GIVEN || state == State.OVER;
+    public boolean isSettled() {
+        return state == State.ANSWER_SENT || state == State.RELEASED;
     }
 
-    private void on(Event event) {
-        Row row = TABLE.getOrDefault(state, Map.of()).get(event);
-        if (row == null) {
+    private void handle(Event event) {
+        Transition transition = TRANSITIONS.getOrDefault(state, Map.of()).get(event);
+        if (transition == null) {
             return;
         }
-        state = row.next;
-        for (Effect effect : row.effects) {
-            switch (effect) {
-                case GIVE_PATH -> carrier.givePath();
-                case GIVE -> carrier.give();
-                case ARM_SHORT -> carrier.arm(MISSED);
-                case ARM_REST -> carrier.arm(AGAIN - MISSED);
-                case ARM -> carrier.arm(AGAIN);
-                case DISARM -> carrier.disarm();
-                case CLOSE -> carrier.closeHeld();
-                case FAIL -> carrier.failHeld();
-                case AWAY -> carrier.away();
-                case BACK -> carrier.back();
-                case LEFT -> carrier.left();
-                case FORGET -> carrier.forget();
+        state = transition.next;
+        for (Action action : transition.actions) {
+            switch (action) {
+                case RESPOND_WITH_POLL_PATH -> actions.respondWithPollPath();
+                case RESPOND -> actions.respond();
+                case START_POLL_GRACE -> actions.startTimer(POLL_GRACE);
+                case START_REMAINING_RECONNECT_TIMEOUT ->
+                        actions.startTimer(RECONNECT_TIMEOUT - POLL_GRACE);
+                case START_RECONNECT_TIMEOUT -> actions.startTimer(RECONNECT_TIMEOUT);
+                case STOP_TIMER -> actions.stopTimer();
+                case CLOSE_HELD_CALLS -> actions.closeHeldCalls();
+                case FAIL_HELD_CALLS -> actions.failHeldCalls();
+                case MARK_CLIENT_ABSENT -> actions.markClientAbsent();
+                case MARK_CLIENT_PRESENT -> actions.markClientPresent();
+                case MARK_CLIENT_GONE -> actions.markClientGone();
+                case RELEASE -> actions.release();
             }
         }
     }
--- a/src/main/java/firstage/lifecycle/KeyOrderMonitor.java
+++ b/src/main/java/firstage/lifecycle/KeyOrderMonitor.java
@@ -12,62 +12,63 @@
  * engine. It decides nothing; what it finds is a fault of ours. Times are tenths of a millisecond.
  */
 public final class KeyOrderMonitor {
-    private static final class Line {
-        private final List<Object> open = new ArrayList<>();
-        private final Map<Object, Integer> out = new HashMap<>();
+    private static final class KeyState {
+        private final List<Object> openRequests = new ArrayList<>();
+        private final Map<Object, Integer> attemptsInFlight = new HashMap<>();
 
         /** The batch whose engine may hold it, and until when. */
-        private final Map<Object, Long> held = new HashMap<>();
+        private final Map<Object, Long> heldUntil = new HashMap<>();
 
-        private boolean over(long now) {
-            held.values().removeIf(until -> until <= now);
-            return open.isEmpty() && out.isEmpty() && held.isEmpty();
+        private boolean isIdle(long now) {
+            heldUntil.values().removeIf(until -> until <= now);
+            return openRequests.isEmpty() && attemptsInFlight.isEmpty() && heldUntil.isEmpty();
         }
     }
 
-    private final Map<Object, Line> lines = new HashMap<>();
+    private final Map<Object, KeyState> keys = new HashMap<>();
 
     /** A batch was told to the decisions, its turn known. */
-    public void told(Object key, Object batch) {
-        lines.computeIfAbsent(key, k -> new Line()).open.add(batch);
+    public void onRequest(Object key, Object request) {
+        keys.computeIfAbsent(key, k -> new KeyState()).openRequests.add(request);
     }
 
     /** A dispatch of it goes out; false where that breaks its key's order. */
-    public boolean sent(long now, Object key, Object batch) {
-        Line line = lines.computeIfAbsent(key, k -> new Line());
-        line.over(now);
-        boolean first = line.open.isEmpty() || line.open.get(0).equals(batch);
+    public boolean onAttemptStarted(long now, Object key, Object request) {
+        KeyState keyState = keys.computeIfAbsent(key, k -> new KeyState());
+        keyState.isIdle(now);
+        boolean first =
+                keyState.openRequests.isEmpty() || keyState.openRequests.get(0).equals(request);
         boolean alone =
-                line.out.keySet().stream().allMatch(batch::equals)
-                        && line.held.keySet().stream().allMatch(batch::equals);
-        line.out.merge(batch, 1, Integer::sum);
+                keyState.attemptsInFlight.keySet().stream().allMatch(request::equals)
+                        && keyState.heldUntil.keySet().stream().allMatch(request::equals);
+        keyState.attemptsInFlight.merge(request, 1, Integer::sum);
         return first && alone;
     }
 
     /** A dispatch of it is over; its engine may hold it for {@code rest} more. */
-    public void ended(long now, Object key, Object batch, long rest) {
-        Line line = lines.get(key);
-        if (line != null) {
-            line.out.computeIfPresent(batch, (b, n) -> n > 1 ? n - 1 : null);
-            if (rest > 0) {
-                line.held.merge(batch, now + rest, Math::max);
+    public void onAttemptEnded(long now, Object key, Object request, long heldFor) {
+        KeyState keyState = keys.get(key);
+        if (keyState != null) {
+            keyState.attemptsInFlight.computeIfPresent(request, (b, n) -> n > 1 ? n - 1 : null);
+            if (heldFor > 0) {
+                keyState.heldUntil.merge(request, now + heldFor, Math::max);
             }
         }
     }
 
     /** The batch is answered, or owed no answer. */
-    public void over(Object key, Object batch) {
-        Line line = lines.get(key);
-        if (line != null) {
-            line.open.remove(batch);
+    public void onRequestEnded(Object key, Object request) {
+        KeyState keyState = keys.get(key);
+        if (keyState != null) {
+            keyState.openRequests.remove(request);
         }
     }
 
     /** Drops the keys that nothing is known of any more; asked now and then. */
-    public void sweep(long now) {
-        for (Iterator<Line> each = lines.values().iterator(); each.hasNext(); ) {
-            if (each.next().over(now)) {
-                each.remove();
+    public void removeIdleKeys(long now) {
+        for (Iterator<KeyState> remaining = keys.values().iterator(); remaining.hasNext(); ) {
+            if (remaining.next().isIdle(now)) {
+                remaining.remove();
             }
         }
     }
--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -308,8 +308,8 @@
                     return;
                 }
                 listBytes += n;
-                frames.take(buffer.flip()).stream()
-                        .filter(f -> f.kind() != 0)
+                frames.decode(buffer.flip()).stream()
+                        .filter(f -> f.type() != 0)
                         .forEach(f -> listed(f.payload()));
             } catch (IOException gone) {
                 lost();
--- a/src/main/java/firstage/server/Counters.java
+++ b/src/main/java/firstage/server/Counters.java
@@ -34,13 +34,13 @@
     }
 
     /** What must hold. */
-    public void hold(boolean holds, String what) {
+    public void checkInvariant(boolean holds, String invariant) {
         if (!holds) {
-            recorder.dump("broken: " + what);
+            recorder.dump("broken: " + invariant);
         }
-        assert holds : what;
+        assert holds : invariant;
         if (!holds) {
-            count("broken: " + what);
+            count("broken: " + invariant);
         }
     }
 
--- a/src/main/java/firstage/server/FlightRecorder.java
+++ b/src/main/java/firstage/server/FlightRecorder.java
@@ -11,23 +11,23 @@
  */
 public final class FlightRecorder {
     /** What happened; the two figures beside it are as said. */
-    public enum What {
+    public enum EventType {
         /** Read whole: ms since its connection was opened. */
         READ,
         /** Told to the decisions: 1 where its turn is known. */
-        TOLD,
+        SCHEDULED,
         /** Sent by the decisions: number, engine. */
-        DISPATCHED,
+        ATTEMPT_STARTED,
         /** The statement goes onto the wire: number, engine. */
-        WRITTEN,
+        STATEMENT_WRITTEN,
         /** An answer of its engine: number, status. */
-        ANSWERED,
+        ENGINE_REPLY,
         /** A call to its engine failed: number, place in {@code Call.Failure}. */
-        LOST,
+        CALL_FAILED,
         /** A dispatch is over: place in {@code Outcome}, how long its engine may hold it in ms. */
-        ENDED,
+        ATTEMPT_ENDED,
         /** The client has its answer, or left. */
-        OVER,
+        REQUEST_ENDED,
         /** The thread came late: ms. */
         STALL
     }
@@ -35,39 +35,39 @@
     private static final Logger LOG = Logger.getLogger(FlightRecorder.class.getName());
 
     /** Some ten seconds of a manager in heavy traffic; 32 bytes each. */
-    private static final int SIZE = 2_048;
+    private static final int CAPACITY = 2_048;
 
     /** Between two dumps: one fault is told once, not with each of its consequences. */
     private static final long DUMP_GAP_NS = 10_000_000_000L;
 
-    private final long[] times = new long[SIZE];
-    private final What[] whats = new What[SIZE];
-    private final String[] ids = new String[SIZE];
-    private final int[] first = new int[SIZE];
-    private final int[] second = new int[SIZE];
+    private final long[] timesNanos = new long[CAPACITY];
+    private final EventType[] types = new EventType[CAPACITY];
+    private final String[] requestIds = new String[CAPACITY];
+    private final int[] firstFigures = new int[CAPACITY];
+    private final int[] secondFigures = new int[CAPACITY];
     private long count;
-    private long dumpedAt;
+    private long dumpedAtNanos;
 
     /** Keeps one event; {@code id} is null where it is no batch's. */
-    public void note(What what, String id, long a, long b) {
-        int at = (int) (count++ % SIZE);
-        times[at] = System.nanoTime();
-        whats[at] = what;
-        ids[at] = id;
-        first[at] = (int) a;
-        second[at] = (int) b;
+    public void record(EventType type, String id, long firstFigure, long secondFigure) {
+        int slot = (int) (count++ % CAPACITY);
+        timesNanos[slot] = System.nanoTime();
+        types[slot] = type;
+        requestIds[slot] = id;
+        firstFigures[slot] = (int) firstFigure;
+        secondFigures[slot] = (int) secondFigure;
     }
 
     /** Writes the ring to the log, oldest first, in times before now. */
-    public void dump(String why) {
+    public void dump(String reason) {
         long now = System.nanoTime();
-        if (dumpedAt != 0 && now - dumpedAt < DUMP_GAP_NS) {
+        if (dumpedAtNanos != 0 && now - dumpedAtNanos < DUMP_GAP_NS) {
             return;
         }
-        dumpedAt = now;
+        dumpedAtNanos = now;
         LOG.severe(
                 () ->
-                        why
+                        reason
                                 + "; what happened before, in ms before now:\n"
                                 + String.join("\n", lines(now)));
     }
@@ -75,16 +75,16 @@
     /** The events that are kept, oldest first. */
     List<String> lines(long now) {
         List<String> lines = new ArrayList<>();
-        for (long i = Math.max(0, count - SIZE); i < count; i++) {
-            int at = (int) (i % SIZE);
+        for (long i = Math.max(0, count - CAPACITY); i < count; i++) {
+            int slot = (int) (i % CAPACITY);
             lines.add(
                     String.format(
                             "%.1f %s %s %d %d",
-                            (times[at] - now) / 1e6,
-                            whats[at],
-                            ids[at] == null ? "-" : ids[at],
-                            first[at],
-                            second[at]));
+                            (timesNanos[slot] - now) / 1e6,
+                            types[slot],
+                            requestIds[slot] == null ? "-" : requestIds[slot],
+                            firstFigures[slot],
+                            secondFigures[slot]));
         }
         return lines;
     }
--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -12,7 +12,7 @@
 import firstage.policy.api.LoadReport;
 import firstage.policy.api.PolicyActions;
 import firstage.policy.api.SchedulingPolicy;
-import firstage.server.FlightRecorder.What;
+import firstage.server.FlightRecorder.EventType;
 import firstage.server.client.ClientHandler;
 import firstage.server.discovery.EndpointWatcher;
 import firstage.server.engine.EngineClients;
@@ -41,73 +41,74 @@
     private static final Logger LOG = Logger.getLogger(ManagerServer.class.getName());
 
     /** After a SIGTERM the front goes on sending for at most 0.6 s. */
-    private static final long STILL_SENT_MS = 700;
+    private static final long ACCEPT_AFTER_SIGTERM_MS = 700;
 
     /** Tenths of a millisecond that the last answers may need on their way. */
-    private static final long LAST_WORDS = 5_000;
+    private static final long LAST_RESPONSES_ALLOWANCE = 5_000;
 
-    private static final long SWEEP_MS = 1_000;
-    private static final long TOGETHER_MS = 100;
+    private static final long MAINTENANCE_PERIOD_MS = 1_000;
+    private static final long FLEET_REPORT_PERIOD_MS = 100;
 
     /** After a client's time is up; its answer must be there 50 ms after it. */
-    private static final long OVERDUE_MS = 35;
+    private static final long DEADLINE_GRACE_MS = 35;
 
     /** Dispatches that are given up end within this. */
-    private static final long LAST_MS = 50;
+    private static final long ABANDONED_ATTEMPTS_GRACE_MS = 50;
 
     /** Later than this the thread stood still: clients write batches of one key 60 ms apart. */
-    private static final long STALL_US = 30_000;
+    private static final long STALL_THRESHOLD_US = 30_000;
 
-    private static final String[] ENDS = {
+    private static final String[] REQUEST_END_COUNTERS = {
         "batches returned",
         "batches pushed back",
         "batches errored",
         "batches errored at their limit",
         "batches left by their clients"
     };
-    private final ManagerConfig assignment;
+    private final ManagerConfig config;
     private final TickClock clock = new TickClock();
     private final Counters counters = new Counters();
     private final XnioWorker worker;
     private final XnioIoThread io;
-    private final SchedulingPolicy manager;
+    private final SchedulingPolicy scheduler;
     private final EngineClients engines;
-    private final ClientHandler door;
-    private final EndpointWatcher follower;
+    private final ClientHandler clientHandler;
+    private final EndpointWatcher endpointWatcher;
     private final ReadBarrier barrier;
 
     /** Null where no peers are named. */
-    private final MembershipTransport peers;
+    private final MembershipTransport membership;
 
-    private double share;
-    private final Map<Integer, Integer> zoneOf = new HashMap<>();
-    private final ArrivalSequencer<Came> order = new ArrivalSequencer<>(new Readings());
-    private final KeyOrderMonitor watch = new KeyOrderMonitor();
-    private final IdRegistry<RequestExchange> batches = new IdRegistry<>();
-    private final IdRegistry<String> keys = new IdRegistry<>();
-    private final IdRegistry<Long> ids = new IdRegistry<>();
+    private double quotaShare;
+    private final Map<Integer, Integer> zoneByEngine = new HashMap<>();
+    private final ArrivalSequencer<UnsequencedRequest> arrivals =
+            new ArrivalSequencer<>(new SequencedArrivals());
+    private final KeyOrderMonitor keyOrder = new KeyOrderMonitor();
+    private final IdRegistry<RequestExchange> requestIds = new IdRegistry<>();
+    private final IdRegistry<String> keyIds = new IdRegistry<>();
+    private final IdRegistry<Long> engineIds = new IdRegistry<>();
 
     /** Batches without an answer, and dispatches that are out. */
-    private int open;
+    private int openRequests;
 
-    private int out;
-    private boolean turnDue;
+    private int attemptsInFlight;
+    private boolean evaluationScheduled;
 
     /** The thread stood still since the last turn. */
-    private boolean stood;
+    private boolean stalled;
 
     private boolean closing;
-    private boolean stillSent;
+    private boolean acceptingAfterSigterm;
 
     /** The end was asked for; a second call for it changes nothing. */
-    private boolean ending;
+    private boolean shutdownRequested;
 
     /**
-     * {@code peers}: the other managers; null where they are not named, and nothing of them is
+     * {@code membership}: the other managers; null where they are not named, and nothing of them is
      * loaded.
      */
-    public ManagerServer(ManagerConfig assignment, PeerConfig peers) throws IOException {
-        this.assignment = assignment;
+    public ManagerServer(ManagerConfig config, PeerConfig peers) throws IOException {
+        this.config = config;
         worker =
                 Xnio.getInstance(ManagerServer.class.getClassLoader())
                         .createWorker(
@@ -119,24 +120,24 @@
                                         .getMap());
         io = worker.getIoThread();
         barrier = new ReadBarrier(io, counters);
-        engines = new EngineClients(io, clock, counters, this, assignment);
-        door = new ClientHandler(io, clock, counters, this, assignment);
-        follower = new EndpointWatcher(io, clock, counters, this, assignment);
-        manager = new WorkloadScheduler(assignment.deployment(), this);
-        this.peers =
+        engines = new EngineClients(io, clock, counters, this, config);
+        clientHandler = new ClientHandler(io, clock, counters, this, config);
+        endpointWatcher = new EndpointWatcher(io, clock, counters, this, config);
+        scheduler = new WorkloadScheduler(config.deployment(), this);
+        this.membership =
                 peers == null
                         ? null
                         : new MembershipTransport(
                                 peers,
-                                assignment,
+                                config,
                                 System.currentTimeMillis(),
                                 io,
                                 clock,
                                 counters,
-                                this::keepAway,
-                                this::cut,
-                                freed -> tellListed(EndpointUpdate.Kind.DELTA, freed));
-        share = 1.0 / assignment.deployment().managers();
+                                this::onProbeOwnership,
+                                this::onSheddingThreshold,
+                                released -> updateEndpoints(EndpointUpdate.Kind.DELTA, released));
+        quotaShare = 1.0 / config.deployment().managers();
     }
 
     /**
@@ -144,78 +145,83 @@
      * again.
      */
     public void start() throws IOException {
-        door.listen(worker);
-        if (peers != null) {
-            peers.listen(worker);
+        clientHandler.listen(worker);
+        if (membership != null) {
+            membership.listen(worker);
         }
         io.execute(
                 () -> {
                     barrier.start();
-                    if (peers != null) {
-                        peers.start();
-                        lookTogether();
+                    if (membership != null) {
+                        membership.start();
+                        reportToFleet();
                     }
-                    follower.follow(assignment);
-                    door.accept();
-                    sweep();
+                    endpointWatcher.follow(config);
+                    clientHandler.accept();
+                    maintain();
                 });
-        LOG.info(() -> assignment.name() + " listens on " + assignment.listen());
+        LOG.info(() -> config.name() + " listens on " + config.listen());
     }
 
     /** A new configuration: it reaches the list's follower only. */
-    public void told(ManagerConfig next) {
+    public void reconfigure(ManagerConfig newConfig) {
         io.execute(
                 () -> {
                     counters.count("configurations read anew");
-                    LOG.info(() -> "the coordinator is at " + next.coordinator());
-                    follower.follow(next);
+                    LOG.info(() -> "the coordinator is at " + newConfig.coordinator());
+                    endpointWatcher.follow(newConfig);
                 });
     }
 
     /** Serves on while the front still sends, answers all that was taken, then ends the program. */
-    public void close() {
+    public void shutDown() {
         // When the signal came: a thread that stands still just then has the less time left.
-        long since = clock.now();
+        long signalledAt = clock.now();
         io.execute(
                 () -> {
-                    if (ending) {
+                    if (shutdownRequested) {
                         // The harm prevented: a second SIGTERM counted the planned end anew, past
                         // the SIGKILL of the first.
                         counters.count("calls to end that came again");
                         return;
                     }
-                    ending = true;
+                    shutdownRequested = true;
                     closing = true;
-                    stillSent = true;
-                    engines.closingSoon();
-                    LOG.info(() -> "closing with " + open + " batches open");
-                    if (peers != null) {
-                        peers.leave();
+                    acceptingAfterSigterm = true;
+                    engines.prepareShutdown();
+                    LOG.info(() -> "closing with " + openRequests + " batches open");
+                    if (membership != null) {
+                        membership.leave();
                     }
-                    tell(
+                    dispatch(
                             "closing",
                             () ->
-                                    manager.onShutdown(
+                                    scheduler.onShutdown(
                                             clock.now(),
-                                            since + assignment.endsWithin() - LAST_WORDS));
-                    later(
-                            STILL_SENT_MS,
+                                            signalledAt
+                                                    + config.endsWithin()
+                                                    - LAST_RESPONSES_ALLOWANCE));
+                    runLater(
+                            ACCEPT_AFTER_SIGTERM_MS,
                             () -> {
-                                stillSent = false;
-                                door.closing(clock.now());
-                                endIfIdle();
+                                acceptingAfterSigterm = false;
+                                clientHandler.closing(clock.now());
+                                endWhenIdle();
                             });
                 });
     }
 
-    private boolean idle() {
-        return open == 0 && order.unsettled() == 0 && out == engines.lingering() && door.idle();
+    private boolean isIdle() {
+        return openRequests == 0
+                && arrivals.undelivered() == 0
+                && attemptsInFlight == engines.lingeringAttempts()
+                && clientHandler.isIdle();
     }
 
-    private void endIfIdle() {
-        if (closing && !stillSent && idle()) {
+    private void endWhenIdle() {
+        if (closing && !acceptingAfterSigterm && isIdle()) {
             closing = false;
-            later(LAST_MS, this::closeDoor);
+            runLater(ABANDONED_ATTEMPTS_GRACE_MS, this::stopAccepting);
         }
     }
 
@@ -224,488 +230,510 @@
      * prevented: the last answer is lost with its connection, and its client, which asks for it at
      * once on a new one, is refused.
      */
-    private void closeDoor() {
-        if (idle()) {
-            door.close();
-            barrier.whenRead(this::end);
+    private void stopAccepting() {
+        if (isIdle()) {
+            clientHandler.close();
+            barrier.runAfterPendingReads(this::end);
         } else {
             closing = true;
         }
     }
 
     private void end() {
-        if (!idle()) {
+        if (!isIdle()) {
             closing = true;
             return;
         }
-        boolean held = false;
+        boolean invariantsHold = false;
         try {
-            follower.close();
-            if (peers != null) {
-                peers.close();
+            endpointWatcher.close();
+            if (membership != null) {
+                membership.close();
             }
-            check();
+            checkInvariants();
             engines.close();
             barrier.close();
-            counters.hold(
-                    out == engines.lingering(), "no dispatch is out at the end but what lingers");
-            counters.hold(
-                    counters.sum("batches taken") == counters.sum(ENDS), "each batch ends once");
-            held = true;
+            counters.checkInvariant(
+                    attemptsInFlight == engines.lingeringAttempts(),
+                    "no dispatch is out at the end but what lingers");
+            counters.checkInvariant(
+                    counters.sum("batches taken") == counters.sum(REQUEST_END_COUNTERS),
+                    "each batch ends once");
+            invariantsHold = true;
         } finally {
             System.err.println("end: " + counters);
-            int status = held ? 0 : 1;
+            int status = invariantsHold ? 0 : 1;
             // Not on this thread: the exit waits for hooks, and sockets still flush here.
             new Thread(() -> System.exit(status), "exit").start();
         }
     }
 
-    private void check() {
+    private void checkInvariants() {
         for (int engine = 0; engine < engines.count(); engine++) {
-            counters.hold(
-                    engines.out(engine) == manager.attemptsInFlight(engine),
+            counters.checkInvariant(
+                    engines.attemptsInFlight(engine) == scheduler.attemptsInFlight(engine),
                     "dispatches out are those that the scheduler holds");
         }
-        engines.check();
+        engines.checkInvariants();
     }
 
-    private void sweep() {
-        long due = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SWEEP_MS);
-        engines.sweep();
-        check();
-        watch.sweep(clock.now());
-        endIfIdle();
-        later(
-                SWEEP_MS,
+    private void maintain() {
+        long dueNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAINTENANCE_PERIOD_MS);
+        engines.closeIdleConnections();
+        checkInvariants();
+        keyOrder.removeIdleKeys(clock.now());
+        endWhenIdle();
+        runLater(
+                MAINTENANCE_PERIOD_MS,
                 () -> {
-                    late("latest on the I/O thread, us", due);
-                    sweep();
+                    recordDelay("latest on the I/O thread, us", dueNanos);
+                    maintain();
                 });
     }
 
     /** Notes how late the thread came; whether it stood still. */
-    private boolean late(String peak, long due) {
-        long late = (System.nanoTime() - due) / 1_000;
-        counters.peak(peak, late);
-        if (late > STALL_US) {
-            counters.recorder().note(What.STALL, null, late / 1_000, 0);
+    private boolean recordDelay(String counter, long dueNanos) {
+        long delayUs = (System.nanoTime() - dueNanos) / 1_000;
+        counters.peak(counter, delayUs);
+        if (delayUs > STALL_THRESHOLD_US) {
+            counters.recorder().record(EventType.STALL, null, delayUs / 1_000, 0);
         }
-        return late > STALL_US;
+        return delayUs > STALL_THRESHOLD_US;
     }
 
-    private XnioExecutor.Key later(long ms, Runnable task) {
+    private XnioExecutor.Key runLater(long ms, Runnable task) {
         return io.executeAfter(task, ms, TimeUnit.MILLISECONDS);
     }
 
     // ---- What the peers tell.
     /** One turn after all news that is at hand. */
-    private void stir() {
-        if (!turnDue) {
-            turnDue = true;
-            long due = System.nanoTime();
+    private void scheduleEvaluation() {
+        if (!evaluationScheduled) {
+            evaluationScheduled = true;
+            long dueNanos = System.nanoTime();
             io.execute(
                     () -> {
-                        stood |= late("latest turn, us", due);
-                        if (stood) {
+                        stalled |= recordDelay("latest turn, us", dueNanos);
+                        if (stalled) {
                             // What came meanwhile is read first: a client that left in that time
                             // must not be sent for.
                             counters.count("stalls");
-                            stood = false;
-                            barrier.whenRead(this::turn);
+                            stalled = false;
+                            barrier.runAfterPendingReads(this::evaluate);
                         } else {
-                            turn();
+                            evaluate();
                         }
                     });
         }
     }
 
-    private void turn() {
-        turnDue = false;
+    private void evaluate() {
+        evaluationScheduled = false;
         try {
-            allot();
-            if (follower.confirmed()) {
-                manager.runPendingActions(clock.now());
+            updateQuotaShare();
+            if (endpointWatcher.isConfirmed()) {
+                scheduler.runPendingActions(clock.now());
             }
-        } catch (RuntimeException fault) {
-            failed("turn", fault);
+        } catch (RuntimeException exception) {
+            onUnexpectedException("turn", exception);
         }
-        endIfIdle();
+        endWhenIdle();
     }
 
     @Override
-    public long stoodStill() {
-        return peers == null ? 0 : peers.stoodStill();
+    public long recentPause() {
+        return membership == null ? 0 : membership.stoodStill();
     }
 
-    private void keepAway(long engine, boolean away, boolean restIsOver) {
+    private void onProbeOwnership(long engine, boolean away, boolean restIsOver) {
         counters.count(away ? "engines left to others" : "engines taken back");
-        int index = ids.find(engine);
+        int index = engineIds.find(engine);
         if (index >= 0) {
-            tell("away", () -> manager.onProbeOwnership(clock.now(), index, away, restIsOver));
+            dispatch(
+                    "away", () -> scheduler.onProbeOwnership(clock.now(), index, away, restIsOver));
         }
     }
 
-    private void cut(long now, int band, double part) {
-        tell("cut", () -> manager.onSheddingThreshold(now, band, part));
+    private void onSheddingThreshold(long now, int band, double part) {
+        dispatch("cut", () -> scheduler.onSheddingThreshold(now, band, part));
     }
 
     /** Tells what the decisions hold of each engine to who acts on it together. */
-    private void lookTogether() {
+    private void reportToFleet() {
         for (int engine = 0; engine < engines.count(); engine++) {
-            if (engines.listed(engine)) {
-                peers.together()
+            if (engines.isKnown(engine)) {
+                membership
+                        .together()
                         .holds(
                                 clock.now(),
-                                zoneOf.getOrDefault(engine, -1),
-                                ids.id(engine),
-                                manager.isUnavailable(engine),
-                                manager.lastAttemptAt(engine),
-                                manager.lastResponseAt(engine));
+                                zoneByEngine.getOrDefault(engine, -1),
+                                engineIds.id(engine),
+                                scheduler.isUnavailable(engine),
+                                scheduler.lastAttemptAt(engine),
+                                scheduler.lastResponseAt(engine));
             }
         }
-        peers.together().look(clock.now(), manager.demand(clock.now()));
-        later(TOGETHER_MS, this::lookTogether);
+        membership.together().look(clock.now(), scheduler.demand(clock.now()));
+        runLater(FLEET_REPORT_PERIOD_MS, this::reportToFleet);
     }
 
     /** Asked before each turn: what others gave may have ended while this process stood still. */
-    private void allot() {
-        if (peers != null && peers.share() != share) {
-            share = peers.share();
-            manager.onQuotaChanged(clock.now(), share);
+    private void updateQuotaShare() {
+        if (membership != null && membership.share() != quotaShare) {
+            quotaShare = membership.share();
+            scheduler.onQuotaChanged(clock.now(), quotaShare);
         }
     }
 
-    private void tell(String what, Runnable call) {
+    private void dispatch(String event, Runnable call) {
         try {
             call.run();
-        } catch (RuntimeException fault) {
-            failed(what, fault);
+        } catch (RuntimeException exception) {
+            onUnexpectedException(event, exception);
         }
-        stir();
+        scheduleEvaluation();
     }
 
     /** The program outlives a fault of its own; the log shows it. */
-    private void failed(String what, RuntimeException fault) {
+    private void onUnexpectedException(String event, RuntimeException exception) {
         counters.count("faults");
-        LOG.log(Level.SEVERE, "fault in " + what, fault);
+        LOG.log(Level.SEVERE, "fault in " + event, exception);
     }
 
     /** What was read of a batch that is not told yet. */
-    private record Came(
-            RequestExchange x,
-            int group,
-            int customer,
+    private record UnsequencedRequest(
+            RequestExchange exchange,
+            int trafficClass,
+            int tenant,
             String key,
             long estimate,
             int memoryMb,
-            int tables) {}
+            int tableGroup) {}
 
     @Override
-    public void taken(
-            RequestExchange x,
-            int group,
-            int customer,
+    public void onRequest(
+            RequestExchange exchange,
+            int trafficClass,
+            int tenant,
             String key,
             long estimate,
             int memoryMb,
-            int tables) {
+            int tableGroup) {
         counters.count("batches taken");
-        open++;
-        x.key = key;
-        note(What.READ, x, x.connectionAge, 0);
-        x.timeUp = later(Math.max(0, (x.notAfter - clock.now()) / 10), () -> timeUp(x));
-        order.came(new Came(x, group, customer, key, estimate, memoryMb, tables), key);
+        openRequests++;
+        exchange.orderingKey = key;
+        record(EventType.READ, exchange, exchange.connectionAgeMs, 0);
+        exchange.deadlineTimer =
+                runLater(
+                        Math.max(0, (exchange.deadline - clock.now()) / 10),
+                        () -> onDeadline(exchange));
+        arrivals.onRequestRead(
+                new UnsequencedRequest(
+                        exchange, trafficClass, tenant, key, estimate, memoryMb, tableGroup),
+                key);
     }
 
     /** All that had come before a batch with this key was read has been read. */
-    private final class Readings implements ArrivalSequencer.Carrier<Came> {
+    private final class SequencedArrivals
+            implements ArrivalSequencer.ArrivalActions<UnsequencedRequest> {
         @Override
-        public void barrier(Object key) {
-            barrier.whenRead(() -> order.passed(key));
+        public void requestReadBarrier(Object key) {
+            barrier.runAfterPendingReads(() -> arrivals.onReadBarrierPassed(key));
         }
 
         @Override
-        public void taken(Came b, boolean turnKnown) {
-            RequestExchange x = b.x;
-            if (x.over()) {
+        public void deliver(UnsequencedRequest unsequenced, boolean orderKnown) {
+            RequestExchange exchange = unsequenced.exchange;
+            if (exchange.isSettled()) {
                 // The client left, or its time was up, while it was not told.
-                x.timeUp.remove();
-                stir();
+                exchange.deadlineTimer.remove();
+                scheduleEvaluation();
                 return;
             }
-            if (!turnKnown) {
+            if (!orderKnown) {
                 counters.count("batches whose turn can't be told");
             }
-            x.batch = batches.of(x);
-            note(What.TOLD, x, turnKnown ? 1 : 0, 0);
-            if (x.key != null && turnKnown) {
-                watch.told(x.key, x.id);
+            exchange.requestIndex = requestIds.of(exchange);
+            record(EventType.SCHEDULED, exchange, orderKnown ? 1 : 0, 0);
+            if (exchange.orderingKey != null && orderKnown) {
+                keyOrder.onRequest(exchange.orderingKey, exchange.id);
             }
-            tell(
+            dispatch(
                     "taken",
                     () ->
-                            manager.onRequest(
+                            scheduler.onRequest(
                                     clock.now(),
                                     new IncomingRequest(
-                                            x.batch,
-                                            b.group,
-                                            b.customer,
-                                            b.key == null ? -1 : keys.of(b.key),
-                                            x.notAfter,
-                                            b.estimate,
-                                            b.memoryMb,
-                                            b.tables,
+                                            exchange.requestIndex,
+                                            unsequenced.trafficClass,
+                                            unsequenced.tenant,
+                                            unsequenced.key == null
+                                                    ? -1
+                                                    : keyIds.of(unsequenced.key),
+                                            exchange.deadline,
+                                            unsequenced.estimate,
+                                            unsequenced.memoryMb,
+                                            unsequenced.tableGroup,
                                             false,
-                                            !turnKnown)));
-            if (x.away) {
-                away(x, true);
+                                            !orderKnown)));
+            if (exchange.clientAbsent) {
+                onClientPresence(exchange, true);
             }
         }
     }
 
-    private void timeUp(RequestExchange x) {
-        for (RequestExchange.Dispatch d : List.copyOf(x.out)) {
-            d.giveUp(AttemptOutcome.TIMED_OUT);
+    private void onDeadline(RequestExchange exchange) {
+        for (RequestExchange.AttemptHandle attempt : List.copyOf(exchange.attemptsInFlight)) {
+            attempt.abandon(AttemptOutcome.TIMED_OUT);
         }
         // Neither a fault in the decisions nor an engine that hears of no DELETE may keep a
         // client's answer back.
-        later(
-                OVERDUE_MS,
+        runLater(
+                DEADLINE_GRACE_MS,
                 () -> {
-                    if (x.errored()) {
-                        over("batches errored at their limit", x);
-                        leftTold("overdue", x);
+                    if (exchange.fail()) {
+                        onRequestEnded("batches errored at their limit", exchange);
+                        reportClientGone("overdue", exchange);
                     }
                 });
     }
 
     @Override
-    public void left(RequestExchange x) {
-        if (x.over()) {
+    public void onClientGone(RequestExchange exchange) {
+        if (exchange.isSettled()) {
             return;
         }
-        x.left();
-        x.absent(clock.now());
-        over("batches left by their clients", x);
-        leftTold("left", x);
-        callOffAll(x);
+        exchange.clientGone();
+        exchange.clientDisconnected(clock.now());
+        onRequestEnded("batches left by their clients", exchange);
+        reportClientGone("left", exchange);
+        cancelAttempts(exchange);
     }
 
     @Override
-    public void away(RequestExchange x, boolean away) {
-        x.away = away;
-        if (x.batch >= 0 && !x.over()) {
-            tell("away", () -> manager.onClientPresence(clock.now(), x.batch, away));
+    public void onClientPresence(RequestExchange exchange, boolean away) {
+        exchange.clientAbsent = away;
+        if (exchange.requestIndex >= 0 && !exchange.isSettled()) {
+            dispatch(
+                    "away",
+                    () -> scheduler.onClientPresence(clock.now(), exchange.requestIndex, away));
         }
     }
 
     /** The decisions hear only of what they were told of. */
-    private void leftTold(String what, RequestExchange x) {
-        if (x.batch >= 0) {
-            tell(what, () -> manager.onClientGone(clock.now(), x.batch));
+    private void reportClientGone(String event, RequestExchange exchange) {
+        if (exchange.requestIndex >= 0) {
+            dispatch(event, () -> scheduler.onClientGone(clock.now(), exchange.requestIndex));
         }
     }
 
-    private void over(String how, RequestExchange x) {
-        counters.count(how);
-        open--;
-        note(What.OVER, x, 0, 0);
-        if (x.key != null) {
-            watch.over(x.key, x.id);
+    private void onRequestEnded(String outcome, RequestExchange exchange) {
+        counters.count(outcome);
+        openRequests--;
+        record(EventType.REQUEST_ENDED, exchange, 0, 0);
+        if (exchange.orderingKey != null) {
+            keyOrder.onRequestEnded(exchange.orderingKey, exchange.id);
         }
     }
 
-    private void note(What what, RequestExchange x, long a, long b) {
-        if (x.key != null) {
-            counters.recorder().note(what, x.id, a, b);
+    private void record(
+            EventType event, RequestExchange exchange, long firstFigure, long secondFigure) {
+        if (exchange.orderingKey != null) {
+            counters.recorder().record(event, exchange.id, firstFigure, secondFigure);
         }
     }
 
-    private void callOffAll(RequestExchange x) {
-        for (RequestExchange.Dispatch d : List.copyOf(x.out)) {
-            d.giveUp(AttemptOutcome.CANCELLED);
+    private void cancelAttempts(RequestExchange exchange) {
+        for (RequestExchange.AttemptHandle attempt : List.copyOf(exchange.attemptsInFlight)) {
+            attempt.abandon(AttemptOutcome.CANCELLED);
         }
     }
 
     @Override
-    public void noted(
-            RequestExchange x,
-            RequestExchange.Dispatch d,
+    public void onAttemptProgress(
+            RequestExchange exchange,
+            RequestExchange.AttemptHandle attempt,
             AttemptProgress.Kind kind,
             double amount) {
-        tell(
+        dispatch(
                 "noted",
                 () ->
-                        manager.onAttemptProgress(
+                        scheduler.onAttemptProgress(
                                 clock.now(),
                                 new AttemptProgress(
-                                        x.batch, d.number(), d.engine(), kind, amount)));
+                                        exchange.requestIndex,
+                                        attempt.number(),
+                                        attempt.engine(),
+                                        kind,
+                                        amount)));
     }
 
     @Override
-    public void ended(
-            RequestExchange x,
-            RequestExchange.Dispatch d,
-            AttemptOutcome how,
-            long took,
+    public void onAttemptEnded(
+            RequestExchange exchange,
+            RequestExchange.AttemptHandle attempt,
+            AttemptOutcome outcome,
+            long duration,
             LoadReport report,
             List<byte[]> pages,
-            long rest) {
-        counters.hold(x.out.remove(d), "a dispatch ends once");
-        out--;
-        engines.ended(d.engine());
-        counters.count("dispatches " + how);
-        note(What.ENDED, x, how.ordinal(), rest / 10);
-        if (x.key != null) {
-            watch.ended(clock.now(), x.key, x.id, rest);
-        }
-        if (how == AttemptOutcome.SUCCEEDED && x.returned(pages)) {
-            over("batches returned", x);
-        }
-        tell(
+            long heldFor) {
+        counters.checkInvariant(exchange.attemptsInFlight.remove(attempt), "a dispatch ends once");
+        attemptsInFlight--;
+        engines.onAttemptEnded(attempt.engine());
+        counters.count("dispatches " + outcome);
+        record(EventType.ATTEMPT_ENDED, exchange, outcome.ordinal(), heldFor / 10);
+        if (exchange.orderingKey != null) {
+            keyOrder.onAttemptEnded(clock.now(), exchange.orderingKey, exchange.id, heldFor);
+        }
+        if (outcome == AttemptOutcome.SUCCEEDED && exchange.succeed(pages)) {
+            onRequestEnded("batches returned", exchange);
+        }
+        dispatch(
                 "ended",
                 () ->
-                        manager.onAttemptResult(
+                        scheduler.onAttemptResult(
                                 clock.now(),
                                 new AttemptResult(
-                                        x.batch,
-                                        d.number(),
-                                        d.engine(),
-                                        how,
-                                        took,
+                                        exchange.requestIndex,
+                                        attempt.number(),
+                                        attempt.engine(),
+                                        outcome,
+                                        duration,
                                         0,
                                         0,
-                                        x.over(),
+                                        exchange.isSettled(),
                                         report,
-                                        rest)));
-        if (how == AttemptOutcome.SUCCEEDED) {
-            callOffAll(x);
+                                        heldFor)));
+        if (outcome == AttemptOutcome.SUCCEEDED) {
+            cancelAttempts(exchange);
         }
     }
 
     @Override
-    public void probed(int engine, AttemptOutcome how, LoadReport report) {
-        tell("probed", () -> manager.onProbeResult(clock.now(), engine, how, report));
+    public void onProbeResult(int engine, AttemptOutcome outcome, LoadReport report) {
+        dispatch("probed", () -> scheduler.onProbeResult(clock.now(), engine, outcome, report));
     }
 
     @Override
-    public void listed(EndpointUpdate.Kind kind, List<Listed> entries) {
-        tellListed(kind, peers == null ? entries : peers.served(kind, entries));
+    public void onEndpointsUpdated(EndpointUpdate.Kind kind, List<DiscoveredEndpoint> endpoints) {
+        updateEndpoints(kind, membership == null ? endpoints : membership.served(kind, endpoints));
     }
 
-    private void tellListed(EndpointUpdate.Kind kind, List<Listed> entries) {
-        List<EndpointUpdate.Endpoint> told = new ArrayList<>();
-        for (Listed e : entries) {
-            int index = ids.of(e.id());
-            zoneOf.put(index, e.zone());
-            engines.listed(index, e);
-            told.add(
+    private void updateEndpoints(EndpointUpdate.Kind kind, List<DiscoveredEndpoint> endpoints) {
+        List<EndpointUpdate.Endpoint> updated = new ArrayList<>();
+        for (DiscoveredEndpoint endpoint : endpoints) {
+            int index = engineIds.of(endpoint.id());
+            zoneByEngine.put(index, endpoint.zone());
+            engines.updateEndpoint(index, endpoint);
+            updated.add(
                     new EndpointUpdate.Endpoint(
                             index,
-                            e.id(),
-                            e.zone(),
-                            e.kind(),
-                            e.cell(),
-                            e.standing(),
-                            e.weight(),
-                            e.since(),
-                            peers == null ? 0 : peers.coldPart(e)));
+                            endpoint.id(),
+                            endpoint.zone(),
+                            endpoint.kind(),
+                            endpoint.cell(),
+                            endpoint.lifecycle(),
+                            endpoint.weight(),
+                            endpoint.startedAt(),
+                            membership == null ? 0 : membership.coldPart(endpoint)));
         }
         if (kind == EndpointUpdate.Kind.SNAPSHOT) {
-            engines.keepOnly(told.stream().map(EndpointUpdate.Endpoint::engine).toList());
+            engines.retainOnly(updated.stream().map(EndpointUpdate.Endpoint::engine).toList());
         }
-        tell(
+        dispatch(
                 "listed",
-                () -> manager.onEndpointsUpdated(clock.now(), new EndpointUpdate(kind, told)));
+                () -> scheduler.onEndpointsUpdated(clock.now(), new EndpointUpdate(kind, updated)));
     }
 
     @Override
-    public void listConfirmed() {
-        stir();
+    public void onEndpointsConfirmed() {
+        scheduleEvaluation();
     }
 
     // ---- What is decided.
     @Override
-    public void setGrantAndPriority(int batch, int grantMb, int priority) {
-        RequestExchange x = batches.id(batch);
-        x.grantMb = grantMb;
-        x.priority = priority;
-        x.out.forEach(d -> d.priority(priority));
+    public void setGrantAndPriority(int request, int grantMb, int priority) {
+        RequestExchange exchange = requestIds.id(request);
+        exchange.grantMb = grantMb;
+        exchange.priority = priority;
+        exchange.attemptsInFlight.forEach(attempt -> attempt.updatePriority(priority));
     }
 
     @Override
-    public void startAttempt(int batch, int engine, long within) {
-        RequestExchange x = batches.id(batch);
+    public void startAttempt(int request, int engine, long timeout) {
+        RequestExchange exchange = requestIds.id(request);
         counters.count("dispatches out");
-        out++;
-        note(What.DISPATCHED, x, x.dispatches, engine);
-        if (x.key != null) {
-            counters.hold(
-                    watch.sent(clock.now(), x.key, x.id),
+        attemptsInFlight++;
+        record(EventType.ATTEMPT_STARTED, exchange, exchange.attemptsStarted, engine);
+        if (exchange.orderingKey != null) {
+            counters.checkInvariant(
+                    keyOrder.onAttemptStarted(clock.now(), exchange.orderingKey, exchange.id),
                     "batches of a key go one at a time and in turn");
         }
-        RequestExchange.Dispatch d = engines.dispatch(x, x.dispatches++, engine);
-        x.out.add(d);
-        if (within > 0) {
-            later(
-                    within / 10,
+        RequestExchange.AttemptHandle attempt =
+                engines.startAttempt(exchange, exchange.attemptsStarted++, engine);
+        exchange.attemptsInFlight.add(attempt);
+        if (timeout > 0) {
+            runLater(
+                    timeout / 10,
                     () -> {
-                        if (x.out.contains(d)) {
-                            d.giveUp(AttemptOutcome.TIMED_OUT);
+                        if (exchange.attemptsInFlight.contains(attempt)) {
+                            attempt.abandon(AttemptOutcome.TIMED_OUT);
                         }
                     });
         }
     }
 
     @Override
-    public void cancelAttempt(int batch, int dispatch) {
-        for (RequestExchange.Dispatch d : List.copyOf(batches.id(batch).out)) {
-            if (d.number() == dispatch) {
-                d.giveUp(AttemptOutcome.CANCELLED);
+    public void cancelAttempt(int request, int attemptNumber) {
+        for (RequestExchange.AttemptHandle attempt :
+                List.copyOf(requestIds.id(request).attemptsInFlight)) {
+            if (attempt.number() == attemptNumber) {
+                attempt.abandon(AttemptOutcome.CANCELLED);
             }
         }
     }
 
     @Override
-    public void reject(int batch, long comeBack) {
-        RequestExchange x = batches.id(batch);
-        if (x.pushedBack(comeBack)) {
-            over("batches pushed back", x);
+    public void reject(int request, long retryAfter) {
+        RequestExchange exchange = requestIds.id(request);
+        if (exchange.reject(retryAfter)) {
+            onRequestEnded("batches pushed back", exchange);
         }
-        callOffAll(x);
+        cancelAttempts(exchange);
     }
 
     @Override
-    public void fail(int batch) {
-        RequestExchange x = batches.id(batch);
-        if (x.errored()) {
-            over("batches errored", x);
+    public void fail(int request) {
+        RequestExchange exchange = requestIds.id(request);
+        if (exchange.fail()) {
+            onRequestEnded("batches errored", exchange);
         }
     }
 
     @Override
-    public void releaseRequest(int batch) {
-        RequestExchange x = batches.id(batch);
-        counters.hold(
-                x.over() && x.out.isEmpty(),
+    public void releaseRequest(int request) {
+        RequestExchange exchange = requestIds.id(request);
+        counters.checkInvariant(
+                exchange.isSettled() && exchange.attemptsInFlight.isEmpty(),
                 "a batch that is forgotten has its answer and nothing out");
-        x.timeUp.remove();
-        batches.release(batch);
+        exchange.deadlineTimer.remove();
+        requestIds.release(request);
     }
 
     @Override
     public void releaseKey(int key) {
-        keys.release(key);
+        keyIds.release(key);
     }
 
     @Override
     public void releaseEngine(int engine) {
-        if (peers != null) {
-            peers.together().forget(ids.id(engine));
+        if (membership != null) {
+            membership.together().forget(engineIds.id(engine));
         }
-        ids.release(engine);
-        engines.forget(engine);
-        zoneOf.remove(engine);
+        engineIds.release(engine);
+        engines.removeEngine(engine);
+        zoneByEngine.remove(engine);
     }
 
     @Override
@@ -715,12 +743,12 @@
 
     @Override
     public void scheduleWakeUp(long delay, long token) {
-        long due = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Math.max(1, delay / 10));
-        later(
+        long dueNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Math.max(1, delay / 10));
+        runLater(
                 Math.max(1, delay / 10),
                 () -> {
-                    stood |= late("latest wake, us", due);
-                    tell("woken", () -> manager.onWakeUp(clock.now(), token));
+                    stalled |= recordDelay("latest wake, us", dueNanos);
+                    dispatch("woken", () -> scheduler.onWakeUp(clock.now(), token));
                 });
     }
 
--- a/src/main/java/firstage/server/ReadBarrier.java
+++ b/src/main/java/firstage/server/ReadBarrier.java
@@ -22,103 +22,105 @@
  */
 public final class ReadBarrier {
     private static final Logger LOG = Logger.getLogger(ReadBarrier.class.getName());
-    private static final int LOOKS = 2;
+    private static final int SELECTOR_PASSES = 2;
 
-    private static final class Waiting {
-        private final Runnable then;
-        private int looks = LOOKS;
+    private static final class Waiter {
+        private final Runnable callback;
+        private int passesLeft = SELECTOR_PASSES;
 
-        private Waiting(Runnable then) {
-            this.then = then;
+        private Waiter(Runnable callback) {
+            this.callback = callback;
         }
     }
 
     private final XnioIoThread io;
     private final Counters counters;
-    private final StreamConnection from;
-    private final StreamConnection to;
-    private final ByteBuffer one = ByteBuffer.allocate(1);
+    private final StreamConnection wakeUpReader;
+    private final StreamConnection wakeUpWriter;
+    private final ByteBuffer wakeUpByte = ByteBuffer.allocate(1);
 
     /** Those that the look under way counts for, and those that came since it began. */
-    private List<Waiting> under = new ArrayList<>();
+    private List<Waiter> currentPass = new ArrayList<>();
 
-    private final ArrayDeque<Waiting> next = new ArrayDeque<>();
-    private boolean looking;
+    private final ArrayDeque<Waiter> nextPass = new ArrayDeque<>();
+    private boolean passInProgress;
 
     public ReadBarrier(XnioIoThread io, Counters counters) throws IOException {
         this.io = io;
         this.counters = counters;
         ChannelPipe<StreamConnection, StreamConnection> pipe =
                 io.createFullDuplexPipeConnection(io);
-        to = pipe.getLeftSide();
-        from = pipe.getRightSide();
+        wakeUpWriter = pipe.getLeftSide();
+        wakeUpReader = pipe.getRightSide();
     }
 
     /** Begins to listen; on the thread itself. */
     public void start() {
-        from.getSourceChannel().setReadListener(this::found);
-        from.getSourceChannel().resumeReads();
+        wakeUpReader.getSourceChannel().setReadListener(this::onWakeUp);
+        wakeUpReader.getSourceChannel().resumeReads();
     }
 
     /** Calls back once all that has come until now is read and told. */
-    public void whenRead(Runnable then) {
-        next.add(new Waiting(then));
-        if (!looking) {
-            look();
+    public void runAfterPendingReads(Runnable callback) {
+        nextPass.add(new Waiter(callback));
+        if (!passInProgress) {
+            startPass();
         }
     }
 
-    private void look() {
-        under.addAll(next);
-        next.clear();
-        looking = !under.isEmpty();
-        if (looking) {
+    private void startPass() {
+        currentPass.addAll(nextPass);
+        nextPass.clear();
+        passInProgress = !currentPass.isEmpty();
+        if (passInProgress) {
             counters.count("looks at all sockets");
             try {
-                one.clear();
-                to.getSinkChannel().write(one);
+                wakeUpByte.clear();
+                wakeUpWriter.getSinkChannel().write(wakeUpByte);
             } catch (IOException fault) {
-                broken(fault);
+                onPipeBroken(fault);
             }
         }
     }
 
-    private void found(ConduitStreamSourceChannel source) {
+    private void onWakeUp(ConduitStreamSourceChannel source) {
         try {
-            one.clear();
-            if (source.read(one) > 0) {
+            wakeUpByte.clear();
+            if (source.read(wakeUpByte) > 0) {
                 // The rest of what this look found is read first.
-                io.execute(this::through);
+                io.execute(this::finishPass);
             }
         } catch (IOException fault) {
-            broken(fault);
+            onPipeBroken(fault);
         }
     }
 
-    private void through() {
-        List<Waiting> done = under;
-        under = new ArrayList<>();
-        for (Waiting w : done) {
-            if (--w.looks > 0) {
-                under.add(w);
+    private void finishPass() {
+        List<Waiter> done = currentPass;
+        currentPass = new ArrayList<>();
+        for (Waiter waiter : done) {
+            if (--waiter.passesLeft > 0) {
+                currentPass.add(waiter);
             }
         }
-        look();
-        done.stream().filter(w -> w.looks <= 0).forEach(w -> w.then.run());
+        startPass();
+        done.stream()
+                .filter(waiter -> waiter.passesLeft <= 0)
+                .forEach(waiter -> waiter.callback.run());
     }
 
     /** Without the pipe nothing can be told any more; the batches must not wait for it. */
-    private void broken(IOException fault) {
+    private void onPipeBroken(IOException fault) {
         LOG.severe("no looks at all sockets any more: " + fault);
         counters.count("faults");
-        List<Waiting> done = under;
-        under = new ArrayList<>();
-        looking = false;
-        done.forEach(w -> io.execute(w.then));
+        List<Waiter> done = currentPass;
+        currentPass = new ArrayList<>();
+        passInProgress = false;
+        done.forEach(waiter -> io.execute(waiter.callback));
     }
 
     public void close() {
-        IoUtils.safeClose(to);
-        IoUtils.safeClose(from);
+        IoUtils.safeClose(wakeUpWriter);
+        IoUtils.safeClose(wakeUpReader);
     }
 }
--- a/src/main/java/firstage/server/RequestExchange.java
+++ b/src/main/java/firstage/server/RequestExchange.java
@@ -11,116 +11,121 @@
  */
 public final class RequestExchange {
     /** The client's side: exactly one of the three is called, once. */
-    public interface Reply {
-        void returned(List<byte[]> pages);
+    public interface ResponseActions {
+        void respondSucceeded(List<byte[]> pages);
 
-        void pushedBack(long comeBack);
+        void respondRejected(long retryAfter);
 
-        void errored();
+        void respondFailed();
     }
 
     /** The engines' side: a dispatch that is out. */
-    public interface Dispatch {
+    public interface AttemptHandle {
         int number();
 
         int engine();
 
-        void priority(int priority);
+        void updatePriority(int priority);
 
         /** Ends it with this outcome, once the engine was told or can't be. */
-        void giveUp(AttemptOutcome how);
+        void abandon(AttemptOutcome outcome);
     }
 
     public final String id;
-    public final String group;
+    public final String trafficClass;
     public final byte[] statement;
 
     /** When the client's time is up, on the clock of the decisions. */
-    public final long notAfter;
+    public final long deadline;
 
-    public final List<Dispatch> out = new ArrayList<>();
+    public final List<AttemptHandle> attemptsInFlight = new ArrayList<>();
 
     /** Its index, as the decisions know it. */
-    public int batch = -1;
+    public int requestIndex = -1;
 
     /** Its key, or null: others with the same may wait for it to be over. */
-    public String key;
+    public String orderingKey;
 
     /** How old its client's connection was when it was read, in ms. */
-    public long connectionAge;
+    public long connectionAgeMs;
 
     /** Rings when the client's time is up. */
-    public XnioExecutor.Key timeUp;
+    public XnioExecutor.Key deadlineTimer;
 
-    public int dispatches;
+    public int attemptsStarted;
     public int grantMb;
     public int priority = 1;
 
     /** Its client may be gone: nothing is to be sent for it. */
-    public boolean away;
+    public boolean clientAbsent;
 
     /** Since when its client is on no line of ours; below 0 while it is. */
-    private long absentSince = -1;
+    private long disconnectedSince = -1;
 
-    private final Reply reply;
-    private boolean over;
+    private final ResponseActions response;
+    private boolean settled;
 
-    public RequestExchange(String id, String group, byte[] statement, long notAfter, Reply reply) {
+    public RequestExchange(
+            String id,
+            String trafficClass,
+            byte[] statement,
+            long deadline,
+            ResponseActions response) {
         this.id = id;
-        this.group = group;
+        this.trafficClass = trafficClass;
         this.statement = statement;
-        this.notAfter = notAfter;
-        this.reply = reply;
+        this.deadline = deadline;
+        this.response = response;
     }
 
     /** Whether the client has its answer or is owed none. */
-    public boolean over() {
-        return over;
+    public boolean isSettled() {
+        return settled;
     }
 
     /** Its client is on no line any more; the first time counts. */
-    public void absent(long now) {
-        absentSince = absentSince < 0 ? now : absentSince;
+    public void clientDisconnected(long now) {
+        disconnectedSince = disconnectedSince < 0 ? now : disconnectedSince;
     }
 
     /** Its client is on a line again. */
-    public void present() {
-        absentSince = -1;
+    public void clientConnected() {
+        disconnectedSince = -1;
     }
 
     /** How long its client has been on no line; 0 while it is. */
-    public long absentFor(long now) {
-        return absentSince < 0 ? 0 : now - absentSince;
+    public long disconnectedFor(long now) {
+        return disconnectedSince < 0 ? 0 : now - disconnectedSince;
     }
 
     /** The client left. */
-    public void left() {
-        over = true;
+    public void clientGone() {
+        settled = true;
     }
 
-    public boolean returned(List<byte[]> pages) {
-        boolean first = !over;
-        over = true;
+    public boolean succeed(List<byte[]> pages) {
+        boolean first = !settled;
+        settled = true;
         if (first) {
-            reply.returned(pages);
+            response.respondSucceeded(pages);
         }
         return first;
     }
 
-    public boolean pushedBack(long comeBack) {
-        boolean first = !over;
-        over = true;
+    public boolean reject(long retryAfter) {
+        boolean first = !settled;
+        settled = true;
         if (first) {
-            reply.pushedBack(comeBack);
+            response.respondRejected(retryAfter);
         }
         return first;
     }
 
-    public boolean errored() {
-        boolean first = !over;
-        over = true;
+    public boolean fail() {
+        boolean first = !settled;
+        settled = true;
         if (first) {
-            reply.errored();
+            response.respondFailed();
         }
         return first;
     }
--- a/src/main/java/firstage/server/ServerEvents.java
+++ b/src/main/java/firstage/server/ServerEvents.java
@@ -10,30 +10,30 @@
 /** What the peers' packages tell the node. All calls come on the I/O thread. */
 public interface ServerEvents {
     /** A batch was taken whole; {@code key} is null without one. */
-    void taken(
-            RequestExchange x,
-            int group,
-            int customer,
+    void onRequest(
+            RequestExchange exchange,
+            int trafficClass,
+            int tenant,
             String key,
             long estimate,
             int memoryMb,
-            int tables);
+            int tableGroup);
 
     /**
      * How long this thread may have stood still before this moment; 0 where it surely ran, or
      * nobody knows.
      */
-    long stoodStill();
+    long recentPause();
 
     /** The client left, or gave up. */
-    void left(RequestExchange x);
+    void onClientGone(RequestExchange exchange);
 
     /** The client is not there to be answered, and may be gone; or it asks again. */
-    void away(RequestExchange x, boolean away);
+    void onClientPresence(RequestExchange exchange, boolean away);
 
-    void noted(
-            RequestExchange x,
-            RequestExchange.Dispatch d,
+    void onAttemptProgress(
+            RequestExchange exchange,
+            RequestExchange.AttemptHandle attempt,
             AttemptProgress.Kind kind,
             double amount);
 
@@ -41,30 +41,30 @@
      * A dispatch is over; {@code pages} only where it returned; the engine may hold it for {@code
      * rest} more.
      */
-    void ended(
-            RequestExchange x,
-            RequestExchange.Dispatch d,
-            AttemptOutcome how,
-            long took,
+    void onAttemptEnded(
+            RequestExchange exchange,
+            RequestExchange.AttemptHandle attempt,
+            AttemptOutcome outcome,
+            long duration,
             LoadReport report,
             List<byte[]> pages,
-            long rest);
+            long heldFor);
 
-    void probed(int engine, AttemptOutcome how, LoadReport report);
+    void onProbeResult(int engine, AttemptOutcome outcome, LoadReport report);
 
-    void listed(EndpointUpdate.Kind kind, List<Listed> engines);
+    void onEndpointsUpdated(EndpointUpdate.Kind kind, List<DiscoveredEndpoint> endpoints);
 
     /** The list is as its coordinator has it, or can't be had any fresher: it may be acted on. */
-    void listConfirmed();
+    void onEndpointsConfirmed();
 
     /** An engine as the coordinator lists it: its id as a number and where it listens. */
-    record Listed(
+    record DiscoveredEndpoint(
             long id,
             InetSocketAddress address,
             int zone,
             int kind,
             int cell,
-            EndpointUpdate.Lifecycle standing,
+            EndpointUpdate.Lifecycle lifecycle,
             double weight,
-            long since) {}
+            long startedAt) {}
 }
--- a/src/main/java/firstage/server/TickClock.java
+++ b/src/main/java/firstage/server/TickClock.java
@@ -7,15 +7,15 @@
  */
 public final class TickClock {
     private static final long NANOS = 100_000;
-    private final long start = System.currentTimeMillis() * 10;
-    private final long mark = System.nanoTime();
+    private final long startTick = System.currentTimeMillis() * 10;
+    private final long startNanos = System.nanoTime();
 
     public long now() {
-        return start + (System.nanoTime() - mark) / NANOS;
+        return startTick + (System.nanoTime() - startNanos) / NANOS;
     }
 
     /** A moment that others told in Unix milliseconds, on this clock; 0 stays 0: long ago. */
-    public long of(long unixMs) {
+    public long fromUnixMillis(long unixMs) {
         return unixMs == 0 ? 0 : now() - (System.currentTimeMillis() - unixMs) * 10;
     }
 }
--- a/src/main/java/firstage/server/client/BadRequestResponse.java
+++ b/src/main/java/firstage/server/client/BadRequestResponse.java
@@ -12,16 +12,16 @@
  * else goes through as it is.
  */
 final class BadRequestResponse extends AbstractStreamSinkConduit<StreamSinkConduit> {
-    private static final byte[] BARE =
+    private static final byte[] EMPTY_BAD_REQUEST =
             bytes("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close");
-    private static final byte[] LINE = bytes("{\"err\":\"no HTTP\"}\n");
-    private static final byte[] FULL =
+    private static final byte[] ERROR_BODY = bytes("{\"err\":\"no HTTP\"}\n");
+    private static final byte[] FULL_BAD_REQUEST =
             bytes(
                     "HTTP/1.1 400 Bad Request\r\nContent-Type: application/json\r\n"
                             + "Content-Length: "
-                            + LINE.length
+                            + ERROR_BODY.length
                             + "\r\nConnection: close\r\n\r\n"
-                            + new String(LINE, StandardCharsets.US_ASCII));
+                            + new String(ERROR_BODY, StandardCharsets.US_ASCII));
 
     BadRequestResponse(StreamSinkConduit next) {
         super(next);
@@ -29,20 +29,21 @@
 
     @Override
     public int write(ByteBuffer from) throws IOException {
-        if (!isBare(from)) {
+        if (!isEmptyBadRequest(from)) {
             return super.write(from);
         }
         int size = from.remaining();
         // The first bytes on a connection fit its buffer; else the client gets what went, and the
         // close.
-        super.write(ByteBuffer.wrap(FULL));
+        super.write(ByteBuffer.wrap(FULL_BAD_REQUEST));
         from.position(from.limit());
         return size;
     }
 
-    private static boolean isBare(ByteBuffer from) {
-        return from.remaining() >= BARE.length
-                && ByteBuffer.wrap(BARE).equals(from.slice(from.position(), BARE.length));
+    private static boolean isEmptyBadRequest(ByteBuffer from) {
+        return from.remaining() >= EMPTY_BAD_REQUEST.length
+                && ByteBuffer.wrap(EMPTY_BAD_REQUEST)
+                        .equals(from.slice(from.position(), EMPTY_BAD_REQUEST.length));
     }
 
     private static byte[] bytes(String text) {
--- a/src/main/java/firstage/server/client/ClientConnections.java
+++ b/src/main/java/firstage/server/client/ClientConnections.java
@@ -21,95 +21,96 @@
  */
 final class ClientConnections {
     /** A client that connects asks at once; what says nothing whole for so long is turned away. */
-    private static final long MOST_MUTE_MS = 2_000;
+    private static final long MAX_SILENT_MS = 2_000;
 
     /** Clients close their idle connections after 4 s; one that is kept for longer is nobody's. */
-    private static final long MOST_IDLE_MS = 5_000;
+    private static final long MAX_IDLE_MS = 5_000;
 
-    private static final long SWEEP_MS = 250;
+    private static final long SWEEP_PERIOD_MS = 250;
     private final XnioIoThread io;
     private final Counters counters;
-    private final int most;
+    private final int limit;
 
     /** Each with when it was opened, in ms. */
-    private final Map<StreamConnection, Long> all = new HashMap<>();
+    private final Map<StreamConnection, Long> openedAtMs = new HashMap<>();
 
     /**
      * Since when, in ms: those that never made a whole call, and those between calls; oldest first.
      */
-    private final Map<StreamConnection, Long> mute = new LinkedHashMap<>();
+    private final Map<StreamConnection, Long> silentSinceMs = new LinkedHashMap<>();
 
-    private final Map<StreamConnection, Long> idle = new LinkedHashMap<>();
+    private final Map<StreamConnection, Long> idleSinceMs = new LinkedHashMap<>();
 
-    ClientConnections(XnioIoThread io, Counters counters, int most) {
+    ClientConnections(XnioIoThread io, Counters counters, int limit) {
         this.io = io;
         this.counters = counters;
-        this.most = most;
+        this.limit = limit;
     }
 
     /** Takes a connection in, and may close another for it; false where all have open calls. */
-    boolean opens(StreamConnection c) {
-        if (all.size() >= most && !makeRoom()) {
+    boolean tryAdd(StreamConnection connection) {
+        if (openedAtMs.size() >= limit && !closeLeastRecent()) {
             counters.count("client connections turned away");
-            IoUtils.safeClose(c);
+            IoUtils.safeClose(connection);
             return false;
         }
-        all.put(c, now());
-        mute.put(c, now());
-        counters.peak("most client connections", all.size());
+        openedAtMs.put(connection, nowMs());
+        silentSinceMs.put(connection, nowMs());
+        counters.peak("most client connections", openedAtMs.size());
         return true;
     }
 
     /** Its end is watched from here on; whoever listens for it already hears of it, too. */
-    void watch(StreamConnection c) {
-        if (!c.isOpen()) {
-            closed(c);
+    void watchClose(StreamConnection connection) {
+        if (!connection.isOpen()) {
+            remove(connection);
             return;
         }
-        ChannelListener<? super StreamConnection> other = c.getCloseListener();
-        c.setCloseListener(
+        ChannelListener<? super StreamConnection> previousListener = connection.getCloseListener();
+        connection.setCloseListener(
                 end -> {
-                    closed(c);
-                    if (other != null) {
-                        other.handleEvent(end);
+                    remove(connection);
+                    if (previousListener != null) {
+                        previousListener.handleEvent(end);
                     }
                 });
     }
 
     /** It has an open call from here on. */
-    void calls(StreamConnection c) {
-        mute.remove(c);
-        idle.remove(c);
+    void onCallStarted(StreamConnection connection) {
+        silentSinceMs.remove(connection);
+        idleSinceMs.remove(connection);
     }
 
     /** How long it has been open, in ms. */
-    long age(StreamConnection c) {
-        return now() - all.getOrDefault(c, now());
+    long ageMs(StreamConnection connection) {
+        return nowMs() - openedAtMs.getOrDefault(connection, nowMs());
     }
 
     /** Its call is over. */
-    void rests(StreamConnection c) {
-        if (all.containsKey(c)) {
-            idle.put(c, now());
+    void onCallEnded(StreamConnection connection) {
+        if (openedAtMs.containsKey(connection)) {
+            idleSinceMs.put(connection, nowMs());
         }
     }
 
-    private void closed(StreamConnection c) {
-        all.remove(c);
-        mute.remove(c);
-        idle.remove(c);
+    private void remove(StreamConnection connection) {
+        openedAtMs.remove(connection);
+        silentSinceMs.remove(connection);
+        idleSinceMs.remove(connection);
     }
 
     /** Closes the one that was silent longest. */
-    private boolean makeRoom() {
-        Map<StreamConnection, Long> silent = mute.isEmpty() ? idle : mute;
-        for (StreamConnection c : List.copyOf(silent.keySet())) {
-            if (saysNothing(c, silent)) {
+    private boolean closeLeastRecent() {
+        Map<StreamConnection, Long> candidates =
+                silentSinceMs.isEmpty() ? idleSinceMs : silentSinceMs;
+        for (StreamConnection connection : List.copyOf(candidates.keySet())) {
+            if (isStillSilent(connection, candidates)) {
                 counters.count("client connections closed for others");
-                end(c);
+                close(connection);
                 return true;
             }
-            if (all.size() < most) {
+            if (openedAtMs.size() < limit) {
                 return true;
             }
         }
@@ -121,40 +122,41 @@
      * while the thread stood still, and that is a call that is ours and must not end without an
      * answer.
      */
-    private static boolean saysNothing(StreamConnection c, Map<StreamConnection, Long> silent) {
-        Long since = silent.get(c);
-        ConduitStreamSourceChannel source = c.getSourceChannel();
+    private static boolean isStillSilent(
+            StreamConnection connection, Map<StreamConnection, Long> candidates) {
+        Long since = candidates.get(connection);
+        ConduitStreamSourceChannel source = connection.getSourceChannel();
         ChannelListeners.invokeChannelListener(source, source.getReadListener());
-        return since != null && since.equals(silent.get(c));
+        return since != null && since.equals(candidates.get(connection));
     }
 
-    private void end(StreamConnection c) {
-        closed(c);
-        IoUtils.safeClose(c);
+    private void close(StreamConnection connection) {
+        remove(connection);
+        IoUtils.safeClose(connection);
     }
 
     /** Closes what was silent for too long; comes back by itself. */
     void sweep() {
-        sweep(mute, MOST_MUTE_MS, "mute client connections closed");
-        sweep(idle, MOST_IDLE_MS, "idle client connections closed");
-        io.executeAfter(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+        sweep(silentSinceMs, MAX_SILENT_MS, "mute client connections closed");
+        sweep(idleSinceMs, MAX_IDLE_MS, "idle client connections closed");
+        io.executeAfter(this::sweep, SWEEP_PERIOD_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void sweep(Map<StreamConnection, Long> silent, long atMost, String what) {
-        while (!silent.isEmpty()) {
-            Map.Entry<StreamConnection, Long> oldest = silent.entrySet().iterator().next();
-            if (now() - oldest.getValue() <= atMost) {
+    private void sweep(Map<StreamConnection, Long> candidates, long maxAgeMs, String counter) {
+        while (!candidates.isEmpty()) {
+            Map.Entry<StreamConnection, Long> oldest = candidates.entrySet().iterator().next();
+            if (nowMs() - oldest.getValue() <= maxAgeMs) {
                 return;
             }
-            StreamConnection c = oldest.getKey();
-            if (saysNothing(c, silent)) {
-                counters.count(what);
-                end(c);
+            StreamConnection connection = oldest.getKey();
+            if (isStillSilent(connection, candidates)) {
+                counters.count(counter);
+                close(connection);
             }
         }
     }
 
-    private static long now() {
+    private static long nowMs() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 }
--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -47,82 +47,82 @@
 
 /** Where clients come in: reads their calls, answers what can't be used, hands on the rest. */
 public final class ClientHandler {
-    private static final int MOST_STATEMENT = 64 * 1024;
+    private static final int MAX_STATEMENT_BYTES = 64 * 1024;
 
     /** Answered 431; beyond four times that it is taken for no HTTP. */
-    private static final int MOST_HEAD = 16 * 1024;
+    private static final int MAX_HEAD_BYTES = 16 * 1024;
 
-    private static final int BACKLOG = 512;
+    private static final int ACCEPT_BACKLOG = 512;
 
     /** Accepted, and not yet handed over. */
-    private static final int IN_HAND = 8;
+    private static final int ACCEPT_MARGIN = 8;
 
     /** From the end of its head to the end of a statement. */
-    private static final int MOST_PARSE_MS = 2_000;
+    private static final int MAX_BODY_READ_MS = 2_000;
 
     /**
      * After the last answer on a connection so much is read off for so long: a close at once could
      * take it back.
      */
-    private static final int READ_OFF_MS = 300;
+    private static final int DRAIN_MS = 300;
 
-    private static final int MOST_READ_OFF = 256 * 1024;
+    private static final int MAX_DRAIN_BYTES = 256 * 1024;
 
     /** A client that reads has a whole result in milliseconds; one on a bad path in seconds. */
-    private static final int MOST_UNREAD_MS = 10_000;
+    private static final int MAX_WRITE_MS = 10_000;
 
-    private static final int MOST_UNREAD_CLOSING_MS = 1_000;
-    private static final int SWEEP_MS = 250;
+    private static final int MAX_WRITE_CLOSING_MS = 1_000;
+    private static final int WRITE_SWEEP_PERIOD_MS = 250;
 
     /**
      * A client that finds no room should stay away: a good part of what is kept is over by then.
      */
-    private static final int BUSY_MS = 500;
+    private static final int BUSY_RETRY_AFTER_MS = 500;
 
     /** Work in ms or memory in MB: a year on one core, and a thousand engines' memory. */
-    private static final double MOST_FIGURE = 3e10;
+    private static final double MAX_ESTIMATE = 3e10;
 
     /** Times its group's time limit: so long no client waits; clocks and rounding need far less. */
-    private static final double PAST_LIMIT = 1.5;
-
-    private static final Pattern FIGURE = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,15})?");
-    private static final String NEWS = "/-/news/";
-    private static final HttpString JOB = new HttpString("X-Job-Id");
-    private static final HttpString ALLOW = new HttpString("X-Allow-Ms");
-    private static final HttpString TEAM = new HttpString("X-Team");
-    private static final HttpString SIZE = new HttpString("X-Size-Ms");
-    private static final HttpString MEMORY = new HttpString("X-Memory");
-    private static final HttpString ITEM = new HttpString("X-Item");
+    private static final double MAX_DEADLINE_FACTOR = 1.5;
+
+    private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,15})?");
+    private static final String POLL_PATH_PREFIX = "/-/news/";
+    private static final HttpString REQUEST_ID = new HttpString("X-Job-Id");
+    private static final HttpString DEADLINE_MS = new HttpString("X-Allow-Ms");
+    private static final HttpString TENANT = new HttpString("X-Team");
+    private static final HttpString ESTIMATE_MS = new HttpString("X-Size-Ms");
+    private static final HttpString MEMORY_MB = new HttpString("X-Memory");
+    private static final HttpString ORDERING_KEY = new HttpString("X-Item");
     final XnioIoThread io;
     final Counters counters;
-    final ServerEvents tidings;
+    final ServerEvents events;
     private final TickClock clock;
-    private final InetSocketAddress address;
-    private final List<String> groups = new ArrayList<>();
-    private final List<String> customers = new ArrayList<>();
-    private final ClientConnections callers;
-    private final int mostConnections;
-    private final long mostBytes;
-    private AcceptingChannel<StreamConnection> server;
-    private HttpOpenListener http;
+    private final InetSocketAddress listenAddress;
+    private final List<String> trafficClasses = new ArrayList<>();
+    private final List<String> tenants = new ArrayList<>();
+    private final ClientConnections connections;
+    private final int maxConnections;
+    private final long maxKeptBytes;
+    private AcceptingChannel<StreamConnection> listener;
+    private HttpOpenListener httpListener;
 
     /** By the path at which the client may ask. */
-    private final Map<String, PendingCall> pending = new HashMap<>();
+    private final Map<String, PendingCall> callsByPollPath = new HashMap<>();
 
     /** The ids of batches whose clients are owed an answer. */
-    private final Set<String> ids = new HashSet<>();
+    private final Set<String> openRequestIds = new HashSet<>();
 
     /** Time limits of the groups in ms, by index. */
-    private final List<Double> limits = new ArrayList<>();
+    private final List<Double> deadlinesMs = new ArrayList<>();
 
-    private long taken;
-    private int unanswered;
+    private long acceptedRequests;
+    private int unansweredRequests;
 
     /** Answers that are not all written yet, and since when; oldest first. */
-    private final Map<HttpServerExchange, Long> writes = new LinkedHashMap<>();
+    private final Map<HttpServerExchange, Long> writesSince = new LinkedHashMap<>();
 
     /** Statements and answers that are kept for clients. */
-    private long bytes;
+    private long keptBytes;
 
     private long closingSince;
     private boolean closing;
@@ -131,85 +131,87 @@
             XnioIoThread io,
             TickClock clock,
             Counters counters,
-            ServerEvents tidings,
-            ManagerConfig assignment) {
+            ServerEvents events,
+            ManagerConfig config) {
         this.io = io;
         this.clock = clock;
         this.counters = counters;
-        this.tidings = tidings;
-        this.address = assignment.listen();
-        mostConnections = assignment.clientConnections();
-        mostBytes = assignment.clientBytes();
-        callers = new ClientConnections(io, counters, mostConnections);
-        WireFields settings = assignment.settings();
+        this.events = events;
+        this.listenAddress = config.listen();
+        maxConnections = config.clientConnections();
+        maxKeptBytes = config.clientBytes();
+        connections = new ClientConnections(io, counters, maxConnections);
+        WireFields settings = config.settings();
         for (int i = 0; i < settings.index("classes.count", 0); i++) {
-            groups.add(settings.text("classes." + i + ".name", ""));
-            double limit = settings.number("classes." + i + ".deadline", 0) * 1_000;
-            limits.add(limit > 0 ? limit : MOST_FIGURE);
+            trafficClasses.add(settings.text("classes." + i + ".name", ""));
+            double deadlineMs = settings.number("classes." + i + ".deadline", 0) * 1_000;
+            deadlinesMs.add(deadlineMs > 0 ? deadlineMs : MAX_ESTIMATE);
         }
         for (int i = 0; i < settings.index("tenants.count", 0); i++) {
-            customers.add(settings.text("tenants." + i + ".name", ""));
+            tenants.add(settings.text("tenants." + i + ".name", ""));
         }
     }
 
     public void listen(XnioWorker worker) throws IOException {
-        ByteBufferPool buffers = new DefaultByteBufferPool(true, 16 * 1024, 256, 0);
-        http =
+        ByteBufferPool bufferPool = new DefaultByteBufferPool(true, 16 * 1024, 256, 0);
+        httpListener =
                 new HttpOpenListener(
-                        buffers,
+                        bufferPool,
                         OptionMap.builder()
-                                .set(UndertowOptions.MAX_HEADER_SIZE, 4 * MOST_HEAD)
+                                .set(UndertowOptions.MAX_HEADER_SIZE, 4 * MAX_HEAD_BYTES)
                                 .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
                                 .set(UndertowOptions.ALWAYS_SET_DATE, false)
                                 .getMap());
-        http.setRootHandler(new HttpContinueReadHandler(this::call));
-        server =
+        httpListener.setRootHandler(new HttpContinueReadHandler(this::handle));
+        listener =
                 IoThreadTcpServer.listen(
                         worker,
-                        address,
-                        this::acceptAll,
+                        listenAddress,
+                        this::acceptPending,
                         OptionMap.builder()
                                 .set(Options.REUSE_ADDRESSES, true)
-                                .set(Options.BACKLOG, BACKLOG)
-                                .set(Options.CONNECTION_HIGH_WATER, mostConnections + IN_HAND)
-                                .set(Options.CONNECTION_LOW_WATER, mostConnections + IN_HAND - 1)
+                                .set(Options.BACKLOG, ACCEPT_BACKLOG)
+                                .set(Options.CONNECTION_HIGH_WATER, maxConnections + ACCEPT_MARGIN)
+                                .set(
+                                        Options.CONNECTION_LOW_WATER,
+                                        maxConnections + ACCEPT_MARGIN - 1)
                                 .set(Options.TCP_NODELAY, true)
                                 .getMap());
     }
 
     /** Connections are taken in from here on; on the thread itself. */
     public void accept() {
-        server.resumeAccepts();
-        callers.sweep();
-        sweepWrites();
+        listener.resumeAccepts();
+        connections.sweep();
+        sweepStalledWrites();
     }
 
     /**
      * All that wait: XNIO's own listener takes one a look, and a batch on the others would be read
      * looks later.
      */
-    private void acceptAll(AcceptingChannel<StreamConnection> from) {
+    private void acceptPending(AcceptingChannel<StreamConnection> from) {
         try {
             for (StreamConnection next = from.accept(); next != null; next = from.accept()) {
-                opened(next);
+                onConnectionOpened(next);
             }
         } catch (IOException fault) {
             counters.count("connections not accepted");
         }
     }
 
-    private void opened(StreamConnection connection) {
-        if (callers.opens(connection)) {
+    private void onConnectionOpened(StreamConnection connection) {
+        if (connections.tryAdd(connection)) {
             connection
                     .getSinkChannel()
                     .setConduit(new BadRequestResponse(connection.getSinkChannel().getConduit()));
-            http.handleEvent(connection);
-            callers.watch(connection);
+            httpListener.handleEvent(connection);
+            connections.watchClose(connection);
         }
     }
 
-    private static StreamConnection channel(HttpServerExchange x) {
-        return ((AbstractServerConnection) x.getConnection()).getChannel();
+    private static StreamConnection connectionOf(HttpServerExchange exchange) {
+        return ((AbstractServerConnection) exchange.getConnection()).getChannel();
     }
 
     /**
@@ -222,14 +224,14 @@
         closingSince = now;
         // A batch on a connection that the machine took is ours, also where the thread had no time
         // for it yet.
-        acceptAll(server);
+        acceptPending(listener);
     }
 
     /** No new connections, once all that was taken is answered; what is open is answered still. */
     public void close() {
-        if (server.isOpen()) {
-            acceptAll(server);
-            IoUtils.safeClose(server);
+        if (listener.isOpen()) {
+            acceptPending(listener);
+            IoUtils.safeClose(listener);
         }
     }
 
@@ -238,50 +240,50 @@
      * read its answer is waited for no longer than one that does needs: it must not keep a closing
      * manager from ending.
      */
-    public boolean idle() {
-        endUnread(closing ? MOST_UNREAD_CLOSING_MS : MOST_UNREAD_MS);
-        return unanswered == 0 && writes.isEmpty();
+    public boolean isIdle() {
+        closeStalledWrites(closing ? MAX_WRITE_CLOSING_MS : MAX_WRITE_MS);
+        return unansweredRequests == 0 && writesSince.isEmpty();
     }
 
     /** Ends the connections of answers that are written for so long; the oldest stand first. */
-    private void endUnread(long atMostMs) {
-        while (!writes.isEmpty()) {
-            Map.Entry<HttpServerExchange, Long> oldest = writes.entrySet().iterator().next();
-            if (clock.now() - Math.max(oldest.getValue(), closingSince) <= atMostMs * 10) {
+    private void closeStalledWrites(long maxMs) {
+        while (!writesSince.isEmpty()) {
+            Map.Entry<HttpServerExchange, Long> oldest = writesSince.entrySet().iterator().next();
+            if (clock.now() - Math.max(oldest.getValue(), closingSince) <= maxMs * 10) {
                 return;
             }
             counters.count("answers not read");
-            writes.remove(oldest.getKey());
+            writesSince.remove(oldest.getKey());
             IoUtils.safeClose(oldest.getKey().getConnection());
         }
     }
 
-    private void sweepWrites() {
-        endUnread(MOST_UNREAD_MS);
-        io.executeAfter(this::sweepWrites, SWEEP_MS, TimeUnit.MILLISECONDS);
+    private void sweepStalledWrites() {
+        closeStalledWrites(MAX_WRITE_MS);
+        io.executeAfter(this::sweepStalledWrites, WRITE_SWEEP_PERIOD_MS, TimeUnit.MILLISECONDS);
     }
 
-    void given(PendingCall call) {
-        ids.remove(call.id());
-        unanswered--;
+    void onAnswerSent(PendingCall call) {
+        openRequestIds.remove(call.id());
+        unansweredRequests--;
     }
 
     /** A call that nobody asks for any more. */
-    void over(PendingCall call, boolean given) {
-        if (pending.remove(call.path(), call)) {
-            kept(-call.bytes());
-            if (!given) {
-                given(call);
+    void releaseCall(PendingCall call, boolean answerSent) {
+        if (callsByPollPath.remove(call.path(), call)) {
+            addKeptBytes(-call.keptBytes());
+            if (!answerSent) {
+                onAnswerSent(call);
             }
         }
     }
 
     /** More bytes are kept for a client, or fewer. */
-    void kept(int more) {
-        bytes += more;
-        counters.peak("most bytes kept for clients", bytes);
-        counters.hold(
-                bytes >= 0 && (bytes == 0 || !pending.isEmpty()),
+    void addKeptBytes(int difference) {
+        keptBytes += difference;
+        counters.peak("most bytes kept for clients", keptBytes);
+        counters.checkInvariant(
+                keptBytes >= 0 && (keptBytes == 0 || !callsByPollPath.isEmpty()),
                 "bytes are kept for calls that are open");
     }
 
@@ -294,9 +296,9 @@
     }
 
     /** Whether there is one way only to tell where the call's body ends. */
-    private static boolean framed(HttpServerExchange x) {
-        HeaderValues lengths = x.getRequestHeaders().get(Headers.CONTENT_LENGTH);
-        HeaderValues encodings = x.getRequestHeaders().get(Headers.TRANSFER_ENCODING);
+    private static boolean hasUnambiguousLength(HttpServerExchange exchange) {
+        HeaderValues lengths = exchange.getRequestHeaders().get(Headers.CONTENT_LENGTH);
+        HeaderValues encodings = exchange.getRequestHeaders().get(Headers.TRANSFER_ENCODING);
         if (encodings != null) {
             return lengths == null
                     && encodings.size() == 1
@@ -308,13 +310,13 @@
     /**
      * Whether the next call came before the answer to this one: a client makes one call at a time.
      */
-    private static boolean crowded(HttpServerExchange x) {
-        return ((AbstractServerConnection) x.getConnection()).getExtraBytes() != null;
+    private static boolean isPipelined(HttpServerExchange exchange) {
+        return ((AbstractServerConnection) exchange.getConnection()).getExtraBytes() != null;
     }
 
-    private static int headSize(HttpServerExchange x) {
-        int size = x.getRequestURI().length();
-        for (HeaderValues values : x.getRequestHeaders()) {
+    private static int headBytes(HttpServerExchange exchange) {
+        int size = exchange.getRequestURI().length();
+        for (HeaderValues values : exchange.getRequestHeaders()) {
             for (String value : values) {
                 size += values.getHeaderName().length() + value.length();
             }
@@ -322,65 +324,65 @@
         return size;
     }
 
-    private void call(HttpServerExchange x) {
-        callers.calls(channel(x));
-        x.addExchangeCompleteListener(
+    private void handle(HttpServerExchange exchange) {
+        connections.onCallStarted(connectionOf(exchange));
+        exchange.addExchangeCompleteListener(
                 (over, next) -> {
-                    callers.rests(channel(over));
+                    connections.onCallEnded(connectionOf(over));
                     next.proceed();
                 });
-        if (!framed(x)) {
+        if (!hasUnambiguousLength(exchange)) {
             // One body might hide another call behind its end; nothing on this connection can be
             // trusted.
-            endWith(x, 400, "length not usable");
+            refuseAndClose(exchange, 400, "length not usable");
             return;
         }
-        if (headSize(x) > MOST_HEAD) {
-            turnDown(x, 431, "head too long");
+        if (headBytes(exchange) > MAX_HEAD_BYTES) {
+            refuse(exchange, 431, "head too long");
             return;
         }
-        String path = x.getRequestPath();
+        String path = exchange.getRequestPath();
         if (path.equals("/alive")) {
-            if (x.getRequestMethod().equals(Methods.GET)) {
-                x.setStatusCode(200);
-                x.endExchange();
+            if (exchange.getRequestMethod().equals(Methods.GET)) {
+                exchange.setStatusCode(200);
+                exchange.endExchange();
             } else {
-                turnDown(x, 405, "GET only");
+                refuse(exchange, 405, "GET only");
             }
             return;
         }
-        if (path.startsWith(NEWS)) {
-            news(x, pending.get(path));
+        if (path.startsWith(POLL_PATH_PREFIX)) {
+            handlePoll(exchange, callsByPollPath.get(path));
             return;
         }
-        String group = path.substring(path.lastIndexOf('/') + 1);
-        if (group.isEmpty() || path.indexOf('/', 1) < 0) {
-            turnDown(x, 404, "no such path");
-        } else if (!x.getRequestMethod().equals(Methods.POST)) {
-            turnDown(x, 405, "POST only");
-        } else if (x.getRequestContentLength() > MOST_STATEMENT) {
-            turnDown(x, 413, "statement too long");
+        String trafficClass = path.substring(path.lastIndexOf('/') + 1);
+        if (trafficClass.isEmpty() || path.indexOf('/', 1) < 0) {
+            refuse(exchange, 404, "no such path");
+        } else if (!exchange.getRequestMethod().equals(Methods.POST)) {
+            refuse(exchange, 405, "POST only");
+        } else if (exchange.getRequestContentLength() > MAX_STATEMENT_BYTES) {
+            refuse(exchange, 413, "statement too long");
         } else {
             // A client that stops within a statement would hold its connection for ever.
-            XnioExecutor.Key late =
+            XnioExecutor.Key bodyTimeout =
                     io.executeAfter(
-                            () -> IoUtils.safeClose(x.getConnection()),
-                            MOST_PARSE_MS,
+                            () -> IoUtils.safeClose(exchange.getConnection()),
+                            MAX_BODY_READ_MS,
                             TimeUnit.MILLISECONDS);
-            x.getRequestReceiver().setMaxBufferSize(MOST_STATEMENT);
-            x.getRequestReceiver()
+            exchange.getRequestReceiver().setMaxBufferSize(MAX_STATEMENT_BYTES);
+            exchange.getRequestReceiver()
                     .receiveFullBytes(
                             (whole, bytes) -> {
-                                late.remove();
+                                bodyTimeout.remove();
                                 whole.dispatch(
                                         SameThreadExecutor.INSTANCE,
-                                        () -> take(whole, group, bytes));
+                                        () -> handleStatement(whole, trafficClass, bytes));
                             },
                             (broken, fault) -> {
-                                late.remove();
+                                bodyTimeout.remove();
                                 counters.count("calls not whole");
                                 if (fault instanceof Receiver.RequestToLargeException) {
-                                    endWith(broken, 413, "statement too long");
+                                    refuseAndClose(broken, 413, "statement too long");
                                 } else {
                                     IoUtils.safeClose(broken.getConnection());
                                     broken.endExchange();
@@ -389,31 +391,31 @@
         }
     }
 
-    private void news(HttpServerExchange x, PendingCall call) {
-        if (crowded(x)) {
-            endWith(x, 400, "one call at a time");
+    private void handlePoll(HttpServerExchange exchange, PendingCall call) {
+        if (isPipelined(exchange)) {
+            refuseAndClose(exchange, 400, "one call at a time");
         } else if (call == null) {
-            turnDown(x, 404, "no such path");
-        } else if (x.getRequestMethod().equals(Methods.GET)) {
-            x.dispatch(SameThreadExecutor.INSTANCE, () -> call.asked(x));
-        } else if (x.getRequestMethod().equals(Methods.DELETE)) {
-            call.gaveUp();
-            x.setStatusCode(204);
-            x.endExchange();
+            refuse(exchange, 404, "no such path");
+        } else if (exchange.getRequestMethod().equals(Methods.GET)) {
+            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> call.poll(exchange));
+        } else if (exchange.getRequestMethod().equals(Methods.DELETE)) {
+            call.cancel();
+            exchange.setStatusCode(204);
+            exchange.endExchange();
         } else {
-            turnDown(x, 405, "GET or DELETE only");
+            refuse(exchange, 405, "GET or DELETE only");
         }
     }
 
     /** An answer to what can't be used; it never reached an engine. */
-    void turnDown(HttpServerExchange x, int status, String why) {
-        if (!x.isRequestComplete()) {
-            endWith(x, status, why);
+    void refuse(HttpServerExchange exchange, int status, String reason) {
+        if (!exchange.isRequestComplete()) {
+            refuseAndClose(exchange, status, reason);
             return;
         }
         counters.count("calls answered " + status);
-        x.setStatusCode(status);
-        send(x, line(why));
+        exchange.setStatusCode(status);
+        send(exchange, errorBody(reason));
     }
 
     /**
@@ -421,20 +423,20 @@
      * drain a body first, for as long as a client that never ends it sends, on the one thread that
      * serves all others.
      */
-    void endWith(HttpServerExchange x, int status, String why) {
+    void refuseAndClose(HttpServerExchange exchange, int status, String reason) {
         counters.count("calls answered " + status);
-        x.setStatusCode(status);
-        x.setPersistent(false);
-        x.getResponseHeaders().put(Headers.CONNECTION, "close");
-        StreamConnection channel = channel(x);
-        callers.rests(channel);
+        exchange.setStatusCode(status);
+        exchange.setPersistent(false);
+        exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
+        StreamConnection channel = connectionOf(exchange);
+        connections.onCallEnded(channel);
         send(
-                x,
-                line(why),
+                exchange,
+                errorBody(reason),
                 new IoCallback() {
                     @Override
                     public void onComplete(HttpServerExchange over, Sender sender) {
-                        readOff((AbstractServerConnection) over.getConnection());
+                        drainAndClose((AbstractServerConnection) over.getConnection());
                     }
 
                     @Override
@@ -445,9 +447,9 @@
                 });
     }
 
-    private void readOff(AbstractServerConnection connection) {
-        int[] left = {MOST_READ_OFF};
-        io.executeAfter(() -> IoUtils.safeClose(connection), READ_OFF_MS, TimeUnit.MILLISECONDS);
+    private void drainAndClose(AbstractServerConnection connection) {
+        int[] bytesLeft = {MAX_DRAIN_BYTES};
+        io.executeAfter(() -> IoUtils.safeClose(connection), DRAIN_MS, TimeUnit.MILLISECONDS);
         connection
                 .getChannel()
                 .getSourceChannel()
@@ -455,12 +457,12 @@
                         source -> {
                             try (PooledByteBuffer pooled =
                                     connection.getByteBufferPool().allocate()) {
-                                int n =
+                                int bytesRead =
                                         connection
                                                 .getOriginalSourceConduit()
                                                 .read(pooled.getBuffer());
-                                left[0] -= n;
-                                if (n < 0 || left[0] <= 0) {
+                                bytesLeft[0] -= bytesRead;
+                                if (bytesRead < 0 || bytesLeft[0] <= 0) {
                                     IoUtils.safeClose(connection);
                                 }
                             } catch (IOException fault) {
@@ -470,96 +472,103 @@
         connection.getOriginalSourceConduit().resumeReads();
     }
 
-    private static ByteBuffer line(String why) {
-        return ByteBuffer.wrap(("{\"err\":\"" + why + "\"}\n").getBytes(StandardCharsets.US_ASCII));
+    private static ByteBuffer errorBody(String reason) {
+        return ByteBuffer.wrap(
+                ("{\"err\":\"" + reason + "\"}\n").getBytes(StandardCharsets.US_ASCII));
     }
 
-    void send(HttpServerExchange x, ByteBuffer body) {
-        send(x, body, IoCallback.END_EXCHANGE);
+    void send(HttpServerExchange exchange, ByteBuffer body) {
+        send(exchange, body, IoCallback.END_EXCHANGE);
     }
 
-    private void send(HttpServerExchange x, ByteBuffer body, IoCallback then) {
-        writes.put(x, clock.now());
-        x.addExchangeCompleteListener(
+    private void send(HttpServerExchange exchange, ByteBuffer body, IoCallback then) {
+        writesSince.put(exchange, clock.now());
+        exchange.addExchangeCompleteListener(
                 (over, next) -> {
-                    writes.remove(over);
+                    writesSince.remove(over);
                     next.proceed();
                 });
-        x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-        x.getResponseHeaders().put(Headers.CONTENT_LENGTH, body.remaining());
-        x.getResponseSender().send(body, then);
+        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
+        exchange.getResponseHeaders().put(Headers.CONTENT_LENGTH, body.remaining());
+        exchange.getResponseSender().send(body, then);
     }
 
-    private void take(HttpServerExchange x, String group, byte[] statement) {
+    private void handleStatement(
+            HttpServerExchange exchange, String trafficClass, byte[] statement) {
         long now = clock.now();
-        String id = field(x, JOB);
-        double allow = number(x, ALLOW, -1);
-        double estimate = number(x, SIZE, 0);
-        double memory = number(x, MEMORY, 0);
-        String key = field(x, ITEM);
-        int customer = customers.isEmpty() ? 0 : customers.indexOf(field(x, TEAM));
-        int index = groups.indexOf(group);
-        if (crowded(x)) {
-            endWith(x, 400, "one call at a time");
-        } else if (index < 0) {
-            turnDown(x, 400, "unknown service group");
+        String id = headerText(exchange, REQUEST_ID);
+        double allowMs = headerNumber(exchange, DEADLINE_MS, -1);
+        double estimateMs = headerNumber(exchange, ESTIMATE_MS, 0);
+        double memoryMb = headerNumber(exchange, MEMORY_MB, 0);
+        String key = headerText(exchange, ORDERING_KEY);
+        int tenant = tenants.isEmpty() ? 0 : tenants.indexOf(headerText(exchange, TENANT));
+        int trafficClassIndex = trafficClasses.indexOf(trafficClass);
+        if (isPipelined(exchange)) {
+            refuseAndClose(exchange, 400, "one call at a time");
+        } else if (trafficClassIndex < 0) {
+            refuse(exchange, 400, "unknown service group");
         } else if (id == null || !id.matches("[0-9a-fA-F]{16}")) {
-            turnDown(x, 400, "X-Job-Id is missing or not usable");
-        } else if (ids.contains(id)) {
+            refuse(exchange, 400, "X-Job-Id is missing or not usable");
+        } else if (openRequestIds.contains(id)) {
             // Engines know a batch by its id: another statement under it would get this one's
             // answer.
-            turnDown(x, 409, "X-Job-Id is of an open batch");
-        } else if (!(allow > 0 && allow <= limits.get(index) * PAST_LIMIT)) {
-            turnDown(x, 400, "X-Allow-Ms is missing or not usable");
-        } else if (!(estimate >= 0 && estimate < MOST_FIGURE)) {
-            turnDown(x, 400, "X-Size-Ms is not usable");
-        } else if (!(memory >= 0 && memory < MOST_FIGURE)) {
-            turnDown(x, 400, "X-Memory is not usable");
+            refuse(exchange, 409, "X-Job-Id is of an open batch");
+        } else if (!(allowMs > 0
+                && allowMs <= deadlinesMs.get(trafficClassIndex) * MAX_DEADLINE_FACTOR)) {
+            refuse(exchange, 400, "X-Allow-Ms is missing or not usable");
+        } else if (!(estimateMs >= 0 && estimateMs < MAX_ESTIMATE)) {
+            refuse(exchange, 400, "X-Size-Ms is not usable");
+        } else if (!(memoryMb >= 0 && memoryMb < MAX_ESTIMATE)) {
+            refuse(exchange, 400, "X-Memory is not usable");
         } else if (key != null && !key.matches("[!-~]{1,64}")) {
-            turnDown(x, 400, "X-Item is not usable");
+            refuse(exchange, 400, "X-Item is not usable");
         } else if (statement.length == 0) {
-            turnDown(x, 400, "no statement");
-        } else if (customer < 0) {
-            turnDown(x, 400, "X-Team is missing or unknown");
-        } else if (bytes + statement.length > mostBytes) {
+            refuse(exchange, 400, "no statement");
+        } else if (tenant < 0) {
+            refuse(exchange, 400, "X-Team is missing or unknown");
+        } else if (keptBytes + statement.length > maxKeptBytes) {
             // Nothing of it is taken: more would end the program, and all that it holds with it.
-            x.getResponseHeaders().put(PendingCall.WAIT, BUSY_MS);
-            turnDown(x, 503, "Busy");
+            exchange.getResponseHeaders()
+                    .put(PendingCall.RETRY_AFTER_MS_HEADER, BUSY_RETRY_AFTER_MS);
+            refuse(exchange, 503, "Busy");
         } else {
-            ids.add(id);
-            PendingCall call = new PendingCall(this, id, NEWS + taken++ + "-" + id);
+            openRequestIds.add(id);
+            PendingCall call =
+                    new PendingCall(this, id, POLL_PATH_PREFIX + acceptedRequests++ + "-" + id);
             // What lay there while the process was stopped has that much less time: counted from
             // when it is read, its
             // answer would come after its client has gone.
-            long notAfter = now + (long) (allow * 10) - tidings.stoodStill();
-            RequestExchange batch = new RequestExchange(id, group, statement, notAfter, call);
-            batch.connectionAge = callers.age(channel(x));
-            pending.put(call.path(), call);
-            kept(statement.length);
-            unanswered++;
-            call.start(batch, x);
-            tidings.taken(
-                    batch,
-                    index,
-                    customer,
+            long deadline = now + (long) (allowMs * 10) - events.recentPause();
+            RequestExchange request =
+                    new RequestExchange(id, trafficClass, statement, deadline, call);
+            request.connectionAgeMs = connections.ageMs(connectionOf(exchange));
+            callsByPollPath.put(call.path(), call);
+            addKeptBytes(statement.length);
+            unansweredRequests++;
+            call.start(request, exchange);
+            events.onRequest(
+                    request,
+                    trafficClassIndex,
+                    tenant,
                     key,
-                    (long) (estimate * 10),
-                    (int) memory,
-                    StatementTables.group(statement));
+                    (long) (estimateMs * 10),
+                    (int) memoryMb,
+                    StatementTables.tableGroup(statement));
         }
     }
 
     /** A header; null without it, and empty, which no field may be, where it is told twice. */
-    private static String field(HttpServerExchange x, HttpString header) {
-        HeaderValues values = x.getRequestHeaders().get(header);
+    private static String headerText(HttpServerExchange exchange, HttpString header) {
+        HeaderValues values = exchange.getRequestHeaders().get(header);
         return values == null ? null : values.size() == 1 ? values.getFirst().trim() : "";
     }
 
     /** A figure in a header, as people write it; not a number where it can't be read. */
-    private static double number(HttpServerExchange x, HttpString header, double absent) {
-        String text = field(x, header);
+    private static double headerNumber(
+            HttpServerExchange exchange, HttpString header, double absent) {
+        String text = headerText(exchange, header);
         return text == null
                 ? absent
-                : FIGURE.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
+                : DECIMAL.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
     }
 }
--- a/src/main/java/firstage/server/client/JsonRows.java
+++ b/src/main/java/firstage/server/client/JsonRows.java
@@ -15,7 +15,7 @@
 
     private JsonRows() {}
 
-    static ByteBuffer answer(List<byte[]> pages) {
+    static ByteBuffer encode(List<byte[]> pages) {
         int size = pages.stream().mapToInt(p -> p.length).sum();
         ByteArrayOutputStream out = new ByteArrayOutputStream(size * 5 / 4 + 32);
         out.writeBytes(START);
@@ -34,7 +34,7 @@
                 } else if (b == '\t') {
                     out.writeBytes(bytes("\",\""));
                 } else {
-                    text(out, b);
+                    writeEscaped(out, b);
                 }
             }
         }
@@ -46,7 +46,7 @@
     }
 
     /** One byte of a text; those of characters beyond ASCII go on as they are. */
-    private static void text(ByteArrayOutputStream out, byte b) {
+    private static void writeEscaped(ByteArrayOutputStream out, byte b) {
         if (b == '"' || b == '\\') {
             out.write('\\');
             out.write(b);
--- a/src/main/java/firstage/server/client/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -21,29 +21,31 @@
  * Carries the life of a client's call over HTTP. The connection is read while a call is held, which
  * Undertow does not do by itself: a client that gives up closes it.
  */
-final class PendingCall implements RequestExchange.Reply, ClientCallStateMachine.Carrier {
-    static final HttpString WAIT = new HttpString("X-Wait-Ms");
-    private static final byte[] FAILED =
+final class PendingCall
+        implements RequestExchange.ResponseActions, ClientCallStateMachine.ClientCallActions {
+    static final HttpString RETRY_AFTER_MS_HEADER = new HttpString("X-Wait-Ms");
+    private static final byte[] FAILED_BODY =
             "{\"err\":\"Failed\"}\n".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] BUSY = "{\"err\":\"Busy\"}\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] BUSY_BODY =
+            "{\"err\":\"Busy\"}\n".getBytes(StandardCharsets.US_ASCII);
 
-    private record Answer(int status, long comeBack, ByteBuffer body) {}
+    private record Answer(int status, long retryAfter, ByteBuffer body) {}
 
-    private final ClientHandler door;
+    private final ClientHandler handler;
     private final String id;
     private final String path;
-    private final ClientCallStateMachine life = new ClientCallStateMachine(this);
-    private RequestExchange batch;
+    private final ClientCallStateMachine stateMachine = new ClientCallStateMachine(this);
+    private RequestExchange request;
 
     /** The calls that are held: one, but where a client lost a connection and calls on another. */
-    private final List<Held> held = new ArrayList<>();
+    private final List<HeldCall> heldCalls = new ArrayList<>();
 
     private Answer answer;
-    private boolean given;
+    private boolean answerSent;
     private XnioExecutor.Key timer;
 
-    PendingCall(ClientHandler door, String id, String path) {
-        this.door = door;
+    PendingCall(ClientHandler handler, String id, String path) {
+        this.handler = handler;
         this.id = id;
         this.path = path;
     }
@@ -60,127 +62,128 @@
      * Bytes that are kept for this client: its statement until it is over, its answer until nobody
      * asks any more.
      */
-    int bytes() {
-        return batch.statement.length + (answer == null ? 0 : answer.body.remaining());
+    int keptBytes() {
+        return request.statement.length + (answer == null ? 0 : answer.body.remaining());
     }
 
     void start(RequestExchange started, HttpServerExchange first) {
-        batch = started;
-        held.add(new Held(first));
-        life.start();
+        request = started;
+        heldCalls.add(new HeldCall(first));
+        stateMachine.start();
     }
 
     /** The client asks at the path. */
-    void asked(HttpServerExchange x) {
-        held.add(new Held(x));
-        batch.present();
-        life.asked();
+    void poll(HttpServerExchange exchange) {
+        heldCalls.add(new HeldCall(exchange));
+        request.clientConnected();
+        stateMachine.onPoll();
     }
 
     /** The client gave up by the path. */
-    void gaveUp() {
-        life.gaveUp();
+    void cancel() {
+        stateMachine.onClientCancelled();
     }
 
     /** A call that waits, and its connection that is read meanwhile. */
-    private final class Held {
-        private final HttpServerExchange x;
+    private final class HeldCall {
+        private final HttpServerExchange exchange;
         private final AbstractServerConnection connection;
 
-        Held(HttpServerExchange x) {
-            this.x = x;
-            connection = (AbstractServerConnection) x.getConnection();
-            connection.getChannel().getSourceChannel().setReadListener(this::readable);
+        HeldCall(HttpServerExchange exchange) {
+            this.exchange = exchange;
+            connection = (AbstractServerConnection) exchange.getConnection();
+            connection.getChannel().getSourceChannel().setReadListener(this::onReadable);
             connection.getOriginalSourceConduit().resumeReads();
         }
 
         /** It is held no more. */
         HttpServerExchange release() {
-            held.remove(this);
+            heldCalls.remove(this);
             connection.getOriginalSourceConduit().suspendReads();
             connection.getChannel().getSourceChannel().setReadListener(null);
-            return x;
+            return exchange;
         }
 
         void close() {
             release();
             IoUtils.safeClose(connection);
-            x.endExchange();
+            exchange.endExchange();
         }
 
-        boolean atPath() {
-            return !x.getRequestMethod().equals(Methods.POST);
+        boolean isPoll() {
+            return !exchange.getRequestMethod().equals(Methods.POST);
         }
 
-        private void readable(ConduitStreamSourceChannel source) {
+        private void onReadable(ConduitStreamSourceChannel source) {
             try (PooledByteBuffer pooled = connection.getByteBufferPool().allocate()) {
-                int n = connection.getOriginalSourceConduit().read(pooled.getBuffer());
-                if (n < 0) {
-                    broken(this);
-                } else if (n > 0) {
+                int bytesRead = connection.getOriginalSourceConduit().read(pooled.getBuffer());
+                if (bytesRead < 0) {
+                    onConnectionBroken(this);
+                } else if (bytesRead > 0) {
                     // The next call before the answer to this one: that is no client of ours.
-                    door.endWith(release(), 400, "one call at a time");
-                    life.gaveUp();
+                    handler.refuseAndClose(release(), 400, "one call at a time");
+                    stateMachine.onClientCancelled();
                 }
-            } catch (IOException fault) {
-                broken(this);
+            } catch (IOException exception) {
+                onConnectionBroken(this);
             }
         }
     }
 
-    private void broken(Held call) {
+    private void onConnectionBroken(HeldCall call) {
         call.close();
-        if (held.isEmpty()) {
-            batch.absent(door.now());
+        if (heldCalls.isEmpty()) {
+            request.clientDisconnected(handler.now());
         }
-        if (!call.atPath()) {
-            life.firstBroke();
-        } else if (held.isEmpty()) {
-            door.counters.count("held calls broken");
-            life.lastBroke();
+        if (!call.isPoll()) {
+            stateMachine.onFirstCallBroken();
+        } else if (heldCalls.isEmpty()) {
+            handler.counters.count("held calls broken");
+            stateMachine.onLastPollBroken();
         }
     }
 
     // ---- What the life does.
     @Override
-    public void givePath() {
-        HttpServerExchange x = held.get(0).release();
-        batch.absent(door.now());
-        door.send(
-                x,
+    public void respondWithPollPath() {
+        HttpServerExchange exchange = heldCalls.get(0).release();
+        request.clientDisconnected(handler.now());
+        handler.send(
+                exchange,
                 ByteBuffer.wrap(
                         ("{\"poll\":\"" + path + "\"}").getBytes(StandardCharsets.US_ASCII)));
     }
 
     @Override
-    public void give() {
-        if (!given) {
-            given = true;
-            door.given(this);
+    public void respond() {
+        if (!answerSent) {
+            answerSent = true;
+            handler.onAnswerSent(this);
         }
-        answerHeld(answer, !door.closing());
+        answerHeldCalls(answer, !handler.closing());
     }
 
-    private void answerHeld(Answer with, boolean goesOn) {
-        for (Held call : List.copyOf(held)) {
-            HttpServerExchange x = call.release();
-            if (with.comeBack() > 0) {
-                x.getResponseHeaders().put(WAIT, with.comeBack() / 10);
+    private void answerHeldCalls(Answer response, boolean keepAlive) {
+        for (HeldCall call : List.copyOf(heldCalls)) {
+            HttpServerExchange exchange = call.release();
+            if (response.retryAfter() > 0) {
+                exchange.getResponseHeaders()
+                        .put(RETRY_AFTER_MS_HEADER, response.retryAfter() / 10);
             }
-            x.setStatusCode(with.status());
-            x.setPersistent(x.isPersistent() && goesOn);
-            door.send(x, with.body().duplicate());
+            exchange.setStatusCode(response.status());
+            exchange.setPersistent(exchange.isPersistent() && keepAlive);
+            handler.send(exchange, response.body().duplicate());
         }
     }
 
     @Override
-    public void arm(long delay) {
-        disarm();
-        timer = door.io.executeAfter(life::due, delay / 10, TimeUnit.MILLISECONDS);
+    public void startTimer(long delay) {
+        stopTimer();
+        timer = handler.io.executeAfter(stateMachine::onTimeout, delay / 10, TimeUnit.MILLISECONDS);
     }
 
     @Override
-    public void disarm() {
+    public void stopTimer() {
         if (timer != null) {
             timer.remove();
             timer = null;
@@ -188,56 +191,56 @@
     }
 
     @Override
-    public void closeHeld() {
-        List.copyOf(held).forEach(Held::close);
+    public void closeHeldCalls() {
+        List.copyOf(heldCalls).forEach(HeldCall::close);
     }
 
     @Override
-    public void failHeld() {
-        answerHeld(new Answer(500, 0, ByteBuffer.wrap(FAILED)), false);
+    public void failHeldCalls() {
+        answerHeldCalls(new Answer(500, 0, ByteBuffer.wrap(FAILED_BODY)), false);
     }
 
     @Override
-    public void away() {
-        door.counters.count("clients away");
-        door.tidings.away(batch, true);
+    public void markClientAbsent() {
+        handler.counters.count("clients away");
+        handler.events.onClientPresence(request, true);
     }
 
     @Override
-    public void back() {
-        door.counters.count("clients back");
-        door.tidings.away(batch, false);
+    public void markClientPresent() {
+        handler.counters.count("clients back");
+        handler.events.onClientPresence(request, false);
     }
 
     @Override
-    public void left() {
-        door.tidings.left(batch);
+    public void markClientGone() {
+        handler.events.onClientGone(request);
     }
 
     @Override
-    public void forget() {
-        door.over(this, given);
+    public void release() {
+        handler.releaseCall(this, answerSent);
     }
 
     // ---- The batch's answer.
     @Override
-    public void returned(List<byte[]> pages) {
-        answer(new Answer(200, 0, JsonRows.answer(pages)));
+    public void respondSucceeded(List<byte[]> pages) {
+        answer(new Answer(200, 0, JsonRows.encode(pages)));
     }
 
     @Override
-    public void pushedBack(long comeBack) {
-        answer(new Answer(503, comeBack, ByteBuffer.wrap(BUSY)));
+    public void respondRejected(long retryAfter) {
+        answer(new Answer(503, retryAfter, ByteBuffer.wrap(BUSY_BODY)));
     }
 
     @Override
-    public void errored() {
-        answer(new Answer(500, 0, ByteBuffer.wrap(FAILED)));
+    public void respondFailed() {
+        answer(new Answer(500, 0, ByteBuffer.wrap(FAILED_BODY)));
     }
 
-    private void answer(Answer all) {
-        answer = all;
-        door.kept(all.body.remaining());
-        life.answer();
+    private void answer(Answer newAnswer) {
+        answer = newAnswer;
+        handler.addKeptBytes(newAnswer.body.remaining());
+        stateMachine.onAnswerAvailable();
     }
 }
--- a/src/main/java/firstage/server/client/StatementTables.java
+++ b/src/main/java/firstage/server/client/StatementTables.java
@@ -13,75 +13,79 @@
  * one of a schema.
  */
 final class StatementTables {
-    private static final Set<String> OPEN =
+    private static final Set<String> TABLE_LIST_OPENERS =
             Set.of("from", "join", "into", "update", "table", "using", "copy");
-    private static final Set<String> CLOSE =
+    private static final Set<String> TABLE_LIST_CLOSERS =
             Set.of(
                     "select", "where", "on", "group", "order", "having", "set", "values", "limit",
                     "union");
     private final String text;
-    private int at;
+    private int position;
 
     /** The token last read: a name (as written, without quotes), one sign, or null at the end. */
     private String token;
 
-    private boolean name;
+    private boolean tokenIsName;
 
     private StatementTables(byte[] bytes) {
         text = new String(bytes, StandardCharsets.UTF_8);
     }
 
     /** The group, or -1 where the statement names none. */
-    static int group(byte[] bytes) {
-        return new StatementTables(bytes).find();
+    static int tableGroup(byte[] bytes) {
+        return new StatementTables(bytes).findTableGroup();
     }
 
-    private int find() {
+    private int findTableGroup() {
         // Where tables may stand: after FROM and its like, in the statement or in a query within
         // brackets.
-        boolean tables = false;
-        boolean query = true;
-        Deque<boolean[]> outer = new ArrayDeque<>();
-        String before = "";
-        int elsewhere = -1;
-        next();
+        boolean inTableList = false;
+        boolean inQuery = true;
+        Deque<boolean[]> enclosing = new ArrayDeque<>();
+        String previousWord = "";
+        int groupOutsideTableList = -1;
+        nextToken();
         while (token != null) {
             String word = token;
-            boolean isName = name;
-            next();
+            boolean isName = tokenIsName;
+            nextToken();
             if (isName && ".".equals(token)) {
-                int group = number(word);
-                next();
-                if (name) {
-                    next();
+                int group = numberOf(word);
+                nextToken();
+                if (tokenIsName) {
+                    nextToken();
                 }
-                if (group >= 0 && tables) {
+                if (group >= 0 && inTableList) {
                     return group;
                 }
-                elsewhere = elsewhere < 0 ? group : elsewhere;
+                groupOutsideTableList = groupOutsideTableList < 0 ? group : groupOutsideTableList;
             } else if (isName) {
-                query |= word.equalsIgnoreCase("select");
+                inQuery |= word.equalsIgnoreCase("select");
                 boolean opens =
-                        OPEN.contains(word.toLowerCase(Locale.ROOT))
-                                && query
-                                && !before.equalsIgnoreCase("distinct");
-                tables = opens || tables && !CLOSE.contains(word.toLowerCase(Locale.ROOT));
+                        TABLE_LIST_OPENERS.contains(word.toLowerCase(Locale.ROOT))
+                                && inQuery
+                                && !previousWord.equalsIgnoreCase("distinct");
+                inTableList =
+                        opens
+                                || inTableList
+                                        && !TABLE_LIST_CLOSERS.contains(
+                                                word.toLowerCase(Locale.ROOT));
             } else if (word.equals("(")) {
-                outer.push(new boolean[] {tables, query});
-                query = false;
-            } else if (word.equals(")") && !outer.isEmpty()) {
-                tables = outer.peek()[0];
-                query = outer.pop()[1];
+                enclosing.push(new boolean[] {inTableList, inQuery});
+                inQuery = false;
+            } else if (word.equals(")") && !enclosing.isEmpty()) {
+                inTableList = enclosing.peek()[0];
+                inQuery = enclosing.pop()[1];
             } else {
-                tables &= word.equals(",");
+                inTableList &= word.equals(",");
             }
-            before = word;
+            previousWord = word;
         }
-        return elsewhere;
+        return groupOutsideTableList;
     }
 
     /** The digits after the last underscore of a schema's name, or -1. */
-    private static int number(String schema) {
+    private static int numberOf(String schema) {
         int underscore = schema.lastIndexOf('_');
         if (underscore < 1
                 || underscore + 1 == schema.length()
@@ -96,69 +100,69 @@
         return Integer.parseInt(schema.substring(underscore + 1));
     }
 
-    private void next() {
-        skip();
-        name = false;
-        if (at >= text.length()) {
+    private void nextToken() {
+        skipSpaceAndComments();
+        tokenIsName = false;
+        if (position >= text.length()) {
             token = null;
             return;
         }
-        char c = text.charAt(at);
-        if (c == '"' || c == '`') {
-            token = quoted(c);
-            name = true;
-        } else if (c == '\'') {
-            quoted(c);
+        char character = text.charAt(position);
+        if (character == '"' || character == '`') {
+            token = quoted(character);
+            tokenIsName = true;
+        } else if (character == '\'') {
+            quoted(character);
             token = "'";
-        } else if (Character.isUnicodeIdentifierStart(c) || c == '_') {
-            int from = at;
-            while (at < text.length() && isPart(text.charAt(at))) {
-                at++;
+        } else if (Character.isUnicodeIdentifierStart(character) || character == '_') {
+            int start = position;
+            while (position < text.length() && isIdentifierPart(text.charAt(position))) {
+                position++;
             }
-            token = text.substring(from, at);
-            name = true;
-        } else if (c >= '0' && c <= '9') {
-            while (at < text.length() && Character.isLetterOrDigit(text.charAt(at))) {
-                at++;
+            token = text.substring(start, position);
+            tokenIsName = true;
+        } else if (character >= '0' && character <= '9') {
+            while (position < text.length() && Character.isLetterOrDigit(text.charAt(position))) {
+                position++;
             }
             token = "0";
         } else {
-            at++;
-            token = String.valueOf(c);
+            position++;
+            token = String.valueOf(character);
         }
     }
 
-    private static boolean isPart(char c) {
-        return Character.isUnicodeIdentifierPart(c) || c == '$';
+    private static boolean isIdentifierPart(char character) {
+        return Character.isUnicodeIdentifierPart(character) || character == '$';
     }
 
     /** Reads a quoted text; a doubled quote within stands for one. */
     private String quoted(char quote) {
         StringBuilder content = new StringBuilder();
-        for (at++; at < text.length(); at++) {
-            if (text.charAt(at) != quote) {
-                content.append(text.charAt(at));
-            } else if (at + 1 < text.length() && text.charAt(at + 1) == quote) {
+        for (position++; position < text.length(); position++) {
+            if (text.charAt(position) != quote) {
+                content.append(text.charAt(position));
+            } else if (position + 1 < text.length() && text.charAt(position + 1) == quote) {
                 content.append(quote);
-                at++;
+                position++;
             } else {
-                at++;
+                position++;
                 return content.toString();
             }
         }
         return content.toString();
     }
 
-    private void skip() {
-        while (at < text.length()) {
-            if (Character.isWhitespace(text.charAt(at))) {
-                at++;
-            } else if (text.startsWith("--", at)) {
-                int end = text.indexOf('\n', at);
-                at = end < 0 ? text.length() : end + 1;
-            } else if (text.startsWith("/*", at)) {
-                int end = text.indexOf("*/", at + 2);
-                at = end < 0 ? text.length() : end + 2;
+    private void skipSpaceAndComments() {
+        while (position < text.length()) {
+            if (Character.isWhitespace(text.charAt(position))) {
+                position++;
+            } else if (text.startsWith("--", position)) {
+                int end = text.indexOf('\n', position);
+                position = end < 0 ? text.length() : end + 1;
+            } else if (text.startsWith("/*", position)) {
+                int end = text.indexOf("*/", position + 2);
+                position = end < 0 ? text.length() : end + 2;
             } else {
                 return;
             }
--- a/src/main/java/firstage/server/discovery/EndpointParser.java
+++ b/src/main/java/firstage/server/discovery/EndpointParser.java
@@ -4,7 +4,7 @@
 import firstage.config.WireFields;
 import firstage.policy.api.EndpointUpdate.Lifecycle;
 import firstage.server.ManagerConfig;
-import firstage.server.ServerEvents.Listed;
+import firstage.server.ServerEvents.DiscoveredEndpoint;
 import firstage.server.TickClock;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -17,29 +17,29 @@
 
 /** Reads the engines of one event, from a frame or from JSON. */
 final class EndpointParser {
-    private static final int SIZE = 27;
-    private static final double THOUSANDTHS = 1_000;
+    private static final int RECORD_BYTES = 27;
+    private static final double WEIGHT_SCALE = 1_000;
     private final TickClock clock;
     private final List<String> zones;
-    private final List<String> kinds;
+    private final List<String> machineTypes;
 
     EndpointParser(TickClock clock, WireFields settings) {
         this.clock = clock;
         zones = Arrays.asList(settings.text("areas", "").split(","));
-        kinds = Arrays.asList(settings.text("kinds", "").split(","));
+        machineTypes = Arrays.asList(settings.text("kinds", "").split(","));
     }
 
-    List<Listed> read(ByteBuffer payload) throws IOException {
-        if (payload.remaining() % SIZE != 0) {
+    List<DiscoveredEndpoint> parse(ByteBuffer payload) throws IOException {
+        if (payload.remaining() % RECORD_BYTES != 0) {
             throw new IOException("a piece of a record");
         }
-        List<Listed> engines = new ArrayList<>();
+        List<DiscoveredEndpoint> endpoints = new ArrayList<>();
         while (payload.hasRemaining()) {
             long id = payload.getInt() & 0xFFFFFFFFL;
             byte[] address = new byte[4];
             payload.get(address);
             int port = payload.getShort() & 0xFFFF;
-            Lifecycle standing =
+            Lifecycle lifecycle =
                     switch (payload.get()) {
                         case 0 -> Lifecycle.ACTIVE;
                         case 1 -> Lifecycle.DRAINING;
@@ -49,47 +49,47 @@
             int zone = payload.get() & 0xFF;
             int kind = payload.get() & 0xFF;
             int cell = payload.getShort() & 0xFFFF;
-            double weight = (payload.getInt() & 0xFFFFFFFFL) / THOUSANDTHS;
+            double weight = (payload.getInt() & 0xFFFFFFFFL) / WEIGHT_SCALE;
             long started = payload.getLong();
-            engines.add(
-                    new Listed(
+            endpoints.add(
+                    new DiscoveredEndpoint(
                             id,
                             new InetSocketAddress(InetAddress.getByAddress(address), port),
                             zone,
                             kind,
                             cell,
-                            standing,
+                            lifecycle,
                             weight,
-                            clock.of(started)));
+                            clock.fromUnixMillis(started)));
         }
-        return engines;
+        return endpoints;
     }
 
-    List<Listed> read(List<?> instances) {
-        List<Listed> engines = new ArrayList<>();
+    List<DiscoveredEndpoint> parse(List<?> instances) {
+        List<DiscoveredEndpoint> endpoints = new ArrayList<>();
         for (Object instance : instances) {
-            WireFields f = new WireFields((Map<?, ?>) instance);
-            Lifecycle standing =
-                    switch (f.text("lifecycle", "Ready")) {
+            WireFields fields = new WireFields((Map<?, ?>) instance);
+            Lifecycle lifecycle =
+                    switch (fields.text("lifecycle", "Ready")) {
                         case "Ready" -> Lifecycle.ACTIVE;
                         case "Terminating" -> Lifecycle.DRAINING;
                         default -> Lifecycle.GONE;
                     };
-            engines.add(
-                    new Listed(
-                            id(f.need("instanceId")),
-                            ManagerConfig.address(f.need("hostPort")),
-                            zones.indexOf(WireFields.plain(f.text("zone", ""))),
-                            kinds.indexOf(WireFields.plain(f.text("machineType", ""))),
-                            f.index("cell", 0),
-                            standing,
-                            f.number("weight", 1),
-                            clock.of(f.whole("startedAtMs", 0))));
+            endpoints.add(
+                    new DiscoveredEndpoint(
+                            parseEngineId(fields.need("instanceId")),
+                            ManagerConfig.address(fields.need("hostPort")),
+                            zones.indexOf(WireFields.plain(fields.text("zone", ""))),
+                            machineTypes.indexOf(WireFields.plain(fields.text("machineType", ""))),
+                            fields.index("cell", 0),
+                            lifecycle,
+                            fields.number("weight", 1),
+                            clock.fromUnixMillis(fields.whole("startedAtMs", 0))));
         }
-        return engines;
+        return endpoints;
     }
 
-    private static long id(String text) {
+    private static long parseEngineId(String text) {
         try {
             return Long.parseLong(text.substring(text.indexOf('-') + 1), 16);
         } catch (NumberFormatException fault) {
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -32,57 +32,57 @@
      * An empty frame follows each second: two missing, and another connection is tried. News is due
      * in 7 s.
      */
-    private static final long MUTE_MS = 2_300;
+    private static final long SILENCE_TIMEOUT_MS = 2_300;
 
-    private static final long CONNECT_MS = 1_000;
+    private static final long CONNECT_TIMEOUT_MS = 1_000;
 
     /**
      * A connection comes up in a few ms; where its first packet is lost the system sends it again
      * after 1 s only.
      */
-    private static final long SECOND_TRY_MS = 150;
+    private static final long NEXT_ATTEMPT_MS = 150;
 
-    private static final long AGAIN_MS = 200;
+    private static final long RECONNECT_DELAY_MS = 200;
 
     /** At most so many at once: well before the first is given up, and few descriptors. */
-    private static final int MOST_TRIES = 5;
+    private static final int MAX_PARALLEL_ATTEMPTS = 5;
 
     /**
      * From a start until its list is taken as it was told, where the coordinator says nothing: it
      * does at once.
      */
-    private static final long UNHEARD_MS = 1_000;
+    private static final long CONFIRM_TIMEOUT_MS = 1_000;
 
     /** Engines that a line of the log names. */
-    private static final int MOST_NAMED = 8;
+    private static final int MAX_LOGGED_ENDPOINTS = 8;
 
     private final XnioIoThread io;
     private final Counters counters;
-    private final ServerEvents tidings;
-    private final EndpointParser records;
+    private final ServerEvents events;
+    private final EndpointParser parser;
     private final TickClock clock;
     private InetSocketAddress coordinator;
 
     /** When the configuration in force asked for its coordinator: for the log. */
-    private long since;
+    private long configuredAt;
 
-    private boolean heard;
+    private boolean dataReceived;
 
     /** The list was confirmed since the start, or is taken as it is. */
     private boolean confirmed;
 
     private final ByteBuffer buffer = ByteBuffer.allocate(16 * 1024);
-    private long last;
-    private StreamConnection channel;
-    private FrameDecoder frames;
-    private XnioExecutor.Key mute;
-    private XnioExecutor.Key retry;
+    private long lastEventNumber;
+    private StreamConnection connection;
+    private FrameDecoder frameDecoder;
+    private XnioExecutor.Key silenceTimer;
+    private XnioExecutor.Key reconnectTimer;
 
     /**
      * Counts what was given up: only a try of the present count may come up, and only the first of
      * those.
      */
-    private long round;
+    private long connectionRound;
 
     private boolean closed;
 
@@ -90,13 +90,13 @@
             XnioIoThread io,
             TickClock clock,
             Counters counters,
-            ServerEvents tidings,
-            ManagerConfig assignment) {
+            ServerEvents events,
+            ManagerConfig config) {
         this.io = io;
         this.counters = counters;
-        this.tidings = tidings;
+        this.events = events;
         this.clock = clock;
-        records = new EndpointParser(clock, assignment.settings());
+        parser = new EndpointParser(clock, config.settings());
     }
 
     /**
@@ -104,27 +104,30 @@
      * one may come while this one is followed: its coordinator may be elsewhere and the old one
      * tells nothing more, so that one is left at once. The numbers continue.
      */
-    public void follow(ManagerConfig assignment) {
-        since = clock.now();
-        heard = false;
+    public void follow(ManagerConfig config) {
+        configuredAt = clock.now();
+        dataReceived = false;
         try {
-            if (assignment.known().get("updates") instanceof List<?> updates) {
+            if (config.known().get("updates") instanceof List<?> updates) {
                 for (Object update : updates) {
-                    known((Map<?, ?>) update);
+                    applyKnownUpdate((Map<?, ?>) update);
                 }
             }
-            Object index = assignment.known().get("index");
-            last = Math.max(last, index == null ? 0 : Long.parseLong(String.valueOf(index)));
+            Object index = config.known().get("index");
+            lastEventNumber =
+                    Math.max(
+                            lastEventNumber,
+                            index == null ? 0 : Long.parseLong(String.valueOf(index)));
         } catch (RuntimeException fault) {
             counters.count("malformed lists");
             LOG.warning(
                     "the list that the configuration knows can't be read: " + fault.getMessage());
         }
         if (coordinator == null) {
-            io.executeAfter(this::confirm, UNHEARD_MS, TimeUnit.MILLISECONDS);
+            io.executeAfter(this::confirm, CONFIRM_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
-        coordinator = assignment.coordinator();
-        leave();
+        coordinator = config.coordinator();
+        closeConnection();
         connect();
     }
 
@@ -133,35 +136,35 @@
      * list from before its coordinator's trouble, and sends to engines that were told to drain
      * while it was not there to hear.
      */
-    public boolean confirmed() {
+    public boolean isConfirmed() {
         return confirmed || coordinator == null;
     }
 
     private void confirm() {
         if (!confirmed) {
             confirmed = true;
-            tidings.listConfirmed();
+            events.onEndpointsConfirmed();
         }
     }
 
-    private void known(Map<?, ?> update) {
-        if (Long.parseLong(String.valueOf(update.get("index"))) <= last) {
+    private void applyKnownUpdate(Map<?, ?> update) {
+        if (Long.parseLong(String.valueOf(update.get("index"))) <= lastEventNumber) {
             return;
         }
         Map<?, ?> endpoints = (Map<?, ?>) update.get("endpoints");
-        boolean whole = "true".equals(String.valueOf(endpoints.get("reset")));
-        tidings.listed(
-                whole ? Kind.SNAPSHOT : Kind.DELTA,
-                records.read((List<?>) endpoints.get("instances")));
-        last = Long.parseLong(String.valueOf(update.get("index")));
+        boolean snapshot = "true".equals(String.valueOf(endpoints.get("reset")));
+        events.onEndpointsUpdated(
+                snapshot ? Kind.SNAPSHOT : Kind.DELTA,
+                parser.parse((List<?>) endpoints.get("instances")));
+        lastEventNumber = Long.parseLong(String.valueOf(update.get("index")));
     }
 
     private void connect() {
-        retry = null;
+        reconnectTimer = null;
         if (closed || coordinator == null) {
             return;
         }
-        open(round, 1);
+        openConnection(connectionRound, 1);
     }
 
     /**
@@ -169,34 +172,37 @@
      * prevented: a first packet that is lost is sent again after a second, and for all of it this
      * manager sends to engines that were told to drain.
      */
-    private void open(long mine, int at) {
-        if (mine != round || channel != null) {
+    private void openConnection(long round, int attempt) {
+        if (round != connectionRound || connection != null) {
             return;
         }
-        IoFuture<? extends StreamConnection> coming =
+        IoFuture<? extends StreamConnection> connectFuture =
                 io.openStreamConnection(coordinator, null, OptionMap.EMPTY);
-        XnioExecutor.Key late = io.executeAfter(coming::cancel, CONNECT_MS, TimeUnit.MILLISECONDS);
-        XnioExecutor.Key second =
-                at >= MOST_TRIES
+        XnioExecutor.Key connectTimeout =
+                io.executeAfter(connectFuture::cancel, CONNECT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        XnioExecutor.Key nextAttempt =
+                attempt >= MAX_PARALLEL_ATTEMPTS
                         ? null
                         : io.executeAfter(
-                                () -> open(mine, at + 1), SECOND_TRY_MS, TimeUnit.MILLISECONDS);
-        coming.addNotifier(
+                                () -> openConnection(round, attempt + 1),
+                                NEXT_ATTEMPT_MS,
+                                TimeUnit.MILLISECONDS);
+        connectFuture.addNotifier(
                 (future, none) ->
                         io.execute(
                                 () -> {
-                                    late.remove();
+                                    connectTimeout.remove();
                                     boolean done = future.getStatus() == IoFuture.Status.DONE;
-                                    if (mine != round || closed || channel != null) {
+                                    if (round != connectionRound || closed || connection != null) {
                                         // Another coordinator is followed meanwhile, or the other
                                         // try was the first.
                                         IoUtils.safeClose(done ? result(future) : null);
                                     } else if (done) {
-                                        up(result(future));
-                                    } else if (at == 1) {
-                                        second.remove();
+                                        onConnected(result(future));
+                                    } else if (attempt == 1) {
+                                        nextAttempt.remove();
                                         counters.count("coordinator not reached");
-                                        again();
+                                        scheduleReconnect();
                                     }
                                 }),
                 null);
@@ -210,136 +216,139 @@
         }
     }
 
-    private void again() {
-        long mine = ++round;
-        retry =
+    private void scheduleReconnect() {
+        long round = ++connectionRound;
+        reconnectTimer =
                 io.executeAfter(
                         () -> {
-                            if (mine == round) {
+                            if (round == connectionRound) {
                                 connect();
                             }
                         },
-                        AGAIN_MS,
+                        RECONNECT_DELAY_MS,
                         TimeUnit.MILLISECONDS);
     }
 
-    private void up(StreamConnection connection) {
-        channel = connection;
+    private void onConnected(StreamConnection newConnection) {
+        connection = newConnection;
         try {
-            frames = new FrameDecoder();
-            ByteBuffer hello = ByteBuffer.allocate(Long.BYTES).putLong(0, last);
-            while (hello.hasRemaining()) {
+            frameDecoder = new FrameDecoder();
+            ByteBuffer subscription = ByteBuffer.allocate(Long.BYTES).putLong(0, lastEventNumber);
+            while (subscription.hasRemaining()) {
                 // Eight bytes on a new connection always fit.
-                channel.getSinkChannel().write(hello);
+                connection.getSinkChannel().write(subscription);
             }
-            channel.getSinkChannel().flush();
-            channel.getSourceChannel().setReadListener(this::readable);
-            channel.getSourceChannel().resumeReads();
-            listen();
+            connection.getSinkChannel().flush();
+            connection.getSourceChannel().setReadListener(this::onReadable);
+            connection.getSourceChannel().resumeReads();
+            restartSilenceTimer();
         } catch (IOException fault) {
-            lost();
+            onConnectionLost();
         }
     }
 
-    private void listen() {
-        if (mute != null) {
-            mute.remove();
+    private void restartSilenceTimer() {
+        if (silenceTimer != null) {
+            silenceTimer.remove();
         }
-        mute = io.executeAfter(this::lost, MUTE_MS, TimeUnit.MILLISECONDS);
+        silenceTimer =
+                io.executeAfter(this::onConnectionLost, SILENCE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void lost() {
+    private void onConnectionLost() {
         LOG.info(
                 () ->
                         "the connection to the coordinator at "
                                 + coordinator
                                 + " is lost after event "
-                                + last);
-        leave();
+                                + lastEventNumber);
+        closeConnection();
         counters.count("connections to the coordinator lost");
-        again();
+        scheduleReconnect();
     }
 
     /** Gives up the connection, and what was to happen on it. */
-    private void leave() {
-        round++;
-        for (XnioExecutor.Key due : Arrays.asList(mute, retry)) {
-            if (due != null) {
-                due.remove();
+    private void closeConnection() {
+        connectionRound++;
+        for (XnioExecutor.Key timer : Arrays.asList(silenceTimer, reconnectTimer)) {
+            if (timer != null) {
+                timer.remove();
             }
         }
-        mute = null;
-        retry = null;
-        IoUtils.safeClose(channel);
-        channel = null;
+        silenceTimer = null;
+        reconnectTimer = null;
+        IoUtils.safeClose(connection);
+        connection = null;
     }
 
-    private void readable(ConduitStreamSourceChannel source) {
+    private void onReadable(ConduitStreamSourceChannel source) {
         try {
             while (source.isOpen()) {
                 buffer.clear();
-                int n = source.read(buffer);
-                if (n == 0) {
+                int bytesRead = source.read(buffer);
+                if (bytesRead == 0) {
                     return;
                 }
-                if (n < 0) {
-                    lost();
+                if (bytesRead < 0) {
+                    onConnectionLost();
                     return;
                 }
-                listen();
-                if (!heard) {
-                    heard = true;
-                    long tenths = clock.now() - since;
+                restartSilenceTimer();
+                if (!dataReceived) {
+                    dataReceived = true;
+                    long sinceConfigured = clock.now() - configuredAt;
                     LOG.info(
                             () ->
                                     "the coordinator at "
                                             + coordinator
                                             + " is heard "
-                                            + tenths / 10
+                                            + sinceConfigured / 10
                                             + " ms after the configuration was taken");
                 }
-                for (FrameDecoder.Frame frame : frames.take(buffer.flip())) {
-                    take(frame);
+                for (FrameDecoder.Frame frame : frameDecoder.decode(buffer.flip())) {
+                    applyFrame(frame);
                 }
-                if (!frames.partial()) {
+                if (!frameDecoder.hasPartialFrame()) {
                     confirm();
                 }
             }
         } catch (IOException fault) {
             LOG.warning("the coordinator's connection is closed: " + fault.getMessage());
             counters.count("malformed or broken lists");
-            lost();
+            onConnectionLost();
         }
     }
 
-    private void take(FrameDecoder.Frame frame) throws IOException {
-        if (frame.kind() == 0 || frame.number() <= last) {
+    private void applyFrame(FrameDecoder.Frame frame) throws IOException {
+        if (frame.type() == 0 || frame.eventNumber() <= lastEventNumber) {
             return;
         }
-        if (frame.kind() > 2) {
-            throw new IOException("a frame of kind " + frame.kind());
+        if (frame.type() > 2) {
+            throw new IOException("a frame of kind " + frame.type());
         }
-        List<ServerEvents.Listed> entries = records.read(frame.payload());
+        List<ServerEvents.DiscoveredEndpoint> endpoints = parser.parse(frame.payload());
         // Few in a run, and what a drain that was not kept is traced by.
         LOG.info(
                 () ->
                         "event "
-                                + frame.number()
+                                + frame.eventNumber()
                                 + " tells of "
-                                + entries.stream()
-                                        .map(e -> e.id() + " " + e.standing())
-                                        .limit(MOST_NAMED)
+                                + endpoints.stream()
+                                        .map(endpoint -> endpoint.id() + " " + endpoint.lifecycle())
+                                        .limit(MAX_LOGGED_ENDPOINTS)
                                         .toList()
-                                + (entries.size() > MOST_NAMED
-                                        ? " and " + (entries.size() - MOST_NAMED) + " more"
+                                + (endpoints.size() > MAX_LOGGED_ENDPOINTS
+                                        ? " and "
+                                                + (endpoints.size() - MAX_LOGGED_ENDPOINTS)
+                                                + " more"
                                         : ""));
-        tidings.listed(frame.kind() == 1 ? Kind.SNAPSHOT : Kind.DELTA, entries);
-        last = frame.number();
+        events.onEndpointsUpdated(frame.type() == 1 ? Kind.SNAPSHOT : Kind.DELTA, endpoints);
+        lastEventNumber = frame.eventNumber();
         counters.count("changes of the list");
     }
 
     public void close() {
         closed = true;
-        leave();
+        closeConnection();
     }
 }
--- a/src/main/java/firstage/server/discovery/FrameDecoder.java
+++ b/src/main/java/firstage/server/discovery/FrameDecoder.java
@@ -9,45 +9,45 @@
 /** Cuts the coordinator's frames out of bytes that come in any pieces. */
 public final class FrameDecoder {
     /** Kind, number and payload of one frame. */
-    public record Frame(long number, int kind, ByteBuffer payload) {}
+    public record Frame(long eventNumber, int type, ByteBuffer payload) {}
 
-    private static final int HEAD = 4;
-    private static final int LEAST = 9;
+    private static final int LENGTH_BYTES = 4;
+    private static final int MIN_LENGTH = 9;
 
     /** Some 38,000 records: well over any list. */
-    private static final int MOST = 1 << 20;
+    private static final int MAX_LENGTH = 1 << 20;
 
-    private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream unconsumed = new ByteArrayOutputStream();
 
     /** Whether the beginning of a frame is here and its rest is not. */
-    public boolean partial() {
-        return kept.size() > 0;
+    public boolean hasPartialFrame() {
+        return unconsumed.size() > 0;
     }
 
     /** Takes what is there and gives the frames that are whole. */
-    public List<Frame> take(ByteBuffer in) throws IOException {
+    public List<Frame> decode(ByteBuffer in) throws IOException {
         byte[] piece = new byte[in.remaining()];
         in.get(piece);
-        kept.write(piece, 0, piece.length);
-        ByteBuffer all = ByteBuffer.wrap(kept.toByteArray());
-        List<Frame> whole = new ArrayList<>();
-        while (all.remaining() >= HEAD) {
-            int length = all.getInt(all.position());
-            if (length < LEAST || length > MOST) {
+        unconsumed.write(piece, 0, piece.length);
+        ByteBuffer available = ByteBuffer.wrap(unconsumed.toByteArray());
+        List<Frame> frames = new ArrayList<>();
+        while (available.remaining() >= LENGTH_BYTES) {
+            int length = available.getInt(available.position());
+            if (length < MIN_LENGTH || length > MAX_LENGTH) {
                 throw new IOException("a frame of " + (length & 0xFFFFFFFFL) + " bytes");
             }
-            if (all.remaining() < HEAD + length) {
+            if (available.remaining() < LENGTH_BYTES + length) {
                 break;
             }
-            all.getInt();
-            long number = all.getLong();
-            int kind = all.get();
-            ByteBuffer payload = all.slice(all.position(), length - LEAST);
-            all.position(all.position() + length - LEAST);
-            whole.add(new Frame(number, kind, payload));
+            available.getInt();
+            long eventNumber = available.getLong();
+            int type = available.get();
+            ByteBuffer payload = available.slice(available.position(), length - MIN_LENGTH);
+            available.position(available.position() + length - MIN_LENGTH);
+            frames.add(new Frame(eventNumber, type, payload));
         }
-        kept.reset();
-        kept.write(all.array(), all.position(), all.remaining());
-        return whole;
+        unconsumed.reset();
+        unconsumed.write(available.array(), available.position(), available.remaining());
+        return frames;
     }
 }
