--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -1,12 +1,12 @@
 package firstage.server.engine;
 
 import firstage.lifecycle.AttemptStateMachine;
-import firstage.lifecycle.AttemptStateMachine.Loss;
-import firstage.lifecycle.AttemptStateMachine.Word;
+import firstage.lifecycle.AttemptStateMachine.CallFailure;
+import firstage.lifecycle.AttemptStateMachine.EngineReply;
 import firstage.policy.api.AttemptOutcome;
 import firstage.policy.api.AttemptProgress;
 import firstage.policy.api.LoadReport;
-import firstage.server.FlightRecorder.What;
+import firstage.server.FlightRecorder.EventType;
 import firstage.server.RequestExchange;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -16,56 +16,57 @@
 /**
  * Carries a dispatch's life over HTTP: its calls, and what their answers say. It decides nothing.
  */
-final class AttemptRunner implements RequestExchange.Dispatch, AttemptStateMachine.Carrier {
+final class AttemptRunner
+        implements RequestExchange.AttemptHandle, AttemptStateMachine.AttemptActions {
     /**
      * Engines answer within 250 ms; another connection is tried well before they drop it after 2 s.
      */
-    private static final long NEWS_MS = 600;
+    private static final long POLL_TIMEOUT_MS = 600;
 
-    private static final long DELETE_MS = 200;
-    private static final int MOST_PAGES = 64;
+    private static final long DELETE_TIMEOUT_MS = 200;
+    private static final int MAX_PAGES = 64;
 
     /**
      * Tenths of a millisecond; by the users' term nothing is sent so long after its client left.
      * For the counters.
      */
-    private static final long LEFT_FOR = 1_000;
+    private static final long LATE_SEND_THRESHOLD = 1_000;
 
     /** Some five times what a result may hold. */
-    private static final int MOST_RESULT = 256 * 1024;
+    private static final int MAX_RESULT_BYTES = 256 * 1024;
 
     private final EngineClients engines;
-    private final EngineConnectionPool link;
-    private final RequestExchange x;
+    private final EngineConnectionPool pool;
+    private final RequestExchange exchange;
     private final int number;
     private final int engine;
-    private final long sent;
-    private final AttemptStateMachine life;
+    private final long startedAt;
+    private final AttemptStateMachine stateMachine;
     private final List<byte[]> pages = new ArrayList<>();
     private int pageCount;
-    private boolean running;
-    private int size;
-    private long took;
+    private boolean countedAsRunning;
+    private int resultBytes;
+    private long duration;
     private int priority;
-    private LoadReport report;
-    private boolean lingers;
+    private LoadReport loadReport;
+    private boolean countedAsLingering;
 
     AttemptRunner(
             EngineClients engines,
-            EngineConnectionPool link,
-            RequestExchange x,
+            EngineConnectionPool pool,
+            RequestExchange exchange,
             int number,
             int engine) {
         this.engines = engines;
-        this.link = link;
-        this.x = x;
+        this.pool = pool;
+        this.exchange = exchange;
         this.number = number;
         this.engine = engine;
-        this.sent = engines.clock.now();
-        this.priority = x.priority;
-        life = new AttemptStateMachine(this, x.key != null);
+        this.startedAt = engines.clock.now();
+        this.priority = exchange.priority;
+        stateMachine = new AttemptStateMachine(this, exchange.orderingKey != null);
         // Not within the decision that sends it: its outcome is news of a later moment.
-        engines.io.execute(life::start);
+        engines.io.execute(stateMachine::start);
     }
 
     @Override
@@ -82,164 +83,170 @@
         return engines.clock.now();
     }
 
-    private void note(What what, int figure) {
-        if (x.key != null) {
-            engines.counters.recorder().note(what, x.id, number, figure);
+    private void note(EventType what, int figure) {
+        if (exchange.orderingKey != null) {
+            engines.counters.recorder().record(what, exchange.id, number, figure);
         }
     }
 
-    private Loss loss(EngineCall.Failure f) {
-        note(What.LOST, f.ordinal());
-        return switch (f) {
-            case REFUSED -> Loss.REFUSED;
-            case UNREACHED -> Loss.UNREACHED;
-            case RESET -> Loss.RESET;
-            case NO_ROOM, UNWANTED -> Loss.UNSENT;
-            case BROKEN, SILENT -> Loss.LOST;
-            case MALFORMED -> Loss.SPOILT;
+    private CallFailure callFailure(EngineCall.Failure failure) {
+        note(EventType.CALL_FAILED, failure.ordinal());
+        return switch (failure) {
+            case CONNECTION_REFUSED -> CallFailure.CONNECTION_REFUSED;
+            case CONNECT_TIMEOUT -> CallFailure.CONNECT_TIMEOUT;
+            case RESET_BEFORE_SEND -> CallFailure.RESET_BEFORE_SEND;
+            case NO_FREE_CONNECTION, NO_LONGER_WANTED -> CallFailure.NOT_SENT;
+            case CONNECTION_BROKEN, RESPONSE_TIMEOUT -> CallFailure.REPLY_LOST;
+            case MALFORMED_RESPONSE -> CallFailure.REPLY_UNREADABLE;
         };
     }
 
     @Override
-    public void post() {
-        link.start(
-                new EngineCall("POST /x", x.statement, NEWS_MS) {
+    public void sendStatement() {
+        pool.startCall(
+                new EngineCall("POST /x", exchange.statement, POLL_TIMEOUT_MS) {
                     @Override
-                    boolean wanted() {
+                    boolean shouldSend() {
                         // An engine may begin to drain, or the client leave, while the connection
                         // comes up.
-                        return life.wanted() && !link.isLeaving() && !x.away;
+                        return stateMachine.shouldSendStatement()
+                                && !pool.isDraining()
+                                && !exchange.clientAbsent;
                     }
 
                     @Override
-                    String head() {
+                    String extraHeaders() {
                         long now = now();
-                        long absent = x.absentFor(now);
+                        long absent = exchange.disconnectedFor(now);
                         if (absent > 0) {
                             engines.counters.peak(
                                     "latest statement after its client left, us", absent * 100);
                         }
-                        if (absent > LEFT_FOR) {
+                        if (absent > LATE_SEND_THRESHOLD) {
                             engines.counters.count(
                                     "statements sent later than 0.1 s after their client left");
                         }
-                        life.written(now);
-                        running = true;
-                        link.runs();
-                        note(What.WRITTEN, engine);
-                        long left = Math.max(1, (x.notAfter - now) / 10);
+                        stateMachine.onStatementWritten(now);
+                        countedAsRunning = true;
+                        pool.onAttemptRunning();
+                        note(EventType.STATEMENT_WRITTEN, engine);
+                        long left = Math.max(1, (exchange.deadline - now) / 10);
                         return "X-Ticket: "
-                                + x.id
+                                + exchange.id
                                 + "\r\nX-Queue: "
-                                + x.group
+                                + exchange.trafficClass
                                 + "\r\nX-Max-Ms: "
                                 + left
                                 + "\r\n"
-                                + (x.grantMb > 0 ? "Grant-Mb: " + x.grantMb + "\r\n" : "")
+                                + (exchange.grantMb > 0
+                                        ? "Grant-Mb: " + exchange.grantMb + "\r\n"
+                                        : "")
                                 + "Rank: "
                                 + priority
                                 + "\r\n";
                     }
 
                     @Override
-                    void answered(EngineResponse r) {
-                        Word word = word(r, 0);
-                        if (word != null) {
-                            life.posted(now(), word);
+                    void onResponse(EngineResponse response) {
+                        EngineReply reply = interpret(response, 0);
+                        if (reply != null) {
+                            stateMachine.onStatementReply(now(), reply);
                         } else {
                             engines.counters.count("answers that can't be used");
-                            life.postFailed(now(), Loss.SPOILT);
+                            stateMachine.onStatementFailed(now(), CallFailure.REPLY_UNREADABLE);
                         }
                     }
 
                     @Override
-                    void failed(Failure f) {
-                        life.postFailed(now(), loss(f));
+                    void onFailure(Failure failure) {
+                        stateMachine.onStatementFailed(now(), callFailure(failure));
                     }
                 });
     }
 
     @Override
-    public void ask(boolean fresh) {
-        get(0, fresh);
+    public void poll(boolean onNewConnection) {
+        callGet(0, onNewConnection);
     }
 
     @Override
-    public void fetch(int page, boolean fresh) {
-        get(page, fresh);
+    public void fetchPage(int page, boolean onNewConnection) {
+        callGet(page, onNewConnection);
     }
 
-    private void get(int page, boolean fresh) {
-        link.call(
-                new EngineCall("GET /x/" + x.id + "/" + page, null, NEWS_MS) {
+    private void callGet(int page, boolean onNewConnection) {
+        pool.call(
+                new EngineCall("GET /x/" + exchange.id + "/" + page, null, POLL_TIMEOUT_MS) {
                     @Override
-                    void answered(EngineResponse r) {
-                        Word word = word(r, page);
-                        if (word != null) {
-                            life.told(now(), word);
+                    void onResponse(EngineResponse response) {
+                        EngineReply reply = interpret(response, page);
+                        if (reply != null) {
+                            stateMachine.onReply(now(), reply);
                         } else {
                             engines.counters.count("answers that can't be used");
-                            life.lost(now(), Loss.SPOILT);
+                            stateMachine.onCallFailed(now(), CallFailure.REPLY_UNREADABLE);
                         }
                     }
 
                     @Override
-                    void failed(Failure f) {
-                        life.lost(now(), loss(f));
+                    void onFailure(Failure failure) {
+                        stateMachine.onCallFailed(now(), callFailure(failure));
                     }
                 },
-                fresh);
+                onNewConnection);
     }
 
     /**
      * What an answer says, and keeps of it what goes on; null where it can't be one of an engine's.
      */
-    private Word word(EngineResponse r, int page) {
-        note(What.ANSWERED, r.status());
-        boolean runs = life.runs();
-        if (runs) {
+    private EngineReply interpret(EngineResponse response, int page) {
+        note(EventType.ENGINE_REPLY, response.status());
+        boolean running = stateMachine.isRunning();
+        if (running) {
             // The latest word only: an earlier one would pass for news when the dispatch ends.
-            report = EngineClients.report(r);
+            loadReport = EngineClients.report(response);
         }
-        return switch (r.status()) {
+        return switch (response.status()) {
             case 202 -> {
-                if (runs) {
-                    note(r);
+                if (running) {
+                    note(response);
                 }
-                yield page > 0 && runs ? null : Word.NEWS;
+                yield page > 0 && running ? null : EngineReply.PROGRESS;
             }
             // Of what is given up only its end counts, not its pages.
-            case 200 -> runs ? page(r, page) : Word.LAST;
-            case 503, 504 -> r.neverRan() ? Word.TURNED_AWAY : Word.ERROR;
-            case 500 -> Word.ERROR;
+            case 200 -> running ? addPage(response, page) : EngineReply.LAST_PAGE;
+            case 503, 504 -> response.neverRan() ? EngineReply.REFUSED : EngineReply.FAILED;
+            case 500 -> EngineReply.FAILED;
             // Engines say nothing else: it was spoilt on its way.
             default -> null;
         };
     }
 
-    private Word page(EngineResponse r, int page) {
+    private EngineReply addPage(EngineResponse response, int page) {
         if (page == 0) {
-            took = took > 0 ? took : now() - sent;
-            pageCount = r.whole("page-count", 0);
+            duration = duration > 0 ? duration : now() - startedAt;
+            pageCount = response.intHeader("page-count", 0);
         }
         boolean usable =
                 pageCount > 0
-                        && pageCount <= MOST_PAGES
-                        && r.isPage()
+                        && pageCount <= MAX_PAGES
+                        && response.isPage()
                         && pages.size() == page
-                        && (page == 0 || r.whole("page-no", -1) == page);
+                        && (page == 0 || response.intHeader("page-no", -1) == page);
         if (!usable) {
             return null;
         }
-        pages.add(r.body());
-        size += r.body().length;
-        return size > MOST_RESULT ? Word.ERROR : pages.size() >= pageCount ? Word.LAST : Word.PAGE;
+        pages.add(response.body());
+        resultBytes += response.body().length;
+        return resultBytes > MAX_RESULT_BYTES
+                ? EngineReply.FAILED
+                : pages.size() >= pageCount ? EngineReply.LAST_PAGE : EngineReply.PAGE;
     }
 
-    private void note(EngineResponse r) {
-        double figure = r.number("figure", 0);
+    private void note(EngineResponse response) {
+        double figure = response.numberHeader("figure", 0);
         AttemptProgress.Kind kind =
-                switch (r.headers().getOrDefault("x-remark", "")) {
+                switch (response.headers().getOrDefault("x-remark", "")) {
                     case "pct" -> AttemptProgress.Kind.FRACTION_DONE;
                     case "overflow" -> AttemptProgress.Kind.SPILLING;
                     case "queued" ->
@@ -249,27 +256,27 @@
                     default -> null;
                 };
         if (kind != null) {
-            engines.tidings.noted(x, this, kind, figure);
+            engines.events.onAttemptProgress(exchange, this, kind, figure);
         }
     }
 
     @Override
-    public void priority(int next) {
-        if (next == priority || life.over()) {
+    public void updatePriority(int newPriority) {
+        if (newPriority == priority || stateMachine.isEnded()) {
             return;
         }
-        priority = next;
-        if (life.runs()) {
-            byte[] body = String.valueOf(next).getBytes(StandardCharsets.US_ASCII);
-            link.call(
-                    new EngineCall("PUT /x/" + x.id, body, NEWS_MS) {
+        priority = newPriority;
+        if (stateMachine.isRunning()) {
+            byte[] body = String.valueOf(newPriority).getBytes(StandardCharsets.US_ASCII);
+            pool.call(
+                    new EngineCall("PUT /x/" + exchange.id, body, POLL_TIMEOUT_MS) {
                         @Override
-                        void answered(EngineResponse r) {
+                        void onResponse(EngineResponse response) {
                             // Nothing depends on it.
                         }
 
                         @Override
-                        void failed(Failure f) {
+                        void onFailure(Failure failure) {
                             // Nothing depends on it.
                         }
                     },
@@ -278,72 +285,79 @@
     }
 
     @Override
-    public void giveUp(AttemptOutcome how) {
-        life.giveUp(now(), how);
+    public void abandon(AttemptOutcome outcome) {
+        stateMachine.abandon(now(), outcome);
     }
 
     @Override
-    public void delete(boolean fresh) {
-        link.call(
-                new EngineCall("DELETE /x/" + x.id, null, DELETE_MS) {
+    public void sendDelete(boolean onNewConnection) {
+        pool.call(
+                new EngineCall("DELETE /x/" + exchange.id, null, DELETE_TIMEOUT_MS) {
                     @Override
-                    void answered(EngineResponse r) {
-                        life.deleted(now());
+                    void onResponse(EngineResponse response) {
+                        stateMachine.onDeleteAcknowledged(now());
                     }
 
                     @Override
-                    void failed(Failure f) {
-                        life.deleteFailed(now(), loss(f));
+                    void onFailure(Failure failure) {
+                        stateMachine.onDeleteFailed(now(), callFailure(failure));
                     }
                 },
-                fresh,
+                onNewConnection,
                 true);
     }
 
     @Override
-    public void after(long delay, AttemptStateMachine.Alarm alarm) {
-        Runnable rings =
+    public void startTimer(long delay, AttemptStateMachine.Timeout timeout) {
+        Runnable onTimeout =
                 () -> {
-                    life.rang(now(), alarm);
-                    if (life.lingers() && !lingers) {
-                        lingers = true;
-                        engines.lingers(1);
+                    stateMachine.onTimeout(now(), timeout);
+                    if (stateMachine.isLingering() && !countedAsLingering) {
+                        countedAsLingering = true;
+                        engines.addLingering(1);
                     }
                 };
         if (delay > 0) {
-            engines.io.executeAfter(rings, delay / 10, TimeUnit.MILLISECONDS);
+            engines.io.executeAfter(onTimeout, delay / 10, TimeUnit.MILLISECONDS);
         } else {
-            engines.io.execute(rings);
+            engines.io.execute(onTimeout);
         }
     }
 
     @Override
-    public boolean lives() {
-        return link.lives();
+    public boolean hasOpenConnection() {
+        return pool.hasOpenConnection();
     }
 
     @Override
-    public boolean awaited() {
-        return !x.over() || engines.closing();
+    public boolean isResultAwaited() {
+        return !exchange.isSettled() || engines.isShuttingDown();
     }
 
     @Override
-    public long limit() {
-        return x.notAfter;
+    public long deadline() {
+        return exchange.deadline;
     }
 
     @Override
-    public void done() {
-        if (running) {
-            link.ran();
+    public void release() {
+        if (countedAsRunning) {
+            pool.onAttemptReleased();
         }
     }
 
     @Override
-    public void ended(AttemptOutcome how, long rest) {
-        if (lingers) {
-            engines.lingers(-1);
+    public void reportEnd(AttemptOutcome outcome, long heldFor) {
+        if (countedAsLingering) {
+            engines.addLingering(-1);
         }
-        engines.tidings.ended(x, this, how, took > 0 ? took : now() - sent, report, pages, rest);
+        engines.events.onAttemptEnded(
+                exchange,
+                this,
+                outcome,
+                duration > 0 ? duration : now() - startedAt,
+                loadReport,
+                pages,
+                heldFor);
     }
 }
--- a/src/main/java/firstage/server/engine/EngineCall.java
+++ b/src/main/java/firstage/server/engine/EngineCall.java
@@ -7,34 +7,34 @@
 abstract class EngineCall {
     /** REFUSED, UNREACHED, RESET, NO_ROOM, UNWANTED: nothing was sent. The others prove nothing. */
     enum Failure {
-        REFUSED,
-        UNREACHED,
-        RESET,
-        NO_ROOM,
-        UNWANTED,
-        BROKEN,
-        SILENT,
-        MALFORMED
+        CONNECTION_REFUSED,
+        CONNECT_TIMEOUT,
+        RESET_BEFORE_SEND,
+        NO_FREE_CONNECTION,
+        NO_LONGER_WANTED,
+        CONNECTION_BROKEN,
+        RESPONSE_TIMEOUT,
+        MALFORMED_RESPONSE
     }
 
-    final String what;
+    final String requestLine;
     final byte[] body;
 
     /** How long its answer may take. */
-    final long patienceMs;
+    final long timeoutMs;
 
-    EngineCall(String what, byte[] body, long patienceMs) {
-        this.what = what;
+    EngineCall(String requestLine, byte[] body, long timeoutMs) {
+        this.requestLine = requestLine;
         this.body = body;
-        this.patienceMs = patienceMs;
+        this.timeoutMs = timeoutMs;
     }
 
-    abstract void answered(EngineResponse response);
+    abstract void onResponse(EngineResponse response);
 
-    abstract void failed(Failure failure);
+    abstract void onFailure(Failure failure);
 
     /** More lines of the head, each ended; asked when the call is about to be written. */
-    String head() {
+    String extraHeaders() {
         return "";
     }
 
@@ -42,14 +42,20 @@
      * Whether it is to be written at all, asked when its connection is up; what is not fails as
      * unwanted.
      */
-    boolean wanted() {
+    boolean shouldSend() {
         return true;
     }
 
-    ByteBuffer bytes(String host) {
+    ByteBuffer encode(String host) {
         String length = body == null ? "" : "Content-Length: " + body.length + "\r\n";
         byte[] head =
-                (what + " HTTP/1.1\r\nHost: " + host + "\r\n" + head() + length + "\r\n")
+                (requestLine
+                                + " HTTP/1.1\r\nHost: "
+                                + host
+                                + "\r\n"
+                                + extraHeaders()
+                                + length
+                                + "\r\n")
                         .getBytes(StandardCharsets.ISO_8859_1);
         ByteBuffer all = ByteBuffer.allocate(head.length + (body == null ? 0 : body.length));
         all.put(head);
--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -18,179 +18,187 @@
 /** All engines that were listed, by their index. */
 public final class EngineClients {
     private static final int READ_BUFFER = 16 * 1024;
-    private static final long DEFAULT_KEEPALIVE = 10_000;
+    private static final long DEFAULT_KEEP_ALIVE = 10_000;
     final XnioIoThread io;
     final TickClock clock;
     final Counters counters;
-    final ServerEvents tidings;
-    final ByteBuffer shared = ByteBuffer.allocateDirect(READ_BUFFER);
-    final long connectMs;
-    final long probeMs;
-    final long mostIdle;
-    private final int cap;
-    private int slots;
-    private int lingering;
-    private boolean closing;
+    final ServerEvents events;
+    final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER);
+    final long connectTimeoutMs;
+    final long probeTimeoutMs;
+    final long maxIdle;
+    private final int connectionLimit;
+    private int connectionsInUse;
+    private int lingeringAttempts;
+    private boolean isShuttingDown;
 
     /** By the engine's index. */
-    private final List<EngineConnectionPool> links = new ArrayList<>();
+    private final List<EngineConnectionPool> poolsByEngine = new ArrayList<>();
 
     /** Those with connections, also such as were replaced and are still asked. */
-    private final Set<EngineConnectionPool> connected = new HashSet<>();
+    private final Set<EngineConnectionPool> connectedPools = new HashSet<>();
 
-    private final List<Integer> out = new ArrayList<>();
+    private final List<Integer> attemptsInFlight = new ArrayList<>();
 
     public EngineClients(
             XnioIoThread io,
             TickClock clock,
             Counters counters,
-            ServerEvents tidings,
-            ManagerConfig assignment) {
+            ServerEvents events,
+            ManagerConfig config) {
         this.io = io;
         this.clock = clock;
         this.counters = counters;
-        this.tidings = tidings;
-        connectMs = Math.max(1, assignment.settings().time("limits.connect_timeout") / 10);
-        probeMs = connectMs;
-        long keepalive = assignment.settings().time("limits.keepalive");
-        mostIdle = (keepalive > 0 ? keepalive : DEFAULT_KEEPALIVE) / 2;
-        cap = assignment.engineConnections();
+        this.events = events;
+        connectTimeoutMs = Math.max(1, config.settings().time("limits.connect_timeout") / 10);
+        probeTimeoutMs = connectTimeoutMs;
+        long keepAlive = config.settings().time("limits.keepalive");
+        maxIdle = (keepAlive > 0 ? keepAlive : DEFAULT_KEEP_ALIVE) / 2;
+        connectionLimit = config.engineConnections();
     }
 
-    boolean full() {
-        return slots >= cap;
+    boolean atConnectionLimit() {
+        return connectionsInUse >= connectionLimit;
     }
 
     /**
      * Room for one more connection; where there is none, an idle one of another engine gives way.
      */
-    boolean takeSlot() {
-        if (full() && connected.stream().noneMatch(EngineConnectionPool::closeOldest)) {
+    boolean reserveConnection() {
+        if (atConnectionLimit()
+                && connectedPools.stream().noneMatch(EngineConnectionPool::closeLongestIdle)) {
             counters.count("connections not had");
             return false;
         }
-        slots++;
-        counters.peak("most connections to engines", slots);
+        connectionsInUse++;
+        counters.peak("most connections to engines", connectionsInUse);
         return true;
     }
 
-    void opens(EngineConnectionPool link) {
-        connected.add(link);
+    void onConnecting(EngineConnectionPool pool) {
+        connectedPools.add(pool);
     }
 
-    void freeSlot() {
-        slots--;
-        counters.hold(slots >= 0, "a connection is freed once");
+    void releaseConnection() {
+        connectionsInUse--;
+        counters.checkInvariant(connectionsInUse >= 0, "a connection is freed once");
     }
 
-    public void listed(int index, ServerEvents.Listed e) {
-        while (links.size() <= index) {
-            links.add(null);
-            out.add(0);
+    public void updateEndpoint(int index, ServerEvents.DiscoveredEndpoint endpoint) {
+        while (poolsByEngine.size() <= index) {
+            poolsByEngine.add(null);
+            attemptsInFlight.add(0);
         }
-        EngineConnectionPool link = links.get(index);
-        if (e.standing() != Lifecycle.ACTIVE && link != null) {
-            link.leaving();
+        EngineConnectionPool pool = poolsByEngine.get(index);
+        if (endpoint.lifecycle() != Lifecycle.ACTIVE && pool != null) {
+            pool.markDraining();
         }
-        if (e.standing() == Lifecycle.GONE && link != null) {
-            link.close();
-        } else if (link == null
-                || link.closed()
-                || link.isLeaving() && e.standing() == Lifecycle.ACTIVE
-                || !link.address.equals(e.address())) {
-            if (link != null) {
-                link.close();
+        if (endpoint.lifecycle() == Lifecycle.GONE && pool != null) {
+            pool.close();
+        } else if (pool == null
+                || pool.closed()
+                || pool.isDraining() && endpoint.lifecycle() == Lifecycle.ACTIVE
+                || !pool.address.equals(endpoint.address())) {
+            if (pool != null) {
+                pool.close();
             }
-            links.set(index, new EngineConnectionPool(this, clock, e.address()));
+            poolsByEngine.set(index, new EngineConnectionPool(this, clock, endpoint.address()));
         }
     }
 
     /** The whole list was told: the others are gone. */
-    public void keepOnly(List<Integer> indices) {
-        for (int i = 0; i < links.size(); i++) {
-            if (links.get(i) != null && !indices.contains(i)) {
+    public void retainOnly(List<Integer> indices) {
+        for (int i = 0; i < poolsByEngine.size(); i++) {
+            if (poolsByEngine.get(i) != null && !indices.contains(i)) {
                 // Also what waits for a connection there is not written any more.
-                links.get(i).leaving();
-                links.get(i).close();
+                poolsByEngine.get(i).markDraining();
+                poolsByEngine.get(i).close();
             }
         }
     }
 
     /** Whether it was ever listed and is not forgotten. */
-    public boolean listed(int index) {
-        return index < links.size() && links.get(index) != null;
+    public boolean isKnown(int index) {
+        return index < poolsByEngine.size() && poolsByEngine.get(index) != null;
     }
 
     /** It left long ago; its connections ended with it. */
-    public void forget(int index) {
-        counters.hold(out.get(index) == 0, "an engine that is forgotten has nothing out");
-        links.set(index, null);
+    public void removeEngine(int index) {
+        counters.checkInvariant(
+                attemptsInFlight.get(index) == 0, "an engine that is forgotten has nothing out");
+        poolsByEngine.set(index, null);
     }
 
     /** How many engines were ever listed at once. */
     public int count() {
-        return links.size();
+        return poolsByEngine.size();
     }
 
     /** How many dispatches are out at this engine. */
-    public int out(int engine) {
-        return out.get(engine);
+    public int attemptsInFlight(int engine) {
+        return attemptsInFlight.get(engine);
     }
 
     /** One of them ended. */
-    public void ended(int engine) {
-        out.set(engine, out.get(engine) - 1);
+    public void onAttemptEnded(int engine) {
+        attemptsInFlight.set(engine, attemptsInFlight.get(engine) - 1);
     }
 
-    void lingers(int more) {
-        lingering += more;
+    void addLingering(int difference) {
+        lingeringAttempts += difference;
     }
 
     /** Dispatches that are given up and whose end is proven to nobody but their keys. */
-    public int lingering() {
-        return lingering;
+    public int lingeringAttempts() {
+        return lingeringAttempts;
     }
 
-    boolean closing() {
-        return closing;
+    boolean isShuttingDown() {
+        return isShuttingDown;
     }
 
     /** The program ends: nobody waits for proofs any more. */
-    public void closingSoon() {
-        closing = true;
+    public void prepareShutdown() {
+        isShuttingDown = true;
     }
 
     /** Connections taken are those in use, idle, or coming up, and no more than the cap. */
-    public void check() {
-        int held = connected.stream().mapToInt(EngineConnectionPool::held).sum();
-        counters.hold(held == slots && slots <= cap, "connections are in use, idle or coming up");
-        connected.removeIf(link -> link.held() == 0);
+    public void checkInvariants() {
+        int held = connectedPools.stream().mapToInt(EngineConnectionPool::connectionCount).sum();
+        counters.checkInvariant(
+                held == connectionsInUse && connectionsInUse <= connectionLimit,
+                "connections are in use, idle or coming up");
+        connectedPools.removeIf(pool -> pool.connectionCount() == 0);
     }
 
-    public RequestExchange.Dispatch dispatch(RequestExchange x, int number, int engine) {
-        out.set(engine, out.get(engine) + 1);
-        return new AttemptRunner(this, links.get(engine), x, number, engine);
+    public RequestExchange.AttemptHandle startAttempt(
+            RequestExchange exchange, int number, int engine) {
+        attemptsInFlight.set(engine, attemptsInFlight.get(engine) + 1);
+        return new AttemptRunner(this, poolsByEngine.get(engine), exchange, number, engine);
     }
 
     public void probe(int engine) {
         counters.count("probes");
-        links.get(engine)
-                .start(
-                        new EngineCall("GET /busy", null, probeMs) {
+        poolsByEngine
+                .get(engine)
+                .startCall(
+                        new EngineCall("GET /busy", null, probeTimeoutMs) {
                             @Override
-                            void answered(EngineResponse r) {
-                                tidings.probed(
+                            void onResponse(EngineResponse response) {
+                                events.onProbeResult(
                                         engine,
-                                        r.status() == 200
+                                        response.status() == 200
                                                 ? AttemptOutcome.SUCCEEDED
                                                 : AttemptOutcome.FAILED,
-                                        report(r));
+                                        report(response));
                             }
 
                             @Override
-                            void failed(Failure f) {
-                                boolean unreached = f == Failure.REFUSED || f == Failure.UNREACHED;
-                                tidings.probed(
+                            void onFailure(Failure failure) {
+                                boolean unreached =
+                                        failure == Failure.CONNECTION_REFUSED
+                                                || failure == Failure.CONNECT_TIMEOUT;
+                                events.onProbeResult(
                                         engine,
                                         unreached
                                                 ? AttemptOutcome.CONNECT_FAILED
@@ -201,15 +209,15 @@
     }
 
     /** The load report of an answer, or null without one. */
-    static LoadReport report(EngineResponse r) {
-        String meter = r.headers().get("x-meter");
+    static LoadReport report(EngineResponse response) {
+        String meter = response.headers().get("x-meter");
         if (meter == null) {
             return null;
         }
-        double[] told = {Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN};
+        double[] fields = {Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN};
         for (String pair : meter.split(";")) {
             String[] parts = pair.split(":", 2);
-            int at =
+            int field =
                     switch (parts[0].trim()) {
                         case "active", "inflight" -> 0;
                         case "waiting", "queue" -> 1;
@@ -219,21 +227,21 @@
                         default -> -1;
                     };
             try {
-                if (at >= 0 && parts.length == 2) {
-                    told[at] = Double.parseDouble(parts[1].trim());
+                if (field >= 0 && parts.length == 2) {
+                    fields[field] = Double.parseDouble(parts[1].trim());
                 }
             } catch (NumberFormatException fault) {
                 return null;
             }
         }
-        return new LoadReport(told[0], told[1], told[2], told[3], told[4]);
+        return new LoadReport(fields[0], fields[1], fields[2], fields[3], fields[4]);
     }
 
-    public void sweep() {
-        connected.forEach(EngineConnectionPool::sweep);
+    public void closeIdleConnections() {
+        connectedPools.forEach(EngineConnectionPool::closeIdleTooLong);
     }
 
     public void close() {
-        List.copyOf(connected).forEach(EngineConnectionPool::close);
+        List.copyOf(connectedPools).forEach(EngineConnectionPool::close);
     }
 }
--- a/src/main/java/firstage/server/engine/EngineConnection.java
+++ b/src/main/java/firstage/server/engine/EngineConnection.java
@@ -13,15 +13,15 @@
 
 /** A connection to an engine: one call at a time. */
 final class EngineConnection {
-    private static final byte[] VERSION = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
-    private final EngineConnectionPool link;
+    private static final byte[] HTTP_VERSION_PREFIX = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
+    private final EngineConnectionPool pool;
     private final XnioIoThread io;
-    private final ByteBuffer shared;
+    private final ByteBuffer readBuffer;
     private final StreamConnection channel;
     private EngineCall call;
     private EngineResponseReader reader;
-    private ByteBuffer unsent;
-    private XnioExecutor.Key patience;
+    private ByteBuffer unsentBytes;
+    private XnioExecutor.Key responseTimeout;
     private boolean closed;
     private long sentAt;
 
@@ -29,26 +29,26 @@
     long idleSince;
 
     /** Until when a second copy of its last answer may come. */
-    long restsUntil;
+    long quietUntil;
 
     /** Until when the true answer behind what may be a copy could come. */
     long doubtUntil;
 
     /** Its last answer that was whole. */
-    private EngineResponse last;
+    private EngineResponse lastResponse;
 
-    /** {@code shared} is one buffer of the thread, empty between events. */
+    /** {@code readBuffer} is one buffer of the thread, empty between events. */
     EngineConnection(
-            EngineConnectionPool link,
+            EngineConnectionPool pool,
             XnioIoThread io,
-            ByteBuffer shared,
+            ByteBuffer readBuffer,
             StreamConnection channel) {
-        this.link = link;
+        this.pool = pool;
         this.io = io;
-        this.shared = shared;
+        this.readBuffer = readBuffer;
         this.channel = channel;
-        channel.getSourceChannel().setReadListener(this::readable);
-        channel.getSinkChannel().setWriteListener(this::writable);
+        channel.getSourceChannel().setReadListener(this::onReadable);
+        channel.getSinkChannel().setWriteListener(this::onWritable);
         channel.getSourceChannel().resumeReads();
     }
 
@@ -56,127 +56,132 @@
      * Whether nothing came since its last answer: what did would be taken for the answer to the
      * next call.
      */
-    boolean quiet() {
+    boolean hasNoUnreadBytes() {
         try {
-            shared.clear();
-            return channel.getSourceChannel().read(shared) == 0;
-        } catch (IOException fault) {
+            readBuffer.clear();
+            return channel.getSourceChannel().read(readBuffer) == 0;
+        } catch (IOException exception) {
             return false;
         }
     }
 
     void send(EngineCall next, String host) {
         call = next;
-        sentAt = link.now();
+        sentAt = pool.now();
         reader = new EngineResponseReader();
-        unsent = next.bytes(host);
-        patience =
+        unsentBytes = next.encode(host);
+        responseTimeout =
                 io.executeAfter(
-                        () -> fail(EngineCall.Failure.SILENT),
-                        next.patienceMs,
+                        () -> fail(EngineCall.Failure.RESPONSE_TIMEOUT),
+                        next.timeoutMs,
                         TimeUnit.MILLISECONDS);
-        writable(channel.getSinkChannel());
+        onWritable(channel.getSinkChannel());
     }
 
-    private void writable(ConduitStreamSinkChannel sink) {
-        if (unsent == null) {
+    private void onWritable(ConduitStreamSinkChannel sink) {
+        if (unsentBytes == null) {
             sink.suspendWrites();
             return;
         }
         try {
-            while (unsent.hasRemaining()) {
-                if (sink.write(unsent) == 0) {
+            while (unsentBytes.hasRemaining()) {
+                if (sink.write(unsentBytes) == 0) {
                     sink.resumeWrites();
                     return;
                 }
             }
             if (sink.flush()) {
-                unsent = null;
+                unsentBytes = null;
                 sink.suspendWrites();
             } else {
                 sink.resumeWrites();
             }
-        } catch (IOException fault) {
+        } catch (IOException exception) {
             // Its answer may be there all the same; reading tells.
-            unsent = null;
+            unsentBytes = null;
             sink.suspendWrites();
-            io.execute(() -> readable(channel.getSourceChannel()));
+            io.execute(() -> onReadable(channel.getSourceChannel()));
         }
     }
 
-    private void readable(ConduitStreamSourceChannel source) {
+    private void onReadable(ConduitStreamSourceChannel source) {
         try {
             while (!closed) {
-                shared.clear();
-                int n = source.read(shared);
-                if (n == 0) {
+                readBuffer.clear();
+                int bytesRead = source.read(readBuffer);
+                if (bytesRead == 0) {
                     return;
                 }
-                if (n < 0) {
-                    fail(EngineCall.Failure.BROKEN);
+                if (bytesRead < 0) {
+                    fail(EngineCall.Failure.CONNECTION_BROKEN);
                     return;
                 }
-                link.heard();
-                shared.flip();
+                pool.lastResponseAt();
+                readBuffer.flip();
                 if (call == null) {
                     // Bytes that nobody asked for: nothing on this connection can be trusted.
-                    fail(EngineCall.Failure.MALFORMED);
-                } else if (reader.take(shared)) {
-                    done();
+                    fail(EngineCall.Failure.MALFORMED_RESPONSE);
+                } else if (reader.read(readBuffer)) {
+                    onResponseComplete();
                 }
             }
-        } catch (IOException fault) {
+        } catch (IOException exception) {
             fail(
-                    reader != null && channel.isOpen() && !isReset(fault)
-                            ? EngineCall.Failure.MALFORMED
-                            : EngineCall.Failure.BROKEN);
+                    reader != null && channel.isOpen() && !isReset(exception)
+                            ? EngineCall.Failure.MALFORMED_RESPONSE
+                            : EngineCall.Failure.CONNECTION_BROKEN);
         }
     }
 
-    private static boolean isReset(IOException fault) {
-        String text = String.valueOf(fault.getMessage());
+    private static boolean isReset(IOException exception) {
+        String text = String.valueOf(exception.getMessage());
         return text.contains("reset") || text.contains("Broken pipe") || text.contains("closed");
     }
 
-    private void done() {
-        EngineCall over = call;
-        boolean more = shared.hasRemaining();
+    private void onResponseComplete() {
+        EngineCall completedCall = call;
+        boolean hasTrailingBytes = readBuffer.hasRemaining();
         // A second copy of the answer shows that the first was whole.
-        boolean copy =
-                shared.remaining() >= VERSION.length
-                        && ByteBuffer.wrap(VERSION)
-                                .equals(shared.slice(shared.position(), VERSION.length));
-        EngineResponse response = reader.response(more && !copy);
-        forget();
-        boolean doubtful = link.hasty(response, sentAt);
-        boolean like = last != null && response.like(last);
-        last = response;
-        if (more || unsent != null || response.closes() || doubtful && !link.lastWhileRunning()) {
+        boolean trailingDuplicate =
+                readBuffer.remaining() >= HTTP_VERSION_PREFIX.length
+                        && ByteBuffer.wrap(HTTP_VERSION_PREFIX)
+                                .equals(
+                                        readBuffer.slice(
+                                                readBuffer.position(), HTTP_VERSION_PREFIX.length));
+        EngineResponse response = reader.response(hasTrailingBytes && !trailingDuplicate);
+        clearCall();
+        boolean suspectedDuplicate = pool.isSuspectedDuplicate(response, sentAt);
+        boolean sameAsLast = lastResponse != null && response.isSameAs(lastResponse);
+        lastResponse = response;
+        if (hasTrailingBytes
+                || unsentBytes != null
+                || response.closesConnection()
+                || suspectedDuplicate && !pool.isOnlyConnectionWhileRunning()) {
             close();
-            link.gone(this);
-        } else if (doubtful && like) {
-            link.doubted(this);
+            pool.onClosed(this);
+        } else if (suspectedDuplicate && sameAsLast) {
+            pool.onSuspectedDuplicate(this);
         } else {
-            link.idle(this, response.status() == 200);
+            pool.idle(this, response.status() == 200);
         }
-        over.answered(response);
+        completedCall.onResponse(response);
     }
 
     private void fail(EngineCall.Failure failure) {
-        EngineCall over = call;
-        forget();
+        EngineCall completedCall = call;
+        clearCall();
         close();
-        link.gone(this);
-        if (over != null) {
-            over.failed(failure);
+        pool.onClosed(this);
+        if (completedCall != null) {
+            completedCall.onFailure(failure);
         }
     }
 
-    private void forget() {
-        if (patience != null) {
-            patience.remove();
+    private void clearCall() {
+        if (responseTimeout != null) {
+            responseTimeout.remove();
         }
-        patience = null;
+        responseTimeout = null;
         call = null;
         reader = null;
     }
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -25,20 +25,20 @@
      * Tenths of a millisecond: engines answer a call for news after 250 ms, and the way there and
      * back.
      */
-    private static final long TRUSTED = 4_000;
+    private static final long TRUST_PERIOD = 4_000;
 
     /**
      * Tenths of a millisecond between a page and the next call: a second copy of it shows within
      * that, and would pass for another's rows. What must not be mistaken (a statement, a DELETE)
      * waits so long after any answer.
      */
-    private static final long REST = 100;
+    private static final long QUIET_PERIOD = 100;
 
     /**
      * Tenths of a millisecond: engines hold a call for 250 ms, so the true answer behind a copy
      * comes within this.
      */
-    private static final long DOUBT = 3_000;
+    private static final long DOUBT_PERIOD = 3_000;
 
     private final EngineClients engines;
     private final TickClock clock;
@@ -52,10 +52,10 @@
     private int connecting;
 
     /** Dispatches whose statement was written here and that are not over. */
-    private int running;
+    private int runningAttempts;
 
-    private long heard = Long.MIN_VALUE / 2;
-    private boolean leaving;
+    private long lastResponseAt = Long.MIN_VALUE / 2;
+    private boolean draining;
     private boolean closed;
 
     EngineConnectionPool(EngineClients engines, TickClock clock, InetSocketAddress address) {
@@ -70,39 +70,39 @@
      * the open connections of a vanished machine stay open, and what is written there is lost
      * without a trace, while a connection that does not come up proves that nothing ran.
      */
-    void start(EngineCall call) {
-        call(call, clock.now() - heard > TRUSTED, true);
+    void startCall(EngineCall call) {
+        call(call, clock.now() - lastResponseAt > TRUST_PERIOD, true);
     }
 
     /** An engine sent something. */
-    void heard() {
-        heard = clock.now();
+    void lastResponseAt() {
+        lastResponseAt = clock.now();
     }
 
     /**
      * Makes the call on an idle connection, else on a new one; {@code fresh} asks for a new one.
      */
-    void call(EngineCall call, boolean fresh) {
-        call(call, fresh, false);
+    void call(EngineCall call, boolean onNewConnection) {
+        call(call, onNewConnection, false);
     }
 
     /**
      * The same; {@code unmistaken}: only on a connection that was quiet for long enough since any
      * answer.
      */
-    void call(EngineCall call, boolean fresh, boolean unmistaken) {
-        sweep();
-        if (!call.wanted()) {
-            engines.io.execute(() -> call.failed(EngineCall.Failure.UNWANTED));
+    void call(EngineCall call, boolean onNewConnection, boolean requireQuiet) {
+        closeIdleTooLong();
+        if (!call.shouldSend()) {
+            engines.io.execute(() -> call.onFailure(EngineCall.Failure.NO_LONGER_WANTED));
             return;
         }
-        EngineConnection ready = fresh ? null : ready(unmistaken);
+        EngineConnection ready = onNewConnection ? null : findReady(requireQuiet);
         if (ready != null) {
             ready.send(call, host);
-        } else if (engines.takeSlot()) {
+        } else if (engines.reserveConnection()) {
             connect(call);
         } else {
-            engines.io.execute(() -> call.failed(EngineCall.Failure.NO_ROOM));
+            engines.io.execute(() -> call.onFailure(EngineCall.Failure.NO_FREE_CONNECTION));
         }
     }
 
@@ -110,28 +110,30 @@
      * An idle connection; one that rests where it must be: a draining engine may take no new
      * connections.
      */
-    private EngineConnection ready(boolean unmistaken) {
-        EngineConnection rested = latest(clock.now(), unmistaken);
-        return rested == null && (leaving || engines.full())
-                ? latest(Long.MAX_VALUE, unmistaken)
-                : rested;
+    private EngineConnection findReady(boolean requireQuiet) {
+        EngineConnection quietConnection = mostRecentlyUsed(clock.now(), requireQuiet);
+        return quietConnection == null && (draining || engines.atConnectionLimit())
+                ? mostRecentlyUsed(Long.MAX_VALUE, requireQuiet)
+                : quietConnection;
     }
 
     /**
      * The idle connection that was used last, of those that rest until then, with nothing amiss.
      */
-    private EngineConnection latest(long restsUntil, boolean unmistaken) {
-        Iterator<EngineConnection> latest = idle.descendingIterator();
-        while (latest.hasNext()) {
-            EngineConnection c = latest.next();
-            boolean rested = !unmistaken || clock.now() - c.idleSince >= REST;
-            if (clock.now() >= c.doubtUntil && c.restsUntil <= restsUntil && rested) {
-                latest.remove();
-                if (c.quiet()) {
-                    return c;
+    private EngineConnection mostRecentlyUsed(long quietBy, boolean requireQuiet) {
+        Iterator<EngineConnection> candidates = idle.descendingIterator();
+        while (candidates.hasNext()) {
+            EngineConnection connection = candidates.next();
+            boolean rested = !requireQuiet || clock.now() - connection.idleSince >= QUIET_PERIOD;
+            if (clock.now() >= connection.doubtUntil
+                    && connection.quietUntil <= quietBy
+                    && rested) {
+                candidates.remove();
+                if (connection.hasNoUnreadBytes()) {
+                    return connection;
                 }
-                c.close();
-                gone(c);
+                connection.close();
+                onClosed(connection);
             }
         }
         return null;
@@ -139,76 +141,79 @@
 
     private void connect(EngineCall call) {
         connecting++;
-        engines.opens(this);
-        IoFuture<? extends StreamConnection> coming =
+        engines.onConnecting(this);
+        IoFuture<? extends StreamConnection> connectFuture =
                 engines.io.openStreamConnection(
                         address, null, OptionMap.create(Options.TCP_NODELAY, true));
-        XnioExecutor.Key late =
-                engines.io.executeAfter(coming::cancel, engines.connectMs, TimeUnit.MILLISECONDS);
+        XnioExecutor.Key connectTimeout =
+                engines.io.executeAfter(
+                        connectFuture::cancel, engines.connectTimeoutMs, TimeUnit.MILLISECONDS);
         // Told on this thread, after what is at hand: a refusal may be known before this call
         // returns.
-        coming.addNotifier(
+        connectFuture.addNotifier(
                 (future, none) ->
                         engines.io.execute(
                                 () -> {
-                                    late.remove();
+                                    connectTimeout.remove();
                                     connecting--;
                                     if (future.getStatus() == IoFuture.Status.DONE) {
-                                        up(call, future);
+                                        onConnected(call, future);
                                     } else {
-                                        engines.freeSlot();
-                                        call.failed(
+                                        engines.releaseConnection();
+                                        call.onFailure(
                                                 future.getStatus() != IoFuture.Status.FAILED
-                                                        ? EngineCall.Failure.UNREACHED
+                                                        ? EngineCall.Failure.CONNECT_TIMEOUT
                                                         : future.getException()
                                                                         instanceof ConnectException
-                                                                ? EngineCall.Failure.REFUSED
+                                                                ? EngineCall.Failure
+                                                                        .CONNECTION_REFUSED
                                                                 : future.getException()
                                                                                 instanceof
                                                                                 SocketException
-                                                                        ? EngineCall.Failure.RESET
+                                                                        ? EngineCall.Failure
+                                                                                .RESET_BEFORE_SEND
                                                                         : EngineCall.Failure
-                                                                                .UNREACHED);
+                                                                                .CONNECT_TIMEOUT);
                                     }
                                 }),
                 null);
     }
 
-    private void up(EngineCall call, IoFuture<? extends StreamConnection> future) {
+    private void onConnected(EngineCall call, IoFuture<? extends StreamConnection> future) {
         try {
-            EngineConnection c =
-                    new EngineConnection(this, engines.io, engines.shared, future.get());
-            all.add(c);
-            if (call.wanted()) {
-                c.send(call, host);
+            EngineConnection connection =
+                    new EngineConnection(this, engines.io, engines.readBuffer, future.get());
+            all.add(connection);
+            if (call.shouldSend()) {
+                connection.send(call, host);
             } else {
-                idle(c, false);
-                call.failed(EngineCall.Failure.UNWANTED);
+                idle(connection, false);
+                call.onFailure(EngineCall.Failure.NO_LONGER_WANTED);
             }
         } catch (IOException fault) {
-            engines.freeSlot();
-            call.failed(EngineCall.Failure.UNREACHED);
+            engines.releaseConnection();
+            call.onFailure(EngineCall.Failure.CONNECT_TIMEOUT);
         }
     }
 
     /** Whether a connection to it is up: a dying process resets all. */
-    boolean lives() {
+    boolean hasOpenConnection() {
         return !all.isEmpty();
     }
 
     /** Its connections: in use, idle, or coming up. */
-    int held() {
+    int connectionCount() {
         return all.size() + connecting;
     }
 
     /** A dispatch begins to run here. */
-    void runs() {
-        running++;
+    void onAttemptRunning() {
+        runningAttempts++;
     }
 
     /** It runs no more. */
-    void ran() {
-        running--;
+    void onAttemptReleased() {
+        runningAttempts--;
     }
 
     /**
@@ -216,34 +221,34 @@
      * doubt: an engine that drains takes no new one, often before the list says so, and what runs
      * there could never be asked for again; a once-only batch would be lost and its key held up.
      */
-    boolean lastWhileRunning() {
-        return running > 0 && all.size() == 1;
+    boolean isOnlyConnectionWhileRunning() {
+        return runningAttempts > 0 && all.size() == 1;
     }
 
     /**
      * Not to be used until the true answer behind a copy would have come; its stray bytes then
      * close it.
      */
-    void doubted(EngineConnection c) {
-        c.doubtUntil = clock.now() + DOUBT;
-        idle(c, false);
+    void onSuspectedDuplicate(EngineConnection connection) {
+        connection.doubtUntil = clock.now() + DOUBT_PERIOD;
+        idle(connection, false);
     }
 
-    void idle(EngineConnection c, boolean rests) {
+    void idle(EngineConnection connection, boolean mustStayQuiet) {
         if (closed) {
-            c.close();
-            gone(c);
+            connection.close();
+            onClosed(connection);
         } else {
-            c.idleSince = clock.now();
-            c.restsUntil = c.idleSince + (rests ? REST : 0);
-            idle.addLast(c);
+            connection.idleSince = clock.now();
+            connection.quietUntil = connection.idleSince + (mustStayQuiet ? QUIET_PERIOD : 0);
+            idle.addLast(connection);
         }
     }
 
-    void gone(EngineConnection c) {
-        if (all.remove(c)) {
-            idle.remove(c);
-            engines.freeSlot();
+    void onClosed(EngineConnection connection) {
+        if (all.remove(connection)) {
+            idle.remove(connection);
+            engines.releaseConnection();
         }
     }
 
@@ -251,8 +256,8 @@
      * An answer that came at once, where engines hold a call: it may be a second copy of the one
      * before it.
      */
-    boolean hasty(EngineResponse response, long since) {
-        return response.status() == 202 && clock.now() - since < REST;
+    boolean isSuspectedDuplicate(EngineResponse response, long since) {
+        return response.status() == 202 && clock.now() - since < QUIET_PERIOD;
     }
 
     long now() {
@@ -260,32 +265,32 @@
     }
 
     /** Closes what was idle so long that the engine might close it under a call. */
-    void sweep() {
-        while (!idle.isEmpty() && clock.now() - idle.peekFirst().idleSince > engines.mostIdle) {
-            EngineConnection c = idle.peekFirst();
-            c.close();
-            gone(c);
+    void closeIdleTooLong() {
+        while (!idle.isEmpty() && clock.now() - idle.peekFirst().idleSince > engines.maxIdle) {
+            EngineConnection connection = idle.peekFirst();
+            connection.close();
+            onClosed(connection);
         }
     }
 
     /** Closes the connection that was idle longest; false without one. */
-    boolean closeOldest() {
-        EngineConnection c = idle.peekFirst();
-        boolean spared = c != null && !lastWhileRunning();
-        if (spared) {
-            c.close();
-            gone(c);
+    boolean closeLongestIdle() {
+        EngineConnection connection = idle.peekFirst();
+        boolean closable = connection != null && !isOnlyConnectionWhileRunning();
+        if (closable) {
+            connection.close();
+            onClosed(connection);
         }
-        return spared;
+        return closable;
     }
 
     /** Nothing new is to be started there; what runs is asked for still. */
-    void leaving() {
-        leaving = true;
+    void markDraining() {
+        draining = true;
     }
 
-    boolean isLeaving() {
-        return leaving;
+    boolean isDraining() {
+        return draining;
     }
 
     boolean closed() {
@@ -295,9 +300,9 @@
     /** Its idle connections are closed now, the others when their call ends. */
     void close() {
         closed = true;
-        for (EngineConnection c : Set.copyOf(idle)) {
-            c.close();
-            gone(c);
+        for (EngineConnection connection : Set.copyOf(idle)) {
+            connection.close();
+            onClosed(connection);
         }
     }
 }
--- a/src/main/java/firstage/server/engine/EngineResponse.java
+++ b/src/main/java/firstage/server/engine/EngineResponse.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * An engine's answer to one call; header names in lower case. {@code more}: bytes came behind its
- * end.
+ * An engine's answer to one call; header names in lower case. {@code trailingBytes}: bytes came
+ * behind its end.
  */
-record EngineResponse(int status, Map<String, String> headers, byte[] body, boolean more) {
-    private static final int TABS_IN_A_ROW = 2;
+record EngineResponse(int status, Map<String, String> headers, byte[] body, boolean trailingBytes) {
+    private static final int TABS_PER_ROW = 2;
 
     /**
      * Whether the body is a page: whole rows of three columns, in characters that can be read. What
@@ -22,7 +22,7 @@
         int tabs = 0;
         for (byte b : body) {
             tabs += b == '\t' ? 1 : 0;
-            if (b == '\n' && tabs != TABS_IN_A_ROW) {
+            if (b == '\n' && tabs != TABS_PER_ROW) {
                 return false;
             }
             tabs = b == '\n' ? 0 : tabs;
@@ -32,19 +32,19 @@
         } catch (CharacterCodingException fault) {
             return false;
         }
-        return !more && (body.length == 0 || body[body.length - 1] == '\n');
+        return !trailingBytes && (body.length == 0 || body[body.length - 1] == '\n');
     }
 
     /** A whole number in a header, or {@code absent} without one that can be used. */
-    int whole(String name, int absent) {
-        return (int) number(name, absent);
+    int intHeader(String name, int defaultValue) {
+        return (int) numberHeader(name, defaultValue);
     }
 
-    double number(String name, double absent) {
+    double numberHeader(String name, double defaultValue) {
         try {
             return Double.parseDouble(headers.getOrDefault(name, "").trim());
         } catch (NumberFormatException fault) {
-            return absent;
+            return defaultValue;
         }
     }
 
@@ -53,13 +53,13 @@
     }
 
     /** Whether it says the same to the letter: a second copy does. */
-    boolean like(EngineResponse other) {
+    boolean isSameAs(EngineResponse other) {
         return status == other.status
                 && headers.equals(other.headers)
                 && Arrays.equals(body, other.body);
     }
 
-    boolean closes() {
+    boolean closesConnection() {
         return "close".equalsIgnoreCase(headers.get("connection"));
     }
 }
--- a/src/main/java/firstage/server/engine/EngineResponseReader.java
+++ b/src/main/java/firstage/server/engine/EngineResponseReader.java
@@ -11,9 +11,9 @@
 /** Reads one HTTP/1.1 response from bytes that come in any pieces. */
 final class EngineResponseReader {
     /** Well over the 6,000 bytes that a page may hold. */
-    private static final int MOST_BODY = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
 
-    private static final int MOST_HEAD = 16 * 1024;
+    private static final int MAX_HEAD_BYTES = 16 * 1024;
 
     private enum Part {
         STATUS,
@@ -26,64 +26,64 @@
         DONE
     }
 
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream(64);
+    private final ByteArrayOutputStream readLine = new ByteArrayOutputStream(64);
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(256);
     private final Map<String, String> headers = new HashMap<>();
     private Part part = Part.STATUS;
     private int status;
-    private int left;
-    private int head;
+    private int bytesLeft;
+    private int headBytes;
 
     /**
      * Takes what is there; true once the response is whole. What follows it stays in the buffer.
      */
-    boolean take(ByteBuffer in) throws IOException {
+    boolean read(ByteBuffer in) throws IOException {
         while (part != Part.DONE && in.hasRemaining()) {
             if (part == Part.BODY || part == Part.CHUNK) {
-                copy(in);
+                readBody(in);
             } else {
                 byte b = in.get();
-                if (++head > MOST_HEAD) {
+                if (++headBytes > MAX_HEAD_BYTES) {
                     throw new IOException("head too long");
                 }
                 if (b == '\n') {
-                    String text = line.toString(StandardCharsets.ISO_8859_1).stripTrailing();
-                    line.reset();
-                    line(text);
+                    String text = readLine.toString(StandardCharsets.ISO_8859_1).stripTrailing();
+                    readLine.reset();
+                    readLine(text);
                 } else {
-                    line.write(b);
+                    readLine.write(b);
                 }
             }
         }
         return part == Part.DONE;
     }
 
-    EngineResponse response(boolean more) {
-        return new EngineResponse(status, headers, body.toByteArray(), more);
+    EngineResponse response(boolean trailingBytes) {
+        return new EngineResponse(status, headers, body.toByteArray(), trailingBytes);
     }
 
-    private void copy(ByteBuffer in) throws IOException {
-        int n = Math.min(left, in.remaining());
-        if (body.size() + n > MOST_BODY) {
+    private void readBody(ByteBuffer in) throws IOException {
+        int length = Math.min(bytesLeft, in.remaining());
+        if (body.size() + length > MAX_BODY_BYTES) {
             throw new IOException("body too long");
         }
-        byte[] piece = new byte[n];
+        byte[] piece = new byte[length];
         in.get(piece);
-        body.write(piece, 0, n);
-        left -= n;
-        if (left == 0) {
+        body.write(piece, 0, length);
+        bytesLeft -= length;
+        if (bytesLeft == 0) {
             part = part == Part.BODY ? Part.DONE : Part.CHUNK_END;
         }
     }
 
-    private void line(String text) throws IOException {
+    private void readLine(String text) throws IOException {
         switch (part) {
             case STATUS -> {
                 String[] words = text.split(" ", 3);
                 if (!text.startsWith("HTTP/1.") || words.length < 2) {
                     throw new IOException("no status line");
                 }
-                status = number(words[1], 10);
+                status = parseNumber(words[1], 10);
                 part = Part.HEADERS;
             }
             case HEADERS -> {
@@ -96,15 +96,15 @@
                         throw new IOException("two lengths");
                     }
                 } else if (text.isEmpty()) {
-                    headDone();
+                    onHeadersComplete();
                 } else {
                     throw new IOException("no header");
                 }
             }
             case CHUNK_SIZE -> {
                 int semicolon = text.indexOf(';');
-                left = number(semicolon < 0 ? text : text.substring(0, semicolon), 16);
-                part = left == 0 ? Part.TRAILERS : Part.CHUNK;
+                bytesLeft = parseNumber(semicolon < 0 ? text : text.substring(0, semicolon), 16);
+                part = bytesLeft == 0 ? Part.TRAILERS : Part.CHUNK;
             }
             case CHUNK_END -> part = Part.CHUNK_SIZE;
             case TRAILERS -> part = text.isEmpty() ? Part.DONE : Part.TRAILERS;
@@ -112,7 +112,7 @@
         }
     }
 
-    private void headDone() throws IOException {
+    private void onHeadersComplete() throws IOException {
         if (status >= 100 && status < 200) {
             headers.clear();
             part = Part.STATUS;
@@ -123,18 +123,18 @@
                 .endsWith("chunked")) {
             part = Part.CHUNK_SIZE;
         } else if (headers.containsKey("content-length")) {
-            left = number(headers.get("content-length"), 10);
-            if (left > MOST_BODY) {
+            bytesLeft = parseNumber(headers.get("content-length"), 10);
+            if (bytesLeft > MAX_BODY_BYTES) {
                 throw new IOException("body too long");
             }
-            part = left == 0 ? Part.DONE : Part.BODY;
+            part = bytesLeft == 0 ? Part.DONE : Part.BODY;
         } else {
             // Its end could not be told from a connection that breaks.
             throw new IOException("no length");
         }
     }
 
-    private static int number(String text, int radix) throws IOException {
+    private static int parseNumber(String text, int radix) throws IOException {
         try {
             int number = Integer.parseInt(text.trim(), radix);
             if (number >= 0) {
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -18,7 +18,7 @@
 import firstage.policy.api.EndpointUpdate;
 import firstage.server.Counters;
 import firstage.server.ManagerConfig;
-import firstage.server.ServerEvents.Listed;
+import firstage.server.ServerEvents.DiscoveredEndpoint;
 import firstage.server.TickClock;
 import java.io.IOException;
 import java.io.StringWriter;
@@ -87,8 +87,8 @@
     /** Null where the fleet is one; so is the sieve. */
     private final CellDirectory cells;
 
-    private final EngineSubset<Listed> sieve;
-    private final Consumer<List<Listed>> free;
+    private final EngineSubset<DiscoveredEndpoint> sieve;
+    private final Consumer<List<DiscoveredEndpoint>> free;
     private final Map<InetSocketAddress, Integer> seeds = new HashMap<>();
 
     /** Where managers of other cells are. */
@@ -120,7 +120,7 @@
             Counters counters,
             ProbeCoordinator.Effects keepAway,
             LoadSheddingLevel.Effects cut,
-            Consumer<List<Listed>> free) {
+            Consumer<List<DiscoveredEndpoint>> free) {
         this.list = list;
         Deployment deployment = assignment.deployment();
         areas = List.of(assignment.settings().text("areas", "").split(","));
@@ -180,9 +180,9 @@
                         ? null
                         : new EngineSubset<>(
                                 cells,
-                                Listed::id,
+                                DiscoveredEndpoint::id,
                                 e -> area(e.zone()),
-                                e -> e.standing() == EndpointUpdate.Lifecycle.GONE);
+                                e -> e.lifecycle() == EndpointUpdate.Lifecycle.GONE);
         if (in != null) {
             in.addresses().forEach(others::addAll);
             others.removeAll(list.addresses());
@@ -220,7 +220,8 @@
     }
 
     /** Of an event of the list what this manager may use; all of it where the fleet is one. */
-    public List<Listed> served(EndpointUpdate.Kind kind, List<Listed> entries) {
+    public List<DiscoveredEndpoint> served(
+            EndpointUpdate.Kind kind, List<DiscoveredEndpoint> entries) {
         return sieve == null ? entries : sieve.pass(kind != EndpointUpdate.Kind.DELTA, entries);
     }
 
@@ -228,7 +229,7 @@
      * Of what an engine bears while it is cold, this manager's part; 0, by the settings, where the
      * fleet is one.
      */
-    public double coldPart(Listed e) {
+    public double coldPart(DiscoveredEndpoint e) {
         return cells == null ? 0 : cells.coldPart(e.id(), area(e.zone()));
     }
 
@@ -510,7 +511,7 @@
 
     @Override
     public void freed(long now) {
-        List<Listed> may = sieve.freed();
+        List<DiscoveredEndpoint> may = sieve.freed();
         if (!may.isEmpty()) {
             LOG.info(() -> "cell {\"engines taken over\":" + may.size() + "}");
             free.accept(may);
--- a/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
@@ -1,6 +1,6 @@
 package firstage.simulation.schedule;
 
-import firstage.lifecycle.AttemptStateMachine.Word;
+import firstage.lifecycle.AttemptStateMachine.EngineReply;
 import firstage.simulation.EventQueue;
 import java.util.HashMap;
 import java.util.Map;
@@ -99,12 +99,12 @@
             long grace,
             long runs,
             long limit,
-            Consumer<Word> answer) {
+            Consumer<EngineReply> answer) {
         if (standing == Standing.DOWN) {
             return;
         }
         if (standing == Standing.DRAINING && chance.nextBoolean()) {
-            answer.accept(Word.TURNED_AWAY);
+            answer.accept(EngineReply.REFUSED);
             return;
         }
         check.runs(calendar.now(), id, sentSinceDrain, grace);
@@ -136,20 +136,20 @@
                 : job.asked + FORGETS;
     }
 
-    void news(int mark, Consumer<Word> answer) {
+    void news(int mark, Consumer<EngineReply> answer) {
         if (standing == Standing.DOWN) {
             return;
         }
         Job job = jobs.get(mark);
         if (job == null) {
-            answer.accept(Word.ERROR);
+            answer.accept(EngineReply.FAILED);
             return;
         }
         answerOf(mark, answer);
     }
 
     /** Held until it ends, or for so long. */
-    private void answerOf(int mark, Consumer<Word> answer) {
+    private void answerOf(int mark, Consumer<EngineReply> answer) {
         Job job = jobs.get(mark);
         long held = Math.min(HOLDS, Math.max(0, job.endsAt - calendar.now()));
         job.asked = calendar.now() + held;
@@ -165,21 +165,23 @@
                         job.end();
                     }
                     if (ended && calendar.now() < job.endsAt) {
-                        answer.accept(Word.ERROR);
+                        answer.accept(EngineReply.FAILED);
                     } else {
                         answer.accept(
                                 !ended
-                                        ? Word.NEWS
+                                        ? EngineReply.PROGRESS
                                         : job.errs
-                                                ? Word.ERROR
-                                                : job.pages > 1 ? Word.PAGE : Word.LAST);
+                                                ? EngineReply.FAILED
+                                                : job.pages > 1
+                                                        ? EngineReply.PAGE
+                                                        : EngineReply.LAST_PAGE);
                     }
                 });
     }
 
-    void page(int mark, Consumer<Word> answer) {
+    void page(int mark, Consumer<EngineReply> answer) {
         if (standing != Standing.DOWN) {
-            answer.accept(jobs.containsKey(mark) ? Word.LAST : Word.ERROR);
+            answer.accept(jobs.containsKey(mark) ? EngineReply.LAST_PAGE : EngineReply.FAILED);
         }
     }
 
--- a/src/main/java/firstage/simulation/schedule/SimulatedManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -2,9 +2,9 @@
 
 import firstage.lifecycle.ArrivalSequencer;
 import firstage.lifecycle.AttemptStateMachine;
-import firstage.lifecycle.AttemptStateMachine.Alarm;
-import firstage.lifecycle.AttemptStateMachine.Loss;
-import firstage.lifecycle.AttemptStateMachine.Word;
+import firstage.lifecycle.AttemptStateMachine.CallFailure;
+import firstage.lifecycle.AttemptStateMachine.EngineReply;
+import firstage.lifecycle.AttemptStateMachine.Timeout;
 import firstage.lifecycle.ClientCallStateMachine;
 import firstage.policy.WorkloadScheduler;
 import firstage.policy.api.AttemptOutcome;
@@ -26,7 +26,7 @@
  * and engines are modelled.
  */
 final class SimulatedManager
-        implements PolicyActions, ArrivalSequencer.Carrier<SimulatedManager.Taken> {
+        implements PolicyActions, ArrivalSequencer.ArrivalActions<SimulatedManager.Taken> {
     private static final long GRACE = 1_000;
     private static final long OVERDUE = 350;
     private static final long NEWS_PATIENCE = 6_000;
@@ -140,9 +140,9 @@
                     b.client.life.start();
                     thread(b.limit - calendar.now(), () -> timeUp(b));
                     if (fault == InjectedDefect.TOLD_AS_READ) {
-                        taken(b, true);
+                        deliver(b, true);
                     } else {
-                        order.came(b, b.key >= 0 ? (Object) b.key : null);
+                        order.onRequestRead(b, b.key >= 0 ? (Object) b.key : null);
                     }
                 };
         if (newConnection) {
@@ -178,7 +178,7 @@
      * A client and its call: it asks at the path that it is given, loses connections now and then,
      * and asks again; some never do.
      */
-    private final class Client implements ClientCallStateMachine.Carrier {
+    private final class Client implements ClientCallStateMachine.ClientCallActions {
         private final Taken b;
         private final ClientCallStateMachine life = new ClientCallStateMachine(this);
         private final boolean vanishes = chance.nextInt(12) == 0;
@@ -198,10 +198,10 @@
             if (!gone && !thread.dead()) {
                 check.absent(calendar.now(), b.batch);
                 if (atPath || held == 0) {
-                    life.gaveUp();
+                    life.onClientCancelled();
                 } else {
                     held = 0;
-                    life.firstBroke();
+                    life.onFirstCallBroken();
                 }
             }
         }
@@ -214,7 +214,7 @@
                             if (!gone) {
                                 check.present(b.batch);
                                 held++;
-                                life.asked();
+                                life.onPoll();
                                 breaksLater();
                             }
                         });
@@ -230,7 +230,7 @@
                             if (!gone && held == 1 && !got) {
                                 check.absent(calendar.now(), b.batch);
                                 held = 0;
-                                life.lastBroke();
+                                life.onLastPollBroken();
                                 asksLater(100);
                             }
                         });
@@ -238,7 +238,7 @@
         }
 
         @Override
-        public void givePath() {
+        public void respondWithPollPath() {
             check.absent(calendar.now(), b.batch);
             held = 0;
             atPath = true;
@@ -246,7 +246,7 @@
         }
 
         @Override
-        public void give() {
+        public void respond() {
             if (held == 0) {
                 check.kept("an answer given to no call of batch " + b.batch);
             }
@@ -258,40 +258,40 @@
         }
 
         @Override
-        public void arm(long delay) {
+        public void startTimer(long delay) {
             int mine = ++timer;
             thread(
                     delay,
                     () -> {
                         if (mine == timer) {
-                            life.due();
+                            life.onTimeout();
                         }
                     });
         }
 
         @Override
-        public void disarm() {
+        public void stopTimer() {
             timer++;
         }
 
         @Override
-        public void closeHeld() {
+        public void closeHeldCalls() {
             held = 0;
         }
 
         @Override
-        public void failHeld() {
+        public void failHeldCalls() {
             // Its client gave up: what is said to it yet is no answer that it waits for.
             held = 0;
         }
 
         @Override
-        public void away() {
+        public void markClientAbsent() {
             tellAway(true);
         }
 
         @Override
-        public void back() {
+        public void markClientPresent() {
             tellAway(false);
         }
 
@@ -304,12 +304,12 @@
         }
 
         @Override
-        public void left() {
+        public void markClientGone() {
             SimulatedManager.this.left(b);
         }
 
         @Override
-        public void forget() {
+        public void release() {
             if (gone) {
                 check.kept("a call that is forgotten twice, of batch " + b.batch);
             }
@@ -330,7 +330,7 @@
         if (fault == InjectedDefect.LIMIT_UNHEEDED) {
             return;
         }
-        List.copyOf(b.out).forEach(s -> s.life.giveUp(calendar.now(), AttemptOutcome.TIMED_OUT));
+        List.copyOf(b.out).forEach(s -> s.life.abandon(calendar.now(), AttemptOutcome.TIMED_OUT));
         thread(
                 OVERDUE,
                 () -> {
@@ -354,18 +354,18 @@
             if (fault == InjectedDefect.ANSWERED_TWICE) {
                 check.answered(calendar.now(), b.batch);
             } else {
-                b.client.life.answer();
+                b.client.life.onAnswerAvailable();
             }
         }
     }
 
     @Override
-    public void barrier(Object key) {
-        thread.barrier(() -> order.passed(key));
+    public void requestReadBarrier(Object key) {
+        thread.barrier(() -> order.onReadBarrierPassed(key));
     }
 
     @Override
-    public void taken(Taken b, boolean turnKnown) {
+    public void deliver(Taken b, boolean turnKnown) {
         turnDue = true;
         if (b.over) {
             return;
@@ -450,11 +450,11 @@
     public void cancelAttempt(int batch, int dispatch) {
         List.copyOf(batches.get(batch).out).stream()
                 .filter(s -> s.number == dispatch)
-                .forEach(s -> s.life.giveUp(calendar.now(), AttemptOutcome.CANCELLED));
+                .forEach(s -> s.life.abandon(calendar.now(), AttemptOutcome.CANCELLED));
     }
 
     private void callOffAll(Taken b) {
-        List.copyOf(b.out).forEach(s -> s.life.giveUp(calendar.now(), AttemptOutcome.CANCELLED));
+        List.copyOf(b.out).forEach(s -> s.life.abandon(calendar.now(), AttemptOutcome.CANCELLED));
     }
 
     @Override
@@ -513,13 +513,13 @@
         if (!batches.isEmpty()) {
             check.kept(batches.size() + " batches");
         }
-        if (order.unsettled() != 0 || open != 0 || calls != 0) {
-            check.kept(order.unsettled() + " unsettled, " + open + " open, " + calls + " calls");
+        if (order.undelivered() != 0 || open != 0 || calls != 0) {
+            check.kept(order.undelivered() + " unsettled, " + open + " open, " + calls + " calls");
         }
     }
 
     /** A dispatch on modelled connections: each call may fail, be late, or lose its answer. */
-    private final class Sent implements AttemptStateMachine.Carrier {
+    private final class Sent implements AttemptStateMachine.AttemptActions {
         private final Taken b;
         private final int number;
         private final SimulatedEngine engine;
@@ -555,7 +555,7 @@
         }
 
         @Override
-        public void post() {
+        public void sendStatement() {
             boolean refuses =
                     engine.standing() == SimulatedEngine.Standing.DOWN
                             || engine.standing() == SimulatedEngine.Standing.DRAINING
@@ -569,16 +569,20 @@
                             tell(
                                     () -> {
                                         if (refuses || mute) {
-                                            life.postFailed(
+                                            life.onStatementFailed(
                                                     calendar.now(),
-                                                    refuses ? Loss.REFUSED : Loss.UNREACHED);
+                                                    refuses
+                                                            ? CallFailure.CONNECTION_REFUSED
+                                                            : CallFailure.CONNECT_TIMEOUT);
                                         } else if (rough()) {
-                                            life.postFailed(calendar.now(), Loss.RESET);
-                                        } else if (!life.wanted()
+                                            life.onStatementFailed(
+                                                    calendar.now(), CallFailure.RESET_BEFORE_SEND);
+                                        } else if (!life.shouldSendStatement()
                                                 || b.away
                                                 || engine.sinceDrain(calendar.now()) >= 0
                                                         && fault != InjectedDefect.DRAIN_UNHEEDED) {
-                                            life.postFailed(calendar.now(), Loss.UNSENT);
+                                            life.onStatementFailed(
+                                                    calendar.now(), CallFailure.NOT_SENT);
                                         } else {
                                             write();
                                         }
@@ -587,7 +591,7 @@
 
         private void write() {
             check.sent(calendar.now(), b.batch);
-            life.written(calendar.now());
+            life.onStatementWritten(calendar.now());
             long sinceDrain = engine.sinceDrain(calendar.now());
             boolean[] answered = {false};
             boolean breaks = rough();
@@ -611,10 +615,11 @@
                                                         answered,
                                                         () -> {
                                                             blind = false;
-                                                            life.posted(calendar.now(), word);
+                                                            life.onStatementReply(
+                                                                    calendar.now(), word);
                                                         },
                                                         loss ->
-                                                                life.postFailed(
+                                                                life.onStatementFailed(
                                                                         calendar.now(), loss));
                                             }
                                         }));
@@ -624,15 +629,15 @@
                     answered,
                     loss -> {
                         if (fault == InjectedDefect.BROKEN_NEVER_RAN) {
-                            ended(AttemptOutcome.CONNECT_FAILED, 0);
+                            reportEnd(AttemptOutcome.CONNECT_FAILED, 0);
                         } else {
-                            life.postFailed(calendar.now(), loss);
+                            life.onStatementFailed(calendar.now(), loss);
                         }
                     });
         }
 
         private interface Lost {
-            void as(Loss loss);
+            void as(CallFailure loss);
         }
 
         /** An answer on its way back: it comes, comes spoilt, or never comes. */
@@ -649,7 +654,7 @@
                                         if (!answered[0]) {
                                             answered[0] = true;
                                             if (spoilt) {
-                                                lost.as(Loss.SPOILT);
+                                                lost.as(CallFailure.REPLY_UNREADABLE);
                                             } else {
                                                 whole.run();
                                             }
@@ -665,7 +670,7 @@
                                     () -> {
                                         if (!answered[0]) {
                                             answered[0] = true;
-                                            lost.as(Loss.LOST);
+                                            lost.as(CallFailure.REPLY_LOST);
                                         }
                                     }));
         }
@@ -679,7 +684,7 @@
                                     && chance.nextBoolean();
             if (refuses) {
                 answered[0] = true;
-                calendar.in(2 * way(), () -> tell(() -> lost.as(Loss.REFUSED)));
+                calendar.in(2 * way(), () -> tell(() -> lost.as(CallFailure.CONNECTION_REFUSED)));
                 return;
             }
             boolean breaks = rough();
@@ -691,7 +696,7 @@
         }
 
         @Override
-        public void ask(boolean fresh) {
+        public void poll(boolean fresh) {
             call(
                     NEWS_PATIENCE,
                     fresh,
@@ -703,31 +708,33 @@
                                                     answered,
                                                     () -> {
                                                         boolean unknown =
-                                                                blind && word == Word.ERROR;
-                                                        blind &= word == Word.ERROR;
+                                                                blind && word == EngineReply.FAILED;
+                                                        blind &= word == EngineReply.FAILED;
                                                         if (unknown
                                                                 && fault
                                                                         == InjectedDefect
                                                                                 .UNKNOWN_IS_OVER) {
-                                                            ended(AttemptOutcome.FAILED, 0);
+                                                            reportEnd(AttemptOutcome.FAILED, 0);
                                                         } else {
-                                                            life.told(calendar.now(), word);
+                                                            life.onReply(calendar.now(), word);
                                                         }
                                                     },
-                                                    loss -> life.lost(calendar.now(), loss))),
+                                                    loss ->
+                                                            life.onCallFailed(
+                                                                    calendar.now(), loss))),
                     this::lost);
         }
 
-        private void lost(Loss loss) {
-            if (loss == Loss.REFUSED && fault == InjectedDefect.REFUSED_IS_OVER) {
-                ended(AttemptOutcome.CONNECTION_LOST, 0);
+        private void lost(CallFailure loss) {
+            if (loss == CallFailure.CONNECTION_REFUSED && fault == InjectedDefect.REFUSED_IS_OVER) {
+                reportEnd(AttemptOutcome.CONNECTION_LOST, 0);
             } else {
-                life.lost(calendar.now(), loss);
+                life.onCallFailed(calendar.now(), loss);
             }
         }
 
         @Override
-        public void fetch(int page, boolean fresh) {
+        public void fetchPage(int page, boolean fresh) {
             call(
                     NEWS_PATIENCE,
                     fresh,
@@ -737,13 +744,15 @@
                                     word ->
                                             back(
                                                     answered,
-                                                    () -> life.told(calendar.now(), word),
-                                                    loss -> life.lost(calendar.now(), loss))),
+                                                    () -> life.onReply(calendar.now(), word),
+                                                    loss ->
+                                                            life.onCallFailed(
+                                                                    calendar.now(), loss))),
                     this::lost);
         }
 
         @Override
-        public void delete(boolean fresh) {
+        public void sendDelete(boolean fresh) {
             if (deletes++ > 0 && fault == InjectedDefect.UNWRITTEN_END_IS_FORGOTTEN) {
                 return;
             }
@@ -759,35 +768,36 @@
                                                     () -> {
                                                         if (fault
                                                                 == InjectedDefect.DELETED_IS_OVER) {
-                                                            ended(AttemptOutcome.CANCELLED, 0);
+                                                            reportEnd(AttemptOutcome.CANCELLED, 0);
                                                         } else {
-                                                            life.deleted(calendar.now());
+                                                            life.onDeleteAcknowledged(
+                                                                    calendar.now());
                                                         }
                                                     },
                                                     loss ->
-                                                            life.deleteFailed(
+                                                            life.onDeleteFailed(
                                                                     calendar.now(), loss))),
-                    loss -> life.deleteFailed(calendar.now(), loss));
+                    loss -> life.onDeleteFailed(calendar.now(), loss));
         }
 
         @Override
-        public void after(long delay, Alarm alarm) {
+        public void startTimer(long delay, Timeout alarm) {
             thread(
                     delay,
                     () -> {
-                        life.rang(calendar.now(), alarm);
+                        life.onTimeout(calendar.now(), alarm);
                         turnDue = true;
                     });
         }
 
         @Override
-        public boolean lives() {
+        public boolean hasOpenConnection() {
             // Known only by chance: other dispatches may hold connections to it or not.
             return engine.standing() != SimulatedEngine.Standing.DOWN && chance.nextBoolean();
         }
 
         @Override
-        public boolean awaited() {
+        public boolean isResultAwaited() {
             return !b.over
                     || fault == InjectedDefect.GIVEN_UP_IS_OVER
                     || fault == InjectedDefect.UNWRITTEN_END_IS_OVER
@@ -795,7 +805,7 @@
         }
 
         @Override
-        public long limit() {
+        public long deadline() {
             return fault == InjectedDefect.UNWRITTEN_END_IS_OVER
                             || fault == InjectedDefect.UNWRITTEN_END_IS_FORGOTTEN
                     ? 0
@@ -803,10 +813,10 @@
         }
 
         @Override
-        public void done() {}
+        public void release() {}
 
         @Override
-        public void ended(AttemptOutcome how, long rest) {
+        public void reportEnd(AttemptOutcome how, long rest) {
             if (!b.out.remove(this)) {
                 return;
             }
--- a/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
+++ b/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.lifecycle.AttemptStateMachine.Alarm;
-import firstage.lifecycle.AttemptStateMachine.Loss;
-import firstage.lifecycle.AttemptStateMachine.Word;
+import firstage.lifecycle.AttemptStateMachine.CallFailure;
+import firstage.lifecycle.AttemptStateMachine.EngineReply;
+import firstage.lifecycle.AttemptStateMachine.Timeout;
 import firstage.policy.api.AttemptOutcome;
 import java.util.ArrayList;
 import java.util.List;
@@ -14,7 +14,7 @@
  * A dispatch's life, story by story: what it does, how it ends, and how long its engine may hold
  * it.
  */
-class AttemptStateMachineTest implements AttemptStateMachine.Carrier {
+class AttemptStateMachineTest implements AttemptStateMachine.AttemptActions {
     private final List<String> acts = new ArrayList<>();
     private AttemptStateMachine life = new AttemptStateMachine(this, true);
     private boolean lives;
@@ -25,7 +25,7 @@
 
     private AttemptStateMachineTest written() {
         life.start();
-        life.written(now);
+        life.onStatementWritten(now);
         acts.clear();
         return this;
     }
@@ -33,39 +33,41 @@
     @Test
     void itIsAskedForUntilItsLastPageIsHere() {
         written();
-        life.posted(now, Word.NEWS);
-        life.told(now + 2_500, Word.PAGE);
-        life.told(now + 2_510, Word.LAST);
+        life.onStatementReply(now, EngineReply.PROGRESS);
+        life.onReply(now + 2_500, EngineReply.PAGE);
+        life.onReply(now + 2_510, EngineReply.LAST_PAGE);
         assertThat(acts).containsExactly("ask", "fetch 1", "RETURNED 0");
     }
 
     @Test
     void givenUpBeforeItIsWrittenItNeverRan() {
         life.start();
-        life.giveUp(now, AttemptOutcome.CANCELLED);
-        assertThat(life.wanted()).isFalse();
-        life.rang(now, Alarm.DUE);
+        life.abandon(now, AttemptOutcome.CANCELLED);
+        assertThat(life.shouldSendStatement()).isFalse();
+        life.onTimeout(now, Timeout.ABANDON);
         assertThat(acts).containsExactly("post", "after 0 DUE", "NOT_SENT 0");
     }
 
     @Test
     void itsEngineMayHoldItWhereTheDeleteMayHaveOvertakenTheStatement() {
         written();
-        life.giveUp(now + 10, AttemptOutcome.TIMED_OUT);
-        life.deleted(now + 20);
+        life.abandon(now + 10, AttemptOutcome.TIMED_OUT);
+        life.onDeleteAcknowledged(now + 20);
         assertThat(acts).containsExactly("after 200 DUE", "delete", "after 5000 DELETE_AGAIN");
         limit = now + 200_000;
-        life.rang(now + 210, Alarm.DUE);
-        assertThat(acts).last().isEqualTo("TIMED_OUT " + (AttemptStateMachine.FORGETS - 210));
+        life.onTimeout(now + 210, Timeout.ABANDON);
+        assertThat(acts)
+                .last()
+                .isEqualTo("TIMED_OUT " + (AttemptStateMachine.UNPOLLED_EXPIRY - 210));
     }
 
     @Test
     void theStatementsOwnAnswerMakesADeleteProof() {
         written();
-        life.giveUp(now + 10, AttemptOutcome.TIMED_OUT);
-        life.posted(now + 20, Word.NEWS);
-        life.rang(now + 140, Alarm.DELETE_AGAIN);
-        life.deleted(now + 150);
+        life.abandon(now + 10, AttemptOutcome.TIMED_OUT);
+        life.onStatementReply(now + 20, EngineReply.PROGRESS);
+        life.onTimeout(now + 140, Timeout.RETRY_DELETE);
+        life.onDeleteAcknowledged(now + 150);
         assertThat(acts)
                 .containsExactly(
                         "after 200 DUE",
@@ -82,12 +84,12 @@
     @Test
     void aDeleteIsGivenAgainWhereItsConnectionNeverCameUp() {
         written();
-        life.posted(now, Word.NEWS);
+        life.onStatementReply(now, EngineReply.PROGRESS);
         awaited = false;
-        life.giveUp(now + 10, AttemptOutcome.CANCELLED);
-        life.told(now + 80, Word.NEWS);
-        life.rang(now + 200, Alarm.DELETE_AGAIN);
-        life.deleted(now + 205);
+        life.abandon(now + 10, AttemptOutcome.CANCELLED);
+        life.onReply(now + 80, EngineReply.PROGRESS);
+        life.onTimeout(now + 200, Timeout.RETRY_DELETE);
+        life.onDeleteAcknowledged(now + 205);
         assertThat(acts)
                 .containsExactly(
                         "ask",
@@ -101,19 +103,19 @@
     @Test
     void whatNobodyWaitsForIsToldOnlyOnceItIsProven() {
         written();
-        life.posted(now, Word.NEWS);
+        life.onStatementReply(now, EngineReply.PROGRESS);
         awaited = false;
         limit = now + 200_000;
-        life.giveUp(now + 10, AttemptOutcome.CANCELLED);
-        life.rang(now + 210, Alarm.DUE);
-        assertThat(life.lingers()).isTrue();
+        life.abandon(now + 10, AttemptOutcome.CANCELLED);
+        life.onTimeout(now + 210, Timeout.ABANDON);
+        assertThat(life.isLingering()).isTrue();
         assertThat(acts)
                 .containsExactly("ask", "after 200 DUE", "delete", "after 200790 FORGOTTEN");
-        life.deleteFailed(now + 2_510, Loss.UNREACHED);
-        life.rang(now + 3_010, Alarm.DELETE_AGAIN);
-        life.deleted(now + 3_020);
+        life.onDeleteFailed(now + 2_510, CallFailure.CONNECT_TIMEOUT);
+        life.onTimeout(now + 3_010, Timeout.RETRY_DELETE);
+        life.onDeleteAcknowledged(now + 3_020);
         assertThat(acts).endsWith("after 500 DELETE_AGAIN", "delete", "CALLED_OFF 0");
-        life.rang(now + 200_990, Alarm.FORGOTTEN);
+        life.onTimeout(now + 200_990, Timeout.EXPIRY);
         assertThat(acts).endsWith("CALLED_OFF 0");
         assertThat(done).isEqualTo(1);
     }
@@ -122,15 +124,15 @@
     void whatIsNeverProvenIsHeldUntilItsLimitAndItsEngineIsToldOn() {
         written();
         limit = now + 200_000;
-        life.giveUp(now + 10, AttemptOutcome.CANCELLED);
-        life.rang(now + 210, Alarm.DUE);
+        life.abandon(now + 10, AttemptOutcome.CANCELLED);
+        life.onTimeout(now + 210, Timeout.ABANDON);
         assertThat(acts).endsWith("after 200790 FORGOTTEN", "CALLED_OFF 200790");
-        assertThat(life.lingers()).isFalse();
-        life.deleted(now + 300);
-        life.rang(now + 5_300, Alarm.DELETE_AGAIN);
+        assertThat(life.isLingering()).isFalse();
+        life.onDeleteAcknowledged(now + 300);
+        life.onTimeout(now + 5_300, Timeout.RETRY_DELETE);
         assertThat(acts).endsWith("after 5000 DELETE_AGAIN", "delete");
         assertThat(done).isZero();
-        life.rang(now + 201_000, Alarm.FORGOTTEN);
+        life.onTimeout(now + 201_000, Timeout.EXPIRY);
         assertThat(acts).endsWith("delete");
         assertThat(done).isEqualTo(1);
     }
@@ -140,11 +142,11 @@
         written();
         awaited = false;
         limit = now + 200_000;
-        life.giveUp(now + 10, AttemptOutcome.CANCELLED);
-        life.rang(now + 210, Alarm.DUE);
-        life.deleted(now + AttemptStateMachine.FORGETS - 1);
+        life.abandon(now + 10, AttemptOutcome.CANCELLED);
+        life.onTimeout(now + 210, Timeout.ABANDON);
+        life.onDeleteAcknowledged(now + AttemptStateMachine.UNPOLLED_EXPIRY - 1);
         assertThat(acts).last().isEqualTo("after 5000 DELETE_AGAIN");
-        life.deleted(now + AttemptStateMachine.FORGETS + 5_000);
+        life.onDeleteAcknowledged(now + AttemptStateMachine.UNPOLLED_EXPIRY + 5_000);
         assertThat(acts).last().isEqualTo("CALLED_OFF 0");
     }
 
@@ -152,139 +154,141 @@
     void whereNoOtherWaitsAnEndIsNotProvenForLong() {
         life = new AttemptStateMachine(this, false);
         written();
-        life.posted(now, Word.NEWS);
+        life.onStatementReply(now, EngineReply.PROGRESS);
         awaited = false;
-        life.giveUp(now + 10, AttemptOutcome.CANCELLED);
-        life.rang(now + 210, Alarm.DUE);
+        life.abandon(now + 10, AttemptOutcome.CANCELLED);
+        life.onTimeout(now + 210, Timeout.ABANDON);
         assertThat(acts)
                 .containsExactly(
                         "ask",
                         "after 200 DUE",
                         "delete",
-                        "CALLED_OFF " + (AttemptStateMachine.FORGETS - 210));
+                        "CALLED_OFF " + (AttemptStateMachine.UNPOLLED_EXPIRY - 210));
         assertThat(done).isEqualTo(1);
     }
 
     @Test
     void thatTheEngineDoesNotKnowItProvesNothingWhileItsStatementMayLieUnread() {
         written();
-        life.postFailed(now + 5, Loss.LOST);
-        life.told(now + 10, Word.ERROR);
-        life.rang(now + 210, Alarm.DUE);
+        life.onStatementFailed(now + 5, CallFailure.REPLY_LOST);
+        life.onReply(now + 10, EngineReply.FAILED);
+        life.onTimeout(now + 210, Timeout.ABANDON);
         assertThat(acts)
                 .containsExactly(
                         "ask fresh",
                         "after 200 DUE",
                         "delete",
-                        "after " + (AttemptStateMachine.FORGETS + 5 - 210) + " FORGOTTEN",
-                        "ERRORED " + (AttemptStateMachine.FORGETS + 5 - 210));
+                        "after " + (AttemptStateMachine.UNPOLLED_EXPIRY + 5 - 210) + " FORGOTTEN",
+                        "ERRORED " + (AttemptStateMachine.UNPOLLED_EXPIRY + 5 - 210));
     }
 
     @Test
     void aRefusalEndsItOnlyWhereNoOtherConnectionIsUpAndMayStillBeADrain() {
         written();
-        life.posted(now, Word.NEWS);
+        life.onStatementReply(now, EngineReply.PROGRESS);
         lives = true;
-        life.lost(now + 100, Loss.REFUSED);
+        life.onCallFailed(now + 100, CallFailure.CONNECTION_REFUSED);
         assertThat(acts).containsExactly("ask", "after 500 AGAIN");
-        life.rang(now + 600, Alarm.AGAIN);
+        life.onTimeout(now + 600, Timeout.RETRY_POLL);
         lives = false;
-        life.lost(now + 700, Loss.REFUSED);
-        assertThat(acts).last().isEqualTo("BROKEN " + (AttemptStateMachine.FORGETS + 600 - 700));
+        life.onCallFailed(now + 700, CallFailure.CONNECTION_REFUSED);
+        assertThat(acts)
+                .last()
+                .isEqualTo("BROKEN " + (AttemptStateMachine.UNPOLLED_EXPIRY + 600 - 700));
     }
 
     @Test
     void anErrorIsProvenByADeleteWhereOthersWaitAndEndsAtOnceElsewhere() {
         written();
-        life.posted(now, Word.ERROR);
+        life.onStatementReply(now, EngineReply.FAILED);
         assertThat(acts).containsExactly("after 200 DUE", "delete");
-        life.deleted(now + 10);
+        life.onDeleteAcknowledged(now + 10);
         assertThat(acts).last().isEqualTo("ERRORED 0");
         life = new AttemptStateMachine(this, false);
         written();
-        life.posted(now, Word.ERROR);
+        life.onStatementReply(now, EngineReply.FAILED);
         assertThat(acts).containsExactly("ERRORED 0");
     }
 
     @Test
     void answersThatCannotBeReadAreAskedForAgainButNotForEver() {
         written();
-        life.posted(now, Word.NEWS);
+        life.onStatementReply(now, EngineReply.PROGRESS);
         for (int i = 0; i < 4; i++) {
-            life.lost(now + i, Loss.SPOILT);
-            life.rang(now + i, Alarm.AGAIN);
+            life.onCallFailed(now + i, CallFailure.REPLY_UNREADABLE);
+            life.onTimeout(now + i, Timeout.RETRY_POLL);
         }
         assertThat(acts).contains("ask fresh").doesNotContain("delete");
-        life.lost(now + 5, Loss.SPOILT);
+        life.onCallFailed(now + 5, CallFailure.REPLY_UNREADABLE);
         assertThat(acts).endsWith("after 200 DUE", "delete");
     }
 
     @Test
     void newConnectionsThatAreResetCostNothingAtFirst() {
         life.start();
-        life.postFailed(now, Loss.RESET);
-        life.postFailed(now, Loss.RESET);
-        life.postFailed(now, Loss.RESET);
+        life.onStatementFailed(now, CallFailure.RESET_BEFORE_SEND);
+        life.onStatementFailed(now, CallFailure.RESET_BEFORE_SEND);
+        life.onStatementFailed(now, CallFailure.RESET_BEFORE_SEND);
         assertThat(acts).containsExactly("post", "post", "post", "NO_CONNECTION 0");
     }
 
     @Test
     void nothingIsToldAfterItsEnd() {
         written();
-        life.posted(now, Word.TURNED_AWAY);
-        life.told(now, Word.LAST);
-        life.giveUp(now, AttemptOutcome.TIMED_OUT);
-        life.rang(now, Alarm.DUE);
+        life.onStatementReply(now, EngineReply.REFUSED);
+        life.onReply(now, EngineReply.LAST_PAGE);
+        life.abandon(now, AttemptOutcome.TIMED_OUT);
+        life.onTimeout(now, Timeout.ABANDON);
         assertThat(acts).containsExactly("TURNED_AWAY 0");
     }
 
     @Override
-    public void post() {
+    public void sendStatement() {
         acts.add("post");
     }
 
     @Override
-    public void ask(boolean fresh) {
+    public void poll(boolean fresh) {
         acts.add("ask" + (fresh ? " fresh" : ""));
     }
 
     @Override
-    public void fetch(int page, boolean fresh) {
+    public void fetchPage(int page, boolean fresh) {
         acts.add("fetch " + page);
     }
 
     @Override
-    public void delete(boolean fresh) {
+    public void sendDelete(boolean fresh) {
         acts.add("delete");
     }
 
     @Override
-    public void after(long delay, Alarm alarm) {
+    public void startTimer(long delay, Timeout alarm) {
         acts.add("after " + delay + " " + alarm);
     }
 
     @Override
-    public boolean lives() {
+    public boolean hasOpenConnection() {
         return lives;
     }
 
     @Override
-    public boolean awaited() {
+    public boolean isResultAwaited() {
         return awaited;
     }
 
     @Override
-    public long limit() {
+    public long deadline() {
         return limit;
     }
 
     @Override
-    public void done() {
+    public void release() {
         done++;
     }
 
     @Override
-    public void ended(AttemptOutcome how, long rest) {
+    public void reportEnd(AttemptOutcome how, long rest) {
         acts.add(how + " " + rest);
     }
 }
--- a/src/test/java/firstage/lifecycle/ClientCallStateMachineTest.java
+++ b/src/test/java/firstage/lifecycle/ClientCallStateMachineTest.java
@@ -7,27 +7,27 @@
 import org.junit.jupiter.api.Test;
 
 /** A client's call, story by story. */
-class ClientCallStateMachineTest implements ClientCallStateMachine.Carrier {
+class ClientCallStateMachineTest implements ClientCallStateMachine.ClientCallActions {
     private final List<String> acts = new ArrayList<>();
     private final ClientCallStateMachine life = new ClientCallStateMachine(this);
 
     @Test
     void aQuickAnswerGoesOutOnTheFirstCall() {
         life.start();
-        life.answer();
-        life.due();
+        life.onAnswerAvailable();
+        life.onTimeout();
         assertThat(acts).containsExactly("arm 2500", "give", "disarm", "forget");
     }
 
     @Test
     void aSlowOneGetsAPathAndIsKeptForACallThatIsMadeAgain() {
         life.start();
-        life.due();
-        life.asked();
-        life.answer();
-        life.lastBroke();
-        life.asked();
-        life.due();
+        life.onTimeout();
+        life.onPoll();
+        life.onAnswerAvailable();
+        life.onLastPollBroken();
+        life.onPoll();
+        life.onTimeout();
         assertThat(acts)
                 .containsExactly(
                         "arm 2500",
@@ -44,121 +44,121 @@
     @Test
     void aClientThatClosesWithNoPathGivesUp() {
         life.start();
-        life.firstBroke();
-        life.answer();
+        life.onFirstCallBroken();
+        life.onAnswerAvailable();
         assertThat(acts).containsExactly("arm 2500", "close", "disarm", "forget", "left");
     }
 
     @Test
     void aPathThatNobodyAsksAtIsGivenUpAndAnAnswerThatIsThereIsNot() {
         life.start();
-        life.due();
-        life.due();
+        life.onTimeout();
+        life.onTimeout();
         assertThat(acts).containsExactly("arm 2500", "path", "arm 500", "arm 19500", "away");
-        life.due();
+        life.onTimeout();
         assertThat(acts).endsWith("forget", "left");
         acts.clear();
         ClientCallStateMachine other = new ClientCallStateMachine(this);
         other.start();
-        other.due();
-        other.answer();
-        assertThat(other.settled()).isFalse();
-        other.due();
+        other.onTimeout();
+        other.onAnswerAvailable();
+        assertThat(other.isSettled()).isFalse();
+        other.onTimeout();
         assertThat(acts).endsWith("forget").doesNotContain("left", "give");
     }
 
     @Test
     void aCallAtThePathThatBreaksMayBeMadeAgain() {
         life.start();
-        life.due();
-        life.asked();
-        life.lastBroke();
-        life.asked();
-        life.answer();
+        life.onTimeout();
+        life.onPoll();
+        life.onLastPollBroken();
+        life.onPoll();
+        life.onAnswerAvailable();
         assertThat(acts).contains("give").doesNotContain("left");
     }
 
     @Test
     void aClientThatDoesNotCallAgainIsAwayAndOneThatDoesIsBack() {
         life.start();
-        life.due();
-        life.asked();
+        life.onTimeout();
+        life.onPoll();
         acts.clear();
-        life.lastBroke();
-        life.asked();
+        life.onLastPollBroken();
+        life.onPoll();
         assertThat(acts).containsExactly("arm 20000", "away", "disarm", "back");
-        life.lastBroke();
-        life.answer();
-        life.asked();
+        life.onLastPollBroken();
+        life.onAnswerAvailable();
+        life.onPoll();
         assertThat(acts).endsWith("away", "arm 20000", "give", "arm 20000").doesNotContain("left");
     }
 
     @Test
     void aClientThatIsAwayAndGivesUpIsOwedNothing() {
         life.start();
-        life.due();
-        life.due();
-        life.gaveUp();
+        life.onTimeout();
+        life.onTimeout();
+        life.onClientCancelled();
         assertThat(acts).endsWith("away", "disarm", "forget", "left");
     }
 
     @Test
     void aClientThatGivesUpIsOwedNothingMore() {
         life.start();
-        life.due();
-        life.asked();
-        life.gaveUp();
-        life.answer();
+        life.onTimeout();
+        life.onPoll();
+        life.onClientCancelled();
+        life.onAnswerAvailable();
         assertThat(acts).endsWith("fail", "forget", "left").doesNotContain("give");
     }
 
     @Override
-    public void givePath() {
+    public void respondWithPollPath() {
         acts.add("path");
     }
 
     @Override
-    public void give() {
+    public void respond() {
         acts.add("give");
     }
 
     @Override
-    public void arm(long delay) {
+    public void startTimer(long delay) {
         acts.add("arm " + delay);
     }
 
     @Override
-    public void disarm() {
+    public void stopTimer() {
         acts.add("disarm");
     }
 
     @Override
-    public void failHeld() {
+    public void failHeldCalls() {
         acts.add("fail");
     }
 
     @Override
-    public void closeHeld() {
+    public void closeHeldCalls() {
         acts.add("close");
     }
 
     @Override
-    public void away() {
+    public void markClientAbsent() {
         acts.add("away");
     }
 
     @Override
-    public void back() {
+    public void markClientPresent() {
         acts.add("back");
     }
 
     @Override
-    public void left() {
+    public void markClientGone() {
         acts.add("left");
     }
 
     @Override
-    public void forget() {
+    public void release() {
         acts.add("forget");
     }
 }
--- a/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
+++ b/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
@@ -12,32 +12,34 @@
 
     @Test
     void oneAtATimeAndInTurnIsFine() {
-        watch.told("k", "a");
-        watch.told("k", "b");
-        assertThat(watch.sent(0, "k", "a")).isTrue();
-        watch.ended(10, "k", "a", 0);
-        assertThat(watch.sent(11, "k", "a")).as("another try of its own").isTrue();
-        watch.ended(20, "k", "a", 0);
-        watch.over("k", "a");
-        assertThat(watch.sent(21, "k", "b")).isTrue();
+        watch.onRequest("k", "a");
+        watch.onRequest("k", "b");
+        assertThat(watch.onAttemptStarted(0, "k", "a")).isTrue();
+        watch.onAttemptEnded(10, "k", "a", 0);
+        assertThat(watch.onAttemptStarted(11, "k", "a")).as("another try of its own").isTrue();
+        watch.onAttemptEnded(20, "k", "a", 0);
+        watch.onRequestEnded("k", "a");
+        assertThat(watch.onAttemptStarted(21, "k", "b")).isTrue();
     }
 
     @Test
     void outOfTurnBesideAnotherOrWhileOneMayBeHeldIsFound() {
-        watch.told("k", "a");
-        watch.told("k", "b");
-        assertThat(watch.sent(0, "k", "b")).as("out of turn").isFalse();
-        watch.ended(1, "k", "b", 0);
-        watch.over("k", "a");
-        assertThat(watch.sent(2, "k", "b")).isTrue();
-        watch.ended(3, "k", "b", 100);
-        watch.over("k", "b");
-        watch.told("k", "c");
-        assertThat(watch.sent(50, "k", "c")).as("its engine may hold the one before").isFalse();
-        watch.ended(51, "k", "c", 0);
-        assertThat(watch.sent(103, "k", "c")).isTrue();
-        watch.told("k", "d");
-        assertThat(watch.sent(104, "k", "d")).as("beside another").isFalse();
+        watch.onRequest("k", "a");
+        watch.onRequest("k", "b");
+        assertThat(watch.onAttemptStarted(0, "k", "b")).as("out of turn").isFalse();
+        watch.onAttemptEnded(1, "k", "b", 0);
+        watch.onRequestEnded("k", "a");
+        assertThat(watch.onAttemptStarted(2, "k", "b")).isTrue();
+        watch.onAttemptEnded(3, "k", "b", 100);
+        watch.onRequestEnded("k", "b");
+        watch.onRequest("k", "c");
+        assertThat(watch.onAttemptStarted(50, "k", "c"))
+                .as("its engine may hold the one before")
+                .isFalse();
+        watch.onAttemptEnded(51, "k", "c", 0);
+        assertThat(watch.onAttemptStarted(103, "k", "c")).isTrue();
+        watch.onRequest("k", "d");
+        assertThat(watch.onAttemptStarted(104, "k", "d")).as("beside another").isFalse();
     }
 
     @Test
@@ -45,24 +47,24 @@
         List<String> told = new ArrayList<>();
         ArrivalSequencer<String> order =
                 new ArrivalSequencer<>(
-                        new ArrivalSequencer.Carrier<>() {
+                        new ArrivalSequencer.ArrivalActions<>() {
                             @Override
-                            public void barrier(Object key) {
+                            public void requestReadBarrier(Object key) {
                                 told.add("barrier " + key);
                             }
 
                             @Override
-                            public void taken(String batch, boolean turnKnown) {
+                            public void deliver(String batch, boolean turnKnown) {
                                 told.add(batch + " " + turnKnown);
                             }
                         });
-        order.came("free", null);
-        order.came("a", "k");
-        order.came("b", "k");
-        order.passed("k");
-        order.came("c", "k");
+        order.onRequestRead("free", null);
+        order.onRequestRead("a", "k");
+        order.onRequestRead("b", "k");
+        order.onReadBarrierPassed("k");
+        order.onRequestRead("c", "k");
         assertThat(told)
                 .containsExactly("free true", "barrier k", "b false", "a true", "barrier k");
-        assertThat(order.unsettled()).isEqualTo(1);
+        assertThat(order.undelivered()).isEqualTo(1);
     }
 }
--- a/src/test/java/firstage/server/client/StatementTablesTest.java
+++ b/src/test/java/firstage/server/client/StatementTablesTest.java
@@ -39,6 +39,7 @@
             })
     void theGroupIsTheNumberOfTheSchema(int group, String statement) {
         String text = statement == null ? "" : statement.replace("\\n", "\n");
-        assertThat(StatementTables.group(text.getBytes(StandardCharsets.UTF_8))).isEqualTo(group);
+        assertThat(StatementTables.tableGroup(text.getBytes(StandardCharsets.UTF_8)))
+                .isEqualTo(group);
     }
 }
--- a/src/test/java/firstage/server/discovery/EndpointParserTest.java
+++ b/src/test/java/firstage/server/discovery/EndpointParserTest.java
@@ -5,7 +5,7 @@
 
 import firstage.config.WireFields;
 import firstage.policy.api.EndpointUpdate.Lifecycle;
-import firstage.server.ServerEvents.Listed;
+import firstage.server.ServerEvents.DiscoveredEndpoint;
 import firstage.server.TickClock;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -41,9 +41,9 @@
 
     @Test
     void aRecordAndItsJsonTellTheSame() throws IOException {
-        Listed framed = records.read(record(1, 0)).get(0);
-        Listed known =
-                records.read(
+        DiscoveredEndpoint framed = records.parse(record(1, 0)).get(0);
+        DiscoveredEndpoint known =
+                records.parse(
                                 List.of(
                                         Map.of(
                                                 "instanceId",
@@ -64,27 +64,28 @@
                                                 "0")))
                         .get(0);
         assertThat(framed).isEqualTo(known);
-        assertThat(framed.standing()).isEqualTo(Lifecycle.DRAINING);
-        assertThat(framed.since()).isZero();
+        assertThat(framed.lifecycle()).isEqualTo(Lifecycle.DRAINING);
+        assertThat(framed.startedAt()).isZero();
     }
 
     @Test
     void aLateStartIsToldOnTheClockOfTheDecisions() throws IOException {
-        long since = records.read(record(0, System.currentTimeMillis() - 3_000)).get(0).since();
+        long since =
+                records.parse(record(0, System.currentTimeMillis() - 3_000)).get(0).startedAt();
         assertThat(clock.now() - since).isBetween(29_000L, 40_000L);
     }
 
     @Test
     void aPieceOfARecordOrAnUnknownStateIsAFault() {
-        assertThatThrownBy(() -> records.read(ByteBuffer.allocate(26)))
+        assertThatThrownBy(() -> records.parse(ByteBuffer.allocate(26)))
                 .isInstanceOf(IOException.class);
-        assertThatThrownBy(() -> records.read(record(3, 0))).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> records.parse(record(3, 0))).isInstanceOf(IOException.class);
     }
 
     @Test
     void whatNobodyNamedIsSkipped() {
-        Listed strange =
-                records.read(
+        DiscoveredEndpoint strange =
+                records.parse(
                                 List.of(
                                         Map.of(
                                                 "instanceId",
--- a/src/test/java/firstage/server/discovery/FrameDecoderTest.java
+++ b/src/test/java/firstage/server/discovery/FrameDecoderTest.java
@@ -27,11 +27,12 @@
             List<FrameDecoder.Frame> whole = new ArrayList<>();
             for (int at = 0; at < bytes.length; at += size) {
                 whole.addAll(
-                        frames.take(ByteBuffer.wrap(bytes, at, Math.min(size, bytes.length - at))));
+                        frames.decode(
+                                ByteBuffer.wrap(bytes, at, Math.min(size, bytes.length - at))));
             }
             assertThat(whole).hasSize(2);
-            assertThat(whole.get(1).number()).isEqualTo(-2);
-            assertThat(whole.get(1).kind()).isEqualTo(2);
+            assertThat(whole.get(1).eventNumber()).isEqualTo(-2);
+            assertThat(whole.get(1).type()).isEqualTo(2);
             assertThat(whole.get(1).payload().getShort()).isEqualTo((short) 770);
         }
     }
@@ -42,7 +43,7 @@
             assertThatThrownBy(
                             () ->
                                     new FrameDecoder()
-                                            .take(ByteBuffer.allocate(64).putInt(0, length)))
+                                            .decode(ByteBuffer.allocate(64).putInt(0, length)))
                     .isInstanceOf(IOException.class);
         }
     }
--- a/src/test/java/firstage/server/engine/EngineResponseReaderTest.java
+++ b/src/test/java/firstage/server/engine/EngineResponseReaderTest.java
@@ -34,7 +34,7 @@
             for (int at = 0; at < bytes.length; at += size) {
                 boolean last = at + size >= bytes.length;
                 assertThat(
-                                reader.take(
+                                reader.read(
                                         ByteBuffer.wrap(
                                                 bytes, at, Math.min(size, bytes.length - at))))
                         .isEqualTo(last);
@@ -50,7 +50,7 @@
     void aPieceOfAResponseIsNotAResponse() throws IOException {
         EngineResponseReader reader = new EngineResponseReader();
         assertThat(
-                        reader.take(
+                        reader.read(
                                 ByteBuffer.wrap(
                                         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab"
                                                 .getBytes())))
@@ -69,7 +69,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\nx"
             })
     void whatIsNoResponseIsAFault(String text) {
-        assertThatThrownBy(() -> new EngineResponseReader().take(ByteBuffer.wrap(text.getBytes())))
+        assertThatThrownBy(() -> new EngineResponseReader().read(ByteBuffer.wrap(text.getBytes())))
                 .isInstanceOf(IOException.class);
     }
 }
