--- a/src/main/java/firstage/cli/PeersCommand.java
+++ b/src/main/java/firstage/cli/PeersCommand.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
+import firstage.config.ManagerConfig;
 import firstage.server.membership.MembershipTransport;
 import java.io.IOException;
 import java.net.DatagramPacket;
@@ -51,8 +52,7 @@
 
     @Override
     public Integer call() throws IOException {
-        String answer =
-                ask(firstage.server.ManagerConfig.address(address), MembershipTransport.ASKED);
+        String answer = ask(ManagerConfig.address(address), MembershipTransport.ASKED);
         boolean agreed = answer.contains("\"agreed\":true");
         if (json) {
             System.out.println(answer);
--- a/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
+++ b/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
@@ -11,71 +11,72 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A dispatch's life, story by story: what it does, how it ends, and how long its engine may hold
- * it.
+ * Single attempts, event by event: which actions each causes, with which outcome it ends, and how
+ * long its engine may still hold it.
  */
 class AttemptStateMachineTest implements AttemptStateMachine.AttemptActions {
-    private final List<String> acts = new ArrayList<>();
-    private AttemptStateMachine life = new AttemptStateMachine(this, true);
-    private boolean lives;
-    private boolean awaited = true;
-    private long limit;
-    private int done;
+    private final List<String> actions = new ArrayList<>();
+    private AttemptStateMachine attempt = new AttemptStateMachine(this, true);
+    private boolean connectionOpen;
+    private boolean resultAwaited = true;
+    private long deadline;
+    private int releases;
     private long now = 1_000_000;
 
-    private AttemptStateMachineTest written() {
-        life.start();
-        life.onStatementWritten(now);
-        acts.clear();
+    private AttemptStateMachineTest writeStatement() {
+        attempt.start();
+        attempt.onStatementWritten(now);
+        actions.clear();
         return this;
     }
 
     @Test
     void itIsAskedForUntilItsLastPageIsHere() {
-        written();
-        life.onStatementReply(now, EngineReply.PROGRESS);
-        life.onReply(now + 2_500, EngineReply.PAGE);
-        life.onReply(now + 2_510, EngineReply.LAST_PAGE);
-        assertThat(acts).containsExactly("ask", "fetch 1", "RETURNED 0");
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.PROGRESS);
+        attempt.onReply(now + 2_500, EngineReply.PAGE);
+        attempt.onReply(now + 2_510, EngineReply.LAST_PAGE);
+        assertThat(actions).containsExactly("poll", "fetch 1", "SUCCEEDED 0");
     }
 
     @Test
     void givenUpBeforeItIsWrittenItNeverRan() {
-        life.start();
-        life.abandon(now, AttemptOutcome.CANCELLED);
-        assertThat(life.shouldSendStatement()).isFalse();
-        life.onTimeout(now, Timeout.ABANDON);
-        assertThat(acts).containsExactly("post", "after 0 DUE", "NOT_SENT 0");
+        attempt.start();
+        attempt.abandon(now, AttemptOutcome.CANCELLED);
+        assertThat(attempt.shouldSendStatement()).isFalse();
+        attempt.onTimeout(now, Timeout.ABANDON);
+        assertThat(actions).containsExactly("send", "timer 0 ABANDON", "NOT_SENT 0");
     }
 
     @Test
     void itsEngineMayHoldItWhereTheDeleteMayHaveOvertakenTheStatement() {
-        written();
-        life.abandon(now + 10, AttemptOutcome.TIMED_OUT);
-        life.onDeleteAcknowledged(now + 20);
-        assertThat(acts).containsExactly("after 200 DUE", "delete", "after 5000 DELETE_AGAIN");
-        limit = now + 200_000;
-        life.onTimeout(now + 210, Timeout.ABANDON);
-        assertThat(acts)
+        writeStatement();
+        attempt.abandon(now + 10, AttemptOutcome.TIMED_OUT);
+        attempt.onDeleteAcknowledged(now + 20);
+        assertThat(actions)
+                .containsExactly("timer 200 ABANDON", "delete", "timer 5000 RETRY_DELETE");
+        deadline = now + 200_000;
+        attempt.onTimeout(now + 210, Timeout.ABANDON);
+        assertThat(actions)
                 .last()
                 .isEqualTo("TIMED_OUT " + (AttemptStateMachine.UNPOLLED_EXPIRY - 210));
     }
 
     @Test
     void theStatementsOwnAnswerMakesADeleteProof() {
-        written();
-        life.abandon(now + 10, AttemptOutcome.TIMED_OUT);
-        life.onStatementReply(now + 20, EngineReply.PROGRESS);
-        life.onTimeout(now + 140, Timeout.RETRY_DELETE);
-        life.onDeleteAcknowledged(now + 150);
-        assertThat(acts)
+        writeStatement();
+        attempt.abandon(now + 10, AttemptOutcome.TIMED_OUT);
+        attempt.onStatementReply(now + 20, EngineReply.PROGRESS);
+        attempt.onTimeout(now + 140, Timeout.RETRY_DELETE);
+        attempt.onDeleteAcknowledged(now + 150);
+        assertThat(actions)
                 .containsExactly(
-                        "after 200 DUE",
+                        "timer 200 ABANDON",
                         "delete",
-                        "after 120 DELETE_AGAIN",
+                        "timer 120 RETRY_DELETE",
                         "delete",
                         "TIMED_OUT 0");
-        assertThat(done).isEqualTo(1);
+        assertThat(releases).isEqualTo(1);
     }
 
     /**
@@ -83,212 +84,212 @@
      */
     @Test
     void aDeleteIsGivenAgainWhereItsConnectionNeverCameUp() {
-        written();
-        life.onStatementReply(now, EngineReply.PROGRESS);
-        awaited = false;
-        life.abandon(now + 10, AttemptOutcome.CANCELLED);
-        life.onReply(now + 80, EngineReply.PROGRESS);
-        life.onTimeout(now + 200, Timeout.RETRY_DELETE);
-        life.onDeleteAcknowledged(now + 205);
-        assertThat(acts)
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.PROGRESS);
+        resultAwaited = false;
+        attempt.abandon(now + 10, AttemptOutcome.CANCELLED);
+        attempt.onReply(now + 80, EngineReply.PROGRESS);
+        attempt.onTimeout(now + 200, Timeout.RETRY_DELETE);
+        attempt.onDeleteAcknowledged(now + 205);
+        assertThat(actions)
                 .containsExactly(
-                        "ask",
-                        "after 200 DUE",
+                        "poll",
+                        "timer 200 ABANDON",
                         "delete",
-                        "after 120 DELETE_AGAIN",
+                        "timer 120 RETRY_DELETE",
                         "delete",
-                        "CALLED_OFF 0");
+                        "CANCELLED 0");
     }
 
     @Test
     void whatNobodyWaitsForIsToldOnlyOnceItIsProven() {
-        written();
-        life.onStatementReply(now, EngineReply.PROGRESS);
-        awaited = false;
-        limit = now + 200_000;
-        life.abandon(now + 10, AttemptOutcome.CANCELLED);
-        life.onTimeout(now + 210, Timeout.ABANDON);
-        assertThat(life.isLingering()).isTrue();
-        assertThat(acts)
-                .containsExactly("ask", "after 200 DUE", "delete", "after 200790 FORGOTTEN");
-        life.onDeleteFailed(now + 2_510, CallFailure.CONNECT_TIMEOUT);
-        life.onTimeout(now + 3_010, Timeout.RETRY_DELETE);
-        life.onDeleteAcknowledged(now + 3_020);
-        assertThat(acts).endsWith("after 500 DELETE_AGAIN", "delete", "CALLED_OFF 0");
-        life.onTimeout(now + 200_990, Timeout.EXPIRY);
-        assertThat(acts).endsWith("CALLED_OFF 0");
-        assertThat(done).isEqualTo(1);
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.PROGRESS);
+        resultAwaited = false;
+        deadline = now + 200_000;
+        attempt.abandon(now + 10, AttemptOutcome.CANCELLED);
+        attempt.onTimeout(now + 210, Timeout.ABANDON);
+        assertThat(attempt.isLingering()).isTrue();
+        assertThat(actions)
+                .containsExactly("poll", "timer 200 ABANDON", "delete", "timer 200790 EXPIRY");
+        attempt.onDeleteFailed(now + 2_510, CallFailure.CONNECT_TIMEOUT);
+        attempt.onTimeout(now + 3_010, Timeout.RETRY_DELETE);
+        attempt.onDeleteAcknowledged(now + 3_020);
+        assertThat(actions).endsWith("timer 500 RETRY_DELETE", "delete", "CANCELLED 0");
+        attempt.onTimeout(now + 200_990, Timeout.EXPIRY);
+        assertThat(actions).endsWith("CANCELLED 0");
+        assertThat(releases).isEqualTo(1);
     }
 
     @Test
     void whatIsNeverProvenIsHeldUntilItsLimitAndItsEngineIsToldOn() {
-        written();
-        limit = now + 200_000;
-        life.abandon(now + 10, AttemptOutcome.CANCELLED);
-        life.onTimeout(now + 210, Timeout.ABANDON);
-        assertThat(acts).endsWith("after 200790 FORGOTTEN", "CALLED_OFF 200790");
-        assertThat(life.isLingering()).isFalse();
-        life.onDeleteAcknowledged(now + 300);
-        life.onTimeout(now + 5_300, Timeout.RETRY_DELETE);
-        assertThat(acts).endsWith("after 5000 DELETE_AGAIN", "delete");
-        assertThat(done).isZero();
-        life.onTimeout(now + 201_000, Timeout.EXPIRY);
-        assertThat(acts).endsWith("delete");
-        assertThat(done).isEqualTo(1);
+        writeStatement();
+        deadline = now + 200_000;
+        attempt.abandon(now + 10, AttemptOutcome.CANCELLED);
+        attempt.onTimeout(now + 210, Timeout.ABANDON);
+        assertThat(actions).endsWith("timer 200790 EXPIRY", "CANCELLED 200790");
+        assertThat(attempt.isLingering()).isFalse();
+        attempt.onDeleteAcknowledged(now + 300);
+        attempt.onTimeout(now + 5_300, Timeout.RETRY_DELETE);
+        assertThat(actions).endsWith("timer 5000 RETRY_DELETE", "delete");
+        assertThat(releases).isZero();
+        attempt.onTimeout(now + 201_000, Timeout.EXPIRY);
+        assertThat(actions).endsWith("delete");
+        assertThat(releases).isEqualTo(1);
     }
 
     @Test
     void aStatementThatLayUnreadForSoLongNeverComes() {
-        written();
-        awaited = false;
-        limit = now + 200_000;
-        life.abandon(now + 10, AttemptOutcome.CANCELLED);
-        life.onTimeout(now + 210, Timeout.ABANDON);
-        life.onDeleteAcknowledged(now + AttemptStateMachine.UNPOLLED_EXPIRY - 1);
-        assertThat(acts).last().isEqualTo("after 5000 DELETE_AGAIN");
-        life.onDeleteAcknowledged(now + AttemptStateMachine.UNPOLLED_EXPIRY + 5_000);
-        assertThat(acts).last().isEqualTo("CALLED_OFF 0");
+        writeStatement();
+        resultAwaited = false;
+        deadline = now + 200_000;
+        attempt.abandon(now + 10, AttemptOutcome.CANCELLED);
+        attempt.onTimeout(now + 210, Timeout.ABANDON);
+        attempt.onDeleteAcknowledged(now + AttemptStateMachine.UNPOLLED_EXPIRY - 1);
+        assertThat(actions).last().isEqualTo("timer 5000 RETRY_DELETE");
+        attempt.onDeleteAcknowledged(now + AttemptStateMachine.UNPOLLED_EXPIRY + 5_000);
+        assertThat(actions).last().isEqualTo("CANCELLED 0");
     }
 
     @Test
     void whereNoOtherWaitsAnEndIsNotProvenForLong() {
-        life = new AttemptStateMachine(this, false);
-        written();
-        life.onStatementReply(now, EngineReply.PROGRESS);
-        awaited = false;
-        life.abandon(now + 10, AttemptOutcome.CANCELLED);
-        life.onTimeout(now + 210, Timeout.ABANDON);
-        assertThat(acts)
+        attempt = new AttemptStateMachine(this, false);
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.PROGRESS);
+        resultAwaited = false;
+        attempt.abandon(now + 10, AttemptOutcome.CANCELLED);
+        attempt.onTimeout(now + 210, Timeout.ABANDON);
+        assertThat(actions)
                 .containsExactly(
-                        "ask",
-                        "after 200 DUE",
+                        "poll",
+                        "timer 200 ABANDON",
                         "delete",
-                        "CALLED_OFF " + (AttemptStateMachine.UNPOLLED_EXPIRY - 210));
-        assertThat(done).isEqualTo(1);
+                        "CANCELLED " + (AttemptStateMachine.UNPOLLED_EXPIRY - 210));
+        assertThat(releases).isEqualTo(1);
     }
 
     @Test
     void thatTheEngineDoesNotKnowItProvesNothingWhileItsStatementMayLieUnread() {
-        written();
-        life.onStatementFailed(now + 5, CallFailure.REPLY_LOST);
-        life.onReply(now + 10, EngineReply.FAILED);
-        life.onTimeout(now + 210, Timeout.ABANDON);
-        assertThat(acts)
+        writeStatement();
+        attempt.onStatementFailed(now + 5, CallFailure.REPLY_LOST);
+        attempt.onReply(now + 10, EngineReply.FAILED);
+        attempt.onTimeout(now + 210, Timeout.ABANDON);
+        assertThat(actions)
                 .containsExactly(
-                        "ask fresh",
-                        "after 200 DUE",
+                        "poll on new connection",
+                        "timer 200 ABANDON",
                         "delete",
-                        "after " + (AttemptStateMachine.UNPOLLED_EXPIRY + 5 - 210) + " FORGOTTEN",
-                        "ERRORED " + (AttemptStateMachine.UNPOLLED_EXPIRY + 5 - 210));
+                        "timer " + (AttemptStateMachine.UNPOLLED_EXPIRY + 5 - 210) + " EXPIRY",
+                        "FAILED " + (AttemptStateMachine.UNPOLLED_EXPIRY + 5 - 210));
     }
 
     @Test
     void aRefusalEndsItOnlyWhereNoOtherConnectionIsUpAndMayStillBeADrain() {
-        written();
-        life.onStatementReply(now, EngineReply.PROGRESS);
-        lives = true;
-        life.onCallFailed(now + 100, CallFailure.CONNECTION_REFUSED);
-        assertThat(acts).containsExactly("ask", "after 500 AGAIN");
-        life.onTimeout(now + 600, Timeout.RETRY_POLL);
-        lives = false;
-        life.onCallFailed(now + 700, CallFailure.CONNECTION_REFUSED);
-        assertThat(acts)
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.PROGRESS);
+        connectionOpen = true;
+        attempt.onCallFailed(now + 100, CallFailure.CONNECTION_REFUSED);
+        assertThat(actions).containsExactly("poll", "timer 500 RETRY_POLL");
+        attempt.onTimeout(now + 600, Timeout.RETRY_POLL);
+        connectionOpen = false;
+        attempt.onCallFailed(now + 700, CallFailure.CONNECTION_REFUSED);
+        assertThat(actions)
                 .last()
-                .isEqualTo("BROKEN " + (AttemptStateMachine.UNPOLLED_EXPIRY + 600 - 700));
+                .isEqualTo("CONNECTION_LOST " + (AttemptStateMachine.UNPOLLED_EXPIRY + 600 - 700));
     }
 
     @Test
     void anErrorIsProvenByADeleteWhereOthersWaitAndEndsAtOnceElsewhere() {
-        written();
-        life.onStatementReply(now, EngineReply.FAILED);
-        assertThat(acts).containsExactly("after 200 DUE", "delete");
-        life.onDeleteAcknowledged(now + 10);
-        assertThat(acts).last().isEqualTo("ERRORED 0");
-        life = new AttemptStateMachine(this, false);
-        written();
-        life.onStatementReply(now, EngineReply.FAILED);
-        assertThat(acts).containsExactly("ERRORED 0");
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.FAILED);
+        assertThat(actions).containsExactly("timer 200 ABANDON", "delete");
+        attempt.onDeleteAcknowledged(now + 10);
+        assertThat(actions).last().isEqualTo("FAILED 0");
+        attempt = new AttemptStateMachine(this, false);
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.FAILED);
+        assertThat(actions).containsExactly("FAILED 0");
     }
 
     @Test
     void answersThatCannotBeReadAreAskedForAgainButNotForEver() {
-        written();
-        life.onStatementReply(now, EngineReply.PROGRESS);
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.PROGRESS);
         for (int i = 0; i < 4; i++) {
-            life.onCallFailed(now + i, CallFailure.REPLY_UNREADABLE);
-            life.onTimeout(now + i, Timeout.RETRY_POLL);
+            attempt.onCallFailed(now + i, CallFailure.REPLY_UNREADABLE);
+            attempt.onTimeout(now + i, Timeout.RETRY_POLL);
         }
-        assertThat(acts).contains("ask fresh").doesNotContain("delete");
-        life.onCallFailed(now + 5, CallFailure.REPLY_UNREADABLE);
-        assertThat(acts).endsWith("after 200 DUE", "delete");
+        assertThat(actions).contains("poll on new connection").doesNotContain("delete");
+        attempt.onCallFailed(now + 5, CallFailure.REPLY_UNREADABLE);
+        assertThat(actions).endsWith("timer 200 ABANDON", "delete");
     }
 
     @Test
     void newConnectionsThatAreResetCostNothingAtFirst() {
-        life.start();
-        life.onStatementFailed(now, CallFailure.RESET_BEFORE_SEND);
-        life.onStatementFailed(now, CallFailure.RESET_BEFORE_SEND);
-        life.onStatementFailed(now, CallFailure.RESET_BEFORE_SEND);
-        assertThat(acts).containsExactly("post", "post", "post", "NO_CONNECTION 0");
+        attempt.start();
+        attempt.onStatementFailed(now, CallFailure.RESET_BEFORE_SEND);
+        attempt.onStatementFailed(now, CallFailure.RESET_BEFORE_SEND);
+        attempt.onStatementFailed(now, CallFailure.RESET_BEFORE_SEND);
+        assertThat(actions).containsExactly("send", "send", "send", "CONNECT_FAILED 0");
     }
 
     @Test
     void nothingIsToldAfterItsEnd() {
-        written();
-        life.onStatementReply(now, EngineReply.REFUSED);
-        life.onReply(now, EngineReply.LAST_PAGE);
-        life.abandon(now, AttemptOutcome.TIMED_OUT);
-        life.onTimeout(now, Timeout.ABANDON);
-        assertThat(acts).containsExactly("TURNED_AWAY 0");
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.REFUSED);
+        attempt.onReply(now, EngineReply.LAST_PAGE);
+        attempt.abandon(now, AttemptOutcome.TIMED_OUT);
+        attempt.onTimeout(now, Timeout.ABANDON);
+        assertThat(actions).containsExactly("REFUSED 0");
     }
 
     @Override
     public void sendStatement() {
-        acts.add("post");
+        actions.add("send");
     }
 
     @Override
-    public void poll(boolean fresh) {
-        acts.add("ask" + (fresh ? " fresh" : ""));
+    public void poll(boolean onNewConnection) {
+        actions.add("poll" + (onNewConnection ? " on new connection" : ""));
     }
 
     @Override
-    public void fetchPage(int page, boolean fresh) {
-        acts.add("fetch " + page);
+    public void fetchPage(int page, boolean onNewConnection) {
+        actions.add("fetch " + page);
     }
 
     @Override
-    public void sendDelete(boolean fresh) {
-        acts.add("delete");
+    public void sendDelete(boolean onNewConnection) {
+        actions.add("delete");
     }
 
     @Override
-    public void startTimer(long delay, Timeout alarm) {
-        acts.add("after " + delay + " " + alarm);
+    public void startTimer(long delay, Timeout timeout) {
+        actions.add("timer " + delay + " " + timeout);
     }
 
     @Override
     public boolean hasOpenConnection() {
-        return lives;
+        return connectionOpen;
     }
 
     @Override
     public boolean isResultAwaited() {
-        return awaited;
+        return resultAwaited;
     }
 
     @Override
     public long deadline() {
-        return limit;
+        return deadline;
     }
 
     @Override
     public void release() {
-        done++;
+        releases++;
     }
 
     @Override
-    public void reportEnd(AttemptOutcome how, long rest) {
-        acts.add(how + " " + rest);
+    public void reportEnd(AttemptOutcome outcome, long heldFor) {
+        actions.add(outcome + " " + heldFor);
     }
 }
--- a/src/test/java/firstage/lifecycle/ClientCallStateMachineTest.java
+++ b/src/test/java/firstage/lifecycle/ClientCallStateMachineTest.java
@@ -6,159 +6,177 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A client's call, story by story. */
+/** Single calls of clients, event by event: which actions each causes. */
 class ClientCallStateMachineTest implements ClientCallStateMachine.ClientCallActions {
-    private final List<String> acts = new ArrayList<>();
-    private final ClientCallStateMachine life = new ClientCallStateMachine(this);
+    private final List<String> actions = new ArrayList<>();
+    private final ClientCallStateMachine call = new ClientCallStateMachine(this);
 
     @Test
     void aQuickAnswerGoesOutOnTheFirstCall() {
-        life.start();
-        life.onAnswerAvailable();
-        life.onTimeout();
-        assertThat(acts).containsExactly("arm 2500", "give", "disarm", "forget");
+        call.start();
+        call.onAnswerAvailable();
+        call.onTimeout();
+        assertThat(actions).containsExactly("startTimer 2500", "respond", "stopTimer", "release");
     }
 
     @Test
     void aSlowOneGetsAPathAndIsKeptForACallThatIsMadeAgain() {
-        life.start();
-        life.onTimeout();
-        life.onPoll();
-        life.onAnswerAvailable();
-        life.onLastPollBroken();
-        life.onPoll();
-        life.onTimeout();
-        assertThat(acts)
+        call.start();
+        call.onTimeout();
+        call.onPoll();
+        call.onAnswerAvailable();
+        call.onLastPollBroken();
+        call.onPoll();
+        call.onTimeout();
+        assertThat(actions)
                 .containsExactly(
-                        "arm 2500",
-                        "path",
-                        "arm 500",
-                        "disarm",
-                        "give",
-                        "arm 20000",
-                        "give",
-                        "arm 20000",
-                        "forget");
+                        "startTimer 2500",
+                        "respondWithPollPath",
+                        "startTimer 500",
+                        "stopTimer",
+                        "respond",
+                        "startTimer 20000",
+                        "respond",
+                        "startTimer 20000",
+                        "release");
     }
 
     @Test
     void aClientThatClosesWithNoPathGivesUp() {
-        life.start();
-        life.onFirstCallBroken();
-        life.onAnswerAvailable();
-        assertThat(acts).containsExactly("arm 2500", "close", "disarm", "forget", "left");
+        call.start();
+        call.onFirstCallBroken();
+        call.onAnswerAvailable();
+        assertThat(actions)
+                .containsExactly(
+                        "startTimer 2500",
+                        "closeHeldCalls",
+                        "stopTimer",
+                        "release",
+                        "markClientGone");
     }
 
     @Test
     void aPathThatNobodyAsksAtIsGivenUpAndAnAnswerThatIsThereIsNot() {
-        life.start();
-        life.onTimeout();
-        life.onTimeout();
-        assertThat(acts).containsExactly("arm 2500", "path", "arm 500", "arm 19500", "away");
-        life.onTimeout();
-        assertThat(acts).endsWith("forget", "left");
-        acts.clear();
+        call.start();
+        call.onTimeout();
+        call.onTimeout();
+        assertThat(actions)
+                .containsExactly(
+                        "startTimer 2500",
+                        "respondWithPollPath",
+                        "startTimer 500",
+                        "startTimer 19500",
+                        "markClientAbsent");
+        call.onTimeout();
+        assertThat(actions).endsWith("release", "markClientGone");
+        actions.clear();
         ClientCallStateMachine other = new ClientCallStateMachine(this);
         other.start();
         other.onTimeout();
         other.onAnswerAvailable();
         assertThat(other.isSettled()).isFalse();
         other.onTimeout();
-        assertThat(acts).endsWith("forget").doesNotContain("left", "give");
+        assertThat(actions).endsWith("release").doesNotContain("markClientGone", "respond");
     }
 
     @Test
     void aCallAtThePathThatBreaksMayBeMadeAgain() {
-        life.start();
-        life.onTimeout();
-        life.onPoll();
-        life.onLastPollBroken();
-        life.onPoll();
-        life.onAnswerAvailable();
-        assertThat(acts).contains("give").doesNotContain("left");
+        call.start();
+        call.onTimeout();
+        call.onPoll();
+        call.onLastPollBroken();
+        call.onPoll();
+        call.onAnswerAvailable();
+        assertThat(actions).contains("respond").doesNotContain("markClientGone");
     }
 
     @Test
     void aClientThatDoesNotCallAgainIsAwayAndOneThatDoesIsBack() {
-        life.start();
-        life.onTimeout();
-        life.onPoll();
-        acts.clear();
-        life.onLastPollBroken();
-        life.onPoll();
-        assertThat(acts).containsExactly("arm 20000", "away", "disarm", "back");
-        life.onLastPollBroken();
-        life.onAnswerAvailable();
-        life.onPoll();
-        assertThat(acts).endsWith("away", "arm 20000", "give", "arm 20000").doesNotContain("left");
+        call.start();
+        call.onTimeout();
+        call.onPoll();
+        actions.clear();
+        call.onLastPollBroken();
+        call.onPoll();
+        assertThat(actions)
+                .containsExactly(
+                        "startTimer 20000", "markClientAbsent", "stopTimer", "markClientPresent");
+        call.onLastPollBroken();
+        call.onAnswerAvailable();
+        call.onPoll();
+        assertThat(actions)
+                .endsWith("markClientAbsent", "startTimer 20000", "respond", "startTimer 20000")
+                .doesNotContain("markClientGone");
     }
 
     @Test
     void aClientThatIsAwayAndGivesUpIsOwedNothing() {
-        life.start();
-        life.onTimeout();
-        life.onTimeout();
-        life.onClientCancelled();
-        assertThat(acts).endsWith("away", "disarm", "forget", "left");
+        call.start();
+        call.onTimeout();
+        call.onTimeout();
+        call.onClientCancelled();
+        assertThat(actions).endsWith("markClientAbsent", "stopTimer", "release", "markClientGone");
     }
 
     @Test
     void aClientThatGivesUpIsOwedNothingMore() {
-        life.start();
-        life.onTimeout();
-        life.onPoll();
-        life.onClientCancelled();
-        life.onAnswerAvailable();
-        assertThat(acts).endsWith("fail", "forget", "left").doesNotContain("give");
+        call.start();
+        call.onTimeout();
+        call.onPoll();
+        call.onClientCancelled();
+        call.onAnswerAvailable();
+        assertThat(actions)
+                .endsWith("failHeldCalls", "release", "markClientGone")
+                .doesNotContain("respond");
     }
 
     @Override
     public void respondWithPollPath() {
-        acts.add("path");
+        actions.add("respondWithPollPath");
     }
 
     @Override
     public void respond() {
-        acts.add("give");
+        actions.add("respond");
     }
 
     @Override
     public void startTimer(long delay) {
-        acts.add("arm " + delay);
+        actions.add("startTimer " + delay);
     }
 
     @Override
     public void stopTimer() {
-        acts.add("disarm");
+        actions.add("stopTimer");
     }
 
     @Override
     public void failHeldCalls() {
-        acts.add("fail");
+        actions.add("failHeldCalls");
     }
 
     @Override
     public void closeHeldCalls() {
-        acts.add("close");
+        actions.add("closeHeldCalls");
     }
 
     @Override
     public void markClientAbsent() {
-        acts.add("away");
+        actions.add("markClientAbsent");
     }
 
     @Override
     public void markClientPresent() {
-        acts.add("back");
+        actions.add("markClientPresent");
     }
 
     @Override
     public void markClientGone() {
-        acts.add("left");
+        actions.add("markClientGone");
     }
 
     @Override
     public void release() {
-        acts.add("forget");
+        actions.add("release");
     }
 }
--- a/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
+++ b/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
@@ -6,65 +6,67 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the watch finds, and the order of taking that it watches. */
+/** Violations that the monitor reports, and the sequence of arrivals that it relies on. */
 class KeyOrderMonitorTest {
-    private final KeyOrderMonitor watch = new KeyOrderMonitor();
+    private final KeyOrderMonitor monitor = new KeyOrderMonitor();
 
     @Test
     void oneAtATimeAndInTurnIsFine() {
-        watch.onRequest("k", "a");
-        watch.onRequest("k", "b");
-        assertThat(watch.onAttemptStarted(0, "k", "a")).isTrue();
-        watch.onAttemptEnded(10, "k", "a", 0);
-        assertThat(watch.onAttemptStarted(11, "k", "a")).as("another try of its own").isTrue();
-        watch.onAttemptEnded(20, "k", "a", 0);
-        watch.onRequestEnded("k", "a");
-        assertThat(watch.onAttemptStarted(21, "k", "b")).isTrue();
+        monitor.onRequest("k", "a");
+        monitor.onRequest("k", "b");
+        assertThat(monitor.onAttemptStarted(0, "k", "a")).isTrue();
+        monitor.onAttemptEnded(10, "k", "a", 0);
+        assertThat(monitor.onAttemptStarted(11, "k", "a"))
+                .as("a retry of the same request")
+                .isTrue();
+        monitor.onAttemptEnded(20, "k", "a", 0);
+        monitor.onRequestEnded("k", "a");
+        assertThat(monitor.onAttemptStarted(21, "k", "b")).isTrue();
     }
 
     @Test
     void outOfTurnBesideAnotherOrWhileOneMayBeHeldIsFound() {
-        watch.onRequest("k", "a");
-        watch.onRequest("k", "b");
-        assertThat(watch.onAttemptStarted(0, "k", "b")).as("out of turn").isFalse();
-        watch.onAttemptEnded(1, "k", "b", 0);
-        watch.onRequestEnded("k", "a");
-        assertThat(watch.onAttemptStarted(2, "k", "b")).isTrue();
-        watch.onAttemptEnded(3, "k", "b", 100);
-        watch.onRequestEnded("k", "b");
-        watch.onRequest("k", "c");
-        assertThat(watch.onAttemptStarted(50, "k", "c"))
-                .as("its engine may hold the one before")
+        monitor.onRequest("k", "a");
+        monitor.onRequest("k", "b");
+        assertThat(monitor.onAttemptStarted(0, "k", "b")).as("out of turn").isFalse();
+        monitor.onAttemptEnded(1, "k", "b", 0);
+        monitor.onRequestEnded("k", "a");
+        assertThat(monitor.onAttemptStarted(2, "k", "b")).isTrue();
+        monitor.onAttemptEnded(3, "k", "b", 100);
+        monitor.onRequestEnded("k", "b");
+        monitor.onRequest("k", "c");
+        assertThat(monitor.onAttemptStarted(50, "k", "c"))
+                .as("the engine may still hold the request before")
                 .isFalse();
-        watch.onAttemptEnded(51, "k", "c", 0);
-        assertThat(watch.onAttemptStarted(103, "k", "c")).isTrue();
-        watch.onRequest("k", "d");
-        assertThat(watch.onAttemptStarted(104, "k", "d")).as("beside another").isFalse();
+        monitor.onAttemptEnded(51, "k", "c", 0);
+        assertThat(monitor.onAttemptStarted(103, "k", "c")).isTrue();
+        monitor.onRequest("k", "d");
+        assertThat(monitor.onAttemptStarted(104, "k", "d")).as("beside another").isFalse();
     }
 
     @Test
     void ofTwoThatCameBeforeABarrierOnlyTheFirstIsToldAsKnown() {
-        List<String> told = new ArrayList<>();
-        ArrivalSequencer<String> order =
+        List<String> effects = new ArrayList<>();
+        ArrivalSequencer<String> sequencer =
                 new ArrivalSequencer<>(
                         new ArrivalSequencer.ArrivalActions<>() {
                             @Override
                             public void requestReadBarrier(Object key) {
-                                told.add("barrier " + key);
+                                effects.add("barrier " + key);
                             }
 
                             @Override
-                            public void deliver(String batch, boolean turnKnown) {
-                                told.add(batch + " " + turnKnown);
+                            public void deliver(String request, boolean orderKnown) {
+                                effects.add(request + " " + orderKnown);
                             }
                         });
-        order.onRequestRead("free", null);
-        order.onRequestRead("a", "k");
-        order.onRequestRead("b", "k");
-        order.onReadBarrierPassed("k");
-        order.onRequestRead("c", "k");
-        assertThat(told)
+        sequencer.onRequestRead("free", null);
+        sequencer.onRequestRead("a", "k");
+        sequencer.onRequestRead("b", "k");
+        sequencer.onReadBarrierPassed("k");
+        sequencer.onRequestRead("c", "k");
+        assertThat(effects)
                 .containsExactly("free true", "barrier k", "b false", "a true", "barrier k");
-        assertThat(order.undelivered()).isEqualTo(1);
+        assertThat(sequencer.undelivered()).isEqualTo(1);
     }
 }
