--- /dev/null
+++ b/src/main/java/firstage/server/PeerFleetControl.java
@@ -0,0 +1,135 @@
+package firstage.server;
+
+import firstage.config.ManagerConfig;
+import firstage.config.PeerConfig;
+import firstage.policy.api.EndpointUpdate;
+import firstage.policy.api.SchedulingPolicy;
+import firstage.server.ServerEvents.DiscoveredEndpoint;
+import firstage.server.membership.MembershipTransport;
+import java.io.IOException;
+import java.util.List;
+import org.xnio.XnioIoThread;
+import org.xnio.XnioWorker;
+
+/**
+ * Stands between the membership protocol and the scheduler: reports the scheduler's view of the
+ * engines to the fleet ten times a second, and hands the fleet's quota, probe ownership and
+ * shedding threshold to the scheduler. Owned by the I/O thread.
+ */
+final class PeerFleetControl implements FleetControl {
+    private static final long REPORT_PERIOD_MS = 100;
+
+    private final TickClock clock;
+    private final Counters counters;
+    private final SchedulerLoop loop;
+    private final EngineDirectory directory;
+    private final MembershipTransport membership;
+    private double quotaShare;
+
+    PeerFleetControl(
+            PeerConfig peers,
+            ManagerConfig config,
+            XnioIoThread io,
+            TickClock clock,
+            Counters counters,
+            SchedulerLoop loop,
+            EngineDirectory directory) {
+        this.clock = clock;
+        this.counters = counters;
+        this.loop = loop;
+        this.directory = directory;
+        membership =
+                new MembershipTransport(
+                        peers,
+                        config,
+                        System.currentTimeMillis(),
+                        io,
+                        clock,
+                        counters,
+                        this::onProbeOwnership,
+                        this::onSheddingThreshold,
+                        released -> directory.update(EndpointUpdate.Kind.DELTA, released, this));
+        quotaShare = 1.0 / config.deployment().managers();
+    }
+
+    @Override
+    public void listen(XnioWorker worker) throws IOException {
+        membership.listen(worker);
+    }
+
+    @Override
+    public void start() {
+        membership.start();
+        reportToFleet();
+    }
+
+    @Override
+    public void leave() {
+        membership.leave();
+    }
+
+    @Override
+    public void close() {
+        membership.close();
+    }
+
+    @Override
+    public long recentPause() {
+        return membership.stoodStill();
+    }
+
+    @Override
+    public void updateQuotaShare() {
+        if (membership.share() != quotaShare) {
+            quotaShare = membership.share();
+            loop.scheduler().onQuotaChanged(clock.now(), quotaShare);
+        }
+    }
+
+    @Override
+    public List<DiscoveredEndpoint> served(
+            EndpointUpdate.Kind kind, List<DiscoveredEndpoint> endpoints) {
+        return membership.served(kind, endpoints);
+    }
+
+    @Override
+    public double warmUpShare(DiscoveredEndpoint endpoint) {
+        return membership.coldPart(endpoint);
+    }
+
+    @Override
+    public void onEngineReleased(long engineId) {
+        membership.together().forget(engineId);
+    }
+
+    private void onProbeOwnership(long engineId, boolean away, boolean restIsOver) {
+        counters.count(away ? "engines left to others" : "engines taken back");
+        int engine = directory.find(engineId);
+        if (engine >= 0) {
+            loop.dispatch(
+                    "away",
+                    scheduler -> scheduler.onProbeOwnership(clock.now(), engine, away, restIsOver));
+        }
+    }
+
+    private void onSheddingThreshold(long now, int band, double part) {
+        loop.dispatch("cut", scheduler -> scheduler.onSheddingThreshold(now, band, part));
+    }
+
+    private void reportToFleet() {
+        SchedulingPolicy scheduler = loop.scheduler();
+        directory.forEach(
+                engine ->
+                        membership
+                                .together()
+                                .holds(
+                                        clock.now(),
+                                        directory.zone(engine),
+                                        directory.id(engine),
+                                        scheduler.isUnavailable(engine),
+                                        scheduler.lastAttemptAt(engine),
+                                        scheduler.lastResponseAt(engine)));
+        membership.together().look(clock.now(), scheduler.demand(clock.now()));
+        loop.runLater(REPORT_PERIOD_MS, this::reportToFleet);
+    }
+}
--- /dev/null
+++ b/src/main/java/firstage/server/RequestEventHandler.java
@@ -0,0 +1,193 @@
+package firstage.server;
+
+import firstage.lifecycle.ArrivalSequencer;
+import firstage.policy.api.AttemptOutcome;
+import firstage.policy.api.AttemptProgress;
+import firstage.policy.api.AttemptResult;
+import firstage.policy.api.IncomingRequest;
+import firstage.policy.api.LoadReport;
+import java.util.List;
+
+/**
+ * Events of requests on their way to the scheduler: arrivals, in the order in which they came as
+ * far as it is known, clients that leave, deadlines, progress and ends of attempts. Answers go out
+ * where no decision is needed: a result that came, a deadline that passed. Owned by the I/O thread.
+ */
+final class RequestEventHandler
+        implements ArrivalSequencer.ArrivalActions<RequestEventHandler.UnsequencedRequest> {
+    /** After a client's deadline; its answer must be there 50 ms after it. */
+    private static final long DEADLINE_GRACE_MS = 35;
+
+    /** A request that was read and is not with the scheduler yet. */
+    record UnsequencedRequest(
+            RequestExchange exchange,
+            int trafficClass,
+            int tenant,
+            long estimate,
+            int memoryMb,
+            int tableGroup) {}
+
+    private final TickClock clock;
+    private final ReadBarrier barrier;
+    private final SchedulerLoop loop;
+    private final RequestRegistry requests;
+    private final ArrivalSequencer<UnsequencedRequest> arrivals = new ArrivalSequencer<>(this);
+
+    RequestEventHandler(
+            TickClock clock, ReadBarrier barrier, SchedulerLoop loop, RequestRegistry requests) {
+        this.clock = clock;
+        this.barrier = barrier;
+        this.loop = loop;
+        this.requests = requests;
+    }
+
+    /** Requests that were read and are not with the scheduler yet. */
+    int undelivered() {
+        return arrivals.undelivered();
+    }
+
+    /** A request was read whole. */
+    void onRequest(UnsequencedRequest request) {
+        RequestExchange exchange = request.exchange;
+        requests.onAccepted(exchange);
+        exchange.deadlineTimer =
+                loop.runLater(
+                        Math.max(0, (exchange.deadline - clock.now()) / 10),
+                        () -> onDeadline(exchange));
+        arrivals.onRequestRead(request, exchange.orderingKey);
+    }
+
+    @Override
+    public void requestReadBarrier(Object key) {
+        barrier.runAfterPendingReads(() -> arrivals.onReadBarrierPassed(key));
+    }
+
+    @Override
+    public void deliver(UnsequencedRequest request, boolean orderKnown) {
+        RequestExchange exchange = request.exchange;
+        if (exchange.isSettled()) {
+            // The client left, or its deadline passed, before the scheduler knew of it.
+            exchange.deadlineTimer.remove();
+            loop.scheduleEvaluation();
+            return;
+        }
+        requests.onSequenced(exchange, orderKnown);
+        loop.dispatch(
+                "taken",
+                scheduler ->
+                        scheduler.onRequest(
+                                clock.now(),
+                                new IncomingRequest(
+                                        exchange.requestIndex,
+                                        request.trafficClass,
+                                        request.tenant,
+                                        requests.keyIndex(exchange.orderingKey),
+                                        exchange.deadline,
+                                        request.estimate,
+                                        request.memoryMb,
+                                        request.tableGroup,
+                                        false,
+                                        !orderKnown)));
+        if (exchange.clientAbsent) {
+            onClientPresence(exchange, true);
+        }
+    }
+
+    private void onDeadline(RequestExchange exchange) {
+        exchange.abandonAttempts(AttemptOutcome.TIMED_OUT);
+        // Neither an exception in the scheduler nor an engine that hears of no DELETE may keep a
+        // client's answer back.
+        loop.runLater(
+                DEADLINE_GRACE_MS,
+                () -> {
+                    if (exchange.fail()) {
+                        requests.onRequestEnded(RequestRegistry.End.FAILED_AT_DEADLINE, exchange);
+                        reportClientGone("overdue", exchange);
+                    }
+                });
+    }
+
+    /** The client left, or gave up. */
+    void onClientGone(RequestExchange exchange) {
+        if (exchange.isSettled()) {
+            return;
+        }
+        exchange.clientGone();
+        exchange.clientDisconnected(clock.now());
+        requests.onRequestEnded(RequestRegistry.End.CLIENT_GONE, exchange);
+        reportClientGone("left", exchange);
+        exchange.abandonAttempts(AttemptOutcome.CANCELLED);
+    }
+
+    /** The client is not there to be answered, and may be gone; or it polls again. */
+    void onClientPresence(RequestExchange exchange, boolean absent) {
+        exchange.clientAbsent = absent;
+        if (exchange.requestIndex >= 0 && !exchange.isSettled()) {
+            loop.dispatch(
+                    "away",
+                    scheduler ->
+                            scheduler.onClientPresence(clock.now(), exchange.requestIndex, absent));
+        }
+    }
+
+    /** The scheduler hears only of requests that were delivered to it. */
+    private void reportClientGone(String event, RequestExchange exchange) {
+        if (exchange.requestIndex >= 0) {
+            loop.dispatch(
+                    event, scheduler -> scheduler.onClientGone(clock.now(), exchange.requestIndex));
+        }
+    }
+
+    /** An engine reported progress. */
+    void onAttemptProgress(
+            RequestExchange exchange,
+            RequestExchange.AttemptHandle attempt,
+            AttemptProgress.Kind kind,
+            double amount) {
+        loop.dispatch(
+                "noted",
+                scheduler ->
+                        scheduler.onAttemptProgress(
+                                clock.now(),
+                                new AttemptProgress(
+                                        exchange.requestIndex,
+                                        attempt.number(),
+                                        attempt.engine(),
+                                        kind,
+                                        amount)));
+    }
+
+    /** An attempt ended; a result goes to its client at once. */
+    void onAttemptEnded(
+            RequestExchange exchange,
+            RequestExchange.AttemptHandle attempt,
+            AttemptOutcome outcome,
+            long duration,
+            LoadReport report,
+            List<byte[]> pages,
+            long heldFor) {
+        requests.onAttemptEnded(exchange, attempt, outcome, heldFor);
+        if (outcome == AttemptOutcome.SUCCEEDED && exchange.succeed(pages)) {
+            requests.onRequestEnded(RequestRegistry.End.SUCCEEDED, exchange);
+        }
+        loop.dispatch(
+                "ended",
+                scheduler ->
+                        scheduler.onAttemptResult(
+                                clock.now(),
+                                new AttemptResult(
+                                        exchange.requestIndex,
+                                        attempt.number(),
+                                        attempt.engine(),
+                                        outcome,
+                                        duration,
+                                        0,
+                                        0,
+                                        exchange.isSettled(),
+                                        report,
+                                        heldFor)));
+        if (outcome == AttemptOutcome.SUCCEEDED) {
+            exchange.abandonAttempts(AttemptOutcome.CANCELLED);
+        }
+    }
+}
--- a/src/main/java/firstage/server/RequestExchange.java
+++ b/src/main/java/firstage/server/RequestExchange.java
@@ -78,6 +78,13 @@
         this.response = response;
     }
 
+    /** Abandons all attempts in flight; each ends with this outcome. */
+    public void abandonAttempts(AttemptOutcome outcome) {
+        for (AttemptHandle attempt : List.copyOf(attemptsInFlight)) {
+            attempt.abandon(outcome);
+        }
+    }
+
     /** Whether the client has its answer or is owed none. */
     public boolean isSettled() {
         return settled;
