--- a/src/main/java/firstage/server/EngineDirectory.java
+++ b/src/main/java/firstage/server/EngineDirectory.java
@@ -33,12 +33,12 @@
 
     /** The index of the engine with this id; -1 where it has none. */
     int find(long id) {
-        return ids.find(id);
+        return ids.findIndex(id);
     }
 
     /** The id of the engine with this index. */
     long id(int engine) {
-        return ids.id(engine);
+        return ids.idOf(engine);
     }
 
     /** The zone of an engine, -1 where it is unknown. */
@@ -59,7 +59,7 @@
     void update(EndpointUpdate.Kind kind, List<DiscoveredEndpoint> endpoints, FleetControl fleet) {
         List<EndpointUpdate.Endpoint> updated = new ArrayList<>();
         for (DiscoveredEndpoint endpoint : endpoints) {
-            int index = ids.of(endpoint.id());
+            int index = ids.indexFor(endpoint.id());
             zoneByEngine.put(index, endpoint.zone());
             engines.updateEndpoint(index, endpoint);
             updated.add(
--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -114,7 +114,7 @@
                     clientHandler.accept();
                     maintain();
                 });
-        LOG.info(() -> config.name() + " listens on " + config.listen());
+        LOG.info(() -> config.name() + " listens on " + config.listenAddress());
     }
 
     /** A new configuration (SIGHUP): only its coordinator is taken over. From any thread. */
@@ -122,7 +122,7 @@
         io.execute(
                 () -> {
                     counters.count("configurations read anew");
-                    LOG.info(() -> "the coordinator is at " + newConfig.coordinator());
+                    LOG.info(() -> "the coordinator is at " + newConfig.coordinatorAddress());
                     endpointWatcher.follow(newConfig);
                 });
     }
@@ -134,7 +134,7 @@
     public void shutDown() {
         // Counted from the signal: a thread that is stalled just then has the less time left.
         long signalledAt = clock.now();
-        io.execute(() -> shutdown.begin(fleet, signalledAt + config.endsWithin()));
+        io.execute(() -> shutdown.begin(fleet, signalledAt + config.shutdownTimeout()));
     }
 
     private void closeAll() {
--- a/src/main/java/firstage/server/RequestRegistry.java
+++ b/src/main/java/firstage/server/RequestRegistry.java
@@ -53,12 +53,12 @@
 
     /** The request with this index. */
     RequestExchange find(int request) {
-        return requestIds.id(request);
+        return requestIds.idOf(request);
     }
 
     /** The index of an ordering key; -1 where the request has none. */
     int keyIndex(String orderingKey) {
-        return orderingKey == null ? -1 : keyIds.of(orderingKey);
+        return orderingKey == null ? -1 : keyIds.indexFor(orderingKey);
     }
 
     /** The request was read whole. */
@@ -73,7 +73,7 @@
         if (!orderKnown) {
             counters.count("batches whose turn can't be told");
         }
-        exchange.requestIndex = requestIds.of(exchange);
+        exchange.requestIndex = requestIds.indexFor(exchange);
         record(EventType.SCHEDULED, exchange, orderKnown ? 1 : 0, 0);
         if (exchange.orderingKey != null && orderKnown) {
             keyOrder.onRequest(exchange.orderingKey, exchange.id);
@@ -119,7 +119,7 @@
 
     /** The scheduler knows the request no more: its index may serve again. */
     void releaseRequest(int request) {
-        RequestExchange exchange = requestIds.id(request);
+        RequestExchange exchange = requestIds.idOf(request);
         counters.checkInvariant(
                 exchange.isSettled() && exchange.attemptsInFlight.isEmpty(),
                 "a batch that is forgotten has its answer and nothing out");
--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -137,18 +137,18 @@
         this.clock = clock;
         this.counters = counters;
         this.events = events;
-        this.listenAddress = config.listen();
-        maxConnections = config.clientConnections();
-        maxKeptBytes = config.clientBytes();
+        this.listenAddress = config.listenAddress();
+        maxConnections = config.maxClientConnections();
+        maxKeptBytes = config.maxClientBytes();
         connections = new ClientConnections(io, counters, maxConnections);
         WireFields settings = config.settings();
-        for (int i = 0; i < settings.index("classes.count", 0); i++) {
-            trafficClasses.add(settings.text("classes." + i + ".name", ""));
-            double deadlineMs = settings.number("classes." + i + ".deadline", 0) * 1_000;
+        for (int i = 0; i < settings.getInt("classes.count", 0); i++) {
+            trafficClasses.add(settings.getString("classes." + i + ".name", ""));
+            double deadlineMs = settings.getDouble("classes." + i + ".deadline", 0) * 1_000;
             deadlinesMs.add(deadlineMs > 0 ? deadlineMs : MAX_ESTIMATE);
         }
-        for (int i = 0; i < settings.index("tenants.count", 0); i++) {
-            tenants.add(settings.text("tenants." + i + ".name", ""));
+        for (int i = 0; i < settings.getInt("tenants.count", 0); i++) {
+            tenants.add(settings.getString("tenants." + i + ".name", ""));
         }
     }
 
--- a/src/main/java/firstage/server/discovery/EndpointParser.java
+++ b/src/main/java/firstage/server/discovery/EndpointParser.java
@@ -25,8 +25,8 @@
 
     EndpointParser(TickClock clock, WireFields settings) {
         this.clock = clock;
-        zones = Arrays.asList(settings.text("areas", "").split(","));
-        machineTypes = Arrays.asList(settings.text("kinds", "").split(","));
+        zones = Arrays.asList(settings.getString("areas", "").split(","));
+        machineTypes = Arrays.asList(settings.getString("kinds", "").split(","));
     }
 
     List<DiscoveredEndpoint> parse(ByteBuffer payload) throws IOException {
@@ -70,21 +70,22 @@
         for (Object instance : instances) {
             WireFields fields = new WireFields((Map<?, ?>) instance);
             Lifecycle lifecycle =
-                    switch (fields.text("lifecycle", "Ready")) {
+                    switch (fields.getString("lifecycle", "Ready")) {
                         case "Ready" -> Lifecycle.ACTIVE;
                         case "Terminating" -> Lifecycle.DRAINING;
                         default -> Lifecycle.GONE;
                     };
             endpoints.add(
                     new DiscoveredEndpoint(
-                            parseEngineId(fields.need("instanceId")),
-                            ManagerConfig.address(fields.need("hostPort")),
-                            zones.indexOf(WireFields.plain(fields.text("zone", ""))),
-                            machineTypes.indexOf(WireFields.plain(fields.text("machineType", ""))),
-                            fields.index("cell", 0),
+                            parseEngineId(fields.require("instanceId")),
+                            ManagerConfig.parseAddress(fields.require("hostPort")),
+                            zones.indexOf(WireFields.escapeCommas(fields.getString("zone", ""))),
+                            machineTypes.indexOf(
+                                    WireFields.escapeCommas(fields.getString("machineType", ""))),
+                            fields.getInt("cell", 0),
                             lifecycle,
-                            fields.number("weight", 1),
-                            clock.fromUnixMillis(fields.whole("startedAtMs", 0))));
+                            fields.getDouble("weight", 1),
+                            clock.fromUnixMillis(fields.getLong("startedAtMs", 0))));
         }
         return endpoints;
     }
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -108,12 +108,12 @@
         configuredAt = clock.now();
         dataReceived = false;
         try {
-            if (config.known().get("updates") instanceof List<?> updates) {
+            if (config.initialEndpoints().get("updates") instanceof List<?> updates) {
                 for (Object update : updates) {
                     applyKnownUpdate((Map<?, ?>) update);
                 }
             }
-            Object index = config.known().get("index");
+            Object index = config.initialEndpoints().get("index");
             lastEventNumber =
                     Math.max(
                             lastEventNumber,
@@ -126,7 +126,7 @@
         if (coordinator == null) {
             io.executeAfter(this::confirm, CONFIRM_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
-        coordinator = config.coordinator();
+        coordinator = config.coordinatorAddress();
         closeConnection();
         connect();
     }
--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -50,11 +50,11 @@
         this.clock = clock;
         this.counters = counters;
         this.events = events;
-        connectTimeoutMs = Math.max(1, config.settings().time("limits.connect_timeout") / 10);
+        connectTimeoutMs = Math.max(1, config.settings().getTicks("limits.connect_timeout") / 10);
         probeTimeoutMs = connectTimeoutMs;
-        long keepAlive = config.settings().time("limits.keepalive");
+        long keepAlive = config.settings().getTicks("limits.keepalive");
         maxIdle = (keepAlive > 0 ? keepAlive : DEFAULT_KEEP_ALIVE) / 2;
-        connectionLimit = config.engineConnections();
+        connectionLimit = config.maxEngineConnections();
     }
 
     boolean atConnectionLimit() {
