--- a/src/main/java/firstage/server/client/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -1,11 +1,13 @@
 package firstage.server.client;
 
 import firstage.lifecycle.ClientCallStateMachine;
+import firstage.server.Counters;
 import firstage.server.RequestExchange;
+import firstage.server.ServerEvents;
+import firstage.server.TickClock;
 import io.undertow.connector.PooledByteBuffer;
 import io.undertow.server.AbstractServerConnection;
 import io.undertow.server.HttpServerExchange;
-import io.undertow.util.HttpString;
 import io.undertow.util.Methods;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -15,6 +17,7 @@
 import java.util.concurrent.TimeUnit;
 import org.xnio.IoUtils;
 import org.xnio.XnioExecutor;
+import org.xnio.XnioIoThread;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
@@ -23,7 +26,6 @@
  */
 final class PendingCall
         implements RequestExchange.ResponseActions, ClientCallStateMachine.ClientCallActions {
-    static final HttpString RETRY_AFTER_MS_HEADER = new HttpString("X-Wait-Ms");
     private static final byte[] FAILED_BODY =
             "{\"err\":\"Failed\"}\n".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] BUSY_BODY =
@@ -31,7 +33,12 @@
 
     private record Answer(int status, long retryAfter, ByteBuffer body) {}
 
-    private final ClientHandler handler;
+    private final XnioIoThread io;
+    private final TickClock clock;
+    private final Counters counters;
+    private final ServerEvents events;
+    private final ClientResponses responses;
+    private final PendingCalls pendingCalls;
     private final String id;
     private final String path;
     private final ClientCallStateMachine stateMachine = new ClientCallStateMachine(this);
@@ -44,8 +51,21 @@
     private boolean answerSent;
     private XnioExecutor.Key timer;
 
-    PendingCall(ClientHandler handler, String id, String path) {
-        this.handler = handler;
+    PendingCall(
+            XnioIoThread io,
+            TickClock clock,
+            Counters counters,
+            ServerEvents events,
+            ClientResponses responses,
+            PendingCalls pendingCalls,
+            String id,
+            String path) {
+        this.io = io;
+        this.clock = clock;
+        this.counters = counters;
+        this.events = events;
+        this.responses = responses;
+        this.pendingCalls = pendingCalls;
         this.id = id;
         this.path = path;
     }
@@ -121,7 +141,7 @@
                     onConnectionBroken(this);
                 } else if (bytesRead > 0) {
                     // The next call before the answer to this one: that is no client of ours.
-                    handler.refuseAndClose(release(), 400, "one call at a time");
+                    responses.refuseAndClose(release(), 400, "one call at a time");
                     stateMachine.onClientCancelled();
                 }
             } catch (IOException exception) {
@@ -133,12 +153,12 @@
     private void onConnectionBroken(HeldCall call) {
         call.close();
         if (heldCalls.isEmpty()) {
-            request.clientDisconnected(handler.now());
+            request.clientDisconnected(clock.now());
         }
         if (!call.isPoll()) {
             stateMachine.onFirstCallBroken();
         } else if (heldCalls.isEmpty()) {
-            handler.counters.count("held calls broken");
+            counters.count("held calls broken");
             stateMachine.onLastPollBroken();
         }
     }
@@ -147,8 +167,8 @@
     @Override
     public void respondWithPollPath() {
         HttpServerExchange exchange = heldCalls.get(0).release();
-        request.clientDisconnected(handler.now());
-        handler.send(
+        request.clientDisconnected(clock.now());
+        responses.send(
                 exchange,
                 ByteBuffer.wrap(
                         ("{\"poll\":\"" + path + "\"}").getBytes(StandardCharsets.US_ASCII)));
@@ -158,9 +178,9 @@
     public void respond() {
         if (!answerSent) {
             answerSent = true;
-            handler.onAnswerSent(this);
+            pendingCalls.onAnswerSent(this);
         }
-        answerHeldCalls(answer, !handler.closing());
+        answerHeldCalls(answer, !responses.isClosing());
     }
 
     private void answerHeldCalls(Answer response, boolean keepAlive) {
@@ -168,18 +188,18 @@
             HttpServerExchange exchange = call.release();
             if (response.retryAfter() > 0) {
                 exchange.getResponseHeaders()
-                        .put(RETRY_AFTER_MS_HEADER, response.retryAfter() / 10);
+                        .put(ClientProtocol.RETRY_AFTER_MS, response.retryAfter() / 10);
             }
             exchange.setStatusCode(response.status());
             exchange.setPersistent(exchange.isPersistent() && keepAlive);
-            handler.send(exchange, response.body().duplicate());
+            responses.send(exchange, response.body().duplicate());
         }
     }
 
     @Override
     public void startTimer(long delay) {
         stopTimer();
-        timer = handler.io.executeAfter(stateMachine::onTimeout, delay / 10, TimeUnit.MILLISECONDS);
+        timer = io.executeAfter(stateMachine::onTimeout, delay / 10, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -202,24 +222,24 @@
 
     @Override
     public void markClientAbsent() {
-        handler.counters.count("clients away");
-        handler.events.onClientPresence(request, true);
+        counters.count("clients away");
+        events.onClientPresence(request, true);
     }
 
     @Override
     public void markClientPresent() {
-        handler.counters.count("clients back");
-        handler.events.onClientPresence(request, false);
+        counters.count("clients back");
+        events.onClientPresence(request, false);
     }
 
     @Override
     public void markClientGone() {
-        handler.events.onClientGone(request);
+        events.onClientGone(request);
     }
 
     @Override
     public void release() {
-        handler.releaseCall(this, answerSent);
+        pendingCalls.release(this, answerSent);
     }
 
     // ---- The batch's answer.
@@ -240,7 +260,7 @@
 
     private void answer(Answer newAnswer) {
         answer = newAnswer;
-        handler.addKeptBytes(newAnswer.body.remaining());
+        pendingCalls.addKeptBytes(newAnswer.body.remaining());
         stateMachine.onAnswerAvailable();
     }
 }
--- /dev/null
+++ b/src/main/java/firstage/server/client/TrafficClasses.java
@@ -0,0 +1,39 @@
+package firstage.server.client;
+
+import firstage.config.WireFields;
+import java.util.ArrayList;
+import java.util.List;
+
+/** The traffic classes and tenants of the settings, by name. */
+final class TrafficClasses {
+    private final List<String> names = new ArrayList<>();
+    private final List<Double> deadlinesMs = new ArrayList<>();
+    private final List<String> tenants = new ArrayList<>();
+
+    /** {@code noDeadlineMs} stands for the deadline of a class that has none. */
+    TrafficClasses(WireFields settings, double noDeadlineMs) {
+        for (int i = 0; i < settings.getInt("classes.count", 0); i++) {
+            names.add(settings.getString("classes." + i + ".name", ""));
+            double deadlineMs = settings.getDouble("classes." + i + ".deadline", 0) * 1_000;
+            deadlinesMs.add(deadlineMs > 0 ? deadlineMs : noDeadlineMs);
+        }
+        for (int i = 0; i < settings.getInt("tenants.count", 0); i++) {
+            tenants.add(settings.getString("tenants." + i + ".name", ""));
+        }
+    }
+
+    /** The index of a class; -1 where it is unknown. */
+    int indexOf(String name) {
+        return names.indexOf(name);
+    }
+
+    /** The deadline of a class, in ms from arrival. */
+    double deadlineMs(int index) {
+        return deadlinesMs.get(index);
+    }
+
+    /** The index of a tenant; 0 where the settings name none, -1 where it is unknown. */
+    int tenantIndex(String tenant) {
+        return tenants.isEmpty() ? 0 : tenants.indexOf(tenant);
+    }
+}
