--- a/src/main/java/firstage/lifecycle/AttemptStateMachine.java
+++ b/src/main/java/firstage/lifecycle/AttemptStateMachine.java
@@ -1,114 +1,135 @@
 package firstage.lifecycle;
 
+import firstage.lifecycle.AttemptTransitions.Action;
+import firstage.lifecycle.AttemptTransitions.Event;
+import firstage.lifecycle.AttemptTransitions.State;
+import firstage.lifecycle.AttemptTransitions.Transition;
 import firstage.policy.api.AttemptOutcome;
-import java.util.EnumMap;
-import java.util.Map;
+import firstage.util.Ticks;
+import java.util.Optional;
 
 /**
- * What a dispatch does at its engine: its statement is sent, it is asked for without pause (an
- * engine drops what nobody asks for), its pages are fetched, and it ends once. It belongs to no
- * connection: where one fails, another is asked.
+ * One attempt at its engine: its statement is sent, it is polled without pause (an engine drops
+ * what nobody polls for), its pages are fetched, and it ends once. It belongs to no connection:
+ * where one fails, another is used.
  *
- * <p>Beside each outcome stands what the engine may still hold, for what can't be proven over is
- * not over. It is proven by the engine's own last word on it, or by its answer to a DELETE that
- * came after the statement. Until then the DELETE of a batch with a key is given again, and the
- * next batch of its key waits, while its own client is answered at once. What can't be proven is
- * held until nobody asked for it in {@link #UNPOLLED_EXPIRY}, counted from our last call, and,
- * where its engine could not even be told, until its client's limit, which that engine knows.
+ * <table>
+ * <caption>States</caption>
+ * <tr><td>NEW</td><td>the statement is not written</td></tr>
+ * <tr><td>ABANDONED_UNSENT</td><td>abandoned before that; ends after the current event</td></tr>
+ * <tr><td>SENT</td><td>written, no reply yet</td></tr>
+ * <tr><td>UNACKNOWLEDGED</td><td>the reply to the statement was lost; polled all the same</td></tr>
+ * <tr><td>RUNNING</td><td>the engine has it</td></tr>
+ * <tr><td>FETCHING_PAGES</td><td>it succeeded; pages of the result are missing</td></tr>
+ * <tr><td>ABANDONING</td><td>abandoned after a reply: a DELETE is out</td></tr>
+ * <tr><td>ABANDONING_UNACKNOWLEDGED</td><td>the same, and no reply to the statement came</td></tr>
+ * <tr><td>LINGERING</td><td>nobody waits for it but the next request of its ordering key</td></tr>
+ * <tr><td>LINGERING_UNACKNOWLEDGED</td><td>the same, and no reply to the statement came</td></tr>
+ * <tr><td>ENDED</td><td>final</td></tr>
+ * </table>
  *
- * <p>Times are tenths of a millisecond. Every call is an event; effects go out by {@link
- * ArrivalActions}, which may call back at once only where said.
+ * <p>Invariants: {@link AttemptActions#reportEnd} and {@link AttemptActions#release} are called
+ * once each, in this order. What can't be proven ended is reported with the time for which the
+ * engine may still hold it. An end is proven by the engine's own final reply, or by its answer to a
+ * DELETE that came after the statement. Until then the DELETE of a request with an ordering key is
+ * repeated, and the next request of its key waits, while its own client is answered at once. What
+ * is not proven counts as held until nobody polled for {@link #UNPOLLED_EXPIRY}, counted from our
+ * last call, and, where the engine could not even be told, until the client's deadline, which the
+ * engine knows.
+ *
+ * <p>Times are ticks. Every call is an event; actions go out by {@link AttemptActions}. Calls come
+ * on one thread. The table of transitions is {@link AttemptTransitions}.
  */
 public final class AttemptStateMachine {
     /**
-     * An engine ends by itself what nobody asked for in 2 s. Our last call may have been held there
-     * for 250 ms first. What ends of itself meanwhile is out until that is written, which nobody
-     * asks for: 2 s more, and the rest is for calls that are late on their way. At 2.45 s orders
-     * broke (docs/incidents/the-last-connection.md).
+     * An engine ends by itself what nobody polled for in 2 s. Our last call may have been held
+     * there for 250 ms first. A result that ends meanwhile is held until it is written, which
+     * nobody polls for: 2 s more. The rest is for calls that are late on their way
+     * (docs/incidents/the-last-connection.md).
      */
-    public static final long UNPOLLED_EXPIRY = 45_000;
+    public static final long UNPOLLED_EXPIRY = Ticks.ofMillis(4_500);
 
-    /** So long a dispatch that is given up may take to end: the client's answer may wait for it. */
-    private static final long ABANDON_TIMEOUT = 200;
+    /** For the engine to answer the DELETE: the client's answer may wait for it. */
+    private static final long ABANDON_TIMEOUT = Ticks.ofMillis(20);
 
-    /** Between askings that fail at once: a lost connection is not worth a busy loop. */
-    private static final long RETRY_DELAY = 500;
+    /** Between calls that fail at once: a lost connection is not worth a busy loop. */
+    private static final long RETRY_DELAY = Ticks.ofMillis(50);
 
     /**
-     * Until a connection that was just in use may carry a DELETE: it rests for 10 ms after an
+     * Until a connection that was just in use may carry a DELETE: it stays quiet for 10 ms after an
      * answer.
      */
-    private static final long QUIET_CONNECTION_DELAY = 120;
+    private static final long QUIET_CONNECTION_DELAY = Ticks.ofMillis(12);
 
-    /** An engine counts its limit from when the statement comes: that may be late by so much. */
-    private static final long STATEMENT_TRANSIT_ALLOWANCE = 1_000;
+    /** An engine counts the deadline from when the statement arrives, which may be so late. */
+    private static final long STATEMENT_TRANSIT_ALLOWANCE = Ticks.ofMillis(100);
 
-    /**
-     * Between DELETEs once nobody waits for them: a statement that lay unread may have come
-     * meanwhile.
-     */
-    private static final long REPEATED_DELETE_INTERVAL = 5_000;
+    /** Between DELETEs that nobody waits for: a statement that lay unread may have arrived. */
+    private static final long REPEATED_DELETE_INTERVAL = Ticks.ofMillis(500);
 
-    /**
-     * An engine that has nothing to tell and does not hold the call is asked again after a pause.
-     */
-    private static final long MIN_LONG_POLL = 100;
+    /** An engine that answers a poll sooner than this with no end does not hold its polls. */
+    private static final long MIN_LONG_POLL = Ticks.ofMillis(10);
 
-    private static final long SHORT_POLL_DELAY = 200;
+    /** Between polls of an engine that does not hold them. */
+    private static final long SHORT_POLL_DELAY = Ticks.ofMillis(20);
 
-    /** Answers in a row that can't be read: some are spoilt on their way, not so many. */
+    /** Replies that can't be read: a few are damaged on their way, not so many. */
     private static final int MAX_UNREADABLE_REPLIES = 5;
 
     /** New connections in a row that are reset before the statement is written. */
     private static final int MAX_CONNECTION_RESETS = 3;
 
-    /** Carries the effects out; none of them calls back before it returns. */
+    /** What an attempt causes; no method calls back before it returns. */
     public interface AttemptActions {
         /**
-         * Sends the statement where {@link #shouldSendStatement} still says so when its connection
-         * is up.
+         * Sends the statement on a connection that may have to be opened first; asks {@link
+         * #shouldSendStatement} when it is up.
          */
         void sendStatement();
 
-        /** Asks for news; {@code fresh} on a new connection. */
+        /** Polls for progress and the end. */
         void poll(boolean onNewConnection);
 
-        /** Asks for a page of the result, from 1. */
+        /** Fetches a page of the result; the first is 0 and comes with a poll. */
         void fetchPage(int page, boolean onNewConnection);
 
         /** Tells the engine to end it. */
         void sendDelete(boolean onNewConnection);
 
-        /** To be answered by {@link #onTimeout} after so long. */
+        /** {@link #onTimeout} is to be called after {@code delay}. */
         void startTimer(long delay, Timeout timeout);
 
         /**
-         * Whether another connection to this engine is up: a process that died has reset all it
-         * had.
+         * Whether another connection to this engine is open: those of a process that died are
+         * reset.
          */
         boolean hasOpenConnection();
 
         /**
-         * Whether somebody waits to be told how it ended: its client has no answer yet, or the
-         * program closes.
+         * Whether somebody waits for its end: its client has no answer yet, or the program shuts
+         * down.
          */
         boolean isResultAwaited();
 
-        /** When its client's time is up, as its engine was told. */
+        /** The client's deadline, as the engine was told. */
         long deadline();
 
-        /** It is over; the engine may hold it for {@code rest} more. Called once. */
+        /** It ended; the engine may hold it for {@code heldFor} more. Called once. */
         void reportEnd(AttemptOutcome outcome, long heldFor);
 
-        /** Nothing more is called for it, now or later. Called once, after {@link #ended}. */
+        /** No more calls are made for it. Called once, after {@link #reportEnd}. */
         void release();
     }
 
     /** What a timer was set for. */
     public enum Timeout {
+        /** A call that failed, or an engine that does not hold polls, is called again. */
         RETRY_POLL,
+        /** An abandoned attempt ends, whether its engine answered or not. */
         ABANDON,
+        /** The DELETE is sent again. */
         RETRY_DELETE,
+        /** The engine has dropped what nobody polled for. */
         EXPIRY
     }
 
@@ -116,7 +137,7 @@
     public enum CallFailure {
         /** The connection was refused. */
         CONNECTION_REFUSED,
-        /** No connection came up in its time. */
+        /** No connection was established in its time. */
         CONNECT_TIMEOUT,
         /** A new connection was reset before anything was written. */
         RESET_BEFORE_SEND,
@@ -124,428 +145,44 @@
         NOT_SENT,
         /** The connection broke, or no answer came: what was written may have been read. */
         REPLY_LOST,
-        /** An answer came that can't be read or used. */
+        /** A reply came that can't be read or used. */
         REPLY_UNREADABLE
     }
 
-    /**
-     * What an engine answered. PAGE: a good end or a page, with more to come; LAST: with all pages
-     * here.
-     */
+    /** What an engine replied. */
     public enum EngineReply {
+        /** It runs, or waits to run. */
         PROGRESS,
+        /** It succeeded; a page came, and more are to be fetched. */
         PAGE,
+        /** It succeeded, and all pages are here. */
         LAST_PAGE,
+        /** The engine never ran it. */
         REFUSED,
+        /** It failed, or the engine does not know it. */
         FAILED
     }
 
-    enum State {
-        NEW,
-        ABANDONED_UNSENT,
-        SENT,
-        UNACKNOWLEDGED,
-        RUNNING,
-        FETCHING_PAGES,
-        ABANDONING,
-        ABANDONING_UNACKNOWLEDGED,
-        LINGERING,
-        LINGERING_UNACKNOWLEDGED,
-        ENDED
-    }
-
-    private enum Event {
-        STATEMENT_WRITTEN,
-        RESET_BEFORE_SEND,
-        CONNECT_FAILED,
-        NOT_SENT,
-        PROGRESS,
-        PAGE,
-        LAST_PAGE,
-        REFUSED,
-        FAILED,
-        REPLY_LOST,
-        ENGINE_GONE,
-        TOO_MANY_FAILURES,
-        ABANDON,
-        DELETE_ACKNOWLEDGED,
-        DELETE_FAILED,
-        ABANDON_TIMEOUT,
-        ABANDON_TIMEOUT_KEYED,
-        EXPIRED
-    }
-
-    /** SURE: it ends as the outcome says, nothing is held; HELD: the engine may hold it yet. */
-    private enum Action {
-        NONE,
-        SEND_STATEMENT,
-        POLL,
-        RETRY_CALL,
-        FETCH_NEXT_PAGE,
-        END_AFTER_CURRENT_EVENT,
-        DELETE,
-        CONFIRM_END,
-        DELETE_ON_QUIET_CONNECTION,
-        RETRY_DELETE,
-        REPEAT_DELETE,
-        LINGER,
-        END_PROVEN,
-        END_UNPROVEN
-    }
-
-    private record Transition(
-            State state, Event event, State next, Action action, AttemptOutcome outcome) {}
-
-    private static final Map<State, Map<Event, Transition>> TRANSITIONS =
-            new EnumMap<>(State.class);
-
-    private static void transition(
-            State state, Event event, State next, Action action, AttemptOutcome outcome) {
-        TRANSITIONS
-                .computeIfAbsent(state, s -> new EnumMap<>(Event.class))
-                .put(event, new Transition(state, event, next, action, outcome));
-    }
-
-    // State, event, next state, effect, outcome. What is not here changes nothing.
-    static {
-        // Not written: an engine never ran it, whatever happens.
-        transition(State.NEW, Event.STATEMENT_WRITTEN, State.SENT, Action.NONE, null);
-        transition(State.NEW, Event.RESET_BEFORE_SEND, State.NEW, Action.SEND_STATEMENT, null);
-        transition(
-                State.NEW,
-                Event.TOO_MANY_FAILURES,
-                State.ENDED,
-                Action.END_PROVEN,
-                AttemptOutcome.CONNECT_FAILED);
-        transition(
-                State.NEW,
-                Event.CONNECT_FAILED,
-                State.ENDED,
-                Action.END_PROVEN,
-                AttemptOutcome.CONNECT_FAILED);
-        transition(
-                State.NEW, Event.NOT_SENT, State.ENDED, Action.END_PROVEN, AttemptOutcome.NOT_SENT);
-        // Told after what is at hand: it may be a decision that gives it up.
-        transition(
-                State.NEW,
-                Event.ABANDON,
-                State.ABANDONED_UNSENT,
-                Action.END_AFTER_CURRENT_EVENT,
-                null);
-        transition(
-                State.ABANDONED_UNSENT,
-                Event.ABANDON_TIMEOUT,
-                State.ENDED,
-                Action.END_PROVEN,
-                AttemptOutcome.NOT_SENT);
-        // Written, and not answered for.
-        transition(State.SENT, Event.PROGRESS, State.RUNNING, Action.POLL, null);
-        transition(State.SENT, Event.PAGE, State.FETCHING_PAGES, Action.FETCH_NEXT_PAGE, null);
-        transition(
-                State.SENT,
-                Event.LAST_PAGE,
-                State.ENDED,
-                Action.END_PROVEN,
-                AttemptOutcome.SUCCEEDED);
-        transition(
-                State.SENT, Event.REFUSED, State.ENDED, Action.END_PROVEN, AttemptOutcome.REFUSED);
-        transition(
-                State.SENT,
-                Event.FAILED,
-                State.ABANDONING,
-                Action.CONFIRM_END,
-                AttemptOutcome.FAILED);
-        transition(State.SENT, Event.REPLY_LOST, State.UNACKNOWLEDGED, Action.RETRY_CALL, null);
-        transition(
-                State.SENT,
-                Event.TOO_MANY_FAILURES,
-                State.ABANDONING_UNACKNOWLEDGED,
-                Action.DELETE,
-                AttemptOutcome.FAILED);
-        transition(State.SENT, Event.ABANDON, State.ABANDONING_UNACKNOWLEDGED, Action.DELETE, null);
-        // Its answer was lost. The statement may lie unread: that the engine does not know it
-        // proves nothing.
-        transition(State.UNACKNOWLEDGED, Event.PROGRESS, State.RUNNING, Action.POLL, null);
-        transition(
-                State.UNACKNOWLEDGED,
-                Event.PAGE,
-                State.FETCHING_PAGES,
-                Action.FETCH_NEXT_PAGE,
-                null);
-        transition(
-                State.UNACKNOWLEDGED,
-                Event.LAST_PAGE,
-                State.ENDED,
-                Action.END_PROVEN,
-                AttemptOutcome.SUCCEEDED);
-        transition(
-                State.UNACKNOWLEDGED,
-                Event.REFUSED,
-                State.ENDED,
-                Action.END_PROVEN,
-                AttemptOutcome.REFUSED);
-        transition(
-                State.UNACKNOWLEDGED,
-                Event.FAILED,
-                State.ABANDONING_UNACKNOWLEDGED,
-                Action.DELETE,
-                AttemptOutcome.FAILED);
-        transition(
-                State.UNACKNOWLEDGED,
-                Event.REPLY_LOST,
-                State.UNACKNOWLEDGED,
-                Action.RETRY_CALL,
-                null);
-        transition(
-                State.UNACKNOWLEDGED,
-                Event.ENGINE_GONE,
-                State.ENDED,
-                Action.END_UNPROVEN,
-                AttemptOutcome.CONNECTION_LOST);
-        transition(
-                State.UNACKNOWLEDGED,
-                Event.TOO_MANY_FAILURES,
-                State.ABANDONING_UNACKNOWLEDGED,
-                Action.DELETE,
-                AttemptOutcome.FAILED);
-        transition(
-                State.UNACKNOWLEDGED,
-                Event.ABANDON,
-                State.ABANDONING_UNACKNOWLEDGED,
-                Action.DELETE,
-                null);
-        // The engine has it.
-        transition(State.RUNNING, Event.PROGRESS, State.RUNNING, Action.POLL, null);
-        transition(State.RUNNING, Event.PAGE, State.FETCHING_PAGES, Action.FETCH_NEXT_PAGE, null);
-        transition(
-                State.RUNNING,
-                Event.LAST_PAGE,
-                State.ENDED,
-                Action.END_PROVEN,
-                AttemptOutcome.SUCCEEDED);
-        transition(
-                State.RUNNING,
-                Event.REFUSED,
-                State.ENDED,
-                Action.END_PROVEN,
-                AttemptOutcome.REFUSED);
-        transition(
-                State.RUNNING,
-                Event.FAILED,
-                State.ABANDONING,
-                Action.CONFIRM_END,
-                AttemptOutcome.FAILED);
-        transition(State.RUNNING, Event.REPLY_LOST, State.RUNNING, Action.RETRY_CALL, null);
-        // One that drains may refuse new connections and run on.
-        transition(
-                State.RUNNING,
-                Event.ENGINE_GONE,
-                State.ENDED,
-                Action.END_UNPROVEN,
-                AttemptOutcome.CONNECTION_LOST);
-        transition(
-                State.RUNNING,
-                Event.TOO_MANY_FAILURES,
-                State.ABANDONING,
-                Action.DELETE,
-                AttemptOutcome.FAILED);
-        transition(State.RUNNING, Event.ABANDON, State.ABANDONING, Action.DELETE, null);
-        // It ended well there; only its pages can be lost.
-        transition(
-                State.FETCHING_PAGES,
-                Event.PAGE,
-                State.FETCHING_PAGES,
-                Action.FETCH_NEXT_PAGE,
-                null);
-        transition(
-                State.FETCHING_PAGES,
-                Event.LAST_PAGE,
-                State.ENDED,
-                Action.END_PROVEN,
-                AttemptOutcome.SUCCEEDED);
-        transition(
-                State.FETCHING_PAGES,
-                Event.FAILED,
-                State.ENDED,
-                Action.END_PROVEN,
-                AttemptOutcome.FAILED);
-        transition(
-                State.FETCHING_PAGES,
-                Event.REPLY_LOST,
-                State.FETCHING_PAGES,
-                Action.RETRY_CALL,
-                null);
-        transition(
-                State.FETCHING_PAGES,
-                Event.ENGINE_GONE,
-                State.ENDED,
-                Action.END_PROVEN,
-                AttemptOutcome.CONNECTION_LOST);
-        transition(
-                State.FETCHING_PAGES,
-                Event.TOO_MANY_FAILURES,
-                State.ABANDONING,
-                Action.DELETE,
-                AttemptOutcome.FAILED);
-        transition(State.FETCHING_PAGES, Event.ABANDON, State.ABANDONING, Action.DELETE, null);
-        // Given up, and the engine had answered for it: its answer to the DELETE, or any last word,
-        // proves the end.
-        transition(
-                State.ABANDONING, Event.DELETE_ACKNOWLEDGED, State.ENDED, Action.END_PROVEN, null);
-        transition(State.ABANDONING, Event.REFUSED, State.ENDED, Action.END_PROVEN, null);
-        transition(State.ABANDONING, Event.FAILED, State.ENDED, Action.END_PROVEN, null);
-        transition(State.ABANDONING, Event.PAGE, State.ENDED, Action.END_PROVEN, null);
-        transition(State.ABANDONING, Event.LAST_PAGE, State.ENDED, Action.END_PROVEN, null);
-        // The connection that carried this is there, where that of the DELETE may never come up.
-        transition(
-                State.ABANDONING,
-                Event.PROGRESS,
-                State.ABANDONING,
-                Action.DELETE_ON_QUIET_CONNECTION,
-                null);
-        transition(
-                State.ABANDONING, Event.DELETE_FAILED, State.ABANDONING, Action.RETRY_DELETE, null);
-        transition(State.ABANDONING, Event.ABANDON_TIMEOUT, State.ENDED, Action.END_UNPROVEN, null);
-        transition(
-                State.ABANDONING,
-                Event.ABANDON_TIMEOUT_KEYED,
-                State.LINGERING,
-                Action.LINGER,
-                null);
-        // Given up, and the DELETE may have overtaken the statement: only an answer to that proves
-        // anything.
-        transition(
-                State.ABANDONING_UNACKNOWLEDGED,
-                Event.PROGRESS,
-                State.ABANDONING,
-                Action.DELETE_ON_QUIET_CONNECTION,
-                null);
-        transition(
-                State.ABANDONING_UNACKNOWLEDGED,
-                Event.REFUSED,
-                State.ENDED,
-                Action.END_PROVEN,
-                null);
-        transition(
-                State.ABANDONING_UNACKNOWLEDGED,
-                Event.FAILED,
-                State.ENDED,
-                Action.END_PROVEN,
-                null);
-        transition(
-                State.ABANDONING_UNACKNOWLEDGED, Event.PAGE, State.ENDED, Action.END_PROVEN, null);
-        transition(
-                State.ABANDONING_UNACKNOWLEDGED,
-                Event.LAST_PAGE,
-                State.ENDED,
-                Action.END_PROVEN,
-                null);
-        transition(
-                State.ABANDONING_UNACKNOWLEDGED,
-                Event.DELETE_ACKNOWLEDGED,
-                State.ABANDONING_UNACKNOWLEDGED,
-                Action.REPEAT_DELETE,
-                null);
-        transition(
-                State.ABANDONING_UNACKNOWLEDGED,
-                Event.DELETE_FAILED,
-                State.ABANDONING_UNACKNOWLEDGED,
-                Action.RETRY_DELETE,
-                null);
-        transition(
-                State.ABANDONING_UNACKNOWLEDGED,
-                Event.ABANDON_TIMEOUT,
-                State.ENDED,
-                Action.END_UNPROVEN,
-                null);
-        transition(
-                State.ABANDONING_UNACKNOWLEDGED,
-                Event.ABANDON_TIMEOUT_KEYED,
-                State.LINGERING_UNACKNOWLEDGED,
-                Action.LINGER,
-                null);
-        // Given up, its time to hear of it is over, and others of its key wait. The harm prevented:
-        // an engine that was
-        // never told may run it on, and what ends there with nobody to ask is out until its limit.
-        transition(
-                State.LINGERING, Event.DELETE_ACKNOWLEDGED, State.ENDED, Action.END_PROVEN, null);
-        transition(State.LINGERING, Event.REFUSED, State.ENDED, Action.END_PROVEN, null);
-        transition(State.LINGERING, Event.FAILED, State.ENDED, Action.END_PROVEN, null);
-        transition(State.LINGERING, Event.PAGE, State.ENDED, Action.END_PROVEN, null);
-        transition(State.LINGERING, Event.LAST_PAGE, State.ENDED, Action.END_PROVEN, null);
-        transition(
-                State.LINGERING,
-                Event.PROGRESS,
-                State.LINGERING,
-                Action.DELETE_ON_QUIET_CONNECTION,
-                null);
-        transition(
-                State.LINGERING, Event.DELETE_FAILED, State.LINGERING, Action.RETRY_DELETE, null);
-        transition(State.LINGERING, Event.EXPIRED, State.ENDED, Action.END_PROVEN, null);
-        transition(
-                State.LINGERING_UNACKNOWLEDGED,
-                Event.PROGRESS,
-                State.LINGERING,
-                Action.DELETE_ON_QUIET_CONNECTION,
-                null);
-        transition(
-                State.LINGERING_UNACKNOWLEDGED,
-                Event.REFUSED,
-                State.ENDED,
-                Action.END_PROVEN,
-                null);
-        transition(
-                State.LINGERING_UNACKNOWLEDGED, Event.FAILED, State.ENDED, Action.END_PROVEN, null);
-        transition(
-                State.LINGERING_UNACKNOWLEDGED, Event.PAGE, State.ENDED, Action.END_PROVEN, null);
-        transition(
-                State.LINGERING_UNACKNOWLEDGED,
-                Event.LAST_PAGE,
-                State.ENDED,
-                Action.END_PROVEN,
-                null);
-        transition(
-                State.LINGERING_UNACKNOWLEDGED,
-                Event.DELETE_ACKNOWLEDGED,
-                State.LINGERING_UNACKNOWLEDGED,
-                Action.REPEAT_DELETE,
-                null);
-        transition(
-                State.LINGERING_UNACKNOWLEDGED,
-                Event.DELETE_FAILED,
-                State.LINGERING_UNACKNOWLEDGED,
-                Action.RETRY_DELETE,
-                null);
-        transition(
-                State.LINGERING_UNACKNOWLEDGED,
-                Event.EXPIRED,
-                State.ENDED,
-                Action.END_PROVEN,
-                null);
-    }
-
     private final AttemptActions actions;
     private final boolean keyed;
     private State state = State.NEW;
+
+    /** Null until it is settled. */
     private AttemptOutcome outcome;
-    private boolean awaitingStatementReply;
 
-    /** Of a DELETE that may be given again. */
     private boolean deleteOnNewConnection;
-
     private boolean pollOnNewConnection;
     private boolean retryScheduled;
 
-    /** Its engine said that it erred. */
+    /** The engine itself reported the failure. */
     private boolean failureReported;
 
     /**
-     * A DELETE was answered: its engine can be told, and is told again in case the statement comes
-     * yet.
+     * A DELETE was answered: the engine can be told, and is told again in case the statement
+     * arrives later.
      */
     private boolean deleteAcknowledged;
 
-    /** Its end was told to who waits for it. */
     private boolean endReported;
 
     private int currentPage;
@@ -554,65 +191,61 @@
     private long lastCallAt;
 
     /**
-     * {@code keyed}: others may wait for it to be over, so its end is proven where that costs a
-     * call.
+     * @param keyed whether the request has an ordering key: others may wait for its end, which is
+     *     then proven even where that costs a call
      */
     public AttemptStateMachine(AttemptActions actions, boolean keyed) {
         this.actions = actions;
         this.keyed = keyed;
     }
 
-    /** Asked when a connection for its statement is up: whether that is to be written still. */
+    /** Whether the statement is to be written still; asked when its connection is up. */
     public boolean shouldSendStatement() {
         return state == State.NEW;
     }
 
-    /** Whether its statement was written. */
+    /** Whether the statement was written. */
     public boolean isStatementWritten() {
         return state != State.NEW && state != State.ABANDONED_UNSENT;
     }
 
-    /** Whether it was written and is neither given up nor over. */
+    /** Whether it was written and is neither abandoned nor ended. */
     public boolean isRunning() {
         return isStatementWritten() && outcome == null && state != State.ENDED;
     }
 
-    /**
-     * Whether it is given up and not over, and its end is not told yet: nobody waits for it but its
-     * key.
-     */
+    /** Whether nobody but its ordering key waits for its end, which is not reported yet. */
     public boolean isLingering() {
         return !endReported
                 && (state == State.LINGERING || state == State.LINGERING_UNACKNOWLEDGED);
     }
 
+    /** Whether it ended. */
     public boolean isEnded() {
         return state == State.ENDED;
     }
 
-    /** Begins; nothing of it is told before this returns. */
+    /** Begins. */
     public void start() {
         if (state == State.NEW) {
             actions.sendStatement();
         }
     }
 
-    /** Its statement goes onto the wire now. */
+    /** The statement is being written now. */
     public void onStatementWritten(long now) {
         lastCallAt = now;
-        awaitingStatementReply = true;
         handle(now, Event.STATEMENT_WRITTEN);
     }
 
-    /** The statement's own answer. */
+    /** The reply to the statement itself. */
     public void onStatementReply(long now, EngineReply reply) {
-        awaitingStatementReply = false;
         handle(now, eventFor(reply));
     }
 
-    /** The answer to another call. */
+    /** The reply to a poll or to the fetch of a page. */
     public void onReply(long now, EngineReply reply) {
-        // In the blind a word on other calls proves nothing.
+        // While the statement is unacknowledged, a reply to another call proves nothing.
         if (state != State.ABANDONING_UNACKNOWLEDGED && state != State.LINGERING_UNACKNOWLEDGED) {
             handle(now, eventFor(reply));
         }
@@ -630,9 +263,8 @@
         };
     }
 
-    /** The statement could not be sent, or its answer was lost. */
+    /** The statement could not be sent, or the reply to it was lost. */
     public void onStatementFailed(long now, CallFailure failure) {
-        awaitingStatementReply = false;
         switch (failure) {
             case RESET_BEFORE_SEND ->
                     handle(
@@ -646,7 +278,7 @@
         }
     }
 
-    /** Another call failed. */
+    /** A poll or the fetch of a page failed. */
     public void onCallFailed(long now, CallFailure failure) {
         unreadableReplies += failure == CallFailure.REPLY_UNREADABLE ? 1 : 0;
         pollOnNewConnection = failure != CallFailure.CONNECTION_REFUSED;
@@ -661,8 +293,8 @@
     }
 
     /**
-     * Ends it with this outcome, once the engine has heard of it or can't hear in time: until then
-     * it is out.
+     * Ends it with this outcome, once the engine knows of it or can't be told in time: until then
+     * it is in flight. The first outcome stays.
      */
     public void abandon(long now, AttemptOutcome requestedOutcome) {
         if (state != State.ENDED && outcome == null) {
@@ -671,20 +303,23 @@
         }
     }
 
+    /** The engine answered the DELETE. */
     public void onDeleteAcknowledged(long now) {
         deleteAcknowledged = true;
-        // A statement that lay unread for so long does not come any more, and what came before this
-        // is ended by it.
+        // A statement that lay unread for so long does not arrive any more, and what arrived before
+        // this DELETE is ended by it.
         boolean late =
                 state == State.LINGERING_UNACKNOWLEDGED && now >= lastCallAt + UNPOLLED_EXPIRY;
         handle(now, late ? Event.EXPIRED : Event.DELETE_ACKNOWLEDGED);
     }
 
+    /** The DELETE could not be sent, or the answer to it was lost. */
     public void onDeleteFailed(long now, CallFailure failure) {
         deleteOnNewConnection = failure != CallFailure.CONNECTION_REFUSED;
         handle(now, Event.DELETE_FAILED);
     }
 
+    /** A timer that was started ran out. */
     public void onTimeout(long now, Timeout timeout) {
         switch (timeout) {
             case RETRY_POLL -> {
@@ -709,14 +344,17 @@
     }
 
     private void handle(long now, Event event) {
-        Transition transition = TRANSITIONS.getOrDefault(state, Map.of()).get(event);
-        if (transition == null) {
-            return;
+        Optional<Transition> transition = AttemptTransitions.find(state, event);
+        if (transition.isPresent()) {
+            State before = state;
+            state = transition.get().next();
+            outcome = transition.get().outcome().orElse(outcome);
+            perform(transition.get().action(), now, before);
         }
-        State before = state;
-        state = transition.next;
-        outcome = transition.outcome != null ? transition.outcome : outcome;
-        switch (transition.action) {
+    }
+
+    private void perform(Action action, long now, State before) {
+        switch (action) {
             case NONE -> {}
             case SEND_STATEMENT -> actions.sendStatement();
             case POLL -> pollWithMinimumInterval(now, before);
@@ -728,14 +366,7 @@
             }
             case END_AFTER_CURRENT_EVENT -> actions.startTimer(0, Timeout.ABANDON);
             case DELETE -> deleteWithTimeout();
-            case CONFIRM_END -> {
-                if (keyed) {
-                    failureReported = true;
-                    deleteWithTimeout();
-                } else {
-                    end(now, false);
-                }
-            }
+            case CONFIRM_END -> confirmEnd(now);
             case DELETE_ON_QUIET_CONNECTION -> {
                 deleteOnNewConnection = false;
                 actions.startTimer(QUIET_CONNECTION_DELAY, Timeout.RETRY_DELETE);
@@ -749,13 +380,23 @@
         }
     }
 
+    /** The engine reported a failure: with an ordering key a DELETE confirms that nothing runs. */
+    private void confirmEnd(long now) {
+        if (keyed) {
+            failureReported = true;
+            deleteWithTimeout();
+        } else {
+            end(now, false);
+        }
+    }
+
     private void deleteWithTimeout() {
         retryScheduled = false;
         actions.startTimer(ABANDON_TIMEOUT, Timeout.ABANDON);
         actions.sendDelete(false);
     }
 
-    /** Asks on; an engine that answered at once with nothing is left alone for a moment. */
+    /** Polls again; an engine that does not hold its polls is left alone for a moment. */
     private void pollWithMinimumInterval(long now, State before) {
         if (before == State.RUNNING && now - lastCallAt < MIN_LONG_POLL) {
             retryScheduled = true;
@@ -795,7 +436,8 @@
     }
 
     /**
-     * Whoever waits for its end is told at once, with the rest; else it is told when it is proven.
+     * Reports the end now where somebody waits for it, with the time that it may be held; else once
+     * it is proven.
      */
     private void linger(long now) {
         long limit =
