--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -4,13 +4,11 @@
 import firstage.lifecycle.AttemptStateMachine.CallFailure;
 import firstage.lifecycle.AttemptStateMachine.EngineReply;
 import firstage.policy.api.AttemptOutcome;
-import firstage.policy.api.AttemptProgress;
 import firstage.policy.api.LoadReport;
 import firstage.server.FlightRecorder.EventType;
 import firstage.server.RequestExchange;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
 /**
@@ -24,7 +22,6 @@
     private static final long POLL_TIMEOUT_MS = 600;
 
     private static final long DELETE_TIMEOUT_MS = 200;
-    private static final int MAX_PAGES = 64;
 
     /**
      * Tenths of a millisecond; by the users' term nothing is sent so long after its client left.
@@ -32,20 +29,16 @@
      */
     private static final long LATE_SEND_THRESHOLD = 1_000;
 
-    /** Some five times what a result may hold. */
-    private static final int MAX_RESULT_BYTES = 256 * 1024;
-
     private final EngineClients engines;
+    private final EngineContext context;
     private final EngineConnectionPool pool;
     private final RequestExchange exchange;
     private final int number;
     private final int engine;
     private final long startedAt;
     private final AttemptStateMachine stateMachine;
-    private final List<byte[]> pages = new ArrayList<>();
-    private int pageCount;
+    private final ResultPages pages = new ResultPages();
     private boolean countedAsRunning;
-    private int resultBytes;
     private long duration;
     private int priority;
     private LoadReport loadReport;
@@ -53,20 +46,22 @@
 
     AttemptRunner(
             EngineClients engines,
+            EngineContext context,
             EngineConnectionPool pool,
             RequestExchange exchange,
             int number,
             int engine) {
         this.engines = engines;
+        this.context = context;
         this.pool = pool;
         this.exchange = exchange;
         this.number = number;
         this.engine = engine;
-        this.startedAt = engines.clock.now();
+        this.startedAt = context.clock().now();
         this.priority = exchange.priority;
         stateMachine = new AttemptStateMachine(this, exchange.orderingKey != null);
         // Not within the decision that sends it: its outcome is news of a later moment.
-        engines.io.execute(stateMachine::start);
+        context.io().execute(stateMachine::start);
     }
 
     @Override
@@ -80,17 +75,21 @@
     }
 
     private long now() {
-        return engines.clock.now();
+        return context.clock().now();
     }
 
-    private void note(EventType what, int figure) {
+    private void record(EventType event, int figure) {
         if (exchange.orderingKey != null) {
-            engines.counters.recorder().record(what, exchange.id, number, figure);
+            context.counters().recorder().record(event, exchange.id, number, figure);
         }
     }
 
+    private void countUnreadable() {
+        context.counters().count("answers that can't be used");
+    }
+
     private CallFailure callFailure(EngineCall.Failure failure) {
-        note(EventType.CALL_FAILED, failure.ordinal());
+        record(EventType.CALL_FAILED, failure.ordinal());
         return switch (failure) {
             case CONNECTION_REFUSED -> CallFailure.CONNECTION_REFUSED;
             case CONNECT_TIMEOUT -> CallFailure.CONNECT_TIMEOUT;
@@ -104,7 +103,7 @@
     @Override
     public void sendStatement() {
         pool.startCall(
-                new EngineCall("POST /x", exchange.statement, POLL_TIMEOUT_MS) {
+                new EngineCall(EngineProtocol.post(), exchange.statement, POLL_TIMEOUT_MS) {
                     @Override
                     boolean shouldSend() {
                         // An engine may begin to drain, or the client leave, while the connection
@@ -116,45 +115,19 @@
 
                     @Override
                     String extraHeaders() {
-                        long now = now();
-                        long absent = exchange.disconnectedFor(now);
-                        if (absent > 0) {
-                            engines.counters.peak(
-                                    "latest statement after its client left, us", absent * 100);
-                        }
-                        if (absent > LATE_SEND_THRESHOLD) {
-                            engines.counters.count(
-                                    "statements sent later than 0.1 s after their client left");
-                        }
-                        stateMachine.onStatementWritten(now);
-                        countedAsRunning = true;
-                        pool.onAttemptRunning();
-                        note(EventType.STATEMENT_WRITTEN, engine);
-                        long left = Math.max(1, (exchange.deadline - now) / 10);
-                        return "X-Ticket: "
-                                + exchange.id
-                                + "\r\nX-Queue: "
-                                + exchange.trafficClass
-                                + "\r\nX-Max-Ms: "
-                                + left
-                                + "\r\n"
-                                + (exchange.grantMb > 0
-                                        ? "Grant-Mb: " + exchange.grantMb + "\r\n"
-                                        : "")
-                                + "Rank: "
-                                + priority
-                                + "\r\n";
+                        return onStatementWritten();
                     }
 
                     @Override
                     void onResponse(EngineResponse response) {
-                        EngineReply reply = interpret(response, 0);
-                        if (reply != null) {
-                            stateMachine.onStatementReply(now(), reply);
-                        } else {
-                            engines.counters.count("answers that can't be used");
-                            stateMachine.onStatementFailed(now(), CallFailure.REPLY_UNREADABLE);
-                        }
+                        interpret(response, 0)
+                                .ifPresentOrElse(
+                                        reply -> stateMachine.onStatementReply(now(), reply),
+                                        () -> {
+                                            countUnreadable();
+                                            stateMachine.onStatementFailed(
+                                                    now(), CallFailure.REPLY_UNREADABLE);
+                                        });
                     }
 
                     @Override
@@ -164,6 +137,28 @@
                 });
     }
 
+    /** The statement is being written; its headers. */
+    private String onStatementWritten() {
+        long now = now();
+        countDelaySinceClientLeft(exchange.disconnectedFor(now));
+        stateMachine.onStatementWritten(now);
+        countedAsRunning = true;
+        pool.onAttemptRunning();
+        record(EventType.STATEMENT_WRITTEN, engine);
+        long timeoutMs = Math.max(1, (exchange.deadline - now) / 10);
+        return EngineProtocol.statementHeaders(exchange, timeoutMs, priority);
+    }
+
+    private void countDelaySinceClientLeft(long disconnectedFor) {
+        if (disconnectedFor > 0) {
+            context.counters()
+                    .peak("latest statement after its client left, us", disconnectedFor * 100);
+        }
+        if (disconnectedFor > LATE_SEND_THRESHOLD) {
+            context.counters().count("statements sent later than 0.1 s after their client left");
+        }
+    }
+
     @Override
     public void poll(boolean onNewConnection) {
         callGet(0, onNewConnection);
@@ -176,16 +171,17 @@
 
     private void callGet(int page, boolean onNewConnection) {
         pool.call(
-                new EngineCall("GET /x/" + exchange.id + "/" + page, null, POLL_TIMEOUT_MS) {
+                new EngineCall(EngineProtocol.get(exchange.id, page), null, POLL_TIMEOUT_MS) {
                     @Override
                     void onResponse(EngineResponse response) {
-                        EngineReply reply = interpret(response, page);
-                        if (reply != null) {
-                            stateMachine.onReply(now(), reply);
-                        } else {
-                            engines.counters.count("answers that can't be used");
-                            stateMachine.onCallFailed(now(), CallFailure.REPLY_UNREADABLE);
-                        }
+                        interpret(response, page)
+                                .ifPresentOrElse(
+                                        reply -> stateMachine.onReply(now(), reply),
+                                        () -> {
+                                            countUnreadable();
+                                            stateMachine.onCallFailed(
+                                                    now(), CallFailure.REPLY_UNREADABLE);
+                                        });
                     }
 
                     @Override
@@ -197,67 +193,58 @@
     }
 
     /**
-     * What an answer says, and keeps of it what goes on; null where it can't be one of an engine's.
+     * What a response says; keeps its load report and page, and reports progress. Empty where it
+     * can't be one of an engine's: it was damaged on its way.
      */
-    private EngineReply interpret(EngineResponse response, int page) {
-        note(EventType.ENGINE_REPLY, response.status());
+    private Optional<EngineReply> interpret(EngineResponse response, int page) {
+        record(EventType.ENGINE_REPLY, response.status());
         boolean running = stateMachine.isRunning();
         if (running) {
-            // The latest word only: an earlier one would pass for news when the dispatch ends.
-            loadReport = EngineClients.report(response);
+            // The latest only: an earlier one would pass for new when the attempt ends.
+            loadReport = EngineProtocol.loadReport(response);
         }
         return switch (response.status()) {
             case 202 -> {
                 if (running) {
-                    note(response);
+                    reportProgress(response);
                 }
-                yield page > 0 && running ? null : EngineReply.PROGRESS;
+                yield page > 0 && running ? Optional.empty() : Optional.of(EngineReply.PROGRESS);
             }
-            // Of what is given up only its end counts, not its pages.
-            case 200 -> running ? addPage(response, page) : EngineReply.LAST_PAGE;
-            case 503, 504 -> response.neverRan() ? EngineReply.REFUSED : EngineReply.FAILED;
-            case 500 -> EngineReply.FAILED;
-            // Engines say nothing else: it was spoilt on its way.
-            default -> null;
+            // Of an abandoned attempt only the end counts, not its pages.
+            case 200 -> running ? addPage(response, page) : Optional.of(EngineReply.LAST_PAGE);
+            case 503, 504 ->
+                    Optional.of(
+                            EngineProtocol.neverRan(response)
+                                    ? EngineReply.REFUSED
+                                    : EngineReply.FAILED);
+            case 500 -> Optional.of(EngineReply.FAILED);
+            default -> Optional.empty();
         };
     }
 
-    private EngineReply addPage(EngineResponse response, int page) {
+    private Optional<EngineReply> addPage(EngineResponse response, int page) {
         if (page == 0) {
             duration = duration > 0 ? duration : now() - startedAt;
-            pageCount = response.intHeader("page-count", 0);
         }
-        boolean usable =
-                pageCount > 0
-                        && pageCount <= MAX_PAGES
-                        && response.isPage()
-                        && pages.size() == page
-                        && (page == 0 || response.intHeader("page-no", -1) == page);
-        if (!usable) {
-            return null;
+        if (!pages.add(response, page)) {
+            return Optional.empty();
+        }
+        if (pages.isTooLarge()) {
+            return Optional.of(EngineReply.FAILED);
         }
-        pages.add(response.body());
-        resultBytes += response.body().length;
-        return resultBytes > MAX_RESULT_BYTES
-                ? EngineReply.FAILED
-                : pages.size() >= pageCount ? EngineReply.LAST_PAGE : EngineReply.PAGE;
+        return Optional.of(pages.isComplete() ? EngineReply.LAST_PAGE : EngineReply.PAGE);
     }
 
-    private void note(EngineResponse response) {
-        double figure = response.numberHeader("figure", 0);
-        AttemptProgress.Kind kind =
-                switch (response.headers().getOrDefault("x-remark", "")) {
-                    case "pct" -> AttemptProgress.Kind.FRACTION_DONE;
-                    case "overflow" -> AttemptProgress.Kind.SPILLING;
-                    case "queued" ->
-                            figure == 1
-                                    ? AttemptProgress.Kind.WAITING_FOR_MEMORY
-                                    : AttemptProgress.Kind.WAITING_FOR_TABLE_LOAD;
-                    default -> null;
-                };
-        if (kind != null) {
-            engines.events.onAttemptProgress(exchange, this, kind, figure);
-        }
+    private void reportProgress(EngineResponse response) {
+        EngineProtocol.progressKind(response)
+                .ifPresent(
+                        kind ->
+                                context.events()
+                                        .onAttemptProgress(
+                                                exchange,
+                                                this,
+                                                kind,
+                                                EngineProtocol.progressValue(response)));
     }
 
     @Override
@@ -269,7 +256,7 @@
         if (stateMachine.isRunning()) {
             byte[] body = String.valueOf(newPriority).getBytes(StandardCharsets.US_ASCII);
             pool.call(
-                    new EngineCall("PUT /x/" + exchange.id, body, POLL_TIMEOUT_MS) {
+                    new EngineCall(EngineProtocol.put(exchange.id), body, POLL_TIMEOUT_MS) {
                         @Override
                         void onResponse(EngineResponse response) {
                             // Nothing depends on it.
@@ -292,7 +279,7 @@
     @Override
     public void sendDelete(boolean onNewConnection) {
         pool.call(
-                new EngineCall("DELETE /x/" + exchange.id, null, DELETE_TIMEOUT_MS) {
+                new EngineCall(EngineProtocol.delete(exchange.id), null, DELETE_TIMEOUT_MS) {
                     @Override
                     void onResponse(EngineResponse response) {
                         stateMachine.onDeleteAcknowledged(now());
@@ -318,9 +305,9 @@
                     }
                 };
         if (delay > 0) {
-            engines.io.executeAfter(onTimeout, delay / 10, TimeUnit.MILLISECONDS);
+            context.io().executeAfter(onTimeout, delay / 10, TimeUnit.MILLISECONDS);
         } else {
-            engines.io.execute(onTimeout);
+            context.io().execute(onTimeout);
         }
     }
 
@@ -351,13 +338,14 @@
         if (countedAsLingering) {
             engines.addLingering(-1);
         }
-        engines.events.onAttemptEnded(
-                exchange,
-                this,
-                outcome,
-                duration > 0 ? duration : now() - startedAt,
-                loadReport,
-                pages,
-                heldFor);
+        context.events()
+                .onAttemptEnded(
+                        exchange,
+                        this,
+                        outcome,
+                        duration > 0 ? duration : now() - startedAt,
+                        loadReport,
+                        pages.pages(),
+                        heldFor);
     }
 }
--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -8,36 +8,28 @@
 import firstage.server.RequestExchange;
 import firstage.server.ServerEvents;
 import firstage.server.TickClock;
+import firstage.util.Ticks;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Set;
 import org.xnio.XnioIoThread;
 
-/** All engines that were listed, by their index. */
+/**
+ * The connections and attempts of all engines that were listed, by the engines' indices. Owned by
+ * the I/O thread.
+ */
 public final class EngineClients {
-    private static final int READ_BUFFER = 16 * 1024;
-    private static final long DEFAULT_KEEP_ALIVE = 10_000;
-    final XnioIoThread io;
-    final TickClock clock;
-    final Counters counters;
-    final ServerEvents events;
-    final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER);
-    final long connectTimeoutMs;
-    final long probeTimeoutMs;
-    final long maxIdle;
-    private final int connectionLimit;
-    private int connectionsInUse;
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
+    private static final long DEFAULT_KEEP_ALIVE = Ticks.ofSeconds(1);
+
+    private final EngineContext context;
+    private final ConnectionBudget budget;
     private int lingeringAttempts;
-    private boolean isShuttingDown;
+    private boolean shuttingDown;
 
-    /** By the engine's index. */
+    /** By the engine's index; null where it is released. */
     private final List<EngineConnectionPool> poolsByEngine = new ArrayList<>();
 
-    /** Those with connections, also such as were replaced and are still asked. */
-    private final Set<EngineConnectionPool> connectedPools = new HashSet<>();
-
     private final List<Integer> attemptsInFlight = new ArrayList<>();
 
     public EngineClients(
@@ -46,44 +38,20 @@
             Counters counters,
             ServerEvents events,
             ManagerConfig config) {
-        this.io = io;
-        this.clock = clock;
-        this.counters = counters;
-        this.events = events;
-        connectTimeoutMs = Math.max(1, config.settings().getTicks("limits.connect_timeout") / 10);
-        probeTimeoutMs = connectTimeoutMs;
         long keepAlive = config.settings().getTicks("limits.keepalive");
-        maxIdle = (keepAlive > 0 ? keepAlive : DEFAULT_KEEP_ALIVE) / 2;
-        connectionLimit = config.maxEngineConnections();
-    }
-
-    boolean atConnectionLimit() {
-        return connectionsInUse >= connectionLimit;
-    }
-
-    /**
-     * Room for one more connection; where there is none, an idle one of another engine gives way.
-     */
-    boolean reserveConnection() {
-        if (atConnectionLimit()
-                && connectedPools.stream().noneMatch(EngineConnectionPool::closeLongestIdle)) {
-            counters.count("connections not had");
-            return false;
-        }
-        connectionsInUse++;
-        counters.peak("most connections to engines", connectionsInUse);
-        return true;
-    }
-
-    void onConnecting(EngineConnectionPool pool) {
-        connectedPools.add(pool);
-    }
-
-    void releaseConnection() {
-        connectionsInUse--;
-        counters.checkInvariant(connectionsInUse >= 0, "a connection is freed once");
-    }
-
+        context =
+                new EngineContext(
+                        io,
+                        clock,
+                        counters,
+                        events,
+                        ByteBuffer.allocateDirect(READ_BUFFER_BYTES),
+                        Math.max(1, config.settings().getTicks("limits.connect_timeout") / 10),
+                        (keepAlive > 0 ? keepAlive : DEFAULT_KEEP_ALIVE) / 2);
+        budget = new ConnectionBudget(counters, config.maxEngineConnections());
+    }
+
+    /** An engine was listed, or changed. */
     public void updateEndpoint(int index, ServerEvents.DiscoveredEndpoint endpoint) {
         while (poolsByEngine.size() <= index) {
             poolsByEngine.add(null);
@@ -102,11 +70,11 @@
             if (pool != null) {
                 pool.close();
             }
-            poolsByEngine.set(index, new EngineConnectionPool(this, clock, endpoint.address()));
+            poolsByEngine.set(index, new EngineConnectionPool(context, budget, endpoint.address()));
         }
     }
 
-    /** The whole list was told: the others are gone. */
+    /** The whole list came: engines that are not in it are gone. */
     public void retainOnly(List<Integer> indices) {
         for (int i = 0; i < poolsByEngine.size(); i++) {
             if (poolsByEngine.get(i) != null && !indices.contains(i)) {
@@ -117,15 +85,17 @@
         }
     }
 
-    /** Whether it was ever listed and is not forgotten. */
+    /** Whether it was ever listed and is not released. */
     public boolean isKnown(int index) {
         return index < poolsByEngine.size() && poolsByEngine.get(index) != null;
     }
 
-    /** It left long ago; its connections ended with it. */
+    /** The engine left long ago; its connections ended with it. */
     public void removeEngine(int index) {
-        counters.checkInvariant(
-                attemptsInFlight.get(index) == 0, "an engine that is forgotten has nothing out");
+        context.counters()
+                .checkInvariant(
+                        attemptsInFlight.get(index) == 0,
+                        "an engine that is forgotten has nothing out");
         poolsByEngine.set(index, null);
     }
 
@@ -134,7 +104,7 @@
         return poolsByEngine.size();
     }
 
-    /** How many dispatches are out at this engine. */
+    /** How many attempts are in flight at this engine. */
     public int attemptsInFlight(int engine) {
         return attemptsInFlight.get(engine);
     }
@@ -148,49 +118,48 @@
         lingeringAttempts += difference;
     }
 
-    /** Dispatches that are given up and whose end is proven to nobody but their keys. */
+    /** Abandoned attempts that nobody waits for but the next request of their ordering keys. */
     public int lingeringAttempts() {
         return lingeringAttempts;
     }
 
     boolean isShuttingDown() {
-        return isShuttingDown;
+        return shuttingDown;
     }
 
-    /** The program ends: nobody waits for proofs any more. */
+    /** The program shuts down: attempts end without proof from here on. */
     public void prepareShutdown() {
-        isShuttingDown = true;
+        shuttingDown = true;
     }
 
-    /** Connections taken are those in use, idle, or coming up, and no more than the cap. */
+    /** Checks that connections are counted once, and within the limit. */
     public void checkInvariants() {
-        int held = connectedPools.stream().mapToInt(EngineConnectionPool::connectionCount).sum();
-        counters.checkInvariant(
-                held == connectionsInUse && connectionsInUse <= connectionLimit,
-                "connections are in use, idle or coming up");
-        connectedPools.removeIf(pool -> pool.connectionCount() == 0);
+        budget.checkInvariants();
     }
 
+    /** Starts an attempt; it ends by {@link ServerEvents#onAttemptEnded}. */
     public RequestExchange.AttemptHandle startAttempt(
             RequestExchange exchange, int number, int engine) {
         attemptsInFlight.set(engine, attemptsInFlight.get(engine) + 1);
-        return new AttemptRunner(this, poolsByEngine.get(engine), exchange, number, engine);
+        return new AttemptRunner(
+                this, context, poolsByEngine.get(engine), exchange, number, engine);
     }
 
+    /** Probes an engine; the answer comes by {@link ServerEvents#onProbeResult}. */
     public void probe(int engine) {
-        counters.count("probes");
+        context.counters().count("probes");
         poolsByEngine
                 .get(engine)
                 .startCall(
-                        new EngineCall("GET /busy", null, probeTimeoutMs) {
+                        new EngineCall(EngineProtocol.probe(), null, context.connectTimeoutMs()) {
                             @Override
                             void onResponse(EngineResponse response) {
-                                events.onProbeResult(
+                                onProbed(
                                         engine,
                                         response.status() == 200
                                                 ? AttemptOutcome.SUCCEEDED
                                                 : AttemptOutcome.FAILED,
-                                        report(response));
+                                        EngineProtocol.loadReport(response));
                             }
 
                             @Override
@@ -198,7 +167,7 @@
                                 boolean unreached =
                                         failure == Failure.CONNECTION_REFUSED
                                                 || failure == Failure.CONNECT_TIMEOUT;
-                                events.onProbeResult(
+                                onProbed(
                                         engine,
                                         unreached
                                                 ? AttemptOutcome.CONNECT_FAILED
@@ -208,40 +177,17 @@
                         });
     }
 
-    /** The load report of an answer, or null without one. */
-    static LoadReport report(EngineResponse response) {
-        String meter = response.headers().get("x-meter");
-        if (meter == null) {
-            return null;
-        }
-        double[] fields = {Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN};
-        for (String pair : meter.split(";")) {
-            String[] parts = pair.split(":", 2);
-            int field =
-                    switch (parts[0].trim()) {
-                        case "active", "inflight" -> 0;
-                        case "waiting", "queue" -> 1;
-                        case "cpu", "util" -> 2;
-                        case "x0" -> 3;
-                        case "x1" -> 4;
-                        default -> -1;
-                    };
-            try {
-                if (field >= 0 && parts.length == 2) {
-                    fields[field] = Double.parseDouble(parts[1].trim());
-                }
-            } catch (NumberFormatException fault) {
-                return null;
-            }
-        }
-        return new LoadReport(fields[0], fields[1], fields[2], fields[3], fields[4]);
+    private void onProbed(int engine, AttemptOutcome outcome, LoadReport report) {
+        context.events().onProbeResult(engine, outcome, report);
     }
 
+    /** Closes connections that were idle for too long. */
     public void closeIdleConnections() {
-        connectedPools.forEach(EngineConnectionPool::closeIdleTooLong);
+        budget.closeIdleTooLong();
     }
 
+    /** Closes idle connections now, the others when their calls end. */
     public void close() {
-        List.copyOf(connectedPools).forEach(EngineConnectionPool::close);
+        budget.closeAll();
     }
 }
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -40,7 +40,8 @@
      */
     private static final long DOUBT_PERIOD = 3_000;
 
-    private final EngineClients engines;
+    private final EngineContext context;
+    private final ConnectionBudget budget;
     private final TickClock clock;
     final InetSocketAddress address;
     private final String host;
@@ -58,9 +59,11 @@
     private boolean draining;
     private boolean closed;
 
-    EngineConnectionPool(EngineClients engines, TickClock clock, InetSocketAddress address) {
-        this.engines = engines;
-        this.clock = clock;
+    EngineConnectionPool(
+            EngineContext context, ConnectionBudget budget, InetSocketAddress address) {
+        this.context = context;
+        this.budget = budget;
+        this.clock = context.clock();
         this.address = address;
         this.host = address.getHostString() + ":" + address.getPort();
     }
@@ -93,16 +96,16 @@
     void call(EngineCall call, boolean onNewConnection, boolean requireQuiet) {
         closeIdleTooLong();
         if (!call.shouldSend()) {
-            engines.io.execute(() -> call.onFailure(EngineCall.Failure.NO_LONGER_WANTED));
+            context.io().execute(() -> call.onFailure(EngineCall.Failure.NO_LONGER_WANTED));
             return;
         }
         EngineConnection ready = onNewConnection ? null : findReady(requireQuiet);
         if (ready != null) {
             ready.send(call, host);
-        } else if (engines.reserveConnection()) {
+        } else if (budget.reserve()) {
             connect(call);
         } else {
-            engines.io.execute(() -> call.onFailure(EngineCall.Failure.NO_FREE_CONNECTION));
+            context.io().execute(() -> call.onFailure(EngineCall.Failure.NO_FREE_CONNECTION));
         }
     }
 
@@ -112,7 +115,7 @@
      */
     private EngineConnection findReady(boolean requireQuiet) {
         EngineConnection quietConnection = mostRecentlyUsed(clock.now(), requireQuiet);
-        return quietConnection == null && (draining || engines.atConnectionLimit())
+        return quietConnection == null && (draining || budget.isExhausted())
                 ? mostRecentlyUsed(Long.MAX_VALUE, requireQuiet)
                 : quietConnection;
     }
@@ -141,48 +144,56 @@
 
     private void connect(EngineCall call) {
         connecting++;
-        engines.onConnecting(this);
+        budget.onConnecting(this);
         IoFuture<? extends StreamConnection> connectFuture =
-                engines.io.openStreamConnection(
-                        address, null, OptionMap.create(Options.TCP_NODELAY, true));
+                context.io()
+                        .openStreamConnection(
+                                address, null, OptionMap.create(Options.TCP_NODELAY, true));
         XnioExecutor.Key connectTimeout =
-                engines.io.executeAfter(
-                        connectFuture::cancel, engines.connectTimeoutMs, TimeUnit.MILLISECONDS);
-        // Told on this thread, after what is at hand: a refusal may be known before this call
-        // returns.
+                context.io()
+                        .executeAfter(
+                                connectFuture::cancel,
+                                context.connectTimeoutMs(),
+                                TimeUnit.MILLISECONDS);
+        // Handled on this thread, after the events at hand: a refusal may be known before this
+        // call returns.
         connectFuture.addNotifier(
                 (future, none) ->
-                        engines.io.execute(
-                                () -> {
-                                    connectTimeout.remove();
-                                    connecting--;
-                                    if (future.getStatus() == IoFuture.Status.DONE) {
-                                        onConnected(call, future);
-                                    } else {
-                                        engines.releaseConnection();
-                                        call.onFailure(
-                                                future.getStatus() != IoFuture.Status.FAILED
-                                                        ? EngineCall.Failure.CONNECT_TIMEOUT
-                                                        : future.getException()
-                                                                        instanceof ConnectException
-                                                                ? EngineCall.Failure
-                                                                        .CONNECTION_REFUSED
-                                                                : future.getException()
-                                                                                instanceof
-                                                                                SocketException
-                                                                        ? EngineCall.Failure
-                                                                                .RESET_BEFORE_SEND
-                                                                        : EngineCall.Failure
-                                                                                .CONNECT_TIMEOUT);
-                                    }
-                                }),
+                        context.io()
+                                .execute(
+                                        () -> {
+                                            connectTimeout.remove();
+                                            onConnectFinished(call, future);
+                                        }),
                 null);
     }
 
+    private void onConnectFinished(EngineCall call, IoFuture<? extends StreamConnection> future) {
+        connecting--;
+        if (future.getStatus() == IoFuture.Status.DONE) {
+            onConnected(call, future);
+        } else {
+            budget.release();
+            call.onFailure(failureOf(future));
+        }
+    }
+
+    private static EngineCall.Failure failureOf(IoFuture<? extends StreamConnection> future) {
+        if (future.getStatus() != IoFuture.Status.FAILED) {
+            return EngineCall.Failure.CONNECT_TIMEOUT;
+        }
+        if (future.getException() instanceof ConnectException) {
+            return EngineCall.Failure.CONNECTION_REFUSED;
+        }
+        return future.getException() instanceof SocketException
+                ? EngineCall.Failure.RESET_BEFORE_SEND
+                : EngineCall.Failure.CONNECT_TIMEOUT;
+    }
+
     private void onConnected(EngineCall call, IoFuture<? extends StreamConnection> future) {
         try {
             EngineConnection connection =
-                    new EngineConnection(this, engines.io, engines.readBuffer, future.get());
+                    new EngineConnection(this, context.io(), context.readBuffer(), future.get());
             all.add(connection);
             if (call.shouldSend()) {
                 connection.send(call, host);
@@ -191,7 +202,7 @@
                 call.onFailure(EngineCall.Failure.NO_LONGER_WANTED);
             }
         } catch (IOException fault) {
-            engines.releaseConnection();
+            budget.release();
             call.onFailure(EngineCall.Failure.CONNECT_TIMEOUT);
         }
     }
@@ -248,7 +259,7 @@
     void onClosed(EngineConnection connection) {
         if (all.remove(connection)) {
             idle.remove(connection);
-            engines.releaseConnection();
+            budget.release();
         }
     }
 
@@ -266,7 +277,7 @@
 
     /** Closes what was idle so long that the engine might close it under a call. */
     void closeIdleTooLong() {
-        while (!idle.isEmpty() && clock.now() - idle.peekFirst().idleSince > engines.maxIdle) {
+        while (!idle.isEmpty() && clock.now() - idle.peekFirst().idleSince > context.maxIdle()) {
             EngineConnection connection = idle.peekFirst();
             connection.close();
             onClosed(connection);
--- a/src/main/java/firstage/server/engine/EngineResponse.java
+++ b/src/main/java/firstage/server/engine/EngineResponse.java
@@ -48,10 +48,6 @@
         }
     }
 
-    boolean neverRan() {
-        return "1".equals(headers.get("x-shed"));
-    }
-
     /** Whether it says the same to the letter: a second copy does. */
     boolean isSameAs(EngineResponse other) {
         return status == other.status
--- a/src/test/java/firstage/server/engine/EngineResponseReaderTest.java
+++ b/src/test/java/firstage/server/engine/EngineResponseReaderTest.java
@@ -42,7 +42,8 @@
             assertThat(reader.response(false).body())
                     .isEqualTo("a\tb\nc".getBytes(StandardCharsets.ISO_8859_1));
             assertThat(reader.response(false).status()).isEqualTo(200);
-            assertThat(EngineClients.report(reader.response(false)).queuedForMemory()).isEqualTo(3);
+            assertThat(EngineProtocol.loadReport(reader.response(false)).queuedForMemory())
+                    .isEqualTo(3);
         }
     }
 
