--- a/src/main/java/firstage/server/EngineDirectory.java
+++ b/src/main/java/firstage/server/EngineDirectory.java
@@ -75,7 +75,7 @@
                             fleet.warmUpShare(endpoint)));
         }
         if (kind == EndpointUpdate.Kind.SNAPSHOT) {
-            engines.retainOnly(updated.stream().map(EndpointUpdate.Endpoint::engine).toList());
+            engines.retainOnly(updated.stream().map(EndpointUpdate.Endpoint::engineId).toList());
         }
         loop.dispatch(
                 "listed",
