--- a/src/main/java/firstage/server/EngineDirectory.java
+++ b/src/main/java/firstage/server/EngineDirectory.java
@@ -96,7 +96,7 @@
         for (int engine = 0; engine < engines.count(); engine++) {
             counters.checkInvariant(
                     engines.attemptsInFlight(engine) == loop.scheduler().attemptsInFlight(engine),
-                    "dispatches out are those that the scheduler holds");
+                    "attempts in flight are those that the scheduler counts");
         }
         engines.checkInvariants();
     }
--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -114,15 +114,18 @@
                     clientHandler.accept();
                     maintain();
                 });
-        LOG.info(() -> config.name() + " listens on " + config.listenAddress());
+        LOG.info(() -> "listening manager=" + config.name() + " address=" + config.listenAddress());
     }
 
     /** A new configuration (SIGHUP): only its coordinator is taken over. From any thread. */
     public void reconfigure(ManagerConfig newConfig) {
         io.execute(
                 () -> {
-                    counters.count("configurations read anew");
-                    LOG.info(() -> "the coordinator is at " + newConfig.coordinatorAddress());
+                    counters.count("configurations reloaded");
+                    LOG.info(
+                            () ->
+                                    "configuration reloaded coordinator="
+                                            + newConfig.coordinatorAddress());
                     endpointWatcher.follow(newConfig);
                 });
     }
@@ -154,7 +157,7 @@
         loop.runLater(
                 MAINTENANCE_PERIOD_MS,
                 () -> {
-                    loop.recordDelay("latest on the I/O thread, us", dueNanos);
+                    loop.recordDelay("max maintenance delay, us", dueNanos);
                     maintain();
                 });
     }
--- a/src/main/java/firstage/server/PeerFleetControl.java
+++ b/src/main/java/firstage/server/PeerFleetControl.java
@@ -103,7 +103,7 @@
     }
 
     private void onProbeOwnership(long engineId, boolean away, boolean restIsOver) {
-        counters.count(away ? "engines left to others" : "engines taken back");
+        counters.count(away ? "engines left to a probe owner" : "engines taken back");
         int engine = directory.find(engineId);
         if (engine >= 0) {
             loop.dispatch(
--- a/src/main/java/firstage/server/ReadBarrier.java
+++ b/src/main/java/firstage/server/ReadBarrier.java
@@ -73,7 +73,7 @@
         nextPass.clear();
         passInProgress = !currentPass.isEmpty();
         if (passInProgress) {
-            counters.count("looks at all sockets");
+            counters.count("read barrier passes");
             try {
                 wakeUpByte.clear();
                 wakeUpWriter.getSinkChannel().write(wakeUpByte);
@@ -111,8 +111,8 @@
 
     /** Without the pipe nothing can be told any more; the batches must not wait for it. */
     private void onPipeBroken(IOException fault) {
-        LOG.severe("no looks at all sockets any more: " + fault);
-        counters.count("faults");
+        LOG.severe("read barrier broken cause=" + fault);
+        counters.count("unexpected exceptions");
         List<Waiter> done = currentPass;
         currentPass = new ArrayList<>();
         passInProgress = false;
--- a/src/main/java/firstage/server/RequestRegistry.java
+++ b/src/main/java/firstage/server/RequestRegistry.java
@@ -13,11 +13,11 @@
 final class RequestRegistry {
     /** How a request ended; each is counted under its name. */
     enum End {
-        SUCCEEDED("batches returned"),
-        REJECTED("batches pushed back"),
-        FAILED("batches errored"),
-        FAILED_AT_DEADLINE("batches errored at their limit"),
-        CLIENT_GONE("batches left by their clients");
+        SUCCEEDED("requests succeeded"),
+        REJECTED("requests rejected"),
+        FAILED("requests failed"),
+        FAILED_AT_DEADLINE("requests failed at their deadline"),
+        CLIENT_GONE("requests left by their clients");
 
         private final String counter;
 
@@ -26,7 +26,7 @@
         }
     }
 
-    private static final String ACCEPTED = "batches taken";
+    private static final String ACCEPTED = "requests accepted";
 
     private final TickClock clock;
     private final Counters counters;
@@ -71,7 +71,7 @@
     /** The request goes to the scheduler: it gets its index here. */
     void onSequenced(RequestExchange exchange, boolean orderKnown) {
         if (!orderKnown) {
-            counters.count("batches whose turn can't be told");
+            counters.count("requests of unknown order");
         }
         exchange.requestIndex = requestIds.indexFor(exchange);
         record(EventType.SCHEDULED, exchange, orderKnown ? 1 : 0, 0);
@@ -82,13 +82,13 @@
 
     /** The scheduler starts an attempt. */
     void onAttemptStarted(RequestExchange exchange, int engine) {
-        counters.count("dispatches out");
+        counters.count("attempts started");
         attemptsInFlight++;
         record(EventType.ATTEMPT_STARTED, exchange, exchange.attemptsStarted, engine);
         if (exchange.orderingKey != null) {
             counters.checkInvariant(
                     keyOrder.onAttemptStarted(clock.now(), exchange.orderingKey, exchange.id),
-                    "batches of a key go one at a time and in turn");
+                    "requests of a key run one at a time and in order");
         }
     }
 
@@ -98,9 +98,9 @@
             RequestExchange.AttemptHandle attempt,
             AttemptOutcome outcome,
             long heldFor) {
-        counters.checkInvariant(exchange.attemptsInFlight.remove(attempt), "a dispatch ends once");
+        counters.checkInvariant(exchange.attemptsInFlight.remove(attempt), "an attempt ends once");
         attemptsInFlight--;
-        counters.count("dispatches " + outcome);
+        counters.count("attempts ended " + outcome);
         record(EventType.ATTEMPT_ENDED, exchange, outcome.ordinal(), heldFor / 10);
         if (exchange.orderingKey != null) {
             keyOrder.onAttemptEnded(clock.now(), exchange.orderingKey, exchange.id, heldFor);
@@ -122,7 +122,7 @@
         RequestExchange exchange = requestIds.idOf(request);
         counters.checkInvariant(
                 exchange.isSettled() && exchange.attemptsInFlight.isEmpty(),
-                "a batch that is forgotten has its answer and nothing out");
+                "a request that is released is answered and has no attempt in flight");
         exchange.deadlineTimer.remove();
         requestIds.release(request);
     }
@@ -143,7 +143,7 @@
         for (End end : End.values()) {
             ended += counters.sum(end.counter);
         }
-        counters.checkInvariant(counters.sum(ACCEPTED) == ended, "each batch ends once");
+        counters.checkInvariant(counters.sum(ACCEPTED) == ended, "each request ends once");
     }
 
     private void record(
--- a/src/main/java/firstage/server/SchedulerLoop.java
+++ b/src/main/java/firstage/server/SchedulerLoop.java
@@ -77,7 +77,7 @@
             long dueNanos = System.nanoTime();
             io.execute(
                     () -> {
-                        stalled |= recordDelay("latest turn, us", dueNanos);
+                        stalled |= recordDelay("max evaluation delay, us", dueNanos);
                         if (stalled) {
                             // What arrived meanwhile is read first: nothing must be sent for a
                             // client that left in that time.
@@ -111,7 +111,7 @@
         runLater(
                 delayMs,
                 () -> {
-                    stalled |= recordDelay("latest wake, us", dueNanos);
+                    stalled |= recordDelay("max wake-up delay, us", dueNanos);
                     dispatch("woken", policy -> policy.onWakeUp(clock.now(), token));
                 });
     }
@@ -132,7 +132,7 @@
     }
 
     private void onUnexpectedException(String event, RuntimeException exception) {
-        counters.count("faults");
-        LOG.log(Level.SEVERE, "fault in " + event, exception);
+        counters.count("unexpected exceptions");
+        LOG.log(Level.SEVERE, "unexpected exception event=" + event, exception);
     }
 }
--- a/src/main/java/firstage/server/ShutdownSequence.java
+++ b/src/main/java/firstage/server/ShutdownSequence.java
@@ -77,12 +77,12 @@
      */
     void begin(FleetControl fleet, long endsBy) {
         if (phase != Phase.SERVING) {
-            counters.count("calls to end that came again");
+            counters.count("repeated shutdown signals");
             return;
         }
         phase = Phase.ACCEPTING;
         engines.prepareShutdown();
-        LOG.info(() -> "closing with " + requests.openRequests() + " batches open");
+        LOG.info(() -> "shutdown started openRequests=" + requests.openRequests());
         fleet.leave();
         loop.dispatch(
                 "closing",
@@ -135,7 +135,7 @@
             closeAll.run();
             counters.checkInvariant(
                     requests.attemptsInFlight() == engines.lingeringAttempts(),
-                    "no dispatch is out at the end but what lingers");
+                    "no attempt is in flight at the end but those that linger");
             requests.checkAllEnded();
             invariantsHold = true;
         } finally {
--- a/src/main/java/firstage/server/client/ClientConnections.java
+++ b/src/main/java/firstage/server/client/ClientConnections.java
@@ -50,13 +50,13 @@
     /** Takes a connection in, and may close another for it; false where all have open calls. */
     boolean tryAdd(StreamConnection connection) {
         if (openedAtMs.size() >= limit && !closeLeastRecent()) {
-            counters.count("client connections turned away");
+            counters.count("client connections refused");
             IoUtils.safeClose(connection);
             return false;
         }
         openedAtMs.put(connection, nowMs());
         silentSinceMs.put(connection, nowMs());
-        counters.peak("most client connections", openedAtMs.size());
+        counters.peak("max client connections", openedAtMs.size());
         return true;
     }
 
--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -242,7 +242,7 @@
     }
 
     private void onStatementNotReceived(HttpServerExchange exchange, IOException exception) {
-        counters.count("calls not whole");
+        counters.count("incomplete client calls");
         if (exception instanceof Receiver.RequestToLargeException) {
             responses.refuseAndClose(exchange, 413, "statement too long");
         } else {
--- a/src/main/java/firstage/server/client/ClientResponses.java
+++ b/src/main/java/firstage/server/client/ClientResponses.java
@@ -86,7 +86,7 @@
             if (clock.now() - Math.max(oldest.getValue(), closingSince) <= maxMs * 10) {
                 return;
             }
-            counters.count("answers not read");
+            counters.count("responses not read");
             writesSince.remove(oldest.getKey());
             IoUtils.safeClose(oldest.getKey().getConnection());
         }
@@ -98,7 +98,7 @@
             refuseAndClose(exchange, status, reason);
             return;
         }
-        counters.count("calls answered " + status);
+        counters.count("client calls refused with " + status);
         exchange.setStatusCode(status);
         send(exchange, errorBody(reason));
     }
@@ -109,7 +109,7 @@
      * serves all others.
      */
     void refuseAndClose(HttpServerExchange exchange, int status, String reason) {
-        counters.count("calls answered " + status);
+        counters.count("client calls refused with " + status);
         exchange.setStatusCode(status);
         exchange.setPersistent(false);
         exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
--- a/src/main/java/firstage/server/client/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -158,7 +158,7 @@
         if (!call.isPoll()) {
             stateMachine.onFirstCallBroken();
         } else if (heldCalls.isEmpty()) {
-            counters.count("held calls broken");
+            counters.count("held polls broken");
             stateMachine.onLastPollBroken();
         }
     }
@@ -222,13 +222,13 @@
 
     @Override
     public void markClientAbsent() {
-        counters.count("clients away");
+        counters.count("clients absent");
         events.onClientPresence(request, true);
     }
 
     @Override
     public void markClientPresent() {
-        counters.count("clients back");
+        counters.count("clients present again");
         events.onClientPresence(request, false);
     }
 
--- a/src/main/java/firstage/server/client/PendingCalls.java
+++ b/src/main/java/firstage/server/client/PendingCalls.java
@@ -82,7 +82,7 @@
     /** More bytes are kept for a client, or fewer. */
     void addKeptBytes(int difference) {
         keptBytes += difference;
-        counters.peak("most bytes kept for clients", keptBytes);
+        counters.peak("max bytes kept for clients", keptBytes);
         counters.checkInvariant(
                 keptBytes >= 0 && (keptBytes == 0 || !byPollPath.isEmpty()),
                 "bytes are kept for calls that are open");
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -119,9 +119,8 @@
                             lastEventNumber,
                             index == null ? 0 : Long.parseLong(String.valueOf(index)));
         } catch (RuntimeException fault) {
-            counters.count("malformed lists");
-            LOG.warning(
-                    "the list that the configuration knows can't be read: " + fault.getMessage());
+            counters.count("malformed initial endpoint lists");
+            LOG.warning("initial endpoints unreadable cause=" + fault.getMessage());
         }
         if (coordinator == null) {
             io.executeAfter(this::confirm, CONFIRM_TIMEOUT_MS, TimeUnit.MILLISECONDS);
@@ -258,12 +257,12 @@
     private void onConnectionLost() {
         LOG.info(
                 () ->
-                        "the connection to the coordinator at "
+                        "coordinator connection lost address="
                                 + coordinator
-                                + " is lost after event "
+                                + " lastEvent="
                                 + lastEventNumber);
         closeConnection();
-        counters.count("connections to the coordinator lost");
+        counters.count("coordinator connections lost");
         scheduleReconnect();
     }
 
@@ -299,11 +298,10 @@
                     long sinceConfigured = clock.now() - configuredAt;
                     LOG.info(
                             () ->
-                                    "the coordinator at "
+                                    "coordinator connected address="
                                             + coordinator
-                                            + " is heard "
-                                            + sinceConfigured / 10
-                                            + " ms after the configuration was taken");
+                                            + " sinceConfiguredMs="
+                                            + sinceConfigured / 10);
                 }
                 for (FrameDecoder.Frame frame : frameDecoder.decode(buffer.flip())) {
                     applyFrame(frame);
@@ -313,8 +311,8 @@
                 }
             }
         } catch (IOException fault) {
-            LOG.warning("the coordinator's connection is closed: " + fault.getMessage());
-            counters.count("malformed or broken lists");
+            LOG.warning("coordinator connection closed cause=" + fault.getMessage());
+            counters.count("malformed or broken endpoint streams");
             onConnectionLost();
         }
     }
@@ -328,25 +326,26 @@
         }
         List<ServerEvents.DiscoveredEndpoint> endpoints = parser.parse(frame.payload());
         // Few in a run, and what a drain that was not kept is traced by.
-        LOG.info(
-                () ->
-                        "event "
-                                + frame.eventNumber()
-                                + " tells of "
-                                + endpoints.stream()
-                                        .map(endpoint -> endpoint.id() + " " + endpoint.lifecycle())
-                                        .limit(MAX_LOGGED_ENDPOINTS)
-                                        .toList()
-                                + (endpoints.size() > MAX_LOGGED_ENDPOINTS
-                                        ? " and "
-                                                + (endpoints.size() - MAX_LOGGED_ENDPOINTS)
-                                                + " more"
-                                        : ""));
+        LOG.info(() -> describe(frame.eventNumber(), endpoints));
         events.onEndpointsUpdated(frame.type() == 1 ? Kind.SNAPSHOT : Kind.DELTA, endpoints);
         lastEventNumber = frame.eventNumber();
-        counters.count("changes of the list");
+        counters.count("endpoint updates");
+    }
+
+    private static String describe(
+            long eventNumber, List<ServerEvents.DiscoveredEndpoint> endpoints) {
+        return "endpoints updated event="
+                + eventNumber
+                + " count="
+                + endpoints.size()
+                + " endpoints="
+                + endpoints.stream()
+                        .limit(MAX_LOGGED_ENDPOINTS)
+                        .map(endpoint -> endpoint.id() + ":" + endpoint.lifecycle())
+                        .toList();
     }
 
+    /** Ends the connection for good. */
     public void close() {
         closed = true;
         closeConnection();
--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -85,7 +85,7 @@
     }
 
     private void countUnreadable() {
-        context.counters().count("answers that can't be used");
+        context.counters().count("unreadable engine replies");
     }
 
     private CallFailure callFailure(EngineCall.Failure failure) {
@@ -152,7 +152,9 @@
     private void countDelaySinceClientLeft(long disconnectedFor) {
         if (disconnectedFor > 0) {
             context.counters()
-                    .peak("latest statement after its client left, us", disconnectedFor * 100);
+                    .peak(
+                            "max delay from client left to statement sent, us",
+                            disconnectedFor * 100);
         }
         if (disconnectedFor > LATE_SEND_THRESHOLD) {
             context.counters().count("statements sent later than 0.1 s after their client left");
--- a/src/main/java/firstage/server/engine/ConnectionBudget.java
+++ b/src/main/java/firstage/server/engine/ConnectionBudget.java
@@ -29,18 +29,18 @@
      */
     boolean reserve() {
         if (isExhausted() && pools.stream().noneMatch(EngineConnectionPool::closeLongestIdle)) {
-            counters.count("connections not had");
+            counters.count("engine connections not available");
             return false;
         }
         inUse++;
-        counters.peak("most connections to engines", inUse);
+        counters.peak("max engine connections", inUse);
         return true;
     }
 
     /** A connection was closed, or did not come up. */
     void release() {
         inUse--;
-        counters.checkInvariant(inUse >= 0, "a connection is freed once");
+        counters.checkInvariant(inUse >= 0, "a connection is released once");
     }
 
     /** The pool uses a reserved connection. */
--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -95,7 +95,7 @@
         context.counters()
                 .checkInvariant(
                         attemptsInFlight.get(index) == 0,
-                        "an engine that is forgotten has nothing out");
+                        "an engine that is released has no attempt in flight");
         poolsByEngine.set(index, null);
     }
 
--- a/src/test/java/firstage/server/ServeIT.java
+++ b/src/test/java/firstage/server/ServeIT.java
@@ -300,7 +300,7 @@
             one.next("GET /x");
             coordinator.tell(2, record(2, two.port(), 0));
         }
-        awaitLog("event 2");
+        awaitLog("event=2");
         try (Client c = new Client()) {
             c.write(
                     "POST /ops/load",
@@ -563,9 +563,9 @@
         assertThat(coordinator.asked.take()).isEqualTo(1L);
         coordinator.mute = false;
         coordinator.tell(3, record(1, one.port(), 1));
-        awaitLog("event 3");
+        awaitLog("event=3");
         assertThat(Files.readString(folder.resolve("log")))
-                .contains("event 2")
+                .contains("event=2")
                 .doesNotContain("malformed");
         try (Client c = new Client()) {
             assertThat(c.follow(c.post("lookup", "", "SELECT 1", 5000)).status).isEqualTo(200);
@@ -590,7 +590,7 @@
             // An engine that the list names no more is gone: no word of its own says so.
             coordinator.slow = false;
             coordinator.tell(3, 1, record(3, three.port(), 0));
-            awaitLog("event 3");
+            awaitLog("event=3");
             two.seen.clear();
             assertThat(c.follow(c.post("lookup", "", "SELECT 1", 5000)).status).isEqualTo(200);
         }
@@ -616,7 +616,7 @@
             next.event(2, 2, record(2, two.port(), 0));
             next.event(3, 2, record(1, one.port(), 1));
             hangUp(config().replace(":" + coordinator.port() + "\"", ":" + next.port() + "\""));
-            awaitLog("event 3");
+            awaitLog("event=3");
             for (int i = 0; i < 10; i++) {
                 assertThat(c.follow(c.post("lookup", "", "SELECT 1", 5000)).status).isEqualTo(200);
             }
@@ -714,7 +714,7 @@
                     config().replace(
                                     ":" + coordinator.port() + "\"",
                                     ":" + full.getLocalPort() + "\""));
-            awaitLog("the coordinator is at");
+            awaitLog("configuration reloaded coordinator=");
             long since = System.nanoTime();
             Thread.sleep(100);
             full.accept().close();
@@ -795,7 +795,7 @@
         StandInEngine two = new StandInEngine();
         coordinator.tell(2, record(2, two.port(), 0));
         coordinator.tell(3, record(1, one.port(), 1));
-        awaitLog("event 3");
+        awaitLog("event=3");
         try (Client c = new Client()) {
             assertThat(c.follow(c.post("lookup", "", "SELECT 1", 2000)).status).isEqualTo(200);
         }
@@ -821,7 +821,7 @@
         }
         assertThat(program.waitFor()).isZero();
         assertThat(Files.readString(folder.resolve("log")))
-                .contains("batches returned=2")
+                .contains("requests succeeded=2")
                 .doesNotContain("broken:");
     }
 
@@ -863,7 +863,7 @@
         one.script = seen -> waitsFor.equals("again") ? SHED : SILENCE;
         if (waitsFor.equals("first")) {
             coordinator.tell(2, record(1, one.port(), 1));
-            awaitLog("event 2");
+            awaitLog("event=2");
         }
         Client c = new Client();
         String path = c.post("report", "", "SELECT 1", 9000).poll();
@@ -920,7 +920,7 @@
                 Client c = new Client()) {
             coordinator.tell(2, record(2, full.getLocalPort(), 0));
             coordinator.tell(3, record(1, one.port(), 1));
-            awaitLog("event 3");
+            awaitLog("event=3");
             c.write("GET " + c.post("lookup", "", "SELECT 1", 5000).poll(), "", "");
             Thread.sleep(200);
             if (leaves) {
@@ -1001,7 +1001,7 @@
     @ValueSource(ints = {0, 200, 1_000})
     void aClientThatComesBackFindsItsBatchAndItIsSentThen(int away) throws Exception {
         coordinator.tell(2, record(1, one.port(), 1));
-        awaitLog("event 2");
+        awaitLog("event=2");
         String path;
         try (Client c = new Client()) {
             path = c.post("report", "", "SELECT 1", 9000).poll();
@@ -1011,7 +1011,7 @@
         Thread.sleep(away);
         StandInEngine two = new StandInEngine();
         coordinator.tell(3, record(2, two.port(), 0));
-        awaitLog("event 3");
+        awaitLog("event=3");
         try (Client c = new Client()) {
             assertThat(c.call("GET " + path, "", "").status).isEqualTo(200);
         }
@@ -1024,7 +1024,7 @@
     @Test
     void aClientThatLeftWhileTheProcessStoodStillIsNotSentFor() throws Exception {
         coordinator.tell(2, record(1, one.port(), 1));
-        awaitLog("event 2");
+        awaitLog("event=2");
         StandInEngine two = new StandInEngine();
         List<Client> all = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
@@ -1126,7 +1126,7 @@
         assertThat(program.waitFor()).isZero();
         if (again) {
             assertThat(Files.readString(folder.resolve("log")))
-                    .contains("calls to end that came again=1");
+                    .contains("repeated shutdown signals=1");
         }
     }
 
@@ -1178,7 +1178,7 @@
         }
         assertThat(program.waitFor()).isZero();
         assertThat(Files.readString(folder.resolve("log")))
-                .contains("batches returned=1")
+                .contains("requests succeeded=1")
                 .doesNotContain("broken:");
     }
 
@@ -1244,7 +1244,7 @@
             assertThat((System.nanoTime() - from) / 1_000_000).isLessThan(3_600);
         }
         assertThat(Files.readString(folder.resolve("log")))
-                .contains("batches returned=2")
+                .contains("requests succeeded=2")
                 .doesNotContain("broken:");
     }
 
