--- a/src/main/java/firstage/bench/BenchManager.java
+++ b/src/main/java/firstage/bench/BenchManager.java
@@ -118,7 +118,7 @@
     private void onPeerMessage(long now, WireFields event) {
         if (loadShedding != null) {
             int sender = event.getInt(BenchWire.SENDER, 0);
-            loadShedding.heard(now, sender, reader.payload(event));
+            loadShedding.onMessage(now, sender, reader.payload(event));
         }
     }
 
@@ -131,10 +131,10 @@
     }
 
     private void evaluateLoadShedding(long now) {
-        byte[] message = loadShedding.look(now, policy.demand(now));
+        byte[] message = loadShedding.evaluate(now, policy.demand(now));
         if (message.length > 0) {
             actions.messagePeers(message);
         }
-        actions.scheduleWakeUp(BroadcastLoadShedding.LOOK, LOAD_SHEDDING_TOKEN);
+        actions.scheduleWakeUp(BroadcastLoadShedding.EVALUATION_INTERVAL, LOAD_SHEDDING_TOKEN);
     }
 }
--- a/src/main/java/firstage/lifecycle/ClientCallStateMachine.java
+++ b/src/main/java/firstage/lifecycle/ClientCallStateMachine.java
@@ -10,7 +10,7 @@
  * and not the batch. An answer that was written may be lost with its connection: it is kept for a
  * client that asks again.
  *
- * <p>Times are tenths of a millisecond. Effects go out by {@link ArrivalActions}, which does not
+ * <p>Times are tenths of a millisecond. Effects go out by {@link ClientCallActions}, which does not
  * call back before it returns.
  */
 public final class ClientCallStateMachine {
--- a/src/main/java/firstage/server/PeerFleetControl.java
+++ b/src/main/java/firstage/server/PeerFleetControl.java
@@ -75,7 +75,7 @@
 
     @Override
     public long recentPause() {
-        return membership.stoodStill();
+        return membership.pauseDuration();
     }
 
     @Override
@@ -99,7 +99,7 @@
 
     @Override
     public void onEngineReleased(long engineId) {
-        membership.together().forget(engineId);
+        membership.fleetCoordinator().removeEngine(engineId);
     }
 
     private void onProbeOwnership(long engineId, boolean away, boolean restIsOver) {
@@ -121,15 +121,15 @@
         directory.forEach(
                 engine ->
                         membership
-                                .together()
-                                .holds(
+                                .fleetCoordinator()
+                                .updateEngine(
                                         clock.now(),
                                         directory.zone(engine),
                                         directory.id(engine),
                                         scheduler.isUnavailable(engine),
                                         scheduler.lastAttemptAt(engine),
                                         scheduler.lastResponseAt(engine)));
-        membership.together().look(clock.now(), scheduler.demand(clock.now()));
+        membership.fleetCoordinator().evaluate(clock.now(), scheduler.demand(clock.now()));
         loop.runLater(REPORT_PERIOD_MS, this::reportToFleet);
     }
 }
