--- a/src/main/java/firstage/lifecycle/ArrivalSequencer.java
+++ b/src/main/java/firstage/lifecycle/ArrivalSequencer.java
@@ -4,30 +4,35 @@
 import java.util.Map;
 
 /**
- * In which order batches of one key came, as far as it can be known (rule 5 counts from the last
- * byte at this machine, not from when it is read). A batch with a key is told to the decisions only
- * when all that had come before it was read has been read, too. Another of its key that turns up
- * meanwhile may have come before or after it: its turn can't be told, and it is told as such, ahead
- * of the first, so that at most one of them ever runs.
+ * Finds in which order requests with the same ordering key arrived, as far as that can be known:
+ * what counts is when the last byte reached this machine, not when it is read. A request with a key
+ * is delivered only when all that had arrived before it was read has been read, too. Another of its
+ * key that turns up meanwhile may have arrived before or after it: it is delivered at once, ahead
+ * of the first, with its order unknown, so that at most one of them ever runs.
  *
  * <table>
- * <caption>State of a key, event, next state, effect</caption>
- * <tr><td>clear</td><td>a batch came</td><td>unsettled</td><td>ask for a barrier</td></tr>
- * <tr><td>unsettled</td><td>another came</td><td>unsettled</td><td>tell it, turn unknown</td></tr>
- * <tr><td>unsettled</td><td>the barrier was passed</td><td>clear</td>
- *     <td>tell the first, turn known</td></tr>
+ * <caption>State of a key, event, next state, action</caption>
+ * <tr><td>clear</td><td>a request was read</td><td>waiting</td><td>request a read barrier</td></tr>
+ * <tr><td>waiting</td><td>another was read</td><td>waiting</td>
+ *     <td>deliver it, order unknown</td></tr>
+ * <tr><td>waiting</td><td>the barrier was passed</td><td>clear</td>
+ *     <td>deliver the first, order known</td></tr>
  * </table>
+ *
+ * <p>Invariant: each request is delivered once. Calls come on one thread.
+ *
+ * @param <B> a request
  */
 public final class ArrivalSequencer<B> {
-    /** Carries the effects out. */
+    /** What the sequencer causes. */
     public interface ArrivalActions<B> {
         /**
-         * To be answered by {@link ArrivalSequencer#onReadBarrierPassed} once all that has come
-         * until now is read and told.
+         * {@link ArrivalSequencer#onReadBarrierPassed} is to be called once all that has arrived
+         * until now is read.
          */
         void requestReadBarrier(Object key);
 
-        /** The batch is taken; where its turn is unknown it must not run. */
+        /** The request goes to the scheduler; where its order is unknown it must not run. */
         void deliver(B request, boolean orderKnown);
     }
 
@@ -38,7 +43,7 @@
         this.actions = actions;
     }
 
-    /** A batch was read whole; {@code key} null where nobody waits for its turn. */
+    /** A request was read whole; {@code key} is null without an ordering key. */
     public void onRequestRead(B request, Object key) {
         if (key == null) {
             actions.deliver(request, true);
@@ -49,7 +54,7 @@
         }
     }
 
-    /** All that had come when the barrier was asked for has been told. */
+    /** All that had arrived when the barrier was requested has been read. */
     public void onReadBarrierPassed(Object key) {
         B first = firstByKey.remove(key);
         if (first != null) {
@@ -57,7 +62,7 @@
         }
     }
 
-    /** Batches that were read and not told yet. */
+    /** Requests that were read and not delivered yet. */
     public int undelivered() {
         return firstByKey.size();
     }
--- a/src/main/java/firstage/lifecycle/ClientCallStateMachine.java
+++ b/src/main/java/firstage/lifecycle/ClientCallStateMachine.java
@@ -5,65 +5,78 @@
 import java.util.Map;
 
 /**
- * A batch as its client sees it. The client's first call is held until there is an answer; where
- * that takes long it gets a path to ask at instead, so that a connection that breaks costs a call
- * and not the batch. An answer that was written may be lost with its connection: it is kept for a
- * client that asks again.
+ * A request as its client sees it. The client's first call is held until there is an answer; where
+ * that takes long it gets a path to poll instead, so that a connection that breaks costs a call and
+ * not the request. An answer that was written may be lost with its connection: it is kept for a
+ * client that polls again.
  *
- * <p>Times are tenths of a millisecond. Effects go out by {@link ClientCallActions}, which does not
- * call back before it returns.
+ * <table>
+ * <caption>States</caption>
+ * <tr><td>FIRST_CALL_HELD</td><td>the first call waits for the answer</td></tr>
+ * <tr><td>POLL_PATH_SENT</td><td>the client has a path and is expected to poll</td></tr>
+ * <tr><td>CLIENT_ABSENT</td><td>it did not poll in time: nothing new is sent for it</td></tr>
+ * <tr><td>POLL_HELD</td><td>a poll waits for the answer</td></tr>
+ * <tr><td>ANSWER_READY</td><td>the answer waits for a poll</td></tr>
+ * <tr><td>ANSWER_SENT</td><td>the answer was sent, and is kept for another poll</td></tr>
+ * <tr><td>RELEASED</td><td>final</td></tr>
+ * </table>
+ *
+ * <p>Invariants: {@link ClientCallActions#release} is called once; a client whose request is
+ * released before there is an answer is marked gone; at most one timer runs.
+ *
+ * <p>Times are ticks. Calls come on one thread; actions go out by {@link ClientCallActions}, which
+ * does not call back before it returns.
  */
 public final class ClientCallStateMachine {
-    /** A first call is held so long: as the engines hold theirs. */
+    /** How long a first call is held: as long as the engines hold theirs. */
     public static final long FIRST_CALL_HOLD = 2_500;
 
     /**
-     * A client calls again at once, three times at most; so long it may take, and an answer be
-     * asked for anew.
+     * A client whose connection broke calls again at once, three times at most: within this an
+     * answer may be fetched again.
      */
     public static final long RECONNECT_TIMEOUT = 20_000;
 
     /**
-     * One that has not called at its path within this may be gone: a way there and back takes
-     * milliseconds. Nothing is sent for it until it calls; half of the 0.1 s after which a client
-     * that left must cost no engine anything, so that a statement which is just on its way comes in
-     * time, too.
+     * A client that has not polled within this may be gone: a round trip takes milliseconds.
+     * Nothing is sent for it until it polls. Half of the 0.1 s after which a client that left must
+     * cost no engine anything, so that a statement which is just being sent is in time, too.
      */
     public static final long POLL_GRACE = 500;
 
-    /** Carries the effects out. */
+    /** What a call causes. */
     public interface ClientCallActions {
-        /** Answers the first call with the path. */
+        /** Answers the first call with the path to poll. */
         void respondWithPollPath();
 
-        /** Answers all calls that are held with the batch's answer. */
+        /** Answers all calls that are held with the request's answer. */
         void respond();
 
         /**
-         * Sets the one timer, to be told by {@link ClientCallStateMachine#onTimeout}; the one
-         * before is void.
+         * Starts the one timer, which ends in {@link ClientCallStateMachine#onTimeout}; replaces
+         * the one before.
          */
         void startTimer(long delay);
 
-        /** The timer is void. */
+        /** Stops the timer. */
         void stopTimer();
 
         /** Ends the connections of all calls that are held. */
         void closeHeldCalls();
 
-        /** Answers all calls that are held: errored, for it is given up and may have run. */
+        /** Answers all calls that are held as failed: the request is cancelled and may have run. */
         void failHeldCalls();
 
-        /** Nobody asks at the path, and nobody may any more: it is not to be sent on. */
+        /** Nobody polls, and the client may be gone: nothing more is to be sent for it. */
         void markClientAbsent();
 
-        /** It is asked for again. */
+        /** The client polls again. */
         void markClientPresent();
 
-        /** The client is gone, or gave up, before there was an answer: it is owed nothing. */
+        /** The client is gone, or cancelled, before there was an answer: it is owed none. */
         void markClientGone();
 
-        /** Nobody asks any more: the call is off the books. Called once. */
+        /** Nobody polls any more. Called once. */
         void release();
     }
 
@@ -112,7 +125,7 @@
                 .put(event, new Transition(next, List.of(actions)));
     }
 
-    // State, event, next state, effects. What is not here changes nothing.
+    // State, event, next state, actions. An event that is not here changes nothing.
     static {
         transition(
                 State.FIRST_CALL_HELD,
@@ -127,7 +140,7 @@
                 Action.RESPOND,
                 Action.STOP_TIMER,
                 Action.RELEASE);
-        // With no path yet a client that closes gives up.
+        // A client that closes before it has a path cancels.
         transition(
                 State.FIRST_CALL_HELD,
                 Event.FIRST_CALL_BROKEN,
@@ -163,9 +176,8 @@
                 Action.STOP_TIMER,
                 Action.RELEASE,
                 Action.MARK_CLIENT_GONE);
-        // The harm prevented: a client that closed and can't say so, or whose word is late, is
-        // worked for in vain. One
-        // whose connection broke finds its batch where it was.
+        // A client that closed and can't say so, or whose cancellation is late, must cost no
+        // engine anything. One whose connection broke finds its request where it was.
         transition(
                 State.CLIENT_ABSENT,
                 Event.POLL,
@@ -190,7 +202,7 @@
                 Action.STOP_TIMER,
                 Action.RELEASE,
                 Action.MARK_CLIENT_GONE);
-        // Which of two calls is the later one can't be told by when they come in: both are held,
+        // Which of two polls is the later one can't be known from when they arrive: both are held,
         // and both answered.
         transition(
                 State.POLL_HELD,
@@ -204,9 +216,8 @@
                 State.CLIENT_ABSENT,
                 Action.START_RECONNECT_TIMEOUT,
                 Action.MARK_CLIENT_ABSENT);
-        // The harm prevented: a client's time may be up before ours says so, as it counts from
-        // before it sent; its held
-        // call would end with no answer at all, and that is a batch lost.
+        // A client's deadline may pass before ours, as it counts from before it sent: its held
+        // poll must not end with no answer at all.
         transition(
                 State.POLL_HELD,
                 Event.CLIENT_CANCELLED,
@@ -250,17 +261,17 @@
         this.actions = actions;
     }
 
-    /** The first call is held. */
+    /** Begins: the first call is held. */
     public void start() {
         actions.startTimer(FIRST_CALL_HOLD);
     }
 
-    /** The timer that was set last. */
+    /** The timer ran out. */
     public void onTimeout() {
         handle(Event.TIMEOUT);
     }
 
-    /** The client asks at the path; its call is held from here on. */
+    /** The client polls; its call is held from here on. */
     public void onPoll() {
         handle(Event.POLL);
     }
@@ -270,17 +281,17 @@
         handle(Event.ANSWER_AVAILABLE);
     }
 
-    /** The connection of the first call ended under it. */
+    /** The connection of the first call broke. */
     public void onFirstCallBroken() {
         handle(Event.FIRST_CALL_BROKEN);
     }
 
-    /** The connection of a call at the path ended under it, and no other is held. */
+    /** The connection of a poll broke, and no other poll is held. */
     public void onLastPollBroken() {
         handle(Event.LAST_POLL_BROKEN);
     }
 
-    /** The client gave up by the path, or did what no client of ours does. */
+    /** The client cancelled, or broke the protocol. */
     public void onClientCancelled() {
         handle(Event.CLIENT_CANCELLED);
     }
--- a/src/main/java/firstage/lifecycle/KeyOrderMonitor.java
+++ b/src/main/java/firstage/lifecycle/KeyOrderMonitor.java
@@ -7,16 +7,17 @@
 import java.util.Map;
 
 /**
- * Watches what crosses of batches with a key, beside the decisions: no statement goes out while an
- * earlier batch of its key is open, or a dispatch of another one is out or may be held by its
- * engine. It decides nothing; what it finds is a fault of ours. Times are tenths of a millisecond.
+ * Checks the order of requests with an ordering key independently of the scheduler: no statement is
+ * sent while an earlier request of its key is open, or while an attempt of another one is in flight
+ * or may be held by its engine. It decides nothing; a violation is a fault of this program. Times
+ * are ticks. Calls come on one thread.
  */
 public final class KeyOrderMonitor {
     private static final class KeyState {
         private final List<Object> openRequests = new ArrayList<>();
         private final Map<Object, Integer> attemptsInFlight = new HashMap<>();
 
-        /** The batch whose engine may hold it, and until when. */
+        /** Requests whose engine may hold a statement, and until when. */
         private final Map<Object, Long> heldUntil = new HashMap<>();
 
         private boolean isIdle(long now) {
@@ -27,12 +28,12 @@
 
     private final Map<Object, KeyState> keys = new HashMap<>();
 
-    /** A batch was told to the decisions, its turn known. */
+    /** A request went to the scheduler, its order known. */
     public void onRequest(Object key, Object request) {
         keys.computeIfAbsent(key, k -> new KeyState()).openRequests.add(request);
     }
 
-    /** A dispatch of it goes out; false where that breaks its key's order. */
+    /** An attempt starts; false where that breaks the order of its key. */
     public boolean onAttemptStarted(long now, Object key, Object request) {
         KeyState keyState = keys.computeIfAbsent(key, k -> new KeyState());
         keyState.isIdle(now);
@@ -45,7 +46,7 @@
         return first && alone;
     }
 
-    /** A dispatch of it is over; its engine may hold it for {@code rest} more. */
+    /** An attempt ended; its engine may hold the statement for {@code heldFor} more. */
     public void onAttemptEnded(long now, Object key, Object request, long heldFor) {
         KeyState keyState = keys.get(key);
         if (keyState != null) {
@@ -56,7 +57,7 @@
         }
     }
 
-    /** The batch is answered, or owed no answer. */
+    /** The client has its answer, or is owed none. */
     public void onRequestEnded(Object key, Object request) {
         KeyState keyState = keys.get(key);
         if (keyState != null) {
@@ -64,7 +65,7 @@
         }
     }
 
-    /** Drops the keys that nothing is known of any more; asked now and then. */
+    /** Drops keys that nothing is known of any more; called now and then. */
     public void removeIdleKeys(long now) {
         for (Iterator<KeyState> remaining = keys.values().iterator(); remaining.hasNext(); ) {
             if (remaining.next().isIdle(now)) {
--- a/src/main/java/firstage/server/Counters.java
+++ b/src/main/java/firstage/server/Counters.java
@@ -5,13 +5,14 @@
 import java.util.TreeMap;
 
 /**
- * Counts by name, printed at the end; what must hold is asserted under -ea and else counted here.
+ * Counts by name, printed when the program ends. What must hold is asserted under {@code -ea} and
+ * else counted as broken. Owned by the I/O thread.
  */
 public final class Counters {
     private final Map<String, Long> counts = new TreeMap<>();
     private final FlightRecorder recorder = new FlightRecorder();
 
-    /** What led up to a count of something broken. */
+    /** The events that led up to a broken invariant. */
     public FlightRecorder recorder() {
         return recorder;
     }
@@ -33,7 +34,7 @@
         counts.merge(name, value, Math::max);
     }
 
-    /** What must hold. */
+    /** Checks an invariant; a broken one is logged with the recorded events, and counted. */
     public void checkInvariant(boolean holds, String invariant) {
         if (!holds) {
             recorder.dump("broken: " + invariant);
--- a/src/main/java/firstage/server/FlightRecorder.java
+++ b/src/main/java/firstage/server/FlightRecorder.java
@@ -5,30 +5,33 @@
 import java.util.logging.Logger;
 
 /**
- * The last things that happened to batches with a key, and the thread's stalls, in a ring of fixed
- * size: written to the log when something that must hold does not. It costs a few stores an event,
- * and no line until it is needed.
+ * The latest events of requests with an ordering key, and the thread's stalls, in a ring of fixed
+ * size: written to the log when an invariant is broken. An event costs a few stores, and no line
+ * until then. Owned by the I/O thread.
  */
 public final class FlightRecorder {
     /** What happened; the two figures beside it are as said. */
     public enum EventType {
-        /** Read whole: ms since its connection was opened. */
+        /** Read whole: age of its connection in ms. */
         READ,
-        /** Told to the decisions: 1 where its turn is known. */
+        /** Given to the scheduler: 1 where its order is known. */
         SCHEDULED,
-        /** Sent by the decisions: number, engine. */
+        /** The scheduler starts an attempt: its number, the engine. */
         ATTEMPT_STARTED,
-        /** The statement goes onto the wire: number, engine. */
+        /** The statement is written: attempt, engine. */
         STATEMENT_WRITTEN,
-        /** An answer of its engine: number, status. */
+        /** An answer of the engine: attempt, HTTP status. */
         ENGINE_REPLY,
-        /** A call to its engine failed: number, place in {@code Call.Failure}. */
+        /** A call to the engine failed: attempt, ordinal of {@code EngineCall.Failure}. */
         CALL_FAILED,
-        /** A dispatch is over: place in {@code Outcome}, how long its engine may hold it in ms. */
+        /**
+         * An attempt ended: ordinal of {@code AttemptOutcome}, how long its engine may hold it in
+         * ms.
+         */
         ATTEMPT_ENDED,
         /** The client has its answer, or left. */
         REQUEST_ENDED,
-        /** The thread came late: ms. */
+        /** The thread was stalled: ms. */
         STALL
     }
 
@@ -37,7 +40,7 @@
     /** Some ten seconds of a manager in heavy traffic; 32 bytes each. */
     private static final int CAPACITY = 2_048;
 
-    /** Between two dumps: one fault is told once, not with each of its consequences. */
+    /** Between two dumps: one fault is logged once, not with each of its consequences. */
     private static final long DUMP_GAP_NS = 10_000_000_000L;
 
     private final long[] timesNanos = new long[CAPACITY];
@@ -48,7 +51,7 @@
     private long count;
     private long dumpedAtNanos;
 
-    /** Keeps one event; {@code id} is null where it is no batch's. */
+    /** Keeps one event; {@code id} is null where it is not of a request. */
     public void record(EventType type, String id, long firstFigure, long secondFigure) {
         int slot = (int) (count++ % CAPACITY);
         timesNanos[slot] = System.nanoTime();
--- a/src/main/java/firstage/server/ReadBarrier.java
+++ b/src/main/java/firstage/server/ReadBarrier.java
@@ -13,12 +13,12 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Tells when all that had reached this machine at a moment has been read. A byte is written to a
- * pipe of the thread's own; the look at all sockets that finds it finds all that came before it,
+ * Calls back when all that had reached this machine at a moment has been read. A byte is written to
+ * a pipe of the thread's own; the selector pass that finds it finds all that arrived before it,
  * too, and once the thread is through with what it found, that has been read. It takes two such
- * looks: the first finds new connections, which are accepted and joined to the others, the second
- * what had come on them. Nothing of this depends on the order in which the selector tells of what
- * is ready, nor on how long the thread, or the process, stood still.
+ * passes: the first finds new connections, which are accepted and registered, the second what had
+ * arrived on them. This depends neither on the order in which the selector reports what is ready,
+ * nor on how long the thread, or the process, was paused. Owned by the I/O thread.
  */
 public final class ReadBarrier {
     private static final Logger LOG = Logger.getLogger(ReadBarrier.class.getName());
@@ -39,7 +39,9 @@
     private final StreamConnection wakeUpWriter;
     private final ByteBuffer wakeUpByte = ByteBuffer.allocate(1);
 
-    /** Those that the look under way counts for, and those that came since it began. */
+    /**
+     * Waiters that the pass under way counts for; those that came since it began are in the next.
+     */
     private List<Waiter> currentPass = new ArrayList<>();
 
     private final ArrayDeque<Waiter> nextPass = new ArrayDeque<>();
@@ -54,13 +56,13 @@
         wakeUpReader = pipe.getRightSide();
     }
 
-    /** Begins to listen; on the thread itself. */
+    /** Begins; on the I/O thread. */
     public void start() {
         wakeUpReader.getSourceChannel().setReadListener(this::onWakeUp);
         wakeUpReader.getSourceChannel().resumeReads();
     }
 
-    /** Calls back once all that has come until now is read and told. */
+    /** Calls back once all that has arrived until now is read, and its events are handled. */
     public void runAfterPendingReads(Runnable callback) {
         nextPass.add(new Waiter(callback));
         if (!passInProgress) {
@@ -87,7 +89,7 @@
         try {
             wakeUpByte.clear();
             if (source.read(wakeUpByte) > 0) {
-                // The rest of what this look found is read first.
+                // The rest of what this pass found is read first.
                 io.execute(this::finishPass);
             }
         } catch (IOException fault) {
@@ -109,7 +111,7 @@
                 .forEach(waiter -> waiter.callback.run());
     }
 
-    /** Without the pipe nothing can be told any more; the batches must not wait for it. */
+    /** Without the pipe no barrier is ever passed; requests must not wait for it. */
     private void onPipeBroken(IOException fault) {
         LOG.severe("read barrier broken cause=" + fault);
         counters.count("unexpected exceptions");
--- a/src/main/java/firstage/server/RequestExchange.java
+++ b/src/main/java/firstage/server/RequestExchange.java
@@ -6,11 +6,11 @@
 import org.xnio.XnioExecutor;
 
 /**
- * One batch between its client and the engines: all that the two sides know of each other. What
- * goes on unchanged is kept as the bytes that came.
+ * One request between its client and the engines: what both sides know of each other. What goes on
+ * unchanged is kept as the bytes that came. Owned by the I/O thread; times are ticks.
  */
 public final class RequestExchange {
-    /** The client's side: exactly one of the three is called, once. */
+    /** Answers the client: one of the three is called, once. */
     public interface ResponseActions {
         void respondSucceeded(List<byte[]> pages);
 
@@ -19,7 +19,7 @@
         void respondFailed();
     }
 
-    /** The engines' side: a dispatch that is out. */
+    /** An attempt in flight. */
     public interface AttemptHandle {
         int number();
 
@@ -27,7 +27,7 @@
 
         void updatePriority(int priority);
 
-        /** Ends it with this outcome, once the engine was told or can't be. */
+        /** Ends it with this outcome, once the engine knows of it or can't be told. */
         void abandon(AttemptOutcome outcome);
     }
 
@@ -35,31 +35,31 @@
     public final String trafficClass;
     public final byte[] statement;
 
-    /** When the client's time is up, on the clock of the decisions. */
+    /** The client's deadline. */
     public final long deadline;
 
     public final List<AttemptHandle> attemptsInFlight = new ArrayList<>();
 
-    /** Its index, as the decisions know it. */
+    /** Its index at the scheduler; -1 before the scheduler knows it. */
     public int requestIndex = -1;
 
-    /** Its key, or null: others with the same may wait for it to be over. */
+    /** The ordering key, or null. */
     public String orderingKey;
 
-    /** How old its client's connection was when it was read, in ms. */
+    /** How old the client's connection was when the request was read, in ms. */
     public long connectionAgeMs;
 
-    /** Rings when the client's time is up. */
+    /** Runs at the deadline. */
     public XnioExecutor.Key deadlineTimer;
 
     public int attemptsStarted;
     public int grantMb;
     public int priority = 1;
 
-    /** Its client may be gone: nothing is to be sent for it. */
+    /** Its client may be gone: nothing new is to be sent for it. */
     public boolean clientAbsent;
 
-    /** Since when its client is on no line of ours; below 0 while it is. */
+    /** Since when its client has no connection to this manager; below 0 while it has one. */
     private long disconnectedSince = -1;
 
     private final ResponseActions response;
@@ -90,22 +90,22 @@
         return settled;
     }
 
-    /** Its client is on no line any more; the first time counts. */
+    /** The client has no connection any more; the first time counts. */
     public void clientDisconnected(long now) {
         disconnectedSince = disconnectedSince < 0 ? now : disconnectedSince;
     }
 
-    /** Its client is on a line again. */
+    /** The client has a connection again. */
     public void clientConnected() {
         disconnectedSince = -1;
     }
 
-    /** How long its client has been on no line; 0 while it is. */
+    /** How long the client has had no connection; 0 while it has one. */
     public long disconnectedFor(long now) {
         return disconnectedSince < 0 ? 0 : now - disconnectedSince;
     }
 
-    /** The client left. */
+    /** The client left: it is owed no answer. */
     public void clientGone() {
         settled = true;
     }
--- a/src/main/java/firstage/server/ServerEvents.java
+++ b/src/main/java/firstage/server/ServerEvents.java
@@ -7,9 +7,18 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** What the peers' packages tell the node. All calls come on the I/O thread. */
+/** Events of clients, engines and discovery. All calls come on the I/O thread; times are ticks. */
 public interface ServerEvents {
-    /** A batch was taken whole; {@code key} is null without one. */
+    /**
+     * A request was read whole.
+     *
+     * @param trafficClass its index in the settings
+     * @param tenant its index in the settings; 0 where these name none
+     * @param key the ordering key; null without one
+     * @param estimate the client's estimate of the work; 0 without one
+     * @param memoryMb the client's estimate of the memory; 0 without one
+     * @param tableGroup the group of tables that the statement names; -1 without one
+     */
     void onRequest(
             RequestExchange exchange,
             int trafficClass,
@@ -20,17 +29,18 @@
             int tableGroup);
 
     /**
-     * How long this thread may have stood still before this moment; 0 where it surely ran, or
-     * nobody knows.
+     * How long the process may have been paused before now; 0 where it surely ran, or that is
+     * unknown.
      */
     long recentPause();
 
-    /** The client left, or gave up. */
+    /** The client left, or cancelled. */
     void onClientGone(RequestExchange exchange);
 
-    /** The client is not there to be answered, and may be gone; or it asks again. */
+    /** The client is absent and may be gone; or it polls again. */
     void onClientPresence(RequestExchange exchange, boolean away);
 
+    /** An engine reported progress. */
     void onAttemptProgress(
             RequestExchange exchange,
             RequestExchange.AttemptHandle attempt,
@@ -38,8 +48,11 @@
             double amount);
 
     /**
-     * A dispatch is over; {@code pages} only where it returned; the engine may hold it for {@code
-     * rest} more.
+     * An attempt ended.
+     *
+     * @param pages the result; used only where the attempt succeeded
+     * @param report the latest load report of the engine; null without one
+     * @param heldFor for how long the engine may still hold the statement
      */
     void onAttemptEnded(
             RequestExchange exchange,
@@ -50,14 +63,23 @@
             List<byte[]> pages,
             long heldFor);
 
+    /** A probe ended; {@code report} is null where its answer carried none. */
     void onProbeResult(int engine, AttemptOutcome outcome, LoadReport report);
 
+    /** Engines changed, or the whole list came. */
     void onEndpointsUpdated(EndpointUpdate.Kind kind, List<DiscoveredEndpoint> endpoints);
 
-    /** The list is as its coordinator has it, or can't be had any fresher: it may be acted on. */
+    /** The endpoint list is current, or as current as can be had: it may be acted on. */
     void onEndpointsConfirmed();
 
-    /** An engine as the coordinator lists it: its id as a number and where it listens. */
+    /**
+     * An engine as the coordinator lists it.
+     *
+     * @param id its id as a number
+     * @param address where it listens
+     * @param kind the index of its machine type
+     * @param startedAt when it started; 0 where that is long ago
+     */
     record DiscoveredEndpoint(
             long id,
             InetSocketAddress address,
--- a/src/main/java/firstage/server/TickClock.java
+++ b/src/main/java/firstage/server/TickClock.java
@@ -1,9 +1,8 @@
 package firstage.server;
 
 /**
- * The Unix clock in whole tenths of a millisecond as it stood at the start, carried on by the
- * monotonic clock: a step of the system's time neither stalls a decision nor makes all of them due
- * at once.
+ * The Unix clock in ticks as it stood at the start, carried on by the monotonic clock: a step of
+ * the system's time neither delays a decision nor makes all of them due at once.
  */
 public final class TickClock {
     private static final long NANOS = 100_000;
@@ -14,7 +13,7 @@
         return startTick + (System.nanoTime() - startNanos) / NANOS;
     }
 
-    /** A moment that others told in Unix milliseconds, on this clock; 0 stays 0: long ago. */
+    /** A moment in Unix milliseconds of another process, on this clock; 0 stays 0: long ago. */
     public long fromUnixMillis(long unixMs) {
         return unixMs == 0 ? 0 : now() - (System.currentTimeMillis() - unixMs) * 10;
     }
--- a/src/main/java/firstage/server/client/BadRequestResponse.java
+++ b/src/main/java/firstage/server/client/BadRequestResponse.java
@@ -7,9 +7,9 @@
 import org.xnio.conduits.StreamSinkConduit;
 
 /**
- * Undertow's parser answers what is no HTTP by itself, with a 400 without a body, before any
- * handler is asked. Here that answer gets the JSON line which all other faults of callers have; all
- * else goes through as it is.
+ * Undertow's parser answers what is not HTTP by itself, with a 400 without a body, before any
+ * handler is called. Here that answer gets the JSON body which all other refusals have; all else is
+ * passed through.
  */
 final class BadRequestResponse extends AbstractStreamSinkConduit<StreamSinkConduit> {
     private static final byte[] EMPTY_BAD_REQUEST =
--- a/src/main/java/firstage/server/client/ClientConnections.java
+++ b/src/main/java/firstage/server/client/ClientConnections.java
@@ -14,16 +14,18 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * The clients' open connections: never more than their part of the descriptors. With none left XNIO
- * stops accepting for a quarter of a second and longer, and a batch that waits unseen meanwhile is
- * overtaken by the next of its key. So one more connection costs the one that was silent longest,
- * and never one with an open call.
+ * The clients' open connections, never more than their part of the file descriptors. With none left
+ * XNIO stops accepting for a quarter of a second and longer, and a request that waits unseen
+ * meanwhile is overtaken by the next of its key. So one connection too many closes the one that was
+ * silent longest, and never one with an open call. Owned by the I/O thread.
  */
 final class ClientConnections {
-    /** A client that connects asks at once; what says nothing whole for so long is turned away. */
+    /**
+     * A client that connects sends its call at once; a connection without one is closed after this.
+     */
     private static final long MAX_SILENT_MS = 2_000;
 
-    /** Clients close their idle connections after 4 s; one that is kept for longer is nobody's. */
+    /** Clients close their idle connections after 4 s; older ones are abandoned. */
     private static final long MAX_IDLE_MS = 5_000;
 
     private static final long SWEEP_PERIOD_MS = 250;
@@ -31,12 +33,10 @@
     private final Counters counters;
     private final int limit;
 
-    /** Each with when it was opened, in ms. */
+    /** All connections, and when each was opened. */
     private final Map<StreamConnection, Long> openedAtMs = new HashMap<>();
 
-    /**
-     * Since when, in ms: those that never made a whole call, and those between calls; oldest first.
-     */
+    /** Connections that never made a call, and those between calls; oldest first. */
     private final Map<StreamConnection, Long> silentSinceMs = new LinkedHashMap<>();
 
     private final Map<StreamConnection, Long> idleSinceMs = new LinkedHashMap<>();
@@ -47,7 +47,7 @@
         this.limit = limit;
     }
 
-    /** Takes a connection in, and may close another for it; false where all have open calls. */
+    /** Adds a connection, and may close another for it; false where all have open calls. */
     boolean tryAdd(StreamConnection connection) {
         if (openedAtMs.size() >= limit && !closeLeastRecent()) {
             counters.count("client connections refused");
@@ -60,7 +60,7 @@
         return true;
     }
 
-    /** Its end is watched from here on; whoever listens for it already hears of it, too. */
+    /** Removes the connection when it closes; listeners that it has are called, too. */
     void watchClose(StreamConnection connection) {
         if (!connection.isOpen()) {
             remove(connection);
@@ -76,18 +76,18 @@
                 });
     }
 
-    /** It has an open call from here on. */
+    /** The connection has an open call from here on. */
     void onCallStarted(StreamConnection connection) {
         silentSinceMs.remove(connection);
         idleSinceMs.remove(connection);
     }
 
-    /** How long it has been open, in ms. */
+    /** The age of the connection in ms. */
     long ageMs(StreamConnection connection) {
         return nowMs() - openedAtMs.getOrDefault(connection, nowMs());
     }
 
-    /** Its call is over. */
+    /** The connection has no open call any more. */
     void onCallEnded(StreamConnection connection) {
         if (openedAtMs.containsKey(connection)) {
             idleSinceMs.put(connection, nowMs());
@@ -100,7 +100,7 @@
         idleSinceMs.remove(connection);
     }
 
-    /** Closes the one that was silent longest. */
+    /** Closes the connection that was silent longest. */
     private boolean closeLeastRecent() {
         Map<StreamConnection, Long> candidates =
                 silentSinceMs.isEmpty() ? idleSinceMs : silentSinceMs;
@@ -118,9 +118,8 @@
     }
 
     /**
-     * It is asked before it is closed: timers and new connections may come before what it wrote
-     * while the thread stood still, and that is a call that is ours and must not end without an
-     * answer.
+     * Reads the connection before it is closed: timers and new connections may be handled before
+     * what it wrote while the thread was stalled, and a call must not end without an answer.
      */
     private static boolean isStillSilent(
             StreamConnection connection, Map<StreamConnection, Long> candidates) {
@@ -135,7 +134,7 @@
         IoUtils.safeClose(connection);
     }
 
-    /** Closes what was silent for too long; comes back by itself. */
+    /** Closes connections that were silent for too long; runs on by itself. */
     void sweep() {
         sweep(silentSinceMs, MAX_SILENT_MS, "mute client connections closed");
         sweep(idleSinceMs, MAX_IDLE_MS, "idle client connections closed");
--- a/src/main/java/firstage/server/client/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -21,8 +21,9 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Carries the life of a client's call over HTTP. The connection is read while a call is held, which
- * Undertow does not do by itself: a client that gives up closes it.
+ * A client's request over HTTP: carries out what its {@link ClientCallStateMachine} decides. The
+ * connection is read while a call is held, which Undertow does not do by itself: a client that
+ * cancels closes it. Owned by the I/O thread.
  */
 final class PendingCall
         implements RequestExchange.ResponseActions, ClientCallStateMachine.ClientCallActions {
@@ -44,7 +45,7 @@
     private final ClientCallStateMachine stateMachine = new ClientCallStateMachine(this);
     private RequestExchange request;
 
-    /** The calls that are held: one, but where a client lost a connection and calls on another. */
+    /** The calls that are held: one, unless the client lost a connection and called on another. */
     private final List<HeldCall> heldCalls = new ArrayList<>();
 
     private Answer answer;
@@ -78,10 +79,7 @@
         return path;
     }
 
-    /**
-     * Bytes that are kept for this client: its statement until it is over, its answer until nobody
-     * asks any more.
-     */
+    /** Bytes that are kept for this client: its statement until it is answered, and the answer. */
     int keptBytes() {
         return request.statement.length + (answer == null ? 0 : answer.body.remaining());
     }
@@ -92,19 +90,19 @@
         stateMachine.start();
     }
 
-    /** The client asks at the path. */
+    /** The client polls. */
     void poll(HttpServerExchange exchange) {
         heldCalls.add(new HeldCall(exchange));
         request.clientConnected();
         stateMachine.onPoll();
     }
 
-    /** The client gave up by the path. */
+    /** The client cancels by a DELETE of the path. */
     void cancel() {
         stateMachine.onClientCancelled();
     }
 
-    /** A call that waits, and its connection that is read meanwhile. */
+    /** A call that waits for its answer, and its connection, which is read meanwhile. */
     private final class HeldCall {
         private final HttpServerExchange exchange;
         private final AbstractServerConnection connection;
@@ -116,7 +114,7 @@
             connection.getOriginalSourceConduit().resumeReads();
         }
 
-        /** It is held no more. */
+        /** Ends the wait; the exchange can be answered. */
         HttpServerExchange release() {
             heldCalls.remove(this);
             connection.getOriginalSourceConduit().suspendReads();
@@ -140,7 +138,7 @@
                 if (bytesRead < 0) {
                     onConnectionBroken(this);
                 } else if (bytesRead > 0) {
-                    // The next call before the answer to this one: that is no client of ours.
+                    // The next call came before the answer to this one: that breaks the protocol.
                     responses.refuseAndClose(release(), 400, "one call at a time");
                     stateMachine.onClientCancelled();
                 }
@@ -163,7 +161,7 @@
         }
     }
 
-    // ---- What the life does.
+    // ---- Actions of the state machine.
     @Override
     public void respondWithPollPath() {
         HttpServerExchange exchange = heldCalls.get(0).release();
@@ -242,7 +240,7 @@
         pendingCalls.release(this, answerSent);
     }
 
-    // ---- The batch's answer.
+    // ---- The request's answer.
     @Override
     public void respondSucceeded(List<byte[]> pages) {
         answer(new Answer(200, 0, JsonRows.encode(pages)));
--- a/src/main/java/firstage/server/discovery/EndpointParser.java
+++ b/src/main/java/firstage/server/discovery/EndpointParser.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the engines of one event, from a frame or from JSON. */
+/** Parses the engines of one event, from a binary frame or from the JSON of a configuration. */
 final class EndpointParser {
     private static final int RECORD_BYTES = 27;
     private static final double WEIGHT_SCALE = 1_000;
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -22,34 +22,35 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Keeps a connection to the coordinator and tells what it hears; a connection that is mute is given
- * up.
+ * Watches the endpoint list: keeps a connection to the coordinator, asks for the events after the
+ * last one it has, and passes them on. A connection that is silent is closed and opened again.
+ * Owned by the I/O thread.
  */
 public final class EndpointWatcher {
     private static final Logger LOG = Logger.getLogger(EndpointWatcher.class.getName());
 
     /**
-     * An empty frame follows each second: two missing, and another connection is tried. News is due
-     * in 7 s.
+     * An empty frame comes each second: with two missing, another connection is opened. Updates
+     * must be in force within 7 s.
      */
     private static final long SILENCE_TIMEOUT_MS = 2_300;
 
     private static final long CONNECT_TIMEOUT_MS = 1_000;
 
     /**
-     * A connection comes up in a few ms; where its first packet is lost the system sends it again
-     * after 1 s only.
+     * A connection is established in a few ms; a first packet that is lost is sent again only after
+     * 1 s.
      */
     private static final long NEXT_ATTEMPT_MS = 150;
 
     private static final long RECONNECT_DELAY_MS = 200;
 
-    /** At most so many at once: well before the first is given up, and few descriptors. */
+    /** At most so many at once: started well before the first is cancelled, and few descriptors. */
     private static final int MAX_PARALLEL_ATTEMPTS = 5;
 
     /**
-     * From a start until its list is taken as it was told, where the coordinator says nothing: it
-     * does at once.
+     * From the start until the configuration's own list is acted on, where the coordinator sends
+     * nothing: it does so at once.
      */
     private static final long CONFIRM_TIMEOUT_MS = 1_000;
 
@@ -63,12 +64,12 @@
     private final TickClock clock;
     private InetSocketAddress coordinator;
 
-    /** When the configuration in force asked for its coordinator: for the log. */
+    /** When the configuration in force named its coordinator; for the log. */
     private long configuredAt;
 
     private boolean dataReceived;
 
-    /** The list was confirmed since the start, or is taken as it is. */
+    /** The list was confirmed since the start, or is acted on as it is. */
     private boolean confirmed;
 
     private final ByteBuffer buffer = ByteBuffer.allocate(16 * 1024);
@@ -79,8 +80,8 @@
     private XnioExecutor.Key reconnectTimer;
 
     /**
-     * Counts what was given up: only a try of the present count may come up, and only the first of
-     * those.
+     * Grows with each connection that is closed: only an attempt to connect of the present round
+     * counts, and only the first of those that succeeds.
      */
     private long connectionRound;
 
@@ -100,9 +101,9 @@
     }
 
     /**
-     * Tells what a configuration knows and is not known yet, then follows its coordinator. Another
-     * one may come while this one is followed: its coordinator may be elsewhere and the old one
-     * tells nothing more, so that one is left at once. The numbers continue.
+     * Passes on the endpoints that a configuration names and that are not known yet, then follows
+     * its coordinator. Another configuration may come later: its coordinator may be elsewhere, so
+     * the old connection is closed at once. Event numbers go on.
      */
     public void follow(ManagerConfig config) {
         configuredAt = clock.now();
@@ -131,9 +132,8 @@
     }
 
     /**
-     * Whether the list may be acted on. The harm prevented: a manager that was away starts with a
-     * list from before its coordinator's trouble, and sends to engines that were told to drain
-     * while it was not there to hear.
+     * Whether the list may be acted on. A manager that was down starts with a list from before
+     * that, and would send to engines that were told to drain meanwhile.
      */
     public boolean isConfirmed() {
         return confirmed || coordinator == null;
@@ -167,9 +167,9 @@
     }
 
     /**
-     * Opens a connection, and another beside it where the first is slow to come up. The harm
-     * prevented: a first packet that is lost is sent again after a second, and for all of it this
-     * manager sends to engines that were told to drain.
+     * Opens a connection, and another beside it where the first is slow to come up: a first packet
+     * that is lost is sent again only after a second, in which this manager would send to engines
+     * that drain.
      */
     private void openConnection(long round, int attempt) {
         if (round != connectionRound || connection != null) {
@@ -193,8 +193,8 @@
                                     connectTimeout.remove();
                                     boolean done = future.getStatus() == IoFuture.Status.DONE;
                                     if (round != connectionRound || closed || connection != null) {
-                                        // Another coordinator is followed meanwhile, or the other
-                                        // try was the first.
+                                        // Another coordinator is followed meanwhile, or another
+                                        // attempt was faster.
                                         IoUtils.safeClose(done ? result(future) : null);
                                     } else if (done) {
                                         onConnected(result(future));
@@ -266,7 +266,7 @@
         scheduleReconnect();
     }
 
-    /** Gives up the connection, and what was to happen on it. */
+    /** Closes the connection, and cancels its timers. */
     private void closeConnection() {
         connectionRound++;
         for (XnioExecutor.Key timer : Arrays.asList(silenceTimer, reconnectTimer)) {
--- a/src/main/java/firstage/server/discovery/FrameDecoder.java
+++ b/src/main/java/firstage/server/discovery/FrameDecoder.java
@@ -6,25 +6,36 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Cuts the coordinator's frames out of bytes that come in any pieces. */
+/**
+ * Decodes the coordinator's frames from bytes that come in any pieces: a length of 4 bytes, the
+ * event number of 8 bytes, a type of 1 byte, and the payload.
+ */
 public final class FrameDecoder {
-    /** Kind, number and payload of one frame. */
+    /**
+     * One frame.
+     *
+     * @param type 0 for a heartbeat, 1 for a snapshot, 2 for a delta
+     */
     public record Frame(long eventNumber, int type, ByteBuffer payload) {}
 
     private static final int LENGTH_BYTES = 4;
     private static final int MIN_LENGTH = 9;
 
-    /** Some 38,000 records: well over any list. */
+    /** Some 38,000 endpoints: well over any list. */
     private static final int MAX_LENGTH = 1 << 20;
 
     private final ByteArrayOutputStream unconsumed = new ByteArrayOutputStream();
 
-    /** Whether the beginning of a frame is here and its rest is not. */
+    /** Whether a frame has begun and its end is missing. */
     public boolean hasPartialFrame() {
         return unconsumed.size() > 0;
     }
 
-    /** Takes what is there and gives the frames that are whole. */
+    /**
+     * Adds these bytes and returns the frames that are complete.
+     *
+     * @throws IOException where a length is impossible
+     */
     public List<Frame> decode(ByteBuffer in) throws IOException {
         byte[] piece = new byte[in.remaining()];
         in.get(piece);
--- a/src/main/java/firstage/server/discovery/package-info.java
+++ b/src/main/java/firstage/server/discovery/package-info.java
@@ -1,2 +1,4 @@
-/** The list of engines: follows the coordinator's numbered events over TCP. */
+/**
+ * Discovery: follows the coordinator's numbered events over TCP and passes on the endpoint list.
+ */
 package firstage.server.discovery;
--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -12,21 +12,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Carries a dispatch's life over HTTP: its calls, and what their answers say. It decides nothing.
+ * An attempt over HTTP: makes the calls that its {@link AttemptStateMachine} decides on, and reads
+ * what the responses say. It decides nothing. Owned by the I/O thread.
  */
 final class AttemptRunner
         implements RequestExchange.AttemptHandle, AttemptStateMachine.AttemptActions {
     /**
-     * Engines answer within 250 ms; another connection is tried well before they drop it after 2 s.
+     * Engines answer within 250 ms; another connection is tried well before they drop a statement
+     * after 2 s.
      */
     private static final long POLL_TIMEOUT_MS = 600;
 
     private static final long DELETE_TIMEOUT_MS = 200;
 
-    /**
-     * Tenths of a millisecond; by the users' term nothing is sent so long after its client left.
-     * For the counters.
-     */
+    /** No statement may be sent so long after its client left; only for the counter, in ticks. */
     private static final long LATE_SEND_THRESHOLD = 1_000;
 
     private final EngineClients engines;
@@ -60,7 +59,7 @@
         this.startedAt = context.clock().now();
         this.priority = exchange.priority;
         stateMachine = new AttemptStateMachine(this, exchange.orderingKey != null);
-        // Not within the decision that sends it: its outcome is news of a later moment.
+        // Not within the decision that starts it: its outcome is a later event.
         context.io().execute(stateMachine::start);
     }
 
--- a/src/main/java/firstage/server/engine/EngineCall.java
+++ b/src/main/java/firstage/server/engine/EngineCall.java
@@ -3,9 +3,14 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** One call to an engine and what becomes of it: exactly one of the two is called, once. */
+/**
+ * One call to an engine and its result: exactly one of {@link #onResponse} and {@link #onFailure}
+ * is called, once.
+ */
 abstract class EngineCall {
-    /** REFUSED, UNREACHED, RESET, NO_ROOM, UNWANTED: nothing was sent. The others prove nothing. */
+    /**
+     * Why there is no response. Nothing was sent in the first five cases; the others prove nothing.
+     */
     enum Failure {
         CONNECTION_REFUSED,
         CONNECT_TIMEOUT,
@@ -20,7 +25,7 @@
     final String requestLine;
     final byte[] body;
 
-    /** How long its answer may take. */
+    /** How long the response may take. */
     final long timeoutMs;
 
     EngineCall(String requestLine, byte[] body, long timeoutMs) {
@@ -33,14 +38,14 @@
 
     abstract void onFailure(Failure failure);
 
-    /** More lines of the head, each ended; asked when the call is about to be written. */
+    /** More header lines, each ended; called when the call is about to be written. */
     String extraHeaders() {
         return "";
     }
 
     /**
-     * Whether it is to be written at all, asked when its connection is up; what is not fails as
-     * unwanted.
+     * Whether it is to be written at all, asked when its connection is up; if not, it fails as
+     * {@link Failure#NO_LONGER_WANTED}.
      */
     boolean shouldSend() {
         return true;
--- a/src/main/java/firstage/server/engine/EngineConnection.java
+++ b/src/main/java/firstage/server/engine/EngineConnection.java
@@ -11,7 +11,7 @@
 import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
-/** A connection to an engine: one call at a time. */
+/** A connection to an engine: one call at a time. Owned by the I/O thread; times are ticks. */
 final class EngineConnection {
     private static final byte[] HTTP_VERSION_PREFIX = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
     private final EngineConnectionPool pool;
@@ -28,13 +28,13 @@
     /** When its last call ended. */
     long idleSince;
 
-    /** Until when a second copy of its last answer may come. */
+    /** Until when a duplicate of its last response may come. */
     long quietUntil;
 
-    /** Until when the true answer behind what may be a copy could come. */
+    /** Until when the true response could come, where the last may have been a duplicate. */
     long doubtUntil;
 
-    /** Its last answer that was whole. */
+    /** Its last complete response; null before the first. */
     private EngineResponse lastResponse;
 
     /** {@code readBuffer} is one buffer of the thread, empty between events. */
@@ -53,7 +53,7 @@
     }
 
     /**
-     * Whether nothing came since its last answer: what did would be taken for the answer to the
+     * Whether nothing came since its last response: what did would be taken for the response to the
      * next call.
      */
     boolean hasNoUnreadBytes() {
@@ -97,7 +97,7 @@
                 sink.resumeWrites();
             }
         } catch (IOException exception) {
-            // Its answer may be there all the same; reading tells.
+            // Its response may be there all the same: reading shows.
             unsentBytes = null;
             sink.suspendWrites();
             io.execute(() -> onReadable(channel.getSourceChannel()));
@@ -119,7 +119,7 @@
                 pool.lastResponseAt();
                 readBuffer.flip();
                 if (call == null) {
-                    // Bytes that nobody asked for: nothing on this connection can be trusted.
+                    // Bytes without a call: nothing on this connection can be trusted.
                     fail(EngineCall.Failure.MALFORMED_RESPONSE);
                 } else if (reader.read(readBuffer)) {
                     onResponseComplete();
@@ -141,7 +141,7 @@
     private void onResponseComplete() {
         EngineCall completedCall = call;
         boolean hasTrailingBytes = readBuffer.hasRemaining();
-        // A second copy of the answer shows that the first was whole.
+        // A duplicate of the response shows that the first was complete.
         boolean trailingDuplicate =
                 readBuffer.remaining() >= HTTP_VERSION_PREFIX.length
                         && ByteBuffer.wrap(HTTP_VERSION_PREFIX)
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -17,26 +17,22 @@
 import org.xnio.XnioExecutor;
 
 /**
- * The connections to one engine. They belong to its id: another may get its address when it is
- * gone.
+ * The connections to one engine. They belong to its id: another engine may get its address when it
+ * is gone. Owned by the I/O thread; times are ticks.
  */
 final class EngineConnectionPool {
-    /**
-     * Tenths of a millisecond: engines answer a call for news after 250 ms, and the way there and
-     * back.
-     */
+    /** Engines answer a poll after 250 ms; the rest is for the round trip. */
     private static final long TRUST_PERIOD = 4_000;
 
     /**
-     * Tenths of a millisecond between a page and the next call: a second copy of it shows within
-     * that, and would pass for another's rows. What must not be mistaken (a statement, a DELETE)
-     * waits so long after any answer.
+     * Between a page and the next call: a duplicate of it shows within that, and would pass for
+     * another's rows. A call that must not be mistaken (a statement, a DELETE) waits so long after
+     * any response.
      */
     private static final long QUIET_PERIOD = 100;
 
     /**
-     * Tenths of a millisecond: engines hold a call for 250 ms, so the true answer behind a copy
-     * comes within this.
+     * Engines hold a poll for 250 ms, so the true response behind a duplicate comes within this.
      */
     private static final long DOUBT_PERIOD = 3_000;
 
@@ -52,7 +48,7 @@
     private final Set<EngineConnection> all = new HashSet<>();
     private int connecting;
 
-    /** Dispatches whose statement was written here and that are not over. */
+    /** Attempts whose statement was written here and that were not released. */
     private int runningAttempts;
 
     private long lastResponseAt = Long.MIN_VALUE / 2;
@@ -69,29 +65,28 @@
     }
 
     /**
-     * Starts something on an idle connection while the engine was heard of late, else on a new one:
-     * the open connections of a vanished machine stay open, and what is written there is lost
-     * without a trace, while a connection that does not come up proves that nothing ran.
+     * Makes a call that must not be lost unnoticed: on an idle connection while the engine
+     * responded of late, else on a new one. The open connections of a vanished machine stay open,
+     * and what is written there is lost, while a connection that does not come up proves that
+     * nothing ran.
      */
     void startCall(EngineCall call) {
         call(call, clock.now() - lastResponseAt > TRUST_PERIOD, true);
     }
 
-    /** An engine sent something. */
+    /** The engine sent something. */
     void lastResponseAt() {
         lastResponseAt = clock.now();
     }
 
-    /**
-     * Makes the call on an idle connection, else on a new one; {@code fresh} asks for a new one.
-     */
+    /** Makes the call on an idle connection, else on a new one. */
     void call(EngineCall call, boolean onNewConnection) {
         call(call, onNewConnection, false);
     }
 
     /**
-     * The same; {@code unmistaken}: only on a connection that was quiet for long enough since any
-     * answer.
+     * The same; {@code requireQuiet}: only on a connection that was quiet for long enough since its
+     * last response.
      */
     void call(EngineCall call, boolean onNewConnection, boolean requireQuiet) {
         closeIdleTooLong();
@@ -110,8 +105,8 @@
     }
 
     /**
-     * An idle connection; one that rests where it must be: a draining engine may take no new
-     * connections.
+     * An idle connection; where no other can be had one that should still stay quiet: a draining
+     * engine may accept no new connections.
      */
     private EngineConnection findReady(boolean requireQuiet) {
         EngineConnection quietConnection = mostRecentlyUsed(clock.now(), requireQuiet);
@@ -121,7 +116,8 @@
     }
 
     /**
-     * The idle connection that was used last, of those that rest until then, with nothing amiss.
+     * The idle connection that was used last, of those that may be used by then and have nothing
+     * unread.
      */
     private EngineConnection mostRecentlyUsed(long quietBy, boolean requireQuiet) {
         Iterator<EngineConnection> candidates = idle.descendingIterator();
@@ -207,38 +203,39 @@
         }
     }
 
-    /** Whether a connection to it is up: a dying process resets all. */
+    /** Whether a connection is open: a process that dies resets all. */
     boolean hasOpenConnection() {
         return !all.isEmpty();
     }
 
-    /** Its connections: in use, idle, or coming up. */
+    /** Connections in use, idle, or coming up. */
     int connectionCount() {
         return all.size() + connecting;
     }
 
-    /** A dispatch begins to run here. */
+    /** A statement was written here. */
     void onAttemptRunning() {
         runningAttempts++;
     }
 
-    /** It runs no more. */
+    /** The attempt makes no more calls. */
     void onAttemptReleased() {
         runningAttempts--;
     }
 
     /**
-     * Whether it is the last connection while a dispatch runs here. It is not thrown away for a
-     * doubt: an engine that drains takes no new one, often before the list says so, and what runs
-     * there could never be asked for again; a once-only batch would be lost and its key held up.
+     * Whether this is the only connection while an attempt runs here. It is kept even where it is
+     * suspect: an engine that drains accepts no new one, often before the endpoint list says so,
+     * and what runs there could never be polled again; a non-idempotent request would be lost and
+     * its key blocked.
      */
     boolean isOnlyConnectionWhileRunning() {
         return runningAttempts > 0 && all.size() == 1;
     }
 
     /**
-     * Not to be used until the true answer behind a copy would have come; its stray bytes then
-     * close it.
+     * Keeps the connection unused until the true response behind a duplicate would have come; its
+     * stray bytes then close it.
      */
     void onSuspectedDuplicate(EngineConnection connection) {
         connection.doubtUntil = clock.now() + DOUBT_PERIOD;
@@ -264,8 +261,8 @@
     }
 
     /**
-     * An answer that came at once, where engines hold a call: it may be a second copy of the one
-     * before it.
+     * Whether a response came at once where engines hold a poll: it may be a duplicate of the one
+     * before.
      */
     boolean isSuspectedDuplicate(EngineResponse response, long since) {
         return response.status() == 202 && clock.now() - since < QUIET_PERIOD;
@@ -295,7 +292,7 @@
         return closable;
     }
 
-    /** Nothing new is to be started there; what runs is asked for still. */
+    /** Starts nothing new here; what runs is polled still. */
     void markDraining() {
         draining = true;
     }
--- a/src/main/java/firstage/server/engine/EngineResponse.java
+++ b/src/main/java/firstage/server/engine/EngineResponse.java
@@ -7,16 +7,18 @@
 import java.util.Map;
 
 /**
- * An engine's answer to one call; header names in lower case. {@code trailingBytes}: bytes came
- * behind its end.
+ * A response of an engine to one call.
+ *
+ * @param headers by name in lower case
+ * @param trailingBytes whether bytes came behind its end
  */
 record EngineResponse(int status, Map<String, String> headers, byte[] body, boolean trailingBytes) {
     private static final int TABS_PER_ROW = 2;
 
     /**
-     * Whether the body is a page: whole rows of three columns, in characters that can be read. What
-     * was cut short or overwritten on its way seldom is, and what has more behind it may have been
-     * told a wrong length; such a page must not reach a client, and the engine gives it again.
+     * Whether the body is a page: complete rows of three columns, in valid UTF-8. What was cut
+     * short or overwritten on its way seldom is, and what has bytes behind it may have had a wrong
+     * length; such a page must not reach a client, and is fetched again.
      */
     boolean isPage() {
         int tabs = 0;
@@ -35,7 +37,7 @@
         return !trailingBytes && (body.length == 0 || body[body.length - 1] == '\n');
     }
 
-    /** A whole number in a header, or {@code absent} without one that can be used. */
+    /** An integer in a header, or {@code defaultValue} without one that can be used. */
     int intHeader(String name, int defaultValue) {
         return (int) numberHeader(name, defaultValue);
     }
@@ -48,7 +50,7 @@
         }
     }
 
-    /** Whether it says the same to the letter: a second copy does. */
+    /** Whether it is the same byte for byte, as a duplicate is. */
     boolean isSameAs(EngineResponse other) {
         return status == other.status
                 && headers.equals(other.headers)
--- a/src/main/java/firstage/server/engine/EngineResponseReader.java
+++ b/src/main/java/firstage/server/engine/EngineResponseReader.java
@@ -35,7 +35,7 @@
     private int headBytes;
 
     /**
-     * Takes what is there; true once the response is whole. What follows it stays in the buffer.
+     * Reads what is there; true once the response is complete. What follows it stays in the buffer.
      */
     boolean read(ByteBuffer in) throws IOException {
         while (part != Part.DONE && in.hasRemaining()) {
@@ -129,7 +129,7 @@
             }
             part = bytesLeft == 0 ? Part.DONE : Part.BODY;
         } else {
-            // Its end could not be told from a connection that breaks.
+            // Its end could not be distinguished from a connection that breaks.
             throw new IOException("no length");
         }
     }
@@ -141,7 +141,7 @@
                 return number;
             }
         } catch (NumberFormatException fault) {
-            // Told below.
+            // Reported below.
         }
         throw new IOException("no number: " + text);
     }
--- a/src/main/java/firstage/server/engine/package-info.java
+++ b/src/main/java/firstage/server/engine/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The client side: calls to engines over HTTP/1.1, one at a time on a connection, and a dispatch's
- * life there.
+ * The client side of the engines' HTTP/1.1: one call at a time on a connection, the connections to
+ * each engine, and the calls of attempts. The names on the wire stand in {@code EngineProtocol}.
  */
 package firstage.server.engine;
--- a/src/main/java/firstage/server/package-info.java
+++ b/src/main/java/firstage/server/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The real workload manager. {@link firstage.server.ManagerServer} puts its peers round one
- * WorkloadScheduler, all on one I/O thread; a package per peer speaks that peer's protocol. Clients
- * and engines meet only in an {@link RequestExchange}.
+ * The workload manager that {@code serve} runs. {@link firstage.server.ManagerServer} puts its
+ * parts together on one I/O thread, {@link firstage.server.SchedulerLoop} brings their events to
+ * the scheduler, and {@link firstage.server.ShutdownSequence} ends it.
  */
 package firstage.server;
--- a/src/main/java/org/xnio/nio/IoThreadTcpServer.java
+++ b/src/main/java/org/xnio/nio/IoThreadTcpServer.java
@@ -13,9 +13,9 @@
 /**
  * A listening socket whose connections are accepted on the I/O thread itself. The worker's own
  * servers accept on a thread of their own and hand over by a queue: when that thread is late, a
- * batch on a new connection is read after batches that came later, and nobody can tell. XNIO has
- * such a server, but gives no public way to it, hence this class in its package (both jars are on
- * the class path; no module is opened).
+ * request on a new connection is read after requests that arrived later, unnoticed. XNIO has such a
+ * server, but gives no public way to it, hence this class in its package (both jars are on the
+ * class path; no module is opened).
  */
 public final class IoThreadTcpServer {
     private IoThreadTcpServer() {}
