--- a/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
+++ b/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void itIsAskedForUntilItsLastPageIsHere() {
+    void poll_running_untilLastPage() {
         writeStatement();
         attempt.onStatementReply(now, EngineReply.PROGRESS);
         attempt.onReply(now + 2_500, EngineReply.PAGE);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void givenUpBeforeItIsWrittenItNeverRan() {
+    void abandon_beforeStatementWritten_endsNotSent() {
         attempt.start();
         attempt.abandon(now, AttemptOutcome.CANCELLED);
         assertThat(attempt.shouldSendStatement()).isFalse();
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void itsEngineMayHoldItWhereTheDeleteMayHaveOvertakenTheStatement() {
+    void abandon_deleteMayOvertakeStatement_endsWithHeldTime() {
         writeStatement();
         attempt.abandon(now + 10, AttemptOutcome.TIMED_OUT);
         attempt.onDeleteAcknowledged(now + 20);
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void theStatementsOwnAnswerMakesADeleteProof() {
+    void delete_afterStatementReply_provesEnd() {
         writeStatement();
         attempt.abandon(now + 10, AttemptOutcome.TIMED_OUT);
         attempt.onStatementReply(now + 20, EngineReply.PROGRESS);
@@ -79,11 +79,9 @@
         assertThat(releases).isEqualTo(1);
     }
 
-    /**
-     * Its connection comes up late: the engine is told on the one that carried the call for news.
-     */
+    /** The connection of the DELETE comes up late: it is repeated on the one of the poll. */
     @Test
-    void aDeleteIsGivenAgainWhereItsConnectionNeverCameUp() {
+    void delete_connectionNeverEstablished_isSentOnPollConnection() {
         writeStatement();
         attempt.onStatementReply(now, EngineReply.PROGRESS);
         resultAwaited = false;
@@ -102,7 +100,7 @@
     }
 
     @Test
-    void whatNobodyWaitsForIsToldOnlyOnceItIsProven() {
+    void reportEnd_nobodyWaits_onlyOnceProven() {
         writeStatement();
         attempt.onStatementReply(now, EngineReply.PROGRESS);
         resultAwaited = false;
@@ -122,7 +120,7 @@
     }
 
     @Test
-    void whatIsNeverProvenIsHeldUntilItsLimitAndItsEngineIsToldOn() {
+    void reportEnd_neverProven_heldUntilDeadlineWhileDeleteRepeats() {
         writeStatement();
         deadline = now + 200_000;
         attempt.abandon(now + 10, AttemptOutcome.CANCELLED);
@@ -139,7 +137,7 @@
     }
 
     @Test
-    void aStatementThatLayUnreadForSoLongNeverComes() {
+    void delete_afterUnpolledExpiry_provesEnd() {
         writeStatement();
         resultAwaited = false;
         deadline = now + 200_000;
@@ -152,7 +150,7 @@
     }
 
     @Test
-    void whereNoOtherWaitsAnEndIsNotProvenForLong() {
+    void abandon_withoutOrderingKey_endsAtAbandonTimeout() {
         attempt = new AttemptStateMachine(this, false);
         writeStatement();
         attempt.onStatementReply(now, EngineReply.PROGRESS);
@@ -169,7 +167,7 @@
     }
 
     @Test
-    void thatTheEngineDoesNotKnowItProvesNothingWhileItsStatementMayLieUnread() {
+    void failedReply_statementUnacknowledged_provesNothing() {
         writeStatement();
         attempt.onStatementFailed(now + 5, CallFailure.REPLY_LOST);
         attempt.onReply(now + 10, EngineReply.FAILED);
@@ -184,7 +182,7 @@
     }
 
     @Test
-    void aRefusalEndsItOnlyWhereNoOtherConnectionIsUpAndMayStillBeADrain() {
+    void connectionRefused_otherConnectionOpen_retries() {
         writeStatement();
         attempt.onStatementReply(now, EngineReply.PROGRESS);
         connectionOpen = true;
@@ -199,7 +197,7 @@
     }
 
     @Test
-    void anErrorIsProvenByADeleteWhereOthersWaitAndEndsAtOnceElsewhere() {
+    void failedReply_withOrderingKey_isConfirmedByDelete() {
         writeStatement();
         attempt.onStatementReply(now, EngineReply.FAILED);
         assertThat(actions).containsExactly("timer 200 ABANDON", "delete");
@@ -212,7 +210,7 @@
     }
 
     @Test
-    void answersThatCannotBeReadAreAskedForAgainButNotForEver() {
+    void unreadableReplies_upToFive_arePolledAgain() {
         writeStatement();
         attempt.onStatementReply(now, EngineReply.PROGRESS);
         for (int i = 0; i < 4; i++) {
@@ -225,7 +223,7 @@
     }
 
     @Test
-    void newConnectionsThatAreResetCostNothingAtFirst() {
+    void resetBeforeSend_upToThree_sendsAgain() {
         attempt.start();
         attempt.onStatementFailed(now, CallFailure.RESET_BEFORE_SEND);
         attempt.onStatementFailed(now, CallFailure.RESET_BEFORE_SEND);
@@ -234,7 +232,7 @@
     }
 
     @Test
-    void nothingIsToldAfterItsEnd() {
+    void events_afterEnd_changeNothing() {
         writeStatement();
         attempt.onStatementReply(now, EngineReply.REFUSED);
         attempt.onReply(now, EngineReply.LAST_PAGE);
--- a/src/test/java/firstage/lifecycle/ClientCallStateMachineTest.java
+++ b/src/test/java/firstage/lifecycle/ClientCallStateMachineTest.java
@@ -12,7 +12,7 @@
     private final ClientCallStateMachine call = new ClientCallStateMachine(this);
 
     @Test
-    void aQuickAnswerGoesOutOnTheFirstCall() {
+    void answer_whileFirstCallHeld_respondsAtOnce() {
         call.start();
         call.onAnswerAvailable();
         call.onTimeout();
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void aSlowOneGetsAPathAndIsKeptForACallThatIsMadeAgain() {
+    void answer_afterPollPath_isKeptForRepeatedPoll() {
         call.start();
         call.onTimeout();
         call.onPoll();
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aClientThatClosesWithNoPathGivesUp() {
+    void firstCallBroken_withoutPollPath_clientGone() {
         call.start();
         call.onFirstCallBroken();
         call.onAnswerAvailable();
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aPathThatNobodyAsksAtIsGivenUpAndAnAnswerThatIsThereIsNot() {
+    void poll_neverMade_clientGoneUnlessAnswerReady() {
         call.start();
         call.onTimeout();
         call.onTimeout();
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void aCallAtThePathThatBreaksMayBeMadeAgain() {
+    void pollBroken_polledAgain_responds() {
         call.start();
         call.onTimeout();
         call.onPoll();
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void aClientThatDoesNotCallAgainIsAwayAndOneThatDoesIsBack() {
+    void pollBroken_thenPolled_clientAbsentThenPresent() {
         call.start();
         call.onTimeout();
         call.onPoll();
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void aClientThatIsAwayAndGivesUpIsOwedNothing() {
+    void cancel_clientAbsent_clientGone() {
         call.start();
         call.onTimeout();
         call.onTimeout();
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void aClientThatGivesUpIsOwedNothingMore() {
+    void cancel_pollHeld_failsHeldCalls() {
         call.start();
         call.onTimeout();
         call.onPoll();
--- a/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
+++ b/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
@@ -11,7 +11,7 @@
     private final KeyOrderMonitor monitor = new KeyOrderMonitor();
 
     @Test
-    void oneAtATimeAndInTurnIsFine() {
+    void attempts_oneAtATimeInOrder_areAllowed() {
         monitor.onRequest("k", "a");
         monitor.onRequest("k", "b");
         assertThat(monitor.onAttemptStarted(0, "k", "a")).isTrue();
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void outOfTurnBesideAnotherOrWhileOneMayBeHeldIsFound() {
+    void attempts_outOfOrderOrBesideAnother_areReported() {
         monitor.onRequest("k", "a");
         monitor.onRequest("k", "b");
         assertThat(monitor.onAttemptStarted(0, "k", "b")).as("out of turn").isFalse();
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void ofTwoThatCameBeforeABarrierOnlyTheFirstIsToldAsKnown() {
+    void sequencer_twoBeforeBarrier_onlyFirstHasKnownOrder() {
         List<String> effects = new ArrayList<>();
         ArrivalSequencer<String> sequencer =
                 new ArrivalSequencer<>(
--- a/src/test/java/firstage/server/client/StatementTablesTest.java
+++ b/src/test/java/firstage/server/client/StatementTablesTest.java
@@ -6,6 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** The table group of single statements. */
 class StatementTablesTest {
     @ParameterizedTest
     @CsvSource(
@@ -37,7 +38,7 @@
                 "6  | SELECT o_9.a IS DISTINCT FROM o_9.b FROM a_6.b o_9",
                 "7  | SELECT 'unended FROM a_1.b' FROM a_7.b -- it's",
             })
-    void theGroupIsTheNumberOfTheSchema(int group, String statement) {
+    void tableGroup_statement_isSchemaNumber(int group, String statement) {
         String text = statement == null ? "" : statement.replace("\\n", "\n");
         assertThat(StatementTables.tableGroup(text.getBytes(StandardCharsets.UTF_8)))
                 .isEqualTo(group);
--- a/src/test/java/firstage/server/discovery/EndpointParserTest.java
+++ b/src/test/java/firstage/server/discovery/EndpointParserTest.java
@@ -13,9 +13,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Endpoints from records and from JSON. */
 class EndpointParserTest {
     private final TickClock clock = new TickClock();
-    private final EndpointParser records =
+    private final EndpointParser parser =
             new EndpointParser(
                     clock,
                     new WireFields(
@@ -40,10 +41,10 @@
     }
 
     @Test
-    void aRecordAndItsJsonTellTheSame() throws IOException {
-        DiscoveredEndpoint framed = records.parse(record(1, 0)).get(0);
+    void parse_recordAndJson_areEqual() throws IOException {
+        DiscoveredEndpoint framed = parser.parse(record(1, 0)).get(0);
         DiscoveredEndpoint known =
-                records.parse(
+                parser.parse(
                                 List.of(
                                         Map.of(
                                                 "instanceId",
@@ -69,23 +70,22 @@
     }
 
     @Test
-    void aLateStartIsToldOnTheClockOfTheDecisions() throws IOException {
-        long since =
-                records.parse(record(0, System.currentTimeMillis() - 3_000)).get(0).startedAt();
+    void parse_startTime_isOnTickClock() throws IOException {
+        long since = parser.parse(record(0, System.currentTimeMillis() - 3_000)).get(0).startedAt();
         assertThat(clock.now() - since).isBetween(29_000L, 40_000L);
     }
 
     @Test
-    void aPieceOfARecordOrAnUnknownStateIsAFault() {
-        assertThatThrownBy(() -> records.parse(ByteBuffer.allocate(26)))
+    void parse_partialRecordOrUnknownState_throwsIoException() {
+        assertThatThrownBy(() -> parser.parse(ByteBuffer.allocate(26)))
                 .isInstanceOf(IOException.class);
-        assertThatThrownBy(() -> records.parse(record(3, 0))).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> parser.parse(record(3, 0))).isInstanceOf(IOException.class);
     }
 
     @Test
-    void whatNobodyNamedIsSkipped() {
+    void parse_unknownZoneOrMachineType_isMinusOne() {
         DiscoveredEndpoint strange =
-                records.parse(
+                parser.parse(
                                 List.of(
                                         Map.of(
                                                 "instanceId",
--- a/src/test/java/firstage/server/discovery/FrameDecoderTest.java
+++ b/src/test/java/firstage/server/discovery/FrameDecoderTest.java
@@ -9,9 +9,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Frames of the coordinator as bytes, whole, in pieces and malformed. */
 class FrameDecoderTest {
     @Test
-    void framesCutAnywhereComeWhole() throws IOException {
+    void decode_framesInPieces_areComplete() throws IOException {
         byte[] bytes =
                 ByteBuffer.allocate(13 + 15)
                         .putInt(9)
@@ -23,22 +24,22 @@
                         .putShort((short) 770)
                         .array();
         for (int size = 1; size <= bytes.length; size++) {
-            FrameDecoder frames = new FrameDecoder();
-            List<FrameDecoder.Frame> whole = new ArrayList<>();
+            FrameDecoder decoder = new FrameDecoder();
+            List<FrameDecoder.Frame> frames = new ArrayList<>();
             for (int at = 0; at < bytes.length; at += size) {
-                whole.addAll(
-                        frames.decode(
+                frames.addAll(
+                        decoder.decode(
                                 ByteBuffer.wrap(bytes, at, Math.min(size, bytes.length - at))));
             }
-            assertThat(whole).hasSize(2);
-            assertThat(whole.get(1).eventNumber()).isEqualTo(-2);
-            assertThat(whole.get(1).type()).isEqualTo(2);
-            assertThat(whole.get(1).payload().getShort()).isEqualTo((short) 770);
+            assertThat(frames).hasSize(2);
+            assertThat(frames.get(1).eventNumber()).isEqualTo(-2);
+            assertThat(frames.get(1).type()).isEqualTo(2);
+            assertThat(frames.get(1).payload().getShort()).isEqualTo((short) 770);
         }
     }
 
     @Test
-    void aFrameOfNoUsableLengthIsAFault() {
+    void decode_unusableLength_throwsIoException() {
         for (int length : new int[] {0, 8, -1, Integer.MAX_VALUE}) {
             assertThatThrownBy(
                             () ->
--- a/src/test/java/firstage/server/engine/EngineResponseReaderTest.java
+++ b/src/test/java/firstage/server/engine/EngineResponseReaderTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Responses of engines as bytes, whole, in pieces and malformed. */
 class EngineResponseReaderTest {
     @ParameterizedTest
     @ValueSource(
@@ -27,7 +28,7 @@
                         + "0\r\n"
                         + "T: 1\r\n\r\n",
             })
-    void aResponseCutAnywhereIsReadWhole(String text) throws IOException {
+    void read_responseInPieces_isComplete(String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         for (int size = 1; size <= bytes.length; size++) {
             EngineResponseReader reader = new EngineResponseReader();
@@ -48,7 +49,7 @@
     }
 
     @Test
-    void aPieceOfAResponseIsNotAResponse() throws IOException {
+    void read_partialResponse_isNotComplete() throws IOException {
         EngineResponseReader reader = new EngineResponseReader();
         assertThat(
                         reader.read(
@@ -69,7 +70,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\nx"
             })
-    void whatIsNoResponseIsAFault(String text) {
+    void read_malformedResponse_throwsIoException(String text) {
         assertThatThrownBy(() -> new EngineResponseReader().read(ByteBuffer.wrap(text.getBytes())))
                 .isInstanceOf(IOException.class);
     }
