--- a/src/main/java/firstage/server/RequestEventHandler.java
+++ b/src/main/java/firstage/server/RequestEventHandler.java
@@ -107,7 +107,7 @@
                 });
     }
 
-    /** The client left, or gave up. */
+    /** The client left, or cancelled. */
     void onClientGone(RequestExchange exchange) {
         if (exchange.isSettled()) {
             return;
--- a/src/main/java/firstage/server/client/ClientConnections.java
+++ b/src/main/java/firstage/server/client/ClientConnections.java
@@ -136,7 +136,7 @@
 
     /** Closes connections that were silent for too long; runs on by itself. */
     void sweep() {
-        sweep(silentSinceMs, MAX_SILENT_MS, "mute client connections closed");
+        sweep(silentSinceMs, MAX_SILENT_MS, "silent client connections closed");
         sweep(idleSinceMs, MAX_IDLE_MS, "idle client connections closed");
         io.executeAfter(this::sweep, SWEEP_PERIOD_MS, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -123,10 +123,10 @@
         Iterator<EngineConnection> candidates = idle.descendingIterator();
         while (candidates.hasNext()) {
             EngineConnection connection = candidates.next();
-            boolean rested = !requireQuiet || clock.now() - connection.idleSince >= QUIET_PERIOD;
+            boolean quietLongEnough = !requireQuiet || clock.now() - connection.idleSince >= QUIET_PERIOD;
             if (clock.now() >= connection.doubtUntil
                     && connection.quietUntil <= quietBy
-                    && rested) {
+                    && quietLongEnough) {
                 candidates.remove();
                 if (connection.hasNoUnreadBytes()) {
                     return connection;
