--- a/src/main/java/firstage/cli/ConfigReloader.java
+++ b/src/main/java/firstage/cli/ConfigReloader.java
@@ -117,7 +117,7 @@
         LOG.info(() -> "read anew in " + (System.nanoTime() - start) / NANOS_PER_MS + " ms");
         if (next.name().equals(current.name())
                 && next.listenAddress().equals(current.listenAddress())) {
-            server.told(next);
+            server.reconfigure(next);
         } else {
             LOG.warning(
                     "the new configuration is another manager's: "
--- a/src/main/java/firstage/lifecycle/AttemptStateMachine.java
+++ b/src/main/java/firstage/lifecycle/AttemptStateMachine.java
@@ -1,584 +1,464 @@
 package firstage.lifecycle;
 
+import firstage.lifecycle.AttemptTransitions.Action;
+import firstage.lifecycle.AttemptTransitions.Event;
+import firstage.lifecycle.AttemptTransitions.State;
+import firstage.lifecycle.AttemptTransitions.Transition;
 import firstage.policy.api.AttemptOutcome;
-import java.util.EnumMap;
-import java.util.Map;
+import firstage.util.Ticks;
+import java.util.Optional;
 
 /**
- * What a dispatch does at its engine: its statement is sent, it is asked for without pause (an
- * engine drops what nobody asks for), its pages are fetched, and it ends once. It belongs to no
- * connection: where one fails, another is asked.
+ * One attempt at its engine: its statement is sent, it is polled without pause (an engine drops
+ * what nobody polls for), its pages are fetched, and it ends once. It belongs to no connection:
+ * where one fails, another is used.
  *
- * <p>Beside each outcome stands what the engine may still hold, for what can't be proven over is
- * not over. It is proven by the engine's own last word on it, or by its answer to a DELETE that
- * came after the statement. Until then the DELETE of a batch with a key is given again, and the
- * next batch of its key waits, while its own client is answered at once. What can't be proven is
- * held until nobody asked for it in {@link #FORGETS}, counted from our last call, and, where its
- * engine could not even be told, until its client's limit, which that engine knows.
+ * <table>
+ * <caption>States</caption>
+ * <tr><td>NEW</td><td>the statement is not written</td></tr>
+ * <tr><td>ABANDONED_UNSENT</td><td>abandoned before that; ends after the current event</td></tr>
+ * <tr><td>SENT</td><td>written, no reply yet</td></tr>
+ * <tr><td>UNACKNOWLEDGED</td><td>the reply to the statement was lost; polled all the same</td></tr>
+ * <tr><td>RUNNING</td><td>the engine has it</td></tr>
+ * <tr><td>FETCHING_PAGES</td><td>it succeeded; pages of the result are missing</td></tr>
+ * <tr><td>ABANDONING</td><td>abandoned after a reply: a DELETE is out</td></tr>
+ * <tr><td>ABANDONING_UNACKNOWLEDGED</td><td>the same, and no reply to the statement came</td></tr>
+ * <tr><td>LINGERING</td><td>nobody waits for it but the next request of its ordering key</td></tr>
+ * <tr><td>LINGERING_UNACKNOWLEDGED</td><td>the same, and no reply to the statement came</td></tr>
+ * <tr><td>ENDED</td><td>final</td></tr>
+ * </table>
  *
- * <p>Times are tenths of a millisecond. Every call is an event; effects go out by {@link
- * MembershipActions}, which may call back at once only where said.
+ * <p>Invariants: {@link AttemptActions#reportEnd} and {@link AttemptActions#release} are called
+ * once each, in this order. What can't be proven ended is reported with the time for which the
+ * engine may still hold it. An end is proven by the engine's own final reply, or by its answer to a
+ * DELETE that came after the statement. Until then the DELETE of a request with an ordering key is
+ * repeated, and the next request of its key waits, while its own client is answered at once. What
+ * is not proven counts as held until nobody polled for {@link #UNPOLLED_EXPIRY}, counted from our
+ * last call, and, where the engine could not even be told, until the client's deadline, which the
+ * engine knows.
+ *
+ * <p>Times are ticks. Every call is an event; actions go out by {@link AttemptActions}. Calls come
+ * on one thread. The table of transitions is {@link AttemptTransitions}.
  */
 public final class AttemptStateMachine {
     /**
-     * An engine ends by itself what nobody asked for in 2 s. Our last call may have been held there
-     * for 250 ms first. What ends of itself meanwhile is out until that is written, which nobody
-     * asks for: 2 s more, and the rest is for calls that are late on their way. At 2.45 s orders
-     * broke (docs/incidents/the-last-connection.md).
+     * An engine ends by itself what nobody polled for in 2 s. Our last call may have been held
+     * there for 250 ms first. A result that ends meanwhile is held until it is written, which
+     * nobody polls for: 2 s more. The rest is for calls that are late on their way
+     * (docs/incidents/the-last-connection.md).
      */
-    public static final long FORGETS = 45_000;
+    public static final long UNPOLLED_EXPIRY = Ticks.ofMillis(4_500);
 
-    /** So long a dispatch that is given up may take to end: the client's answer may wait for it. */
-    private static final long GIVE_UP = 200;
+    /** For the engine to answer the DELETE: the client's answer may wait for it. */
+    private static final long ABANDON_TIMEOUT = Ticks.ofMillis(20);
 
-    /** Between askings that fail at once: a lost connection is not worth a busy loop. */
-    private static final long PAUSE = 500;
+    /** Between calls that fail at once: a lost connection is not worth a busy loop. */
+    private static final long RETRY_DELAY = Ticks.ofMillis(50);
 
     /**
-     * Until a connection that was just in use may carry a DELETE: it rests for 10 ms after an
+     * Until a connection that was just in use may carry a DELETE: it stays quiet for 10 ms after an
      * answer.
      */
-    private static final long SOON = 120;
+    private static final long QUIET_CONNECTION_DELAY = Ticks.ofMillis(12);
 
-    /** An engine counts its limit from when the statement comes: that may be late by so much. */
-    private static final long ON_ITS_WAY = 1_000;
+    /** An engine counts the deadline from when the statement arrives, which may be so late. */
+    private static final long STATEMENT_TRANSIT_ALLOWANCE = Ticks.ofMillis(100);
 
-    /**
-     * Between DELETEs once nobody waits for them: a statement that lay unread may have come
-     * meanwhile.
-     */
-    private static final long NOW_AND_THEN = 5_000;
+    /** Between DELETEs that nobody waits for: a statement that lay unread may have arrived. */
+    private static final long REPEATED_DELETE_INTERVAL = Ticks.ofMillis(500);
 
-    /**
-     * An engine that has nothing to tell and does not hold the call is asked again after a pause.
-     */
-    private static final long HELD = 100;
+    /** An engine that answers a poll sooner than this with no end does not hold its polls. */
+    private static final long MIN_LONG_POLL = Ticks.ofMillis(10);
 
-    private static final long NOT_HELD = 200;
+    /** Between polls of an engine that does not hold them. */
+    private static final long SHORT_POLL_DELAY = Ticks.ofMillis(20);
 
-    /** Answers in a row that can't be read: some are spoilt on their way, not so many. */
-    private static final int MOST_UNREADABLE = 5;
+    /** Replies that can't be read: a few are damaged on their way, not so many. */
+    private static final int MAX_UNREADABLE_REPLIES = 5;
 
     /** New connections in a row that are reset before the statement is written. */
-    private static final int MOST_RESETS = 3;
+    private static final int MAX_CONNECTION_RESETS = 3;
 
-    /** Carries the effects out; none of them calls back before it returns. */
-    public interface Carrier {
-        /** Sends the statement where {@link #wanted} still says so when its connection is up. */
-        void post();
+    /** What an attempt causes; no method calls back before it returns. */
+    public interface AttemptActions {
+        /**
+         * Sends the statement on a connection that may have to be opened first; asks {@link
+         * #shouldSendStatement} when it is up.
+         */
+        void sendStatement();
 
-        /** Asks for news; {@code fresh} on a new connection. */
-        void ask(boolean fresh);
+        /** Polls for progress and the end. */
+        void poll(boolean onNewConnection);
 
-        /** Asks for a page of the result, from 1. */
-        void fetch(int page, boolean fresh);
+        /** Fetches a page of the result; the first is 0 and comes with a poll. */
+        void fetchPage(int page, boolean onNewConnection);
 
         /** Tells the engine to end it. */
-        void delete(boolean fresh);
+        void sendDelete(boolean onNewConnection);
 
-        /** To be answered by {@link #rang} after so long. */
-        void after(long delay, Alarm alarm);
+        /** {@link #onTimeout} is to be called after {@code delay}. */
+        void startTimer(long delay, Timeout timeout);
 
         /**
-         * Whether another connection to this engine is up: a process that died has reset all it
-         * had.
+         * Whether another connection to this engine is open: those of a process that died are
+         * reset.
          */
-        boolean lives();
+        boolean hasOpenConnection();
 
         /**
-         * Whether somebody waits to be told how it ended: its client has no answer yet, or the
-         * program closes.
+         * Whether somebody waits for its end: its client has no answer yet, or the program shuts
+         * down.
          */
-        boolean awaited();
+        boolean isResultAwaited();
 
-        /** When its client's time is up, as its engine was told. */
-        long limit();
+        /** The client's deadline, as the engine was told. */
+        long deadline();
 
-        /** It is over; the engine may hold it for {@code rest} more. Called once. */
-        void ended(AttemptOutcome how, long rest);
+        /** It ended; the engine may hold it for {@code heldFor} more. Called once. */
+        void reportEnd(AttemptOutcome outcome, long heldFor);
 
-        /** Nothing more is called for it, now or later. Called once, after {@link #ended}. */
-        void done();
+        /** No more calls are made for it. Called once, after {@link #reportEnd}. */
+        void release();
     }
 
     /** What a timer was set for. */
-    public enum Alarm {
-        AGAIN,
-        DUE,
-        DELETE_AGAIN,
-        FORGOTTEN
+    public enum Timeout {
+        /** A call that failed, or an engine that does not hold polls, is called again. */
+        RETRY_POLL,
+        /** An abandoned attempt ends, whether its engine answered or not. */
+        ABANDON,
+        /** The DELETE is sent again. */
+        RETRY_DELETE,
+        /** The engine has dropped what nobody polled for. */
+        EXPIRY
     }
 
     /** How a call to the engine failed. */
-    public enum Loss {
+    public enum CallFailure {
         /** The connection was refused. */
-        REFUSED,
-        /** No connection came up in its time. */
-        UNREACHED,
+        CONNECTION_REFUSED,
+        /** No connection was established in its time. */
+        CONNECT_TIMEOUT,
         /** A new connection was reset before anything was written. */
-        RESET,
+        RESET_BEFORE_SEND,
         /** Nothing was written, for reasons of our own. */
-        UNSENT,
+        NOT_SENT,
         /** The connection broke, or no answer came: what was written may have been read. */
-        LOST,
-        /** An answer came that can't be read or used. */
-        SPOILT
+        REPLY_LOST,
+        /** A reply came that can't be read or used. */
+        REPLY_UNREADABLE
     }
 
-    /**
-     * What an engine answered. PAGE: a good end or a page, with more to come; LAST: with all pages
-     * here.
-     */
-    public enum Word {
-        NEWS,
-        PAGE,
-        LAST,
-        TURNED_AWAY,
-        ERROR
-    }
-
-    enum State {
-        NEW,
-        DROPPED,
-        POSTING,
-        UNHEARD,
-        RUNNING,
-        FETCHING,
-        ENDING,
-        ENDING_BLIND,
-        LINGERING,
-        LINGERING_BLIND,
-        OVER
-    }
-
-    private enum Event {
-        WRITTEN,
-        RESET,
-        UNREACHED,
-        UNSENT,
-        NEWS,
+    /** What an engine replied. */
+    public enum EngineReply {
+        /** It runs, or waits to run. */
+        PROGRESS,
+        /** It succeeded; a page came, and more are to be fetched. */
         PAGE,
-        LAST,
-        TURNED_AWAY,
-        ERROR,
-        LOST,
-        GONE,
-        TOO_MANY,
-        GIVE_UP,
-        DELETED,
-        UNDELETED,
-        DUE,
-        DUE_ORDERED,
-        FORGOTTEN
-    }
-
-    /** SURE: it ends as the outcome says, nothing is held; HELD: the engine may hold it yet. */
-    private enum Effect {
-        NONE,
-        POST,
-        ASK,
-        ASK_AGAIN,
-        FETCH,
-        NEXT,
-        END_IT,
-        CONFIRM,
-        DELETE_SOON,
-        DELETE_AGAIN,
-        DELETE_LATER,
-        LINGER,
-        SURE,
-        HELD
-    }
-
-    private record Row(State state, Event event, State next, Effect effect, AttemptOutcome how) {}
-
-    private static final Map<State, Map<Event, Row>> TABLE = new EnumMap<>(State.class);
-
-    private static void row(
-            State state, Event event, State next, Effect effect, AttemptOutcome how) {
-        TABLE.computeIfAbsent(state, s -> new EnumMap<>(Event.class))
-                .put(event, new Row(state, event, next, effect, how));
-    }
-
-    // State, event, next state, effect, outcome. What is not here changes nothing.
-    static {
-        // Not written: an engine never ran it, whatever happens.
-        row(State.NEW, Event.WRITTEN, State.POSTING, Effect.NONE, null);
-        row(State.NEW, Event.RESET, State.NEW, Effect.POST, null);
-        row(State.NEW, Event.TOO_MANY, State.OVER, Effect.SURE, AttemptOutcome.CONNECT_FAILED);
-        row(State.NEW, Event.UNREACHED, State.OVER, Effect.SURE, AttemptOutcome.CONNECT_FAILED);
-        row(State.NEW, Event.UNSENT, State.OVER, Effect.SURE, AttemptOutcome.NOT_SENT);
-        // Told after what is at hand: it may be a decision that gives it up.
-        row(State.NEW, Event.GIVE_UP, State.DROPPED, Effect.NEXT, null);
-        row(State.DROPPED, Event.DUE, State.OVER, Effect.SURE, AttemptOutcome.NOT_SENT);
-        // Written, and not answered for.
-        row(State.POSTING, Event.NEWS, State.RUNNING, Effect.ASK, null);
-        row(State.POSTING, Event.PAGE, State.FETCHING, Effect.FETCH, null);
-        row(State.POSTING, Event.LAST, State.OVER, Effect.SURE, AttemptOutcome.SUCCEEDED);
-        row(State.POSTING, Event.TURNED_AWAY, State.OVER, Effect.SURE, AttemptOutcome.REFUSED);
-        row(State.POSTING, Event.ERROR, State.ENDING, Effect.CONFIRM, AttemptOutcome.FAILED);
-        row(State.POSTING, Event.LOST, State.UNHEARD, Effect.ASK_AGAIN, null);
-        row(
-                State.POSTING,
-                Event.TOO_MANY,
-                State.ENDING_BLIND,
-                Effect.END_IT,
-                AttemptOutcome.FAILED);
-        row(State.POSTING, Event.GIVE_UP, State.ENDING_BLIND, Effect.END_IT, null);
-        // Its answer was lost. The statement may lie unread: that the engine does not know it
-        // proves nothing.
-        row(State.UNHEARD, Event.NEWS, State.RUNNING, Effect.ASK, null);
-        row(State.UNHEARD, Event.PAGE, State.FETCHING, Effect.FETCH, null);
-        row(State.UNHEARD, Event.LAST, State.OVER, Effect.SURE, AttemptOutcome.SUCCEEDED);
-        row(State.UNHEARD, Event.TURNED_AWAY, State.OVER, Effect.SURE, AttemptOutcome.REFUSED);
-        row(State.UNHEARD, Event.ERROR, State.ENDING_BLIND, Effect.END_IT, AttemptOutcome.FAILED);
-        row(State.UNHEARD, Event.LOST, State.UNHEARD, Effect.ASK_AGAIN, null);
-        row(State.UNHEARD, Event.GONE, State.OVER, Effect.HELD, AttemptOutcome.CONNECTION_LOST);
-        row(
-                State.UNHEARD,
-                Event.TOO_MANY,
-                State.ENDING_BLIND,
-                Effect.END_IT,
-                AttemptOutcome.FAILED);
-        row(State.UNHEARD, Event.GIVE_UP, State.ENDING_BLIND, Effect.END_IT, null);
-        // The engine has it.
-        row(State.RUNNING, Event.NEWS, State.RUNNING, Effect.ASK, null);
-        row(State.RUNNING, Event.PAGE, State.FETCHING, Effect.FETCH, null);
-        row(State.RUNNING, Event.LAST, State.OVER, Effect.SURE, AttemptOutcome.SUCCEEDED);
-        row(State.RUNNING, Event.TURNED_AWAY, State.OVER, Effect.SURE, AttemptOutcome.REFUSED);
-        row(State.RUNNING, Event.ERROR, State.ENDING, Effect.CONFIRM, AttemptOutcome.FAILED);
-        row(State.RUNNING, Event.LOST, State.RUNNING, Effect.ASK_AGAIN, null);
-        // One that drains may refuse new connections and run on.
-        row(State.RUNNING, Event.GONE, State.OVER, Effect.HELD, AttemptOutcome.CONNECTION_LOST);
-        row(State.RUNNING, Event.TOO_MANY, State.ENDING, Effect.END_IT, AttemptOutcome.FAILED);
-        row(State.RUNNING, Event.GIVE_UP, State.ENDING, Effect.END_IT, null);
-        // It ended well there; only its pages can be lost.
-        row(State.FETCHING, Event.PAGE, State.FETCHING, Effect.FETCH, null);
-        row(State.FETCHING, Event.LAST, State.OVER, Effect.SURE, AttemptOutcome.SUCCEEDED);
-        row(State.FETCHING, Event.ERROR, State.OVER, Effect.SURE, AttemptOutcome.FAILED);
-        row(State.FETCHING, Event.LOST, State.FETCHING, Effect.ASK_AGAIN, null);
-        row(State.FETCHING, Event.GONE, State.OVER, Effect.SURE, AttemptOutcome.CONNECTION_LOST);
-        row(State.FETCHING, Event.TOO_MANY, State.ENDING, Effect.END_IT, AttemptOutcome.FAILED);
-        row(State.FETCHING, Event.GIVE_UP, State.ENDING, Effect.END_IT, null);
-        // Given up, and the engine had answered for it: its answer to the DELETE, or any last word,
-        // proves the end.
-        row(State.ENDING, Event.DELETED, State.OVER, Effect.SURE, null);
-        row(State.ENDING, Event.TURNED_AWAY, State.OVER, Effect.SURE, null);
-        row(State.ENDING, Event.ERROR, State.OVER, Effect.SURE, null);
-        row(State.ENDING, Event.PAGE, State.OVER, Effect.SURE, null);
-        row(State.ENDING, Event.LAST, State.OVER, Effect.SURE, null);
-        // The connection that carried this is there, where that of the DELETE may never come up.
-        row(State.ENDING, Event.NEWS, State.ENDING, Effect.DELETE_SOON, null);
-        row(State.ENDING, Event.UNDELETED, State.ENDING, Effect.DELETE_AGAIN, null);
-        row(State.ENDING, Event.DUE, State.OVER, Effect.HELD, null);
-        row(State.ENDING, Event.DUE_ORDERED, State.LINGERING, Effect.LINGER, null);
-        // Given up, and the DELETE may have overtaken the statement: only an answer to that proves
-        // anything.
-        row(State.ENDING_BLIND, Event.NEWS, State.ENDING, Effect.DELETE_SOON, null);
-        row(State.ENDING_BLIND, Event.TURNED_AWAY, State.OVER, Effect.SURE, null);
-        row(State.ENDING_BLIND, Event.ERROR, State.OVER, Effect.SURE, null);
-        row(State.ENDING_BLIND, Event.PAGE, State.OVER, Effect.SURE, null);
-        row(State.ENDING_BLIND, Event.LAST, State.OVER, Effect.SURE, null);
-        row(State.ENDING_BLIND, Event.DELETED, State.ENDING_BLIND, Effect.DELETE_LATER, null);
-        row(State.ENDING_BLIND, Event.UNDELETED, State.ENDING_BLIND, Effect.DELETE_AGAIN, null);
-        row(State.ENDING_BLIND, Event.DUE, State.OVER, Effect.HELD, null);
-        row(State.ENDING_BLIND, Event.DUE_ORDERED, State.LINGERING_BLIND, Effect.LINGER, null);
-        // Given up, its time to hear of it is over, and others of its key wait. The harm prevented:
-        // an engine that was
-        // never told may run it on, and what ends there with nobody to ask is out until its limit.
-        row(State.LINGERING, Event.DELETED, State.OVER, Effect.SURE, null);
-        row(State.LINGERING, Event.TURNED_AWAY, State.OVER, Effect.SURE, null);
-        row(State.LINGERING, Event.ERROR, State.OVER, Effect.SURE, null);
-        row(State.LINGERING, Event.PAGE, State.OVER, Effect.SURE, null);
-        row(State.LINGERING, Event.LAST, State.OVER, Effect.SURE, null);
-        row(State.LINGERING, Event.NEWS, State.LINGERING, Effect.DELETE_SOON, null);
-        row(State.LINGERING, Event.UNDELETED, State.LINGERING, Effect.DELETE_AGAIN, null);
-        row(State.LINGERING, Event.FORGOTTEN, State.OVER, Effect.SURE, null);
-        row(State.LINGERING_BLIND, Event.NEWS, State.LINGERING, Effect.DELETE_SOON, null);
-        row(State.LINGERING_BLIND, Event.TURNED_AWAY, State.OVER, Effect.SURE, null);
-        row(State.LINGERING_BLIND, Event.ERROR, State.OVER, Effect.SURE, null);
-        row(State.LINGERING_BLIND, Event.PAGE, State.OVER, Effect.SURE, null);
-        row(State.LINGERING_BLIND, Event.LAST, State.OVER, Effect.SURE, null);
-        row(State.LINGERING_BLIND, Event.DELETED, State.LINGERING_BLIND, Effect.DELETE_LATER, null);
-        row(
-                State.LINGERING_BLIND,
-                Event.UNDELETED,
-                State.LINGERING_BLIND,
-                Effect.DELETE_AGAIN,
-                null);
-        row(State.LINGERING_BLIND, Event.FORGOTTEN, State.OVER, Effect.SURE, null);
+        /** It succeeded, and all pages are here. */
+        LAST_PAGE,
+        /** The engine never ran it. */
+        REFUSED,
+        /** It failed, or the engine does not know it. */
+        FAILED
     }
 
-    private final Carrier carrier;
-    private final boolean ordered;
+    private final AttemptActions actions;
+    private final boolean keyed;
     private State state = State.NEW;
-    private AttemptOutcome how;
-    private boolean postOut;
 
-    /** Of a DELETE that may be given again. */
-    private boolean deleteFresh;
+    /** Null until it is settled. */
+    private AttemptOutcome outcome;
 
-    private boolean askFresh;
-    private boolean again;
+    private boolean deleteOnNewConnection;
+    private boolean pollOnNewConnection;
+    private boolean retryScheduled;
 
-    /** Its engine said that it erred. */
-    private boolean heardOver;
+    /** The engine itself reported the failure. */
+    private boolean failureReported;
 
     /**
-     * A DELETE was answered: its engine can be told, and is told again in case the statement comes
-     * yet.
+     * A DELETE was answered: the engine can be told, and is told again in case the statement
+     * arrives later.
      */
-    private boolean reached;
+    private boolean deleteAcknowledged;
 
-    /** Its end was told to who waits for it. */
-    private boolean told;
+    private boolean endReported;
 
-    private int page;
-    private int failures;
-    private int unreadable;
-    private long lastCall;
+    private int currentPage;
+    private int consecutiveFailures;
+    private int unreadableReplies;
+    private long lastCallAt;
 
     /**
-     * {@code ordered}: others may wait for it to be over, so its end is proven where that costs a
-     * call.
+     * @param keyed whether the request has an ordering key: others may wait for its end, which is
+     *     then proven even where that costs a call
      */
-    public AttemptStateMachine(Carrier carrier, boolean ordered) {
-        this.carrier = carrier;
-        this.ordered = ordered;
+    public AttemptStateMachine(AttemptActions actions, boolean keyed) {
+        this.actions = actions;
+        this.keyed = keyed;
     }
 
-    /** Asked when a connection for its statement is up: whether that is to be written still. */
-    public boolean wanted() {
+    /** Whether the statement is to be written still; asked when its connection is up. */
+    public boolean shouldSendStatement() {
         return state == State.NEW;
     }
 
-    /** Whether its statement was written. */
-    public boolean written() {
-        return state != State.NEW && state != State.DROPPED;
+    /** Whether the statement was written. */
+    public boolean isStatementWritten() {
+        return state != State.NEW && state != State.ABANDONED_UNSENT;
     }
 
-    /** Whether it was written and is neither given up nor over. */
-    public boolean runs() {
-        return written() && how == null && state != State.OVER;
+    /** Whether it was written and is neither abandoned nor ended. */
+    public boolean isRunning() {
+        return isStatementWritten() && outcome == null && state != State.ENDED;
     }
 
-    /**
-     * Whether it is given up and not over, and its end is not told yet: nobody waits for it but its
-     * key.
-     */
-    public boolean lingers() {
-        return !told && (state == State.LINGERING || state == State.LINGERING_BLIND);
+    /** Whether nobody but its ordering key waits for its end, which is not reported yet. */
+    public boolean isLingering() {
+        return !endReported
+                && (state == State.LINGERING || state == State.LINGERING_UNACKNOWLEDGED);
     }
 
-    public boolean over() {
-        return state == State.OVER;
+    /** Whether it ended. */
+    public boolean isEnded() {
+        return state == State.ENDED;
     }
 
-    /** Begins; nothing of it is told before this returns. */
+    /** Begins. */
     public void start() {
         if (state == State.NEW) {
-            carrier.post();
+            actions.sendStatement();
         }
     }
 
-    /** Its statement goes onto the wire now. */
-    public void written(long now) {
-        lastCall = now;
-        postOut = true;
-        on(now, Event.WRITTEN);
+    /** The statement is being written now. */
+    public void onStatementWritten(long now) {
+        lastCallAt = now;
+        handle(now, Event.STATEMENT_WRITTEN);
     }
 
-    /** The statement's own answer. */
-    public void posted(long now, Word word) {
-        postOut = false;
-        on(now, event(word));
+    /** The reply to the statement itself. */
+    public void onStatementReply(long now, EngineReply reply) {
+        handle(now, eventFor(reply));
     }
 
-    /** The answer to another call. */
-    public void told(long now, Word word) {
-        // In the blind a word on other calls proves nothing.
-        if (state != State.ENDING_BLIND && state != State.LINGERING_BLIND) {
-            on(now, event(word));
+    /** The reply to a poll or to the fetch of a page. */
+    public void onReply(long now, EngineReply reply) {
+        // While the statement is unacknowledged, a reply to another call proves nothing.
+        if (state != State.ABANDONING_UNACKNOWLEDGED && state != State.LINGERING_UNACKNOWLEDGED) {
+            handle(now, eventFor(reply));
         }
     }
 
-    private Event event(Word word) {
-        failures = 0;
-        unreadable = word == Word.PAGE ? 0 : unreadable;
-        return switch (word) {
-            case NEWS -> Event.NEWS;
+    private Event eventFor(EngineReply reply) {
+        consecutiveFailures = 0;
+        unreadableReplies = reply == EngineReply.PAGE ? 0 : unreadableReplies;
+        return switch (reply) {
+            case PROGRESS -> Event.PROGRESS;
             case PAGE -> Event.PAGE;
-            case LAST -> Event.LAST;
-            case TURNED_AWAY -> Event.TURNED_AWAY;
-            case ERROR -> Event.ERROR;
+            case LAST_PAGE -> Event.LAST_PAGE;
+            case REFUSED -> Event.REFUSED;
+            case FAILED -> Event.FAILED;
         };
     }
 
-    /** The statement could not be sent, or its answer was lost. */
-    public void postFailed(long now, Loss loss) {
-        postOut = false;
-        switch (loss) {
-            case RESET -> on(now, ++failures < MOST_RESETS ? Event.RESET : Event.TOO_MANY);
-            case REFUSED, UNREACHED -> on(now, Event.UNREACHED);
-            case UNSENT -> on(now, Event.UNSENT);
-            default -> lost(now, loss);
+    /** The statement could not be sent, or the reply to it was lost. */
+    public void onStatementFailed(long now, CallFailure failure) {
+        switch (failure) {
+            case RESET_BEFORE_SEND ->
+                    handle(
+                            now,
+                            ++consecutiveFailures < MAX_CONNECTION_RESETS
+                                    ? Event.RESET_BEFORE_SEND
+                                    : Event.TOO_MANY_FAILURES);
+            case CONNECTION_REFUSED, CONNECT_TIMEOUT -> handle(now, Event.CONNECT_FAILED);
+            case NOT_SENT -> handle(now, Event.NOT_SENT);
+            default -> onCallFailed(now, failure);
         }
     }
 
-    /** Another call failed. */
-    public void lost(long now, Loss loss) {
-        unreadable += loss == Loss.SPOILT ? 1 : 0;
-        askFresh = loss != Loss.REFUSED;
-        boolean gone = loss == Loss.REFUSED && !carrier.lives();
-        on(now, gone ? Event.GONE : unreadable >= MOST_UNREADABLE ? Event.TOO_MANY : Event.LOST);
+    /** A poll or the fetch of a page failed. */
+    public void onCallFailed(long now, CallFailure failure) {
+        unreadableReplies += failure == CallFailure.REPLY_UNREADABLE ? 1 : 0;
+        pollOnNewConnection = failure != CallFailure.CONNECTION_REFUSED;
+        boolean gone = failure == CallFailure.CONNECTION_REFUSED && !actions.hasOpenConnection();
+        handle(
+                now,
+                gone
+                        ? Event.ENGINE_GONE
+                        : unreadableReplies >= MAX_UNREADABLE_REPLIES
+                                ? Event.TOO_MANY_FAILURES
+                                : Event.REPLY_LOST);
     }
 
     /**
-     * Ends it with this outcome, once the engine has heard of it or can't hear in time: until then
-     * it is out.
+     * Ends it with this outcome, once the engine knows of it or can't be told in time: until then
+     * it is in flight. The first outcome stays.
      */
-    public void giveUp(long now, AttemptOutcome as) {
-        if (state != State.OVER && how == null) {
-            how = as;
-            on(now, Event.GIVE_UP);
+    public void abandon(long now, AttemptOutcome requestedOutcome) {
+        if (state != State.ENDED && outcome == null) {
+            outcome = requestedOutcome;
+            handle(now, Event.ABANDON);
         }
     }
 
-    public void deleted(long now) {
-        reached = true;
-        // A statement that lay unread for so long does not come any more, and what came before this
-        // is ended by it.
-        boolean late = state == State.LINGERING_BLIND && now >= lastCall + FORGETS;
-        on(now, late ? Event.FORGOTTEN : Event.DELETED);
+    /** The engine answered the DELETE. */
+    public void onDeleteAcknowledged(long now) {
+        deleteAcknowledged = true;
+        // A statement that lay unread for so long does not arrive any more, and what arrived before
+        // this DELETE is ended by it.
+        boolean late =
+                state == State.LINGERING_UNACKNOWLEDGED && now >= lastCallAt + UNPOLLED_EXPIRY;
+        handle(now, late ? Event.EXPIRED : Event.DELETE_ACKNOWLEDGED);
     }
 
-    public void deleteFailed(long now, Loss loss) {
-        deleteFresh = loss != Loss.REFUSED;
-        on(now, Event.UNDELETED);
+    /** The DELETE could not be sent, or the answer to it was lost. */
+    public void onDeleteFailed(long now, CallFailure failure) {
+        deleteOnNewConnection = failure != CallFailure.CONNECTION_REFUSED;
+        handle(now, Event.DELETE_FAILED);
     }
 
-    public void rang(long now, Alarm alarm) {
-        switch (alarm) {
-            case AGAIN -> {
-                if (again) {
-                    again = false;
-                    askAgain(now);
+    /** A timer that was started ran out. */
+    public void onTimeout(long now, Timeout timeout) {
+        switch (timeout) {
+            case RETRY_POLL -> {
+                if (retryScheduled) {
+                    retryScheduled = false;
+                    repeatCall(now);
                 }
             }
-            case DUE -> on(now, ordered && written() ? Event.DUE_ORDERED : Event.DUE);
-            case DELETE_AGAIN -> {
-                if (ending()) {
-                    carrier.delete(deleteFresh);
+            case ABANDON ->
+                    handle(
+                            now,
+                            keyed && isStatementWritten()
+                                    ? Event.ABANDON_TIMEOUT_KEYED
+                                    : Event.ABANDON_TIMEOUT);
+            case RETRY_DELETE -> {
+                if (isAbandoning()) {
+                    actions.sendDelete(deleteOnNewConnection);
                 }
             }
-            case FORGOTTEN -> on(now, Event.FORGOTTEN);
+            case EXPIRY -> handle(now, Event.EXPIRED);
         }
     }
 
-    private void on(long now, Event event) {
-        Row row = TABLE.getOrDefault(state, Map.of()).get(event);
-        if (row == null) {
-            return;
+    private void handle(long now, Event event) {
+        Optional<Transition> transition = AttemptTransitions.find(state, event);
+        if (transition.isPresent()) {
+            State before = state;
+            state = transition.get().next();
+            outcome = transition.get().outcome().orElse(outcome);
+            perform(transition.get().action(), now, before);
         }
-        State before = state;
-        state = row.next;
-        how = row.how != null ? row.how : how;
-        switch (row.effect) {
+    }
+
+    private void perform(Action action, long now, State before) {
+        switch (action) {
             case NONE -> {}
-            case POST -> carrier.post();
-            case ASK -> pace(now, before);
-            case ASK_AGAIN -> retry(now);
-            case FETCH -> {
-                page++;
-                lastCall = now;
-                carrier.fetch(page, false);
-            }
-            case NEXT -> carrier.after(0, Alarm.DUE);
-            case END_IT -> endIt();
-            case CONFIRM -> {
-                if (ordered) {
-                    heardOver = true;
-                    endIt();
-                } else {
-                    end(now, false);
-                }
+            case SEND_STATEMENT -> actions.sendStatement();
+            case POLL -> pollWithMinimumInterval(now, before);
+            case RETRY_CALL -> retryCall(now);
+            case FETCH_NEXT_PAGE -> {
+                currentPage++;
+                lastCallAt = now;
+                actions.fetchPage(currentPage, false);
             }
-            case DELETE_SOON -> {
-                deleteFresh = false;
-                carrier.after(SOON, Alarm.DELETE_AGAIN);
+            case END_AFTER_CURRENT_EVENT -> actions.startTimer(0, Timeout.ABANDON);
+            case DELETE -> deleteWithTimeout();
+            case CONFIRM_END -> confirmEnd(now);
+            case DELETE_ON_QUIET_CONNECTION -> {
+                deleteOnNewConnection = false;
+                actions.startTimer(QUIET_CONNECTION_DELAY, Timeout.RETRY_DELETE);
             }
-            case DELETE_AGAIN -> carrier.after(PAUSE, Alarm.DELETE_AGAIN);
-            case DELETE_LATER -> carrier.after(NOW_AND_THEN, Alarm.DELETE_AGAIN);
+            case RETRY_DELETE -> actions.startTimer(RETRY_DELAY, Timeout.RETRY_DELETE);
+            case REPEAT_DELETE ->
+                    actions.startTimer(REPEATED_DELETE_INTERVAL, Timeout.RETRY_DELETE);
             case LINGER -> linger(now);
-            case SURE -> end(now, false);
-            case HELD -> end(now, true);
+            case END_PROVEN -> end(now, false);
+            case END_UNPROVEN -> end(now, true);
+        }
+    }
+
+    /** The engine reported a failure: with an ordering key a DELETE confirms that nothing runs. */
+    private void confirmEnd(long now) {
+        if (keyed) {
+            failureReported = true;
+            deleteWithTimeout();
+        } else {
+            end(now, false);
         }
     }
 
-    private void endIt() {
-        again = false;
-        carrier.after(GIVE_UP, Alarm.DUE);
-        carrier.delete(false);
+    private void deleteWithTimeout() {
+        retryScheduled = false;
+        actions.startTimer(ABANDON_TIMEOUT, Timeout.ABANDON);
+        actions.sendDelete(false);
     }
 
-    /** Asks on; an engine that answered at once with nothing is left alone for a moment. */
-    private void pace(long now, State before) {
-        if (before == State.RUNNING && now - lastCall < HELD) {
-            again = true;
-            askFresh = false;
-            carrier.after(NOT_HELD, Alarm.AGAIN);
+    /** Polls again; an engine that does not hold its polls is left alone for a moment. */
+    private void pollWithMinimumInterval(long now, State before) {
+        if (before == State.RUNNING && now - lastCallAt < MIN_LONG_POLL) {
+            retryScheduled = true;
+            pollOnNewConnection = false;
+            actions.startTimer(SHORT_POLL_DELAY, Timeout.RETRY_POLL);
         } else {
-            lastCall = now;
-            carrier.ask(false);
+            lastCallAt = now;
+            actions.poll(false);
         }
     }
 
-    private void retry(long now) {
+    private void retryCall(long now) {
         // The first time at once: a process that died resets its connections, and refuses the next.
-        if (failures++ == 0 && askFresh) {
-            askAgain(now);
+        if (consecutiveFailures++ == 0 && pollOnNewConnection) {
+            repeatCall(now);
         } else {
-            again = true;
-            carrier.after(PAUSE, Alarm.AGAIN);
+            retryScheduled = true;
+            actions.startTimer(RETRY_DELAY, Timeout.RETRY_POLL);
         }
     }
 
-    private void askAgain(long now) {
-        if (state == State.UNHEARD || state == State.RUNNING) {
-            lastCall = now;
-            carrier.ask(askFresh);
-        } else if (state == State.FETCHING) {
-            lastCall = now;
-            carrier.fetch(page, askFresh);
+    private void repeatCall(long now) {
+        if (state == State.UNACKNOWLEDGED || state == State.RUNNING) {
+            lastCallAt = now;
+            actions.poll(pollOnNewConnection);
+        } else if (state == State.FETCHING_PAGES) {
+            lastCallAt = now;
+            actions.fetchPage(currentPage, pollOnNewConnection);
         }
     }
 
-    private boolean ending() {
-        return state == State.ENDING
-                || state == State.ENDING_BLIND
+    private boolean isAbandoning() {
+        return state == State.ABANDONING
+                || state == State.ABANDONING_UNACKNOWLEDGED
                 || state == State.LINGERING
-                || state == State.LINGERING_BLIND;
+                || state == State.LINGERING_UNACKNOWLEDGED;
     }
 
     /**
-     * Whoever waits for its end is told at once, with the rest; else it is told when it is proven.
+     * Reports the end now where somebody waits for it, with the time that it may be held; else once
+     * it is proven.
      */
     private void linger(long now) {
-        long limit = heardOver || reached ? 0 : carrier.limit() + ON_ITS_WAY;
-        long rest = Math.max(0, Math.max(lastCall + FORGETS, limit) - now);
-        carrier.after(rest, Alarm.FORGOTTEN);
-        if (carrier.awaited()) {
-            told = true;
-            carrier.ended(how, rest);
+        long limit =
+                failureReported || deleteAcknowledged
+                        ? 0
+                        : actions.deadline() + STATEMENT_TRANSIT_ALLOWANCE;
+        long heldFor = Math.max(0, Math.max(lastCallAt + UNPOLLED_EXPIRY, limit) - now);
+        actions.startTimer(heldFor, Timeout.EXPIRY);
+        if (actions.isResultAwaited()) {
+            endReported = true;
+            actions.reportEnd(outcome, heldFor);
         }
     }
 
-    private void end(long now, boolean held) {
-        state = State.OVER;
-        if (!told) {
-            told = true;
-            carrier.ended(how, held ? Math.max(0, lastCall + FORGETS - now) : 0);
+    private void end(long now, boolean mayStillHold) {
+        state = State.ENDED;
+        if (!endReported) {
+            endReported = true;
+            actions.reportEnd(
+                    outcome, mayStillHold ? Math.max(0, lastCallAt + UNPOLLED_EXPIRY - now) : 0);
         }
-        carrier.done();
+        actions.release();
     }
 }
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -22,7 +22,7 @@
 import firstage.policy.api.Deployment;
 import firstage.policy.api.EndpointUpdate;
 import firstage.server.Counters;
-import firstage.server.ServerEvents.Listed;
+import firstage.server.ServerEvents.DiscoveredEndpoint;
 import firstage.server.TickClock;
 import java.io.IOException;
 import java.io.StringWriter;
@@ -90,8 +90,8 @@
     /** Null where the fleet is one; so is the sieve. */
     private final CellDirectory cells;
 
-    private final EngineSubset<Listed> engineSubset;
-    private final Consumer<List<Listed>> onEnginesReleased;
+    private final EngineSubset<DiscoveredEndpoint> engineSubset;
+    private final Consumer<List<DiscoveredEndpoint>> onEnginesReleased;
     private final Map<InetSocketAddress, Integer> addressIndex = new HashMap<>();
 
     /** Where managers of other cells are. */
@@ -123,7 +123,7 @@
             Counters counters,
             ProbeActions probeActions,
             SheddingActions sheddingActions,
-            Consumer<List<Listed>> onEnginesReleased) {
+            Consumer<List<DiscoveredEndpoint>> onEnginesReleased) {
         this.config = config;
         Deployment deployment = managerConfig.deployment();
         zoneNames = List.of(managerConfig.settings().getString("areas", "").split(","));
@@ -183,9 +183,9 @@
                         ? null
                         : new EngineSubset<>(
                                 cells,
-                                Listed::id,
+                                DiscoveredEndpoint::id,
                                 e -> zoneName(e.zone()),
-                                e -> e.standing() == EndpointUpdate.Lifecycle.GONE);
+                                e -> e.lifecycle() == EndpointUpdate.Lifecycle.GONE);
         if (cellConfig != null) {
             cellConfig.addressesByCell().forEach(otherCellAddresses::addAll);
             otherCellAddresses.removeAll(config.peerAddresses());
@@ -225,7 +225,8 @@
     }
 
     /** Of an event of the list what this manager may use; all of it where the fleet is one. */
-    public List<Listed> served(EndpointUpdate.Kind kind, List<Listed> entries) {
+    public List<DiscoveredEndpoint> served(
+            EndpointUpdate.Kind kind, List<DiscoveredEndpoint> entries) {
         return engineSubset == null
                 ? entries
                 : engineSubset.filter(kind != EndpointUpdate.Kind.DELTA, entries);
@@ -235,7 +236,7 @@
      * Of what an engine bears while it is cold, this manager's part; 0, by the settings, where the
      * fleet is one.
      */
-    public double coldPart(Listed e) {
+    public double coldPart(DiscoveredEndpoint e) {
         return cells == null ? 0 : cells.warmUpShare(e.id(), zoneName(e.zone()));
     }
 
@@ -527,7 +528,7 @@
 
     @Override
     public void enginesReleased(long now) {
-        List<Listed> may = engineSubset.takeReleased();
+        List<DiscoveredEndpoint> may = engineSubset.takeReleased();
         if (!may.isEmpty()) {
             LOG.info(() -> "cell {\"engines taken over\":" + may.size() + "}");
             onEnginesReleased.accept(may);
--- a/src/test/java/firstage/server/discovery/EndpointParserTest.java
+++ b/src/test/java/firstage/server/discovery/EndpointParserTest.java
@@ -5,7 +5,7 @@
 
 import firstage.config.WireFields;
 import firstage.policy.api.EndpointUpdate.Lifecycle;
-import firstage.server.ServerEvents.Listed;
+import firstage.server.ServerEvents.DiscoveredEndpoint;
 import firstage.server.TickClock;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -13,9 +13,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Endpoints from records and from JSON. */
 class EndpointParserTest {
     private final TickClock clock = new TickClock();
-    private final EndpointParser records =
+    private final EndpointParser parser =
             new EndpointParser(
                     clock,
                     new WireFields(
@@ -40,10 +41,10 @@
     }
 
     @Test
-    void aRecordAndItsJsonTellTheSame() throws IOException {
-        Listed framed = records.read(record(1, 0)).get(0);
-        Listed known =
-                records.read(
+    void parse_recordAndJson_areEqual() throws IOException {
+        DiscoveredEndpoint framed = parser.parse(record(1, 0)).get(0);
+        DiscoveredEndpoint known =
+                parser.parse(
                                 List.of(
                                         Map.of(
                                                 "instanceId",
@@ -64,27 +65,27 @@
                                                 "0")))
                         .get(0);
         assertThat(framed).isEqualTo(known);
-        assertThat(framed.standing()).isEqualTo(Lifecycle.DRAINING);
-        assertThat(framed.since()).isZero();
+        assertThat(framed.lifecycle()).isEqualTo(Lifecycle.DRAINING);
+        assertThat(framed.startedAt()).isZero();
     }
 
     @Test
-    void aLateStartIsToldOnTheClockOfTheDecisions() throws IOException {
-        long since = records.read(record(0, System.currentTimeMillis() - 3_000)).get(0).since();
+    void parse_startTime_isOnTickClock() throws IOException {
+        long since = parser.parse(record(0, System.currentTimeMillis() - 3_000)).get(0).startedAt();
         assertThat(clock.now() - since).isBetween(29_000L, 40_000L);
     }
 
     @Test
-    void aPieceOfARecordOrAnUnknownStateIsAFault() {
-        assertThatThrownBy(() -> records.read(ByteBuffer.allocate(26)))
+    void parse_partialRecordOrUnknownState_throwsIoException() {
+        assertThatThrownBy(() -> parser.parse(ByteBuffer.allocate(26)))
                 .isInstanceOf(IOException.class);
-        assertThatThrownBy(() -> records.read(record(3, 0))).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> parser.parse(record(3, 0))).isInstanceOf(IOException.class);
     }
 
     @Test
-    void whatNobodyNamedIsSkipped() {
-        Listed strange =
-                records.read(
+    void parse_unknownZoneOrMachineType_isMinusOne() {
+        DiscoveredEndpoint strange =
+                parser.parse(
                                 List.of(
                                         Map.of(
                                                 "instanceId",
