--- a/src/test/java/firstage/server/CellsIT.java
+++ b/src/test/java/firstage/server/CellsIT.java
@@ -29,26 +29,36 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * Two real managers, each a cell of its own: engines go from the one to the other with a new plan.
- */
+/** Two real managers, each a cell of its own: a new plan moves engines from one to the other. */
 @Timeout(120)
 class CellsIT {
     private static final int ENGINES = 16;
+
+    // Second octet of the loopback address at which a manager serves clients, at which its engines
+    // would be, and at which its peers reach it.
+    private static final int HTTP_OCTET = 60;
+    private static final int ENGINE_OCTET = 62;
+    private static final int PEERS_OCTET = 64;
+
     @TempDir private Path folder;
-    private final Map<String, Process> programs = new HashMap<>();
-    private ServerSocket lock;
+    private final Map<String, Process> managers = new HashMap<>();
+    private ServerSocket portLock;
 
     @AfterEach
     void stop() throws Exception {
-        for (Process p : programs.values()) {
-            p.destroyForcibly().waitFor();
+        for (Process manager : managers.values()) {
+            manager.destroyForcibly().waitFor();
         }
-        lock.close();
+        portLock.close();
     }
 
-    private String at(String cell, int second) {
-        return "127." + second + "." + (cell.equals("a") ? 0 : 1) + ".1:" + lock.getLocalPort();
+    private String address(String cell, int secondOctet) {
+        return "127."
+                + secondOctet
+                + "."
+                + (cell.equals("a") ? 0 : 1)
+                + ".1:"
+                + portLock.getLocalPort();
     }
 
     private Path config(String cell) throws IOException {
@@ -65,33 +75,33 @@
                 plan,
                 new ManagerConfigWriter.Place(
                         cell,
-                        ManagerConfig.parseAddress(at(cell, 60)),
+                        ManagerConfig.parseAddress(address(cell, HTTP_OCTET)),
                         null,
                         rank,
                         0,
-                        e -> ManagerConfig.parseAddress(at("a", 62))),
+                        engine -> ManagerConfig.parseAddress(address("a", ENGINE_OCTET))),
                 rank);
         return file;
     }
 
     private void start(String cell, int plan) throws Exception {
-        if (programs.containsKey(cell)) {
-            programs.get(cell).destroyForcibly().waitFor();
+        if (managers.containsKey(cell)) {
+            managers.get(cell).destroyForcibly().waitFor();
         }
         String cells =
                 "[[cell]]\nname = 'a'\nzone = 'z'\nhosts = ['"
-                        + at("a", 64)
+                        + address("a", PEERS_OCTET)
                         + "']\n"
                         + (plan == 1 ? "" : "serves = false\n")
                         + "[[cell]]\nname = 'b'\nzone = 'z'\nhosts = ['"
-                        + at("b", 64)
+                        + address("b", PEERS_OCTET)
                         + "']\n"
                         + (plan == 1 ? "" : "[before]\nplan = 1\ncells = ['a', 'b']\n");
         Path peers =
                 Files.writeString(
                         folder.resolve(cell + ".toml"),
                         "fleet = 'f'\nlisten = '"
-                                + at(cell, 64)
+                                + address(cell, PEERS_OCTET)
                                 + "'\nplan = "
                                 + plan
                                 + "\n"
@@ -107,7 +117,7 @@
                         "--peers",
                         peers.toString());
         builder.environment().put("ROUTER_CONFIG", config(cell).toString());
-        programs.put(
+        managers.put(
                 cell,
                 builder.redirectErrorStream(true)
                         .redirectOutput(
@@ -116,76 +126,79 @@
                         .start());
     }
 
-    /** What it tells of its view; again and again, until that has these words. */
-    private String await(String cell, String words) throws IOException {
-        String[] to = at(cell, 64).split(":");
-        byte[] asked = MembershipTransport.ASKED.getBytes(StandardCharsets.US_ASCII);
+    /** Polls a cell's manager for its view until that contains this text; returns the view. */
+    private String awaitView(String cell, String text) throws IOException {
+        String[] hostAndPort = address(cell, PEERS_OCTET).split(":");
+        byte[] question = MembershipTransport.ASKED.getBytes(StandardCharsets.US_ASCII);
         DatagramPacket answer = new DatagramPacket(new byte[64 * 1024], 64 * 1024);
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             socket.setSoTimeout(200);
             while (true) {
-                assertThat(programs.get(cell).isAlive())
+                assertThat(managers.get(cell).isAlive())
                         .as(Files.readString(folder.resolve(cell + ".log")))
                         .isTrue();
                 socket.send(
                         new DatagramPacket(
-                                asked,
-                                asked.length,
-                                new InetSocketAddress(to[0], Integer.parseInt(to[1]))));
+                                question,
+                                question.length,
+                                new InetSocketAddress(
+                                        hostAndPort[0], Integer.parseInt(hostAndPort[1]))));
                 try {
                     socket.receive(answer);
-                    String told =
+                    String view =
                             new String(
                                     answer.getData(),
                                     0,
                                     answer.getLength(),
                                     StandardCharsets.UTF_8);
-                    if (told.contains(words)) {
-                        return told;
+                    if (view.contains(text)) {
+                        return view;
                     }
-                } catch (SocketTimeoutException again) {
-                    assertThat(again).isNotNull();
+                } catch (SocketTimeoutException noAnswer) {
+                    assertThat(noAnswer).isNotNull();
                 }
             }
         }
     }
 
     @Test
-    void enginesAreTakenOverOnceTheCellThatLosesThemHoldsTheNewPlan() throws Exception {
-        lock = LoopbackAddresses.hold();
-        CellPlan one =
+    void movedEngines_losingCellHoldsNewPlan_areTakenOver() throws Exception {
+        portLock = LoopbackAddresses.hold();
+        CellPlan firstPlan =
                 new CellPlan(
                         1,
                         1,
                         List.of(
                                 new CellPlan.Cell("a", "z", 1, true),
                                 new CellPlan.Cell("b", "z", 1, true)));
-        long moving = IntStream.rangeClosed(1, ENGINES).filter(e -> one.serves(0, e, "z")).count();
+        long moving =
+                IntStream.rangeClosed(1, ENGINES).filter(id -> firstPlan.serves(0, id, "z")).count();
         assertThat(moving).isBetween(3L, 13L);
         start("a", 1);
         start("b", 1);
-        assertThat(await("b", "\"cells heard\":2"))
+        assertThat(awaitView("b", "\"cells heard\":2"))
                 .contains(
                         "\"cell\":\"b\"",
                         "\"plan\":1",
                         "\"share\":1.0",
                         "\"engines waited for\":0");
         start("b", 2);
-        String waiting = await("b", "\"cells heard\":2");
+        String waiting = awaitView("b", "\"cells heard\":2");
         assertThat(waiting)
                 .contains(
                         "\"plan\":2",
                         "\"plan not held by\":\"a",
                         "\"engines waited for\":" + moving);
         start("a", 2);
-        assertThat(await("b", "\"engines waited for\":0")).contains("\"plan not held by\":\"\"");
+        assertThat(awaitView("b", "\"engines waited for\":0"))
+                .contains("\"plan not held by\":\"\"");
         assertThat(Files.readString(folder.resolve("b.log")))
                 .contains("cell {\"engines taken over\":" + moving + "}")
                 .contains("cell {\"is\":\"follows\",\"name\":\"a\"")
                 .doesNotContain("Exception", "AssertionError");
         start("a", 1);
-        assertThat(programs.get("a").waitFor(30, TimeUnit.SECONDS)).isTrue();
-        assertThat(programs.get("a").exitValue()).isEqualTo(2);
+        assertThat(managers.get("a").waitFor(30, TimeUnit.SECONDS)).isTrue();
+        assertThat(managers.get("a").exitValue()).isEqualTo(2);
         assertThat(Files.readString(folder.resolve("a.log")))
                 .contains("a.toml: plan: 1 is older than 2");
     }
--- /dev/null
+++ b/src/test/java/firstage/server/ConnectionsIT.java
@@ -0,0 +1,114 @@
+package firstage.server;
+
+import static firstage.fixtures.ClientWire.ALIVE_PATH;
+import static firstage.fixtures.ClientWire.ONE_ROW_JSON;
+import static firstage.fixtures.EngineWire.NO_NEWS;
+import static firstage.fixtures.EngineWire.ONE_ROW;
+import static firstage.fixtures.EngineWire.POST_STATEMENT;
+import static firstage.fixtures.EngineWire.TICKET;
+import static firstage.fixtures.ManagerSettings.LOOKUP;
+import static firstage.fixtures.ManagerSettings.withSockets;
+import static firstage.fixtures.ScriptedCoordinator.DRAINING;
+import static firstage.fixtures.ScriptedCoordinator.READY;
+import static firstage.fixtures.ScriptedCoordinator.endpoint;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import firstage.fixtures.JobIds;
+import firstage.fixtures.ManagerFixture;
+import firstage.fixtures.QueryClient;
+import firstage.fixtures.ScriptedEngine;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Limits on connections and descriptors. */
+class ConnectionsIT extends ManagerFixture {
+    @Test
+    void silentClients_overTheLimit_keepNobodyOut() throws Exception {
+        manager.restart(withSockets(config(), 140));
+        List<QueryClient> silent = new ArrayList<>();
+        for (int i = 0; i < 300; i++) {
+            silent.add(newClient());
+        }
+        long start = System.nanoTime();
+        try (QueryClient client = newClient()) {
+            assertThat(client.request(LOOKUP, "", "SELECT 1", 2000).body()).isEqualTo(ONE_ROW_JSON);
+        }
+        for (QueryClient client : silent) {
+            assertThat(client.readByte()).isEqualTo(-1);
+            client.close();
+        }
+        assertThat(millisecondsSince(start)).isLessThan(3_000);
+    }
+
+    @Test
+    void requests_noSpareDescriptors_areStillAnswered() throws Exception {
+        manager.restart(withSockets(config(), 99));
+        engine.respondWith(call -> call.isGet() ? ONE_ROW : NO_NEWS);
+        List<QueryClient> clients = new ArrayList<>();
+        for (int i = 0; i < 8; i++) {
+            clients.add(newClient());
+            clients.get(i).sendRequest(LOOKUP, "", "SELECT 1", 5000);
+        }
+        for (QueryClient client : clients) {
+            assertThat(client.readToEnd().status()).isIn(200, 503);
+            client.close();
+        }
+    }
+
+    /**
+     * The system enforces the limit, too: without a reserve of descriptors neither the coordinator
+     * nor an engine could be reached again.
+     */
+    @Test
+    void idleClients_fillDescriptors_keepNeitherWatchNorEnginesOut() throws Exception {
+        manager.kill();
+        manager.startWith(
+                manager.newConfigFile(withSockets(config(), 120)),
+                "sh",
+                "-c",
+                "ulimit -n 120 && exec \"$@\"",
+                "sh");
+        manager.awaitAlive();
+        List<QueryClient> idle = new ArrayList<>();
+        for (int i = 0; i < 90; i++) {
+            QueryClient client = newClient();
+            idle.add(client);
+            if (i % 2 == 0) {
+                assertThat(client.get(ALIVE_PATH).status()).isEqualTo(200);
+            }
+        }
+        coordinator.breakWatch();
+        ScriptedEngine secondEngine = newEngine();
+        coordinator.publish(2, endpoint(2, secondEngine.port(), READY));
+        coordinator.publish(3, endpoint(1, engine.port(), DRAINING));
+        manager.awaitLog("event 3");
+        try (QueryClient client = newClient()) {
+            assertThat(client.requestToEnd(LOOKUP, "", "SELECT 1", 2000).status()).isEqualTo(200);
+        }
+        assertThat(secondEngine.awaitCall(POST_STATEMENT).headers())
+                .containsEntry(TICKET, JobIds.of(1));
+        for (QueryClient client : idle) {
+            client.close();
+        }
+    }
+
+    /** While the process is stopped, a silent connection times out and a call arrives on it. */
+    @ParameterizedTest
+    @ValueSource(strings = {"unused", "idle"})
+    void call_atMomentOfIdleClose_isAnswered(String connection) throws Exception {
+        try (QueryClient client = newClient()) {
+            if (connection.equals("idle")) {
+                assertThat(client.get(ALIVE_PATH).status()).isEqualTo(200);
+            }
+            Thread.sleep(connection.equals("idle") ? 4_700 : 1_700);
+            manager.pause();
+            client.sendRequest(LOOKUP, "", "SELECT 1", 5000);
+            Thread.sleep(900);
+            manager.resume();
+            assertThat(client.readToEnd().status()).isEqualTo(200);
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/firstage/server/DiscoveryIT.java
@@ -0,0 +1,112 @@
+package firstage.server;
+
+import static firstage.fixtures.ManagerSettings.LOOKUP;
+import static firstage.fixtures.ScriptedCoordinator.CHANGE;
+import static firstage.fixtures.ScriptedCoordinator.DRAINING;
+import static firstage.fixtures.ScriptedCoordinator.FULL_LIST;
+import static firstage.fixtures.ScriptedCoordinator.READY;
+import static firstage.fixtures.ScriptedCoordinator.endpoint;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import firstage.fixtures.ManagerFixture;
+import firstage.fixtures.QueryClient;
+import firstage.fixtures.ScriptedEngine;
+import java.util.concurrent.CountDownLatch;
+import org.junit.jupiter.api.Test;
+
+/** The watch on the coordinator's endpoint list. */
+class DiscoveryIT extends ManagerFixture {
+    @Test
+    void brokenWatch_reconnected_continuesAfterLastEvent() throws Exception {
+        assertThat(coordinator.watchStarts().take()).isEqualTo(1L);
+        ScriptedEngine secondEngine = newEngine();
+        coordinator.publish(2, endpoint(1, engine.port(), DRAINING));
+        coordinator.publish(3, endpoint(2, secondEngine.port(), READY));
+        awaitUse(secondEngine);
+        coordinator.breakWatch();
+        assertThat(coordinator.watchStarts().take()).isEqualTo(3L);
+        coordinator.setUnresponsive(true);
+        assertThat(coordinator.watchStarts().take()).isEqualTo(3L);
+    }
+
+    /** The next watch is sent the event that the first one held a part of, and applies it. */
+    @Test
+    void watch_unresponsiveWithinEvent_restartsBeforeThatEvent() throws Exception {
+        assertThat(coordinator.watchStarts().take()).isEqualTo(1L);
+        ScriptedEngine secondEngine = newEngine();
+        coordinator.publishPart(2, CHANGE, endpoint(2, secondEngine.port(), READY), 20);
+        coordinator.setUnresponsive(true);
+        assertThat(coordinator.watchStarts().take()).isEqualTo(1L);
+        coordinator.setUnresponsive(false);
+        coordinator.publish(3, endpoint(1, engine.port(), DRAINING));
+        manager.awaitLog("event 3");
+        assertThat(manager.log()).contains("event 2").doesNotContain("malformed");
+        try (QueryClient client = newClient()) {
+            assertThat(client.requestToEnd(LOOKUP, "", "SELECT 1", 5000).status()).isEqualTo(200);
+        }
+        assertThat(engine.calls()).isEmpty();
+        assertThat(secondEngine.calls()).isNotEmpty();
+    }
+
+    /** Nothing is sent by a part of a full list, neither after a start nor later. */
+    @Test
+    void fullList_inPieces_countsOnceWhole() throws Exception {
+        manager.kill();
+        ScriptedEngine secondEngine = newEngine();
+        ScriptedEngine thirdEngine = newEngine();
+        coordinator.setSendingInPieces(true);
+        coordinator.publishLater(2, FULL_LIST, endpoint(2, secondEngine.port(), READY));
+        manager.start(config());
+        manager.awaitAlive();
+        try (QueryClient client = newClient()) {
+            assertThat(client.requestToEnd(LOOKUP, "", "SELECT 1", 5000).status()).isEqualTo(200);
+            assertThat(secondEngine.calls()).isNotEmpty();
+            // A full list removes the engines that it does not name.
+            coordinator.setSendingInPieces(false);
+            coordinator.publish(3, FULL_LIST, endpoint(3, thirdEngine.port(), READY));
+            manager.awaitLog("event 3");
+            secondEngine.calls().clear();
+            assertThat(client.requestToEnd(LOOKUP, "", "SELECT 1", 5000).status()).isEqualTo(200);
+        }
+        assertThat(engine.calls()).isEmpty();
+        assertThat(secondEngine.calls()).isEmpty();
+        assertThat(thirdEngine.calls()).isNotEmpty();
+    }
+
+    /**
+     * The configuration's list is older than a drain that was published while the manager was down:
+     * it waits for its coordinator.
+     */
+    @Test
+    void start_listUnconfirmedByCoordinator_nothingIsSent() throws Exception {
+        manager.kill();
+        ScriptedEngine secondEngine = newEngine();
+        coordinator.publish(2, endpoint(1, engine.port(), DRAINING));
+        coordinator.publish(3, endpoint(2, secondEngine.port(), READY));
+        CountDownLatch heldWatches = coordinator.holdNewWatches();
+        manager.start(config());
+        manager.awaitAlive();
+        try (QueryClient client = newClient()) {
+            client.sendRequest(LOOKUP, "", "SELECT 1", 5000);
+            Thread.sleep(300);
+            heldWatches.countDown();
+            assertThat(client.readToEnd().status()).isEqualTo(200);
+        }
+        assertThat(engine.calls()).isEmpty();
+        assertThat(secondEngine.calls()).isNotEmpty();
+    }
+
+    /** The coordinator accepts watches and sends nothing: the configuration's list is used. */
+    @Test
+    void start_coordinatorUnresponsive_waitsNotLongerThanOneSecond() throws Exception {
+        manager.kill();
+        coordinator.setUnresponsive(true);
+        manager.start(config());
+        manager.awaitAlive();
+        try (QueryClient client = newClient()) {
+            long start = System.nanoTime();
+            assertThat(client.requestToEnd(LOOKUP, "", "SELECT 1", 5000).status()).isEqualTo(200);
+            assertThat(millisecondsSince(start)).isLessThan(2_000);
+        }
+    }
+}
--- a/src/test/java/firstage/server/PeersIT.java
+++ b/src/test/java/firstage/server/PeersIT.java
@@ -5,6 +5,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
@@ -13,18 +14,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a manager without peers loads, and what it says of a peers file that can't be used. */
+/** What a manager without peers loads, and how one ends whose peers file cannot be used. */
 @Timeout(60)
 class PeersIT {
     @TempDir private Path folder;
 
-    private Process java(String... words) throws IOException {
+    private Process java(String... arguments) throws IOException {
         List<String> command =
-                new java.util.ArrayList<>(
+                new ArrayList<>(
                         List.of(
                                 Path.of(System.getProperty("java.home"), "bin", "java")
                                         .toString()));
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         return new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(folder.resolve("out").toFile())
@@ -32,11 +33,11 @@
     }
 
     @Test
-    void withoutPeersNothingOfThemIsLoaded() throws Exception {
+    void start_withoutPeers_loadsNoFleetControl() throws Exception {
         Path loaded = folder.resolve("loaded");
-        Process p =
+        Process process =
                 java("-Xlog:class+load:file=" + loaded, "-jar", "target/firstage.jar", "rehearse");
-        assertThat(p.waitFor(30, TimeUnit.SECONDS)).isTrue();
+        assertThat(process.waitFor(30, TimeUnit.SECONDS)).isTrue();
         String classes = Files.readString(loaded);
         assertThat(classes)
                 .contains("firstage.server.ManagerServer")
@@ -55,15 +56,15 @@
     }
 
     @Test
-    void whatThePlatformRunsNamesNoPeers() throws IOException {
+    void platformCommand_namesNoPeersFile() throws IOException {
         assertThat(Files.readAllLines(Path.of("deploy", "balancer.toml")))
                 .filteredOn(line -> line.startsWith("run = "))
                 .hasSize(1)
                 .allMatch(line -> line.contains(" serve\"") && !line.contains("--peers"));
     }
 
-    /** Started with this peers file, '~' for the end of a line, the program ends at once. */
-    private void endsWithTwo(String text) throws Exception {
+    /** Starts the program with this peers file ({@code ~} is a line end); it must end with 2. */
+    private void assertEndsWithTwo(String text) throws Exception {
         Path peers = Files.writeString(folder.resolve("peers.toml"), text.replace('~', '\n'));
         Path config =
                 Files.writeString(
@@ -78,22 +79,19 @@
                         "--peers",
                         peers.toString());
         builder.environment().put("ROUTER_CONFIG", config.toString());
-        Process p =
+        Process process =
                 builder.redirectErrorStream(true)
                         .redirectOutput(folder.resolve("out").toFile())
                         .start();
-        assertThat(p.waitFor(30, TimeUnit.SECONDS)).isTrue();
-        assertThat(p.exitValue()).isEqualTo(2);
+        assertThat(process.waitFor(30, TimeUnit.SECONDS)).isTrue();
+        assertThat(process.exitValue()).isEqualTo(2);
     }
 
-    /**
-     * Its word that it gave engines up must hold: started anew with the older file it would use
-     * them again.
-     */
+    /** With an older plan the manager would use engines again that it has released. */
     @Test
-    void aPlanOlderThanTheOneThatWasHeldIsRefused() throws Exception {
+    void peersFile_planOlderThanHeld_isRefused() throws Exception {
         Files.writeString(folder.resolve("peers.toml.plan"), "8\n");
-        endsWithTwo(
+        assertEndsWithTwo(
                 "fleet = 'a'~listen = '127.0.0.1:9'~plan = 7~[[cell]]~name = 'c'~zone = 'z'~"
                         + "hosts = ['127.0.0.1:9']");
         assertThat(Files.readAllLines(folder.resolve("out")))
@@ -135,9 +133,8 @@
                         + " before plan 2",
                 "fleet = [|:1:"
             })
-    void aPeersFileThatCannotBeUsedEndsTheProgramWithOneLine(String text, String line)
-            throws Exception {
-        endsWithTwo(text);
+    void peersFile_unusable_endsProgramWithOneLine(String text, String line) throws Exception {
+        assertEndsWithTwo(text);
         assertThat(Files.readString(folder.resolve("out")))
                 .contains("can't serve: ", line)
                 .contains("peers.toml");
--- /dev/null
+++ b/src/test/java/firstage/server/ReloadIT.java
@@ -0,0 +1,120 @@
+package firstage.server;
+
+import static firstage.fixtures.EngineWire.NO_NEWS;
+import static firstage.fixtures.EngineWire.ONE_ROW;
+import static firstage.fixtures.ManagerSettings.LOOKUP;
+import static firstage.fixtures.ManagerSettings.REPORT;
+import static firstage.fixtures.ScriptedCoordinator.CHANGE;
+import static firstage.fixtures.ScriptedCoordinator.DRAINING;
+import static firstage.fixtures.ScriptedCoordinator.READY;
+import static firstage.fixtures.ScriptedCoordinator.endpoint;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import firstage.fixtures.ManagerFixture;
+import firstage.fixtures.QueryClient;
+import firstage.fixtures.ScriptedCoordinator;
+import firstage.fixtures.ScriptedEngine;
+import java.io.DataInputStream;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.file.Files;
+import org.junit.jupiter.api.Test;
+
+/** What SIGHUP changes. */
+class ReloadIT extends ManagerFixture {
+    /** What runs at the draining engine goes on, and nothing more is sent there. */
+    @Test
+    void reload_newCoordinatorAnnouncesDrain_drainIsKept() throws Exception {
+        coordinator.watchStarts().take();
+        ScriptedCoordinator next = newCoordinator();
+        ScriptedEngine secondEngine = newEngine();
+        engine.respondWith(call -> NO_NEWS);
+        try (QueryClient reportClient = newClient();
+                QueryClient client = newClient()) {
+            String path = reportClient.request(REPORT, "", "SELECT 1", 9000).pollPath();
+            reportClient.sendGet(path);
+            next.publishLater(2, CHANGE, endpoint(2, secondEngine.port(), READY));
+            next.publishLater(3, CHANGE, endpoint(1, engine.port(), DRAINING));
+            manager.reload(configWithCoordinator(next.port()));
+            manager.awaitLog("event 3");
+            for (int i = 0; i < 10; i++) {
+                assertThat(client.requestToEnd(LOOKUP, "", "SELECT 1", 5000).status())
+                        .isEqualTo(200);
+            }
+            engine.respondWith(call -> ONE_ROW);
+            assertThat(reportClient.readToEnd().status()).isEqualTo(200);
+        }
+        assertThat(engine.posts()).hasSize(1);
+        assertThat(secondEngine.posts()).hasSize(10);
+    }
+
+    @Test
+    void reload_newCoordinator_changesNothingElse() throws Exception {
+        coordinator.watchStarts().take();
+        coordinator.publish(2, endpoint(1, engine.port(), DRAINING));
+        ScriptedCoordinator next = newCoordinator();
+        ScriptedEngine secondEngine = newEngine();
+        String changed = configWithCoordinator(next.port());
+        manager.reload("{\"listen\":");
+        manager.awaitLog("can't be read");
+        manager.reload(changed.replace("\"name\":\"m\"", "\"name\":\"other\""));
+        manager.awaitLog("another manager's");
+        for (int i = 0; i < 2; i++) {
+            manager.reload(changed);
+            assertThat(next.watchStarts().take()).isEqualTo(2L);
+        }
+        next.publish(3, endpoint(2, secondEngine.port(), READY));
+        awaitUse(secondEngine);
+        assertThat(coordinator.watchStarts()).isEmpty();
+    }
+
+    @Test
+    void reload_sighupIgnoredAtStart_isFollowedStill() throws Exception {
+        coordinator.watchStarts().take();
+        manager.kill();
+        manager.startWith(manager.configFile(), "sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
+        manager.awaitAlive();
+        coordinator.watchStarts().take();
+        ScriptedCoordinator next = newCoordinator();
+        ScriptedEngine secondEngine = newEngine();
+        manager.reload(configWithCoordinator(next.port()));
+        assertThat(next.watchStarts().take()).isEqualTo(1L);
+        next.publish(2, endpoint(2, secondEngine.port(), READY));
+        awaitUse(secondEngine);
+        manager.awaitLog("SIGHUP ignored");
+    }
+
+    @Test
+    void reload_firstPacketToCoordinatorLost_costsNoSecond() throws Exception {
+        coordinator.watchStarts().take();
+        // With a full accept queue the system drops the connection's first packet and sends it
+        // again
+        // after 1 s.
+        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                Socket firstQueued = new Socket(full.getInetAddress(), full.getLocalPort());
+                Socket secondQueued = new Socket(full.getInetAddress(), full.getLocalPort())) {
+            manager.reload(configWithCoordinator(full.getLocalPort()));
+            manager.awaitLog("the coordinator is at");
+            long start = System.nanoTime();
+            Thread.sleep(100);
+            full.accept().close();
+            full.accept().close();
+            try (Socket third = full.accept()) {
+                assertThat(new DataInputStream(third.getInputStream()).readLong()).isEqualTo(1L);
+                assertThat(System.nanoTime() - start).isLessThan(700_000_000L);
+            }
+            assertThat(firstQueued.isConnected() && secondQueued.isConnected()).isTrue();
+        }
+    }
+
+    @Test
+    void reload_truncatedFile_isReadAgainOnceWhole() throws Exception {
+        ScriptedCoordinator next = newCoordinator();
+        String changed = configWithCoordinator(next.port());
+        manager.reload(changed.substring(0, 200));
+        manager.awaitLog("tried again");
+        Files.writeString(manager.configFile(), changed);
+        assertThat(next.watchStarts().take()).isEqualTo(1);
+    }
+}
--- /dev/null
+++ b/src/test/java/firstage/server/RetriesIT.java
@@ -0,0 +1,211 @@
+package firstage.server;
+
+import static firstage.fixtures.ClientWire.ONE_ROW_JSON;
+import static firstage.fixtures.ClientWire.orderingKey;
+import static firstage.fixtures.EngineWire.ENDLESS;
+import static firstage.fixtures.EngineWire.GET_STATEMENT;
+import static firstage.fixtures.EngineWire.NO_NEWS;
+import static firstage.fixtures.EngineWire.ONE_ROW;
+import static firstage.fixtures.EngineWire.RESET;
+import static firstage.fixtures.EngineWire.SILENCE;
+import static firstage.fixtures.EngineWire.getPage;
+import static firstage.fixtures.EngineWire.page;
+import static firstage.fixtures.ManagerSettings.LOAD;
+import static firstage.fixtures.ManagerSettings.LOOKUP;
+import static firstage.fixtures.ManagerSettings.REPORT;
+import static firstage.fixtures.ScriptedCoordinator.READY;
+import static firstage.fixtures.ScriptedCoordinator.endpoint;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import firstage.fixtures.HttpMessage;
+import firstage.fixtures.JobIds;
+import firstage.fixtures.ManagerFixture;
+import firstage.fixtures.QueryClient;
+import firstage.fixtures.ScriptedEngine;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Which failures of an attempt let the manager retry, poll again or fail the request. */
+class RetriesIT extends ManagerFixture {
+    @Test
+    void nonIdempotentRequest_mayHaveRun_isNotRetried() throws Exception {
+        engine.respondWith(call -> RESET);
+        try (QueryClient client = newClient()) {
+            HttpMessage response =
+                    client.requestToEnd(
+                            LOAD, orderingKey("7f"), "INSERT INTO sales_3.t VALUES (1)", 3000);
+            assertThat(response.status()).isEqualTo(500);
+        }
+        engine.close();
+        assertThat(engine.posts()).hasSize(1);
+    }
+
+    @Test
+    void refusedPoll_otherConnectionUp_provesNothing() throws Exception {
+        String page = getPage(JobIds.of(2), 1);
+        engine.respondWith(
+                call -> {
+                    if (call.startLine().equals(page) && engine.isAccepting()) {
+                        engine.stopAccepting();
+                        return RESET;
+                    }
+                    return call.startLine().equals(page)
+                            ? page("Page-No: 1", "")
+                            : JobIds.of(2).equals(call.ticket())
+                                    ? page("Page-Count: 2", "a\tb\tc\n")
+                                    : NO_NEWS;
+                });
+        try (QueryClient client = newClient();
+                QueryClient otherClient = newClient()) {
+            otherClient.sendRequest(REPORT, "", "SELECT 1", 9000);
+            engine.awaitCall(GET_STATEMENT);
+            assertThat(
+                            client.requestToEnd(
+                                            LOAD, orderingKey("7f"), "INSERT INTO sales_3.t", 5000)
+                                    .status())
+                    .isEqualTo(200);
+        }
+    }
+
+    /**
+     * An engine drains before the endpoint list says so: it takes no new connections, and its
+     * progress reports come at once, identical or not.
+     */
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void lastConnection_attemptInFlight_isKept(boolean identical) throws Exception {
+        AtomicInteger polls = new AtomicInteger();
+        engine.respondWith(
+                call -> {
+                    engine.stopAccepting();
+                    int poll = polls.getAndIncrement();
+                    return poll > 5
+                            ? ONE_ROW
+                            : "HTTP/1.1 202 Accepted\r\nX-Remark: pct\r\nFigure: 0."
+                                    + (identical ? 1 : poll)
+                                    + "\r\nContent-Length: 0\r\n\r\n";
+                });
+        try (QueryClient client = newClient()) {
+            assertThat(
+                            client.requestToEnd(
+                                            LOAD, orderingKey("7f"), "INSERT INTO sales_3.t", 8000)
+                                    .status())
+                    .isEqualTo(200);
+        }
+    }
+
+    @Test
+    void nonIdempotentRequest_connectionRefused_isRetriedElsewhere() throws Exception {
+        engine.close();
+        ScriptedEngine secondEngine = newEngine();
+        coordinator.publish(2, endpoint(2, secondEngine.port(), READY));
+        try (QueryClient client = newClient()) {
+            HttpMessage response =
+                    client.requestToEnd(
+                            LOAD, orderingKey("7f"), "INSERT INTO sales_3.t VALUES (1)", 5000);
+            assertThat(response.body()).isEqualTo(ONE_ROW_JSON);
+        }
+    }
+
+    @Test
+    void nonIdempotentRequest_engineGoneSilent_isNotSentOnIdleConnection() throws Exception {
+        try (QueryClient client = newClient()) {
+            assertThat(client.requestToEnd(LOAD, "", "INSERT INTO sales_3.t", 5000).status())
+                    .isEqualTo(200);
+            engine.respondWith(call -> SILENCE);
+            engine.stopAccepting();
+            ScriptedEngine secondEngine = newEngine();
+            coordinator.publish(2, endpoint(2, secondEngine.port(), READY));
+            Thread.sleep(500);
+            assertThat(client.requestToEnd(LOAD, "", "INSERT INTO sales_3.t", 5000).status())
+                    .isEqualTo(200);
+        }
+    }
+
+    @Test
+    void idempotentRequest_engineLostBetweenPages_isRetriedElsewhere() throws Exception {
+        ScriptedEngine secondEngine = newEngine();
+        engine.respondWith(
+                call -> {
+                    if (call.isPost()) {
+                        return page("Page-Count: 2", "first\tof\ttwo\n");
+                    }
+                    coordinator.publish(2, endpoint(2, secondEngine.port(), READY));
+                    engine.close();
+                    return RESET;
+                });
+        try (QueryClient client = newClient()) {
+            assertThat(client.requestToEnd(LOOKUP, "", "SELECT 1", 9000).body())
+                    .isEqualTo(ONE_ROW_JSON);
+        }
+    }
+
+    @Test
+    void nonIdempotentRequest_engineUnresponsive_failsInTime() throws Exception {
+        engine.respondWith(call -> SILENCE);
+        try (QueryClient client = newClient()) {
+            long start = System.nanoTime();
+            HttpMessage response =
+                    client.requestToEnd(
+                            LOAD, orderingKey("7f"), "INSERT INTO sales_3.t VALUES (1)", 1200);
+            assertThat(response.status()).isEqualTo(500);
+            assertThat(millisecondsSince(start)).isLessThan(2000);
+        }
+    }
+
+    @Test
+    void unreadableResponse_failsItsAttempt_only() throws Exception {
+        engine.respondWith(call -> "what is this\r\n\r\n");
+        try (QueryClient client = newClient()) {
+            HttpMessage response =
+                    client.requestToEnd(
+                            LOAD, orderingKey("7f"), "INSERT INTO sales_3.t VALUES (1)", 2000);
+            assertThat(response.status()).isEqualTo(500);
+        }
+        engine.respondWith(call -> ONE_ROW);
+        // Until its DELETE is answered the first attempt is in flight, and a half-open engine gets
+        // no other.
+        try (QueryClient client = newClient()) {
+            int status = 503;
+            while (status == 503) {
+                status = client.requestToEnd(LOOKUP, "", "SELECT 1", 9000).status();
+            }
+            assertThat(status).isEqualTo(200);
+        }
+    }
+
+    @ParameterizedTest
+    @ValueSource(
+            strings = {
+                "?\u0001?\r\n\r\n",
+                "HTTP/1.1 200 OK\r\n",
+                RESET,
+                SILENCE,
+                ENDLESS,
+                "HTTP/1.1 2",
+                "HTTP/1.1 200 OK\r\nPage-Co",
+                "HTTP/1.1 200 OK\r\nPage-Count: 1\r\n\r\na\tb\tc\n",
+                "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\na\tb\tc\n",
+                "HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: 3000000000\r\n\r\na\tb\tc\n",
+                "HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: 9\r\n\r\na\tb\tc\n",
+                "HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: 6\r\n\r\na\tb\tc\nd\te\tf\n",
+                "HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: 5\r\n\r\na\tb\tc\n",
+                "HTTP/1.1 200 OK\r\nPage-Count: 1\r\nContent-Length: 6\r\n\r\na\tb\u0001c\n"
+            })
+    void malformedResponse_attemptMayRun_isRequestedAgain(String malformed) throws Exception {
+        List<String> responses = new ArrayList<>(List.of(malformed, ONE_ROW + ONE_ROW, ONE_ROW));
+        engine.respondWith(call -> responses.remove(0));
+        try (QueryClient client = newClient()) {
+            for (int i = 0; i < 2; i++) {
+                HttpMessage response =
+                        client.requestToEnd(LOAD, "", "INSERT INTO sales_3.t VALUES (1)", 5000);
+                assertThat(response.body()).isEqualTo(ONE_ROW_JSON);
+            }
+        }
+        assertThat(engine.posts()).hasSize(2);
+    }
+}
--- /dev/null
+++ b/src/test/java/firstage/server/ShutdownIT.java
@@ -0,0 +1,167 @@
+package firstage.server;
+
+import static firstage.fixtures.ClientWire.ONE_ROW_JSON;
+import static firstage.fixtures.EngineWire.DELETE;
+import static firstage.fixtures.EngineWire.DELETED;
+import static firstage.fixtures.EngineWire.NO_NEWS;
+import static firstage.fixtures.EngineWire.ONE_ROW;
+import static firstage.fixtures.EngineWire.POST_STATEMENT;
+import static firstage.fixtures.EngineWire.page;
+import static firstage.fixtures.ManagerSettings.LOOKUP;
+import static firstage.fixtures.ManagerSettings.REPORT;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import firstage.fixtures.HttpMessage;
+import firstage.fixtures.JobIds;
+import firstage.fixtures.ManagerFixture;
+import firstage.fixtures.QueryClient;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** From SIGTERM to the end of the process. */
+class ShutdownIT extends ManagerFixture {
+    @Test
+    void sigterm_requestsOpen_allAnsweredAndExitStatusZero() throws Exception {
+        engine.respondWith(call -> NO_NEWS);
+        try (QueryClient client = newClient()) {
+            String path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
+            client.sendGet(path);
+            manager.terminate();
+            try (QueryClient late = newClient()) {
+                engine.respondWith(call -> ONE_ROW);
+                assertThat(late.requestToEnd(LOOKUP, "", "SELECT 1", 5000).status()).isEqualTo(200);
+            }
+            assertThat(client.read().body()).isEqualTo(ONE_ROW_JSON);
+        }
+        assertThat(manager.awaitExit()).isZero();
+        assertThat(manager.log()).contains("batches returned=2").doesNotContain("broken:");
+    }
+
+    /** A second SIGTERM must not restart the time until the planned end. */
+    @ParameterizedTest
+    @ValueSource(booleans = {false, true})
+    void sigterm_requestRunsTooLong_isRejectedBeforeKill(boolean again) throws Exception {
+        engine.respondWith(call -> call.isDelete() ? DELETED : NO_NEWS);
+        try (QueryClient client = newClient()) {
+            String path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
+            client.sendGet(path);
+            long start = System.nanoTime();
+            manager.terminate();
+            if (again) {
+                Thread.sleep(1_500);
+                manager.terminateAgain();
+            }
+            assertThat(client.read().status()).isEqualTo(503);
+            assertThat(millisecondsSince(start)).isLessThan(3_600);
+        }
+        assertThat(engine.awaitCall(DELETE).startLine()).endsWith(JobIds.of(1));
+        assertThat(manager.awaitExit()).isZero();
+        if (again) {
+            assertThat(manager.log()).contains("calls to end that came again=1");
+        }
+    }
+
+    /**
+     * The client's connection breaks long after new traffic has stopped; it polls on a new one, or
+     * cancels there.
+     */
+    @ParameterizedTest
+    @ValueSource(strings = {"GET ", "DELETE "})
+    void sigterm_clientReconnects_isServed(String method) throws Exception {
+        engine.respondWith(call -> call.isDelete() ? DELETED : NO_NEWS);
+        String path;
+        try (QueryClient client = newClient()) {
+            path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
+            client.sendGet(path);
+            manager.terminate();
+            Thread.sleep(1_200);
+        }
+        if (method.startsWith("GET")) {
+            engine.respondWith(call -> ONE_ROW);
+        }
+        try (QueryClient client = newClient()) {
+            assertThat(client.call(method + path, "", "").status())
+                    .isEqualTo(method.startsWith("GET") ? 200 : 204);
+        }
+        assertThat(manager.awaitExit()).isZero();
+    }
+
+    /** The process is stopped from its signal until long after its listener would close. */
+    @ParameterizedTest
+    @ValueSource(ints = {0, 400})
+    void sigterm_callArrivesDuringStall_isAnswered(int runsOnMs) throws Exception {
+        manager.terminate();
+        Thread.sleep(runsOnMs);
+        manager.pause();
+        try (QueryClient client = newClient()) {
+            client.sendRequest(LOOKUP, "X-Size-Ms: 20\r\n", "SELECT 1", 5000);
+            Thread.sleep(1_200);
+            manager.resume();
+            assertThat(client.readToEnd().status()).isEqualTo(200);
+        }
+        assertThat(manager.awaitExit()).isZero();
+        assertThat(manager.log()).contains("batches returned=1").doesNotContain("broken:");
+    }
+
+    /** The last answer of all is lost with its connection, and its client polls again at once. */
+    @Test
+    void sigterm_lastAnswerLost_isGivenAgain() throws Exception {
+        engine.respondWith(call -> NO_NEWS);
+        String path;
+        try (QueryClient client = newClient()) {
+            path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
+            client.sendGet(path);
+            manager.terminate();
+            Thread.sleep(1_200);
+            engine.respondWith(call -> ONE_ROW);
+            assertThat(client.readByte()).isPositive();
+        }
+        try (QueryClient client = newClient()) {
+            HttpMessage again = client.get(path);
+            assertThat(again.body()).isEqualTo(ONE_ROW_JSON);
+        }
+        assertThat(manager.awaitExit()).isZero();
+    }
+
+    @Test
+    void sigterm_addressStillHeld_endsProgram() throws Exception {
+        manager.kill();
+        try (ServerSocket holder = new ServerSocket()) {
+            holder.setReuseAddress(true);
+            holder.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), manager.port()));
+            manager.start(config());
+            manager.awaitLog("tried again");
+            manager.terminate();
+            assertThat(manager.awaitExit(5)).isTrue();
+            assertThat(manager.exitStatus()).isZero();
+        }
+    }
+
+    /** The program waits for a client that reads late, not for one that never reads. */
+    @Test
+    void sigterm_clientNeverReads_delaysNobody() throws Exception {
+        String rows = "\u0001".repeat(5_990) + "\t\t\n";
+        engine.respondWith(
+                call ->
+                        call.startLine().equals(POST_STATEMENT)
+                                ? page("Page-Count: 40", rows)
+                                : page("Page-No: " + call.startLine().replaceAll(".*/", ""), rows));
+        try (QueryClient silent = newClient(4_096);
+                QueryClient late = newClient()) {
+            silent.sendRequest(REPORT, "", "SELECT 1", 9_000);
+            late.sendRequest(REPORT, "", "SELECT 1", 9_000);
+            Thread.sleep(700);
+            long start = System.nanoTime();
+            manager.terminate();
+            Thread.sleep(300);
+            assertThat(late.readToEnd().body().length()).isGreaterThan(1_000_000);
+            assertThat(manager.awaitExit()).isZero();
+            assertThat(millisecondsSince(start)).isLessThan(3_600);
+        }
+        assertThat(manager.log()).contains("batches returned=2").doesNotContain("broken:");
+    }
+}
--- /dev/null
+++ b/src/test/java/firstage/server/StartupIT.java
@@ -0,0 +1,120 @@
+package firstage.server;
+
+import static firstage.fixtures.ManagerSettings.LOOKUP;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import firstage.fixtures.BackgroundTasks;
+import firstage.fixtures.ManagerFixture;
+import firstage.fixtures.QueryClient;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** From the start of the process until it serves. */
+class StartupIT extends ManagerFixture {
+    @ParameterizedTest
+    @CsvSource({
+        "'{\"listen\":'",
+        "'{}'",
+        "'{\"settings\":{}}'",
+        "'{\"settings\":{},\"listen\":\"nowhere\"}'"
+    })
+    void start_brokenConfiguration_endsWithOneLine(String broken) throws Exception {
+        // The first process would write to the same log.
+        manager.kill();
+        manager.start(broken);
+        assertThat(manager.awaitExit()).isEqualTo(2);
+        List<String> log = Files.readAllLines(folder.resolve("log"));
+        assertThat(log.get(log.size() - 1)).startsWith("can't serve: ");
+        assertThat(log.stream().filter(line -> line.contains("tried again"))).hasSizeLessThan(2);
+    }
+
+    /** Writers truncate a file and fill it in pieces, or remove it first. */
+    @ParameterizedTest
+    @ValueSource(strings = {"missing", "empty", "truncated"})
+    void start_configurationBeingReplaced_isReadAgain(String state) throws Exception {
+        manager.kill();
+        String whole = config();
+        manager.start(state.equals("truncated") ? whole.substring(0, whole.length() / 2) : "");
+        if (state.equals("missing")) {
+            Files.delete(manager.configFile());
+        }
+        Thread.sleep(1_200);
+        assertThat(manager.isAlive()).isTrue();
+        Files.writeString(manager.configFile(), whole);
+        manager.awaitAlive();
+        assertThat(manager.log()).containsOnlyOnce("tried again");
+    }
+
+    @Test
+    void start_addressStillHeld_isTriedAgain() throws Exception {
+        manager.kill();
+        try (ServerSocket holder = new ServerSocket()) {
+            holder.setReuseAddress(true);
+            holder.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), manager.port()));
+            manager.start(config());
+            // A busy machine may take longer to bind the address than it is held here.
+            manager.awaitLog("tried again");
+            Thread.sleep(1_500);
+            assertThat(manager.isAlive()).isTrue();
+        }
+        manager.awaitAlive();
+        assertThat(manager.log()).containsOnlyOnce("tried again");
+    }
+
+    /**
+     * Restarts under load, killed and terminated by turns, while the configuration is rewritten in
+     * pieces. Six by default; {@code -Dfirstage.restarts=200} for the long form.
+     */
+    @Test
+    @Timeout(600)
+    void restart_underLoad_neverFails() throws Exception {
+        int restarts = Integer.getInteger("firstage.restarts", 6);
+        String whole = config();
+        boolean[] stopped = {false};
+        BackgroundTasks.start(
+                () -> {
+                    while (!stopped[0]) {
+                        try (QueryClient client = newClient()) {
+                            for (int i = 0; i < 50; i++) {
+                                client.requestToEnd(LOOKUP, "", "SELECT 1", 1000);
+                            }
+                        } catch (IOException down) {
+                            Thread.sleep(2);
+                        }
+                    }
+                });
+        Path rewritten = Files.writeString(folder.resolve("rewritten.json"), whole);
+        BackgroundTasks.start(
+                () -> {
+                    while (!stopped[0]) {
+                        Files.writeString(rewritten, "");
+                        Thread.sleep(1);
+                        Files.writeString(rewritten, whole.substring(0, whole.length() / 3));
+                        Thread.sleep(1);
+                        Files.writeString(rewritten, whole);
+                        Thread.sleep(3);
+                    }
+                });
+        for (int i = 0; i < restarts; i++) {
+            if (i % 2 == 0) {
+                manager.kill();
+            } else {
+                manager.terminate();
+                assertThat(manager.awaitExit()).as("restart %d", i).isZero();
+            }
+            manager.startWith(rewritten);
+            manager.awaitAlive();
+        }
+        stopped[0] = true;
+    }
+}
