--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -335,7 +335,7 @@
 
     @Override
     public long stoodStill() {
-        return peers == null ? 0 : peers.stoodStill();
+        return peers == null ? 0 : peers.pauseDuration();
     }
 
     private void keepAway(long engine, boolean away, boolean restIsOver) {
@@ -354,8 +354,8 @@
     private void lookTogether() {
         for (int engine = 0; engine < engines.count(); engine++) {
             if (engines.listed(engine)) {
-                peers.together()
-                        .holds(
+                peers.fleetCoordinator()
+                        .updateEngine(
                                 clock.now(),
                                 zoneOf.getOrDefault(engine, -1),
                                 ids.idOf(engine),
@@ -364,7 +364,7 @@
                                 manager.lastResponseAt(engine));
             }
         }
-        peers.together().look(clock.now(), manager.demand(clock.now()));
+        peers.fleetCoordinator().evaluate(clock.now(), manager.demand(clock.now()));
         later(TOGETHER_MS, this::lookTogether);
     }
 
@@ -613,7 +613,7 @@
                             peers == null ? 0 : peers.coldPart(e)));
         }
         if (kind == EndpointUpdate.Kind.SNAPSHOT) {
-            engines.keepOnly(told.stream().map(EndpointUpdate.Endpoint::engine).toList());
+            engines.keepOnly(told.stream().map(EndpointUpdate.Endpoint::engineId).toList());
         }
         tell(
                 "listed",
@@ -702,7 +702,7 @@
     @Override
     public void releaseEngine(int engine) {
         if (peers != null) {
-            peers.together().forget(ids.idOf(engine));
+            peers.fleetCoordinator().removeEngine(ids.idOf(engine));
         }
         ids.release(engine);
         engines.forget(engine);
--- a/src/test/java/firstage/server/CellsIT.java
+++ b/src/test/java/firstage/server/CellsIT.java
@@ -129,7 +129,7 @@
     /** Polls a cell's manager for its view until that contains this text; returns the view. */
     private String awaitView(String cell, String text) throws IOException {
         String[] hostAndPort = address(cell, PEERS_OCTET).split(":");
-        byte[] question = MembershipTransport.ASKED.getBytes(StandardCharsets.US_ASCII);
+        byte[] question = MembershipTransport.STATUS_REQUEST.getBytes(StandardCharsets.US_ASCII);
         DatagramPacket answer = new DatagramPacket(new byte[64 * 1024], 64 * 1024);
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             socket.setSoTimeout(200);
@@ -172,7 +172,9 @@
                                 new CellPlan.Cell("a", "z", 1, true),
                                 new CellPlan.Cell("b", "z", 1, true)));
         long moving =
-                IntStream.rangeClosed(1, ENGINES).filter(id -> firstPlan.serves(0, id, "z")).count();
+                IntStream.rangeClosed(1, ENGINES)
+                        .filter(id -> firstPlan.serves(0, id, "z"))
+                        .count();
         assertThat(moving).isBetween(3L, 13L);
         start("a", 1);
         start("b", 1);
