--- a/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
+++ b/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
@@ -2,291 +2,292 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import firstage.lifecycle.AttemptStateMachine.Alarm;
-import firstage.lifecycle.AttemptStateMachine.Loss;
-import firstage.lifecycle.AttemptStateMachine.Word;
+import firstage.lifecycle.AttemptStateMachine.CallFailure;
+import firstage.lifecycle.AttemptStateMachine.EngineReply;
+import firstage.lifecycle.AttemptStateMachine.Timeout;
 import firstage.policy.api.AttemptOutcome;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /**
- * A dispatch's life, story by story: what it does, how it ends, and how long its engine may hold
- * it.
+ * Single attempts, event by event: which actions each causes, with which outcome it ends, and how
+ * long its engine may still hold it.
  */
-class AttemptStateMachineTest implements AttemptStateMachine.Carrier {
-    private final List<String> acts = new ArrayList<>();
-    private AttemptStateMachine life = new AttemptStateMachine(this, true);
-    private boolean lives;
-    private boolean awaited = true;
-    private long limit;
-    private int done;
+class AttemptStateMachineTest implements AttemptStateMachine.AttemptActions {
+    private final List<String> actions = new ArrayList<>();
+    private AttemptStateMachine attempt = new AttemptStateMachine(this, true);
+    private boolean connectionOpen;
+    private boolean resultAwaited = true;
+    private long deadline;
+    private int releases;
     private long now = 1_000_000;
 
-    private AttemptStateMachineTest written() {
-        life.start();
-        life.written(now);
-        acts.clear();
+    private AttemptStateMachineTest writeStatement() {
+        attempt.start();
+        attempt.onStatementWritten(now);
+        actions.clear();
         return this;
     }
 
     @Test
-    void itIsAskedForUntilItsLastPageIsHere() {
-        written();
-        life.posted(now, Word.NEWS);
-        life.told(now + 2_500, Word.PAGE);
-        life.told(now + 2_510, Word.LAST);
-        assertThat(acts).containsExactly("ask", "fetch 1", "SUCCEEDED 0");
+    void poll_running_untilLastPage() {
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.PROGRESS);
+        attempt.onReply(now + 2_500, EngineReply.PAGE);
+        attempt.onReply(now + 2_510, EngineReply.LAST_PAGE);
+        assertThat(actions).containsExactly("poll", "fetch 1", "SUCCEEDED 0");
     }
 
     @Test
-    void givenUpBeforeItIsWrittenItNeverRan() {
-        life.start();
-        life.giveUp(now, AttemptOutcome.CANCELLED);
-        assertThat(life.wanted()).isFalse();
-        life.rang(now, Alarm.DUE);
-        assertThat(acts).containsExactly("post", "after 0 DUE", "NOT_SENT 0");
+    void abandon_beforeStatementWritten_endsNotSent() {
+        attempt.start();
+        attempt.abandon(now, AttemptOutcome.CANCELLED);
+        assertThat(attempt.shouldSendStatement()).isFalse();
+        attempt.onTimeout(now, Timeout.ABANDON);
+        assertThat(actions).containsExactly("send", "timer 0 ABANDON", "NOT_SENT 0");
     }
 
     @Test
-    void itsEngineMayHoldItWhereTheDeleteMayHaveOvertakenTheStatement() {
-        written();
-        life.giveUp(now + 10, AttemptOutcome.TIMED_OUT);
-        life.deleted(now + 20);
-        assertThat(acts).containsExactly("after 200 DUE", "delete", "after 5000 DELETE_AGAIN");
-        limit = now + 200_000;
-        life.rang(now + 210, Alarm.DUE);
-        assertThat(acts).last().isEqualTo("TIMED_OUT " + (AttemptStateMachine.FORGETS - 210));
+    void abandon_deleteMayOvertakeStatement_endsWithHeldTime() {
+        writeStatement();
+        attempt.abandon(now + 10, AttemptOutcome.TIMED_OUT);
+        attempt.onDeleteAcknowledged(now + 20);
+        assertThat(actions)
+                .containsExactly("timer 200 ABANDON", "delete", "timer 5000 RETRY_DELETE");
+        deadline = now + 200_000;
+        attempt.onTimeout(now + 210, Timeout.ABANDON);
+        assertThat(actions)
+                .last()
+                .isEqualTo("TIMED_OUT " + (AttemptStateMachine.UNPOLLED_EXPIRY - 210));
     }
 
     @Test
-    void theStatementsOwnAnswerMakesADeleteProof() {
-        written();
-        life.giveUp(now + 10, AttemptOutcome.TIMED_OUT);
-        life.posted(now + 20, Word.NEWS);
-        life.rang(now + 140, Alarm.DELETE_AGAIN);
-        life.deleted(now + 150);
-        assertThat(acts)
+    void delete_afterStatementReply_provesEnd() {
+        writeStatement();
+        attempt.abandon(now + 10, AttemptOutcome.TIMED_OUT);
+        attempt.onStatementReply(now + 20, EngineReply.PROGRESS);
+        attempt.onTimeout(now + 140, Timeout.RETRY_DELETE);
+        attempt.onDeleteAcknowledged(now + 150);
+        assertThat(actions)
                 .containsExactly(
-                        "after 200 DUE",
+                        "timer 200 ABANDON",
                         "delete",
-                        "after 120 DELETE_AGAIN",
+                        "timer 120 RETRY_DELETE",
                         "delete",
                         "TIMED_OUT 0");
-        assertThat(done).isEqualTo(1);
+        assertThat(releases).isEqualTo(1);
     }
 
-    /**
-     * Its connection comes up late: the engine is told on the one that carried the call for news.
-     */
+    /** The connection of the DELETE comes up late: it is repeated on the one of the poll. */
     @Test
-    void aDeleteIsGivenAgainWhereItsConnectionNeverCameUp() {
-        written();
-        life.posted(now, Word.NEWS);
-        awaited = false;
-        life.giveUp(now + 10, AttemptOutcome.CANCELLED);
-        life.told(now + 80, Word.NEWS);
-        life.rang(now + 200, Alarm.DELETE_AGAIN);
-        life.deleted(now + 205);
-        assertThat(acts)
+    void delete_connectionNeverEstablished_isSentOnPollConnection() {
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.PROGRESS);
+        resultAwaited = false;
+        attempt.abandon(now + 10, AttemptOutcome.CANCELLED);
+        attempt.onReply(now + 80, EngineReply.PROGRESS);
+        attempt.onTimeout(now + 200, Timeout.RETRY_DELETE);
+        attempt.onDeleteAcknowledged(now + 205);
+        assertThat(actions)
                 .containsExactly(
-                        "ask",
-                        "after 200 DUE",
+                        "poll",
+                        "timer 200 ABANDON",
                         "delete",
-                        "after 120 DELETE_AGAIN",
+                        "timer 120 RETRY_DELETE",
                         "delete",
                         "CANCELLED 0");
     }
 
     @Test
-    void whatNobodyWaitsForIsToldOnlyOnceItIsProven() {
-        written();
-        life.posted(now, Word.NEWS);
-        awaited = false;
-        limit = now + 200_000;
-        life.giveUp(now + 10, AttemptOutcome.CANCELLED);
-        life.rang(now + 210, Alarm.DUE);
-        assertThat(life.lingers()).isTrue();
-        assertThat(acts)
-                .containsExactly("ask", "after 200 DUE", "delete", "after 200790 FORGOTTEN");
-        life.deleteFailed(now + 2_510, Loss.UNREACHED);
-        life.rang(now + 3_010, Alarm.DELETE_AGAIN);
-        life.deleted(now + 3_020);
-        assertThat(acts).endsWith("after 500 DELETE_AGAIN", "delete", "CANCELLED 0");
-        life.rang(now + 200_990, Alarm.FORGOTTEN);
-        assertThat(acts).endsWith("CANCELLED 0");
-        assertThat(done).isEqualTo(1);
+    void reportEnd_nobodyWaits_onlyOnceProven() {
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.PROGRESS);
+        resultAwaited = false;
+        deadline = now + 200_000;
+        attempt.abandon(now + 10, AttemptOutcome.CANCELLED);
+        attempt.onTimeout(now + 210, Timeout.ABANDON);
+        assertThat(attempt.isLingering()).isTrue();
+        assertThat(actions)
+                .containsExactly("poll", "timer 200 ABANDON", "delete", "timer 200790 EXPIRY");
+        attempt.onDeleteFailed(now + 2_510, CallFailure.CONNECT_TIMEOUT);
+        attempt.onTimeout(now + 3_010, Timeout.RETRY_DELETE);
+        attempt.onDeleteAcknowledged(now + 3_020);
+        assertThat(actions).endsWith("timer 500 RETRY_DELETE", "delete", "CANCELLED 0");
+        attempt.onTimeout(now + 200_990, Timeout.EXPIRY);
+        assertThat(actions).endsWith("CANCELLED 0");
+        assertThat(releases).isEqualTo(1);
     }
 
     @Test
-    void whatIsNeverProvenIsHeldUntilItsLimitAndItsEngineIsToldOn() {
-        written();
-        limit = now + 200_000;
-        life.giveUp(now + 10, AttemptOutcome.CANCELLED);
-        life.rang(now + 210, Alarm.DUE);
-        assertThat(acts).endsWith("after 200790 FORGOTTEN", "CANCELLED 200790");
-        assertThat(life.lingers()).isFalse();
-        life.deleted(now + 300);
-        life.rang(now + 5_300, Alarm.DELETE_AGAIN);
-        assertThat(acts).endsWith("after 5000 DELETE_AGAIN", "delete");
-        assertThat(done).isZero();
-        life.rang(now + 201_000, Alarm.FORGOTTEN);
-        assertThat(acts).endsWith("delete");
-        assertThat(done).isEqualTo(1);
+    void reportEnd_neverProven_heldUntilDeadlineWhileDeleteRepeats() {
+        writeStatement();
+        deadline = now + 200_000;
+        attempt.abandon(now + 10, AttemptOutcome.CANCELLED);
+        attempt.onTimeout(now + 210, Timeout.ABANDON);
+        assertThat(actions).endsWith("timer 200790 EXPIRY", "CANCELLED 200790");
+        assertThat(attempt.isLingering()).isFalse();
+        attempt.onDeleteAcknowledged(now + 300);
+        attempt.onTimeout(now + 5_300, Timeout.RETRY_DELETE);
+        assertThat(actions).endsWith("timer 5000 RETRY_DELETE", "delete");
+        assertThat(releases).isZero();
+        attempt.onTimeout(now + 201_000, Timeout.EXPIRY);
+        assertThat(actions).endsWith("delete");
+        assertThat(releases).isEqualTo(1);
     }
 
     @Test
-    void aStatementThatLayUnreadForSoLongNeverComes() {
-        written();
-        awaited = false;
-        limit = now + 200_000;
-        life.giveUp(now + 10, AttemptOutcome.CANCELLED);
-        life.rang(now + 210, Alarm.DUE);
-        life.deleted(now + AttemptStateMachine.FORGETS - 1);
-        assertThat(acts).last().isEqualTo("after 5000 DELETE_AGAIN");
-        life.deleted(now + AttemptStateMachine.FORGETS + 5_000);
-        assertThat(acts).last().isEqualTo("CANCELLED 0");
+    void delete_afterUnpolledExpiry_provesEnd() {
+        writeStatement();
+        resultAwaited = false;
+        deadline = now + 200_000;
+        attempt.abandon(now + 10, AttemptOutcome.CANCELLED);
+        attempt.onTimeout(now + 210, Timeout.ABANDON);
+        attempt.onDeleteAcknowledged(now + AttemptStateMachine.UNPOLLED_EXPIRY - 1);
+        assertThat(actions).last().isEqualTo("timer 5000 RETRY_DELETE");
+        attempt.onDeleteAcknowledged(now + AttemptStateMachine.UNPOLLED_EXPIRY + 5_000);
+        assertThat(actions).last().isEqualTo("CANCELLED 0");
     }
 
     @Test
-    void whereNoOtherWaitsAnEndIsNotProvenForLong() {
-        life = new AttemptStateMachine(this, false);
-        written();
-        life.posted(now, Word.NEWS);
-        awaited = false;
-        life.giveUp(now + 10, AttemptOutcome.CANCELLED);
-        life.rang(now + 210, Alarm.DUE);
-        assertThat(acts)
+    void abandon_withoutOrderingKey_endsAtAbandonTimeout() {
+        attempt = new AttemptStateMachine(this, false);
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.PROGRESS);
+        resultAwaited = false;
+        attempt.abandon(now + 10, AttemptOutcome.CANCELLED);
+        attempt.onTimeout(now + 210, Timeout.ABANDON);
+        assertThat(actions)
                 .containsExactly(
-                        "ask",
-                        "after 200 DUE",
+                        "poll",
+                        "timer 200 ABANDON",
                         "delete",
-                        "CANCELLED " + (AttemptStateMachine.FORGETS - 210));
-        assertThat(done).isEqualTo(1);
+                        "CANCELLED " + (AttemptStateMachine.UNPOLLED_EXPIRY - 210));
+        assertThat(releases).isEqualTo(1);
     }
 
     @Test
-    void thatTheEngineDoesNotKnowItProvesNothingWhileItsStatementMayLieUnread() {
-        written();
-        life.postFailed(now + 5, Loss.LOST);
-        life.told(now + 10, Word.ERROR);
-        life.rang(now + 210, Alarm.DUE);
-        assertThat(acts)
+    void failedReply_statementUnacknowledged_provesNothing() {
+        writeStatement();
+        attempt.onStatementFailed(now + 5, CallFailure.REPLY_LOST);
+        attempt.onReply(now + 10, EngineReply.FAILED);
+        attempt.onTimeout(now + 210, Timeout.ABANDON);
+        assertThat(actions)
                 .containsExactly(
-                        "ask fresh",
-                        "after 200 DUE",
+                        "poll on new connection",
+                        "timer 200 ABANDON",
                         "delete",
-                        "after " + (AttemptStateMachine.FORGETS + 5 - 210) + " FORGOTTEN",
-                        "FAILED " + (AttemptStateMachine.FORGETS + 5 - 210));
+                        "timer " + (AttemptStateMachine.UNPOLLED_EXPIRY + 5 - 210) + " EXPIRY",
+                        "FAILED " + (AttemptStateMachine.UNPOLLED_EXPIRY + 5 - 210));
     }
 
     @Test
-    void aRefusalEndsItOnlyWhereNoOtherConnectionIsUpAndMayStillBeADrain() {
-        written();
-        life.posted(now, Word.NEWS);
-        lives = true;
-        life.lost(now + 100, Loss.REFUSED);
-        assertThat(acts).containsExactly("ask", "after 500 AGAIN");
-        life.rang(now + 600, Alarm.AGAIN);
-        lives = false;
-        life.lost(now + 700, Loss.REFUSED);
-        assertThat(acts)
+    void connectionRefused_otherConnectionOpen_retries() {
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.PROGRESS);
+        connectionOpen = true;
+        attempt.onCallFailed(now + 100, CallFailure.CONNECTION_REFUSED);
+        assertThat(actions).containsExactly("poll", "timer 500 RETRY_POLL");
+        attempt.onTimeout(now + 600, Timeout.RETRY_POLL);
+        connectionOpen = false;
+        attempt.onCallFailed(now + 700, CallFailure.CONNECTION_REFUSED);
+        assertThat(actions)
                 .last()
-                .isEqualTo("CONNECTION_LOST " + (AttemptStateMachine.FORGETS + 600 - 700));
+                .isEqualTo("CONNECTION_LOST " + (AttemptStateMachine.UNPOLLED_EXPIRY + 600 - 700));
     }
 
     @Test
-    void anErrorIsProvenByADeleteWhereOthersWaitAndEndsAtOnceElsewhere() {
-        written();
-        life.posted(now, Word.ERROR);
-        assertThat(acts).containsExactly("after 200 DUE", "delete");
-        life.deleted(now + 10);
-        assertThat(acts).last().isEqualTo("FAILED 0");
-        life = new AttemptStateMachine(this, false);
-        written();
-        life.posted(now, Word.ERROR);
-        assertThat(acts).containsExactly("FAILED 0");
+    void failedReply_withOrderingKey_isConfirmedByDelete() {
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.FAILED);
+        assertThat(actions).containsExactly("timer 200 ABANDON", "delete");
+        attempt.onDeleteAcknowledged(now + 10);
+        assertThat(actions).last().isEqualTo("FAILED 0");
+        attempt = new AttemptStateMachine(this, false);
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.FAILED);
+        assertThat(actions).containsExactly("FAILED 0");
     }
 
     @Test
-    void answersThatCannotBeReadAreAskedForAgainButNotForEver() {
-        written();
-        life.posted(now, Word.NEWS);
+    void unreadableReplies_upToFive_arePolledAgain() {
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.PROGRESS);
         for (int i = 0; i < 4; i++) {
-            life.lost(now + i, Loss.SPOILT);
-            life.rang(now + i, Alarm.AGAIN);
+            attempt.onCallFailed(now + i, CallFailure.REPLY_UNREADABLE);
+            attempt.onTimeout(now + i, Timeout.RETRY_POLL);
         }
-        assertThat(acts).contains("ask fresh").doesNotContain("delete");
-        life.lost(now + 5, Loss.SPOILT);
-        assertThat(acts).endsWith("after 200 DUE", "delete");
+        assertThat(actions).contains("poll on new connection").doesNotContain("delete");
+        attempt.onCallFailed(now + 5, CallFailure.REPLY_UNREADABLE);
+        assertThat(actions).endsWith("timer 200 ABANDON", "delete");
     }
 
     @Test
-    void newConnectionsThatAreResetCostNothingAtFirst() {
-        life.start();
-        life.postFailed(now, Loss.RESET);
-        life.postFailed(now, Loss.RESET);
-        life.postFailed(now, Loss.RESET);
-        assertThat(acts).containsExactly("post", "post", "post", "CONNECT_FAILED 0");
+    void resetBeforeSend_upToThree_sendsAgain() {
+        attempt.start();
+        attempt.onStatementFailed(now, CallFailure.RESET_BEFORE_SEND);
+        attempt.onStatementFailed(now, CallFailure.RESET_BEFORE_SEND);
+        attempt.onStatementFailed(now, CallFailure.RESET_BEFORE_SEND);
+        assertThat(actions).containsExactly("send", "send", "send", "CONNECT_FAILED 0");
     }
 
     @Test
-    void nothingIsToldAfterItsEnd() {
-        written();
-        life.posted(now, Word.TURNED_AWAY);
-        life.told(now, Word.LAST);
-        life.giveUp(now, AttemptOutcome.TIMED_OUT);
-        life.rang(now, Alarm.DUE);
-        assertThat(acts).containsExactly("REFUSED 0");
+    void events_afterEnd_changeNothing() {
+        writeStatement();
+        attempt.onStatementReply(now, EngineReply.REFUSED);
+        attempt.onReply(now, EngineReply.LAST_PAGE);
+        attempt.abandon(now, AttemptOutcome.TIMED_OUT);
+        attempt.onTimeout(now, Timeout.ABANDON);
+        assertThat(actions).containsExactly("REFUSED 0");
     }
 
     @Override
-    public void post() {
-        acts.add("post");
+    public void sendStatement() {
+        actions.add("send");
     }
 
     @Override
-    public void ask(boolean fresh) {
-        acts.add("ask" + (fresh ? " fresh" : ""));
+    public void poll(boolean onNewConnection) {
+        actions.add("poll" + (onNewConnection ? " on new connection" : ""));
     }
 
     @Override
-    public void fetch(int page, boolean fresh) {
-        acts.add("fetch " + page);
+    public void fetchPage(int page, boolean onNewConnection) {
+        actions.add("fetch " + page);
     }
 
     @Override
-    public void delete(boolean fresh) {
-        acts.add("delete");
+    public void sendDelete(boolean onNewConnection) {
+        actions.add("delete");
     }
 
     @Override
-    public void after(long delay, Alarm alarm) {
-        acts.add("after " + delay + " " + alarm);
+    public void startTimer(long delay, Timeout timeout) {
+        actions.add("timer " + delay + " " + timeout);
     }
 
     @Override
-    public boolean lives() {
-        return lives;
+    public boolean hasOpenConnection() {
+        return connectionOpen;
     }
 
     @Override
-    public boolean awaited() {
-        return awaited;
+    public boolean isResultAwaited() {
+        return resultAwaited;
     }
 
     @Override
-    public long limit() {
-        return limit;
+    public long deadline() {
+        return deadline;
     }
 
     @Override
-    public void done() {
-        done++;
+    public void release() {
+        releases++;
     }
 
     @Override
-    public void ended(AttemptOutcome how, long rest) {
-        acts.add(how + " " + rest);
+    public void reportEnd(AttemptOutcome outcome, long heldFor) {
+        actions.add(outcome + " " + heldFor);
     }
 }
--- a/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
+++ b/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
@@ -6,63 +6,67 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the watch finds, and the order of taking that it watches. */
+/** Violations that the monitor reports, and the sequence of arrivals that it relies on. */
 class KeyOrderMonitorTest {
-    private final KeyOrderMonitor watch = new KeyOrderMonitor();
+    private final KeyOrderMonitor monitor = new KeyOrderMonitor();
 
     @Test
-    void oneAtATimeAndInTurnIsFine() {
-        watch.told("k", "a");
-        watch.told("k", "b");
-        assertThat(watch.sent(0, "k", "a")).isTrue();
-        watch.ended(10, "k", "a", 0);
-        assertThat(watch.sent(11, "k", "a")).as("another try of its own").isTrue();
-        watch.ended(20, "k", "a", 0);
-        watch.over("k", "a");
-        assertThat(watch.sent(21, "k", "b")).isTrue();
+    void attempts_oneAtATimeInOrder_areAllowed() {
+        monitor.onRequest("k", "a");
+        monitor.onRequest("k", "b");
+        assertThat(monitor.onAttemptStarted(0, "k", "a")).isTrue();
+        monitor.onAttemptEnded(10, "k", "a", 0);
+        assertThat(monitor.onAttemptStarted(11, "k", "a"))
+                .as("a retry of the same request")
+                .isTrue();
+        monitor.onAttemptEnded(20, "k", "a", 0);
+        monitor.onRequestEnded("k", "a");
+        assertThat(monitor.onAttemptStarted(21, "k", "b")).isTrue();
     }
 
     @Test
-    void outOfTurnBesideAnotherOrWhileOneMayBeHeldIsFound() {
-        watch.told("k", "a");
-        watch.told("k", "b");
-        assertThat(watch.sent(0, "k", "b")).as("out of turn").isFalse();
-        watch.ended(1, "k", "b", 0);
-        watch.over("k", "a");
-        assertThat(watch.sent(2, "k", "b")).isTrue();
-        watch.ended(3, "k", "b", 100);
-        watch.over("k", "b");
-        watch.told("k", "c");
-        assertThat(watch.sent(50, "k", "c")).as("its engine may hold the one before").isFalse();
-        watch.ended(51, "k", "c", 0);
-        assertThat(watch.sent(103, "k", "c")).isTrue();
-        watch.told("k", "d");
-        assertThat(watch.sent(104, "k", "d")).as("beside another").isFalse();
+    void attempts_outOfOrderOrBesideAnother_areReported() {
+        monitor.onRequest("k", "a");
+        monitor.onRequest("k", "b");
+        assertThat(monitor.onAttemptStarted(0, "k", "b")).as("out of turn").isFalse();
+        monitor.onAttemptEnded(1, "k", "b", 0);
+        monitor.onRequestEnded("k", "a");
+        assertThat(monitor.onAttemptStarted(2, "k", "b")).isTrue();
+        monitor.onAttemptEnded(3, "k", "b", 100);
+        monitor.onRequestEnded("k", "b");
+        monitor.onRequest("k", "c");
+        assertThat(monitor.onAttemptStarted(50, "k", "c"))
+                .as("the engine may still hold the request before")
+                .isFalse();
+        monitor.onAttemptEnded(51, "k", "c", 0);
+        assertThat(monitor.onAttemptStarted(103, "k", "c")).isTrue();
+        monitor.onRequest("k", "d");
+        assertThat(monitor.onAttemptStarted(104, "k", "d")).as("beside another").isFalse();
     }
 
     @Test
-    void ofTwoThatCameBeforeABarrierOnlyTheFirstIsToldAsKnown() {
-        List<String> told = new ArrayList<>();
-        ArrivalSequencer<String> order =
+    void sequencer_twoBeforeBarrier_onlyFirstHasKnownOrder() {
+        List<String> effects = new ArrayList<>();
+        ArrivalSequencer<String> sequencer =
                 new ArrivalSequencer<>(
-                        new ArrivalSequencer.Carrier<>() {
+                        new ArrivalSequencer.ArrivalActions<>() {
                             @Override
-                            public void barrier(Object key) {
-                                told.add("barrier " + key);
+                            public void requestReadBarrier(Object key) {
+                                effects.add("barrier " + key);
                             }
 
                             @Override
-                            public void taken(String batch, boolean turnKnown) {
-                                told.add(batch + " " + turnKnown);
+                            public void deliver(String request, boolean orderKnown) {
+                                effects.add(request + " " + orderKnown);
                             }
                         });
-        order.came("free", null);
-        order.came("a", "k");
-        order.came("b", "k");
-        order.passed("k");
-        order.came("c", "k");
-        assertThat(told)
+        sequencer.onRequestRead("free", null);
+        sequencer.onRequestRead("a", "k");
+        sequencer.onRequestRead("b", "k");
+        sequencer.onReadBarrierPassed("k");
+        sequencer.onRequestRead("c", "k");
+        assertThat(effects)
                 .containsExactly("free true", "barrier k", "b false", "a true", "barrier k");
-        assertThat(order.unsettled()).isEqualTo(1);
+        assertThat(sequencer.undelivered()).isEqualTo(1);
     }
 }
