--- a/src/main/java/firstage/cells/CellDirectory.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -218,10 +218,10 @@
 
     /** Whether all managers of all cells that lose it are known to hold the new plan. */
     private boolean releasedByFormerCells(long engine, String zone) {
-        List<Integer> now = plan.servingCells(engine, zone);
+        List<Integer> newCells = plan.servingCells(engine, zone);
         for (int cell : previousPlan.servingCells(engine, zone)) {
-            int place = plan.indexOf(previousPlan.cells().get(cell).name());
-            if (!now.contains(place) && rows[place].planNumber < plan.number()) {
+            int newIndex = plan.indexOf(previousPlan.cells().get(cell).name());
+            if (!newCells.contains(newIndex) && rows[newIndex].planNumber < plan.number()) {
                 return false;
             }
         }
@@ -243,17 +243,17 @@
     public List<CellStatus> cells(long now) {
         List<CellStatus> all = new ArrayList<>();
         for (int cell = 0; cell < rows.length; cell++) {
-            CellPlan.Cell of = plan.cells().get(cell);
+            CellPlan.Cell planned = plan.cells().get(cell);
             CellRow row = rows[cell];
             all.add(
                     new CellStatus(
-                            of.name(),
-                            of.zone(),
+                            planned.name(),
+                            planned.zone(),
                             row.state,
                             row.receivedAt == NEVER ? -1 : now - row.receivedAt,
                             row.planNumber,
                             row.aliveManagers,
-                            of.slots(),
+                            planned.slots(),
                             row.sheddingThreshold));
         }
         return all;
@@ -291,12 +291,12 @@
         }
         if (now >= nextRowAt) {
             nextRowAt = now + MIN_ROW_INTERVAL;
-            long place = delegateRank();
+            long rank = delegateRank();
             // The second and the third deputy renew it only where those before them do not.
-            if (place < DELEGATES
+            if (rank < DELEGATES
                     && (viewChanged
                             || now - rows[ownCell].receivedAt
-                                    >= ROW_INTERVAL + place * SEND_INTERVAL)) {
+                                    >= ROW_INTERVAL + rank * SEND_INTERVAL)) {
                 renewOwnRow(now);
             }
             viewChanged = false;
@@ -312,8 +312,8 @@
     /** This manager's place among those of its cell that are here; the first are its deputies. */
     private long delegateRank() {
         // With the fault: those that were first of all for good, here or not.
-        List<String> of = defect == InjectedDefect.FIXED_DELEGATES ? largestView : view;
-        return RendezvousHash.countBefore(ownCell, of, name);
+        List<String> candidates = defect == InjectedDefect.FIXED_DELEGATES ? largestView : view;
+        return RendezvousHash.countBefore(ownCell, candidates, name);
     }
 
     /**
@@ -324,7 +324,10 @@
         return Math.min(
                 plan.number(),
                 Arrays.stream(planNumberBySlot)
-                        .filter(p -> p > 0 || defect != InjectedDefect.SILENT_MANAGERS_IGNORED)
+                        .filter(
+                                number ->
+                                        number > 0
+                                                || defect != InjectedDefect.SILENT_MANAGERS_IGNORED)
                         .min()
                         .orElse(0));
     }
@@ -406,21 +409,24 @@
         for (Transition transition : TRANSITIONS) {
             if (transition.state == row.state && transition.event == event) {
                 row.state = transition.next;
-                String of = plan.cells().get(cell).name();
+                String cellName = plan.cells().get(cell).name();
                 switch (transition.effect) {
                     case NONE -> {}
                     case FIRST_HEARD ->
                             actions.logCellEvent(
-                                    now, "met", of, row.aliveManagers + " of it are here");
+                                    now, "met", cellName, row.aliveManagers + " of it are here");
                     case LOST ->
                             actions.logCellEvent(
                                     now,
                                     "silent",
-                                    of,
+                                    cellName,
                                     "no row for " + SILENT_AFTER / SEND_INTERVAL + " s");
                     case HEARD_AGAIN ->
                             actions.logCellEvent(
-                                    now, "heard again", of, row.aliveManagers + " of it are here");
+                                    now,
+                                    "heard again",
+                                    cellName,
+                                    row.aliveManagers + " of it are here");
                 }
                 return;
             }
@@ -435,9 +441,9 @@
                 .put(planFingerprint, 4);
     }
 
-    private void writeRow(BigEndianBytes out, int cell) {
+    private void writeRow(BigEndianBytes writer, int cell) {
         CellRow row = rows[cell];
-        out.put(cell, 2)
+        writer.put(cell, 2)
                 .put(row.timestamp, 4)
                 .put(row.planNumber, 4)
                 .put(Math.min(MAX_BYTE, row.aliveManagers), 1)
@@ -455,9 +461,9 @@
             }
         }
         nextDatagramRow = (nextDatagramRow + room) % rows.length;
-        BigEndianBytes out = newMessage(selected.size() * ROW_BYTES);
-        selected.forEach(cell -> writeRow(out, cell));
-        return out.bytes();
+        BigEndianBytes writer = newMessage(selected.size() * ROW_BYTES);
+        selected.forEach(cell -> writeRow(writer, cell));
+        return writer.bytes();
     }
 
     /** What goes before the digest of the rooms above on each message within the cell. */
@@ -478,64 +484,64 @@
                 selected.add(lastDigestRow);
             }
         }
-        BigEndianBytes out =
+        BigEndianBytes writer =
                 newMessage(1 + selected.size() * ROW_BYTES + rest.length).put(selected.size(), 1);
-        selected.forEach(cell -> writeRow(out, cell));
-        return out.put(rest).bytes();
+        selected.forEach(cell -> writeRow(writer, cell));
+        return writer.put(rest).bytes();
     }
 
     /**
      * A digest told by the manager at this place of the cell: takes its own part, gives that of the
      * rooms above.
      */
-    public byte[] onDigest(long now, int from, byte[] bytes) {
-        BigEndianBytes in = new BigEndianBytes(bytes);
-        int number = readHeader(now, in);
-        if (number < 0 || in.remaining() == 0) {
+    public byte[] onDigest(long now, int slot, byte[] bytes) {
+        BigEndianBytes reader = new BigEndianBytes(bytes);
+        int number = readHeader(now, reader);
+        if (number < 0 || reader.remaining() == 0) {
             return new byte[0];
         }
         // A manager never goes back to an older plan: a message from before, told again, takes
         // nothing away.
-        planNumberBySlot[from] = Math.max(planNumberBySlot[from], number);
-        int count = in.read(1);
-        if (in.remaining() < count * ROW_BYTES) {
+        planNumberBySlot[slot] = Math.max(planNumberBySlot[slot], number);
+        int count = reader.read(1);
+        if (reader.remaining() < count * ROW_BYTES) {
             reject("spoilt rows");
             return new byte[0];
         }
         for (int i = 0; i < count; i++) {
-            readRow(now, in);
+            readRow(now, reader);
         }
-        return in.readRest();
+        return reader.readRest();
     }
 
     /** A datagram from a manager of another cell. */
     public void onDatagram(long now, byte[] datagram) {
-        BigEndianBytes in = new BigEndianBytes(datagram);
-        if (readHeader(now, in) < 0) {
+        BigEndianBytes reader = new BigEndianBytes(datagram);
+        if (readHeader(now, reader) < 0) {
             return;
         }
-        if (in.remaining() % ROW_BYTES != 0) {
+        if (reader.remaining() % ROW_BYTES != 0) {
             reject("spoilt rows");
             return;
         }
-        while (in.remaining() > 0) {
-            readRow(now, in);
+        while (reader.remaining() > 0) {
+            readRow(now, reader);
         }
     }
 
     /** The number of the teller's plan; -1 where it is nobody's of this fleet. */
-    private int readHeader(long now, BigEndianBytes in) {
-        if (in.remaining() < HEADER_BYTES || in.read(1) != VERSION) {
+    private int readHeader(long now, BigEndianBytes reader) {
+        if (reader.remaining() < HEADER_BYTES || reader.read(1) != VERSION) {
             reject("another form");
             return -1;
         }
-        if (in.read(4) != fleetHash) {
+        if (reader.read(4) != fleetHash) {
             reject("another fleet");
             return -1;
         }
-        int number = in.read(4);
-        int other = in.read(4);
-        if (number == plan.number() && other != planFingerprint) {
+        int planNumber = reader.read(4);
+        int fingerprint = reader.read(4);
+        if (planNumber == plan.number() && fingerprint != planFingerprint) {
             reject("another plan of this number");
             if (!planConflictLogged) {
                 planConflictLogged = true;
@@ -544,21 +550,21 @@
                         "differs",
                         plan.cells().get(ownCell).name(),
                         "two plans have the number "
-                                + number
+                                + planNumber
                                 + "; give the later one a higher number");
             }
             return -1;
         }
-        return Math.max(0, number);
+        return Math.max(0, planNumber);
     }
 
     /** Cells keep their places from one plan to the next; new ones are added at the end. */
-    private void readRow(long now, BigEndianBytes in) {
-        int cell = in.read(2);
-        int timestamp = in.read(4);
-        int planNumber = in.read(4);
-        int aliveManagers = in.read(1);
-        int sheddingThreshold = in.read(1);
+    private void readRow(long now, BigEndianBytes reader) {
+        int cell = reader.read(2);
+        int timestamp = reader.read(4);
+        int planNumber = reader.read(4);
+        int aliveManagers = reader.read(1);
+        int sheddingThreshold = reader.read(1);
         if (cell < rows.length) {
             applyRow(now, cell, timestamp, planNumber, aliveManagers, sheddingThreshold);
         }
--- a/src/main/java/firstage/cells/CellPlan.java
+++ b/src/main/java/firstage/cells/CellPlan.java
@@ -87,18 +87,18 @@
      * come before it.
      */
     public boolean serves(int cell, long engine, String zone) {
-        Cell mine = cells.get(cell);
-        if (!mine.serves || !mine.zone.equals(zone)) {
+        Cell self = cells.get(cell);
+        if (!self.serves || !self.zone.equals(zone)) {
             return false;
         }
-        long rank = RendezvousHash.rank(engine, mine.name);
+        long rank = RendezvousHash.rank(engine, self.name);
         int before = 0;
         for (Cell c : cells) {
-            if (c != mine && c.serves && c.zone.equals(zone)) {
-                long other = RendezvousHash.rank(engine, c.name);
+            if (c != self && c.serves && c.zone.equals(zone)) {
+                long otherRank = RendezvousHash.rank(engine, c.name);
                 before +=
-                        Long.compareUnsigned(other, rank) > 0
-                                        || other == rank && c.name.compareTo(mine.name) < 0
+                        Long.compareUnsigned(otherRank, rank) > 0
+                                        || otherRank == rank && c.name.compareTo(self.name) < 0
                                 ? 1
                                 : 0;
             }
--- a/src/main/java/firstage/failover/FleetCoordinator.java
+++ b/src/main/java/firstage/failover/FleetCoordinator.java
@@ -37,24 +37,33 @@
                     Stream.of(
                                     Arrays.stream(ProbeCoordinator.InjectedDefect.values())
                                             .map(
-                                                    f ->
+                                                    defects ->
                                                             new InjectedDefects(
-                                                                    f, NONE.level, NONE.zones)),
+                                                                    defects,
+                                                                    NONE.level,
+                                                                    NONE.zones)),
                                     Arrays.stream(LoadSheddingLevel.InjectedDefect.values())
                                             .map(
-                                                    f ->
+                                                    defects ->
                                                             new InjectedDefects(
-                                                                    NONE.probes, f, NONE.zones)),
+                                                                    NONE.probes,
+                                                                    defects,
+                                                                    NONE.zones)),
                                     Arrays.stream(ZoneFailover.InjectedDefect.values())
                                             .map(
-                                                    f ->
+                                                    defects ->
                                                             new InjectedDefects(
-                                                                    NONE.probes, NONE.level, f)))
+                                                                    NONE.probes,
+                                                                    NONE.level,
+                                                                    defects)))
                             .flatMap(part -> part);
             String word = name.toUpperCase(Locale.ROOT).replace('-', '_');
             return all.filter(
-                            f ->
-                                    List.of(f.probes.name(), f.level.name(), f.zones.name())
+                            defects ->
+                                    List.of(
+                                                    defects.probes.name(),
+                                                    defects.level.name(),
+                                                    defects.zones.name())
                                             .contains(word))
                     .findFirst()
                     .orElse(null);
--- a/src/main/java/firstage/failover/ZoneFailover.java
+++ b/src/main/java/firstage/failover/ZoneFailover.java
@@ -226,8 +226,11 @@
      */
     public int[] ordersToSend() {
         return IntStream.range(0, zones.length)
-                .filter(z -> zones[z].orderedAt != 0)
-                .flatMap(z -> IntStream.of(z, zones[z].order.ordinal(), zones[z].orderedAt))
+                .filter(zone -> zones[zone].orderedAt != 0)
+                .flatMap(
+                        zone ->
+                                IntStream.of(
+                                        zone, zones[zone].order.ordinal(), zones[zone].orderedAt))
                 .toArray();
     }
 
@@ -239,15 +242,16 @@
                     i += 3) {
                 int zone = row.zoneOrders()[i];
                 int order = row.zoneOrders()[i + 1];
-                int at = row.zoneOrders()[i + 2];
+                int orderedAt = row.zoneOrders()[i + 2];
                 boolean known =
                         zone >= 0
                                 && zone < zones.length
                                 && order >= 0
                                 && order < Order.values().length;
-                if (known && (zones[zone].orderedAt == 0 || at - zones[zone].orderedAt > 0)) {
+                if (known
+                        && (zones[zone].orderedAt == 0 || orderedAt - zones[zone].orderedAt > 0)) {
                     zones[zone].order = Order.values()[order];
-                    zones[zone].orderedAt = at;
+                    zones[zone].orderedAt = orderedAt;
                 }
             }
         }
@@ -259,7 +263,7 @@
      */
     public int[] reportedPercent(long now) {
         detectPause(now);
-        int[] closed = new int[zones.length];
+        int[] ejected = new int[zones.length];
         int[] known = new int[zones.length];
         int[] all = new int[zones.length];
         engines.forEach(
@@ -268,29 +272,31 @@
                     // Of a zone that was left those count that this manager tries, and what came of
                     // it since.
                     boolean counts = zone.state == State.IN_USE || !observation.avoided;
-                    boolean spoke =
+                    boolean respondedLately =
                             observation.lastResponseAt
                                     > (zone.state == State.IN_USE ? now - RECENT : zone.since);
-                    boolean shut =
+                    boolean isEjected =
                             observation.ejected
                                     && (zone.state != State.RETURNING
                                             || observation.lastAttemptAt > zone.since
                                                     && now - observation.lastAttemptAt
                                                             > RESPONSE_TIME);
                     all[observation.zone]++;
-                    known[observation.zone] += counts && (shut || spoke) ? 1 : 0;
-                    closed[observation.zone] += counts && shut ? 1 : 0;
+                    known[observation.zone] += counts && (isEjected || respondedLately) ? 1 : 0;
+                    ejected[observation.zone] += counts && isEjected ? 1 : 0;
                 });
-        int[] told = new int[zones.length];
+        int[] percentByZone = new int[zones.length];
         for (int z = 0; z < zones.length; z++) {
-            int least = zones[z].state == State.EVACUATED ? 1 : Math.min(MIN_KNOWN_ENGINES, all[z]);
-            boolean silent = known[z] == 0 || known[z] < least || now < observationsStaleUntil;
-            told[z] =
-                    !silent
-                            ? MAX_PERCENT * closed[z] / known[z]
+            int minKnown =
+                    zones[z].state == State.EVACUATED ? 1 : Math.min(MIN_KNOWN_ENGINES, all[z]);
+            boolean nothingToReport =
+                    known[z] == 0 || known[z] < minKnown || now < observationsStaleUntil;
+            percentByZone[z] =
+                    !nothingToReport
+                            ? MAX_PERCENT * ejected[z] / known[z]
                             : REPORT_WITHOUT_OBSERVATION.get(zones[z].state);
         }
-        return told;
+        return percentByZone;
     }
 
     /**
@@ -319,20 +325,20 @@
         detectPause(now);
         applyOrders(rows);
         boolean[] failed = new boolean[zones.length];
-        int worst = 0;
-        for (int z = 0; z < zones.length; z++) {
-            failed[z] = failedByReports(z, rows);
-            worst += failed[z] || zones[z].state == State.EVACUATED ? 1 : 0;
+        int lostZones = 0;
+        for (int zone = 0; zone < zones.length; zone++) {
+            failed[zone] = failedByReports(zone, rows);
+            lostZones += failed[zone] || zones[zone].state == State.EVACUATED ? 1 : 0;
         }
         boolean tooMany =
-                zones.length - worst < Math.max(1, MIN_ZONES_IN_USE * zones.length)
+                zones.length - lostZones < Math.max(1, MIN_ZONES_IN_USE * zones.length)
                         && defect != InjectedDefect.ALL_MAY_GO;
-        for (int z = 0; z < zones.length; z++) {
+        for (int zone = 0; zone < zones.length; zone++) {
             evaluate(
                     now,
-                    z,
-                    failed[z]
-                            && !(tooMany && zones[z].state == State.IN_USE)
+                    zone,
+                    failed[zone]
+                            && !(tooMany && zones[zone].state == State.IN_USE)
                             && now >= observationsStaleUntil,
                     rows);
         }
@@ -345,28 +351,33 @@
      */
     private boolean failedByReports(int zone, List<LoadRow> rows) {
         // Of one that was left only what is seen counts, not who is away.
-        int also = zones[zone].state == State.IN_USE ? EVACUATED : MAX_PERCENT;
-        int voices = 0;
-        int say = 0;
-        for (int from = 0; from < zones.length; from++) {
-            int is = from;
-            if (is != zone) {
-                int[] told =
+        int countedMark = zones[zone].state == State.IN_USE ? EVACUATED : MAX_PERCENT;
+        int zonesReporting = 0;
+        int zonesSayingFailed = 0;
+        for (int observerZone = 0; observerZone < zones.length; observerZone++) {
+            int observer = observerZone;
+            if (observer != zone) {
+                int[] reports =
                         rows.stream()
-                                .filter(row -> row.zone() == is)
+                                .filter(row -> row.zone() == observer)
                                 .mapToInt(row -> reportedPercent(row, zone))
-                                .filter(s -> s <= MAX_PERCENT || s == also)
+                                .filter(percent -> percent <= MAX_PERCENT || percent == countedMark)
                                 .toArray();
-                long hold = Arrays.stream(told).filter(s -> s >= FAILED_PERCENT).count();
-                voices += told.length > 0 ? 1 : 0;
-                say +=
-                        2 * hold > told.length || defect == InjectedDefect.ONE_IS_ENOUGH && hold > 0
+                long sayingFailed =
+                        Arrays.stream(reports).filter(percent -> percent >= FAILED_PERCENT).count();
+                zonesReporting += reports.length > 0 ? 1 : 0;
+                zonesSayingFailed +=
+                        2 * sayingFailed > reports.length
+                                        || defect == InjectedDefect.ONE_IS_ENOUGH
+                                                && sayingFailed > 0
                                 ? 1
                                 : 0;
             }
         }
         int needed = defect == InjectedDefect.ONE_IS_ENOUGH ? 1 : Math.min(2, zones.length - 1);
-        return say >= needed && (2 * say > voices || defect == InjectedDefect.ONE_IS_ENOUGH);
+        return zonesSayingFailed >= needed
+                && (2 * zonesSayingFailed > zonesReporting
+                        || defect == InjectedDefect.ONE_IS_ENOUGH);
     }
 
     private static int reportedPercent(LoadRow row, int zone) {
@@ -375,22 +386,22 @@
 
     /** Whether those that try its engines find most of them well. */
     private static boolean healthyByReports(int zone, List<LoadRow> rows) {
-        int[] told =
+        int[] reports =
                 rows.stream()
                         .mapToInt(row -> reportedPercent(row, zone))
-                        .filter(s -> s <= MAX_PERCENT || s == RETURNING)
-                        .map(s -> s == RETURNING ? 0 : s)
+                        .filter(percent -> percent <= MAX_PERCENT || percent == RETURNING)
+                        .map(percent -> percent == RETURNING ? 0 : percent)
                         .toArray();
-        return told.length > 0
-                && Arrays.stream(told).average().orElse(MAX_PERCENT) <= HEALTHY_PERCENT;
+        return reports.length > 0
+                && Arrays.stream(reports).average().orElse(MAX_PERCENT) <= HEALTHY_PERCENT;
     }
 
-    private void evaluate(long now, int at, boolean failed, List<LoadRow> rows) {
-        ZoneState zone = zones[at];
-        boolean healthy = healthyByReports(at, rows);
+    private void evaluate(long now, int zoneIndex, boolean failed, List<LoadRow> rows) {
+        ZoneState zone = zones[zoneIndex];
+        boolean healthy = healthyByReports(zoneIndex, rows);
         zone.failedSince = !failed ? -1 : zone.failedSince < 0 ? now : zone.failedSince;
         zone.healthySince = !healthy ? -1 : zone.healthySince < 0 ? now : zone.healthySince;
-        boolean held = now - zone.since < zone.holdTime && defect != InjectedDefect.NO_HOLD;
+        boolean heldOut = now - zone.since < zone.holdTime && defect != InjectedDefect.NO_HOLD;
         Event event =
                 zone.order == Order.LEAVE
                         ? Event.ORDERED
@@ -404,33 +415,34 @@
                                                         && healthy
                                                         && now - zone.healthySince
                                                                 >= RECOVERY_CONFIRMATION
-                                                        && !held
+                                                        && !heldOut
                                                 ? Event.HEALTHY
                                                 : zone.state == State.RETURNING
                                                                 && now - zone.since >= ramp
                                                         ? Event.RAMP_COMPLETE
                                                         : null;
-        for (Transition row : TRANSITIONS) {
-            if (row.state == zone.state && row.event == event) {
-                if (row.next == State.EVACUATED) {
+        for (Transition transition : TRANSITIONS) {
+            if (transition.state == zone.state && transition.event == event) {
+                if (transition.next == State.EVACUATED) {
                     // Failed on its way back, or soon after: longer out. In use for long, it is
                     // forgiven.
-                    boolean again =
-                            row.state == State.RETURNING
+                    boolean failedAgain =
+                            transition.state == State.RETURNING
                                     || zone.since > 0 && now - zone.since < FAILURE_MEMORY;
                     zone.holdTime =
                             event == Event.ORDERED
                                     ? 0
-                                    : again
+                                    : failedAgain
                                             ? Math.min(MAX_HOLD_TIME, 2 * zone.holdTime)
                                             : FIRST_HOLD_TIME;
                 }
-                zone.state = row.next;
+                zone.state = transition.next;
                 zone.since = now;
                 zone.failedSince = -1;
                 zone.healthySince = -1;
                 actions.logZoneState(
-                        at, row.next.name().toLowerCase(Locale.ROOT).replace('_', '-'));
+                        zoneIndex,
+                        transition.next.name().toLowerCase(Locale.ROOT).replace('_', '-'));
                 return;
             }
         }
@@ -438,21 +450,24 @@
 
     private void updateAvoidance(long now, long engine, EngineObservation observation) {
         ZoneState zone = zones[observation.zone];
-        boolean owned = zone.state != State.IN_USE && ownsProbe(engine);
-        boolean away =
+        boolean probeOwner = zone.state != State.IN_USE && ownsProbe(engine);
+        boolean avoided =
                 switch (zone.state) {
                     case IN_USE -> observation.probedByOthers;
-                    case EVACUATED -> !owned;
+                    case EVACUATED -> !probeOwner;
                     case RETURNING ->
-                            !owned
+                            !probeOwner
                                     && now < zone.since + rampPosition(observation.zone) * ramp
                                     && defect != InjectedDefect.ALL_AT_ONCE;
                 };
-        boolean tries =
-                owned && observation.ejected && now - observation.lastAttemptAt >= PROBE_INTERVAL;
-        if (away != observation.avoided || tries) {
-            observation.avoided = away;
-            actions.setAvoided(engine, away, tries || !away && zone.state == State.RETURNING);
+        boolean probesNow =
+                probeOwner
+                        && observation.ejected
+                        && now - observation.lastAttemptAt >= PROBE_INTERVAL;
+        if (avoided != observation.avoided || probesNow) {
+            observation.avoided = avoided;
+            actions.setAvoided(
+                    engine, avoided, probesNow || !avoided && zone.state == State.RETURNING);
         }
     }
 
@@ -463,19 +478,19 @@
 
     /** By zone, what operators want. */
     public Map<Integer, Order> activeOrders() {
-        Map<Integer, Order> ordered = new TreeMap<>();
-        for (int z = 0; z < zones.length; z++) {
-            if (zones[z].order != Order.NONE) {
-                ordered.put(z, zones[z].order);
+        Map<Integer, Order> orders = new TreeMap<>();
+        for (int zone = 0; zone < zones.length; zone++) {
+            if (zones[zone].order != Order.NONE) {
+                orders.put(zone, zones[zone].order);
             }
         }
-        return ordered;
+        return orders;
     }
 
     /** The zones that are left, or on the way back. */
     public List<Integer> evacuatedZones() {
         return IntStream.range(0, zones.length)
-                .filter(z -> zones[z].state != State.IN_USE)
+                .filter(zone -> zones[zone].state != State.IN_USE)
                 .boxed()
                 .toList();
     }
--- a/src/main/java/firstage/membership/QuotaLeases.java
+++ b/src/main/java/firstage/membership/QuotaLeases.java
@@ -77,7 +77,7 @@
     private final boolean mayHaveWithdrawnBefore;
     private long startedAt = -1;
     private boolean storeRequested;
-    private boolean onWithdrawalMarkStored;
+    private boolean withdrawalMarkStored;
     private double share = -1;
     private long shareUntil;
 
@@ -154,7 +154,7 @@
 
     /** What {@link LeaseActions#storeWithdrawalMark} was asked for is done. */
     public void onWithdrawalMarkStored() {
-        onWithdrawalMarkStored = true;
+        withdrawalMarkStored = true;
     }
 
     /** Whether an answer to this member carries this manager's word; asked for each answer. */
@@ -182,7 +182,7 @@
                             storeRequested = true;
                             actions.storeWithdrawalMark();
                         }
-                        if (onWithdrawalMarkStored) {
+                        if (withdrawalMarkStored) {
                             peer.withdrawnAt = now;
                             names.add(name);
                         }
@@ -191,13 +191,17 @@
         return names;
     }
 
-    /** An answer that came at {@code now} to what was asked at {@code storeRequested}. */
+    /** An answer that came at {@code now} to what was asked at {@code requestedAt}. */
     void onResponse(
-            long now, long requestedAt, String from, boolean grants, List<String> withdrawnGrants) {
+            long now,
+            long requestedAt,
+            String from,
+            boolean grantsQuota,
+            List<String> withdrawnGrants) {
         long until =
                 (defect == InjectedDefect.GRANT_TIMED_FROM_RESPONSE ? now : requestedAt)
                         + grantDuration;
-        if (grants) {
+        if (grantsQuota) {
             grantExpiries.merge(from, until, Math::max);
         }
         for (String name : withdrawnGrants) {
@@ -220,26 +224,27 @@
         shareUntil = Long.MAX_VALUE;
         grantExpiries.values().removeIf(until -> until <= now);
         grantExpiries.values().forEach(until -> shareUntil = Math.min(shareUntil, until));
-        double base = fullShare;
+        double fullShareOfEngine = fullShare;
         // Its own word counts for itself, and is never withdrawn.
         boolean fullShareGranted = grantExpiries.size() + 1 >= quorum;
-        share = base * (fullShareGranted ? 1 : GUARANTEED_FRACTION);
+        share = fullShareOfEngine * (fullShareGranted ? 1 : GUARANTEED_FRACTION);
         if (fullShareGranted) {
             withdrawalExpiries.forEach(
-                    (name, by) -> {
-                        by.values().removeIf(until -> until <= now);
-                        by.values().forEach(until -> shareUntil = Math.min(shareUntil, until));
-                        PeerGrant mine = peers.get(name);
+                    (name, expiries) -> {
+                        expiries.values().removeIf(until -> until <= now);
+                        expiries.values()
+                                .forEach(until -> shareUntil = Math.min(shareUntil, until));
+                        PeerGrant peer = peers.get(name);
                         boolean withdrawnByThisManager =
-                                mine != null
-                                        && mine.unreachable
-                                        && now - mine.withdrawnAt < grantDuration;
+                                peer != null
+                                        && peer.unreachable
+                                        && now - peer.withdrawnAt < grantDuration;
                         if (withdrawnByThisManager) {
-                            shareUntil = Math.min(shareUntil, mine.withdrawnAt + grantDuration);
+                            shareUntil = Math.min(shareUntil, peer.withdrawnAt + grantDuration);
                         }
-                        if (by.size() + (withdrawnByThisManager ? 1 : 0)
+                        if (expiries.size() + (withdrawnByThisManager ? 1 : 0)
                                 >= (defect == InjectedDefect.MINORITY_SUFFICES ? 1 : majority)) {
-                            share += base * (1 - GUARANTEED_FRACTION) / (managers - 1);
+                            share += fullShareOfEngine * (1 - GUARANTEED_FRACTION) / (managers - 1);
                         }
                     });
             withdrawalExpiries.values().removeIf(Map::isEmpty);
--- a/src/main/java/firstage/overload/BroadcastLoadShedding.java
+++ b/src/main/java/firstage/overload/BroadcastLoadShedding.java
@@ -66,7 +66,7 @@
     private void updateView() {
         alivePeers = lastHeardAt.size();
         List<String> names = new ArrayList<>(List.of(String.valueOf(self)));
-        lastHeardAt.keySet().forEach(by -> names.add(String.valueOf(by)));
+        lastHeardAt.keySet().forEach(manager -> names.add(String.valueOf(manager)));
         level.onViewChanged(names);
     }
 
--- a/src/main/java/firstage/overload/LoadSheddingLevel.java
+++ b/src/main/java/firstage/overload/LoadSheddingLevel.java
@@ -208,10 +208,10 @@
     }
 
     /** What it sees of the zones, to be told with the rest. */
-    public void setZoneObservations(int ownZone, int[] badByZone, int[] ordersOfZones) {
+    public void setZoneObservations(int ownZone, int[] ejectedPercentByZone, int[] ordersByZone) {
         zone = ownZone;
-        ejectedPercent = badByZone;
-        zoneOrders = ordersOfZones;
+        ejectedPercent = ejectedPercentByZone;
+        zoneOrders = ordersByZone;
     }
 
     /** All fresh rows, its own first. */
@@ -225,48 +225,58 @@
     public void evaluate(long now) {
         List<LoadRow> rows = freshRows(now);
         // Who is here and not heard is taken to be as the others are.
-        double whole = Math.max(1, (double) view.size() / rows.size());
-        double sends = rows.stream().mapToDouble(LoadRow::startRate).sum();
-        double delay =
+        double unheardFactor = Math.max(1, (double) view.size() / rows.size());
+        double totalStartRate = rows.stream().mapToDouble(LoadRow::startRate).sum();
+        double queueDelayS =
                 defect == InjectedDefect.WAITS_UNSEEN
                         ? 0
-                        : limited(rows, LoadRow::queuedWork).sum() / Math.max(0.01, sends);
+                        : limited(rows, LoadRow::queuedWork).sum() / Math.max(0.01, totalStartRate);
         double busy =
-                limited(rows, LoadRow::runningThreads).sum() * whole / Math.max(1, threadCapacity);
-        ToDoubleFunction<LoadRow> asks = row -> Arrays.stream(row.arrivalRates()).sum();
-        double[] all = rows.stream().mapToDouble(asks).toArray();
-        double[] wants = limited(rows, asks).toArray();
-        double byDelay =
-                delay <= targetDelayS
-                        ? MAX_GROWTH * (1 - delay / targetDelayS)
-                        : (targetDelayS - delay) / DRAIN_TIME_S;
-        double step =
+                limited(rows, LoadRow::runningThreads).sum()
+                        * unheardFactor
+                        / Math.max(1, threadCapacity);
+        ToDoubleFunction<LoadRow> totalArrivalRate = row -> Arrays.stream(row.arrivalRates()).sum();
+        double[] rates = rows.stream().mapToDouble(totalArrivalRate).toArray();
+        double[] limitedRates = limited(rows, totalArrivalRate).toArray();
+        double changeByDelay =
+                queueDelayS <= targetDelayS
+                        ? MAX_GROWTH * (1 - queueDelayS / targetDelayS)
+                        : (targetDelayS - queueDelayS) / DRAIN_TIME_S;
+        double change =
                 Math.max(
                         -MAX_REDUCTION,
                         busy > BUSY_THRESHOLD
-                                ? Math.min(byDelay, (BUSY_THRESHOLD - busy) * REDUCTION_PER_BUSY)
-                                : byDelay);
-        double left =
-                sends * (1 + (defect == InjectedDefect.NO_WAY_BACK ? Math.min(0, step) : step));
+                                ? Math.min(
+                                        changeByDelay, (BUSY_THRESHOLD - busy) * REDUCTION_PER_BUSY)
+                                : changeByDelay);
+        double remainingRate =
+                totalStartRate
+                        * (1
+                                + (defect == InjectedDefect.NO_WAY_BACK
+                                        ? Math.min(0, change)
+                                        : change));
         int band = DemandHistogram.BANDS;
-        double asked = 0;
-        while (band > 0 && left >= 0) {
+        double bandRate = 0;
+        while (band > 0 && remainingRate >= 0) {
             band--;
-            asked = 0;
-            for (int r = 0; r < wants.length; r++) {
-                asked += all[r] > 0 ? rows.get(r).arrivalRates()[band] * wants[r] / all[r] : 0;
+            bandRate = 0;
+            for (int r = 0; r < limitedRates.length; r++) {
+                bandRate +=
+                        rates[r] > 0
+                                ? rows.get(r).arrivalRates()[band] * limitedRates[r] / rates[r]
+                                : 0;
             }
-            left -= asked;
+            remainingRate -= bandRate;
         }
-        boolean open =
-                left >= 0
+        boolean admitAll =
+                remainingRate >= 0
                         || rows.size() < 2 && view.size() > 1 && defect != InjectedDefect.NO_PEERS;
-        apply(now, open ? 0 : band, open ? 1 : 1 + left / asked);
+        apply(now, admitAll ? 0 : band, admitAll ? 1 : 1 + remainingRate / bandRate);
     }
 
-    private void apply(long now, int nextCut, double nextPart) {
-        if (nextCut != threshold || nextPart != admittedPart) {
-            threshold = nextCut;
+    private void apply(long now, int nextThreshold, double nextPart) {
+        if (nextThreshold != threshold || nextPart != admittedPart) {
+            threshold = nextThreshold;
             admittedPart = nextPart;
             actions.setThreshold(now, threshold, admittedPart);
         }
@@ -278,11 +288,19 @@
      * claims to send only makes it refuse less.
      */
     private DoubleStream limited(List<LoadRow> rows, ToDoubleFunction<LoadRow> figure) {
-        double all = rows.stream().mapToDouble(figure).sum();
-        boolean free = defect == InjectedDefect.NO_LIMIT || rows.size() < 2;
+        double total = rows.stream().mapToDouble(figure).sum();
+        boolean unlimited = defect == InjectedDefect.NO_LIMIT || rows.size() < 2;
         return rows.stream()
                 .mapToDouble(figure)
-                .map(f -> free ? f : Math.min(f, MAX_ROW_WEIGHT * (all - f) / (rows.size() - 1)));
+                .map(
+                        value ->
+                                unlimited
+                                        ? value
+                                        : Math.min(
+                                                value,
+                                                MAX_ROW_WEIGHT
+                                                        * (total - value)
+                                                        / (rows.size() - 1)));
     }
 
     /** The band below which all is refused; 0 where nothing is. */
--- a/src/main/java/firstage/overload/ProbeCoordinator.java
+++ b/src/main/java/firstage/overload/ProbeCoordinator.java
@@ -90,7 +90,7 @@
     private record ReceivedReport(EngineReport report, long receivedAt) {}
 
     private static final class EngineProbing {
-        private State state = State.OWN;
+        private State right = State.OWN;
         private boolean ejected;
         private long lastAttemptAt;
         private long lastResponseAt;
@@ -128,12 +128,12 @@
 
     /** What another tells now: it takes the place of all that it told before. */
     public void onReports(long now, String from, List<EngineReport> reports) {
-        Map<Long, ReceivedReport> all = new HashMap<>();
-        reports.forEach(report -> all.put(report.engine(), new ReceivedReport(report, now)));
-        if (all.isEmpty()) {
+        Map<Long, ReceivedReport> received = new HashMap<>();
+        reports.forEach(report -> received.put(report.engine(), new ReceivedReport(report, now)));
+        if (received.isEmpty()) {
             reportsByManager.remove(from);
         } else {
-            reportsByManager.put(from, all);
+            reportsByManager.put(from, received);
         }
     }
 
@@ -143,14 +143,14 @@
      */
     public void updateEngine(
             long now, long engine, boolean ejected, long lastAttemptAt, long lastResponseAt) {
-        EngineProbing state = engines.computeIfAbsent(engine, e -> new EngineProbing());
-        if (state.ejected && !ejected) {
-            state.readmittedAt = now;
-            state.state = State.OWN;
+        EngineProbing engineState = engines.computeIfAbsent(engine, e -> new EngineProbing());
+        if (engineState.ejected && !ejected) {
+            engineState.readmittedAt = now;
+            engineState.right = State.OWN;
         }
-        state.ejected = ejected;
-        state.lastAttemptAt = Math.max(state.lastAttemptAt, lastAttemptAt);
-        state.lastResponseAt = Math.max(state.lastResponseAt, lastResponseAt);
+        engineState.ejected = ejected;
+        engineState.lastAttemptAt = Math.max(engineState.lastAttemptAt, lastAttemptAt);
+        engineState.lastResponseAt = Math.max(engineState.lastResponseAt, lastResponseAt);
     }
 
     /** It is off the list. */
@@ -165,12 +165,15 @@
     public List<EngineReport> localReports(long now) {
         List<EngineReport> reports = new ArrayList<>();
         engines.forEach(
-                (engine, state) -> {
-                    long readmittedAt = Math.max(state.readmittedAt, state.readmissionReportedAt);
-                    if (state.ejected && readmittedAt <= state.lastAttemptAt) {
+                (engine, engineState) -> {
+                    long readmittedAt =
+                            Math.max(engineState.readmittedAt, engineState.readmissionReportedAt);
+                    if (engineState.ejected && readmittedAt <= engineState.lastAttemptAt) {
                         reports.add(
                                 new EngineReport(
-                                        engine, true, Math.max(0, now - state.lastAttemptAt)));
+                                        engine,
+                                        true,
+                                        Math.max(0, now - engineState.lastAttemptAt)));
                     } else if (now - readmittedAt < READMISSION_REPORTED_FOR) {
                         // Passed on by who heard it, too: so it is with all in a few rounds.
                         reports.add(new EngineReport(engine, false, now - readmittedAt));
@@ -180,12 +183,12 @@
         if (reports.size() <= OverloadDigest.MAX_REPORTS) {
             return reports;
         }
-        List<EngineReport> some = new ArrayList<>();
+        List<EngineReport> selected = new ArrayList<>();
         nextReport = (nextReport + OverloadDigest.MAX_REPORTS) % reports.size();
         for (int i = 0; i < OverloadDigest.MAX_REPORTS; i++) {
-            some.add(reports.get((nextReport + i) % reports.size()));
+            selected.add(reports.get((nextReport + i) % reports.size()));
         }
-        return some;
+        return selected;
     }
 
     private boolean isFresh(long now, ReceivedReport received) {
@@ -197,8 +200,8 @@
     public void evaluate(long now) {
         Set<Long> suspects = new HashSet<>();
         engines.forEach(
-                (engine, state) -> {
-                    if (state.ejected || state.state != State.OWN) {
+                (engine, engineState) -> {
+                    if (engineState.ejected || engineState.right != State.OWN) {
                         suspects.add(engine);
                     }
                 });
@@ -212,14 +215,14 @@
                                                 received ->
                                                         suspects.add(received.report.engine())));
         suspects.retainAll(engines.keySet());
-        long others =
+        long ejectedByOthers =
                 suspects.stream()
                         .filter(
                                 e ->
                                         !engines.get(e).ejected
                                                 && reporters(now, e).size() >= reportersNeeded())
                         .count();
-        boolean mostEjected = others > MAX_AVOIDED_FRACTION * engines.size();
+        boolean mostEjected = ejectedByOthers > MAX_AVOIDED_FRACTION * engines.size();
         suspects.forEach(engine -> evaluate(now, engine, engines.get(engine), mostEjected));
     }
 
@@ -231,26 +234,30 @@
     private List<String> reporters(long now, long engine) {
         List<String> reporters = new ArrayList<>();
         reportsByManager.forEach(
-                (name, reports) -> {
+                (manager, reports) -> {
                     ReceivedReport received = reports.get(engine);
                     if (received != null && isFresh(now, received) && received.report.ejected()) {
-                        reporters.add(name);
+                        reporters.add(manager);
                     }
                 });
         return reporters;
     }
 
-    private void evaluate(long now, long engine, EngineProbing state, boolean mostEjected) {
+    private void evaluate(long now, long engine, EngineProbing engineState, boolean mostEjected) {
         List<String> reporters = reporters(now, engine);
-        List<String> ready =
+        List<String> probingReporters =
                 new ArrayList<>(
                         reporters.stream()
                                 .filter(
-                                        n ->
-                                                reportsByManager.get(n).get(engine).report.age()
+                                        manager ->
+                                                reportsByManager
+                                                                        .get(manager)
+                                                                        .get(engine)
+                                                                        .report
+                                                                        .age()
                                                                 + now
                                                                 - reportsByManager
-                                                                        .get(n)
+                                                                        .get(manager)
                                                                         .get(engine)
                                                                         .receivedAt
                                                         < OWNER_IDLE_TIMEOUT)
@@ -263,45 +270,46 @@
                             if (received != null
                                     && isFresh(now, received)
                                     && !received.report.ejected()) {
-                                state.readmissionReportedAt =
+                                engineState.readmissionReportedAt =
                                         Math.max(
-                                                state.readmissionReportedAt,
+                                                engineState.readmissionReportedAt,
                                                 received.receivedAt - received.report.age());
                             }
                         });
-        if (state.ejected) {
+        if (engineState.ejected) {
             reporters.add(self);
-            if (now - state.lastAttemptAt < OWNER_IDLE_TIMEOUT) {
-                ready.add(self);
+            if (now - engineState.lastAttemptAt < OWNER_IDLE_TIMEOUT) {
+                probingReporters.add(self);
             }
         }
         // Held closed by others only: our own fresh news, or a sickness of most engines, is better
         // than their word.
         boolean shared =
-                now >= state.independentUntil
+                now >= engineState.independentUntil
                                 && reporters.size() >= reportersNeeded()
-                                && (state.ejected
+                                && (engineState.ejected
                                         || !mostEjected
-                                                && now - state.lastResponseAt > RECENT_RESPONSE)
+                                                && now - engineState.lastResponseAt
+                                                        > RECENT_RESPONSE)
                         || defect == InjectedDefect.ALONE_IS_SHARED;
         boolean owner =
-                state.ejected
+                engineState.ejected
                         && defect != InjectedDefect.ALONE_IS_SHARED
                         && (defect == InjectedDefect.ALL_OWN
-                                || (ready.isEmpty() ? reporters : ready)
+                                || (probingReporters.isEmpty() ? reporters : probingReporters)
                                         .stream()
                                                 .max(
                                                         Comparator.comparingLong(
-                                                                n ->
+                                                                manager ->
                                                                         RendezvousHash.rank(
-                                                                                engine, n)))
+                                                                                engine, manager)))
                                                 .orElse(self)
                                                 .equals(self));
         // What was opened before this manager last tried it in vain says nothing.
-        boolean readmitted = state.readmissionReportedAt > state.lastAttemptAt;
+        boolean readmitted = engineState.readmissionReportedAt > engineState.lastAttemptAt;
         Event event =
-                readmitted && state.state != State.OWN
-                        ? state.state == State.RETURNING && now >= state.stepAt
+                readmitted && engineState.right != State.OWN
+                        ? engineState.right == State.RETURNING && now >= engineState.stepAt
                                 ? Event.STEP_DUE
                                 : Event.READMITTED
                         : !shared
@@ -309,36 +317,42 @@
                                 : owner
                                         ? Event.PROBE_OWNER
                                         : readmitted ? null : Event.PROBED_BY_OTHER;
-        for (Transition row : TRANSITIONS) {
-            if (row.state == state.state && row.event == event && row.next != state.state) {
-                state.state = row.next;
-                if (state.state == State.RETURNING) {
+        for (Transition transition : TRANSITIONS) {
+            if (transition.state == engineState.right
+                    && transition.event == event
+                    && transition.next != engineState.right) {
+                engineState.right = transition.next;
+                if (engineState.right == State.RETURNING) {
                     // Those before this one in the order of the engine, doubled with each step.
-                    long before = RendezvousHash.countBefore(engine, view, self);
+                    long managersBefore = RendezvousHash.countBefore(engine, view, self);
                     int step =
                             defect == InjectedDefect.ALL_AT_ONCE
                                     ? 0
-                                    : Long.SIZE - Long.numberOfLeadingZeros(before + 1) - 1;
-                    state.stepAt = now + step * RETURN_STEP;
+                                    : Long.SIZE - Long.numberOfLeadingZeros(managersBefore + 1) - 1;
+                    engineState.stepAt = now + step * RETURN_STEP;
                 }
                 // Whoever was led back looks for itself first: what the others tell may be from
                 // before.
-                state.independentUntil =
+                engineState.independentUntil =
                         event == Event.STEP_DUE
                                 ? now + INDEPENDENT_AFTER_RETURN
-                                : state.independentUntil;
+                                : engineState.independentUntil;
                 actions.setProbedByOthers(
-                        engine, state.state != State.OWN, event == Event.STEP_DUE);
+                        engine, engineState.right != State.OWN, event == Event.STEP_DUE);
                 return;
             }
         }
-        if (event == Event.PROBE_OWNER && shared && now - state.lastAttemptAt >= PROBE_INTERVAL) {
+        if (event == Event.PROBE_OWNER
+                && shared
+                && now - engineState.lastAttemptAt >= PROBE_INTERVAL) {
             actions.setProbedByOthers(engine, false, true);
         }
     }
 
     /** How many engines' trials are withheld from this manager. */
     public long withheldCount() {
-        return engines.values().stream().filter(state -> state.state != State.OWN).count();
+        return engines.values().stream()
+                .filter(engineState -> engineState.right != State.OWN)
+                .count();
     }
 }
--- a/src/main/java/firstage/overload/RendezvousHash.java
+++ b/src/main/java/firstage/overload/RendezvousHash.java
@@ -17,7 +17,7 @@
 
     /** How many of these come before this one. */
     public static long countBefore(long thing, Collection<String> names, String self) {
-        long mine = rank(thing, self);
-        return names.stream().filter(n -> rank(thing, n) > mine).count();
+        long ownRank = rank(thing, self);
+        return names.stream().filter(name -> rank(thing, name) > ownRank).count();
     }
 }
--- a/src/main/java/firstage/server/PeerFleetControl.java
+++ b/src/main/java/firstage/server/PeerFleetControl.java
@@ -89,12 +89,12 @@
     @Override
     public List<DiscoveredEndpoint> served(
             EndpointUpdate.Kind kind, List<DiscoveredEndpoint> endpoints) {
-        return membership.served(kind, endpoints);
+        return membership.usableEndpoints(kind, endpoints);
     }
 
     @Override
     public double warmUpShare(DiscoveredEndpoint endpoint) {
-        return membership.coldPart(endpoint);
+        return membership.warmUpShare(endpoint);
     }
 
     @Override
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -118,7 +118,7 @@
     public MembershipTransport(
             PeerConfig config,
             ManagerConfig managerConfig,
-            long started,
+            long startedAtUnixMs,
             XnioIoThread io,
             TickClock clock,
             Counters counters,
@@ -175,7 +175,7 @@
                                 cellConfig.slot(),
                                 config.name(),
                                 config.fleet(),
-                                started,
+                                startedAtUnixMs,
                                 randomFactory.create(~seed),
                                 this,
                                 CellDirectory.InjectedDefect.NONE);
@@ -185,8 +185,8 @@
                         : new EngineSubset<>(
                                 cells,
                                 DiscoveredEndpoint::id,
-                                e -> zoneName(e.zone()),
-                                e -> e.lifecycle() == EndpointUpdate.Lifecycle.GONE);
+                                endpoint -> zoneName(endpoint.zone()),
+                                endpoint -> endpoint.lifecycle() == EndpointUpdate.Lifecycle.GONE);
         if (cellConfig != null) {
             cellConfig.addressesByCell().forEach(otherCellAddresses::addAll);
             otherCellAddresses.removeAll(config.peerAddresses());
@@ -208,7 +208,7 @@
                         new Member(
                                 config.name(),
                                 config.zone(),
-                                started,
+                                startedAtUnixMs,
                                 MemberState.ALIVE,
                                 version == null ? "" : version,
                                 config.weight()),
@@ -226,7 +226,7 @@
     }
 
     /** Of an event of the list what this manager may use; all of it where the fleet is one. */
-    public List<DiscoveredEndpoint> served(
+    public List<DiscoveredEndpoint> usableEndpoints(
             EndpointUpdate.Kind kind, List<DiscoveredEndpoint> entries) {
         return engineSubset == null
                 ? entries
@@ -237,8 +237,8 @@
      * Of what an engine bears while it is cold, this manager's part; 0, by the settings, where the
      * fleet is one.
      */
-    public double coldPart(DiscoveredEndpoint e) {
-        return cells == null ? 0 : cells.warmUpShare(e.id(), zoneName(e.zone()));
+    public double warmUpShare(DiscoveredEndpoint endpoint) {
+        return cells == null ? 0 : cells.warmUpShare(endpoint.id(), zoneName(endpoint.zone()));
     }
 
     /** Listens. */
@@ -323,31 +323,31 @@
         try {
             for (int i = 0; i < MAX_DATAGRAMS_PER_READ; i++) {
                 receiveBuffer.clear();
-                int n = channel.receiveFrom(senderAddress, receiveBuffer);
-                if (n <= 0) {
+                int length = channel.receiveFrom(senderAddress, receiveBuffer);
+                if (length <= 0) {
                     return;
                 }
                 receiveBuffer.flip();
                 byte[] bytes = new byte[receiveBuffer.remaining()];
                 receiveBuffer.get(bytes);
-                InetSocketAddress source = senderAddress.getSourceAddress(InetSocketAddress.class);
-                Integer seed = addressIndex.get(source);
-                if (seed != null) {
-                    currentSender = seed;
-                    protocol.onDatagram(clock.now(), seed, bytes);
-                } else if (otherCellAddresses.contains(source)) {
+                InetSocketAddress sender = senderAddress.getSourceAddress(InetSocketAddress.class);
+                Integer address = addressIndex.get(sender);
+                if (address != null) {
+                    currentSender = address;
+                    protocol.onDatagram(clock.now(), address, bytes);
+                } else if (otherCellAddresses.contains(sender)) {
                     cells.onDatagram(clock.now(), bytes);
-                } else if (source.getAddress().isLoopbackAddress()
+                } else if (sender.getAddress().isLoopbackAddress()
                         && Arrays.equals(
                                 bytes, STATUS_REQUEST.getBytes(StandardCharsets.US_ASCII))) {
                     channel.sendTo(
-                            source, ByteBuffer.wrap(statusJson().getBytes(StandardCharsets.UTF_8)));
-                } else if (source.getAddress().isLoopbackAddress()
+                            sender, ByteBuffer.wrap(statusJson().getBytes(StandardCharsets.UTF_8)));
+                } else if (sender.getAddress().isLoopbackAddress()
                         && new String(bytes, StandardCharsets.UTF_8)
                                 .startsWith(ZONE_ORDER_PREFIX + " ")) {
                     String answer = applyZoneOrder(bytes) ? statusJson() : ZONE_ORDER_REJECTED;
                     channel.sendTo(
-                            source, ByteBuffer.wrap(answer.getBytes(StandardCharsets.UTF_8)));
+                            sender, ByteBuffer.wrap(answer.getBytes(StandardCharsets.UTF_8)));
                 } else {
                     counters.count("datagrams from nobody");
                 }
@@ -400,35 +400,38 @@
                     "zones ordered",
                     fleetCoordinator.zoneOrders().entrySet().stream()
                             .map(
-                                    e ->
-                                            zoneNames.get(e.getKey())
+                                    member ->
+                                            zoneNames.get(member.getKey())
                                                     + " "
-                                                    + e.getValue().name().toLowerCase(Locale.ROOT))
+                                                    + member.getValue()
+                                                            .name()
+                                                            .toLowerCase(Locale.ROOT))
                             .collect(Collectors.joining(" ")));
             if (cells != null) {
                 writeCells(out, now);
             }
             out.writeArrayFieldStart("members");
-            for (Member e : protocol.members()) {
+            for (Member member : protocol.members()) {
                 out.writeStartObject();
-                out.writeStringField("name", e.name());
-                out.writeStringField("zone", e.zone());
-                out.writeStringField("standing", standingOnWire(e.state()));
-                out.writeNumberField("since", e.incarnation());
-                out.writeStringField("version", e.version());
-                out.writeNumberField("weight", e.weight());
+                out.writeStringField("name", member.name());
+                out.writeStringField("zone", member.zone());
+                out.writeStringField("standing", standingOnWire(member.state()));
+                out.writeNumberField("since", member.incarnation());
+                out.writeStringField("version", member.version());
+                out.writeNumberField("weight", member.weight());
                 out.writeStringField(
                         "link",
-                        e.name().equals(config.name())
+                        member.name().equals(config.name())
                                 ? "self"
-                                : protocol.linkState(now, e.name()));
-                out.writeBooleanField("in view", protocol.view().memberNames().contains(e.name()));
+                                : protocol.linkState(now, member.name()));
+                out.writeBooleanField(
+                        "in view", protocol.view().memberNames().contains(member.name()));
                 out.writeEndObject();
             }
             out.writeEndArray();
             out.writeObjectFieldStart("refused");
-            for (Map.Entry<String, Long> r : protocol.rejectedMessages().entrySet()) {
-                out.writeNumberField(r.getKey(), r.getValue());
+            for (Map.Entry<String, Long> rejected : protocol.rejectedMessages().entrySet()) {
+                out.writeNumberField(rejected.getKey(), rejected.getValue());
             }
             out.writeEndObject();
             out.writeEndObject();
@@ -441,14 +444,16 @@
      * datagram.
      */
     private void writeCells(JsonGenerator out, long now) throws IOException {
-        PeerConfig.CellPlacement in = config.cellPlacement();
+        PeerConfig.CellPlacement placement = config.cellPlacement();
         List<CellDirectory.CellStatus> known = cells.cells(now);
-        out.writeStringField("cell", in.plan().cells().get(in.cell()).name());
-        out.writeNumberField("plan", in.plan().number());
+        out.writeStringField("cell", placement.plan().cells().get(placement.cell()).name());
+        out.writeNumberField("plan", placement.plan().number());
         out.writeNumberField("cells", known.size());
         out.writeNumberField(
                 "cells heard",
-                known.stream().filter(k -> k.state() == CellDirectory.CellState.ACTIVE).count());
+                known.stream()
+                        .filter(cell -> cell.state() == CellDirectory.CellState.ACTIVE)
+                        .count());
         out.writeNumberField(
                 "managers here",
                 known.stream().mapToInt(CellDirectory.CellStatus::aliveManagers).sum());
@@ -456,7 +461,7 @@
                 "cells silent",
                 abbreviate(
                         known.stream()
-                                .filter(k -> k.state() == CellDirectory.CellState.SILENT)
+                                .filter(cell -> cell.state() == CellDirectory.CellState.SILENT)
                                 .map(CellDirectory.CellStatus::name)
                                 .toList()));
         out.writeStringField(
@@ -464,18 +469,24 @@
                 abbreviate(
                         known.stream()
                                 .filter(
-                                        k ->
-                                                k.aliveManagers() < k.slots()
-                                                        && k.state()
+                                        cell ->
+                                                cell.aliveManagers() < cell.slots()
+                                                        && cell.state()
                                                                 == CellDirectory.CellState.ACTIVE)
-                                .map(k -> k.name() + ":" + k.aliveManagers() + "/" + k.slots())
+                                .map(
+                                        cell ->
+                                                cell.name()
+                                                        + ":"
+                                                        + cell.aliveManagers()
+                                                        + "/"
+                                                        + cell.slots())
                                 .toList()));
         out.writeStringField(
                 "cells shedding",
                 abbreviate(
                         known.stream()
-                                .filter(k -> k.sheddingThreshold() > 0)
-                                .map(k -> k.name() + ":" + k.sheddingThreshold())
+                                .filter(cell -> cell.sheddingThreshold() > 0)
+                                .map(cell -> cell.name() + ":" + cell.sheddingThreshold())
                                 .toList()));
         out.writeStringField("plan not held by", abbreviate(cells.cellsBehindPlan()));
         out.writeNumberField("engines waited for", engineSubset.awaitedCount());
@@ -504,9 +515,9 @@
     }
 
     @Override
-    public void send(int seed, MembershipMessage.Kind kind, byte[] datagram) {
-        if (config.cellPlacement() == null || seed != config.cellPlacement().slot()) {
-            send(config.peerAddresses().get(seed), datagram);
+    public void send(int address, MembershipMessage.Kind kind, byte[] datagram) {
+        if (config.cellPlacement() == null || address != config.cellPlacement().slot()) {
+            send(config.peerAddresses().get(address), datagram);
         }
     }
 
@@ -559,28 +570,28 @@
     }
 
     @Override
-    public void logMemberEvent(long now, String what, String who, String why) {
+    public void logMemberEvent(long now, String event, String member, String reason) {
         LOG.info(
                 () ->
                         "member {\"is\":\""
-                                + what
+                                + event
                                 + "\",\"name\":\""
-                                + who
+                                + member
                                 + "\",\"why\":\""
-                                + why
+                                + reason
                                 + "\"}");
     }
 
     @Override
-    public void logCellEvent(long now, String what, String cell, String why) {
+    public void logCellEvent(long now, String event, String cell, String reason) {
         LOG.info(
                 () ->
                         "cell {\"is\":\""
-                                + what
+                                + event
                                 + "\",\"name\":\""
                                 + cell
                                 + "\",\"why\":\""
-                                + why
+                                + reason
                                 + "\"}");
     }
 
