--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -123,7 +123,8 @@
         Iterator<EngineConnection> candidates = idle.descendingIterator();
         while (candidates.hasNext()) {
             EngineConnection connection = candidates.next();
-            boolean quietLongEnough = !requireQuiet || clock.now() - connection.idleSince >= QUIET_PERIOD;
+            boolean quietLongEnough =
+                    !requireQuiet || clock.now() - connection.idleSince >= QUIET_PERIOD;
             if (clock.now() >= connection.doubtUntil
                     && connection.quietUntil <= quietBy
                     && quietLongEnough) {
