--- a/src/main/java/firstage/cli/RehearseCommand.java
+++ b/src/main/java/firstage/cli/RehearseCommand.java
@@ -59,7 +59,7 @@
                 throw new IOException("no answer in the rehearsal");
             }
         }
-        server.close();
+        server.shutDown();
     }
 
     private static ManagerConfig config(InetAddress loopback, int port) throws IOException {
--- a/src/main/java/firstage/cli/ServeCommand.java
+++ b/src/main/java/firstage/cli/ServeCommand.java
@@ -84,7 +84,7 @@
         retryWhileTransient(ADDRESS_PATIENCE_MS, () -> startServer(server));
         serving = true;
         if (terminated) {
-            server.close();
+            server.shutDown();
         }
         reloader.start(server, config);
         if (hangUpIgnored) {
@@ -104,7 +104,7 @@
     private void onTerminate(ManagerServer server) {
         terminated = true;
         if (serving) {
-            server.close();
+            server.shutDown();
         }
     }
 
--- a/src/test/java/firstage/lifecycle/ClientCallStateMachineTest.java
+++ b/src/test/java/firstage/lifecycle/ClientCallStateMachineTest.java
@@ -6,159 +6,177 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A client's call, story by story. */
-class ClientCallStateMachineTest implements ClientCallStateMachine.Carrier {
-    private final List<String> acts = new ArrayList<>();
-    private final ClientCallStateMachine life = new ClientCallStateMachine(this);
+/** Single calls of clients, event by event: which actions each causes. */
+class ClientCallStateMachineTest implements ClientCallStateMachine.ClientCallActions {
+    private final List<String> actions = new ArrayList<>();
+    private final ClientCallStateMachine call = new ClientCallStateMachine(this);
 
     @Test
-    void aQuickAnswerGoesOutOnTheFirstCall() {
-        life.start();
-        life.answer();
-        life.due();
-        assertThat(acts).containsExactly("arm 2500", "give", "disarm", "forget");
+    void answer_whileFirstCallHeld_respondsAtOnce() {
+        call.start();
+        call.onAnswerAvailable();
+        call.onTimeout();
+        assertThat(actions).containsExactly("startTimer 2500", "respond", "stopTimer", "release");
     }
 
     @Test
-    void aSlowOneGetsAPathAndIsKeptForACallThatIsMadeAgain() {
-        life.start();
-        life.due();
-        life.asked();
-        life.answer();
-        life.lastBroke();
-        life.asked();
-        life.due();
-        assertThat(acts)
+    void answer_afterPollPath_isKeptForRepeatedPoll() {
+        call.start();
+        call.onTimeout();
+        call.onPoll();
+        call.onAnswerAvailable();
+        call.onLastPollBroken();
+        call.onPoll();
+        call.onTimeout();
+        assertThat(actions)
                 .containsExactly(
-                        "arm 2500",
-                        "path",
-                        "arm 500",
-                        "disarm",
-                        "give",
-                        "arm 20000",
-                        "give",
-                        "arm 20000",
-                        "forget");
+                        "startTimer 2500",
+                        "respondWithPollPath",
+                        "startTimer 500",
+                        "stopTimer",
+                        "respond",
+                        "startTimer 20000",
+                        "respond",
+                        "startTimer 20000",
+                        "release");
     }
 
     @Test
-    void aClientThatClosesWithNoPathGivesUp() {
-        life.start();
-        life.firstBroke();
-        life.answer();
-        assertThat(acts).containsExactly("arm 2500", "close", "disarm", "forget", "left");
+    void firstCallBroken_withoutPollPath_clientGone() {
+        call.start();
+        call.onFirstCallBroken();
+        call.onAnswerAvailable();
+        assertThat(actions)
+                .containsExactly(
+                        "startTimer 2500",
+                        "closeHeldCalls",
+                        "stopTimer",
+                        "release",
+                        "markClientGone");
     }
 
     @Test
-    void aPathThatNobodyAsksAtIsGivenUpAndAnAnswerThatIsThereIsNot() {
-        life.start();
-        life.due();
-        life.due();
-        assertThat(acts).containsExactly("arm 2500", "path", "arm 500", "arm 19500", "away");
-        life.due();
-        assertThat(acts).endsWith("forget", "left");
-        acts.clear();
+    void poll_neverMade_clientGoneUnlessAnswerReady() {
+        call.start();
+        call.onTimeout();
+        call.onTimeout();
+        assertThat(actions)
+                .containsExactly(
+                        "startTimer 2500",
+                        "respondWithPollPath",
+                        "startTimer 500",
+                        "startTimer 19500",
+                        "markClientAbsent");
+        call.onTimeout();
+        assertThat(actions).endsWith("release", "markClientGone");
+        actions.clear();
         ClientCallStateMachine other = new ClientCallStateMachine(this);
         other.start();
-        other.due();
-        other.answer();
-        assertThat(other.settled()).isFalse();
-        other.due();
-        assertThat(acts).endsWith("forget").doesNotContain("left", "give");
+        other.onTimeout();
+        other.onAnswerAvailable();
+        assertThat(other.isSettled()).isFalse();
+        other.onTimeout();
+        assertThat(actions).endsWith("release").doesNotContain("markClientGone", "respond");
     }
 
     @Test
-    void aCallAtThePathThatBreaksMayBeMadeAgain() {
-        life.start();
-        life.due();
-        life.asked();
-        life.lastBroke();
-        life.asked();
-        life.answer();
-        assertThat(acts).contains("give").doesNotContain("left");
+    void pollBroken_polledAgain_responds() {
+        call.start();
+        call.onTimeout();
+        call.onPoll();
+        call.onLastPollBroken();
+        call.onPoll();
+        call.onAnswerAvailable();
+        assertThat(actions).contains("respond").doesNotContain("markClientGone");
     }
 
     @Test
-    void aClientThatDoesNotCallAgainIsAwayAndOneThatDoesIsBack() {
-        life.start();
-        life.due();
-        life.asked();
-        acts.clear();
-        life.lastBroke();
-        life.asked();
-        assertThat(acts).containsExactly("arm 20000", "away", "disarm", "back");
-        life.lastBroke();
-        life.answer();
-        life.asked();
-        assertThat(acts).endsWith("away", "arm 20000", "give", "arm 20000").doesNotContain("left");
+    void pollBroken_thenPolled_clientAbsentThenPresent() {
+        call.start();
+        call.onTimeout();
+        call.onPoll();
+        actions.clear();
+        call.onLastPollBroken();
+        call.onPoll();
+        assertThat(actions)
+                .containsExactly(
+                        "startTimer 20000", "markClientAbsent", "stopTimer", "markClientPresent");
+        call.onLastPollBroken();
+        call.onAnswerAvailable();
+        call.onPoll();
+        assertThat(actions)
+                .endsWith("markClientAbsent", "startTimer 20000", "respond", "startTimer 20000")
+                .doesNotContain("markClientGone");
     }
 
     @Test
-    void aClientThatIsAwayAndGivesUpIsOwedNothing() {
-        life.start();
-        life.due();
-        life.due();
-        life.gaveUp();
-        assertThat(acts).endsWith("away", "disarm", "forget", "left");
+    void cancel_clientAbsent_clientGone() {
+        call.start();
+        call.onTimeout();
+        call.onTimeout();
+        call.onClientCancelled();
+        assertThat(actions).endsWith("markClientAbsent", "stopTimer", "release", "markClientGone");
     }
 
     @Test
-    void aClientThatGivesUpIsOwedNothingMore() {
-        life.start();
-        life.due();
-        life.asked();
-        life.gaveUp();
-        life.answer();
-        assertThat(acts).endsWith("fail", "forget", "left").doesNotContain("give");
+    void cancel_pollHeld_failsHeldCalls() {
+        call.start();
+        call.onTimeout();
+        call.onPoll();
+        call.onClientCancelled();
+        call.onAnswerAvailable();
+        assertThat(actions)
+                .endsWith("failHeldCalls", "release", "markClientGone")
+                .doesNotContain("respond");
     }
 
     @Override
-    public void givePath() {
-        acts.add("path");
+    public void respondWithPollPath() {
+        actions.add("respondWithPollPath");
     }
 
     @Override
-    public void give() {
-        acts.add("give");
+    public void respond() {
+        actions.add("respond");
     }
 
     @Override
-    public void arm(long delay) {
-        acts.add("arm " + delay);
+    public void startTimer(long delay) {
+        actions.add("startTimer " + delay);
     }
 
     @Override
-    public void disarm() {
-        acts.add("disarm");
+    public void stopTimer() {
+        actions.add("stopTimer");
     }
 
     @Override
-    public void failHeld() {
-        acts.add("fail");
+    public void failHeldCalls() {
+        actions.add("failHeldCalls");
     }
 
     @Override
-    public void closeHeld() {
-        acts.add("close");
+    public void closeHeldCalls() {
+        actions.add("closeHeldCalls");
     }
 
     @Override
-    public void away() {
-        acts.add("away");
+    public void markClientAbsent() {
+        actions.add("markClientAbsent");
     }
 
     @Override
-    public void back() {
-        acts.add("back");
+    public void markClientPresent() {
+        actions.add("markClientPresent");
     }
 
     @Override
-    public void left() {
-        acts.add("left");
+    public void markClientGone() {
+        actions.add("markClientGone");
     }
 
     @Override
-    public void forget() {
-        acts.add("forget");
+    public void release() {
+        actions.add("release");
     }
 }
