--- a/Makefile
+++ b/Makefile
@@ -5,7 +5,7 @@
 	mvn -q -DskipTests package
 
 test:
-	mvn -B verify
+	mvn -B -Pstrict verify
 
 lint:
 	mvn -q spotless:check checkstyle:check
