--- a/src/main/java/firstage/cli/FaultTestListCommand.java
+++ b/src/main/java/firstage/cli/FaultTestListCommand.java
@@ -21,7 +21,7 @@
         Path folder = Path.of("deploy", "fault-tests");
         if (!Files.isDirectory(folder)) {
             throw new InvalidPlanException(
-                    0, folder + " does not exist; call it from the program's root");
+                    folder + " does not exist; call it from the program's root");
         }
         List<Path> plans = new ArrayList<>();
         try (Stream<Path> files = Files.list(folder)) {
--- a/src/main/java/firstage/cli/FaultTestRunCommand.java
+++ b/src/main/java/firstage/cli/FaultTestRunCommand.java
@@ -96,21 +96,20 @@
     private FleetPlan plan() throws IOException {
         if (managers != null && (managers < 1 || managers > MAX_MANAGERS)) {
             throw new InvalidPlanException(
-                    0, "--managers " + managers + " is impossible; 1 to 100 would do");
+                    "--managers " + managers + " is impossible; 1 to 100 would do");
         }
         try {
             FleetPlan plan = FleetPlanReader.read(planText());
             FaultTestRun.check(plan);
             if (plan.cells() != null && !peers) {
                 throw new InvalidPlanException(
-                        0, " managers.cell: cells are told with the peers; --peers would do");
+                        " managers.cell: cells are told with the peers; --peers would do");
             }
             return plan;
         } catch (NoSuchFileException fault) {
-            throw new InvalidPlanException(
-                    0, file + " does not exist; fault-test list names plans");
+            throw new InvalidPlanException(file + " does not exist; fault-test list names plans");
         } catch (InvalidPlanException fault) {
-            throw new InvalidPlanException(0, file + ":" + fault.getMessage());
+            throw fault.inFile(file.toString());
         }
     }
 
--- a/src/main/java/firstage/cli/FaultTestShowCommand.java
+++ b/src/main/java/firstage/cli/FaultTestShowCommand.java
@@ -51,7 +51,7 @@
         Path file = folder.resolve("timeline.jsonl");
         if (!Files.exists(file)) {
             throw new InvalidPlanException(
-                    0, file + " does not exist; name the folder that fault-test run printed");
+                    file + " does not exist; name the folder that fault-test run printed");
         }
         int shown = 0;
         for (String line : Files.readAllLines(file)) {
@@ -62,7 +62,7 @@
             }
         }
         if (shown == 0) {
-            throw new InvalidPlanException(0, "nothing of that kind in " + file);
+            throw new InvalidPlanException("nothing of that kind in " + file);
         }
         return 0;
     }
--- a/src/main/java/firstage/cli/FleetCompareCommand.java
+++ b/src/main/java/firstage/cli/FleetCompareCommand.java
@@ -34,7 +34,7 @@
         FleetPlan plan = plan();
         if (seeds() < 2) {
             throw new InvalidPlanException(
-                    0, "--seeds " + seeds() + " is too few to compare; 2 or more would do");
+                    "--seeds " + seeds() + " is too few to compare; 2 or more would do");
         }
         List<SimulationResult> results =
                 play(plan, List.of(PolicyUnderTest.of(left), PolicyUnderTest.of(right)));
--- a/src/main/java/firstage/cli/FleetOptions.java
+++ b/src/main/java/firstage/cli/FleetOptions.java
@@ -41,14 +41,14 @@
     FleetPlan plan() throws IOException {
         if (seeds < 1) {
             throw new InvalidPlanException(
-                    0, "--seeds " + seeds + " is impossible; 1 or more would do");
+                    "--seeds " + seeds + " is impossible; 1 or more would do");
         }
         try {
             return FleetPlanReader.read(Files.readString(file));
         } catch (NoSuchFileException fault) {
-            throw new InvalidPlanException(0, file + " does not exist; name a fleet file");
+            throw new InvalidPlanException(file + " does not exist; name a fleet file");
         } catch (InvalidPlanException fault) {
-            throw new InvalidPlanException(0, file + ":" + fault.getMessage());
+            throw fault.inFile(file.toString());
         }
     }
 
--- a/src/main/java/firstage/cli/PeersCommand.java
+++ b/src/main/java/firstage/cli/PeersCommand.java
@@ -6,12 +6,6 @@
 import firstage.config.ManagerConfig;
 import firstage.server.membership.MembershipTransport;
 import java.io.IOException;
-import java.net.DatagramPacket;
-import java.net.DatagramSocket;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.SocketTimeoutException;
-import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.concurrent.Callable;
@@ -33,9 +27,7 @@
             "2:it can't be reached, or the address can't be used"
         })
 final class PeersCommand implements Callable<Integer> {
-    private static final int ANSWER_MS = 400;
-    private static final int TRIES = 5;
-    private static final int MOST = 64 * 1024;
+    private static final int NOT_AGREED_STATUS = 1;
 
     @Parameters(
             index = "0",
@@ -46,85 +38,63 @@
     @Option(names = "--json", description = "the answer as it came")
     private boolean json;
 
+    /** Runs it; the exit code tells whether the manager's view is agreed. */
     static int run(String[] args) {
         return CommandRunner.run(new PeersCommand(), "peers", args);
     }
 
     @Override
     public Integer call() throws IOException {
-        String answer =
-                ask(ManagerConfig.parseAddress(address), MembershipTransport.STATUS_REQUEST);
-        boolean agreed = answer.contains("\"agreed\":true");
+        String status =
+                ManagerClient.request(
+                        ManagerConfig.parseAddress(address), MembershipTransport.STATUS_REQUEST);
+        boolean agreed = status.contains("\"agreed\":true");
         if (json) {
-            System.out.println(answer);
+            System.out.println(status);
         } else {
-            print(answer);
+            print(status);
         }
-        return agreed ? 0 : 1;
+        return agreed ? 0 : NOT_AGREED_STATUS;
     }
 
-    /** Sends it until an answer comes: the manager's view. */
-    static String ask(InetSocketAddress at, String what) throws IOException {
-        if (!at.getAddress().isLoopbackAddress()) {
-            throw new IOException(
-                    at.getAddress().getHostAddress() + " is not on this machine; ask there");
-        }
-        byte[] asked = what.getBytes(StandardCharsets.UTF_8);
-        try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            socket.setSoTimeout(ANSWER_MS);
-            DatagramPacket answer = new DatagramPacket(new byte[MOST], MOST);
-            for (int i = 0; i < TRIES; i++) {
-                socket.send(new DatagramPacket(asked, asked.length, at));
-                try {
-                    socket.receive(answer);
-                    return new String(
-                            answer.getData(), 0, answer.getLength(), StandardCharsets.UTF_8);
-                } catch (SocketTimeoutException again) {
-                    // Datagrams may be lost, and a manager may be busy.
-                }
-            }
-        }
-        throw new IOException(
-                "no answer from "
-                        + at.getAddress().getHostAddress()
-                        + ":"
-                        + at.getPort()
-                        + "; is it up, and started with --peers?");
-    }
-
-    private static void print(String answer) throws IOException {
-        Map<String, String> top = new LinkedHashMap<>();
-        try (JsonParser in = new JsonFactory().createParser(answer)) {
-            in.nextToken();
-            while (in.nextToken() == JsonToken.FIELD_NAME) {
-                String name = in.currentName();
-                JsonToken value = in.nextToken();
+    private static void print(String status) throws IOException {
+        Map<String, String> fields = new LinkedHashMap<>();
+        try (JsonParser parser = new JsonFactory().createParser(status)) {
+            parser.nextToken();
+            while (parser.nextToken() == JsonToken.FIELD_NAME) {
+                String name = parser.currentName();
+                JsonToken value = parser.nextToken();
                 if (value == JsonToken.START_ARRAY) {
-                    System.out.println(top);
-                    System.out.printf(
-                            "%-12s %-10s %-9s %-8s %-8s %-14s %s%n",
-                            "name", "zone", "state", "in view", "link", "since", "version");
-                    while (in.nextToken() == JsonToken.START_OBJECT) {
-                        Map<String, String> m = CommandRunner.fields(in);
-                        System.out.printf(
-                                "%-12s %-10s %-9s %-8s %-8s %-14s %s%n",
-                                m.get("name"),
-                                m.get("zone"),
-                                state(m.get("standing")),
-                                m.get("in view"),
-                                m.get("link"),
-                                m.get("since"),
-                                m.get("version"));
-                    }
+                    System.out.println(fields);
+                    printMembers(parser);
                 } else if (value == JsonToken.START_OBJECT) {
-                    System.out.println(name + ": " + CommandRunner.fields(in));
+                    System.out.println(name + ": " + CommandRunner.fields(parser));
                 } else {
-                    top.put(name, in.getText());
+                    fields.put(name, parser.getText());
                 }
             }
         }
     }
 
+    private static void printMembers(JsonParser parser) throws IOException {
+        printMember("name", "zone", "state", "in view", "link", "since", "version");
+        while (parser.nextToken() == JsonToken.START_OBJECT) {
+            Map<String, String> member = CommandRunner.fields(parser);
+            printMember(
+                    member.get("name"),
+                    member.get("zone"),
+                    state(member.get("standing")),
+                    member.get("in view"),
+                    member.get("link"),
+                    member.get("since"),
+                    member.get("version"));
+        }
+    }
+
+    private static void printMember(String... columns) {
+        System.out.printf("%-12s %-10s %-9s %-8s %-8s %-14s %s%n", (Object[]) columns);
+    }
+
     /** The term for a member's state, by the word of the status answer. */
     private static String state(String standing) {
         return switch (standing) {
--- a/src/main/java/firstage/cli/ScaleChoicesCommand.java
+++ b/src/main/java/firstage/cli/ScaleChoicesCommand.java
@@ -35,7 +35,6 @@
         for (int engineCount : engines) {
             if (isImpossible(engineCount) || isImpossible(managers)) {
                 throw new InvalidPlanException(
-                        0,
                         "--engines "
                                 + engineCount
                                 + ", --managers "
--- a/src/main/java/firstage/cli/ScaleCommand.java
+++ b/src/main/java/firstage/cli/ScaleCommand.java
@@ -44,7 +44,7 @@
         try {
             return ScalePlan.read(text);
         } catch (InvalidPlanException fault) {
-            throw new InvalidPlanException(0, file + ":" + fault.getMessage());
+            throw fault.inFile(file.toString());
         }
     }
 }
--- a/src/main/java/firstage/cli/ScaleRunCommand.java
+++ b/src/main/java/firstage/cli/ScaleRunCommand.java
@@ -83,7 +83,7 @@
         try {
             text = Files.readString(file);
         } catch (NoSuchFileException fault) {
-            throw new InvalidPlanException(0, file + " does not exist; deploy/scale has plans");
+            throw new InvalidPlanException(file + " does not exist; deploy/scale has plans");
         }
         text = withNumber(text, "managers", "hollow", hollow);
         text = withNumber(text, "managers", "real", real);
--- a/src/main/java/firstage/cli/ScaleSlopesCommand.java
+++ b/src/main/java/firstage/cli/ScaleSlopesCommand.java
@@ -108,7 +108,6 @@
                 || cell < 0
                 || cell > 0 && size % cell != 0) {
             throw new InvalidPlanException(
-                    0,
                     "--sizes: "
                             + size
                             + " is impossible; up to 4000, whole cells of "
@@ -117,7 +116,7 @@
         }
         if (region != null && (region < 1 || region > MAX_REGION_MINUTES)) {
             throw new InvalidPlanException(
-                    0, "--region " + region + " is impossible; 1 to 1440 minutes would do");
+                    "--region " + region + " is impossible; 1 to 1440 minutes would do");
         }
     }
 
--- a/src/main/java/firstage/cli/ZonesCommand.java
+++ b/src/main/java/firstage/cli/ZonesCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * {@code zones}: an operator's word on a zone, told to one manager of this machine and by it to
+ * {@code zones}: an operator's order on a zone, sent to one manager of this machine and by it to
  * all.
  */
 @Command(
@@ -23,7 +23,11 @@
             "2:it can't be reached, or knows no such zone"
         })
 final class ZonesCommand implements Callable<Integer> {
-    private enum Wanted {
+    /** The order that takes an earlier one back. */
+    private static final String NO_ORDER = "none";
+
+    /** What an operator may order, as it is typed. */
+    private enum ZoneOrder {
         leave,
         hold,
         health
@@ -39,23 +43,24 @@
             index = "1",
             paramLabel = "leave|hold|health",
             description = "what is wanted: ${COMPLETION-CANDIDATES}")
-    private Wanted wanted;
+    private ZoneOrder wanted;
 
     @Parameters(index = "2", paramLabel = "ZONE", description = "its name in the settings")
     private String zone;
 
+    /** Runs it; the exit code tells whether the manager took the order. */
     static int run(String[] args) {
         return CommandRunner.run(new ZonesCommand(), "zones", args);
     }
 
     @Override
     public Integer call() throws IOException {
-        String order = wanted == Wanted.health ? "none" : wanted.name();
-        String answer =
-                PeersCommand.ask(
+        String order = wanted == ZoneOrder.health ? NO_ORDER : wanted.name();
+        String response =
+                ManagerClient.request(
                         ManagerConfig.parseAddress(address),
                         MembershipTransport.ZONE_ORDER_PREFIX + " " + order + " " + zone);
-        if (answer.equals(MembershipTransport.ZONE_ORDER_REJECTED)) {
+        if (response.equals(MembershipTransport.ZONE_ORDER_REJECTED)) {
             throw new IOException(
                     "the manager at "
                             + address
@@ -64,7 +69,7 @@
                             + "'; see areas in its settings");
         }
         System.out.println(
-                answer.replaceAll(
+                response.replaceAll(
                         ".*(\"zones left\":\"[^\"]*\",\"zones ordered\":\"[^\"]*\").*", "$1"));
         return 0;
     }
--- a/src/main/java/firstage/simulation/PolicyUnderTest.java
+++ b/src/main/java/firstage/simulation/PolicyUnderTest.java
@@ -84,12 +84,12 @@
             // Told below.
         }
         throw new InvalidPlanException(
-                0, "'" + text + "': bounds takes a number above 0, such as scheduler:bounds=4");
+                "'" + text + "': bounds takes a number above 0, such as scheduler:bounds=4");
     }
 
     private static InvalidPlanException unknown(String text) {
         return new InvalidPlanException(
-                0, "'" + text + "' is no choice; there are " + String.join(", ", names()));
+                "'" + text + "' is no choice; there are " + String.join(", ", names()));
     }
 
     /** The choices that {@link #of} knows. */
