--- a/src/test/java/firstage/server/PeersIT.java
+++ b/src/test/java/firstage/server/PeersIT.java
@@ -17,26 +17,23 @@
 /** What a manager without peers loads, and how one ends whose peers file cannot be used. */
 @Timeout(60)
 class PeersIT {
+    private static final String JAR = "target/firstage.jar";
     @TempDir private Path folder;
 
-    private Process java(String... arguments) throws IOException {
-        List<String> command =
-                new ArrayList<>(
-                        List.of(
-                                Path.of(System.getProperty("java.home"), "bin", "java")
-                                        .toString()));
+    /** A Java process with these arguments; what it writes goes to the file {@code out}. */
+    private ProcessBuilder java(String... arguments) {
+        List<String> command = new ArrayList<>();
+        command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(List.of(arguments));
         return new ProcessBuilder(command)
                 .redirectErrorStream(true)
-                .redirectOutput(folder.resolve("out").toFile())
-                .start();
+                .redirectOutput(folder.resolve("out").toFile());
     }
 
     @Test
     void start_withoutPeers_loadsNoFleetControl() throws Exception {
         Path loaded = folder.resolve("loaded");
-        Process process =
-                java("-Xlog:class+load:file=" + loaded, "-jar", "target/firstage.jar", "rehearse");
+        Process process = java("-Xlog:class+load:file=" + loaded, "-jar", JAR, "rehearse").start();
         assertThat(process.waitFor(30, TimeUnit.SECONDS)).isTrue();
         String classes = Files.readString(loaded);
         assertThat(classes)
@@ -70,19 +67,9 @@
                 Files.writeString(
                         folder.resolve("c.json"),
                         "{\"name\":\"m\",\"listen\":\"127.0.0.1:1\",\"settings\":{}}");
-        ProcessBuilder builder =
-                new ProcessBuilder(
-                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                        "-jar",
-                        "target/firstage.jar",
-                        "serve",
-                        "--peers",
-                        peers.toString());
+        ProcessBuilder builder = java("-jar", JAR, "serve", "--peers", peers.toString());
         builder.environment().put("ROUTER_CONFIG", config.toString());
-        Process process =
-                builder.redirectErrorStream(true)
-                        .redirectOutput(folder.resolve("out").toFile())
-                        .start();
+        Process process = builder.start();
         assertThat(process.waitFor(30, TimeUnit.SECONDS)).isTrue();
         assertThat(process.exitValue()).isEqualTo(2);
     }
