--- a/src/main/java/firstage/server/discovery/EndpointParser.java
+++ b/src/main/java/firstage/server/discovery/EndpointParser.java
@@ -4,7 +4,7 @@
 import firstage.config.ManagerConfig;
 import firstage.config.WireFields;
 import firstage.policy.api.EndpointUpdate.Lifecycle;
-import firstage.server.ServerEvents.Listed;
+import firstage.server.ServerEvents.DiscoveredEndpoint;
 import firstage.server.TickClock;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -15,31 +15,31 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the engines of one event, from a frame or from JSON. */
+/** Parses the engines of one event, from a binary frame or from the JSON of a configuration. */
 final class EndpointParser {
-    private static final int SIZE = 27;
-    private static final double THOUSANDTHS = 1_000;
+    private static final int RECORD_BYTES = 27;
+    private static final double WEIGHT_SCALE = 1_000;
     private final TickClock clock;
     private final List<String> zones;
-    private final List<String> kinds;
+    private final List<String> machineTypes;
 
     EndpointParser(TickClock clock, WireFields settings) {
         this.clock = clock;
         zones = Arrays.asList(settings.getString("areas", "").split(","));
-        kinds = Arrays.asList(settings.getString("kinds", "").split(","));
+        machineTypes = Arrays.asList(settings.getString("kinds", "").split(","));
     }
 
-    List<Listed> read(ByteBuffer payload) throws IOException {
-        if (payload.remaining() % SIZE != 0) {
+    List<DiscoveredEndpoint> parse(ByteBuffer payload) throws IOException {
+        if (payload.remaining() % RECORD_BYTES != 0) {
             throw new IOException("a piece of a record");
         }
-        List<Listed> engines = new ArrayList<>();
+        List<DiscoveredEndpoint> endpoints = new ArrayList<>();
         while (payload.hasRemaining()) {
             long id = payload.getInt() & 0xFFFFFFFFL;
             byte[] address = new byte[4];
             payload.get(address);
             int port = payload.getShort() & 0xFFFF;
-            Lifecycle standing =
+            Lifecycle lifecycle =
                     switch (payload.get()) {
                         case 0 -> Lifecycle.ACTIVE;
                         case 1 -> Lifecycle.DRAINING;
@@ -49,47 +49,48 @@
             int zone = payload.get() & 0xFF;
             int kind = payload.get() & 0xFF;
             int cell = payload.getShort() & 0xFFFF;
-            double weight = (payload.getInt() & 0xFFFFFFFFL) / THOUSANDTHS;
+            double weight = (payload.getInt() & 0xFFFFFFFFL) / WEIGHT_SCALE;
             long started = payload.getLong();
-            engines.add(
-                    new Listed(
+            endpoints.add(
+                    new DiscoveredEndpoint(
                             id,
                             new InetSocketAddress(InetAddress.getByAddress(address), port),
                             zone,
                             kind,
                             cell,
-                            standing,
+                            lifecycle,
                             weight,
-                            clock.of(started)));
+                            clock.fromUnixMillis(started)));
         }
-        return engines;
+        return endpoints;
     }
 
-    List<Listed> read(List<?> instances) {
-        List<Listed> engines = new ArrayList<>();
+    List<DiscoveredEndpoint> parse(List<?> instances) {
+        List<DiscoveredEndpoint> endpoints = new ArrayList<>();
         for (Object instance : instances) {
-            WireFields f = new WireFields((Map<?, ?>) instance);
-            Lifecycle standing =
-                    switch (f.getString("lifecycle", "Ready")) {
+            WireFields fields = new WireFields((Map<?, ?>) instance);
+            Lifecycle lifecycle =
+                    switch (fields.getString("lifecycle", "Ready")) {
                         case "Ready" -> Lifecycle.ACTIVE;
                         case "Terminating" -> Lifecycle.DRAINING;
                         default -> Lifecycle.GONE;
                     };
-            engines.add(
-                    new Listed(
-                            id(f.require("instanceId")),
-                            ManagerConfig.parseAddress(f.require("hostPort")),
-                            zones.indexOf(WireFields.escapeCommas(f.getString("zone", ""))),
-                            kinds.indexOf(WireFields.escapeCommas(f.getString("machineType", ""))),
-                            f.getInt("cell", 0),
-                            standing,
-                            f.getDouble("weight", 1),
-                            clock.of(f.getLong("startedAtMs", 0))));
+            endpoints.add(
+                    new DiscoveredEndpoint(
+                            parseEngineId(fields.require("instanceId")),
+                            ManagerConfig.parseAddress(fields.require("hostPort")),
+                            zones.indexOf(WireFields.escapeCommas(fields.getString("zone", ""))),
+                            machineTypes.indexOf(
+                                    WireFields.escapeCommas(fields.getString("machineType", ""))),
+                            fields.getInt("cell", 0),
+                            lifecycle,
+                            fields.getDouble("weight", 1),
+                            clock.fromUnixMillis(fields.getLong("startedAtMs", 0))));
         }
-        return engines;
+        return endpoints;
     }
 
-    private static long id(String text) {
+    private static long parseEngineId(String text) {
         try {
             return Long.parseLong(text.substring(text.indexOf('-') + 1), 16);
         } catch (NumberFormatException fault) {
--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -8,189 +8,166 @@
 import firstage.server.RequestExchange;
 import firstage.server.ServerEvents;
 import firstage.server.TickClock;
+import firstage.util.Ticks;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Set;
 import org.xnio.XnioIoThread;
 
-/** All engines that were listed, by their index. */
+/**
+ * The connections and attempts of all engines that were listed, by the engines' indices. Owned by
+ * the I/O thread.
+ */
 public final class EngineClients {
-    private static final int READ_BUFFER = 16 * 1024;
-    private static final long DEFAULT_KEEPALIVE = 10_000;
-    final XnioIoThread io;
-    final TickClock clock;
-    final Counters counters;
-    final ServerEvents tidings;
-    final ByteBuffer shared = ByteBuffer.allocateDirect(READ_BUFFER);
-    final long connectMs;
-    final long probeMs;
-    final long mostIdle;
-    private final int cap;
-    private int slots;
-    private int lingering;
-    private boolean closing;
-
-    /** By the engine's index. */
-    private final List<EngineConnectionPool> links = new ArrayList<>();
-
-    /** Those with connections, also such as were replaced and are still asked. */
-    private final Set<EngineConnectionPool> connected = new HashSet<>();
-
-    private final List<Integer> out = new ArrayList<>();
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
+    private static final long DEFAULT_KEEP_ALIVE = Ticks.ofSeconds(1);
+
+    private final EngineContext context;
+    private final ConnectionBudget budget;
+    private int lingeringAttempts;
+    private boolean shuttingDown;
+
+    /** By the engine's index; null where it is released. */
+    private final List<EngineConnectionPool> poolsByEngine = new ArrayList<>();
+
+    private final List<Integer> attemptsInFlight = new ArrayList<>();
 
     public EngineClients(
             XnioIoThread io,
             TickClock clock,
             Counters counters,
-            ServerEvents tidings,
-            ManagerConfig assignment) {
-        this.io = io;
-        this.clock = clock;
-        this.counters = counters;
-        this.tidings = tidings;
-        connectMs = Math.max(1, assignment.settings().getTicks("limits.connect_timeout") / 10);
-        probeMs = connectMs;
-        long keepalive = assignment.settings().getTicks("limits.keepalive");
-        mostIdle = (keepalive > 0 ? keepalive : DEFAULT_KEEPALIVE) / 2;
-        cap = assignment.maxEngineConnections();
-    }
-
-    boolean full() {
-        return slots >= cap;
-    }
-
-    /**
-     * Room for one more connection; where there is none, an idle one of another engine gives way.
-     */
-    boolean takeSlot() {
-        if (full() && connected.stream().noneMatch(EngineConnectionPool::closeOldest)) {
-            counters.count("connections not had");
-            return false;
+            ServerEvents events,
+            ManagerConfig config) {
+        long keepAlive = config.settings().getTicks("limits.keepalive");
+        context =
+                new EngineContext(
+                        io,
+                        clock,
+                        counters,
+                        events,
+                        ByteBuffer.allocateDirect(READ_BUFFER_BYTES),
+                        Math.max(1, config.settings().getTicks("limits.connect_timeout") / 10),
+                        (keepAlive > 0 ? keepAlive : DEFAULT_KEEP_ALIVE) / 2);
+        budget = new ConnectionBudget(counters, config.maxEngineConnections());
+    }
+
+    /** An engine was listed, or changed. */
+    public void updateEndpoint(int index, ServerEvents.DiscoveredEndpoint endpoint) {
+        while (poolsByEngine.size() <= index) {
+            poolsByEngine.add(null);
+            attemptsInFlight.add(0);
         }
-        slots++;
-        counters.peak("most connections to engines", slots);
-        return true;
-    }
-
-    void opens(EngineConnectionPool link) {
-        connected.add(link);
-    }
-
-    void freeSlot() {
-        slots--;
-        counters.hold(slots >= 0, "a connection is freed once");
-    }
-
-    public void listed(int index, ServerEvents.Listed e) {
-        while (links.size() <= index) {
-            links.add(null);
-            out.add(0);
-        }
-        EngineConnectionPool link = links.get(index);
-        if (e.standing() != Lifecycle.ACTIVE && link != null) {
-            link.leaving();
+        EngineConnectionPool pool = poolsByEngine.get(index);
+        if (endpoint.lifecycle() != Lifecycle.ACTIVE && pool != null) {
+            pool.markDraining();
         }
-        if (e.standing() == Lifecycle.GONE && link != null) {
-            link.close();
-        } else if (link == null
-                || link.closed()
-                || link.isLeaving() && e.standing() == Lifecycle.ACTIVE
-                || !link.address.equals(e.address())) {
-            if (link != null) {
-                link.close();
+        if (endpoint.lifecycle() == Lifecycle.GONE && pool != null) {
+            pool.close();
+        } else if (pool == null
+                || pool.closed()
+                || pool.isDraining() && endpoint.lifecycle() == Lifecycle.ACTIVE
+                || !pool.address.equals(endpoint.address())) {
+            if (pool != null) {
+                pool.close();
             }
-            links.set(index, new EngineConnectionPool(this, clock, e.address()));
+            poolsByEngine.set(index, new EngineConnectionPool(context, budget, endpoint.address()));
         }
     }
 
-    /** The whole list was told: the others are gone. */
-    public void keepOnly(List<Integer> indices) {
-        for (int i = 0; i < links.size(); i++) {
-            if (links.get(i) != null && !indices.contains(i)) {
+    /** The whole list came: engines that are not in it are gone. */
+    public void retainOnly(List<Integer> indices) {
+        for (int i = 0; i < poolsByEngine.size(); i++) {
+            if (poolsByEngine.get(i) != null && !indices.contains(i)) {
                 // Also what waits for a connection there is not written any more.
-                links.get(i).leaving();
-                links.get(i).close();
+                poolsByEngine.get(i).markDraining();
+                poolsByEngine.get(i).close();
             }
         }
     }
 
-    /** Whether it was ever listed and is not forgotten. */
-    public boolean listed(int index) {
-        return index < links.size() && links.get(index) != null;
+    /** Whether it was ever listed and is not released. */
+    public boolean isKnown(int index) {
+        return index < poolsByEngine.size() && poolsByEngine.get(index) != null;
     }
 
-    /** It left long ago; its connections ended with it. */
-    public void forget(int index) {
-        counters.hold(out.get(index) == 0, "an engine that is forgotten has nothing out");
-        links.set(index, null);
+    /** The engine left long ago; its connections ended with it. */
+    public void removeEngine(int index) {
+        context.counters()
+                .checkInvariant(
+                        attemptsInFlight.get(index) == 0,
+                        "an engine that is released has no attempt in flight");
+        poolsByEngine.set(index, null);
     }
 
     /** How many engines were ever listed at once. */
     public int count() {
-        return links.size();
+        return poolsByEngine.size();
     }
 
-    /** How many dispatches are out at this engine. */
-    public int out(int engine) {
-        return out.get(engine);
+    /** How many attempts are in flight at this engine. */
+    public int attemptsInFlight(int engine) {
+        return attemptsInFlight.get(engine);
     }
 
     /** One of them ended. */
-    public void ended(int engine) {
-        out.set(engine, out.get(engine) - 1);
+    public void onAttemptEnded(int engine) {
+        attemptsInFlight.set(engine, attemptsInFlight.get(engine) - 1);
     }
 
-    void lingers(int more) {
-        lingering += more;
+    void addLingering(int difference) {
+        lingeringAttempts += difference;
     }
 
-    /** Dispatches that are given up and whose end is proven to nobody but their keys. */
-    public int lingering() {
-        return lingering;
+    /** Abandoned attempts that nobody waits for but the next request of their ordering keys. */
+    public int lingeringAttempts() {
+        return lingeringAttempts;
     }
 
-    boolean closing() {
-        return closing;
+    boolean isShuttingDown() {
+        return shuttingDown;
     }
 
-    /** The program ends: nobody waits for proofs any more. */
-    public void closingSoon() {
-        closing = true;
+    /** The program shuts down: attempts end without proof from here on. */
+    public void prepareShutdown() {
+        shuttingDown = true;
     }
 
-    /** Connections taken are those in use, idle, or coming up, and no more than the cap. */
-    public void check() {
-        int held = connected.stream().mapToInt(EngineConnectionPool::held).sum();
-        counters.hold(held == slots && slots <= cap, "connections are in use, idle or coming up");
-        connected.removeIf(link -> link.held() == 0);
+    /** Checks that connections are counted once, and within the limit. */
+    public void checkInvariants() {
+        budget.checkInvariants();
     }
 
-    public RequestExchange.Dispatch dispatch(RequestExchange x, int number, int engine) {
-        out.set(engine, out.get(engine) + 1);
-        return new AttemptRunner(this, links.get(engine), x, number, engine);
+    /** Starts an attempt; it ends by {@link ServerEvents#onAttemptEnded}. */
+    public RequestExchange.AttemptHandle startAttempt(
+            RequestExchange exchange, int number, int engine) {
+        attemptsInFlight.set(engine, attemptsInFlight.get(engine) + 1);
+        return new AttemptRunner(
+                this, context, poolsByEngine.get(engine), exchange, number, engine);
     }
 
+    /** Probes an engine; the answer comes by {@link ServerEvents#onProbeResult}. */
     public void probe(int engine) {
-        counters.count("probes");
-        links.get(engine)
-                .start(
-                        new EngineCall("GET /busy", null, probeMs) {
+        context.counters().count("probes");
+        poolsByEngine
+                .get(engine)
+                .startCall(
+                        new EngineCall(EngineProtocol.probe(), null, context.connectTimeoutMs()) {
                             @Override
-                            void answered(EngineResponse r) {
-                                tidings.probed(
+                            void onResponse(EngineResponse response) {
+                                onProbed(
                                         engine,
-                                        r.status() == 200
+                                        response.status() == 200
                                                 ? AttemptOutcome.SUCCEEDED
                                                 : AttemptOutcome.FAILED,
-                                        report(r));
+                                        EngineProtocol.loadReport(response));
                             }
 
                             @Override
-                            void failed(Failure f) {
-                                boolean unreached = f == Failure.REFUSED || f == Failure.UNREACHED;
-                                tidings.probed(
+                            void onFailure(Failure failure) {
+                                boolean unreached =
+                                        failure == Failure.CONNECTION_REFUSED
+                                                || failure == Failure.CONNECT_TIMEOUT;
+                                onProbed(
                                         engine,
                                         unreached
                                                 ? AttemptOutcome.CONNECT_FAILED
@@ -200,40 +177,17 @@
                         });
     }
 
-    /** The load report of an answer, or null without one. */
-    static LoadReport report(EngineResponse r) {
-        String meter = r.headers().get("x-meter");
-        if (meter == null) {
-            return null;
-        }
-        double[] told = {Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN};
-        for (String pair : meter.split(";")) {
-            String[] parts = pair.split(":", 2);
-            int at =
-                    switch (parts[0].trim()) {
-                        case "active", "inflight" -> 0;
-                        case "waiting", "queue" -> 1;
-                        case "cpu", "util" -> 2;
-                        case "x0" -> 3;
-                        case "x1" -> 4;
-                        default -> -1;
-                    };
-            try {
-                if (at >= 0 && parts.length == 2) {
-                    told[at] = Double.parseDouble(parts[1].trim());
-                }
-            } catch (NumberFormatException fault) {
-                return null;
-            }
-        }
-        return new LoadReport(told[0], told[1], told[2], told[3], told[4]);
+    private void onProbed(int engine, AttemptOutcome outcome, LoadReport report) {
+        context.events().onProbeResult(engine, outcome, report);
     }
 
-    public void sweep() {
-        connected.forEach(EngineConnectionPool::sweep);
+    /** Closes connections that were idle for too long. */
+    public void closeIdleConnections() {
+        budget.closeIdleTooLong();
     }
 
+    /** Closes idle connections now, the others when their calls end. */
     public void close() {
-        List.copyOf(connected).forEach(EngineConnectionPool::close);
+        budget.closeAll();
     }
 }
--- a/src/test/java/firstage/server/CancellationIT.java
+++ b/src/test/java/firstage/server/CancellationIT.java
@@ -99,7 +99,7 @@
         engine.respondWith(call -> waitsFor.equals("retry") ? SHED : SILENCE);
         if (waitsFor.equals("first attempt")) {
             coordinator.publish(2, endpoint(1, engine.port(), DRAINING));
-            manager.awaitLog("event 2");
+            manager.awaitLog("event=2");
         }
         QueryClient client = newClient();
         String path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
@@ -154,7 +154,7 @@
                 QueryClient client = newClient()) {
             coordinator.publish(2, endpoint(2, full.getLocalPort(), READY));
             coordinator.publish(3, endpoint(1, engine.port(), DRAINING));
-            manager.awaitLog("event 3");
+            manager.awaitLog("event=3");
             client.sendGet(client.request(LOOKUP, "", "SELECT 1", 5000).pollPath());
             Thread.sleep(200);
             if (leaves) {
@@ -185,7 +185,7 @@
     @ValueSource(ints = {0, 200, 1_000})
     void waitingRequest_clientReturns_isSentThen(int awayMs) throws Exception {
         coordinator.publish(2, endpoint(1, engine.port(), DRAINING));
-        manager.awaitLog("event 2");
+        manager.awaitLog("event=2");
         String path;
         try (QueryClient client = newClient()) {
             path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
@@ -195,7 +195,7 @@
         Thread.sleep(awayMs);
         ScriptedEngine secondEngine = newEngine();
         coordinator.publish(3, endpoint(2, secondEngine.port(), READY));
-        manager.awaitLog("event 3");
+        manager.awaitLog("event=3");
         try (QueryClient client = newClient()) {
             assertThat(client.get(path).status()).isEqualTo(200);
         }
@@ -208,7 +208,7 @@
     @Test
     void waitingRequest_clientLeftDuringStall_isNotSent() throws Exception {
         coordinator.publish(2, endpoint(1, engine.port(), DRAINING));
-        manager.awaitLog("event 2");
+        manager.awaitLog("event=2");
         ScriptedEngine secondEngine = newEngine();
         List<QueryClient> all = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
--- a/src/test/java/firstage/server/ConnectionsIT.java
+++ b/src/test/java/firstage/server/ConnectionsIT.java
@@ -84,7 +84,7 @@
         ScriptedEngine secondEngine = newEngine();
         coordinator.publish(2, endpoint(2, secondEngine.port(), READY));
         coordinator.publish(3, endpoint(1, engine.port(), DRAINING));
-        manager.awaitLog("event 3");
+        manager.awaitLog("event=3");
         try (QueryClient client = newClient()) {
             assertThat(client.requestToEnd(LOOKUP, "", "SELECT 1", 2000).status()).isEqualTo(200);
         }
--- a/src/test/java/firstage/server/DiscoveryIT.java
+++ b/src/test/java/firstage/server/DiscoveryIT.java
@@ -39,8 +39,8 @@
         assertThat(coordinator.watchStarts().take()).isEqualTo(1L);
         coordinator.setUnresponsive(false);
         coordinator.publish(3, endpoint(1, engine.port(), DRAINING));
-        manager.awaitLog("event 3");
-        assertThat(manager.log()).contains("event 2").doesNotContain("malformed");
+        manager.awaitLog("event=3");
+        assertThat(manager.log()).contains("event=2").doesNotContain("malformed");
         try (QueryClient client = newClient()) {
             assertThat(client.requestToEnd(LOOKUP, "", "SELECT 1", 5000).status()).isEqualTo(200);
         }
@@ -64,7 +64,7 @@
             // A full list removes the engines that it does not name.
             coordinator.setSendingInPieces(false);
             coordinator.publish(3, FULL_LIST, endpoint(3, thirdEngine.port(), READY));
-            manager.awaitLog("event 3");
+            manager.awaitLog("event=3");
             secondEngine.calls().clear();
             assertThat(client.requestToEnd(LOOKUP, "", "SELECT 1", 5000).status()).isEqualTo(200);
         }
--- a/src/test/java/firstage/server/KeyOrderIT.java
+++ b/src/test/java/firstage/server/KeyOrderIT.java
@@ -69,7 +69,7 @@
             engine.awaitCall(GET_STATEMENT);
             coordinator.publish(2, endpoint(2, secondEngine.port(), READY));
         }
-        manager.awaitLog("event 2");
+        manager.awaitLog("event=2");
         try (QueryClient client = newClient()) {
             client.sendRequest(LOAD, orderingKey("7f"), "INSERT INTO sales_3.t", 9000);
             // Well past the 20 ms in which the engine would have got the cancellation; the held
--- a/src/test/java/firstage/server/ReloadIT.java
+++ b/src/test/java/firstage/server/ReloadIT.java
@@ -37,7 +37,7 @@
             next.publishLater(2, CHANGE, endpoint(2, secondEngine.port(), READY));
             next.publishLater(3, CHANGE, endpoint(1, engine.port(), DRAINING));
             manager.reload(configWithCoordinator(next.port()));
-            manager.awaitLog("event 3");
+            manager.awaitLog("event=3");
             for (int i = 0; i < 10; i++) {
                 assertThat(client.requestToEnd(LOOKUP, "", "SELECT 1", 5000).status())
                         .isEqualTo(200);
@@ -95,7 +95,7 @@
                 Socket firstQueued = new Socket(full.getInetAddress(), full.getLocalPort());
                 Socket secondQueued = new Socket(full.getInetAddress(), full.getLocalPort())) {
             manager.reload(configWithCoordinator(full.getLocalPort()));
-            manager.awaitLog("the coordinator is at");
+            manager.awaitLog("configuration reloaded coordinator=");
             long start = System.nanoTime();
             Thread.sleep(100);
             full.accept().close();
--- a/src/test/java/firstage/server/ShutdownIT.java
+++ b/src/test/java/firstage/server/ShutdownIT.java
@@ -38,7 +38,7 @@
             assertThat(client.read().body()).isEqualTo(ONE_ROW_JSON);
         }
         assertThat(manager.awaitExit()).isZero();
-        assertThat(manager.log()).contains("batches returned=2").doesNotContain("broken:");
+        assertThat(manager.log()).contains("requests succeeded=2").doesNotContain("broken:");
     }
 
     /** A second SIGTERM must not restart the time until the planned end. */
@@ -61,7 +61,7 @@
         assertThat(engine.awaitCall(DELETE).startLine()).endsWith(JobIds.of(1));
         assertThat(manager.awaitExit()).isZero();
         if (again) {
-            assertThat(manager.log()).contains("calls to end that came again=1");
+            assertThat(manager.log()).contains("repeated shutdown signals=1");
         }
     }
 
@@ -104,7 +104,7 @@
             assertThat(client.readToEnd().status()).isEqualTo(200);
         }
         assertThat(manager.awaitExit()).isZero();
-        assertThat(manager.log()).contains("batches returned=1").doesNotContain("broken:");
+        assertThat(manager.log()).contains("requests succeeded=1").doesNotContain("broken:");
     }
 
     /** The last answer of all is lost with its connection, and its client polls again at once. */
@@ -162,6 +162,6 @@
             assertThat(manager.awaitExit()).isZero();
             assertThat(millisecondsSince(start)).isLessThan(3_600);
         }
-        assertThat(manager.log()).contains("batches returned=2").doesNotContain("broken:");
+        assertThat(manager.log()).contains("requests succeeded=2").doesNotContain("broken:");
     }
 }
--- a/src/test/java/firstage/server/engine/EngineResponseReaderTest.java
+++ b/src/test/java/firstage/server/engine/EngineResponseReaderTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Responses of engines as bytes, whole, in pieces and malformed. */
 class EngineResponseReaderTest {
     @ParameterizedTest
     @ValueSource(
@@ -27,14 +28,14 @@
                         + "0\r\n"
                         + "T: 1\r\n\r\n",
             })
-    void aResponseCutAnywhereIsReadWhole(String text) throws IOException {
+    void read_responseInPieces_isComplete(String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         for (int size = 1; size <= bytes.length; size++) {
             EngineResponseReader reader = new EngineResponseReader();
             for (int at = 0; at < bytes.length; at += size) {
                 boolean last = at + size >= bytes.length;
                 assertThat(
-                                reader.take(
+                                reader.read(
                                         ByteBuffer.wrap(
                                                 bytes, at, Math.min(size, bytes.length - at))))
                         .isEqualTo(last);
@@ -42,15 +43,16 @@
             assertThat(reader.response(false).body())
                     .isEqualTo("a\tb\nc".getBytes(StandardCharsets.ISO_8859_1));
             assertThat(reader.response(false).status()).isEqualTo(200);
-            assertThat(EngineClients.report(reader.response(false)).queuedForMemory()).isEqualTo(3);
+            assertThat(EngineProtocol.loadReport(reader.response(false)).queuedForMemory())
+                    .isEqualTo(3);
         }
     }
 
     @Test
-    void aPieceOfAResponseIsNotAResponse() throws IOException {
+    void read_partialResponse_isNotComplete() throws IOException {
         EngineResponseReader reader = new EngineResponseReader();
         assertThat(
-                        reader.take(
+                        reader.read(
                                 ByteBuffer.wrap(
                                         "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab"
                                                 .getBytes())))
@@ -68,8 +70,8 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\nx"
             })
-    void whatIsNoResponseIsAFault(String text) {
-        assertThatThrownBy(() -> new EngineResponseReader().take(ByteBuffer.wrap(text.getBytes())))
+    void read_malformedResponse_throwsIoException(String text) {
+        assertThatThrownBy(() -> new EngineResponseReader().read(ByteBuffer.wrap(text.getBytes())))
                 .isInstanceOf(IOException.class);
     }
 }
