--- a/src/test/java/firstage/server/CancellationIT.java
+++ b/src/test/java/firstage/server/CancellationIT.java
@@ -147,7 +147,10 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void lateEngineConnection_isUsed_unlessClientLeft(boolean leaves) throws Exception {
+        coordinator.watchStarts().take();
         manager.restart(withConnectTimeout(config(), 3));
+        // Until the new process watches, events would be written to the killed one's connection.
+        coordinator.watchStarts().take();
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket firstQueued = new Socket(full.getInetAddress(), full.getLocalPort());
                 Socket secondQueued = new Socket(full.getInetAddress(), full.getLocalPort());
--- a/src/test/java/firstage/server/DiscoveryIT.java
+++ b/src/test/java/firstage/server/DiscoveryIT.java
@@ -81,8 +81,8 @@
     void start_listUnconfirmedByCoordinator_nothingIsSent() throws Exception {
         manager.kill();
         ScriptedEngine secondEngine = newEngine();
-        coordinator.publish(2, endpoint(1, engine.port(), DRAINING));
-        coordinator.publish(3, endpoint(2, secondEngine.port(), READY));
+        coordinator.publishLater(2, CHANGE, endpoint(1, engine.port(), DRAINING));
+        coordinator.publishLater(3, CHANGE, endpoint(2, secondEngine.port(), READY));
         CountDownLatch heldWatches = coordinator.holdNewWatches();
         manager.start(config());
         manager.awaitAlive();
