--- a/src/main/java/firstage/failover/FleetCoordinator.java
+++ b/src/main/java/firstage/failover/FleetCoordinator.java
@@ -12,12 +12,12 @@
 import java.util.stream.Stream;
 
 /**
- * What one manager works out together with the others: who tries a sick engine, the level of
- * shedding, and the zones in use. One piece for all that carry it, so that the fleet model plays
- * what {@code serve} does. Times are tenths of a millisecond.
+ * What one manager decides together with the others: who probes an unhealthy engine, the
+ * load-shedding threshold, and the zones in use. The simulation runs the same class as {@code
+ * serve}. Times are in ticks.
  */
 public final class FleetCoordinator {
-    /** Faults put back, one for each part. */
+    /** Defects that tests put in, one for each part. */
     public record InjectedDefects(
             ProbeCoordinator.InjectedDefect probes,
             LoadSheddingLevel.InjectedDefect level,
@@ -29,8 +29,8 @@
                         ZoneFailover.InjectedDefect.NONE);
 
         /**
-         * By its name in lower case with dashes, of the first part that has it; null where none
-         * has.
+         * By its name in lower case with dashes, of the first part that has it; null for an unknown
+         * name.
          */
         public static InjectedDefects named(String name) {
             Stream<InjectedDefects> all =
@@ -94,7 +94,7 @@
         level = new LoadSheddingLevel(self, latencyObjective, sheddingActions, defects.level);
     }
 
-    /** Who is here. */
+    /** The alive managers. */
     public void onViewChanged(List<String> names) {
         probes.onViewChanged(names);
         level.onViewChanged(names);
@@ -102,8 +102,8 @@
     }
 
     /**
-     * How this manager's decisions hold an engine of the list; {@code triedAt}, {@code heardAt}:
-     * when a batch last went there, when it last spoke.
+     * What this manager observes of an engine: whether it is ejected, when a request was last sent
+     * to it and when it last responded.
      */
     public void updateEngine(
             long now,
@@ -116,15 +116,15 @@
         zones.updateEngine(zone, engine, ejected, lastAttemptAt, lastResponseAt);
     }
 
-    /** The engine is off the list. */
+    /** The engine is no longer in the endpoint list. */
     public void removeEngine(long engine) {
         probes.removeEngine(engine);
         zones.removeEngine(engine);
     }
 
     /**
-     * Works all of it out, each tenth of a second or so, from what this manager was asked for and
-     * the others told.
+     * Decides anew, to be called each 100 ms or so, from this manager's demand and what the others
+     * reported.
      */
     public void evaluate(long now, DemandHistogram demand) {
         probes.evaluate(now);
@@ -135,14 +135,14 @@
         zones.evaluate(now, level.freshRows(now));
     }
 
-    /** What this manager tells with each message of the membership. */
+    /** What this manager sends with each membership message. */
     public byte[] encodeDigest(long now) {
         List<OverloadDigest.EngineReport> reports = probes.localReports(now);
         return OverloadDigest.encode(
                 reports, level.rowsToSend(now, OverloadDigest.rows(reports.size())));
     }
 
-    /** What another told; what can't be read says nothing. */
+    /** What another sent; bytes that can't be read are dropped. */
     public void onDigest(long now, String from, byte[] digest) {
         OverloadDigest.Contents contents = OverloadDigest.decode(digest);
         probes.onReports(now, from, contents.reports());
@@ -159,17 +159,17 @@
         return zones.activeOrders();
     }
 
-    /** The zones that are left, or on the way back. */
+    /** The zones that are evacuated or on the return. */
     public List<Integer> evacuatedZones() {
         return zones.evacuatedZones();
     }
 
-    /** How many engines' trials are withheld from this manager. */
+    /** How many engines are left to others to probe. */
     public long withheldProbes() {
         return probes.withheldCount();
     }
 
-    /** The band of worth below which all is refused; 0 where nothing is. */
+    /** The priority band below which all requests are refused; 0 for none. */
     public int sheddingThreshold() {
         return level.threshold();
     }
--- a/src/main/java/firstage/failover/ZoneActions.java
+++ b/src/main/java/firstage/failover/ZoneActions.java
@@ -1,13 +1,10 @@
 package firstage.failover;
 
-/** What is decided; none of it calls back. */
+/** What zone failover decides; none of it calls back. */
 public interface ZoneActions {
-    /**
-     * Whether this manager keeps away from an engine; where {@code restIsOver}, it is to be tried
-     * now.
-     */
+    /** Whether this manager avoids an engine; where {@code backoffOver}, it is to be probed now. */
     void setAvoided(long engine, boolean avoided, boolean backoffOver);
 
-    /** A zone is left, or used again: for the log of who keeps one. */
+    /** A zone changed its state: in-use, evacuated or returning. */
     default void logZoneState(int zone, String state) {}
 }
--- a/src/main/java/firstage/failover/ZoneFailover.java
+++ b/src/main/java/firstage/failover/ZoneFailover.java
@@ -13,60 +13,79 @@
 import java.util.stream.IntStream;
 
 /**
- * Which zones the fleet uses. Each manager by itself finds out engine by engine that a zone is
- * gone, by batches that are lost at each, and comes back to all of it the moment the list says so.
- * Here each tells what share of each zone's engines it holds closed, of those it knows of late; a
- * zone that most observers of most other zones hold for bad is left by all, engines it was not
- * tried at included. One manager for each of its engines goes on trying it; when these are well for
- * a while, managers come back one after another over the time that engines take to warm up. A zone
- * that fails again is held out for twice as long each time.
+ * Decides which zones the fleet uses. Each manager reports, by zone, the percentage of the engines
+ * it has observed lately that it has ejected. A zone that most observers of most other zones report
+ * as failed is evacuated by all managers, including engines that they have not probed. Meanwhile
+ * one probe owner for each engine goes on probing it. When most of them respond for a while,
+ * managers return one after another over the time that engines take to warm up. A zone that fails
+ * again stays evacuated for twice as long each time.
  *
- * <p>A zone is never left by the evidence of one other zone where there are more: that is the way
- * between the two, and each engine's own health deals with it. Nor is one left where too few would
- * stay in use: if all is bad, leaving makes it worse. Who stood still or was cut off has no voice
- * until it looked around again. Times are tenths of a millisecond.
+ * <p>States of a zone: IN_USE; EVACUATED (only probe owners send to it); RETURNING (managers come
+ * back by rendezvous rank along a ramp). Invariants: a zone is never evacuated on the reports of
+ * one other zone alone where there are more, since that is a broken link between the two; nor where
+ * fewer than a third of all zones would stay in use. A manager that was paused reports nothing
+ * until it has observed anew. Times are in ticks.
  */
 public final class ZoneFailover {
-    /** What is told of a zone that one knows nothing of. */
+    /** Report on a zone of which this manager has no observation. */
     public static final int UNKNOWN = 255;
 
     /**
-     * Of one that it left, and whose engines others try: so one whose own evidence came too late
-     * goes along.
+     * Report on a zone that this manager has evacuated and does not probe itself: one whose own
+     * observations came late follows.
      */
     private static final int EVACUATED = 250;
 
-    /** Of one that it is on its way back to, and has not met yet: so all set out together. */
+    /**
+     * Report on a zone that this manager is returning to and has not reached yet: so all start
+     * together.
+     */
     private static final int RETURNING = 240;
 
-    private static final int MAX_PERCENT = 100; // per cent: what is told beyond is one of the above
-    private static final int FAILED_PERCENT =
-            60; // per cent of its known engines closed: a release or a rack is less
-    private static final int HEALTHY_PERCENT =
-            50; // per cent: those that are closed still are engine health's matter
-    private static final int MIN_KNOWN_ENGINES = 2; // engines: one alone tells of itself
-    private static final long RECENT =
-            Ticks.ofSeconds(3); // since an engine spoke: what is older says nothing of now
-    private static final long RESPONSE_TIME =
-            Ticks.ofSeconds(
-                    2); // within this a usual batch comes back: before, a trial says nothing
-    private static final long FAILURE_CONFIRMATION =
-            Ticks.ofMillis(500); // a verdict lasts before it is acted on: one late answer passes
-    private static final long RECOVERY_CONFIRMATION =
-            Ticks.ofSeconds(2); // before the way back: a flap of 3 s does not look like it
-    private static final long FIRST_HOLD_TIME =
-            Ticks.ofSeconds(10); // out at least: four flaps in two minutes; doubled up to ...
-    private static final long MAX_HOLD_TIME =
-            Ticks.ofSeconds(60); // ... this: a zone that is well is back within a minute
-    private static final long FAILURE_MEMORY =
-            Ticks.ofSeconds(60); // in use so long, and the next failure counts as the first
-    private static final long MIN_RAMP =
-            Ticks.ofSeconds(2); // for the way back; else as long as engines take to warm up
-    private static final long PROBE_INTERVAL =
-            Ticks.ofSeconds(2); // by an engine's owner: a batch in two seconds, whatever the fleet
-    private static final double MIN_ZONES_IN_USE = 1 / 3.0; // of all zones stay in use at least
-    private static final long PAUSE_THRESHOLD =
-            Ticks.ofSeconds(1); // between two looks: then what is known is old
+    /** Reports above are one of the marks above. */
+    private static final int MAX_PERCENT = 100;
+
+    /** Of a zone's known engines ejected: a release or a rack is less. */
+    private static final int FAILED_PERCENT = 60;
+
+    /** Up to this: the engines still ejected are left to outlier detection. */
+    private static final int HEALTHY_PERCENT = 50;
+
+    /** One engine alone says nothing of its zone. */
+    private static final int MIN_KNOWN_ENGINES = 2;
+
+    /** An engine's last response counts so long. */
+    private static final long RECENT = Ticks.ofSeconds(3);
+
+    /** A usual request has returned by then; before, an attempt says nothing. */
+    private static final long RESPONSE_TIME = Ticks.ofSeconds(2);
+
+    /** A failure is reported so long before the zone is evacuated. */
+    private static final long FAILURE_CONFIRMATION = Ticks.ofMillis(500);
+
+    /** A zone is healthy so long before managers return: longer than a short flap looks healthy. */
+    private static final long RECOVERY_CONFIRMATION = Ticks.ofSeconds(2);
+
+    /** Evacuated at least so long the first time; doubled with each failure. */
+    private static final long FIRST_HOLD_TIME = Ticks.ofSeconds(10);
+
+    /** The hold time grows up to this. */
+    private static final long MAX_HOLD_TIME = Ticks.ofSeconds(60);
+
+    /** In use so long, and the next failure counts as the first. */
+    private static final long FAILURE_MEMORY = Ticks.ofSeconds(60);
+
+    /** The return takes at least so long; else as long as engines take to warm up. */
+    private static final long MIN_RAMP = Ticks.ofSeconds(2);
+
+    /** Between two probes of an engine by its owner. */
+    private static final long PROBE_INTERVAL = Ticks.ofSeconds(2);
+
+    /** Of all zones stay in use at least. */
+    private static final double MIN_ZONES_IN_USE = 1 / 3.0;
+
+    /** Between two evaluations: after more, observations are out of date. */
+    private static final long PAUSE_THRESHOLD = Ticks.ofSeconds(1);
 
     private enum State {
         IN_USE,
@@ -82,8 +101,8 @@
     }
 
     /**
-     * What an operator wants of a zone: by its health, out whatever its health, or in whatever it
-     * is.
+     * What an operator wants of a zone: NONE, decided by its health; LEAVE, evacuated whatever its
+     * health; HOLD, in use whatever its health. The ordinal is sent to other managers.
      */
     public enum Order {
         NONE,
@@ -102,11 +121,11 @@
         new Transition(State.RETURNING, Event.RAMP_COMPLETE, State.IN_USE),
     };
 
-    /** What is told of a zone of which nothing is seen, by its state. */
+    /** What is reported of a zone without observations, by its state. */
     private static final Map<State, Integer> REPORT_WITHOUT_OBSERVATION =
             Map.of(State.IN_USE, UNKNOWN, State.EVACUATED, EVACUATED, State.RETURNING, RETURNING);
 
-    /** Faults put back one at a time. */
+    /** Defects that tests put in one at a time, to show that they are found. */
     public enum InjectedDefect {
         NONE,
         ONE_IS_ENOUGH,
@@ -139,9 +158,7 @@
         private long holdTime = FIRST_HOLD_TIME;
         private Order order = Order.NONE;
 
-        /**
-         * Of the clock of the manager that was asked, in steps of 10 ms; 0 where nobody ever was.
-         */
+        /** When, by the clock of the manager that was asked, in steps of 10 ms; 0 for no order. */
         private int orderedAt;
     }
 
@@ -156,7 +173,10 @@
     private long evaluatedAt = -1;
     private long observationsStaleUntil = Long.MIN_VALUE / 4;
 
-    /** {@code ownZone}: this manager's zone; {@code warm}: how long engines take to warm up. */
+    /**
+     * {@code ownZone}: this manager's zone; {@code warmUpDuration}: how long engines take to warm
+     * up, in ticks.
+     */
     public ZoneFailover(
             String self,
             int ownZone,
@@ -173,14 +193,14 @@
         Arrays.setAll(this.zones, z -> new ZoneState());
     }
 
-    /** Who is here. */
+    /** The alive managers. */
     public void onViewChanged(List<String> names) {
         view = List.copyOf(names);
     }
 
     /**
-     * How this manager itself holds an engine of the list; {@code lastAttemptAt}, {@code
-     * lastResponseAt}: when a batch last went there, when it last spoke.
+     * What this manager observes of an engine: whether it is ejected, when a request was last sent
+     * to it and when it last responded.
      */
     public void updateEngine(
             int zone, long engine, boolean ejected, long lastAttemptAt, long lastResponseAt) {
@@ -193,13 +213,13 @@
         }
     }
 
-    /** It is off the list. */
+    /** The engine is no longer in the endpoint list. */
     public void removeEngine(long engine) {
         engines.remove(engine);
     }
 
     /**
-     * The engine by itself is left to others to try, or no longer ({@link
+     * Whether others probe this engine on account of its own health ({@link
      * firstage.overload.ProbeCoordinator}).
      */
     public void setProbedByOthers(long engine, boolean probedByOthers, boolean backoffOver) {
@@ -215,15 +235,13 @@
         }
     }
 
-    /** An operator asked this manager; it tells the others, and each that hears it tells it on. */
+    /** An operator's order to this manager; it is passed on to all. */
     public void setOrder(long now, int zone, Order order) {
         zones[zone].order = order;
         zones[zone].orderedAt = LoadSheddingLevel.timestamp(now);
     }
 
-    /**
-     * The orders that are known, to be told with the rest; three figures each: zone, order, when.
-     */
+    /** The known orders, to be sent with the load row: zone, order and time of each. */
     public int[] ordersToSend() {
         return IntStream.range(0, zones.length)
                 .filter(zone -> zones[zone].orderedAt != 0)
@@ -234,7 +252,7 @@
                 .toArray();
     }
 
-    /** The later order counts: so one that was asked and started anew hears its own again. */
+    /** The later order counts, so a manager that restarts learns its own order again. */
     private void applyOrders(List<LoadRow> rows) {
         for (LoadRow row : rows) {
             for (int i = 0;
@@ -258,8 +276,8 @@
     }
 
     /**
-     * What this manager tells: by zone, per cent of the engines it knows of late that it holds
-     * closed.
+     * What this manager reports: by zone, the percentage of its known engines that are ejected, or
+     * a mark.
      */
     public int[] reportedPercent(long now) {
         detectPause(now);
@@ -269,8 +287,7 @@
         engines.forEach(
                 (engine, observation) -> {
                     ZoneState zone = zones[observation.zone];
-                    // Of a zone that was left those count that this manager tries, and what came of
-                    // it since.
+                    // Of an evacuated zone only the engines that this manager probes count.
                     boolean counts = zone.state == State.IN_USE || !observation.avoided;
                     boolean respondedLately =
                             observation.lastResponseAt
@@ -299,10 +316,7 @@
         return percentByZone;
     }
 
-    /**
-     * Who stood still knows nothing of now: what it holds is from before, or fell due in one
-     * instant on waking.
-     */
+    /** After a pause observations are out of date, and timeouts came due all at once. */
     private void detectPause(long now) {
         if (evaluatedAt >= 0
                 && now - evaluatedAt > PAUSE_THRESHOLD
@@ -318,8 +332,7 @@
     }
 
     /**
-     * Looks at all zones, each tenth of a second or so; {@code rows}: of all that are fresh, its
-     * own included.
+     * Decides on all zones; to be called each 100 ms or so with all fresh rows, its own included.
      */
     public void evaluate(long now, List<LoadRow> rows) {
         detectPause(now);
@@ -346,8 +359,8 @@
     }
 
     /**
-     * Whether most observers of most other zones, and of two where there are so many, hold it for
-     * bad.
+     * Whether most observers of most other zones, and of two where there are so many, report it as
+     * failed.
      */
     private boolean failedByReports(int zone, List<LoadRow> rows) {
         // Of one that was left only what is seen counts, not who is away.
@@ -384,7 +397,7 @@
         return zone < row.ejectedPercent().length ? row.ejectedPercent()[zone] : UNKNOWN;
     }
 
-    /** Whether those that try its engines find most of them well. */
+    /** Whether those that probe its engines find most of them healthy. */
     private static boolean healthyByReports(int zone, List<LoadRow> rows) {
         int[] reports =
                 rows.stream()
@@ -471,7 +484,7 @@
         }
     }
 
-    /** This manager's place on the way back to a zone, from 0 to 1. */
+    /** This manager's position on the return to a zone, from 0 to 1. */
     private double rampPosition(int zone) {
         return (double) RendezvousHash.countBefore(zone, view, self) / Math.max(1, view.size());
     }
@@ -487,7 +500,7 @@
         return orders;
     }
 
-    /** The zones that are left, or on the way back. */
+    /** The zones that are evacuated or on the return. */
     public List<Integer> evacuatedZones() {
         return IntStream.range(0, zones.length)
                 .filter(zone -> zones[zone].state != State.IN_USE)
--- a/src/main/java/firstage/overload/BroadcastLoadShedding.java
+++ b/src/main/java/firstage/overload/BroadcastLoadShedding.java
@@ -8,20 +8,22 @@
 import java.util.Map;
 
 /**
- * The level where each message goes to all and nobody keeps a membership: who was heard of late is
- * here, and each tells its own row alone. Times are tenths of a millisecond.
+ * Load shedding where each message goes to all managers and there is no membership: who was heard
+ * lately is alive, and each sends its own row alone. Times are in ticks.
  */
 public final class BroadcastLoadShedding {
-    /** Between two looks. */
+    /** Between two evaluations. */
     public static final long EVALUATION_INTERVAL = Ticks.ofMillis(100);
 
-    private static final long SEND_INTERVAL =
-            Ticks.ofMillis(
-                    250); // a cut that is a quarter of a second old; half of it would tell no more
-    private static final long PEER_TIMEOUT =
-            Ticks.ofSeconds(3); // a manager that told nothing so long is taken to be gone
-    private static final double MIN_LOAD =
-            0.4; // of what engines bear: under it all is open whatever the others tell
+    /** Between two messages of a manager. */
+    private static final long SEND_INTERVAL = Ticks.ofMillis(250);
+
+    /** A manager that sent nothing so long counts as dead. */
+    private static final long PEER_TIMEOUT = Ticks.ofSeconds(3);
+
+    /** Of the threads that engines bear; below, nothing is sent. */
+    private static final double MIN_LOAD = 0.4;
+
     private final int self;
     private final LoadSheddingLevel level;
     private final Map<Integer, Long> lastHeardAt = new HashMap<>();
@@ -29,7 +31,8 @@
     private int alivePeers = -1;
 
     /**
-     * {@code self}: its number among the managers; {@code goal}: the shortest of a service group.
+     * {@code self}: its number among the managers; {@code latencyObjective}: the shortest of a
+     * traffic class, in ticks.
      */
     public BroadcastLoadShedding(int self, long latencyObjective, SheddingActions actions) {
         this.self = self;
@@ -42,8 +45,8 @@
     }
 
     /**
-     * Works out the cut, to be called each {@link #EVALUATION_INTERVAL}; what all are to be told
-     * now, empty for nothing.
+     * Computes the threshold, to be called each {@link #EVALUATION_INTERVAL}; the message to send
+     * to all, empty for none.
      */
     public byte[] evaluate(long now, DemandHistogram demand) {
         lastHeardAt.values().removeIf(at -> now - at >= PEER_TIMEOUT);
@@ -70,7 +73,7 @@
         level.onViewChanged(names);
     }
 
-    /** Another told all; what can't be read says nothing. */
+    /** A message of another; bytes that can't be read are dropped. */
     public void onMessage(long now, int manager, byte[] digest) {
         lastHeardAt.put(manager, now);
         if (lastHeardAt.size() != alivePeers) {
--- a/src/main/java/firstage/overload/LoadRow.java
+++ b/src/main/java/firstage/overload/LoadRow.java
@@ -1,11 +1,11 @@
 package firstage.overload;
 
 /**
- * What one manager tells of itself. {@code managerHash}: a hash; {@code timestamp}: of its own
- * clock, the later is the newer; {@code arrivalRates} by band, {@code startRate}: rates; {@code
- * queuedWork}: seconds of work; {@code runningThreads}: threads; {@code ownZone}: its own; {@code
- * ejectedPercent}: by zone, per cent of its engines that it holds closed; {@code zoneOrders}: what
- * operators want of zones ({@link firstage.failover.ZoneFailover}).
+ * What one manager reports of itself. {@code managerHash}: of its name; {@code timestamp}: of its
+ * own clock ({@link LoadSheddingLevel#timestamp}); {@code arrivalRates}: by priority band, {@code
+ * startRate}: seconds of work a second; {@code queuedWork}: seconds of work; {@code zone}: its own;
+ * {@code ejectedPercent}: by zone, of its engines or a mark; {@code zoneOrders}: zone, order and
+ * time of each ({@link firstage.failover.ZoneFailover}).
  */
 public record LoadRow(
         int managerHash,
--- a/src/main/java/firstage/overload/LoadSheddingLevel.java
+++ b/src/main/java/firstage/overload/LoadSheddingLevel.java
@@ -14,59 +14,63 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * One level of shedding for the whole fleet. Each manager by itself sheds what its own queue has no
- * room for: what came last, whatever it is worth, and what is let in is mostly late when its turn
- * comes. Here each tells what it is asked for by worth, what it sends, what waits and what runs;
- * rows are passed on, so that all have nearly the same table and work out the same cut: what the
- * fleet gets through, best worth first. Below the cut a batch is answered at once by whoever has
- * it; at it, a part is let in.
+ * One load-shedding threshold for the whole fleet. Each manager sends a row with what it is asked
+ * for by priority band, what it starts, what is queued and what runs. Rows are passed on, so that
+ * all have nearly the same table and compute the same threshold: what the fleet can get through,
+ * highest priority first. Requests of a lower band are refused at once; of the threshold's own band
+ * a part is admitted.
  *
- * <p>What the fleet gets through is not known ahead; it is what it sends while there is enough of
- * it, a little less while work waits too long or more threads run than engines bear, and up to
- * three times as much while neither is so. No state is kept but smoothed rates, so a manager that
- * starts or comes back agrees with the others as soon as it has their rows.
+ * <p>The fleet's capacity is not known ahead. It is estimated as what is started now, less where
+ * work is queued too long or more threads run than engines bear, and up to three times as much
+ * where neither is so. The only state is smoothed rates, so a manager that restarts agrees with the
+ * others as soon as it has their rows.
  *
- * <p>Words of others only make a manager refuse more, never less than its own queue does, and only
- * so much: no one row counts for more than a few times the others' mean. Without rows that are
- * fresh there is no cut. Times are tenths of a millisecond, rates seconds of expected work a
- * second.
+ * <p>Invariants: rows of others only make a manager refuse more than its own queue would; no row
+ * counts for more than a few times the mean of the others; without fresh rows there is no
+ * threshold. Times are in ticks, rates in seconds of expected work a second.
  */
 public final class LoadSheddingLevel {
-    private static final double SMOOTHING_TIME =
-            3_000; // of rates: a storm shows in its first second, a lone report does not
-    private static final long ROW_LIFETIME =
-            Ticks.ofSeconds(
-                    3); // a row counts: some rounds of a small fleet, fewer than a restart takes
-    private static final double MAX_WAIT_FRACTION =
-            0.5; // of the shortest goal may be spent waiting: the rest is run and chance
-    private static final double SHED_WORK_WEIGHT =
-            1; // second of what the queue gave up counts as waiting: it would have been
-    private static final double DRAIN_TIME_S =
-            2; // seconds in which what waits too long is to be gone
-    private static final double MAX_GROWTH =
-            2; // times what is sent that may come beside it while nothing waits
-    private static final double MAX_REDUCTION =
-            0.5; // of what is sent at most held back: what runs ends by itself
-    private static final double BUSY_THRESHOLD =
-            0.8; // of the threads that engines bear: the first long ones are in by then
-    private static final double REDUCTION_PER_BUSY =
-            1.5; // of what is sent held back for each whole of it beyond that
-    private static final double MAX_ROW_WEIGHT =
-            4; // times the others' mean that one row counts for: a skewed fleet's most
+    /** Ticks over which rates are smoothed: a storm shows in its first second. */
+    private static final double SMOOTHING_TIME = 3_000;
+
+    /** A row counts so long: some probe rounds of a small fleet, fewer than a restart takes. */
+    private static final long ROW_LIFETIME = Ticks.ofSeconds(3);
+
+    /** Of the shortest latency objective that may be spent in the queue. */
+    private static final double MAX_WAIT_FRACTION = 0.5;
+
+    /** Seconds for which work that the queue shed counts as queued. */
+    private static final double SHED_WORK_WEIGHT = 1;
+
+    /** Seconds in which work that is queued too long is to be gone. */
+    private static final double DRAIN_TIME_S = 2;
+
+    /** Times the start rate that may come in addition while nothing is queued. */
+    private static final double MAX_GROWTH = 2;
+
+    /** Of the start rate held back at most. */
+    private static final double MAX_REDUCTION = 0.5;
+
+    /** Of the threads that engines bear. */
+    private static final double BUSY_THRESHOLD = 0.8;
+
+    /** Of the start rate held back for each whole of the threads beyond the threshold. */
+    private static final double REDUCTION_PER_BUSY = 1.5;
+
+    /** Times the mean of the others that one row counts for at most. */
+    private static final double MAX_ROW_WEIGHT = 4;
+
     private static final double TENTHS = 10_000;
-    private static final long TIMESTAMP_UNIT =
-            Ticks.ofMillis(
-                    10); // what is told is dated in steps of 10 ms: 32 bits are a year and more
 
-    /**
-     * Up to so many members each message tells all rows; beyond, rows go by turns and cost the same
-     * for any size.
-     */
+    /** Rows are dated in steps of this: 32 bits are more than a year. */
+    private static final long TIMESTAMP_UNIT = Ticks.ofMillis(10);
+
+    /** Up to so many members each message carries all rows; beyond, rows go by turns. */
     private static final int MAX_VIEW_FOR_ALL_ROWS = 24;
 
     private static final int ROWS_BY_TURNS = 6;
 
-    /** Faults put back one at a time. */
+    /** Defects that tests put in one at a time, to show that they are found. */
     public enum InjectedDefect {
         NONE,
         NO_PEERS,
@@ -102,7 +106,7 @@
     private int threshold;
     private double admittedPart = 1;
 
-    /** {@code goal}: the shortest response goal of a service group. */
+    /** {@code latencyObjective}: the shortest of a traffic class, in ticks. */
     public LoadSheddingLevel(
             String self, long latencyObjective, SheddingActions actions, InjectedDefect defect) {
         this.self = managerHash(self);
@@ -111,9 +115,7 @@
         this.defect = defect;
     }
 
-    /**
-     * A moment as it is told: the later is the greater by difference, for half of a year and more.
-     */
+    /** A time as it is sent; compared by difference, which holds for half a year and more. */
     public static int timestamp(long now) {
         return (int) (now / TIMESTAMP_UNIT);
     }
@@ -122,13 +124,13 @@
         return (int) LongHashFunction.xx3().hashChars(name);
     }
 
-    /** Who is here. */
+    /** The alive managers. */
     public void onViewChanged(List<String> names) {
         view = new HashSet<>(names.stream().map(LoadSheddingLevel::managerHash).toList());
         rowsByManager.keySet().retainAll(view);
     }
 
-    /** Rows that another tells, its own and such as it was told. */
+    /** Rows that another sent, its own and those passed on. */
     public void onRows(long now, List<LoadRow> rows) {
         for (LoadRow row : rows) {
             ReceivedRow before = rowsByManager.get(row.managerHash());
@@ -147,8 +149,8 @@
     }
 
     /**
-     * What this manager tells: its own row first, then those it was told, by turns where there is
-     * no room for all.
+     * What this manager sends: its own row first, then others', by turns where there is no room for
+     * all.
      */
     public List<LoadRow> rowsToSend(long now, int maxRows) {
         int most = view.size() > MAX_VIEW_FOR_ALL_ROWS ? Math.min(maxRows, ROWS_BY_TURNS) : maxRows;
@@ -181,7 +183,7 @@
                 zoneOrders);
     }
 
-    /** What this manager's own decisions count, to be told each tenth of a second or so. */
+    /** Updates this manager's own rates; to be called each 100 ms or so. */
     public void measure(long now, DemandHistogram demand) {
         double[] arrivedWork = demand.arrivedWork();
         if (measuredAt >= 0 && now > measuredAt) {
@@ -207,7 +209,7 @@
         previousShedWork = demand.shedWork();
     }
 
-    /** What it sees of the zones, to be told with the rest. */
+    /** What this manager observes of the zones, to be sent with its row. */
     public void setZoneObservations(int ownZone, int[] ejectedPercentByZone, int[] ordersByZone) {
         zone = ownZone;
         ejectedPercent = ejectedPercentByZone;
@@ -221,10 +223,10 @@
         return rows;
     }
 
-    /** Works out the cut; to be called after {@link #measure}. */
+    /** Computes the threshold; to be called after {@link #measure}. */
     public void evaluate(long now) {
         List<LoadRow> rows = freshRows(now);
-        // Who is here and not heard is taken to be as the others are.
+        // Members without a fresh row are assumed to be as the others.
         double unheardFactor = Math.max(1, (double) view.size() / rows.size());
         double totalStartRate = rows.stream().mapToDouble(LoadRow::startRate).sum();
         double queueDelayS =
@@ -283,9 +285,8 @@
     }
 
     /**
-     * By row what would make this manager refuse more, none of it more than a few times the mean of
-     * the others: what one alone claims, a mistake or a lie, moves the fleet no further. What one
-     * claims to send only makes it refuse less.
+     * The figures by row, none more than a few times the mean of the others: a mistaken row moves
+     * the fleet no further. For figures that make this manager refuse more.
      */
     private DoubleStream limited(List<LoadRow> rows, ToDoubleFunction<LoadRow> figure) {
         double total = rows.stream().mapToDouble(figure).sum();
@@ -303,7 +304,7 @@
                                                         / (rows.size() - 1)));
     }
 
-    /** The band below which all is refused; 0 where nothing is. */
+    /** The priority band below which all requests are refused; 0 for none. */
     public int threshold() {
         return threshold;
     }
--- a/src/main/java/firstage/overload/OverloadDigest.java
+++ b/src/main/java/firstage/overload/OverloadDigest.java
@@ -11,17 +11,17 @@
 import java.util.List;
 
 /**
- * What one manager tells of engines, as CBOR in the membership's digest: an array, its first item
- * the form's version, what a newer form adds at the end skipped. Empty where there is nothing to
- * tell, so that calm costs no byte.
+ * What one manager reports of engines and load, as CBOR in the digest of membership messages: an
+ * array, its first item the version of the form; items that a newer form adds at the end are
+ * skipped. Empty where there is nothing to report.
  */
 public final class OverloadDigest {
     private static final int VERSION = 1;
 
-    /** So many engines fit beside the rest; the sickest of a zone's loss come by turns. */
+    /** Engines in one digest; more go by turns. */
     public static final int MAX_REPORTS = 24;
 
-    /** Of a digest: half of a datagram and more is left to the membership. */
+    /** Of a digest; the rest of a datagram is left to the membership. */
     private static final int MAX_BYTES = 560;
 
     private static final int REPORT_BYTES = 14;
@@ -37,24 +37,25 @@
     private static final CBORFactory CBOR = new CBORFactory();
 
     /**
-     * Of one engine, by the id that all know: whether it is held closed, or was opened after that;
-     * {@code age}: tenths of a millisecond since it was last tried, or opened.
+     * Of one engine, by its id: whether it is ejected, or was readmitted after that; {@code age}:
+     * ticks since the last attempt, or since the readmission.
      */
     public record EngineReport(long engine, boolean ejected, long age) {}
 
     private OverloadDigest() {}
 
-    /** What is told: of engines, and the rows of the level, as many as there is room for. */
+    /** Reports on engines, and load rows, as many as there is room for. */
     public record Contents(List<EngineReport> reports, List<LoadRow> rows) {
         static final Contents EMPTY = new Contents(List.of(), List.of());
     }
 
-    /** So many rows are told beside these words. */
+    /** How many rows fit beside so many reports. */
     public static int rows(int reports) {
         return Math.max(
                 MIN_ROWS, (MAX_BYTES - Math.min(MAX_REPORTS, reports) * REPORT_BYTES) / ROW_BYTES);
     }
 
+    /** The bytes, with as many reports as fit. */
     public static byte[] encode(List<EngineReport> reports, List<LoadRow> rows) {
         if (reports.isEmpty() && rows.isEmpty()) {
             return NO_BYTES;
@@ -79,8 +80,8 @@
     }
 
     /**
-     * Each: name, stamp, sent, waits, runs, a bit for each band that was asked for, its zone, what
-     * it sees of each, operators' orders, and those bands' figures.
+     * Each: manager, timestamp, start rate, queued work, threads, a bit for each band with
+     * arrivals, zone, reports on zones, orders, and the arrival rates of those bands.
      */
     private static byte[] encodeRows(List<LoadRow> rows) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(rows.size() * ROW_BYTES);
@@ -188,9 +189,7 @@
         return step == 0 ? 0 : SMALLEST_FIGURE * Math.pow(2, (step - 1) / STEPS_PER_OCTAVE);
     }
 
-    /**
-     * What was told; nothing where it can't be read: then this manager goes by its own news alone.
-     */
+    /** The contents, empty where the bytes can't be read. */
     public static Contents decode(byte[] bytes) {
         if (bytes.length == 0) {
             return Contents.EMPTY;
--- a/src/main/java/firstage/overload/ProbeActions.java
+++ b/src/main/java/firstage/overload/ProbeActions.java
@@ -1,7 +1,10 @@
 package firstage.overload;
 
-/** What is decided; none of it calls back. */
+/** What the probe coordinator decides; none of it calls back. */
 public interface ProbeActions {
-    /** Whether others try this engine; where {@code now} is true as well, its rest is over. */
+    /**
+     * Whether others probe this engine in this manager's place; where {@code backoffOver}, it is to
+     * be probed now.
+     */
     void setProbedByOthers(long engine, boolean probedByOthers, boolean backoffOver);
 }
--- a/src/main/java/firstage/overload/ProbeCoordinator.java
+++ b/src/main/java/firstage/overload/ProbeCoordinator.java
@@ -11,41 +11,52 @@
 import java.util.Set;
 
 /**
- * Who tries a sick engine, and who keeps away from it. Each manager by itself finds out that an
- * engine is sick by batches that are lost there, and tries one that it holds closed after a rest: a
- * fleet of forty loses forty batches to learn it and forty a rest to unlearn it, and all come back
- * in one instant. Where several hold an engine closed, the others keep away unless they have heard
- * from it themselves of late; one of those that hold it closed, its owner by rendezvous hashing
- * (Thaler and Ravishankar 1998), tries it, the more often as it is alone; when that went well the
- * others follow in steps, twice as many each, so that a step that breaks it again takes few along.
- * An engine that only one holds closed is its own matter: that is its way to the engine, not the
- * engine. Where most engines are closed by others' words, the words count for nothing.
+ * Decides who probes an unhealthy engine and who avoids it. Where several managers report an engine
+ * as ejected, the others avoid it unless they have had a response from it lately. One of those that
+ * ejected it, the probe owner by rendezvous hashing (Thaler and Ravishankar 1998), goes on probing
+ * it. After a success the others follow in steps, twice as many in each, so that a step that
+ * overloads it again affects few. An engine that only one manager has ejected is that manager's own
+ * matter: its link is broken, not the engine. Where most engines would be avoided on others'
+ * reports, the reports do not count.
  *
- * <p>A right is only ever withheld by words of others that are fresh by this manager's clock; with
- * none, it goes by itself as ever. Times are tenths of a millisecond.
+ * <p>States of this manager's right to send to an engine: OWN (decided by its own outlier
+ * detection); WITHHELD (left to the probe owner); RETURNING (readmitted elsewhere, waits for its
+ * step). Invariant: the right is withheld only by reports that are fresh by this manager's own
+ * clock; without any it decides alone. Times are in ticks.
  */
 public final class ProbeCoordinator {
-    private static final int REPORTERS_NEEDED =
-            3; // hold it closed before it is the engine: one or two may share a bad way
-    private static final long MIN_REPORT_LIFETIME =
-            Ticks.ofSeconds(3); // a word lasts: some rounds of a small fleet
-    private static final double REPORT_PROBE_ROUNDS =
-            1.5; // and of a large one, in rounds in which each hears each
-    private static final long PROBE_INTERVAL =
-            Ticks.ofSeconds(2); // by the owner: a batch in two seconds there, whatever the fleet
-    private static final long RECENT_RESPONSE =
-            Ticks.ofSeconds(2); // by ourselves of late: our own news is better than others'
-    private static final double MAX_AVOIDED_FRACTION =
-            0.34; // of the engines are kept away from: else it is not the engines
-    private static final long OWNER_IDLE_TIMEOUT =
-            Ticks.ofSeconds(
-                    12); // an owner without a batch to try it with is passed over after this
-    private static final long RETURN_STEP =
-            Ticks.ofMillis(250); // between steps back: a short batch must have come back by then
-    private static final long INDEPENDENT_AFTER_RETURN =
-            Ticks.ofSeconds(5); // after a step back: until a usual batch must have come back
-    private static final long READMISSION_REPORTED_FOR =
-            Ticks.ofSeconds(6); // it is told that an engine was opened: all steps of a large fleet
+    /**
+     * Managers that have it ejected before it counts as the engine: one or two may share a broken
+     * link.
+     */
+    private static final int REPORTERS_NEEDED = 3;
+
+    /** A report counts at least so long: some probe rounds of a small fleet. */
+    private static final long MIN_REPORT_LIFETIME = Ticks.ofSeconds(3);
+
+    /** A report counts so many rounds in which each manager hears each other. */
+    private static final double REPORT_PROBE_ROUNDS = 1.5;
+
+    /** Between two probes of an engine by its owner, whatever the fleet. */
+    private static final long PROBE_INTERVAL = Ticks.ofSeconds(2);
+
+    /** A response to this manager counts for more than others' reports so long. */
+    private static final long RECENT_RESPONSE = Ticks.ofSeconds(2);
+
+    /** Of the engines avoided on others' reports; beyond, it is not the engines. */
+    private static final double MAX_AVOIDED_FRACTION = 0.34;
+
+    /** An owner without a request to probe with is passed over after this. */
+    private static final long OWNER_IDLE_TIMEOUT = Ticks.ofSeconds(12);
+
+    /** Between steps of the return: a short request has returned by then. */
+    private static final long RETURN_STEP = Ticks.ofMillis(250);
+
+    /** After its step a manager goes by its own observations so long. */
+    private static final long INDEPENDENT_AFTER_RETURN = Ticks.ofSeconds(5);
+
+    /** A readmission is reported so long: all steps of a large fleet. */
+    private static final long READMISSION_REPORTED_FOR = Ticks.ofSeconds(6);
 
     private enum State {
         OWN,
@@ -78,7 +89,7 @@
         new Transition(State.RETURNING, Event.STEP_DUE, State.OWN),
     };
 
-    /** Faults put back one at a time. */
+    /** Defects that tests put in one at a time, to show that they are found. */
     public enum InjectedDefect {
         NONE,
         ALL_OWN,
@@ -110,7 +121,7 @@
     private long reportLifetime = MIN_REPORT_LIFETIME;
     private int nextReport;
 
-    /** {@code period} between two probes of the membership, which carries the words. */
+    /** {@code period}: between two probes of the membership, whose messages carry the reports. */
     public ProbeCoordinator(String self, long period, ProbeActions actions, InjectedDefect defect) {
         this.self = self;
         this.period = period;
@@ -118,7 +129,7 @@
         this.defect = defect;
     }
 
-    /** Who is here. */
+    /** The alive managers. */
     public void onViewChanged(List<String> names) {
         view = new HashSet<>(names);
         reportsByManager.keySet().retainAll(view);
@@ -126,7 +137,7 @@
                 Math.max(MIN_REPORT_LIFETIME, (long) (REPORT_PROBE_ROUNDS * names.size() * period));
     }
 
-    /** What another tells now: it takes the place of all that it told before. */
+    /** What another reports now, in place of all that it reported before. */
     public void onReports(long now, String from, List<EngineReport> reports) {
         Map<Long, ReceivedReport> received = new HashMap<>();
         reports.forEach(report -> received.put(report.engine(), new ReceivedReport(report, now)));
@@ -138,8 +149,8 @@
     }
 
     /**
-     * How this manager itself holds an engine of the list; {@code lastAttemptAt}, {@code
-     * lastResponseAt}: when a batch last went there, when it last spoke.
+     * What this manager observes of an engine: whether it is ejected, when a request was last sent
+     * to it and when it last responded.
      */
     public void updateEngine(
             long now, long engine, boolean ejected, long lastAttemptAt, long lastResponseAt) {
@@ -153,14 +164,14 @@
         engineState.lastResponseAt = Math.max(engineState.lastResponseAt, lastResponseAt);
     }
 
-    /** It is off the list. */
+    /** The engine is no longer in the endpoint list. */
     public void removeEngine(long engine) {
         engines.remove(engine);
     }
 
     /**
-     * What this manager tells: the engines it holds closed, and those it opened of late; by turns
-     * where they are many.
+     * What this manager reports: the engines it has ejected and those it readmitted lately, by
+     * turns where they are many.
      */
     public List<EngineReport> localReports(long now) {
         List<EngineReport> reports = new ArrayList<>();
@@ -196,7 +207,7 @@
                 || defect == InjectedDefect.WORDS_NEVER_END;
     }
 
-    /** Looks at all that is sick; to be called each tenth of a second or so. */
+    /** Decides on all unhealthy engines; to be called each 100 ms or so. */
     public void evaluate(long now) {
         Set<Long> suspects = new HashSet<>();
         engines.forEach(
@@ -230,7 +241,7 @@
         return Math.max(2, Math.min(REPORTERS_NEEDED, (view.size() + 1) / 2));
     }
 
-    /** Who else holds it closed, by fresh words. */
+    /** Who else has it ejected, by fresh reports. */
     private List<String> reporters(long now, long engine) {
         List<String> reporters = new ArrayList<>();
         reportsByManager.forEach(
@@ -349,7 +360,7 @@
         }
     }
 
-    /** How many engines' trials are withheld from this manager. */
+    /** How many engines are left to others to probe. */
     public long withheldCount() {
         return engines.values().stream()
                 .filter(engineState -> engineState.right != State.OWN)
--- a/src/main/java/firstage/overload/SheddingActions.java
+++ b/src/main/java/firstage/overload/SheddingActions.java
@@ -1,7 +1,7 @@
 package firstage.overload;
 
-/** What is decided. */
+/** What the load-shedding level decides. */
 public interface SheddingActions {
-    /** Batches of a lower band are refused, and of this band all but this part. */
+    /** Requests of a lower band are refused, and of this band all but the admitted part. */
     void setThreshold(long now, int band, double admittedPart);
 }
