--- a/src/main/java/firstage/cells/BigEndianBytes.java
+++ b/src/main/java/firstage/cells/BigEndianBytes.java
@@ -1,11 +1,11 @@
 package firstage.cells;
 
-/** Whole numbers in bytes, the high one first: what cells tell each other in rows of fixed size. */
+/** Reads or writes whole numbers, high byte first: the rows of fixed size that cells send. */
 final class BigEndianBytes {
     private final byte[] buffer;
     private int position;
 
-    /** To read these, or to write so many. */
+    /** To read these bytes, or to write as many. */
     BigEndianBytes(byte[] buffer) {
         this.buffer = buffer;
     }
@@ -23,7 +23,7 @@
         return this;
     }
 
-    /** The next number of so many bytes; without a sign where there are fewer than four. */
+    /** The next number of so many bytes; unsigned where there are fewer than four. */
     int read(int bytes) {
         int number = 0;
         for (int i = 0; i < bytes; i++) {
--- a/src/main/java/firstage/cells/CellActions.java
+++ b/src/main/java/firstage/cells/CellActions.java
@@ -1,16 +1,16 @@
 package firstage.cells;
 
-/** Carries the effects out; none of them calls back before it returns. */
+/** What a cell directory wants done; none of it calls back before it returns. */
 public interface CellActions {
-    /** To the manager at this place of that cell. */
+    /** To the manager at this slot of that cell. */
     void send(int cell, int slot, byte[] datagram);
 
     /** Engines that could not be used may be now; {@link CellDirectory#mayUse} says which. */
     void enginesReleased(long now);
 
-    /** A line for the log: what, of which cell, and why. */
+    /** A line for the log: the event, the cell and the reason. */
     void logCellEvent(long now, String event, String cell, String reason);
 
-    /** What this manager sheds: the level's band, 0 for nothing. */
+    /** This manager's load-shedding threshold: a priority band, 0 for none. */
     int sheddingThreshold();
 }
--- a/src/main/java/firstage/cells/CellDirectory.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -13,51 +13,66 @@
 /**
  * What one manager knows of the other cells, and which engines it may use.
  *
- * <p><b>Rows.</b> A cell tells one row of fixed size of itself: a stamp, the least plan that its
- * managers hold, how many are here, what it sheds. Its deputies, the first three by rendezvous over
- * its view, renew it; each of them sends all rows it knows to one manager of one other cell, drawn
- * anew each second. Within a cell rows go on with the messages of the membership, a few in each,
- * newer ones first, others by turns. So what a manager sends and holds is the same whatever the
- * size of the fleet but for the rows themselves, 12 bytes a cell; with many cells rows only get
- * older.
+ * <p><b>Rows.</b> A cell reports one row of fixed size of itself: a timestamp, the lowest plan
+ * number that its managers hold, how many are alive, its load-shedding threshold. Its delegates,
+ * the first three by rendezvous hashing over its view, renew it; each of them sends all rows it
+ * knows to one random manager of one random other cell each second. Within a cell rows go with the
+ * membership's messages, a few on each, new ones first, others by turns. So what a manager sends
+ * and holds grows with the fleet by 12 bytes a cell only.
  *
- * <p><b>Engines.</b> A manager holds one plan for its whole life, and the one before it while it is
- * being replaced. Of an engine that both give to its cell it uses its part; of one that only the
- * old plan gives, nothing; one that only the new plan gives it uses once all managers of all cells
- * that give it up hold the new plan, by their rows. Each of those gave up before it said so, and
- * never goes back. So the parts of an engine never pass the whole, in whatever order managers are
- * started anew and words are lost, late or doubled; a cell that can't be heard keeps what it had.
+ * <p><b>Engines.</b> A manager holds one plan for its whole life, and the one before it while that
+ * is being replaced. Of an engine that both plans give to its cell it uses its share; of one that
+ * only the old plan gives, nothing; one that only the new plan gives it uses once all managers of
+ * all cells that lose it hold the new plan, by their rows. Invariant: the shares of an engine never
+ * exceed the whole, in whatever order managers restart and messages are lost, late or doubled,
+ * since each manager released before it said so and never goes back. A cell that is not heard keeps
+ * what it had.
  *
- * <p>Times are tenths of a millisecond of a clock that only goes forward.
+ * <p>States of another cell: UNKNOWN (no row yet), ACTIVE, SILENT (its row was not renewed for
+ * long). Times are in ticks of a clock that only goes forward.
  */
 public final class CellDirectory {
-    private static final int DELEGATES =
-            3; // of a cell at once: two may die in one second, the next view has others
-    private static final long SEND_INTERVAL =
-            Ticks.ofSeconds(1); // a deputy's datagram: some 1 KB a second, whatever the fleet
-    private static final long ROW_INTERVAL =
-            Ticks.ofSeconds(5); // a row that does not change: 65 cells make 13 newer rows a second
-    private static final long SILENT_AFTER =
-            Ticks.ofSeconds(25); // of a row not renewed: five renewals, some on their way
-    private static final long MIN_ROW_INTERVAL =
-            Ticks.ofMillis(500); // two renewals: a view that changes often is no flood
-    private static final long EXPIRY_CHECK_INTERVAL = Ticks.ofMillis(500); // at what has grown old
-    private static final int MAX_ROWS_PER_MESSAGE = 6; // 72 bytes on each message of the membership
-    private static final int SENDS_PER_NEW_ROW =
-            2; // of a newer row by each manager: one of seven hears of it by turns only
-    private static final int ROWS_BY_TURNS =
-            2; // of a message, newer or not: none stays unheard by chance
-    private static final int MAX_DATAGRAM_BYTES =
-            1_200; // bytes of a datagram: under the least MTU of IPv6 with its heads
-    private static final int HEADER_BYTES =
-            1 + 3 * Integer.BYTES; // version, fleet, plan's number and mark
-    private static final int ROW_BYTES =
-            Short.BYTES + 2 * Integer.BYTES + 2; // cell, stamp, plan, here, cut
+    /** Of a cell at once: two may die in one second, the next view has others. */
+    private static final int DELEGATES = 3;
+
+    /** Between two datagrams of a delegate, some 1 KB, whatever the fleet. */
+    private static final long SEND_INTERVAL = Ticks.ofSeconds(1);
+
+    /** Between renewals of a row that does not change. */
+    private static final long ROW_INTERVAL = Ticks.ofSeconds(5);
+
+    /** Of a row that is not renewed: five renewals, some on their way. */
+    private static final long SILENT_AFTER = Ticks.ofSeconds(25);
+
+    /** Between renewals of a row while the view keeps changing. */
+    private static final long MIN_ROW_INTERVAL = Ticks.ofMillis(500);
+
+    /** Between two checks for rows that were not renewed. */
+    private static final long EXPIRY_CHECK_INTERVAL = Ticks.ofMillis(500);
+
+    /** 72 bytes on each message of the membership. */
+    private static final int MAX_ROWS_PER_MESSAGE = 6;
+
+    /** Messages of each manager on which a new row goes out first. */
+    private static final int SENDS_PER_NEW_ROW = 2;
+
+    /** Rows by turns on a message, new or not, so that none stays unheard by chance. */
+    private static final int ROWS_BY_TURNS = 2;
+
+    /** Under the least MTU of IPv6 with its headers. */
+    private static final int MAX_DATAGRAM_BYTES = 1_200;
+
+    /** Version, fleet, the plan's number and fingerprint. */
+    private static final int HEADER_BYTES = 1 + 3 * Integer.BYTES;
+
+    /** Cell, timestamp, plan number, alive managers, load-shedding threshold. */
+    private static final int ROW_BYTES = Short.BYTES + 2 * Integer.BYTES + 2;
+
     private static final int VERSION = 1;
     private static final int MAX_BYTE = 255;
     private static final long NEVER = Long.MIN_VALUE / 4;
 
-    /** Faults put back one at a time. */
+    /** Defects that tests put in one at a time, to show that they are found. */
     public enum InjectedDefect {
         NONE,
         SENT_TO_ALL_CELLS,
@@ -68,7 +83,9 @@
         GAINS_WARM_UP_SHARE
     }
 
-    /** How a cell is held. */
+    /**
+     * What this manager knows of another cell: no row yet, a row renewed lately, a row not renewed.
+     */
     public enum CellState {
         UNKNOWN,
         ACTIVE,
@@ -89,7 +106,7 @@
 
     private record Transition(CellState state, Event event, CellState next, Effect effect) {}
 
-    /** State, event, next state, effect; what is not here changes nothing. */
+    /** State, event, next state, effect; what is not in the table changes nothing. */
     private static final Transition[] TRANSITIONS = {
         new Transition(CellState.UNKNOWN, Event.NEWER_ROW, CellState.ACTIVE, Effect.FIRST_HEARD),
         new Transition(CellState.ACTIVE, Event.NEWER_ROW, CellState.ACTIVE, Effect.NONE),
@@ -98,8 +115,8 @@
     };
 
     /**
-     * A cell as it is known. {@code age}: since a newer row came, -1 for never; {@code planNumber}:
-     * the least in it.
+     * A cell as it is known. {@code age}: ticks since a newer row came, -1 for never; {@code
+     * planNumber}: the lowest that its managers hold.
      */
     public record CellStatus(
             String name,
@@ -134,16 +151,14 @@
     private final InjectedDefect defect;
     private final CellRow[] rows;
 
-    /**
-     * By place in this cell, the plan that the manager there holds, as it told; 0 where none did.
-     */
+    /** By slot of this cell, the plan number that the manager there sent; 0 for none. */
     private final int[] planNumberBySlot;
 
     private final ArrayDeque<Integer> newRows = new ArrayDeque<>();
     private final Map<String, Long> rejectedMessages = new HashMap<>();
     private List<String> view;
 
-    /** The largest view so far, for a fault put back. */
+    /** The largest view so far, for an injected defect. */
     private List<String> largestView = List.of();
 
     private boolean viewChanged;
@@ -157,8 +172,8 @@
 
     /**
      * {@code previousPlan}: the plan that this one replaces, or null; {@code ownCell}, {@code
-     * ownSlot}: this manager's cell and its place there; {@code fleetHash}: a name that all of it
-     * have; {@code life}: Unix ms of this start.
+     * ownSlot}: this manager's cell and its slot there; {@code fleet}: the fleet's name; {@code
+     * startedAtUnixMs}: when this process started.
      */
     public CellDirectory(
             CellPlan plan,
@@ -189,8 +204,7 @@
         planNumberBySlot[ownSlot] = plan.number();
     }
 
-    // ---- Which engines.
-    /** Whether this manager may use its part of an engine at this moment. */
+    /** Whether this manager may use its share of an engine now. */
     public boolean mayUse(long engine, String zone) {
         return plan.serves(ownCell, engine, zone)
                 && (previousPlan == null
@@ -199,10 +213,7 @@
                         || releasedByFormerCells(engine, zone));
     }
 
-    /**
-     * Of what an engine that this manager uses bears while it is cold, its part; {@link
-     * CellPlan#warmUpShare}.
-     */
+    /** This manager's share of an engine's warm-up budget; {@link CellPlan#warmUpShare}. */
     public double warmUpShare(long engine, String zone) {
         return plan.warmUpShare(
                 defect == InjectedDefect.GAINS_WARM_UP_SHARE ? null : previousPlan,
@@ -211,7 +222,7 @@
                 zone);
     }
 
-    /** Whether it will: the new plan gives it, and others may not have given it up yet. */
+    /** Whether the new plan gives the engine, and others may not have released it yet. */
     public boolean awaits(long engine, String zone) {
         return plan.serves(ownCell, engine, zone) && !mayUse(engine, zone);
     }
@@ -239,7 +250,7 @@
         return names;
     }
 
-    /** What is known of each cell, by place. */
+    /** What is known of each cell, in the plan's order. */
     public List<CellStatus> cells(long now) {
         List<CellStatus> all = new ArrayList<>();
         for (int cell = 0; cell < rows.length; cell++) {
@@ -264,8 +275,7 @@
         return rejectedMessages;
     }
 
-    // ---- Time.
-    /** The membership has another view of this cell. */
+    /** The alive managers of this cell. */
     public void onViewChanged(List<String> names) {
         view = names;
         largestView = names.size() > largestView.size() ? names : largestView;
@@ -276,7 +286,7 @@
     public void tick(long now) {
         if (startedAt == NEVER) {
             startedAt = now;
-            // Managers that start together must not all speak at once.
+            // Managers that start together must not all send at once.
             nextSendAt = now + random.nextLong(SEND_INTERVAL);
         }
         if (now >= nextExpiryCheckAt) {
@@ -292,7 +302,7 @@
         if (now >= nextRowAt) {
             nextRowAt = now + MIN_ROW_INTERVAL;
             long rank = delegateRank();
-            // The second and the third deputy renew it only where those before them do not.
+            // The second and the third delegate renew it only where those before them do not.
             if (rank < DELEGATES
                     && (viewChanged
                             || now - rows[ownCell].receivedAt
@@ -309,16 +319,16 @@
         }
     }
 
-    /** This manager's place among those of its cell that are here; the first are its deputies. */
+    /** This manager's rank among the alive ones of its cell; the first ones are its delegates. */
     private long delegateRank() {
-        // With the fault: those that were first of all for good, here or not.
+        // With the defect: the first of the largest view, alive or not.
         List<String> candidates = defect == InjectedDefect.FIXED_DELEGATES ? largestView : view;
         return RendezvousHash.countBefore(ownCell, candidates, name);
     }
 
     /**
-     * Only what each manager of the cell has said itself counts: a silent one may hold the old plan
-     * and use it.
+     * The lowest plan number in this cell. Only what each manager has sent itself counts: a silent
+     * one may hold the old plan and use it.
      */
     private int leastPlanNumber() {
         return Math.min(
@@ -365,7 +375,6 @@
         }
     }
 
-    // ---- Rows.
     private void applyRow(
             long now,
             int cell,
@@ -388,7 +397,7 @@
         }
         row.sendsLeft = SENDS_PER_NEW_ROW;
         applyEvent(now, cell, Event.NEWER_ROW);
-        // A plan is never given back: a row from before, told again, takes nothing away.
+        // A plan number never goes down: an old row, received again, takes nothing away.
         if (planNumber > row.planNumber) {
             row.planNumber = planNumber;
             if (previousPlan != null && planNumber >= plan.number()) {
@@ -466,7 +475,10 @@
         return writer.bytes();
     }
 
-    /** What goes before the digest of the rooms above on each message within the cell. */
+    /**
+     * The rows for a message within the cell, followed by {@code rest}, the digest of the fleet
+     * coordinator.
+     */
     public byte[] encodeDigest(byte[] rest) {
         List<Integer> selected = new ArrayList<>();
         for (int i = newRows.size(); i > 0 && selected.size() < MAX_ROWS_PER_MESSAGE; i--) {
@@ -491,8 +503,8 @@
     }
 
     /**
-     * A digest told by the manager at this place of the cell: takes its own part, gives that of the
-     * rooms above.
+     * Takes the rows out of a digest from the manager of this slot of the cell, and returns the
+     * rest; empty where it can't be read.
      */
     public byte[] onDigest(long now, int slot, byte[] bytes) {
         BigEndianBytes reader = new BigEndianBytes(bytes);
@@ -500,7 +512,7 @@
         if (number < 0 || reader.remaining() == 0) {
             return new byte[0];
         }
-        // A manager never goes back to an older plan: a message from before, told again, takes
+        // A manager never goes back to an older plan: an old message, received again, takes
         // nothing away.
         planNumberBySlot[slot] = Math.max(planNumberBySlot[slot], number);
         int count = reader.read(1);
@@ -529,7 +541,7 @@
         }
     }
 
-    /** The number of the teller's plan; -1 where it is nobody's of this fleet. */
+    /** The number of the sender's plan; -1 where it is of another fleet, form or plan. */
     private int readHeader(long now, BigEndianBytes reader) {
         if (reader.remaining() < HEADER_BYTES || reader.read(1) != VERSION) {
             reject("another form");
--- a/src/main/java/firstage/cells/CellPlan.java
+++ b/src/main/java/firstage/cells/CellPlan.java
@@ -6,17 +6,17 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Which cells there are and which engines each serves, as all managers have it from their files. An
- * engine belongs to so many cells of its own zone ({@code spread}), the first by rendezvous of its
- * id and the cells' names: who holds the same plan answers alike without a word, and a cell that
- * comes or goes moves no engine between two others.
+ * Which cells there are and which engines each serves, as all managers read it from their files. An
+ * engine belongs to so many cells of its own zone ({@code spread}), the first by rendezvous hashing
+ * of its id and the cells' names: who holds the same plan computes the same without a message, and
+ * a cell that is added or removed moves no engine between two others.
  *
  * <p>{@code number}: a later plan has a higher one.
  */
 public record CellPlan(int number, int spread, List<Cell> cells) {
     /**
-     * Of what a cold engine bears, for cells that gain it: what others gave up is known by their
-     * word alone.
+     * Of the warm-up budget, for cells that gain an engine: that others released it is known by
+     * their messages alone.
      */
     private static final double GAINING_CELLS_FRACTION = 0.125;
 
@@ -26,7 +26,9 @@
      */
     public record Cell(String name, String zone, int slots, boolean serves) {}
 
-    /** What makes two plans the same; equal numbers with different marks are an operator's slip. */
+    /**
+     * Equal for equal plans; equal numbers with different fingerprints are an operator's mistake.
+     */
     public int fingerprint() {
         StringBuilder text = new StringBuilder().append(number).append(' ').append(spread);
         cells.forEach(
@@ -42,7 +44,7 @@
         return (int) LongHashFunction.xx3().hashChars(text);
     }
 
-    /** The place of a cell; -1 where there is none of the name. */
+    /** The index of a cell; -1 for an unknown name. */
     public int indexOf(String name) {
         return IntStream.range(0, cells.size())
                 .filter(cell -> cells.get(cell).name.equals(name))
@@ -51,19 +53,19 @@
     }
 
     /**
-     * The part of each engine that one manager of this cell has: over all that serve an engine they
-     * make one.
+     * The share of each engine that one manager of this cell has; over all that serve an engine the
+     * sum is one.
      */
     public double share(int cell) {
         return 1.0 / (spread * cells.get(cell).slots);
     }
 
     /**
-     * Of what an engine bears while it is cold, the part of one manager of this cell, which it
-     * serves. It rests on the two plans alone, as the rule on cold engines rests on nobody's word:
-     * those that have an engine by the plan before share seven eighths of that, also such as lose
-     * it and have not heard; those that gain it, the rest. {@code before}: the plan that this one
-     * replaces, or null.
+     * Of an engine's warm-up budget, the share of one manager of this cell, which serves it. It
+     * depends on the two plans alone, so that the rule on engines that are warming up depends on no
+     * message: cells that serve an engine by the previous plan divide seven eighths, also those
+     * that lose it and have not heard; cells that gain it, the rest. {@code previousPlan}: the plan
+     * that this one replaces, or null.
      */
     public double warmUpShare(CellPlan previousPlan, int cell, long engine, String zone) {
         if (previousPlan == null) {
@@ -74,7 +76,7 @@
                 : share(cell) * GAINING_CELLS_FRACTION;
     }
 
-    /** The cells that serve an engine, by place; none where its zone has none. */
+    /** The cells that serve an engine, by index; none where its zone has none. */
     public List<Integer> servingCells(long engine, String zone) {
         return IntStream.range(0, cells.size())
                 .filter(cell -> serves(cell, engine, zone))
--- a/src/main/java/firstage/cells/EngineSubset.java
+++ b/src/main/java/firstage/cells/EngineSubset.java
@@ -9,9 +9,9 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Of the list of engines what this manager may use. What its cell gains and others may not have
- * given up is kept until they have; what its cell does not serve is not kept at all, so that a
- * manager holds its cell's engines and no more, however many there are.
+ * The part of the endpoint list that this manager may use. What its cell gains and others may not
+ * have released is kept until they have; what its cell does not serve is not kept at all, so that a
+ * manager holds its cell's engines and no more.
  */
 public final class EngineSubset<T> {
     private final CellDirectory cells;
@@ -20,7 +20,7 @@
     private final Predicate<T> isGone;
     private final Map<Long, T> awaitedCount = new LinkedHashMap<>();
 
-    /** How an entry of the list tells its engine's id and zone, and that the engine is gone. */
+    /** How an entry of the list gives its engine's id and zone, and whether the engine is gone. */
     public EngineSubset(
             CellDirectory cells,
             ToLongFunction<T> id,
@@ -32,7 +32,10 @@
         this.isGone = isGone;
     }
 
-    /** What of this is told on; {@code whole}: it takes the place of all that was told before. */
+    /**
+     * The entries that this manager may use; {@code replacesAll}: they take the place of all
+     * before.
+     */
     public List<T> filter(boolean replacesAll, List<T> entries) {
         if (replacesAll) {
             awaitedCount.clear();
@@ -51,7 +54,7 @@
         return passed;
     }
 
-    /** What was kept and may be used now. */
+    /** The kept entries that may be used now; they are not kept any longer. */
     public List<T> takeReleased() {
         List<T> passed =
                 awaitedCount.values().stream()
--- a/src/main/java/firstage/membership/LeaseActions.java
+++ b/src/main/java/firstage/membership/LeaseActions.java
@@ -1,10 +1,10 @@
 package firstage.membership;
 
 /**
- * Stores that this manager is about to withdraw words, so that its next life waits before it gives
- * any.
+ * Stores that this manager is about to withdraw grants, so that its next incarnation waits before
+ * it grants any.
  */
 public interface LeaseActions {
-    /** To be answered by {@link #onWithdrawalMarkStored} once it is on the disk. */
+    /** To be answered by {@link QuotaLeases#onWithdrawalMarkStored} once it is on the disk. */
     void storeWithdrawalMark();
 }
--- a/src/main/java/firstage/membership/Member.java
+++ b/src/main/java/firstage/membership/Member.java
@@ -1,9 +1,9 @@
 package firstage.membership;
 
 /**
- * What is told of a member. {@code incarnation}: of its life (Unix ms of its start), raised by
- * itself alone to deny a doubt; the higher one counts, of equal ones the worse standing. {@code
- * weight}: the share of traffic it wants, 1 is usual.
+ * What is known of a member. {@code incarnation}: Unix ms of its start, raised by itself alone to
+ * refute a suspicion; the higher one counts, of equal ones the later state. {@code weight}: the
+ * share of traffic it wants, 1 is usual.
  */
 public record Member(
         String name,
@@ -12,7 +12,7 @@
         MemberState state,
         String version,
         double weight) {
-    /** Whether this says more than that: a newer life, or worse of the same. */
+    /** Whether this says more than that: a newer incarnation, or a later state of the same. */
     boolean overrides(Member other) {
         return incarnation > other.incarnation
                 || incarnation == other.incarnation && state.compareTo(other.state) > 0;
--- a/src/main/java/firstage/membership/MemberState.java
+++ b/src/main/java/firstage/membership/MemberState.java
@@ -1,8 +1,8 @@
 package firstage.membership;
 
 /**
- * How a manager holds another: here, doubted (silent for now), gone (silent for good), or left by
- * intent.
+ * How a manager holds another: alive; suspect (unresponsive for now); dead (unresponsive for good);
+ * left by intent. The ordinal is sent to other managers, and the later counts for more.
  */
 public enum MemberState {
     ALIVE,
--- a/src/main/java/firstage/membership/MembershipMessage.java
+++ b/src/main/java/firstage/membership/MembershipMessage.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * One datagram. {@code lastHeardAgo}: tenths of a millisecond since its sender last heard the
- * receiver, -1 for never: a way that bears in one direction only shows by it. {@code
- * withdrawnGrants}: members that its sender has withdrawn its word from, so that others may use
- * their part. {@code grantsQuota}: the answer to a ping is such a word. {@code unheardMembers}:
- * whom the sender does not hear though others do. {@code digest}: of the rooms above.
+ * One datagram. {@code lastHeardAgo}: ticks since its sender last heard the receiver, -1 for never:
+ * so a link that is broken in one direction is seen. {@code grantsQuota}: an answer to a ping
+ * grants the receiver its share. {@code withdrawnGrants}: members that the sender has withdrawn its
+ * grant from. {@code unheardMembers}: whom the sender does not hear though others do. {@code
+ * members}: gossip. {@code digest}: of the fleet coordinator and the cells.
  */
 public record MembershipMessage(
         String fleet,
@@ -25,8 +25,8 @@
         List<Member> members,
         byte[] digest) {
     /**
-     * PING asks, ACK answers; ASK wants a third one asked, VOUCH says that it answered; SYNC tells
-     * all that is known.
+     * PING asks, ACK answers; PING_REQUEST asks another to ping the target, INDIRECT_ACK says that
+     * it answered; SYNC and its reply send all that is known. The ordinal is on the wire.
      */
     public enum Kind {
         PING,
--- a/src/main/java/firstage/membership/MessageCodec.java
+++ b/src/main/java/firstage/membership/MessageCodec.java
@@ -10,12 +10,12 @@
 import java.util.List;
 
 /**
- * A message as CBOR (RFC 8949): one array, its first item the form's version, further items at the
- * end skipped, so that a newer program may tell more. What does not fit into a datagram is left
- * out: entries last, the oldest rumours first kept.
+ * A message as CBOR (RFC 8949): one array, its first item the version of the form; items that a
+ * newer form adds at the end are skipped. What does not fit into a datagram is left out: member
+ * records at the end of the list.
  */
 public final class MessageCodec {
-    /** The most that goes into one datagram: under the least MTU of IPv6 with its heads. */
+    /** Under the least MTU of IPv6 with its headers. */
     public static final int MAX_DATAGRAM_BYTES = 1_200;
 
     private static final int VERSION = 1;
@@ -27,12 +27,12 @@
     private final CBORFactory cbor = new CBORFactory();
     private final int maxBytes;
 
-    /** {@code maxBytes}: bytes a datagram may hold. */
+    /** {@code maxBytes}: what a datagram may hold. */
     public MessageCodec(int maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** What is wrong with a datagram. */
+    /** A datagram that is not a whole message; the cause in a word or two. */
     public static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -41,12 +41,12 @@
         }
     }
 
-    /** How many entries like these go into one datagram beside the rest. */
+    /** How many member records fit into one datagram beside a digest of so many bytes. */
     public int maxMembers(int digestBytes) {
         return Math.max(1, (maxBytes - HEADER_BYTES - digestBytes) / MEMBER_BYTES);
     }
 
-    /** The bytes, with as many entries as fit. */
+    /** The bytes, with as many member records as fit. */
     public byte[] encode(MembershipMessage message) {
         for (int members = Math.min(message.members().size(), MAX_MEMBERS); ; members--) {
             byte[] bytes = encode(message, members);
--- a/src/main/java/firstage/membership/QuotaLeases.java
+++ b/src/main/java/firstage/membership/QuotaLeases.java
@@ -7,42 +7,40 @@
 import java.util.Map;
 
 /**
- * Who may use which part of the engines. Half of a manager's share, its floor, is its own for good.
- * The other half it uses while enough managers have lately given it their word; where a majority
- * has withdrawn that word, the others may use it, each the same fixed piece. Enough is what leaves
- * no majority without it, so any two such sets have a member in common; and that one, having given
- * its word, withdraws it only after a time longer than a word lasts, and gives it anew only after a
- * time longer than a withdrawal lasts. So the parts in use never pass the whole, in whatever order
- * messages are lost, late or doubled, and whoever is stopped or started anew.
+ * Which part of each engine a manager may use. Half of its share is guaranteed. The other half it
+ * uses while a quorum of managers has granted it lately; where a majority has withdrawn its grants
+ * from a member, the others may use that member's half, each the same piece. The quorum leaves no
+ * majority without it, so any quorum and any majority have a manager in common; and that one,
+ * having granted, withdraws only after a time longer than a grant lasts, and grants anew only after
+ * a time longer than a withdrawal lasts.
  *
- * <p>Each word is reckoned from when the one who uses it asked, by its own clock; each wait from
- * when the one who gave it answered, by its own. Clocks must run alike to a twentieth; they need
- * not agree. A process that was stopped looks at its clock before it uses a word: {@link #share} is
- * to be asked before each dispatch. Times are tenths of a millisecond.
+ * <p>Invariant: the parts in use never exceed the whole, in whatever order messages are lost, late
+ * or doubled, and whoever is paused or restarted.
+ *
+ * <p>A grant is timed from when its user asked for it, by the user's clock; each wait from when the
+ * granter answered, by the granter's clock. Clocks must run alike to a twentieth; they need not
+ * agree. {@link #share} is to be asked before each attempt, since a paused process must check its
+ * clock before it uses a grant. Times are in ticks.
  */
 public final class QuotaLeases {
-    /** Of a manager's share that is its own for good: cut off from all, it still serves half. */
+    /** Of a manager's share: cut off from all, it still serves half. */
     static final double GUARANTEED_FRACTION = 0.5;
 
-    /**
-     * The least time that a word lasts: many probe rounds of a small fleet, so that loss alone
-     * seldom ends it.
-     */
+    /** Many probe rounds of a small fleet, so that loss alone seldom ends a grant. */
     private static final long MIN_GRANT_DURATION = Ticks.ofSeconds(3);
 
-    /** Rounds in which each is asked once: a word lasts so many. */
+    /** A grant lasts so many rounds in which each manager is probed once. */
     private static final double GRANT_PROBE_ROUNDS = 1.5;
 
-    /**
-     * Clocks run alike to a twentieth; the rest is for what is between looking at a clock and
-     * acting.
-     */
+    /** Clocks run alike to a twentieth. */
     private static final double CLOCK_DRIFT_FACTOR = 1.05;
 
+    /** For the time between reading a clock and acting. */
     private static final long WAIT_MARGIN = Ticks.ofMillis(150);
+
     private static final long NEVER = Long.MIN_VALUE / 4;
 
-    /** Faults put back one at a time. */
+    /** Defects that tests put in one at a time, to show that they are found. */
     public enum InjectedDefect {
         NONE,
         NO_WITHDRAWAL_WAIT,
@@ -51,7 +49,7 @@
         GRANT_TIMED_FROM_RESPONSE
     }
 
-    /** How this manager holds another. */
+    /** This manager's grant to another. */
     private static final class PeerGrant {
         private boolean unreachable;
         private long grantedAt = NEVER;
@@ -68,10 +66,10 @@
     private final LeaseActions actions;
     private final Map<String, PeerGrant> peers = new HashMap<>();
 
-    /** Until when each one's word to this manager counts. */
+    /** By manager, until when its grant to this one counts. */
     private final Map<String, Long> grantExpiries = new HashMap<>();
 
-    /** By member, who withdrew its word from it, and until when that counts. */
+    /** By member, who withdrew its grant from it, and until when that counts. */
     private final Map<String, Map<String, Long>> withdrawalExpiries = new HashMap<>();
 
     private final boolean mayHaveWithdrawnBefore;
@@ -134,7 +132,8 @@
     }
 
     /**
-     * Whether so long after its start it may do what its life before may have done the opposite of.
+     * Whether it is so long after its start that what its previous incarnation granted or withdrew
+     * has expired.
      */
     private boolean pastStartupWait(long now) {
         return now - startedAt > withdrawalWait
@@ -145,7 +144,7 @@
         return peers.computeIfAbsent(name, n -> new PeerGrant());
     }
 
-    /** The membership's word on another: gone or left, or here. */
+    /** What the membership says of another: dead or left, or alive. */
     public void setUnreachable(long now, String name, boolean unreachable) {
         recordStart(now);
         peer(name).unreachable = unreachable;
@@ -157,7 +156,7 @@
         withdrawalMarkStored = true;
     }
 
-    /** Whether an answer to this member carries this manager's word; asked for each answer. */
+    /** Whether an answer to this member carries this manager's grant; asked for each answer. */
     boolean grantTo(long now, String name) {
         recordStart(now);
         PeerGrant peer = peer(name);
@@ -169,7 +168,7 @@
         return gives;
     }
 
-    /** Whom this manager's word is withdrawn from; told with each answer. */
+    /** The members that this manager's grant is withdrawn from; sent with each answer. */
     List<String> withdrawGrants(long now) {
         recordStart(now);
         List<String> names = new ArrayList<>();
@@ -212,7 +211,7 @@
         share = -1;
     }
 
-    /** The part of each engine that this manager may use at this moment. */
+    /** The part of each engine that this manager may use now, from 0 to 1. */
     public double share(long now) {
         if (share < 0 || now >= shareUntil) {
             recompute(now);
@@ -225,7 +224,7 @@
         grantExpiries.values().removeIf(until -> until <= now);
         grantExpiries.values().forEach(until -> shareUntil = Math.min(shareUntil, until));
         double fullShareOfEngine = fullShare;
-        // Its own word counts for itself, and is never withdrawn.
+        // Its own grant counts for itself, and is never withdrawn.
         boolean fullShareGranted = grantExpiries.size() + 1 >= quorum;
         share = fullShareOfEngine * (fullShareGranted ? 1 : GUARANTEED_FRACTION);
         if (fullShareGranted) {
