--- a/src/main/java/firstage/cells/package-info.java
+++ b/src/main/java/firstage/cells/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A large fleet in cells: the managers of a cell know each other in full (members, leases, level,
- * trials) and share the engines that their cell serves; of other cells each knows one row. Free of
- * I/O: time, chance and datagrams come in by calls, effects go out by {@link
- * firstage.cells.CellDirectory.Effects}. docs/cells.md says why.
+ * Cells of a large fleet: the managers of a cell know each other in full (members, leases,
+ * load-shedding threshold, probe owners) and share the engines that their cell serves; of each
+ * other cell they know one row. Free of I/O: time, randomness and datagrams come in by calls,
+ * effects go out by {@link firstage.cells.CellActions}. docs/cells.md gives the reasons.
  */
 package firstage.cells;
--- a/src/main/java/firstage/failover/ZoneFailover.java
+++ b/src/main/java/firstage/failover/ZoneFailover.java
@@ -363,7 +363,7 @@
      * failed.
      */
     private boolean failedByReports(int zone, List<LoadRow> rows) {
-        // Of one that was left only what is seen counts, not who is away.
+        // Of an evacuated zone only observations count, not the mark of those who avoid it.
         int countedMark = zones[zone].state == State.IN_USE ? EVACUATED : MAX_PERCENT;
         int zonesReporting = 0;
         int zonesSayingFailed = 0;
@@ -437,8 +437,7 @@
         for (Transition transition : TRANSITIONS) {
             if (transition.state == zone.state && transition.event == event) {
                 if (transition.next == State.EVACUATED) {
-                    // Failed on its way back, or soon after: longer out. In use for long, it is
-                    // forgiven.
+                    // Failed while returning, or soon after: evacuated longer.
                     boolean failedAgain =
                             transition.state == State.RETURNING
                                     || zone.since > 0 && now - zone.since < FAILURE_MEMORY;
--- a/src/main/java/firstage/membership/MessageCodec.java
+++ b/src/main/java/firstage/membership/MessageCodec.java
@@ -101,9 +101,7 @@
         generator.writeEndArray();
     }
 
-    /**
-     * Reads it; whatever is not whole and in form is refused with its cause in two or three words.
-     */
+    /** Reads a datagram. Throws where it is not whole or not in form. */
     public MembershipMessage decode(byte[] bytes) throws MalformedMessageException {
         if (bytes.length > maxBytes) {
             throw new MalformedMessageException("too long");
@@ -131,7 +129,7 @@
             List<Member> members = readMembers(in);
             require(in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
             byte[] digest = in.getBinaryValue();
-            // What a newer form adds stands here; the array must end all the same.
+            // Items that a newer form adds are skipped; the array must end all the same.
             JsonToken more = in.nextToken();
             while (more != JsonToken.END_ARRAY) {
                 require(more != null);
--- a/src/main/java/firstage/membership/QuotaLeases.java
+++ b/src/main/java/firstage/membership/QuotaLeases.java
@@ -81,8 +81,8 @@
 
     /**
      * {@code managers}: how many managers there are by the settings; {@code period} between two
-     * probes of one manager; {@code mayHaveWithdrawnBefore}: the life before may have withdrawn
-     * words.
+     * probes of one manager; {@code mayHaveWithdrawnBefore}: a previous incarnation may have
+     * withdrawn grants.
      */
     public QuotaLeases(
             int managers,
@@ -101,7 +101,7 @@
 
     /**
      * In a fleet of cells: {@code managers} in this manager's cell, {@code fullShare} of each
-     * engine that is its own. Words are among those of a cell only, so their length and their
+     * engine that is its own. Grants are among those of a cell only, so their duration and their
      * majority do not grow with the fleet.
      */
     public QuotaLeases(
--- a/src/main/java/firstage/membership/ViewAgreement.java
+++ b/src/main/java/firstage/membership/ViewAgreement.java
@@ -58,7 +58,10 @@
         }
     }
 
-    /** Makes a new view where it is time to. */
+    /**
+     * Makes a new view once members have not changed for the quiet time, or after the longest
+     * delay.
+     */
     void update(long now) {
         endHoldDowns(now);
         if (changedSince < 0 || now - changedAt < QUIET_TIME && now - changedSince < MAX_DELAY) {
--- a/src/main/java/firstage/membership/package-info.java
+++ b/src/main/java/firstage/membership/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Managers that know each other: who is here, which ways bear, who holds which part of an engine.
- * Free of I/O: time, chance and datagrams come in by calls, effects go out by {@link
- * firstage.membership.MembershipProtocol.Carrier}. docs/membership.md says why.
+ * Membership of the fleet: which managers are alive, which links work, who holds which quota lease.
+ * Free of I/O: time, randomness and datagrams come in by calls, effects go out by {@link
+ * firstage.membership.MembershipActions}. docs/membership.md gives the reasons.
  */
 package firstage.membership;
--- a/src/main/java/firstage/overload/OverloadDigest.java
+++ b/src/main/java/firstage/overload/OverloadDigest.java
@@ -214,7 +214,7 @@
                                 ejected == JsonToken.VALUE_TRUE,
                                 Math.max(0, in.getLongValue())));
             }
-            // One of an older form tells no rows.
+            // An older form has no rows.
             boolean more = in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT;
             return new Contents(reports, more ? rows(in.getBinaryValue()) : List.of());
         } catch (IOException spoilt) {
--- a/src/main/java/firstage/overload/ProbeCoordinator.java
+++ b/src/main/java/firstage/overload/ProbeCoordinator.java
@@ -186,7 +186,7 @@
                                         true,
                                         Math.max(0, now - engineState.lastAttemptAt)));
                     } else if (now - readmittedAt < READMISSION_REPORTED_FOR) {
-                        // Passed on by who heard it, too: so it is with all in a few rounds.
+                        // Passed on by who heard it, too, so that all know in a few rounds.
                         reports.add(new EngineReport(engine, false, now - readmittedAt));
                     }
                 });
@@ -293,8 +293,8 @@
                 probingReporters.add(self);
             }
         }
-        // Held closed by others only: our own fresh news, or a sickness of most engines, is better
-        // than their word.
+        // Ejected by others only: a recent response to this manager counts for more, and where
+        // most engines would be avoided the reports do not count.
         boolean shared =
                 now >= engineState.independentUntil
                                 && reporters.size() >= reportersNeeded()
@@ -316,7 +316,7 @@
                                                                                 engine, manager)))
                                                 .orElse(self)
                                                 .equals(self));
-        // What was opened before this manager last tried it in vain says nothing.
+        // A readmission before this manager's last failed attempt says nothing.
         boolean readmitted = engineState.readmissionReportedAt > engineState.lastAttemptAt;
         Event event =
                 readmitted && engineState.right != State.OWN
@@ -334,7 +334,7 @@
                     && transition.next != engineState.right) {
                 engineState.right = transition.next;
                 if (engineState.right == State.RETURNING) {
-                    // Those before this one in the order of the engine, doubled with each step.
+                    // Steps double: step n holds the next 2^n managers in the engine's order.
                     long managersBefore = RendezvousHash.countBefore(engine, view, self);
                     int step =
                             defect == InjectedDefect.ALL_AT_ONCE
@@ -342,8 +342,7 @@
                                     : Long.SIZE - Long.numberOfLeadingZeros(managersBefore + 1) - 1;
                     engineState.stepAt = now + step * RETURN_STEP;
                 }
-                // Whoever was led back looks for itself first: what the others tell may be from
-                // before.
+                // After its step it goes by its own observations: reports of others may be old.
                 engineState.independentUntil =
                         event == Event.STEP_DUE
                                 ? now + INDEPENDENT_AFTER_RETURN
--- a/src/main/java/firstage/overload/package-info.java
+++ b/src/main/java/firstage/overload/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What managers do together where engines are sick or too few: free of I/O, on the membership's
- * view and digests. What a peer says makes a manager more careful, or hands it what the peer gave
- * up; no rule rests on it. docs/overload.md says why.
+ * What managers decide together where engines are unhealthy or too few: one probe owner for an
+ * engine, one load-shedding threshold. Free of I/O; uses the membership's view and digests. A
+ * peer's report makes a manager more careful, or hands it capacity that the peer has released; no
+ * rule rests on it. docs/overload.md gives the reasons.
  */
 package firstage.overload;
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -53,12 +53,15 @@
 import org.xnio.channels.MulticastMessageChannel;
 import org.xnio.channels.SocketAddressBuffer;
 
-/** The membership's datagrams, clock and log, all on the one I/O thread. */
+/**
+ * Carries membership, cells and fleet coordination over UDP on the one I/O thread: datagrams, ticks
+ * and log lines. Answers status requests and zone orders from this machine. Decides nothing.
+ */
 public final class MembershipTransport implements MembershipActions, CellActions {
-    /** What a view is asked for by, from this machine only. */
+    /** The request for this manager's status; answered to this machine only. */
     public static final String STATUS_REQUEST = "firstage view 1";
 
-    /** What an order begins with; what is wanted and the zone's name follow. */
+    /** What a zone order begins with; the order and the zone's name follow. */
     public static final String ZONE_ORDER_PREFIX = "firstage zone 1";
 
     /** The answer to an order that can't be used. */
@@ -68,15 +71,15 @@
     private static final int TICK_MS = 20;
     private static final int MAX_DATAGRAM_BYTES = 1_200;
 
-    /** Tenths of a millisecond: three ticks; less is a busy machine, not a stop. */
+    /** Three ticks of this class; less is a busy machine, not a pause. */
     private static final long PAUSE_THRESHOLD = Ticks.ofMillis(60);
 
-    /** What lay there during a stop is read within this after it. */
+    /** What arrived during a pause is read within this after it. */
     private static final long BACKLOG_READ_TIME = Ticks.ofMillis(100);
 
     private static final int MAX_DATAGRAMS_PER_READ = 64;
 
-    /** Cells that an answer names in each of its lists. */
+    /** Cells that a status names in each of its lists. */
     private static final int MAX_CELLS_NAMED = 8;
 
     private final PeerConfig config;
@@ -88,14 +91,14 @@
     private final FleetCoordinator fleetCoordinator;
     private final List<String> zoneNames;
 
-    /** Null where the fleet is one; so is the sieve. */
+    /** Null where the fleet has no cells; so is the engine subset. */
     private final CellDirectory cells;
 
     private final EngineSubset<DiscoveredEndpoint> engineSubset;
     private final Consumer<List<DiscoveredEndpoint>> onEnginesReleased;
     private final Map<InetSocketAddress, Integer> addressIndex = new HashMap<>();
 
-    /** Where managers of other cells are. */
+    /** Addresses of managers of other cells. */
     private final Set<InetSocketAddress> otherCellAddresses = new HashSet<>();
 
     private final ByteBuffer receiveBuffer = ByteBuffer.allocateDirect(MAX_DATAGRAM_BYTES + 1);
@@ -103,7 +106,7 @@
     private MulticastMessageChannel channel;
     private boolean closed;
 
-    /** The place whose datagram is being read. */
+    /** The index of the address whose datagram is being read. */
     private int currentSender;
 
     private long lastTickAt;
@@ -111,9 +114,9 @@
     private long lastPause;
 
     /**
-     * {@code started}: Unix ms, the number of this life; {@code keepAway}, {@code cut}: what the
-     * managers together decide for this one; {@code onEnginesReleased}: is told of engines that it
-     * may use from now on.
+     * {@code startedAtUnixMs}: this manager's incarnation; {@code probeActions}, {@code
+     * sheddingActions}: what the fleet coordinator decides for this manager; {@code
+     * onEnginesReleased}: takes the engines that it may use from now on.
      */
     public MembershipTransport(
             PeerConfig config,
@@ -225,7 +228,9 @@
         return zone >= 0 && zone < zoneNames.size() ? zoneNames.get(zone) : "";
     }
 
-    /** Of an event of the list what this manager may use; all of it where the fleet is one. */
+    /**
+     * Of a watch event the endpoints that this manager may use; all where the fleet has no cells.
+     */
     public List<DiscoveredEndpoint> usableEndpoints(
             EndpointUpdate.Kind kind, List<DiscoveredEndpoint> entries) {
         return engineSubset == null
@@ -234,33 +239,33 @@
     }
 
     /**
-     * Of what an engine bears while it is cold, this manager's part; 0, by the settings, where the
-     * fleet is one.
+     * This manager's share of an engine's warm-up budget; 0, for the share by the settings, where
+     * the fleet has no cells.
      */
     public double warmUpShare(DiscoveredEndpoint endpoint) {
         return cells == null ? 0 : cells.warmUpShare(endpoint.id(), zoneName(endpoint.zone()));
     }
 
-    /** Listens. */
+    /** Binds the socket. */
     public void listen(XnioWorker worker) throws IOException {
         channel = worker.createUdpServer(config.listenAddress(), null, OptionMap.EMPTY);
     }
 
-    /** Begins; on the I/O thread. */
+    /** Starts reading and ticking; on the I/O thread. */
     public void start() {
         channel.getReadSetter().set(c -> onReadable());
         channel.resumeReads();
         tick();
     }
 
-    /** The part of each engine that this manager may use now. */
+    /** The part of each engine that this manager may use now, from 0 to 1. */
     public double share() {
         return leases.share(clock.now());
     }
 
     /**
-     * How long this process was stopped just now: since its last tick, or until the one that came
-     * late.
+     * How long this process was paused just now, in ticks: since its last tick, or until the one
+     * that came late; 0 where it was not.
      */
     public long pauseDuration() {
         long now = clock.now();
@@ -286,10 +291,7 @@
         }
     }
 
-    /**
-     * A life that withdraws its word says so to the next one first; a disk may block, so not on
-     * this thread.
-     */
+    /** Stores the mark on a thread of its own, since a disk may block. */
     private void storeWithdrawalMark() {
         Thread writer =
                 new Thread(
@@ -305,8 +307,8 @@
                                 file.force(true);
                                 io.execute(leases::onWithdrawalMarkStored);
                             } catch (IOException fault) {
-                                // Then it withdraws nothing: the others' room stays unused, and no
-                                // rule is at stake.
+                                // Then it withdraws nothing: what the others could use stays
+                                // unused, and no invariant is at stake.
                                 LOG.warning(
                                         "no mark can be kept at "
                                                 + config.withdrawalMark()
@@ -357,10 +359,7 @@
         }
     }
 
-    /**
-     * An operator's order, {@code firstage zone 1 leave north}; false where it is none that can be
-     * used.
-     */
+    /** An operator's order, {@code firstage zone 1 leave north}; false where it can't be used. */
     private boolean applyZoneOrder(byte[] bytes) {
         String[] words = new String(bytes, StandardCharsets.UTF_8).split(" ", 5);
         int zone = words.length < 5 ? -1 : zoneNames.indexOf(words[4]);
@@ -377,7 +376,7 @@
         return false;
     }
 
-    /** What it knows, as JSON. */
+    /** What this manager knows, as JSON. */
     private String statusJson() throws IOException {
         long now = clock.now();
         StringWriter text = new StringWriter();
@@ -440,8 +439,7 @@
     }
 
     /**
-     * The cells in two numbers and, where not all is well, by name: one answer must fit into a
-     * datagram.
+     * The cells as totals and, where not all is well, by name: a status must fit into one datagram.
      */
     private void writeCells(JsonGenerator out, long now) throws IOException {
         PeerConfig.CellPlacement placement = config.cellPlacement();
@@ -499,11 +497,12 @@
                         : "");
     }
 
-    /** It ends by intent; the others are told. */
+    /** This manager ends by intent; the others are told so. */
     public void leave() {
         protocol.leave(clock.now());
     }
 
+    /** Closes the socket and adds the rejected messages to the counters. */
     public void close() {
         closed = true;
         protocol.rejectedMessages()
@@ -607,7 +606,7 @@
                 now, name, cells == null ? digest : cells.onDigest(now, currentSender, digest));
     }
 
-    /** What this manager works out with the others; on the I/O thread. */
+    /** What this manager decides with the others; on the I/O thread. */
     public FleetCoordinator fleetCoordinator() {
         return fleetCoordinator;
     }
