--- a/src/main/java/firstage/policy/ConcurrencyLimiter.java
+++ b/src/main/java/firstage/policy/ConcurrencyLimiter.java
@@ -92,7 +92,7 @@
         return engine.cores * THREADS_PER_CORE * capacityShare;
     }
 
-    /** Active threads over all that the engine bears; not a number where they are not told. */
+    /** Active threads over all that the engine bears; not a number where they are not reported. */
     static double threadLoad(EngineState engine, double activeThreads) {
         return activeThreads / engine.cores / THREADS_PER_CORE;
     }
--- a/src/main/java/firstage/policy/LoadReportTracker.java
+++ b/src/main/java/firstage/policy/LoadReportTracker.java
@@ -21,15 +21,15 @@
         meanLoad.add(engine.reportedLoad);
         double threadLoad = ConcurrencyLimiter.threadLoad(engine, report.activeThreads());
         double load = 0;
-        load = largerIfTold(load, report.queuedForMemory());
-        load = largerIfTold(load, report.memoryShare());
-        load = largerIfTold(load, threadLoad);
+        load = largerIfReported(load, report.queuedForMemory());
+        load = largerIfReported(load, report.memoryShare());
+        load = largerIfReported(load, threadLoad);
         engine.reportedLoad = load;
         return load >= 1;
     }
 
-    /** A figure that is not told is not a number, and compares as false. */
-    private static double largerIfTold(double load, double figure) {
+    /** A figure that is not reported is not a number, and compares as false. */
+    private static double largerIfReported(double load, double figure) {
         return figure > load ? figure : load;
     }
 
--- a/src/main/java/firstage/policy/RetryPolicy.java
+++ b/src/main/java/firstage/policy/RetryPolicy.java
@@ -95,7 +95,7 @@
         return !hasFailedEnough(request) && (mayReject(request) || repetitionIsDropped);
     }
 
-    /** For how many ticks a rejected client is to stay away; 0 where it can't be told so. */
+    /** For how many ticks a rejected client is to stay away; 0 where the wire can't say so. */
     long retryAfter() {
         return capabilities.retryAfter() ? Math.min(RETRY_AFTER, capabilities.maxRetryAfter()) : 0;
     }
--- a/src/main/java/firstage/policy/SlowStartBudget.java
+++ b/src/main/java/firstage/policy/SlowStartBudget.java
@@ -22,7 +22,7 @@
     /** The golden ratio: spreads the managers' ranks evenly. */
     private static final double RANK_STEP = 0.618034;
 
-    /** Of a straight line: how an engine warms up is not told. */
+    /** Of a straight line: how an engine warms up is unknown. */
     private static final double WARM_UP_SLOPE = 0.8;
 
     /** Busy share of the cores at capacity. */
--- a/src/main/java/firstage/policy/UnplaceableRequests.java
+++ b/src/main/java/firstage/policy/UnplaceableRequests.java
@@ -7,7 +7,7 @@
 /**
  * Kinds of requests that found no engine in one pass over the queue. Within a pass capacity only
  * shrinks: a first attempt of the same kind that needs no less memory finds none either, so that a
- * long queue does not look at every engine for each request.
+ * long queue does not scan every engine for each request.
  */
 final class UnplaceableRequests {
     /** A request that must be looked at by itself. */
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -365,7 +365,7 @@
         if (nextEvaluation == 0) {
             evaluate(now);
         }
-        // Each queued request looks at each engine: only after an event, and now and then.
+        // A pass may scan all engines for each request: only after an event, and now and then.
         if (queuePassDue || now >= nextQueuePass) {
             runQueuePass(now);
         }
--- a/src/main/java/firstage/policy/api/AttemptResult.java
+++ b/src/main/java/firstage/policy/api/AttemptResult.java
@@ -5,8 +5,8 @@
  *
  * @param attemptNumber from 0, for each request
  * @param duration in ticks, from its start
- * @param actualWork what the request truly needed, in ticks on one thread; 0 where not told
- * @param actualMemoryMb what the request truly needed; 0 where not told
+ * @param actualWork what the request truly needed, in ticks on one thread; 0 where not reported
+ * @param actualMemoryMb what the request truly needed; 0 where not reported
  * @param requestClosed whether the client has its answer with this
  * @param loadReport of the engine; null where none came with it
  * @param mayStillRunFor for how many ticks its engine may still run it; 0 where its end is proven,
--- a/src/main/java/firstage/policy/api/Deployment.java
+++ b/src/main/java/firstage/policy/api/Deployment.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * What a workload manager is told of its deployment at start; absent figures are 0, lists empty.
+ * What a workload manager knows of its deployment at start; absent figures are 0, lists empty.
  *
  * @param rank this manager's number, from 0
  * @param tenantRates requests a tick, over all managers
--- a/src/main/java/firstage/policy/api/IncomingRequest.java
+++ b/src/main/java/firstage/policy/api/IncomingRequest.java
@@ -11,7 +11,7 @@
  * @param estimatedMemoryMb 0 where not known
  * @param tableGroup the tables that it reads or loads; -1 for none
  * @param retry whether its client sent it before
- * @param orderUnknown whether its place among accepted requests of its key can't be told
+ * @param orderUnknown whether its place among accepted requests of its key is unknown
  */
 public record IncomingRequest(
         int requestId,
--- a/src/main/java/firstage/policy/api/PolicyActions.java
+++ b/src/main/java/firstage/policy/api/PolicyActions.java
@@ -18,7 +18,7 @@
     /**
      * Rejects the request: the client may try again without harm.
      *
-     * @param retryAfter for how many ticks it is to stay away; 0 where it can't be told
+     * @param retryAfter for how many ticks it is to stay away; 0 where the wire can't say so
      */
     void reject(int requestId, long retryAfter);
 
--- a/src/main/java/firstage/policy/api/SchedulingPolicy.java
+++ b/src/main/java/firstage/policy/api/SchedulingPolicy.java
@@ -91,6 +91,6 @@
     /** How many attempts are in flight at this engine. */
     int attemptsInFlight(int engineId);
 
-    /** All events of this moment have been told; now act on them. */
+    /** All events of this moment have arrived; now act on them. */
     void runPendingActions(long now);
 }
--- a/src/test/java/firstage/policy/WorkloadSchedulerTest.java
+++ b/src/test/java/firstage/policy/WorkloadSchedulerTest.java
@@ -32,8 +32,8 @@
                 .advance(90 * SECOND);
         assertThat(scenario.actions()).noneMatch(action -> action.startsWith("releaseEngine"));
         scenario.result(1, AttemptOutcome.SUCCEEDED);
-        for (int batch = 2; batch < 6; batch++) {
-            scenario.request(batch, LOAD).advance(20 * SECOND);
+        for (int id = 2; id < 6; id++) {
+            scenario.request(id, LOAD).advance(20 * SECOND);
         }
         assertThat(scenario.actions().stream().filter(action -> action.startsWith("releaseEngine")))
                 .containsExactly("releaseEngine " + scenario.engineOf(1));
