--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -22,8 +22,9 @@
 import firstage.policy.api.Deployment;
 import firstage.policy.api.EndpointUpdate;
 import firstage.server.Counters;
-import firstage.server.ServerEvents.Listed;
+import firstage.server.ServerEvents.DiscoveredEndpoint;
 import firstage.server.TickClock;
+import firstage.util.Ticks;
 import java.io.IOException;
 import java.io.StringWriter;
 import java.net.InetSocketAddress;
@@ -68,10 +69,10 @@
     private static final int MAX_DATAGRAM_BYTES = 1_200;
 
     /** Tenths of a millisecond: three ticks; less is a busy machine, not a stop. */
-    private static final long PAUSE_THRESHOLD = 600;
+    private static final long PAUSE_THRESHOLD = Ticks.ofMillis(60);
 
     /** What lay there during a stop is read within this after it. */
-    private static final long BACKLOG_READ_TIME = 1_000;
+    private static final long BACKLOG_READ_TIME = Ticks.ofMillis(100);
 
     private static final int MAX_DATAGRAMS_PER_READ = 64;
 
@@ -90,8 +91,8 @@
     /** Null where the fleet is one; so is the sieve. */
     private final CellDirectory cells;
 
-    private final EngineSubset<Listed> engineSubset;
-    private final Consumer<List<Listed>> onEnginesReleased;
+    private final EngineSubset<DiscoveredEndpoint> engineSubset;
+    private final Consumer<List<DiscoveredEndpoint>> onEnginesReleased;
     private final Map<InetSocketAddress, Integer> addressIndex = new HashMap<>();
 
     /** Where managers of other cells are. */
@@ -123,7 +124,7 @@
             Counters counters,
             ProbeActions probeActions,
             SheddingActions sheddingActions,
-            Consumer<List<Listed>> onEnginesReleased) {
+            Consumer<List<DiscoveredEndpoint>> onEnginesReleased) {
         this.config = config;
         Deployment deployment = managerConfig.deployment();
         zoneNames = List.of(managerConfig.settings().getString("areas", "").split(","));
@@ -183,9 +184,9 @@
                         ? null
                         : new EngineSubset<>(
                                 cells,
-                                Listed::id,
+                                DiscoveredEndpoint::id,
                                 e -> zoneName(e.zone()),
-                                e -> e.standing() == EndpointUpdate.Lifecycle.GONE);
+                                e -> e.lifecycle() == EndpointUpdate.Lifecycle.GONE);
         if (cellConfig != null) {
             cellConfig.addressesByCell().forEach(otherCellAddresses::addAll);
             otherCellAddresses.removeAll(config.peerAddresses());
@@ -225,7 +226,8 @@
     }
 
     /** Of an event of the list what this manager may use; all of it where the fleet is one. */
-    public List<Listed> served(EndpointUpdate.Kind kind, List<Listed> entries) {
+    public List<DiscoveredEndpoint> served(
+            EndpointUpdate.Kind kind, List<DiscoveredEndpoint> entries) {
         return engineSubset == null
                 ? entries
                 : engineSubset.filter(kind != EndpointUpdate.Kind.DELTA, entries);
@@ -235,7 +237,7 @@
      * Of what an engine bears while it is cold, this manager's part; 0, by the settings, where the
      * fleet is one.
      */
-    public double coldPart(Listed e) {
+    public double coldPart(DiscoveredEndpoint e) {
         return cells == null ? 0 : cells.warmUpShare(e.id(), zoneName(e.zone()));
     }
 
@@ -527,7 +529,7 @@
 
     @Override
     public void enginesReleased(long now) {
-        List<Listed> may = engineSubset.takeReleased();
+        List<DiscoveredEndpoint> may = engineSubset.takeReleased();
         if (!may.isEmpty()) {
             LOG.info(() -> "cell {\"engines taken over\":" + may.size() + "}");
             onEnginesReleased.accept(may);
