--- a/src/main/java/firstage/policy/OutlierDetector.java
+++ b/src/main/java/firstage/policy/OutlierDetector.java
@@ -12,7 +12,7 @@
 /**
  * The health of engines, as a circuit breaker with the states of {@link EngineHealth}: an engine is
  * ejected by what it shows, is half-open after a backoff that doubles, and available again after a
- * success. Invariant: a half-open engine runs one idempotent request at most.
+ * success. Invariant: a half-open engine gets one idempotent request at a time, its probe.
  */
 final class OutlierDetector {
     /** Before the first probe of an ejected engine; doubled each time. */
