--- a/src/main/java/firstage/lifecycle/KeyOrderMonitor.java
+++ b/src/main/java/firstage/lifecycle/KeyOrderMonitor.java
@@ -50,7 +50,8 @@
     public void onAttemptEnded(long now, Object key, Object request, long heldFor) {
         KeyState keyState = keys.get(key);
         if (keyState != null) {
-            keyState.attemptsInFlight.computeIfPresent(request, (b, n) -> n > 1 ? n - 1 : null);
+            keyState.attemptsInFlight.computeIfPresent(
+                    request, (ignored, count) -> count > 1 ? count - 1 : null);
             if (heldFor > 0) {
                 keyState.heldUntil.merge(request, now + heldFor, Math::max);
             }
--- a/src/main/java/firstage/server/ReadBarrier.java
+++ b/src/main/java/firstage/server/ReadBarrier.java
@@ -79,8 +79,8 @@
             try {
                 wakeUpByte.clear();
                 wakeUpWriter.getSinkChannel().write(wakeUpByte);
-            } catch (IOException fault) {
-                onPipeBroken(fault);
+            } catch (IOException exception) {
+                onPipeBroken(exception);
             }
         }
     }
@@ -92,8 +92,8 @@
                 // The rest of what this pass found is read first.
                 io.execute(this::finishPass);
             }
-        } catch (IOException fault) {
-            onPipeBroken(fault);
+        } catch (IOException exception) {
+            onPipeBroken(exception);
         }
     }
 
@@ -112,8 +112,8 @@
     }
 
     /** Without the pipe no barrier is ever passed; requests must not wait for it. */
-    private void onPipeBroken(IOException fault) {
-        LOG.severe("read barrier broken cause=" + fault);
+    private void onPipeBroken(IOException exception) {
+        LOG.severe("read barrier broken cause=" + exception);
         counters.count("unexpected exceptions");
         List<Waiter> done = currentPass;
         currentPass = new ArrayList<>();
--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -130,7 +130,7 @@
             for (StreamConnection next = from.accept(); next != null; next = from.accept()) {
                 onConnectionOpened(next);
             }
-        } catch (IOException fault) {
+        } catch (IOException exception) {
             counters.count("connections not accepted");
         }
     }
--- a/src/main/java/firstage/server/discovery/EndpointParser.java
+++ b/src/main/java/firstage/server/discovery/EndpointParser.java
@@ -93,7 +93,7 @@
     private static long parseEngineId(String text) {
         try {
             return Long.parseLong(text.substring(text.indexOf('-') + 1), 16);
-        } catch (NumberFormatException fault) {
+        } catch (NumberFormatException exception) {
             throw new MalformedLineException("no engine's id: " + text);
         }
     }
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -119,9 +119,9 @@
                     Math.max(
                             lastEventNumber,
                             index == null ? 0 : Long.parseLong(String.valueOf(index)));
-        } catch (RuntimeException fault) {
+        } catch (RuntimeException exception) {
             counters.count("malformed initial endpoint lists");
-            LOG.warning("initial endpoints unreadable cause=" + fault.getMessage());
+            LOG.warning("initial endpoints unreadable cause=" + exception.getMessage());
         }
         if (coordinator == null) {
             io.executeAfter(this::confirm, CONFIRM_TIMEOUT_MS, TimeUnit.MILLISECONDS);
@@ -210,8 +210,8 @@
     private static StreamConnection result(IoFuture<? extends StreamConnection> done) {
         try {
             return done.get();
-        } catch (IOException fault) {
-            throw new IllegalStateException(fault);
+        } catch (IOException exception) {
+            throw new IllegalStateException(exception);
         }
     }
 
@@ -241,7 +241,7 @@
             connection.getSourceChannel().setReadListener(this::onReadable);
             connection.getSourceChannel().resumeReads();
             restartSilenceTimer();
-        } catch (IOException fault) {
+        } catch (IOException exception) {
             onConnectionLost();
         }
     }
@@ -310,8 +310,8 @@
                     confirm();
                 }
             }
-        } catch (IOException fault) {
-            LOG.warning("coordinator connection closed cause=" + fault.getMessage());
+        } catch (IOException exception) {
+            LOG.warning("coordinator connection closed cause=" + exception.getMessage());
             counters.count("malformed or broken endpoint streams");
             onConnectionLost();
         }
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -198,7 +198,7 @@
                 idle(connection, false);
                 call.onFailure(EngineCall.Failure.NO_LONGER_WANTED);
             }
-        } catch (IOException fault) {
+        } catch (IOException exception) {
             budget.release();
             call.onFailure(EngineCall.Failure.CONNECT_TIMEOUT);
         }
--- a/src/main/java/firstage/server/engine/EngineResponse.java
+++ b/src/main/java/firstage/server/engine/EngineResponse.java
@@ -31,7 +31,7 @@
         }
         try {
             StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(body));
-        } catch (CharacterCodingException fault) {
+        } catch (CharacterCodingException exception) {
             return false;
         }
         return !trailingBytes && (body.length == 0 || body[body.length - 1] == '\n');
@@ -45,7 +45,7 @@
     double numberHeader(String name, double defaultValue) {
         try {
             return Double.parseDouble(headers.getOrDefault(name, "").trim());
-        } catch (NumberFormatException fault) {
+        } catch (NumberFormatException exception) {
             return defaultValue;
         }
     }
--- a/src/main/java/firstage/server/engine/EngineResponseReader.java
+++ b/src/main/java/firstage/server/engine/EngineResponseReader.java
@@ -140,7 +140,7 @@
             if (number >= 0) {
                 return number;
             }
-        } catch (NumberFormatException fault) {
+        } catch (NumberFormatException exception) {
             // Reported below.
         }
         throw new IOException("no number: " + text);
--- a/src/main/java/org/xnio/nio/IoThreadTcpServer.java
+++ b/src/main/java/org/xnio/nio/IoThreadTcpServer.java
@@ -35,9 +35,9 @@
             NioTcpServer server = new NioTcpServer((NioXnioWorker) worker, socket, options, false);
             server.setAcceptListener(ready::handleEvent);
             return generic(server);
-        } catch (IOException | RuntimeException fault) {
+        } catch (IOException | RuntimeException exception) {
             socket.close();
-            throw fault;
+            throw exception;
         }
     }
 
