--- a/src/test/java/firstage/cells/CellDirectoryTest.java
+++ b/src/test/java/firstage/cells/CellDirectoryTest.java
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void inNoOrderOfFiveEventsAreThePartsOfAMovingEngineMoreThanTheWhole() {
+    void mayUse_anyOrderOfFiveEvents_atMostTheWhole() {
         assertThat(ENGINES).hasSize(3);
         assertThat(worst(Integer.getInteger("firstage.cells", 5), InjectedDefect.NONE))
                 .isLessThanOrEqualTo(1 + 1e-9);
@@ -193,7 +193,7 @@
 
     @ParameterizedTest
     @CsvSource({"GAINS_BEFORE_RELEASE", "SILENT_MANAGERS_IGNORED"})
-    void aFaultPutBackPassesTheWhole(InjectedDefect fault) {
+    void mayUse_injectedDefect_exceedsTheWhole(InjectedDefect fault) {
         assertThat(worst(4, fault)).isGreaterThan(1 + 1e-9);
     }
 
@@ -257,13 +257,13 @@
     }
 
     @Test
-    void whateverIsHeldAndHeardThePartsOfAColdEngineAreAtMostTheWhole() {
+    void warmUpShare_anyPlansHeld_atMostTheWhole() {
         assertThat(worstColdParts(InjectedDefect.NONE)).isBetween(0.99, 1 + 1e-9);
         assertThat(worstColdParts(InjectedDefect.GAINS_WARM_UP_SHARE)).isGreaterThan(1.5);
     }
 
     @Test
-    void onceAllThatLoseAnEngineHoldTheNewPlanItIsTakenOver() {
+    void mayUse_allFormerCellsReleased_takenOver() {
         Group g = new Group(InjectedDefect.NONE);
         long moves =
                 LongStream.range(1, 100)
@@ -291,7 +291,7 @@
     }
 
     @Test
-    void theCellsOfAZoneShareItsEnginesAndTheirPartsMakeOne() {
+    void share_cellsOfAZone_sumToOne() {
         CellPlan plan =
                 new CellPlan(
                         1,
@@ -315,7 +315,7 @@
     }
 
     @Test
-    void aCellThatIsAddedTakesFromEachAndMovesNothingElse() {
+    void plan_cellAdded_onlyItsEnginesMove() {
         CellPlan before = new CellPlan(1, 2, cells(8));
         CellPlan after = new CellPlan(2, 2, cells(9));
         int moved = 0;
@@ -336,7 +336,7 @@
     }
 
     @Test
-    void whatIsSpoiltOrOfOthersChangesNothing() {
+    void onDatagram_malformedOrForeign_changesNothing() {
         Group g = new Group(InjectedDefect.NONE);
         CellDirectory a = g.all.get(0).cells;
         byte[] good = g.all.get(2).told.get(0);
@@ -370,7 +370,7 @@
     }
 
     @Test
-    void theSieveKeepsWhatIsAwaitedAndNothingElse() {
+    void filter_awaitedEngines_keptAndNothingElse() {
         Group g = new Group(InjectedDefect.NONE);
         Manager c = g.all.get(3);
         c.start(NEW, OLD);
--- a/src/test/java/firstage/cells/SimulatedCellsTest.java
+++ b/src/test/java/firstage/cells/SimulatedCellsTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void allKnowAllCellsAndHowManyAreHere() {
+    void cells_calmFleet_allKnownWithAliveManagers() {
         SimulatedCells f = field(32, 8, InjectedDefect.NONE);
         for (Place p : f.places()) {
             assertThat(p.cells().cells(f.calendar().now()))
@@ -60,7 +60,7 @@
     @EnumSource(
             value = InjectedDefect.class,
             names = {"NONE", "FIXED_DELEGATES"})
-    void whereAllDeputiesAreKilledTheCellIsHeardStill(InjectedDefect fault) {
+    void cells_allDelegatesKilled_cellStillHeard(InjectedDefect fault) {
         SimulatedCells f = field(32, 8, fault);
         List<String> names = of(f, 1).stream().map(p -> p.members().name()).toList();
         of(f, 1).stream()
@@ -83,7 +83,7 @@
     @EnumSource(
             value = InjectedDefect.class,
             names = {"NONE", "OLDER_ROW_WINS"})
-    void aCellThatDiesAsOneIsSilentToAllAndHeardAgain(InjectedDefect fault) {
+    void cells_wholeCellDies_silentThenHeardAgain(InjectedDefect fault) {
         SimulatedCells f = field(32, 8, fault);
         of(f, 1).forEach(Place::kill);
         f.pass(60 * SECOND);
@@ -113,7 +113,7 @@
     /** No part takes what the other uses; healed, they are one again. */
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 4})
-    void aCellCutInTwoNeverUsesMoreThanTheWhole(int apart) {
+    void shares_cellCutInTwo_atMostTheWhole(int apart) {
         SimulatedCells f = field(24, 8, InjectedDefect.NONE);
         f.cut(p -> p < apart, true);
         for (int i = 0; i < 120; i++) {
@@ -137,7 +137,7 @@
      * costs no burst.
      */
     @Test
-    void aRegionAloneKeepsItsSlicesAndComesBackWithoutABurst() {
+    void shares_regionCutOff_keptAndNoBurstAfter() {
         SimulatedCells f = field(48, 8, InjectedDefect.NONE);
         long usual = seconds(f, 10);
         // Every other cell is of the one region, as the zones are.
@@ -166,7 +166,7 @@
     @EnumSource(
             value = InjectedDefect.class,
             names = {"NONE", "GAINS_BEFORE_RELEASE"})
-    void whilePlansChangeTheSlicesOfNoEnginePassTheWhole(InjectedDefect fault) {
+    void shares_planChange_atMostTheWhole(InjectedDefect fault) {
         double worst = 0;
         double last = 0;
         for (int seed = 0; seed < 4; seed++) {
--- a/src/test/java/firstage/failover/ZoneFailoverTest.java
+++ b/src/test/java/firstage/failover/ZoneFailoverTest.java
@@ -31,7 +31,7 @@
     private static final long NOTICES = SECOND;
 
     private final RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(3);
-    private final List<One> all = new ArrayList<>();
+    private final List<ObservingManager> all = new ArrayList<>();
 
     /** From a manager's zone to an engine's; and between managers. */
     private final boolean[][] bears = new boolean[ZONES][ZONES];
@@ -39,7 +39,7 @@
     private final boolean[][] talks = new boolean[ZONES][ZONES];
     private long now = 100 * SECOND;
 
-    private final class One {
+    private final class ObservingManager {
         private final String name;
         private final int zone;
         private final LoadSheddingLevel level;
@@ -53,7 +53,7 @@
         private final Map<Integer, Long> turnedAt = new HashMap<>();
         private boolean runs = true;
 
-        private One(int number, ZoneFailover.InjectedDefect fault) {
+        private ObservingManager(int number, ZoneFailover.InjectedDefect fault) {
             name = "m" + number;
             zone = number % ZONES;
             level =
@@ -126,7 +126,7 @@
 
     private void fleet(int managers, ZoneFailover.InjectedDefect fault) {
         for (int m = 0; m < managers; m++) {
-            all.add(new One(m, fault));
+            all.add(new ObservingManager(m, fault));
         }
         List<String> names = all.stream().map(o -> o.name).toList();
         all.forEach(
@@ -150,10 +150,10 @@
 
     private void pass(double seconds) {
         for (long until = now + (long) (seconds * SECOND); now < until; now += STEP) {
-            all.stream().filter(o -> o.runs).forEach(One::step);
+            all.stream().filter(o -> o.runs).forEach(ObservingManager::step);
             if (now / STEP % 2 == 0) {
-                for (One o : all) {
-                    One other = all.get(chance.nextInt(all.size()));
+                for (ObservingManager o : all) {
+                    ObservingManager other = all.get(chance.nextInt(all.size()));
                     if (other != o && o.runs && other.runs && talks[o.zone][other.zone]) {
                         other.level.onRows(
                                 now,
@@ -182,7 +182,7 @@
 
     /** Soon, by all in nearly the same moment, with a manager that goes on trying each engine. */
     @Test
-    void aDeadZoneIsLeftByAllAndComeBackToInSteps() {
+    void evaluate_zoneDies_evacuatedThenReturnInSteps() {
         fleet(24, ZoneFailover.InjectedDefect.NONE);
         pass(10);
         engines(1, false);
@@ -211,7 +211,7 @@
     }
 
     @Test
-    void aCutBetweenTwoZonesIsTheirsAlone() {
+    void evaluate_cutBetweenTwoZones_noEvacuation() {
         fleet(12, ZoneFailover.InjectedDefect.NONE);
         pass(5);
         bears[0][2] = false;
@@ -225,7 +225,7 @@
 
     /** Engines of it are alive inside: those outside leave, those inside go on. */
     @Test
-    void aZoneThatIsCutOffServesItself() {
+    void evaluate_zoneCutOff_servesItself() {
         fleet(12, ZoneFailover.InjectedDefect.NONE);
         pass(5);
         for (int z = 0; z < 2; z++) {
@@ -244,7 +244,7 @@
     }
 
     @Test
-    void whereAllIsBadNobodyLeaves() {
+    void evaluate_allZonesFail_noEvacuation() {
         fleet(12, ZoneFailover.InjectedDefect.NONE);
         pass(5);
         for (int z = 0; z < ZONES; z++) {
@@ -255,7 +255,7 @@
     }
 
     @Test
-    void ofThreeZonesTwoMayFailAndTheLastStays() {
+    void evaluate_twoOfThreeZonesFail_lastStays() {
         fleet(12, ZoneFailover.InjectedDefect.NONE);
         pass(5);
         engines(0, false);
@@ -272,7 +272,7 @@
     }
 
     @Test
-    void aZoneThatFlapsIsHeldOutLongerEachTime() {
+    void evaluate_zoneFlaps_heldOutLonger() {
         fleet(12, ZoneFailover.InjectedDefect.NONE);
         pass(5);
         for (int s = 0; s < 120; s += 3) {
@@ -287,7 +287,7 @@
 
     /** A release takes a third of its engines, a rack half: that is no zone. */
     @Test
-    void someBadEnginesAreNoZone() {
+    void evaluate_someEnginesFail_noEvacuation() {
         fleet(12, ZoneFailover.InjectedDefect.NONE);
         pass(5);
         all.forEach(
@@ -307,7 +307,7 @@
      */
     private void paused() {
         pass(5);
-        List<One> still = all.stream().filter(o -> o.zone != 2).toList();
+        List<ObservingManager> still = all.stream().filter(o -> o.zone != 2).toList();
         still.forEach(o -> o.runs = false);
         pass(3);
         still.forEach(
@@ -322,7 +322,7 @@
     }
 
     @Test
-    void whoStoodStillHasNoVoice() {
+    void evaluate_pausedManager_reportsNothing() {
         fleet(12, ZoneFailover.InjectedDefect.NONE);
         paused();
         assertThat(all).allMatch(o -> o.turns.isEmpty());
@@ -330,7 +330,7 @@
 
     /** Told to one, known to all, also to the one when it starts anew; and taken back. */
     @Test
-    void anOperatorsWordIsHeededByAllAndOutlivesTheOneThatWasAsked() {
+    void setOrder_managerRestarts_orderKeptByAll() {
         fleet(12, ZoneFailover.InjectedDefect.NONE);
         pass(5);
         all.get(4).zones.setOrder(now, 2, ZoneFailover.Order.LEAVE);
@@ -353,7 +353,7 @@
     }
 
     private void restart(int number, ZoneFailover.InjectedDefect fault) {
-        all.set(number, new One(number, fault));
+        all.set(number, new ObservingManager(number, fault));
         List<String> names = all.stream().map(o -> o.name).toList();
         all.get(number).level.onViewChanged(names);
         all.get(number).zones.onViewChanged(names);
@@ -364,7 +364,7 @@
             value = ZoneFailover.InjectedDefect.class,
             mode = EnumSource.Mode.EXCLUDE,
             names = "NONE")
-    void faultsAreFound(ZoneFailover.InjectedDefect fault) {
+    void evaluate_injectedDefect_isFound(ZoneFailover.InjectedDefect fault) {
         fleet(12, fault);
         if (fault == ZoneFailover.InjectedDefect.STILL_COUNTS) {
             paused();
--- a/src/test/java/firstage/membership/MembershipProtocolTest.java
+++ b/src/test/java/firstage/membership/MembershipProtocolTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void whatIsWantedHoldsAtTwelve() {
+    void detection_twelveManagers_withinTargets() {
         Map<String, Double> figures = MembershipFigures.play(12, 2);
         assertThat(figures.get("a killed one doubted everywhere, s, median")).isLessThan(1.0);
         assertThat(figures.get("a killed one doubted everywhere, s, 99th")).isLessThan(2.5);
@@ -39,12 +39,12 @@
     }
 
     @Test
-    void pausesUpToOneSecondWithLossTakeNobodyForGone() {
+    void detection_shortPausesAndLoss_nobodyFalselyDead() {
         assertThat(MembershipFigures.falselyGone(8, 3, 4, SECOND)).isZero();
     }
 
     @Test
-    void aOneSidedCutOfOnePairLeavesBothMembersAndIsTold() {
+    void oneWayCut_indirectProbes_bothStayAlive() {
         SimulatedMembership f = field(6, MembershipProtocol.InjectedDefect.NONE);
         f.cut(1, 0, true);
         f.pass(3 * SECOND);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void withoutHelpersAOneSidedCutTakesALiveOneForDoubted() {
+    void oneWayCut_noIndirectProbes_liveMemberSuspected() {
         SimulatedMembership f = field(6, MembershipProtocol.InjectedDefect.NO_INDIRECT_PROBES);
         f.cut(1, 0, true);
         f.cut(0, 1, true);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aDoubtThatIsNotDeniedTakesALiveOneForGone() {
+    void suspicion_refutationIgnored_liveMemberDead() {
         for (MembershipProtocol.InjectedDefect fault :
                 List.of(
                         MembershipProtocol.InjectedDefect.NONE,
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void whoWasStoppedDoubtsItselfFirst() {
+    void pause_onWaking_judgesNobody() {
         SimulatedMembership good = field(5, MembershipProtocol.InjectedDefect.NONE);
         good.places().get(2).pause(8 * SECOND);
         good.pass(8 * SECOND + 200);
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void whoIsCutOffFromAllJudgesNobodyAndWithTheFaultHoldsAllForGone() {
+    void isolation_noAnswers_judgesNobody() {
         for (MembershipProtocol.InjectedDefect fault :
                 List.of(
                         MembershipProtocol.InjectedDefect.NONE,
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void anOlderLifeNeverOverridesANewerOne() {
+    void gossip_olderIncarnation_neverOverrides() {
         for (MembershipProtocol.InjectedDefect fault :
                 List.of(
                         MembershipProtocol.InjectedDefect.NONE,
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void whoComesAndGoesIsHeldOutForLongerEachTime() {
+    void flapDamping_repeatedReturns_heldOutLonger() {
         int[] changes = new int[2];
         for (int i = 0; i < 2; i++) {
             SimulatedMembership f =
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void spoiltForeignAndOldDatagramsChangeNothing() {
+    void onDatagram_malformedForeignOrOld_changesNothing() {
         SimulatedMembership f = field(3, MembershipProtocol.InjectedDefect.NONE);
         MembershipProtocol one = f.places().get(1).members();
         long now = f.calendar().now();
@@ -267,7 +267,7 @@
     }
 
     @Test
-    void twoOfOneNameAreToldAndTheFirstStays() {
+    void onDatagram_twoOfOneName_firstStays() {
         SimulatedMembership f = field(3, MembershipProtocol.InjectedDefect.NONE);
         MembershipProtocol one = f.places().get(1).members();
         byte[] second =
@@ -293,7 +293,7 @@
     }
 
     @Test
-    void whoLeavesByIntentIsNotDoubtedAndANewLifeIsKnown() {
+    void leave_thenRestart_notSuspectedAndKnownAgain() {
         SimulatedMembership f = field(4, MembershipProtocol.InjectedDefect.NONE);
         f.places().get(2).members().leave(f.calendar().now());
         f.pass(SECOND / 2);
--- a/src/test/java/firstage/membership/QuotaLeasesTest.java
+++ b/src/test/java/firstage/membership/QuotaLeasesTest.java
@@ -129,7 +129,7 @@
 
     /** Eight on demand (-Dfirstage.leases=8): some minutes. */
     @Test
-    void amongThreeNoOrderOfSixEventsPassesTheWhole() {
+    void share_anyOrderOfSixEvents_atMostTheWhole() {
         assertThat(worst(Integer.getInteger("firstage.leases", 6), QuotaLeases.InjectedDefect.NONE))
                 .isLessThanOrEqualTo(1 + 1e-9);
     }
@@ -192,7 +192,7 @@
     }
 
     @Test
-    void noHostilePlayPassesTheWhole() {
+    void share_randomSchedules_atMostTheWhole() {
         assertThat(worstOf(3_000, QuotaLeases.InjectedDefect.NONE)).isLessThanOrEqualTo(1 + 1e-9);
     }
 
@@ -201,12 +201,12 @@
             value = QuotaLeases.InjectedDefect.class,
             mode = EnumSource.Mode.EXCLUDE,
             names = "NONE")
-    void aFaultPutBackPassesIt(QuotaLeases.InjectedDefect fault) {
+    void share_injectedDefect_exceedsTheWhole(QuotaLeases.InjectedDefect fault) {
         assertThat(worstOf(3_000, fault)).isGreaterThan(1 + 1e-9);
     }
 
     @Test
-    void whoIsGoneLeavesHalfOfItsShareToTheOthersAndTakesItBack() {
+    void share_deadMember_halfGoesToOthersAndBack() {
         Group g = new Group(4, QuotaLeases.InjectedDefect.NONE);
         for (int i = 0; i < 200; i++) {
             g.now += SECOND / 5;
@@ -229,7 +229,7 @@
     }
 
     @Test
-    void cutOffFromAllItKeepsHalfAndOneOfTwoKeepsAll() {
+    void share_cutOffFromAll_keepsGuaranteedHalf() {
         assertThat(new Group(4, QuotaLeases.InjectedDefect.NONE).leases[0].share(0))
                 .isEqualTo(0.125);
         assertThat(new Group(2, QuotaLeases.InjectedDefect.NONE).leases[0].share(0)).isEqualTo(0.5);
--- a/src/test/java/firstage/overload/LoadSheddingLevelTest.java
+++ b/src/test/java/firstage/overload/LoadSheddingLevelTest.java
@@ -25,7 +25,7 @@
     private static final int LOW = 12;
     private static final int HIGH = 20;
     private final RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(11);
-    private final List<One> all = new ArrayList<>();
+    private final List<SheddingManager> all = new ArrayList<>();
     private long now = 100 * SECOND;
 
     /** By chance, and late by so many steps. */
@@ -37,7 +37,7 @@
     /**
      * A manager: what it lets in waits until the engines have room, and is lost after two seconds.
      */
-    private final class One {
+    private final class SheddingManager {
         private final String name;
         private final LoadSheddingLevel level;
         private final DemandHistogram demand = new DemandHistogram();
@@ -50,7 +50,7 @@
         private boolean up = true;
         private boolean lies;
 
-        private One(String name, LoadSheddingLevel.InjectedDefect fault) {
+        private SheddingManager(String name, LoadSheddingLevel.InjectedDefect fault) {
             this.name = name;
             level =
                     new LoadSheddingLevel(
@@ -126,7 +126,7 @@
 
     private void fleet(int count, LoadSheddingLevel.InjectedDefect fault) {
         for (int m = 0; m < count; m++) {
-            all.add(new One("m" + m, fault));
+            all.add(new SheddingManager("m" + m, fault));
         }
         viewed();
     }
@@ -143,13 +143,13 @@
 
     private void pass(double seconds) {
         for (long until = now + (long) (seconds * SECOND); now < until; now += STEP) {
-            List<One> up = all.stream().filter(o -> o.up).toList();
-            up.forEach(One::asked);
-            double waits = up.stream().mapToDouble(One::waits).sum();
+            List<SheddingManager> up = all.stream().filter(o -> o.up).toList();
+            up.forEach(SheddingManager::asked);
+            double waits = up.stream().mapToDouble(SheddingManager::waits).sum();
             up.forEach(o -> o.serve(Math.min(1, capacity * STEP / Math.max(1, waits))));
             if (now / STEP % 2 == 0) {
-                for (One o : up) {
-                    One other = up.get(chance.nextInt(up.size()));
+                for (SheddingManager o : up) {
+                    SheddingManager other = up.get(chance.nextInt(up.size()));
                     List<LoadRow> there = o.tells();
                     List<LoadRow> back = other.tells();
                     if (other != o && chance.nextDouble() >= loss) {
@@ -179,7 +179,7 @@
     }
 
     @Test
-    void inCalmNothingIsRefused() {
+    void evaluate_lowLoad_nothingRefused() {
         fleet(12, LoadSheddingLevel.InjectedDefect.NONE);
         calm();
         pass(20);
@@ -188,7 +188,7 @@
 
     /** What is worth more is served, at once and by all alike, and all is open soon after. */
     @Test
-    void inAStormAllRefuseTheSameAndOpenAgain() {
+    void evaluate_overload_sameThresholdThenOpen() {
         fleet(12, LoadSheddingLevel.InjectedDefect.NONE);
         calm();
         pass(10);
@@ -199,7 +199,8 @@
         pass(10);
         assertThat(served(HIGH)).isGreaterThan(0.85 * 10 * CAPACITY);
         assertThat(all).allMatch(o -> o.cut > LOW && o.cut <= HIGH);
-        assertThat(all.stream().mapToDouble(One::waits).sum()).isLessThan(1.2 * SECOND * CAPACITY);
+        assertThat(all.stream().mapToDouble(SheddingManager::waits).sum())
+                .isLessThan(1.2 * SECOND * CAPACITY);
         calm();
         pass(3);
         assertThat(all).allMatch(o -> o.cut == 0);
@@ -210,7 +211,7 @@
      * that starves.
      */
     @Test
-    void lateAndLostWordsMakeItNeitherSwingNorStarve() {
+    void evaluate_lateAndLostRows_neitherSwingsNorStarves() {
         // Managers, words lost of a hundred, tellings late, the least share of the engines that
         // must be used.
         for (int[] is :
@@ -240,7 +241,7 @@
     }
 
     @Test
-    void aClassThatOneManagerCarriesIsServedThereByTheFleetsLevel() {
+    void evaluate_classAtOneManager_servedByFleetThreshold() {
         fleet(12, LoadSheddingLevel.InjectedDefect.NONE);
         asks(LOW, 3 * CAPACITY);
         all.get(3).asks[HIGH] = 0.1 * CAPACITY;
@@ -255,7 +256,7 @@
      * has holes.
      */
     @Test
-    void allRowsArePassedOnByTurns() {
+    void rowsToSend_largeFleet_allByTurns() {
         fleet(97, LoadSheddingLevel.InjectedDefect.NONE);
         LoadSheddingLevel one = all.get(0).level;
         all.forEach(o -> one.onRows(now, o.level.rowsToSend(now, 1)));
@@ -267,7 +268,7 @@
     }
 
     @Test
-    void worthThatDiffersAThousandfoldIsToldApart() {
+    void priorityBand_thousandfoldWeights_toldApart() {
         assertThat(DemandHistogram.priorityBand(1_000, SECOND, false))
                 .isEqualTo(DemandHistogram.BANDS - 1);
         assertThat(DemandHistogram.priorityBand(1, SECOND, false))
@@ -287,7 +288,7 @@
      * Half of the fleet is gone in an instant: what they told ends, and the rest goes by itself.
      */
     @Test
-    void whatTheDeadToldEnds() {
+    void evaluate_rowsOfDeadManager_expire() {
         fleet(12, LoadSheddingLevel.InjectedDefect.NONE);
         storm();
         pass(10);
@@ -301,7 +302,7 @@
 
     /** It claims a thousandfold load of the best worth, and that all of it waits. */
     @Test
-    void oneThatLiesCostsLittle() {
+    void evaluate_oneFalseRow_costsLittle() {
         fleet(12, LoadSheddingLevel.InjectedDefect.NONE);
         all.get(0).lies = true;
         calm();
@@ -319,7 +320,7 @@
             value = LoadSheddingLevel.InjectedDefect.class,
             mode = EnumSource.Mode.EXCLUDE,
             names = "NONE")
-    void faultsAreFound(LoadSheddingLevel.InjectedDefect fault) {
+    void evaluate_injectedDefect_isFound(LoadSheddingLevel.InjectedDefect fault) {
         fleet(12, fault);
         switch (fault) {
             case NO_PEERS -> {
--- a/src/test/java/firstage/overload/ProbeCoordinatorTest.java
+++ b/src/test/java/firstage/overload/ProbeCoordinatorTest.java
@@ -22,7 +22,7 @@
     private static final int ENGINES = 12;
     private final RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(5);
 
-    private final class One {
+    private final class ProbingManager {
         private final String name;
         private final ProbeCoordinator trials;
         private final Set<Long> withheld = new HashSet<>();
@@ -30,7 +30,7 @@
         private long triedAt;
         private int led;
 
-        private One(String name, ProbeCoordinator.InjectedDefect fault) {
+        private ProbingManager(String name, ProbeCoordinator.InjectedDefect fault) {
             this.name = name;
             trials =
                     new ProbeCoordinator(
@@ -56,14 +56,14 @@
         }
     }
 
-    private final List<One> all = new ArrayList<>();
+    private final List<ProbingManager> all = new ArrayList<>();
     private long now = 100 * SECOND;
     private boolean told = true;
 
     private void fleet(int count, ProbeCoordinator.InjectedDefect fault) {
         List<String> names = new ArrayList<>();
         for (int m = 0; m < count; m++) {
-            all.add(new One("m" + m, fault));
+            all.add(new ProbingManager("m" + m, fault));
             names.add("m" + m);
         }
         all.forEach(o -> o.trials.onViewChanged(names));
@@ -76,9 +76,9 @@
 
     private void pass(long time) {
         for (long until = now + time; now < until; now += PERIOD / 2) {
-            for (One o : all) {
+            for (ProbingManager o : all) {
                 o.look();
-                One other = all.get(chance.nextInt(all.size()));
+                ProbingManager other = all.get(chance.nextInt(all.size()));
                 if (told && other != o) {
                     other.trials.onReports(now, o.name, carried(o.trials.localReports(now)));
                     o.trials.onReports(now, other.name, carried(other.trials.localReports(now)));
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void ofManyThatHoldItClosedOneTriesAndAllOthersKeepAway() {
+    void evaluate_manyEjectedIt_oneOwnerProbes() {
         fleet(12, ProbeCoordinator.InjectedDefect.NONE);
         closes(3, 6);
         pass(5 * SECOND);
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void withTheFaultThatAllOwnItAllTry() {
+    void evaluate_defectAllOwn_allProbe() {
         fleet(12, ProbeCoordinator.InjectedDefect.ALL_OWN);
         closes(3, 12);
         pass(5 * SECOND);
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void whatOnlyOneHoldsClosedIsItsOwnMatter() {
+    void evaluate_oneEjectedIt_othersUnaffected() {
         fleet(12, ProbeCoordinator.InjectedDefect.NONE);
         closes(3, 1);
         pass(10 * SECOND);
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void whereWordsStopEachGoesByItselfAgain() {
+    void evaluate_reportsStop_eachDecidesAlone() {
         for (ProbeCoordinator.InjectedDefect fault :
                 List.of(
                         ProbeCoordinator.InjectedDefect.NONE,
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void whenItIsWellAgainAllComeBackInSteps() {
+    void evaluate_engineReadmitted_allReturnInSteps() {
         int[] most = new int[2];
         for (int i = 0; i < 2; i++) {
             all.clear();
@@ -164,7 +164,7 @@
                             : ProbeCoordinator.InjectedDefect.ALL_AT_ONCE);
             closes(3, 20);
             pass(8 * SECOND);
-            One owner =
+            ProbingManager owner =
                     all.stream().filter(o -> !o.withheld.contains(3L)).findFirst().orElseThrow();
             owner.closed.remove(3L);
             all.forEach(o -> o.led = 0);
@@ -181,7 +181,7 @@
     }
 
     @Test
-    void oneThatLiesMovesNobodyAndASicknessOfMostEnginesMovesNoneThatIsWell() {
+    void evaluate_falseReports_healthyEnginesKept() {
         fleet(9, ProbeCoordinator.InjectedDefect.NONE);
         for (long e = 0; e < ENGINES; e++) {
             closes(e, 1);
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void wordsThatAreSpoiltSayNothing() {
+    void decode_malformedDigest_empty() {
         double[] came = new double[DemandHistogram.BANDS];
         came[3] = 0.5;
         came[31] = 4_000;
