--- a/src/main/java/firstage/emulator/EmulatedEngine.java
+++ b/src/main/java/firstage/emulator/EmulatedEngine.java
@@ -3,12 +3,12 @@
 import firstage.policy.api.AttemptOutcome;
 import firstage.policy.api.AttemptProgress;
 import firstage.simulation.EngineModel;
-import firstage.simulation.EngineModel.Job;
-import firstage.simulation.EngineModel.Standing;
+import firstage.simulation.EngineModel.RunningAttempt;
+import firstage.simulation.EngineModel.State;
 import firstage.simulation.FleetPlan;
 import firstage.simulation.RandomStreams;
 import firstage.simulation.RuleChecker;
-import firstage.simulation.RuleChecker.Try;
+import firstage.simulation.RuleChecker.ClientTry;
 import io.undertow.UndertowOptions;
 import io.undertow.server.DefaultByteBufferPool;
 import io.undertow.server.HttpServerExchange;
@@ -47,7 +47,7 @@
     /** Told of what comes here. */
     public interface Witness {
         /** A statement came whole: a batch's first dispatch, or a further one. */
-        void dispatched(Try t, int engine, boolean further);
+        void dispatched(ClientTry t, int engine, boolean further);
 
         void probed(int engine);
 
@@ -59,8 +59,8 @@
 
     private final class Statement implements EngineModel.Listener {
         private final String id;
-        private final Try is;
-        private Job job;
+        private final ClientTry is;
+        private RunningAttempt job;
         private long asked;
         private boolean told;
         private AttemptOutcome end;
@@ -69,27 +69,27 @@
         private HttpServerExchange held;
         private int calls;
 
-        private Statement(String id, Try is) {
+        private Statement(String id, ClientTry is) {
             this.id = id;
             this.is = is;
         }
 
         @Override
-        public void ended(Job ended, AttemptOutcome how) {
+        public void onEnded(RunningAttempt ended, AttemptOutcome how) {
             end = how;
             give();
         }
 
         @Override
-        public void noted(Job noted, AttemptProgress.Kind kind, double much) {
+        public void onProgress(RunningAttempt noted, AttemptProgress.Kind kind, double much) {
             note = kind;
             amount = much;
             give();
         }
 
         @Override
-        public boolean alive() {
-            return !is.nobodys();
+        public boolean isSenderAlive() {
+            return !is.abandoned();
         }
 
         /** A call that wants news. */
@@ -119,9 +119,7 @@
         }
 
         private void give() {
-            if (held == null
-                    || model.standing() == Standing.HANGING
-                    || model.standing() == Standing.SILENT) {
+            if (held == null || model.state() == State.HANGING || model.state() == State.SILENT) {
                 return;
             }
             HttpServerExchange x = held;
@@ -168,7 +166,7 @@
         private void over(AttemptOutcome how) {
             if (!told) {
                 told = true;
-                rules.ended(stage.now(), is, how);
+                rules.onAttemptEnded(stage.now(), is, how);
             }
         }
 
@@ -191,7 +189,7 @@
         private void gone(AttemptOutcome how) {
             statements.remove(id, this);
             if (job != null) {
-                model.callOff(job);
+                model.cancel(job);
             }
             over(how);
             if (held != null) {
@@ -203,7 +201,7 @@
 
     private final RealTimeLoop stage;
     private final RuleChecker rules;
-    private final Function<String, Try> tickets;
+    private final Function<String, ClientTry> tickets;
     private final Witness witness;
     private final FleetPlan plan;
     private final EngineModel model;
@@ -219,7 +217,7 @@
             InetSocketAddress at,
             RandomStreams streams,
             RuleChecker rules,
-            Function<String, Try> tickets,
+            Function<String, ClientTry> tickets,
             Witness witness)
             throws IOException {
         this.stage = stage;
@@ -270,9 +268,9 @@
     }
 
     /** Dies, goes silent, hangs, drains or is back; on the stage's thread. */
-    public void becomes(Standing next) {
-        boolean loses = next == Standing.DOWN || next == Standing.SILENT;
-        model.becomes(next);
+    public void becomes(State next) {
+        boolean loses = next == State.DOWN || next == State.SILENT;
+        model.setState(next);
         if (loses) {
             statements.values().forEach(s -> s.over(AttemptOutcome.CONNECTION_LOST));
             statements.clear();
@@ -287,15 +285,15 @@
     private void call(HttpServerExchange x) {
         String path = x.getRequestPath();
         String method = x.getRequestMethod().toString();
-        if (model.standing() == Standing.SILENT
-                || model.standing() == Standing.HANGING && !method.equals("POST")) {
+        if (model.state() == State.SILENT
+                || model.state() == State.HANGING && !method.equals("POST")) {
             // Its connections stay open, and nobody is there.
             x.dispatch(SameThreadExecutor.INSTANCE, () -> {});
             return;
         }
         if (path.equals("/busy")) {
             witness.probed(number);
-            x.getResponseHeaders().put(METER, "waiting:" + model.waiting());
+            x.getResponseHeaders().put(METER, "waiting:" + model.waitingForMemory());
             answer(x, 200);
         } else if (method.equals("POST")) {
             x.getRequestReceiver().receiveFullBytes((whole, body) -> post(whole));
@@ -314,7 +312,7 @@
                                 .receiveFullString(
                                         (whole, rank) -> {
                                             if (s != null && s.job != null) {
-                                                model.priority(
+                                                model.setPriority(
                                                         s.job, Integer.parseInt(rank.trim()));
                                             }
                                             answer(whole, 204);
@@ -332,29 +330,29 @@
 
     private void post(HttpServerExchange x) {
         String id = x.getRequestHeaders().getFirst(TICKET);
-        Try t = id == null ? null : tickets.apply(id);
+        ClientTry t = id == null ? null : tickets.apply(id);
         if (t == null || statements.containsKey(id)) {
             answer(x, 500);
             return;
         }
-        boolean further = t.sent();
+        boolean further = t.attempted();
         witness.dispatched(t, number, further);
-        rules.dispatched(stage.now(), t, number, witness.heldBack(t.manager, number));
+        rules.onAttemptSent(stage.now(), t, number, witness.heldBack(t.manager, number));
         Statement s = new Statement(id, t);
         statements.put(id, s);
         double grant = Double.parseDouble(header(x, GRANT, "0"));
-        FleetPlan.Group group = plan.groups().get(t.is.group);
+        FleetPlan.TrafficClassPlan group = plan.trafficClasses().get(t.request.trafficClass);
         s.job =
-                new Job(
-                        t.is,
+                new RunningAttempt(
+                        t.request,
                         group,
                         s,
                         t.manager,
-                        grant > 0 ? grant : t.is.memoryTold * 1.25,
+                        grant > 0 ? grant : t.request.estimatedMemoryMb * 1.25,
                         Integer.parseInt(header(x, RANK, "1")));
         s.asks(x);
         s.forgetLater();
-        model.send(s.job);
+        model.start(s.job);
     }
 
     private static String header(HttpServerExchange x, HttpString name, String absent) {
--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -5,7 +5,7 @@
 import firstage.simulation.FleetPlan;
 import firstage.simulation.RandomStreams;
 import firstage.simulation.RuleChecker;
-import firstage.simulation.RuleChecker.Try;
+import firstage.simulation.RuleChecker.ClientTry;
 import firstage.simulation.Scoreboard;
 import firstage.simulation.TrafficSource;
 import firstage.simulation.TrueRequest;
@@ -63,10 +63,10 @@
     public interface Witness {
         void asked(TrueRequest is, int manager);
 
-        void tried(Try t);
+        void tried(ClientTry t);
 
         /** {@code how}: returned, pushed-back, errored, late, refused, lost. */
-        void ended(Try t, String how);
+        void ended(ClientTry t, String how);
     }
 
     private final RealTimeLoop stage;
@@ -78,9 +78,9 @@
     private final RandomGenerator chance;
     private final List<InetSocketAddress> managers;
     private final ClientBehavior clients;
-    private final Map<String, Try> tickets = new HashMap<>();
+    private final Map<String, ClientTry> tickets = new HashMap<>();
     private final Map<Integer, Long> keyFree = new HashMap<>();
-    private final List<Set<Try>> open = new ArrayList<>();
+    private final List<Set<ClientTry>> open = new ArrayList<>();
     private final Set<Integer> known = new HashSet<>();
     private final long[] lifeChanged;
     private final boolean[] down;
@@ -141,7 +141,7 @@
     }
 
     /** The try that an id belongs to, or null; on the stage's thread. */
-    public Try ticket(String id) {
+    public ClientTry ticket(String id) {
         return tickets.get(id);
     }
 
@@ -176,14 +176,16 @@
     /** Whether nothing is asked for any more. */
     public boolean idle() {
         return stage.now() > until
-                && open.stream().flatMap(Set::stream).allMatch(t -> t.answers() > 0 || t.nobodys());
+                && open.stream()
+                        .flatMap(Set::stream)
+                        .allMatch(t -> t.answers() > 0 || t.abandoned());
     }
 
     /** A manager's process is ended: what it holds is nobody's. */
     public void died(int manager) {
-        List<Try> held = new ArrayList<>();
+        List<ClientTry> held = new ArrayList<>();
         open.get(manager).stream().filter(t -> t.answers() == 0).forEach(held::add);
-        rules.killed(manager, held);
+        rules.onManagerKilled(manager, held);
         down[manager] = true;
         changed(manager, false);
     }
@@ -210,16 +212,16 @@
         open.get(manager).forEach(t -> excuse(t, until));
     }
 
-    private static void excuse(Try t, long until) {
-        t.excuse(Math.max(0, until + LAST_WAIT - t.notAfter));
+    private static void excuse(ClientTry t, long until) {
+        t.allowPause(Math.max(0, until + LAST_WAIT - t.deadline));
     }
 
-    private void judge(Try t) {
-        if (t.excused() && t.answers() == 0) {
+    private void judge(ClientTry t) {
+        if (t.pauseAllowance() && t.answers() == 0) {
             // Its time ran out while its manager stood still, and its client left.
-            rules.untaken(t);
+            rules.onNeverAccepted(t);
         } else {
-            rules.due(stage.now(), t);
+            rules.onDeadlinePassed(stage.now(), t);
         }
     }
 
@@ -234,9 +236,9 @@
 
     private void goes(TrueRequest is, int m) {
         long now = stage.calendar().now();
-        if (is.key >= 0) {
-            long free = Math.max(now, keyFree.getOrDefault(is.key, 0L));
-            keyFree.put(is.key, free + KEY_GAP);
+        if (is.orderingKey >= 0) {
+            long free = Math.max(now, keyFree.getOrDefault(is.orderingKey, 0L));
+            keyFree.put(is.orderingKey, free + KEY_GAP);
             if (free > now) {
                 stage.calendar().in(free - now, () -> send(is, m));
                 return;
@@ -247,7 +249,7 @@
 
     private void send(TrueRequest is, int m) {
         long now = stage.calendar().now();
-        long left = is.limit - now;
+        long left = is.deadline - now;
         if (left <= 0) {
             return;
         }
@@ -255,34 +257,40 @@
         long patience =
                 Math.min(
                         left,
-                        Math.max(1, Math.round((is.limit - is.asked) * plan.clients().tryShare())));
-        Try t = new Try(is, m, now + patience);
+                        Math.max(
+                                1,
+                                Math.round(
+                                        (is.deadline - is.firstRequestedAt)
+                                                * plan.clients().deadlineShareOfTry())));
+        ClientTry t = new ClientTry(is, m, now + patience);
         String id = String.format(Locale.ROOT, "%08x%08x", origin, ++ids);
         tickets.put(id, t);
         open.get(m).add(t);
-        rules.took(t);
+        rules.onAccepted(t);
         witness.tried(t);
-        FleetPlan.Group group = plan.groups().get(is.group);
+        FleetPlan.TrafficClassPlan group = plan.trafficClasses().get(is.trafficClass);
         HttpRequest.Builder call =
                 HttpRequest.newBuilder(uri(m, "/ops/" + group.name()))
                         .timeout(Duration.ofMillis((patience + LAST_WAIT) / 10))
                         .header("X-Job-Id", id)
                         .header("X-Allow-Ms", String.valueOf(Math.max(1, patience / 10)))
-                        .header("X-Team", plan.customers().get(is.customer).name())
-                        .header("X-Size-Ms", String.format(Locale.ROOT, "%.1f", is.estimate / 10.0))
-                        .header("X-Memory", String.valueOf(is.memoryTold));
-        if (is.key >= 0) {
-            call.header("X-Item", String.format(Locale.ROOT, "%016x", is.key + 1));
+                        .header("X-Team", plan.tenants().get(is.tenant).name())
+                        .header(
+                                "X-Size-Ms",
+                                String.format(Locale.ROOT, "%.1f", is.estimatedWork / 10.0))
+                        .header("X-Memory", String.valueOf(is.estimatedMemoryMb));
+        if (is.orderingKey >= 0) {
+            call.header("X-Item", String.format(Locale.ROOT, "%016x", is.orderingKey + 1));
         }
         call.POST(
                 HttpRequest.BodyPublishers.ofString(
-                        (group.load() ? "INSERT INTO sales_" : "SELECT a FROM sales_")
-                                + is.tables
+                        (group.tableLoad() ? "INSERT INTO sales_" : "SELECT a FROM sales_")
+                                + is.tableGroup
                                 + ".orders"));
         ask(t, id, call.build(), POLL_TRIES, true);
         // One that stands still can't know how long the batch lay there: it counts its time from
         // when it reads it.
-        t.excuse(Math.max(0, stoppedUntil[m] - now));
+        t.allowPause(Math.max(0, stoppedUntil[m] - now));
         stage.calendar().in(patience + LAST_WAIT / 2, () -> judge(t));
         stage.calendar()
                 .in(
@@ -298,7 +306,7 @@
         return URI.create("http://" + at.getAddress().getHostAddress() + ":" + at.getPort() + path);
     }
 
-    private void ask(Try t, String id, HttpRequest call, int tries, boolean first) {
+    private void ask(ClientTry t, String id, HttpRequest call, int tries, boolean first) {
         http.sendAsync(call, HttpResponse.BodyHandlers.ofString())
                 .whenComplete(
                         (answer, fault) ->
@@ -321,7 +329,7 @@
                                                 long left =
                                                         Math.max(
                                                                         10,
-                                                                        t.notAfter
+                                                                        t.deadline
                                                                                 + LAST_WAIT
                                                                                 - stage.now())
                                                                 / 10;
@@ -343,12 +351,12 @@
     }
 
     private void failed(
-            Try t, String id, HttpRequest call, int tries, boolean first, Throwable fault) {
+            ClientTry t, String id, HttpRequest call, int tries, boolean first, Throwable fault) {
         boolean unreached =
                 fault instanceof ConnectException || fault instanceof HttpConnectTimeoutException;
         // What was written to a process that is on its way out was taken by nobody.
         if (first && (unreached || down[t.manager])) {
-            rules.untaken(t);
+            rules.onNeverAccepted(t);
             witness.ended(t, "refused");
             score.errored();
             // By the protocol page others than repeatable ones come again only after a pushback, or
@@ -356,27 +364,29 @@
             // could not be reached. Under a connection that broke it may have run: asked again, it
             // would run twice.
             again(
-                    t.is,
+                    t.request,
                     0,
-                    unreached || plan.groups().get(t.is.group).effect() == Effect.IDEMPOTENT);
+                    unreached
+                            || plan.trafficClasses().get(t.request.trafficClass).effect()
+                                    == Effect.IDEMPOTENT);
         } else if (!first
                 && tries > 1
-                && stage.now() < t.notAfter
+                && stage.now() < t.deadline
                 && fault instanceof IOException) {
             ask(t, id, call, tries - 1, false);
         } else {
             // Rule 1 is judged when its time is up; what a manager that died held is nobody's.
             witness.ended(t, "lost");
             score.errored();
-            if (!t.nobodys() && !t.excused() && !(fault instanceof HttpTimeoutException)) {
+            if (!t.abandoned() && !t.pauseAllowance() && !(fault instanceof HttpTimeoutException)) {
                 stage.calendar()
                         .in(
                                 2_000,
                                 () -> {
-                                    if (!t.nobodys()) {
-                                        rules.broken(
+                                    if (!t.abandoned()) {
+                                        rules.violations(
                                                 "rule 1: batch "
-                                                        + t.is.id
+                                                        + t.request.id
                                                         + " at manager "
                                                         + t.manager
                                                         + " got no answer that can be read: "
@@ -384,33 +394,41 @@
                                     }
                                 });
             }
-            again(t.is, 0, plan.groups().get(t.is.group).effect() == Effect.IDEMPOTENT);
+            again(
+                    t.request,
+                    0,
+                    plan.trafficClasses().get(t.request.trafficClass).effect()
+                            == Effect.IDEMPOTENT);
         }
     }
 
-    private void answered(Try t, HttpResponse<String> answer) {
+    private void answered(ClientTry t, HttpResponse<String> answer) {
         long now = stage.now();
         boolean busy =
                 answer.statusCode() == 429
                         || answer.statusCode() == 503
                         || answer.body().contains("\"err\":\"Busy\"");
         boolean good = answer.statusCode() == 200 && !answer.body().contains("\"err\"");
-        rules.answered(now, t, busy);
+        rules.onAnswered(now, t, busy);
         if (good) {
-            witness.ended(t, now <= t.is.limit ? "returned" : "late");
-            if (!t.is.done) {
-                t.is.done = true;
-                score.returned(now, t.is);
+            witness.ended(t, now <= t.request.deadline ? "returned" : "late");
+            if (!t.request.succeeded) {
+                t.request.succeeded = true;
+                score.returned(now, t.request);
             }
         } else if (busy) {
             witness.ended(t, "pushed-back");
             score.pushedBack();
             long wait = answer.headers().firstValueAsLong("X-Wait-Ms").orElse(0) * 10;
-            again(t.is, wait, true);
+            again(t.request, wait, true);
         } else {
             witness.ended(t, "errored");
             score.errored();
-            again(t.is, 0, plan.groups().get(t.is.group).effect() == Effect.IDEMPOTENT);
+            again(
+                    t.request,
+                    0,
+                    plan.trafficClasses().get(t.request.trafficClass).effect()
+                            == Effect.IDEMPOTENT);
         }
     }
 
--- a/src/main/java/firstage/faulttest/FaultTestRun.java
+++ b/src/main/java/firstage/faulttest/FaultTestRun.java
@@ -13,7 +13,7 @@
 import firstage.simulation.InvalidPlanException;
 import firstage.simulation.RandomStreams;
 import firstage.simulation.RuleChecker;
-import firstage.simulation.RuleChecker.Try;
+import firstage.simulation.RuleChecker.ClientTry;
 import firstage.simulation.Scoreboard;
 import firstage.simulation.TrueRequest;
 import java.io.IOException;
@@ -126,7 +126,7 @@
 
     /** What of a plan can't be played here; the message names line and cure. */
     public static void check(FleetPlan plan) {
-        if (!plan.troubles().isEmpty()) {
+        if (!plan.disturbances().isEmpty()) {
             throw new InvalidPlanException(
                     0,
                     "[[trouble]] is for the fleet model; write [[fault]] for what the yard plays");
@@ -134,7 +134,7 @@
         List<String> known = new ArrayList<>(new Scoreboard(plan, 0).figures().keySet());
         plan.zones().forEach(z -> known.add("zone " + z));
         known.addAll(OWN);
-        for (FleetPlan.Expect x : plan.expects()) {
+        for (FleetPlan.Expectation x : plan.expectations()) {
             if (!known.contains(x.figure())) {
                 throw new InvalidPlanException(
                         x.line(),
@@ -244,8 +244,8 @@
                                 stage.calendar().in(f.at(), () -> strike(f, chance));
                             }
                             long limit =
-                                    plan.groups().stream()
-                                            .mapToLong(FleetPlan.Group::limit)
+                                    plan.trafficClasses().stream()
+                                            .mapToLong(FleetPlan.TrafficClassPlan::timeout)
                                             .max()
                                             .orElse(0);
                             return began + plan.length() + limit + SLACK;
@@ -360,16 +360,16 @@
 
     // ---- Faults.
     private void strike(Fault f, RandomGenerator chance) {
-        List<Integer> struck = f.who() == null ? List.of() : f.who().among(plan, chance);
+        List<Integer> struck = f.source() == null ? List.of() : f.source().among(plan, chance);
         recording.event(
                 since(),
                 "fault",
                 "kind",
                 f.kind().name().toLowerCase(Locale.ROOT),
                 "who",
-                f.who() == null ? "clients" : f.who() + " " + struck,
+                f.source() == null ? "clients" : f.source() + " " + struck,
                 "to",
-                String.valueOf(f.to()),
+                String.valueOf(f.target()),
                 "length_ms",
                 f.length() / 10);
         switch (f.kind()) {
@@ -385,32 +385,29 @@
                                 stage.calendar().in(f.length(), () -> signal(m, "CONT"));
                             });
             case RELOAD -> inTurn(f, struck, m -> signal(m, "HUP"));
-            case DIE ->
-                    struck.forEach(e -> down(e, EngineModel.Standing.DOWN, f.length(), 1, chance));
+            case DIE -> struck.forEach(e -> down(e, EngineModel.State.DOWN, f.length(), 1, chance));
             case SILENCE ->
                     struck.forEach(
                             e ->
                                     down(
                                             e,
-                                            EngineModel.Standing.SILENT,
+                                            EngineModel.State.SILENT,
                                             f.length(),
                                             SILENCE_LATER,
                                             chance));
             case HANG ->
                     struck.forEach(
                             e -> {
-                                engines.get(e).becomes(EngineModel.Standing.HANGING);
+                                engines.get(e).becomes(EngineModel.State.HANGING);
                                 stage.calendar()
                                         .in(
                                                 f.length(),
-                                                () ->
-                                                        engines.get(e)
-                                                                .becomes(EngineModel.Standing.UP));
+                                                () -> engines.get(e).becomes(EngineModel.State.UP));
                             });
             case DRAIN ->
                     struck.forEach(
                             e -> {
-                                engines.get(e).becomes(EngineModel.Standing.DRAINING);
+                                engines.get(e).becomes(EngineModel.State.DRAINING);
                                 doors(e, FaultInjectingProxy.Answer.REFUSES, false);
                                 tell(e, Lifecycle.DRAINING, 0, 1, chance);
                                 stage.calendar()
@@ -419,7 +416,7 @@
                                                 () ->
                                                         down(
                                                                 e,
-                                                                EngineModel.Standing.DOWN,
+                                                                EngineModel.State.DOWN,
                                                                 DRAINED_DOWN,
                                                                 1,
                                                                 chance));
@@ -442,7 +439,7 @@
      * All at once; or, with {@code every}, one each so long, round and round until the plan's end.
      */
     private void inTurn(Fault f, List<Integer> struck, IntConsumer what) {
-        if (f.every() <= 0) {
+        if (f.interval() <= 0) {
             struck.forEach(what::accept);
             return;
         }
@@ -452,7 +449,7 @@
     private void turn(Fault f, List<Integer> struck, IntConsumer what, int n) {
         if (since() < plan.length()) {
             what.accept(struck.get(n % struck.size()));
-            stage.calendar().in(f.every(), () -> turn(f, struck, what, n + 1));
+            stage.calendar().in(f.interval(), () -> turn(f, struck, what, n + 1));
         }
     }
 
@@ -505,7 +502,7 @@
     private void again(int m, RandomGenerator chance) {
         stage.calendar()
                 .in(
-                        plan.managers().restart().drawTime(chance),
+                        plan.managers().restartTime().drawTime(chance),
                         () ->
                                 helpers.execute(
                                         () -> {
@@ -537,10 +534,10 @@
     }
 
     private void down(
-            int e, EngineModel.Standing how, long length, int later, RandomGenerator chance) {
+            int e, EngineModel.State how, long length, int later, RandomGenerator chance) {
         engines.get(e).becomes(how);
         recording.event(since(), "engine", "engine", e, "is", how.name().toLowerCase(Locale.ROOT));
-        boolean silent = how == EngineModel.Standing.SILENT;
+        boolean silent = how == EngineModel.State.SILENT;
         doors(
                 e,
                 silent ? FaultInjectingProxy.Answer.SILENT : FaultInjectingProxy.Answer.REFUSES,
@@ -550,7 +547,7 @@
                 .in(
                         length,
                         () -> {
-                            engines.get(e).becomes(EngineModel.Standing.UP);
+                            engines.get(e).becomes(EngineModel.State.UP);
                             recording.event(since(), "engine", "engine", e, "is", "up");
                             doors(e, FaultInjectingProxy.Answer.OPEN, silent);
                             tell(e, Lifecycle.ACTIVE, stage.calendar().now(), 1, chance);
@@ -564,16 +561,16 @@
             int manager = m;
             stage.calendar()
                     .in(
-                            later * plan.managers().listDelay().drawTime(chance),
+                            later * plan.managers().discoveryDelay().drawTime(chance),
                             () -> {
                                 boolean stale =
                                         standing == Lifecycle.GONE
-                                                && engines.get(e).model().standing()
-                                                        == EngineModel.Standing.UP;
+                                                && engines.get(e).model().state()
+                                                        == EngineModel.State.UP;
                                 if (!stale) {
-                                    rules.listed(
+                                    rules.onEndpointUpdate(
                                             stage.now(), manager, e, standing == Lifecycle.ACTIVE);
-                                    rules.toldStart(manager, e, since);
+                                    rules.onEngineStartTold(manager, e, since);
                                     coordinators
                                             .get(manager)
                                             .tell(
@@ -593,8 +590,8 @@
     }
 
     private void onWays(Fault f, RandomGenerator chance, BiConsumer<LinkFaults, Boolean> does) {
-        List<Integer> from = f.who().among(plan, chance);
-        List<Integer> to = f.to().among(plan, chance);
+        List<Integer> from = f.source().among(plan, chance);
+        List<Integer> to = f.target().among(plan, chance);
         ways(f, from, to, way -> does.accept(way, false));
         stage.calendar()
                 .in(
@@ -606,15 +603,15 @@
                                     "healed",
                                     "kind",
                                     f.kind().name().toLowerCase(Locale.ROOT));
-                            if (f.every() > 0 && since() + f.every() < plan.length()) {
-                                stage.calendar().in(f.every(), () -> onWays(f, chance, does));
+                            if (f.interval() > 0 && since() + f.interval() < plan.length()) {
+                                stage.calendar().in(f.interval(), () -> onWays(f, chance, does));
                             }
                         });
     }
 
     private void ways(Fault f, List<Integer> from, List<Integer> to, Consumer<LinkFaults> does) {
-        boolean fromEngines = f.who().isEngines();
-        boolean toEngines = f.to().isEngines();
+        boolean fromEngines = f.source().isEngines();
+        boolean toEngines = f.target().isEngines();
         for (int a : from) {
             for (int b : to) {
                 if (fromEngines && toEngines || !fromEngines && !toEngines && a == b) {
@@ -638,7 +635,7 @@
     // ---- What is seen.
     @Override
     public void asked(TrueRequest is, int manager) {
-        double utility = plan.groups().get(is.group).utility();
+        double utility = plan.trafficClasses().get(is.trafficClass).priorityWeight();
         recording.add(since(), "asked " + plan.zones().get(plan.zoneOf(manager)), utility);
         recording.add(since(), "asked", utility);
         recording.event(
@@ -647,45 +644,54 @@
                 "batch",
                 is.id,
                 "group",
-                plan.groups().get(is.group).name(),
+                plan.trafficClasses().get(is.trafficClass).name(),
                 "manager",
                 manager,
                 "key",
-                is.key);
+                is.orderingKey);
     }
 
     @Override
-    public void tried(Try t) {
+    public void tried(ClientTry t) {
         recording.add(since(), "tries", 1);
-        recording.add(since(), "client retries", t.is.tries > 1 ? 1 : 0);
+        recording.add(since(), "client retries", t.request.tries > 1 ? 1 : 0);
         recording.event(
-                since(), "tried", "batch", t.is.id, "manager", t.manager, "try", t.is.tries);
+                since(),
+                "tried",
+                "batch",
+                t.request.id,
+                "manager",
+                t.manager,
+                "try",
+                t.request.tries);
     }
 
     @Override
-    public void ended(Try t, String how) {
+    public void ended(ClientTry t, String how) {
         recording.add(since(), how, 1);
-        recording.event(since(), how, "batch", t.is.id, "manager", t.manager);
-        if (how.equals("returned") && !t.is.done) {
-            FleetPlan.Group g = plan.groups().get(t.is.group);
+        recording.event(since(), how, "batch", t.request.id, "manager", t.manager);
+        if (how.equals("returned") && !t.request.succeeded) {
+            FleetPlan.TrafficClassPlan g = plan.trafficClasses().get(t.request.trafficClass);
             boolean inTime =
-                    stage.now() - t.is.asked <= g.goal() + g.stretch() * t.is.work / g.threads();
+                    stage.now() - t.request.firstRequestedAt
+                            <= g.latencyObjective()
+                                    + g.latencyObjectivePerWork() * t.request.work / g.threads();
             // Booked to the second in which it was asked for: what that second's batches came to.
-            long asked = t.is.asked - began;
-            double earned = g.utility() * (inTime ? 1 : g.lateValue());
+            long asked = t.request.firstRequestedAt - began;
+            double earned = g.priorityWeight() * (inTime ? 1 : g.lateValueShare());
             recording.add(asked, "earned " + plan.zones().get(plan.zoneOf(t.manager)), earned);
             recording.add(asked, "earned", earned);
         }
     }
 
     @Override
-    public void dispatched(Try t, int engine, boolean further) {
+    public void dispatched(ClientTry t, int engine, boolean further) {
         recording.add(since(), further ? "further dispatches" : "first dispatches", 1);
         recording.event(
                 since(),
                 "dispatched",
                 "batch",
-                t.is.id,
+                t.request.id,
                 "manager",
                 t.manager,
                 "engine",
@@ -750,19 +756,19 @@
         figures.put("processor s a manager", processor / meant.length);
         figures.put("late 99th ms", stage.late().getValueAtPercentile(99) / 1e3);
         figures.put("late most ms", stage.late().getMaxValue() / 1e3);
-        List<String> broken = new ArrayList<>(rules.broken());
+        List<String> broken = new ArrayList<>(rules.violations());
         broken.addAll(crashed);
         List<String> missed = new ArrayList<>();
-        for (FleetPlan.Expect x : plan.expects()) {
+        for (FleetPlan.Expectation x : plan.expectations()) {
             Double is = figures.get(x.figure());
-            if (is < x.least() || is > x.most()) {
+            if (is < x.min() || is > x.max()) {
                 missed.add(
                         String.format(
                                 Locale.ROOT,
                                 "%s is %.4f, wanted %s",
                                 x.figure(),
                                 is,
-                                is < x.least() ? "at least " + x.least() : "at most " + x.most()));
+                                is < x.min() ? "at least " + x.min() : "at most " + x.max()));
             }
         }
         double late = stage.late().getValueAtPercentile(99) / 1e3;
@@ -784,7 +790,7 @@
                                 f ->
                                         new double[] {
                                             f.at() / 1e4,
-                                            f.every() > 0
+                                            f.interval() > 0
                                                     ? seconds
                                                     : (f.at() + Math.max(10_000, f.length())) / 1e4
                                         })
@@ -803,7 +809,7 @@
     private double quietAfter() {
         long ends = 0;
         for (Fault f : plan.faults()) {
-            ends = Math.max(ends, f.every() > 0 ? plan.length() : f.at() + f.length());
+            ends = Math.max(ends, f.interval() > 0 ? plan.length() : f.at() + f.length());
         }
         int from = (int) (ends / 10_000);
         int last = (int) (plan.length() / 10_000);
--- a/src/main/java/firstage/faulttest/ManagerConfigWriter.java
+++ b/src/main/java/firstage/faulttest/ManagerConfigWriter.java
@@ -126,11 +126,11 @@
         out.writeObjectFieldStart("settings");
         array(out, "areas", plan.zones());
         array(out, "kinds", List.of("std"));
-        out.writeNumberField("group_size", plan.managers().of());
+        out.writeNumberField("group_size", plan.managers().fleetSize());
         out.writeNumberField("rank", m);
         out.writeNumberField("zone", zone);
         out.writeArrayFieldStart("classes");
-        for (FleetPlan.Group g : plan.groups()) {
+        for (FleetPlan.TrafficClassPlan g : plan.trafficClasses()) {
             out.writeStartObject();
             out.writeStringField("name", g.name());
             out.writeStringField(
@@ -140,28 +140,28 @@
                         case IDEMPOTENT_WITH_KEY -> "dedup";
                         case NON_IDEMPOTENT -> "fragile";
                     });
-            out.writeStringField("group", g.scope().name().toLowerCase(Locale.ROOT));
-            out.writeNumberField("target", g.goal() / SECOND);
-            out.writeNumberField("aim_stretch", g.stretch());
-            out.writeNumberField("deadline", g.limit() / SECOND);
-            out.writeNumberField("worth", g.utility());
-            out.writeNumberField("late_value", g.lateValue());
-            out.writeNumberField("window", g.window() / SECOND);
+            out.writeStringField("group", g.idempotencyScope().name().toLowerCase(Locale.ROOT));
+            out.writeNumberField("target", g.latencyObjective() / SECOND);
+            out.writeNumberField("aim_stretch", g.latencyObjectivePerWork());
+            out.writeNumberField("deadline", g.timeout() / SECOND);
+            out.writeNumberField("worth", g.priorityWeight());
+            out.writeNumberField("late_value", g.lateValueShare());
+            out.writeNumberField("window", g.idempotencyWindow() / SECOND);
             out.writeBooleanField("by_arrival", g.ordered());
             out.writeEndObject();
         }
         out.writeEndArray();
         out.writeArrayFieldStart("tenants");
-        double shares = plan.customers().stream().mapToDouble(FleetPlan.Customer::share).sum();
-        for (FleetPlan.Customer c : plan.customers()) {
+        double shares = plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).sum();
+        for (FleetPlan.TenantPlan c : plan.tenants()) {
             out.writeStartObject();
             out.writeStringField("name", c.name());
             out.writeNumberField(
                     "quota_per_s",
-                    plan.customers().size() < 2
+                    plan.tenants().size() < 2
                             ? 1e9
                             : plan.traffic().rate()
-                                    * plan.managers().of()
+                                    * plan.managers().fleetSize()
                                     / plan.managers().count()
                                     * c.share()
                                     / shares);
@@ -170,25 +170,36 @@
         out.writeEndArray();
         FleetPlan.Engines e = plan.engines();
         out.writeObjectFieldStart("family_info");
-        array(out, "dop", plan.groups().stream().map(FleetPlan.Group::threads).toList());
-        array(out, "class_load", plan.groups().stream().map(FleetPlan.Group::load).toList());
-        array(out, "yields_to_loads", plan.groups().stream().map(FleetPlan.Group::yields).toList());
+        array(
+                out,
+                "dop",
+                plan.trafficClasses().stream().map(FleetPlan.TrafficClassPlan::threads).toList());
+        array(
+                out,
+                "class_load",
+                plan.trafficClasses().stream().map(FleetPlan.TrafficClassPlan::tableLoad).toList());
+        array(
+                out,
+                "yields_to_loads",
+                plan.trafficClasses().stream()
+                        .map(FleetPlan.TrafficClassPlan::blockedByTableLoads)
+                        .toList());
         array(out, "kind_cores", List.of(e.cores()));
         array(out, "size_mb", List.of(e.memoryMb()));
         out.writeBooleanField("takes_grants", e.grants());
         out.writeBooleanField("lanes_count", e.priorities());
-        out.writeNumberField("progress_pace", e.notePace() / SECOND);
+        out.writeNumberField("progress_pace", e.progressInterval() / SECOND);
         out.writeNumberField("largest_share", 0.4);
         out.writeEndObject();
         FleetPlan.Managers managers = plan.managers();
         out.writeObjectFieldStart("limits");
         out.writeNumberField("connect_timeout", 0.25);
         out.writeNumberField("keepalive", 15);
-        out.writeNumberField("max_attempts", managers.dispatches());
+        out.writeNumberField("max_attempts", managers.maxAttempts());
         out.writeNumberField("max_retry_after", 2);
         out.writeBooleanField("retry_after", true);
-        out.writeBooleanField("second_copies", managers.secondCopies());
-        out.writeBooleanField("may_cancel", managers.callOff());
+        out.writeBooleanField("second_copies", managers.hedging());
+        out.writeBooleanField("may_cancel", managers.cancel());
         out.writeBooleanField("probing", managers.probes());
         out.writeEndObject();
         out.writeObjectFieldStart("deductions");
@@ -197,11 +208,11 @@
         out.writeEndObject();
         out.writeObjectFieldStart("rules");
         out.writeNumberField("drain_grace", plan.rules().drainGrace() / SECOND);
-        out.writeNumberField("cold_from", e.coldFrom());
-        out.writeNumberField("ramp_time", e.warmAfter().high() / SECOND);
-        out.writeNumberField("tip_multiple", plan.rules().tipMultiple());
-        out.writeNumberField("fall", plan.rules().fall() / SECOND);
-        out.writeNumberField("key_quiet", plan.rules().keyRest() / SECOND);
+        out.writeNumberField("cold_from", e.initialCapacityShare());
+        out.writeNumberField("ramp_time", e.warmUpDuration().high() / SECOND);
+        out.writeNumberField("tip_multiple", plan.rules().overloadMultiple());
+        out.writeNumberField("fall", plan.rules().overloadWindow() / SECOND);
+        out.writeNumberField("key_quiet", plan.rules().keyQuietPeriod() / SECOND);
         out.writeEndObject();
         out.writeEndObject();
     }
--- a/src/main/java/firstage/simulation/ClientBehavior.java
+++ b/src/main/java/firstage/simulation/ClientBehavior.java
@@ -14,7 +14,7 @@
     public ClientBehavior(FleetPlan plan, RandomGenerator chance) {
         this.plan = plan;
         this.chance = chance;
-        double unequal = plan.managers().unequal();
+        double unequal = plan.managers().trafficSkew();
         ends = new double[plan.managers().count()];
         double sum = 0;
         for (int m = 0; m < ends.length; m++) {
@@ -26,8 +26,8 @@
     /** The manager of a batch; those of one key have one. */
     public int manager(TrueRequest is) {
         double at =
-                is.key >= 0
-                        ? Math.floorMod(is.key * 0x9E3779B97F4A7C15L, 1L << 40)
+                is.orderingKey >= 0
+                        ? Math.floorMod(is.orderingKey * 0x9E3779B97F4A7C15L, 1L << 40)
                                 / (double) (1L << 40)
                         : chance.nextDouble();
         at *= ends[ends.length - 1];
@@ -44,10 +44,12 @@
      */
     public long again(TrueRequest is, long now, long comeBack, boolean may) {
         FleetPlan.Clients like = plan.clients();
-        long wait = like.pause().drawTime(chance);
-        if (comeBack > 0 && chance.nextDouble() < like.honour()) {
+        long wait = like.retryPause().drawTime(chance);
+        if (comeBack > 0 && chance.nextDouble() < like.retryAfterHonouredShare()) {
             wait = Math.max(wait, comeBack);
         }
-        return !is.done && may && is.tries <= like.retries() && now + wait < is.limit ? wait : -1;
+        return !is.succeeded && may && is.tries <= like.retries() && now + wait < is.deadline
+                ? wait
+                : -1;
     }
 }
--- a/src/main/java/firstage/simulation/DeploymentFactory.java
+++ b/src/main/java/firstage/simulation/DeploymentFactory.java
@@ -18,38 +18,38 @@
     /** {@code bounds}: engines are told to have so many times their cores and memory. */
     static Deployment of(FleetPlan plan, int rank, long seed, double bounds) {
         List<TrafficClass> groups = new ArrayList<>();
-        for (FleetPlan.Group g : plan.groups()) {
+        for (FleetPlan.TrafficClassPlan g : plan.trafficClasses()) {
             groups.add(
                     new TrafficClass(
-                            g.goal(),
-                            g.stretch(),
-                            g.limit(),
-                            g.utility(),
-                            g.lateValue(),
+                            g.latencyObjective(),
+                            g.latencyObjectivePerWork(),
+                            g.timeout(),
+                            g.priorityWeight(),
+                            g.lateValueShare(),
                             g.effect(),
-                            g.scope(),
-                            g.window(),
+                            g.idempotencyScope(),
+                            g.idempotencyWindow(),
                             g.ordered(),
                             g.threads(),
-                            g.load(),
-                            g.yields(),
+                            g.tableLoad(),
+                            g.blockedByTableLoads(),
                             Set.of(),
                             Set.of()));
         }
         FleetPlan.Engines e = plan.engines();
         FleetPlan.Managers m = plan.managers();
         // Customers' rates are of the whole fleet, of which so much is played.
-        double mean = plan.traffic().rate() * m.of() / m.count();
-        double shares = plan.customers().stream().mapToDouble(FleetPlan.Customer::share).sum();
+        double mean = plan.traffic().rate() * m.fleetSize() / m.count();
+        double shares = plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).sum();
         List<Double> rates =
-                plan.customers().size() < 2
+                plan.tenants().size() < 2
                         ? List.of()
-                        : plan.customers().stream()
+                        : plan.tenants().stream()
                                 .map(c -> mean / SECOND * c.share() / shares)
                                 .toList();
         return new Deployment(
                 seed,
-                m.of(),
+                m.fleetSize(),
                 rank,
                 0,
                 groups,
@@ -58,24 +58,24 @@
                                 (int) Math.round(e.cores() * bounds), e.memoryMb() * bounds)),
                 rates,
                 new Deployment.Capabilities(
-                        m.callOff(),
-                        m.secondCopies(),
+                        m.cancel(),
+                        m.hedging(),
                         true,
                         e.grants(),
                         e.priorities(),
-                        m.dispatches(),
+                        m.maxAttempts(),
                         2 * (long) SECOND),
                 new Deployment.Rules(
-                        e.coldFrom(),
-                        Math.round(e.warmAfter().high()),
-                        plan.rules().tipMultiple(),
-                        plan.rules().fall(),
-                        plan.rules().keyRest(),
+                        e.initialCapacityShare(),
+                        Math.round(e.warmUpDuration().high()),
+                        plan.rules().overloadMultiple(),
+                        plan.rules().overloadWindow(),
+                        plan.rules().keyQuietPeriod(),
                         -1,
                         0,
                         (long) SECOND),
                 0.4,
-                e.notePace(),
+                e.progressInterval(),
                 false,
                 false,
                 m.probes() ? 0.013 : -1,
--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -18,21 +18,21 @@
  * falls over when pushed.
  */
 public final class EngineModel {
-    private static final double[] WEIGHTS = {1, 4, 8, 16};
-    private static final double FULL = 0.85;
+    private static final double[] PRIORITY_WEIGHTS = {1, 4, 8, 16};
+    private static final double BUSY_SHARE_AT_CAPACITY = 0.85;
 
     /**
      * Slack for chance on the cold budget, and the part of the work that must come from managers
      * that were told.
      */
-    private static final double CHANCE = 1.1;
+    private static final double OVERLOAD_TOLERANCE = 1.1;
 
-    private static final double TOLD = 2.0 / 3;
+    private static final double MIN_SHARE_OF_INFORMED_MANAGERS = 2.0 / 3;
 
-    private record Push(long at, Job job, boolean told) {}
+    private record Arrival(long at, RunningAttempt attempt, boolean managerKnewOfStart) {}
 
     /** How it stands. */
-    public enum Standing {
+    public enum State {
         UP,
         DRAINING,
         DOWN,
@@ -42,38 +42,38 @@
 
     /** Told of a job that is out; the way back is the listener's. */
     public interface Listener {
-        void ended(Job job, AttemptOutcome how);
+        void onEnded(RunningAttempt job, AttemptOutcome how);
 
-        void noted(Job job, AttemptProgress.Kind kind, double amount);
+        void onProgress(RunningAttempt job, AttemptProgress.Kind kind, double amount);
 
         /** Whether the manager that sent it still lives the life it sent it in. */
-        boolean alive();
+        boolean isSenderAlive();
     }
 
     /** A dispatch that is here. */
-    public static final class Job {
-        public final TrueRequest is;
-        final FleetPlan.Group group;
+    public static final class RunningAttempt {
+        public final TrueRequest request;
+        final FleetPlan.TrafficClassPlan trafficClass;
         final Listener listener;
         final int manager;
         final double grant;
         int priority;
-        private double whole;
-        private double left;
+        private double totalWork;
+        private double remainingWork;
         private double rate;
-        private boolean inLine;
-        private boolean over;
+        private boolean waitingForMemory;
+        private boolean ended;
 
-        public Job(
+        public RunningAttempt(
                 TrueRequest is,
-                FleetPlan.Group group,
+                FleetPlan.TrafficClassPlan group,
                 Listener listener,
                 int manager,
                 double grant,
                 int priority) {
-            this.is = is;
+            this.request = is;
             this.manager = manager;
-            this.group = group;
+            this.trafficClass = group;
             this.listener = listener;
             this.grant = grant;
             this.priority = priority;
@@ -81,30 +81,30 @@
     }
 
     private final int number;
-    private final FleetPlan.Engines kind;
-    private final EventQueue calendar;
-    private final RandomGenerator chance;
+    private final FleetPlan.Engines engineType;
+    private final EventQueue events;
+    private final RandomGenerator random;
     private final RuleChecker rules;
-    private final FleetPlan.Rules limits;
+    private final FleetPlan.Rules rulesOfPlan;
     private final double speed;
-    private final double knee;
-    private final double thrash;
-    private final double spill;
-    private final long warmAfter;
-    private final List<Job> running = new ArrayList<>();
-    private final List<Job> line = new ArrayList<>();
-    private final Map<Integer, Job> loads = new LinkedHashMap<>();
-    private final List<Integer> warm = new ArrayList<>();
+    private final double threadsPerCoreKnee;
+    private final double thrashing;
+    private final double spillCost;
+    private final long warmUpDuration;
+    private final List<RunningAttempt> running = new ArrayList<>();
+    private final List<RunningAttempt> memoryQueue = new ArrayList<>();
+    private final Map<Integer, RunningAttempt> tableLoads = new LinkedHashMap<>();
+    private final List<Integer> warmTableGroups = new ArrayList<>();
 
     /** What was sent of late, within the fall window. */
-    private final ArrayDeque<Push> pressure = new ArrayDeque<>();
+    private final ArrayDeque<Arrival> recentArrivals = new ArrayDeque<>();
 
-    private Standing standing = Standing.UP;
-    private double reserved;
-    private long at;
+    private State state = State.UP;
+    private double reservedMb;
+    private long advancedTo;
     private long startedAt;
-    private int turn;
-    private double slower = 1;
+    private int schedule;
+    private double slowdown = 1;
 
     public EngineModel(
             int number,
@@ -113,25 +113,25 @@
             RandomStreams streams,
             RuleChecker rules) {
         this.number = number;
-        this.kind = plan.engines();
-        this.calendar = calendar;
+        this.engineType = plan.engines();
+        this.events = calendar;
         this.rules = rules;
-        limits = plan.rules();
-        chance = streams.of("engine", number);
+        rulesOfPlan = plan.rules();
+        random = streams.of("engine", number);
         RandomGenerator nature = streams.of("engine-nature", number);
-        speed = kind.speed().draw(nature);
-        knee = kind.knee().draw(nature);
-        thrash = kind.thrash().draw(nature);
-        spill = kind.spill().draw(nature);
-        warmAfter = kind.warmAfter().drawTime(nature);
+        speed = engineType.speed().draw(nature);
+        threadsPerCoreKnee = engineType.threadsPerCoreKnee().draw(nature);
+        thrashing = engineType.thrashing().draw(nature);
+        spillCost = engineType.spillCost().draw(nature);
+        warmUpDuration = engineType.warmUpDuration().drawTime(nature);
     }
 
     public int number() {
         return number;
     }
 
-    public Standing standing() {
-        return standing;
+    public State state() {
+        return state;
     }
 
     /** When it last started; 0 for long ago. */
@@ -140,124 +140,126 @@
     }
 
     /** Queries that wait for memory. */
-    public int waiting() {
-        return line.size();
+    public int waitingForMemory() {
+        return memoryQueue.size();
     }
 
-    private int active() {
-        return running.size() + line.size();
+    private int sessions() {
+        return running.size() + memoryQueue.size();
     }
 
-    void slower(double times) {
+    void slowdown(double times) {
         advance();
-        slower = times;
-        again();
+        slowdown = times;
+        reschedule();
     }
 
     /**
      * Dies, goes silent, drains or is back; with a death all that it had ends, unseen where it went
      * silent.
      */
-    public void becomes(Standing next) {
+    public void setState(State next) {
         advance();
-        boolean dies = next == Standing.DOWN || next == Standing.SILENT;
-        boolean starts =
-                next == Standing.UP && standing != Standing.UP && standing != Standing.HANGING;
-        standing = next;
+        boolean dies = next == State.DOWN || next == State.SILENT;
+        boolean starts = next == State.UP && state != State.UP && state != State.HANGING;
+        state = next;
         if (dies) {
-            List<Job> all = new ArrayList<>(running);
-            all.addAll(line);
+            List<RunningAttempt> all = new ArrayList<>(running);
+            all.addAll(memoryQueue);
             running.clear();
-            line.clear();
-            loads.clear();
-            warm.clear();
-            reserved = 0;
-            for (Job job : all) {
-                job.over = true;
-                rules.stops(job.is);
-                if (next == Standing.DOWN) {
-                    job.listener.ended(job, AttemptOutcome.CONNECTION_LOST);
+            memoryQueue.clear();
+            tableLoads.clear();
+            warmTableGroups.clear();
+            reservedMb = 0;
+            for (RunningAttempt attempt : all) {
+                attempt.ended = true;
+                rules.onRunEnded(attempt.request);
+                if (next == State.DOWN) {
+                    attempt.listener.onEnded(attempt, AttemptOutcome.CONNECTION_LOST);
                 }
             }
         }
         if (starts) {
-            startedAt = calendar.now();
-            pressure.clear();
+            startedAt = events.now();
+            recentArrivals.clear();
         }
-        again();
+        reschedule();
     }
 
     /** Cold at this moment, with nothing else changed. */
-    void cools() {
+    void restartCold() {
         advance();
-        startedAt = calendar.now();
-        pressure.clear();
-        warm.clear();
-        again();
+        startedAt = events.now();
+        recentArrivals.clear();
+        warmTableGroups.clear();
+        reschedule();
     }
 
     /** The share of its capacity that it has. */
-    private double cold() {
-        long age = calendar.now() - startedAt;
-        return startedAt == 0 || age >= warmAfter
+    private double capacityShare() {
+        long age = events.now() - startedAt;
+        return startedAt == 0 || age >= warmUpDuration
                 ? 1
-                : kind.coldFrom() + (1 - kind.coldFrom()) * age / warmAfter;
+                : engineType.initialCapacityShare()
+                        + (1 - engineType.initialCapacityShare()) * age / warmUpDuration;
     }
 
     /** A dispatch comes in. */
-    public void send(Job job) {
-        push(job);
-        if (standing == Standing.SILENT || standing == Standing.HANGING) {
-            if (standing == Standing.HANGING) {
-                rules.runs(job.is, calendar.now());
+    public void start(RunningAttempt attempt) {
+        recordArrival(attempt);
+        if (state == State.SILENT || state == State.HANGING) {
+            if (state == State.HANGING) {
+                rules.runsByRequest(attempt.request, events.now());
             }
             return;
         }
-        if (standing == Standing.DOWN) {
-            job.listener.ended(job, AttemptOutcome.CONNECT_FAILED);
+        if (state == State.DOWN) {
+            attempt.listener.onEnded(attempt, AttemptOutcome.CONNECT_FAILED);
             return;
         }
-        if (standing == Standing.DRAINING || active() >= kind.sessions()) {
-            job.listener.ended(job, AttemptOutcome.REFUSED);
+        if (state == State.DRAINING || sessions() >= engineType.sessions()) {
+            attempt.listener.onEnded(attempt, AttemptOutcome.REFUSED);
             return;
         }
-        rules.runs(job.is, calendar.now());
+        rules.runsByRequest(attempt.request, events.now());
         advance();
-        if (kind.grants() && reserved + job.grant > kind.memoryMb()) {
-            job.inLine = true;
-            line.add(job);
+        if (engineType.grants() && reservedMb + attempt.grant > engineType.memoryMb()) {
+            attempt.waitingForMemory = true;
+            memoryQueue.add(attempt);
         } else {
-            begin(job);
+            begin(attempt);
         }
-        note(job);
-        again();
+        scheduleProgress(attempt);
+        reschedule();
     }
 
     /**
      * All work that comes here counts, also what is refused; work that came before the start does
      * not.
      */
-    private void push(Job job) {
-        long now = calendar.now();
-        pressure.add(new Push(now, job, rules.knowsStart(job.manager, number, startedAt)));
-        while (pressure.peek().at < now - limits.fall()) {
-            pressure.poll();
+    private void recordArrival(RunningAttempt attempt) {
+        long now = events.now();
+        recentArrivals.add(
+                new Arrival(
+                        now, attempt, rules.knowsEngineStart(attempt.manager, number, startedAt)));
+        while (recentArrivals.peek().at < now - rulesOfPlan.overloadWindow()) {
+            recentArrivals.poll();
         }
-        double share = cold();
-        if (share < 1 && limits.tipMultiple() > 0 && standing == Standing.UP) {
-            double sent = pressed(p -> true);
-            double told = pressed(Push::told);
+        double share = capacityShare();
+        if (share < 1 && rulesOfPlan.overloadMultiple() > 0 && state == State.UP) {
+            double sent = arrivedWork(p -> true);
+            double told = arrivedWork(Arrival::managerKnewOfStart);
             if (sent
-                    > limits.tipMultiple()
+                    > rulesOfPlan.overloadMultiple()
                             * share
-                            * kind.cores()
+                            * engineType.cores()
                             * speed
-                            * FULL
-                            * limits.fall()
-                            * CHANCE) {
-                if (told >= sent * TOLD) {
+                            * BUSY_SHARE_AT_CAPACITY
+                            * rulesOfPlan.overloadWindow()
+                            * OVERLOAD_TOLERANCE) {
+                if (told >= sent * MIN_SHARE_OF_INFORMED_MANAGERS) {
                     // Who pushed it: what to look for in a report of this rule.
-                    rules.fell(
+                    rules.onColdEngineOverloaded(
                             number,
                             now,
                             String.format(
@@ -265,125 +267,153 @@
                                     "of the work in the window %.0f%% came from lives of managers"
                                         + " that had ended, %.0f%% from managers told of its start,"
                                         + " %d ms before",
-                                    100 * pressed(p -> !p.job.listener.alive()) / sent,
+                                    100
+                                            * arrivedWork(p -> !p.attempt.listener.isSenderAlive())
+                                            / sent,
                                     100 * told / sent,
                                     (now - startedAt) / 10));
                 }
-                becomes(Standing.DOWN);
+                setState(State.DOWN);
             }
         }
     }
 
-    private double pressed(Predicate<Push> which) {
-        return pressure.stream().filter(which).mapToDouble(p -> p.job.group.work()).sum();
+    private double arrivedWork(Predicate<Arrival> which) {
+        return recentArrivals.stream()
+                .filter(which)
+                .mapToDouble(p -> p.attempt.trafficClass.work())
+                .sum();
     }
 
-    private void begin(Job job) {
-        reserved += kind.grants() ? job.grant : 0;
-        boolean isWarm = warm.remove((Integer) job.is.tables);
-        warm.add(0, job.is.tables);
-        while (warm.size() > kind.warmGroups()) {
-            warm.remove(warm.size() - 1);
+    private void begin(RunningAttempt attempt) {
+        reservedMb += engineType.grants() ? attempt.grant : 0;
+        boolean isWarm = warmTableGroups.remove((Integer) attempt.request.tableGroup);
+        warmTableGroups.add(0, attempt.request.tableGroup);
+        while (warmTableGroups.size() > engineType.warmTableGroups()) {
+            warmTableGroups.remove(warmTableGroups.size() - 1);
         }
-        double missing = kind.grants() ? Math.max(0, 1 - job.grant / job.is.memoryMb) : 0;
-        double bad = chance.nextDouble() < job.group.badPlans() ? 8 + 17 * chance.nextDouble() : 1;
-        job.whole =
-                job.is.work
+        double missing =
+                engineType.grants() ? Math.max(0, 1 - attempt.grant / attempt.request.memoryMb) : 0;
+        double bad =
+                random.nextDouble() < attempt.trafficClass.badPlanShare()
+                        ? 8 + 17 * random.nextDouble()
+                        : 1;
+        attempt.totalWork =
+                attempt.request.work
                         * bad
-                        * (1 + spill * missing)
-                        * (1 - (isWarm ? job.group.io() * kind.warmGain() : 0));
-        job.left = job.whole;
-        running.add(job);
+                        * (1 + spillCost * missing)
+                        * (1
+                                - (isWarm
+                                        ? attempt.trafficClass.ioShare()
+                                                * engineType.warmTableGain()
+                                        : 0));
+        attempt.remainingWork = attempt.totalWork;
+        running.add(attempt);
         if (missing > 0) {
-            job.listener.noted(job, AttemptProgress.Kind.SPILLING, missing * job.is.memoryMb);
+            attempt.listener.onProgress(
+                    attempt, AttemptProgress.Kind.SPILLING, missing * attempt.request.memoryMb);
         }
     }
 
-    private boolean stands(Job job) {
-        if (!job.group.yields() && !job.group.load()) {
+    private boolean isBlockedByTableLoad(RunningAttempt attempt) {
+        if (!attempt.trafficClass.blockedByTableLoads() && !attempt.trafficClass.tableLoad()) {
             return false;
         }
-        Job holder = loads.get(job.is.tables);
-        return holder != null && holder != job;
+        RunningAttempt holder = tableLoads.get(attempt.request.tableGroup);
+        return holder != null && holder != attempt;
     }
 
     /** Lets what runs get on by the time since. */
     private void advance() {
-        long passed = calendar.now() - at;
-        at = calendar.now();
+        long passed = events.now() - advancedTo;
+        advancedTo = events.now();
         if (passed > 0) {
-            for (Job job : running) {
-                job.left -= job.rate * passed;
+            for (RunningAttempt attempt : running) {
+                attempt.remainingWork -= attempt.rate * passed;
             }
         }
     }
 
     /** What came or went changes everybody's pace: works it out again and sets the next end. */
-    private void again() {
-        ends();
-        if (standing == Standing.HANGING
-                || standing == Standing.SILENT
-                || standing == Standing.DOWN) {
-            turn++;
+    private void reschedule() {
+        endFinished();
+        if (state == State.HANGING || state == State.SILENT || state == State.DOWN) {
+            schedule++;
             return;
         }
-        for (Job job : running) {
-            if (job.group.load()) {
-                loads.putIfAbsent(job.is.tables, job);
+        for (RunningAttempt attempt : running) {
+            if (attempt.trafficClass.tableLoad()) {
+                tableLoads.putIfAbsent(attempt.request.tableGroup, attempt);
             }
         }
         double threads = 0;
         double weights = 0;
-        for (Job job : running) {
-            boolean stands = stands(job);
-            job.rate = stands ? -1 : 0;
-            threads += stands ? 0 : job.group.threads();
-            weights += stands ? 0 : weight(job) * job.group.threads();
+        for (RunningAttempt attempt : running) {
+            boolean stands = isBlockedByTableLoad(attempt);
+            attempt.rate = stands ? -1 : 0;
+            threads += stands ? 0 : attempt.trafficClass.threads();
+            weights += stands ? 0 : weight(attempt) * attempt.trafficClass.threads();
         }
-        double over = Math.max(0, threads / (kind.cores() * knee) - 1);
-        double left = kind.cores() * speed * cold() / slower / (1 + thrash * over);
-        share(left, weights);
-        double disks = kind.disks() * kind.cores() * cold();
+        double over = Math.max(0, threads / (engineType.cores() * threadsPerCoreKnee) - 1);
+        double left =
+                engineType.cores() * speed * capacityShare() / slowdown / (1 + thrashing * over);
+        distribute(left, weights);
+        double disks = engineType.disks() * engineType.cores() * capacityShare();
         double reading = 0;
-        for (Job job : running) {
-            reading += job.rate > 0 ? job.rate * job.group.io() : 0;
+        for (RunningAttempt attempt : running) {
+            reading += attempt.rate > 0 ? attempt.rate * attempt.trafficClass.ioShare() : 0;
         }
         double wait = Math.max(1, reading / disks);
         double first = Double.MAX_VALUE;
-        for (Job job : running) {
-            job.rate = job.rate <= 0 ? 0 : job.rate / (1 - job.group.io() + job.group.io() * wait);
-            first = job.rate > 0 ? Math.min(first, job.left / job.rate) : first;
+        for (RunningAttempt attempt : running) {
+            attempt.rate =
+                    attempt.rate <= 0
+                            ? 0
+                            : attempt.rate
+                                    / (1
+                                            - attempt.trafficClass.ioShare()
+                                            + attempt.trafficClass.ioShare() * wait);
+            first =
+                    attempt.rate > 0
+                            ? Math.min(first, attempt.remainingWork / attempt.rate)
+                            : first;
         }
-        int mine = ++turn;
+        int mine = ++schedule;
         if (first < Double.MAX_VALUE) {
             // A cold engine gets faster by itself: it is looked at again before long.
-            long due = (long) Math.ceil(cold() < 1 ? Math.min(first, 5_000) : first);
-            calendar.in(
+            long due = (long) Math.ceil(capacityShare() < 1 ? Math.min(first, 5_000) : first);
+            events.in(
                     Math.max(1, due),
                     () -> {
-                        if (mine == turn) {
+                        if (mine == schedule) {
                             advance();
-                            again();
+                            reschedule();
                         }
                     });
         }
     }
 
     /** By weight, each no more than its threads; what is left over goes round once more. */
-    private void share(double capacity, double weights) {
+    private void distribute(double capacity, double weights) {
         double left = capacity;
         for (int round = 0; round < 2 && left > 1e-9 && weights > 0; round++) {
             double given = 0;
             double open = 0;
-            for (Job job : running) {
-                if (job.rate >= 0 && job.rate < job.group.threads()) {
+            for (RunningAttempt attempt : running) {
+                if (attempt.rate >= 0 && attempt.rate < attempt.trafficClass.threads()) {
                     double part =
                             Math.min(
-                                    job.group.threads() - job.rate,
-                                    left * weight(job) * job.group.threads() / weights);
-                    job.rate += part;
+                                    attempt.trafficClass.threads() - attempt.rate,
+                                    left
+                                            * weight(attempt)
+                                            * attempt.trafficClass.threads()
+                                            / weights);
+                    attempt.rate += part;
                     given += part;
-                    open += job.rate < job.group.threads() ? weight(job) * job.group.threads() : 0;
+                    open +=
+                            attempt.rate < attempt.trafficClass.threads()
+                                    ? weight(attempt) * attempt.trafficClass.threads()
+                                    : 0;
                 }
             }
             left -= given;
@@ -391,20 +421,20 @@
         }
     }
 
-    private double weight(Job job) {
-        return kind.priorities() ? WEIGHTS[job.priority] : 1;
+    private double weight(RunningAttempt attempt) {
+        return engineType.priorities() ? PRIORITY_WEIGHTS[attempt.priority] : 1;
     }
 
-    private void ends() {
+    private void endFinished() {
         for (int i = 0; i < running.size(); i++) {
-            Job job = running.get(i);
-            if (job.left <= 1e-6 * job.whole + 1e-9) {
+            RunningAttempt attempt = running.get(i);
+            if (attempt.remainingWork <= 1e-6 * attempt.totalWork + 1e-9) {
                 running.remove(i--);
-                leave(job);
-                rules.stops(job.is);
-                job.listener.ended(
-                        job,
-                        chance.nextDouble() < kind.errs()
+                release(attempt);
+                rules.onRunEnded(attempt.request);
+                attempt.listener.onEnded(
+                        attempt,
+                        random.nextDouble() < engineType.failureRate()
                                 ? AttemptOutcome.FAILED
                                 : AttemptOutcome.SUCCEEDED);
             }
@@ -412,82 +442,84 @@
         admit();
     }
 
-    private void leave(Job job) {
-        job.over = true;
-        reserved = running.isEmpty() ? 0 : reserved - (kind.grants() ? job.grant : 0);
-        loads.remove(job.is.tables, job);
+    private void release(RunningAttempt attempt) {
+        attempt.ended = true;
+        reservedMb = running.isEmpty() ? 0 : reservedMb - (engineType.grants() ? attempt.grant : 0);
+        tableLoads.remove(attempt.request.tableGroup, attempt);
     }
 
     /** From the line, by priority and then in turn. */
     private void admit() {
-        while (!line.isEmpty()) {
-            Job next = line.get(0);
-            for (Job job : line) {
-                next = job.priority > next.priority ? job : next;
+        while (!memoryQueue.isEmpty()) {
+            RunningAttempt next = memoryQueue.get(0);
+            for (RunningAttempt attempt : memoryQueue) {
+                next = attempt.priority > next.priority ? attempt : next;
             }
-            if (reserved + next.grant > kind.memoryMb() && !running.isEmpty()) {
+            if (reservedMb + next.grant > engineType.memoryMb() && !running.isEmpty()) {
                 return;
             }
-            line.remove(next);
-            next.inLine = false;
+            memoryQueue.remove(next);
+            next.waitingForMemory = false;
             begin(next);
         }
     }
 
     /** Sets a job's priority while it is here. */
-    public void priority(Job job, int priority) {
-        if (!job.over && job.priority != priority) {
+    public void setPriority(RunningAttempt attempt, int priority) {
+        if (!attempt.ended && attempt.priority != priority) {
             advance();
-            job.priority = priority;
-            again();
+            attempt.priority = priority;
+            reschedule();
         }
     }
 
     /** Ends it, its work lost. */
-    public void callOff(Job job) {
-        if (job.over) {
+    public void cancel(RunningAttempt attempt) {
+        if (attempt.ended) {
             return;
         }
         advance();
-        if (line.remove(job)) {
-            job.over = true;
-        } else if (running.remove(job)) {
-            leave(job);
+        if (memoryQueue.remove(attempt)) {
+            attempt.ended = true;
+        } else if (running.remove(attempt)) {
+            release(attempt);
         }
-        rules.stops(job.is);
-        again();
+        rules.onRunEnded(attempt.request);
+        reschedule();
     }
 
-    private void note(Job job) {
-        if (kind.notePace() <= 0) {
+    private void scheduleProgress(RunningAttempt attempt) {
+        if (engineType.progressInterval() <= 0) {
             return;
         }
-        calendar.in(
-                kind.notePace(),
+        events.in(
+                engineType.progressInterval(),
                 () -> {
-                    if (job.over || standing == Standing.SILENT || standing == Standing.DOWN) {
+                    if (attempt.ended || state == State.SILENT || state == State.DOWN) {
                         return;
                     }
-                    if (standing != Standing.HANGING) {
+                    if (state != State.HANGING) {
                         advance();
-                        if (job.inLine) {
-                            job.listener.noted(job, AttemptProgress.Kind.WAITING_FOR_MEMORY, 0);
-                        } else if (stands(job)) {
-                            job.listener.noted(job, AttemptProgress.Kind.WAITING_FOR_TABLE_LOAD, 0);
+                        if (attempt.waitingForMemory) {
+                            attempt.listener.onProgress(
+                                    attempt, AttemptProgress.Kind.WAITING_FOR_MEMORY, 0);
+                        } else if (isBlockedByTableLoad(attempt)) {
+                            attempt.listener.onProgress(
+                                    attempt, AttemptProgress.Kind.WAITING_FOR_TABLE_LOAD, 0);
                         } else {
-                            double share = 1 - job.left / job.whole;
-                            job.listener.noted(
-                                    job,
+                            double share = 1 - attempt.remainingWork / attempt.totalWork;
+                            attempt.listener.onProgress(
+                                    attempt,
                                     AttemptProgress.Kind.FRACTION_DONE,
                                     Math.max(
                                             0,
                                             Math.min(
                                                     1,
-                                                    share * (0.85 + 0.3 * chance.nextDouble()))));
+                                                    share * (0.85 + 0.3 * random.nextDouble()))));
                         }
-                        again();
+                        reschedule();
                     }
-                    note(job);
+                    scheduleProgress(attempt);
                 });
     }
 }
--- a/src/main/java/firstage/simulation/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -15,17 +15,17 @@
         long length,
         Managers managers,
         Engines engines,
-        Net net,
+        Network network,
         Clients clients,
         Rules rules,
-        Goal goal,
-        List<Group> groups,
-        List<Customer> customers,
+        ScoreWeights scoreWeights,
+        List<TrafficClassPlan> trafficClasses,
+        List<TenantPlan> tenants,
         Traffic traffic,
-        List<Trouble> troubles,
+        List<Disturbance> disturbances,
         List<String> zones,
         List<Fault> faults,
-        List<Expect> expects) {
+        List<Expectation> expectations) {
 
     /** Managers and engines are dealt round the zones. */
     public int zoneOf(int number) {
@@ -33,20 +33,20 @@
     }
 
     /**
-     * What is broken between processes: {@code who} it strikes, for cuts, loss and delay on the
-     * ways from {@code who} to {@code to}, both ways unless {@code oneWay}. {@code every} above 0:
-     * again each so long, the struck ones in turn.
+     * What is broken between processes: {@code source} it strikes, for cuts, loss and delay on the
+     * ways from {@code source} to {@code target}, both ways unless {@code oneWay}. {@code interval}
+     * above 0: again each so long, the struck ones in turn.
      */
     public record Fault(
             int line,
             Kind kind,
             long at,
             long length,
-            FaultTarget who,
-            FaultTarget to,
+            FaultTarget source,
+            FaultTarget target,
             boolean oneWay,
             double size,
-            long every) {
+            long interval) {
         /** What a plan may call for. */
         public enum Kind {
             /** Managers are killed outright, and started again after the managers' restart time. */
@@ -79,7 +79,7 @@
         }
 
         /** Whether the fleet model has it, too. */
-        public boolean modelled() {
+        public boolean simulated() {
             return kind == Kind.KILL
                     || kind == Kind.DIE
                     || kind == Kind.SILENCE
@@ -89,32 +89,32 @@
     }
 
     /** A figure and its bounds. */
-    public record Expect(int line, String figure, double least, double most) {}
+    public record Expectation(int line, String figure, double min, double max) {}
 
     /**
-     * {@code unequal}: how far managers' parts of the traffic differ: 0 is not at all. {@code of}:
-     * the managers of the whole fleet, as the settings tell it, of which this is a part. {@code
-     * cell}: managers in a cell, 0 where all use all engines; {@code spread}: cells that serve an
-     * engine.
+     * {@code trafficSkew}: how far managers' parts of the traffic differ: 0 is not at all. {@code
+     * fleetSize}: the managers of the whole fleet, as the settings tell it, of which this is a
+     * part. {@code cellSize}: managers in a cell, 0 where all use all engines; {@code workSpread}:
+     * cells that serve an engine.
      */
     public record Managers(
             int count,
-            int of,
-            int cell,
+            int fleetSize,
+            int cellSize,
             int spread,
-            double unequal,
-            Range listDelay,
+            double trafficSkew,
+            Range discoveryDelay,
             boolean probes,
-            boolean secondCopies,
-            boolean callOff,
-            int dispatches,
-            Range restart) {}
+            boolean hedging,
+            boolean cancel,
+            int maxAttempts,
+            Range restartTime) {}
 
     /**
      * Which cell serves what; null where all managers use all engines. Cells lie in zones by turns.
      */
     public CellPlan cells() {
-        int cells = managers.cell == 0 ? 0 : managers.count / managers.cell;
+        int cells = managers.cellSize == 0 ? 0 : managers.count / managers.cellSize;
         return cells == 0
                 ? null
                 : new CellPlan(
@@ -126,96 +126,108 @@
                                                 new CellPlan.Cell(
                                                         "c" + c,
                                                         zones.get(zoneOf(c)),
-                                                        managers.cell,
+                                                        managers.cellSize,
                                                         true))
                                 .toList());
     }
 
     /** The cell of a manager: those of a zone fill its cells one after the other. */
     public int cellOf(int manager) {
-        return manager / zones.size() / managers.cell * zones.size() + zoneOf(manager);
+        return manager / zones.size() / managers.cellSize * zones.size() + zoneOf(manager);
     }
 
     /**
-     * One kind of engine. {@code knee}: threads a core up to which all work; {@code thrash}: of the
-     * work that each further thread a core costs; {@code spill}: further work of a batch with no
-     * memory at all; {@code warmGain}: of the reading that warm tables save; {@code coldFrom}: of
-     * its capacity at a start.
+     * One kind of engine. {@code threadsPerCoreKnee}: threads a core up to which all work; {@code
+     * thrashing}: of the work that each further thread a core costs; {@code spillCost}: further
+     * work of a batch with no memory at all; {@code warmTableGain}: of the reading that warm tables
+     * save; {@code initialCapacityShare}: of its capacity at a start.
      */
     public record Engines(
             int count,
             int cores,
             double memoryMb,
             Range speed,
-            Range knee,
-            Range thrash,
+            Range threadsPerCoreKnee,
+            Range thrashing,
             double disks,
-            Range spill,
+            Range spillCost,
             int sessions,
-            int warmGroups,
-            double warmGain,
-            double coldFrom,
-            Range warmAfter,
+            int warmTableGroups,
+            double warmTableGain,
+            double initialCapacityShare,
+            Range warmUpDuration,
             boolean grants,
             boolean priorities,
-            long notePace,
-            double errs) {}
+            long progressInterval,
+            double failureRate) {}
 
     /** One way, and the spread of it. */
-    public record Net(Range way) {}
+    public record Network(Range oneWayDelay) {}
 
-    public record Clients(int retries, Range pause, double tryShare, double honour) {}
+    public record Clients(
+            int retries,
+            Range retryPause,
+            double deadlineShareOfTry,
+            double retryAfterHonouredShare) {}
 
-    public record Rules(long drainGrace, double tipMultiple, long fall, long keyRest) {}
+    public record Rules(
+            long drainGrace, double overloadMultiple, long overloadWindow, long keyQuietPeriod) {}
 
     /** Weights of the whole run, its worst 10 s, its worst-served group and customer. */
-    public record Goal(double whole, double worstSpan, double worstGroup, double worstCustomer) {}
+    public record ScoreWeights(
+            double wholeRun, double worstSpan, double worstTrafficClass, double worstTenant) {}
 
     /**
-     * {@code low}: estimates are drawn round this times the truth, {@code scatter} wide (of a
-     * logarithm).
+     * {@code estimateFactor}: estimates are drawn round this times the truth, {@code
+     * estimateScatter} wide (of a logarithm).
      */
-    public record Group(
+    public record TrafficClassPlan(
             String name,
             double share,
             double work,
-            double spread,
-            double io,
+            double workSpread,
+            double ioShare,
             int threads,
             double memoryMb,
-            long goal,
-            double stretch,
-            long limit,
-            double utility,
-            double lateValue,
+            long latencyObjective,
+            double latencyObjectivePerWork,
+            long timeout,
+            double priorityWeight,
+            double lateValueShare,
             Effect effect,
-            Scope scope,
-            long window,
+            Scope idempotencyScope,
+            long idempotencyWindow,
             boolean ordered,
-            boolean load,
-            boolean yields,
-            double badPlans,
-            double low,
-            double scatter) {}
+            boolean tableLoad,
+            boolean blockedByTableLoads,
+            double badPlanShare,
+            double estimateFactor,
+            double estimateScatter) {}
 
-    public record Customer(String name, double share) {}
+    public record TenantPlan(String name, double share) {}
 
-    /** Batches a second over all; {@code kind} names the shape over the run. */
+    /** Batches a second over all; {@code shape} names the shape over the run. */
     public record Traffic(
-            String kind,
+            String shape,
             double rate,
             double swing,
             int keys,
-            double keyHeat,
-            int tables,
-            double tableHeat) {}
+            double keySkew,
+            int tableGroups,
+            double tableGroupSkew) {}
 
     /**
-     * {@code part} of those it strikes, from {@code at} for {@code length}; {@code size} as each
-     * kind says.
+     * {@code affectedShare} of those it strikes, from {@code at} for {@code length}; {@code size}
+     * as each kind says.
      */
-    public record Trouble(
-            Kind kind, long at, long length, double part, double size, double extra, int group) {
+    public record Disturbance(
+            Kind kind,
+            long at,
+            long length,
+            double affectedShare,
+            double size,
+            double extra,
+            int trafficClass) {
         /** What a fleet file may call for. */
         public enum Kind {
             /** Engines die and come back cold. */
--- a/src/main/java/firstage/simulation/FleetPlanReader.java
+++ b/src/main/java/firstage/simulation/FleetPlanReader.java
@@ -129,11 +129,11 @@
         }
     }
 
-    private static List<FleetPlan.Expect> expects(TomlSection top) {
-        List<FleetPlan.Expect> expects = new ArrayList<>();
+    private static List<FleetPlan.Expectation> expects(TomlSection top) {
+        List<FleetPlan.Expectation> expects = new ArrayList<>();
         for (TomlSection s : top.tables("expect")) {
             expects.add(
-                    new FleetPlan.Expect(
+                    new FleetPlan.Expectation(
                             s.line(),
                             s.text("figure", null),
                             s.figure("least", -1e9, 1e9, -1e9),
@@ -204,8 +204,8 @@
         return e;
     }
 
-    private static FleetPlan.Net net(TomlSection s) {
-        FleetPlan.Net n = new FleetPlan.Net(s.times("way", "0.2 ms to 1 ms"));
+    private static FleetPlan.Network net(TomlSection s) {
+        FleetPlan.Network n = new FleetPlan.Network(s.times("way", "0.2 ms to 1 ms"));
         s.done();
         return n;
     }
@@ -232,9 +232,9 @@
         return r;
     }
 
-    private static FleetPlan.Goal goal(TomlSection s) {
-        FleetPlan.Goal g =
-                new FleetPlan.Goal(
+    private static FleetPlan.ScoreWeights goal(TomlSection s) {
+        FleetPlan.ScoreWeights g =
+                new FleetPlan.ScoreWeights(
                         s.share("whole", 0.5),
                         s.share("worst_span", 0.2),
                         s.share("worst_group", 0.2),
@@ -257,11 +257,11 @@
         return t;
     }
 
-    private static List<FleetPlan.Group> groups(List<TomlSection> all) {
-        List<FleetPlan.Group> groups = new ArrayList<>();
+    private static List<FleetPlan.TrafficClassPlan> groups(List<TomlSection> all) {
+        List<FleetPlan.TrafficClassPlan> groups = new ArrayList<>();
         for (TomlSection s : all) {
             groups.add(
-                    new FleetPlan.Group(
+                    new FleetPlan.TrafficClassPlan(
                             s.text("name", null),
                             s.share("share", null),
                             s.time("work", null),
@@ -308,29 +308,29 @@
         };
     }
 
-    private static List<FleetPlan.Customer> customers(List<TomlSection> all) {
-        List<FleetPlan.Customer> customers = new ArrayList<>();
+    private static List<FleetPlan.TenantPlan> customers(List<TomlSection> all) {
+        List<FleetPlan.TenantPlan> customers = new ArrayList<>();
         for (TomlSection s : all) {
-            customers.add(new FleetPlan.Customer(s.text("name", null), s.share("share", null)));
+            customers.add(new FleetPlan.TenantPlan(s.text("name", null), s.share("share", null)));
             s.done();
         }
-        return customers.isEmpty() ? List.of(new FleetPlan.Customer("all", 1)) : customers;
+        return customers.isEmpty() ? List.of(new FleetPlan.TenantPlan("all", 1)) : customers;
     }
 
-    private static List<FleetPlan.Trouble> troubles(TomlSection top) {
-        List<FleetPlan.Trouble> troubles = new ArrayList<>();
+    private static List<FleetPlan.Disturbance> troubles(TomlSection top) {
+        List<FleetPlan.Disturbance> troubles = new ArrayList<>();
         List<String> kinds =
-                Arrays.stream(FleetPlan.Trouble.Kind.values())
+                Arrays.stream(FleetPlan.Disturbance.Kind.values())
                         .map(k -> k.name().toLowerCase(Locale.ROOT).replace('_', '-'))
                         .toList();
         for (TomlSection s : top.tables("trouble")) {
-            FleetPlan.Trouble.Kind kind =
-                    FleetPlan.Trouble.Kind.valueOf(
+            FleetPlan.Disturbance.Kind kind =
+                    FleetPlan.Disturbance.Kind.valueOf(
                             s.oneOf("kind", null, kinds)
                                     .toUpperCase(Locale.ROOT)
                                     .replace('-', '_'));
             troubles.add(
-                    new FleetPlan.Trouble(
+                    new FleetPlan.Disturbance(
                             kind,
                             s.time("at", null),
                             s.time("length", "0 s"),
--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -2,7 +2,7 @@
 
 import firstage.policy.api.EndpointUpdate.Lifecycle;
 import firstage.policy.api.TrafficClass.Effect;
-import firstage.simulation.FleetPlan.Trouble;
+import firstage.simulation.FleetPlan.Disturbance;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -18,63 +18,64 @@
  * One run of a fleet: the same plan, choice and seed give the same result, and two choices of one
  * seed meet the same traffic, engines and troubles.
  */
-public final class FleetSimulation implements ManagerModel.Answers {
+public final class FleetSimulation implements ManagerModel.ClientActions {
     private static final long START = 1_000_000;
 
     /** After the last arrival a run goes on until all is answered. */
-    private static final long DRAIN = 10_000;
+    private static final long COOL_DOWN = 10_000;
 
-    private static final long DRAINS_FOR = 30_000;
-    private static final long DOWN_FOR = 20_000;
+    private static final long DRAIN_DURATION = 30_000;
+    private static final long DOWN_DURATION = 20_000;
 
     /** Silence is noticed so many times later than a death. */
-    private static final int SILENCE_LATER = 3;
+    private static final int SILENCE_DETECTION_FACTOR = 3;
 
     private final FleetPlan plan;
-    private final EventQueue calendar = new EventQueue(START);
-    private final RandomStreams streams;
+    private final EventQueue events = new EventQueue(START);
+    private final RandomStreams randomStreams;
     private final RuleChecker rules;
-    private final Scoreboard score;
+    private final Scoreboard scoreboard;
     private final TrafficSource traffic;
     private final ClientBehavior clients;
     private final List<EngineModel> engines = new ArrayList<>();
     private final List<ManagerModel> managers = new ArrayList<>();
 
     /** The managers cell by cell; all of them, where there are no cells. */
-    private final List<List<ManagerModel>> together;
+    private final List<List<ManagerModel>> managersByCell;
 
     /** By engine, how often the list changed its word on it. */
-    private final int[] versions;
+    private final int[] endpointVersions;
 
-    private final List<Trouble> dear = new ArrayList<>();
-    private double boost = 1;
-    private long toSick;
-    private double sickSeconds;
+    private final List<Disturbance> expensiveWork = new ArrayList<>();
+    private double trafficFactor = 1;
+    private long sentToFaultyEngines;
+    private double faultySeconds;
 
-    private FleetSimulation(FleetPlan plan, PolicyUnderTest choice, long seed) {
+    private FleetSimulation(FleetPlan plan, PolicyUnderTest policyUnderTest, long seed) {
         this.plan = plan;
-        streams = new RandomStreams(seed);
+        randomStreams = new RandomStreams(seed);
         rules = new RuleChecker(plan);
-        score = new Scoreboard(plan, START);
-        traffic = new TrafficSource(plan, streams);
-        clients = new ClientBehavior(plan, streams.of("clients", 0));
-        for (int e = 0; e < plan.engines().count(); e++) {
-            engines.add(new EngineModel(e, plan, calendar, streams, rules));
+        scoreboard = new Scoreboard(plan, START);
+        traffic = new TrafficSource(plan, randomStreams);
+        clients = new ClientBehavior(plan, randomStreams.of("clients", 0));
+        for (int engine = 0; engine < plan.engines().count(); engine++) {
+            engines.add(new EngineModel(engine, plan, events, randomStreams, rules));
         }
-        versions = new int[engines.size()];
+        endpointVersions = new int[engines.size()];
         int count = plan.managers().count();
         for (int m = 0; m < count; m++) {
             managers.add(
-                    new ManagerModel(m, plan, choice, calendar, streams, rules, engines, this));
+                    new ManagerModel(
+                            m, plan, policyUnderTest, events, randomStreams, rules, engines, this));
         }
-        together =
+        managersByCell =
                 List.copyOf(
                         IntStream.range(0, count)
                                 .boxed()
                                 .collect(
                                         Collectors.groupingBy(
                                                 m ->
-                                                        plan.managers().cell() == 0
+                                                        plan.managers().cellSize() == 0
                                                                 ? 0
                                                                 : plan.cellOf(m),
                                                 TreeMap::new,
@@ -84,285 +85,325 @@
     }
 
     /** Plays it; the progress of a long run is nobody's matter here. */
-    public static SimulationResult play(FleetPlan plan, PolicyUnderTest choice, long seed) {
-        return new FleetSimulation(plan, choice, seed).play(choice, seed);
+    public static SimulationResult play(
+            FleetPlan plan, PolicyUnderTest policyUnderTest, long seed) {
+        return new FleetSimulation(plan, policyUnderTest, seed).play(policyUnderTest, seed);
     }
 
-    private SimulationResult play(PolicyUnderTest choice, long seed) {
+    private SimulationResult play(PolicyUnderTest policyUnderTest, long seed) {
         managers.forEach(ManagerModel::start);
-        if (choice.peers() != null) {
-            gossip(streams.of("gossip", 0));
+        if (policyUnderTest.peers() != null) {
+            gossip(randomStreams.of("gossip", 0));
         }
         int number = 0;
-        for (Trouble t : plan.troubles()) {
-            RandomGenerator chance = streams.of("trouble", number++);
-            calendar.in(t.at(), () -> strike(t, chance));
+        for (Disturbance disturbance : plan.disturbances()) {
+            RandomGenerator random = randomStreams.of("trouble", number++);
+            events.in(disturbance.at(), () -> inject(disturbance, random));
         }
-        for (FleetPlan.Fault f : plan.faults()) {
-            if (!f.modelled()) {
+        for (FleetPlan.Fault fault : plan.faults()) {
+            if (!fault.simulated()) {
                 throw new InvalidPlanException(
-                        f.line(),
+                        fault.line(),
                         "fault: the fleet model has no "
-                                + f.kind().name().toLowerCase(Locale.ROOT)
+                                + fault.kind().name().toLowerCase(Locale.ROOT)
                                 + "; play this plan on processes (yard run)");
             }
-            RandomGenerator chance = streams.of("fault", number++);
-            calendar.in(f.at(), () -> strike(f, chance));
+            RandomGenerator random = randomStreams.of("fault", number++);
+            events.in(fault.at(), () -> inject(fault, random));
         }
-        calendar.in(traffic.next(START, START, 1) - START, this::arrival);
-        long longest = plan.groups().stream().mapToLong(FleetPlan.Group::limit).max().orElse(0);
-        long happened = calendar.play(START + plan.length() + longest + DRAIN);
-        Map<String, Double> figures = score.figures();
-        figures.put("to a sick engine a s", sickSeconds > 0 ? toSick / sickSeconds : 0);
+        events.in(traffic.next(START, START, 1) - START, this::onArrival);
+        long longest =
+                plan.trafficClasses().stream()
+                        .mapToLong(FleetPlan.TrafficClassPlan::timeout)
+                        .max()
+                        .orElse(0);
+        long happened = events.play(START + plan.length() + longest + COOL_DOWN);
+        Map<String, Double> figures = scoreboard.figures();
+        figures.put(
+                "to a sick engine a s",
+                faultySeconds > 0 ? sentToFaultyEngines / faultySeconds : 0);
         return new SimulationResult(
-                choice.name(), seed, figures, rules.broken(), score.batches(), happened);
+                policyUnderTest.name(),
+                seed,
+                figures,
+                rules.violations(),
+                scoreboard.batches(),
+                happened);
     }
 
     /**
      * Each tells one other of its cell by chance and hears it, as the membership's probes and their
      * answers do.
      */
-    private void gossip(RandomGenerator chance) {
-        for (List<ManagerModel> cell : together) {
+    private void gossip(RandomGenerator random) {
+        for (List<ManagerModel> cell : managersByCell) {
             List<String> up =
                     cell.stream().filter(ManagerModel::up).map(ManagerModel::name).toList();
             for (int m = 0; m < cell.size() && cell.size() > 1; m++) {
                 ManagerModel other =
-                        cell.get((m + 1 + chance.nextInt(cell.size() - 1)) % cell.size());
-                cell.get(m).viewed(up);
-                cell.get(m).tells(other);
-                other.tells(cell.get(m));
+                        cell.get((m + 1 + random.nextInt(cell.size() - 1)) % cell.size());
+                cell.get(m).onViewChanged(up);
+                cell.get(m).sendDigest(other);
+                other.sendDigest(cell.get(m));
             }
         }
-        if (calendar.now() < START + plan.length()) {
-            calendar.in(ManagerModel.PERIOD, () -> gossip(chance));
+        if (events.now() < START + plan.length()) {
+            events.in(ManagerModel.GOSSIP_PERIOD, () -> gossip(random));
         }
     }
 
     @Override
-    public void toSick() {
-        toSick++;
+    public void onSentToFaultyEngine() {
+        sentToFaultyEngines++;
     }
 
     // ---- Clients.
-    private void arrival() {
-        long now = calendar.now();
+    private void onArrival() {
+        long now = events.now();
         if (now >= START + plan.length()) {
             return;
         }
-        TrueRequest is = traffic.draw(now, dear);
-        score.asked(is);
-        goes(is);
-        calendar.in(traffic.next(now, START, boost) - now, this::arrival);
+        TrueRequest request = traffic.draw(now, expensiveWork);
+        scoreboard.asked(request);
+        sendToManager(request);
+        events.in(traffic.next(now, START, trafficFactor) - now, this::onArrival);
     }
 
-    private void goes(TrueRequest is) {
-        long now = calendar.now();
-        is.tries++;
-        ManagerModel to = managers.get(clients.manager(is));
-        long patience = Math.round((is.limit - is.asked) * plan.clients().tryShare());
+    private void sendToManager(TrueRequest request) {
+        long now = events.now();
+        request.tries++;
+        ManagerModel to = managers.get(clients.manager(request));
+        long patience =
+                Math.round(
+                        (request.deadline - request.firstRequestedAt)
+                                * plan.clients().deadlineShareOfTry());
         if (!to.up()) {
-            again(is, 0, true);
+            retryLater(request, 0, true);
         } else {
-            to.take(is, Math.min(is.limit, now + Math.max(1, patience)));
+            to.onRequest(request, Math.min(request.deadline, now + Math.max(1, patience)));
         }
     }
 
-    private void again(TrueRequest is, long comeBack, boolean harmless) {
-        boolean may = harmless || plan.groups().get(is.group).effect() != Effect.NON_IDEMPOTENT;
-        long wait = clients.again(is, calendar.now(), comeBack, may);
+    private void retryLater(TrueRequest request, long retryAfter, boolean harmless) {
+        boolean may =
+                harmless
+                        || plan.trafficClasses().get(request.trafficClass).effect()
+                                != Effect.NON_IDEMPOTENT;
+        long wait = clients.again(request, events.now(), retryAfter, may);
         if (wait >= 0) {
-            calendar.in(wait, () -> goes(is));
+            events.in(wait, () -> sendToManager(request));
         }
     }
 
     @Override
-    public void returned(TrueRequest is) {
-        if (!is.done) {
-            is.done = true;
-            score.returned(calendar.now(), is);
+    public void onSucceeded(TrueRequest request) {
+        if (!request.succeeded) {
+            request.succeeded = true;
+            scoreboard.returned(events.now(), request);
         }
     }
 
     @Override
-    public void pushedBack(TrueRequest is, long comeBack) {
-        score.pushedBack();
-        again(is, comeBack, true);
+    public void onRejected(TrueRequest request, long retryAfter) {
+        scoreboard.pushedBack();
+        retryLater(request, retryAfter, true);
     }
 
     @Override
-    public void errored(TrueRequest is) {
-        score.errored();
-        again(is, 0, false);
+    public void onFailed(TrueRequest request) {
+        scoreboard.errored();
+        retryLater(request, 0, false);
     }
 
     // ---- Troubles.
-    private List<Integer> struck(int of, double part, RandomGenerator chance) {
+    private List<Integer> drawAffected(int of, double part, RandomGenerator random) {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < of; i++) {
             all.add(i);
         }
-        Collections.shuffle(all, new Random(chance.nextLong()));
+        Collections.shuffle(all, new Random(random.nextLong()));
         return all.subList(0, (int) Math.min(of, Math.max(1, Math.round(of * part))));
     }
 
-    private void strike(Trouble t, RandomGenerator chance) {
-        switch (t.kind()) {
+    private void inject(Disturbance disturbance, RandomGenerator random) {
+        switch (disturbance.kind()) {
             case CRASH ->
-                    struck(engines.size(), t.part(), chance)
+                    drawAffected(engines.size(), disturbance.affectedShare(), random)
                             .forEach(
-                                    e ->
-                                            down(
-                                                    e,
-                                                    EngineModel.Standing.DOWN,
-                                                    t.length() / 2
-                                                            + chance.nextLong(t.length() / 2 + 1),
+                                    engine ->
+                                            takeDown(
+                                                    engine,
+                                                    EngineModel.State.DOWN,
+                                                    disturbance.length() / 2
+                                                            + random.nextLong(
+                                                                    disturbance.length() / 2 + 1),
                                                     1,
-                                                    chance));
+                                                    random));
             case SILENCE ->
-                    struck(engines.size(), t.part(), chance)
+                    drawAffected(engines.size(), disturbance.affectedShare(), random)
                             .forEach(
-                                    e ->
-                                            down(
-                                                    e,
-                                                    EngineModel.Standing.SILENT,
-                                                    t.length() / 2
-                                                            + chance.nextLong(t.length() / 2 + 1),
-                                                    SILENCE_LATER,
-                                                    chance));
+                                    engine ->
+                                            takeDown(
+                                                    engine,
+                                                    EngineModel.State.SILENT,
+                                                    disturbance.length() / 2
+                                                            + random.nextLong(
+                                                                    disturbance.length() / 2 + 1),
+                                                    SILENCE_DETECTION_FACTOR,
+                                                    random));
             case HANG ->
-                    struck(engines.size(), t.part(), chance)
+                    drawAffected(engines.size(), disturbance.affectedShare(), random)
                             .forEach(
-                                    e -> {
-                                        engines.get(e).becomes(EngineModel.Standing.HANGING);
-                                        calendar.in(
-                                                t.length(),
+                                    engine -> {
+                                        engines.get(engine).setState(EngineModel.State.HANGING);
+                                        events.in(
+                                                disturbance.length(),
                                                 () ->
-                                                        engines.get(e)
-                                                                .becomes(EngineModel.Standing.UP));
+                                                        engines.get(engine)
+                                                                .setState(EngineModel.State.UP));
                                     });
-            case RELEASE -> release(t, chance);
+            case RELEASE -> rollingReplace(disturbance, random);
             case RESTART ->
-                    struck(managers.size(), t.part(), chance)
+                    drawAffected(managers.size(), disturbance.affectedShare(), random)
                             .forEach(
                                     m ->
-                                            calendar.in(
-                                                    t.length() > 0
-                                                            ? chance.nextLong(t.length())
+                                            events.in(
+                                                    disturbance.length() > 0
+                                                            ? random.nextLong(disturbance.length())
                                                             : 0,
                                                     () -> {
                                                         managers.get(m).kill();
-                                                        calendar.in(
+                                                        events.in(
                                                                 plan.managers()
-                                                                        .restart()
-                                                                        .drawTime(chance),
+                                                                        .restartTime()
+                                                                        .drawTime(random),
                                                                 () -> managers.get(m).start());
                                                     }));
             case BURST -> {
-                boost = t.size();
-                calendar.in(t.length(), () -> boost = 1);
+                trafficFactor = disturbance.size();
+                events.in(disturbance.length(), () -> trafficFactor = 1);
             }
             case EXPENSIVE, EXPENSIVE_UNSEEN -> {
-                dear.add(t);
-                calendar.in(t.length(), () -> dear.remove(t));
+                expensiveWork.add(disturbance);
+                events.in(disturbance.length(), () -> expensiveWork.remove(disturbance));
             }
             case SLOW -> {
-                engines.forEach(e -> e.slower(t.size()));
-                calendar.in(t.length(), () -> engines.forEach(e -> e.slower(1)));
+                engines.forEach(engine -> engine.slowdown(disturbance.size()));
+                events.in(
+                        disturbance.length(), () -> engines.forEach(engine -> engine.slowdown(1)));
             }
             case LATE_REPORTS -> {
-                managers.forEach(m -> m.reportsLater(Math.round(t.size() * 10_000)));
-                calendar.in(t.length(), () -> managers.forEach(m -> m.reportsLater(0)));
+                managers.forEach(
+                        manager ->
+                                manager.loadReportDelay(Math.round(disturbance.size() * 10_000)));
+                events.in(
+                        disturbance.length(),
+                        () -> managers.forEach(manager -> manager.loadReportDelay(0)));
             }
             case COLD ->
-                    struck(engines.size(), t.part(), chance)
+                    drawAffected(engines.size(), disturbance.affectedShare(), random)
                             .forEach(
-                                    e -> {
-                                        engines.get(e).cools();
-                                        tell(e, Lifecycle.ACTIVE, calendar.now(), 1, chance);
+                                    engine -> {
+                                        engines.get(engine).restartCold();
+                                        announce(engine, Lifecycle.ACTIVE, events.now(), 1, random);
                                     });
         }
     }
 
-    private void strike(FleetPlan.Fault f, RandomGenerator chance) {
-        List<Integer> struck = f.who() == null ? List.of() : f.who().among(plan, chance);
-        switch (f.kind()) {
+    private void inject(FleetPlan.Fault fault, RandomGenerator random) {
+        List<Integer> struck =
+                fault.source() == null ? List.of() : fault.source().among(plan, random);
+        switch (fault.kind()) {
             case DIE ->
-                    struck.forEach(e -> down(e, EngineModel.Standing.DOWN, f.length(), 1, chance));
+                    struck.forEach(
+                            engine ->
+                                    takeDown(
+                                            engine,
+                                            EngineModel.State.DOWN,
+                                            fault.length(),
+                                            1,
+                                            random));
             case SILENCE ->
                     struck.forEach(
-                            e ->
-                                    down(
-                                            e,
-                                            EngineModel.Standing.SILENT,
-                                            f.length(),
-                                            SILENCE_LATER,
-                                            chance));
+                            engine ->
+                                    takeDown(
+                                            engine,
+                                            EngineModel.State.SILENT,
+                                            fault.length(),
+                                            SILENCE_DETECTION_FACTOR,
+                                            random));
             case HANG ->
                     struck.forEach(
-                            e -> {
-                                sickSeconds += f.length() / 1e4;
-                                engines.get(e).becomes(EngineModel.Standing.HANGING);
-                                calendar.in(
-                                        f.length(),
-                                        () -> engines.get(e).becomes(EngineModel.Standing.UP));
+                            engine -> {
+                                faultySeconds += fault.length() / 1e4;
+                                engines.get(engine).setState(EngineModel.State.HANGING);
+                                events.in(
+                                        fault.length(),
+                                        () -> engines.get(engine).setState(EngineModel.State.UP));
                             });
             case KILL ->
                     struck.forEach(
                             m -> {
                                 managers.get(m).kill();
-                                calendar.in(
-                                        plan.managers().restart().drawTime(chance),
+                                events.in(
+                                        plan.managers().restartTime().drawTime(random),
                                         () -> managers.get(m).start());
                             });
             default -> {
-                boost = f.size();
-                calendar.in(f.length(), () -> boost = 1);
+                trafficFactor = fault.size();
+                events.in(fault.length(), () -> trafficFactor = 1);
             }
         }
     }
 
-    private void down(
-            int e, EngineModel.Standing how, long length, int later, RandomGenerator chance) {
-        sickSeconds += length / 1e4;
-        engines.get(e).becomes(how);
-        tell(e, Lifecycle.GONE, 0, later, chance);
-        calendar.in(
+    private void takeDown(
+            int engine, EngineModel.State state, long length, int later, RandomGenerator random) {
+        faultySeconds += length / 1e4;
+        engines.get(engine).setState(state);
+        announce(engine, Lifecycle.GONE, 0, later, random);
+        events.in(
                 length,
                 () -> {
-                    engines.get(e).becomes(EngineModel.Standing.UP);
-                    tell(e, Lifecycle.ACTIVE, calendar.now(), 1, chance);
+                    engines.get(engine).setState(EngineModel.State.UP);
+                    announce(engine, Lifecycle.ACTIVE, events.now(), 1, random);
                 });
     }
 
     /** Each manager hears it when its own list comes round. */
-    private void tell(int e, Lifecycle standing, long since, int later, RandomGenerator chance) {
-        int said = ++versions[e];
-        for (ManagerModel m : managers) {
-            calendar.in(
-                    later * plan.managers().listDelay().drawTime(chance),
+    private void announce(
+            int engine, Lifecycle standing, long since, int later, RandomGenerator random) {
+        int said = ++endpointVersions[engine];
+        for (ManagerModel manager : managers) {
+            events.in(
+                    later * plan.managers().discoveryDelay().drawTime(random),
                     () -> {
-                        if (versions[e] == said || later == 1) {
-                            m.listed(e, standing, since);
+                        if (endpointVersions[engine] == said || later == 1) {
+                            manager.onEndpointUpdate(engine, standing, since);
                         }
                     });
         }
     }
 
-    private void release(Trouble t, RandomGenerator chance) {
-        List<Integer> all = struck(engines.size(), t.part(), chance);
-        int each = (int) Math.max(1, Math.round(engines.size() * t.extra()));
+    private void rollingReplace(Disturbance disturbance, RandomGenerator random) {
+        List<Integer> all = drawAffected(engines.size(), disturbance.affectedShare(), random);
+        int each = (int) Math.max(1, Math.round(engines.size() * disturbance.extra()));
         int steps = (all.size() + each - 1) / each;
         for (int i = 0; i < all.size(); i++) {
-            int e = all.get(i);
-            calendar.in(
-                    i / each * (t.length() / Math.max(1, steps)),
+            int engine = all.get(i);
+            events.in(
+                    i / each * (disturbance.length() / Math.max(1, steps)),
                     () -> {
-                        engines.get(e).becomes(EngineModel.Standing.DRAINING);
-                        tell(e, Lifecycle.DRAINING, 0, 1, chance);
-                        calendar.in(
-                                DRAINS_FOR,
-                                () -> down(e, EngineModel.Standing.DOWN, DOWN_FOR, 1, chance));
+                        engines.get(engine).setState(EngineModel.State.DRAINING);
+                        announce(engine, Lifecycle.DRAINING, 0, 1, random);
+                        events.in(
+                                DRAIN_DURATION,
+                                () ->
+                                        takeDown(
+                                                engine,
+                                                EngineModel.State.DOWN,
+                                                DOWN_DURATION,
+                                                1,
+                                                random));
                     });
         }
     }
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -13,7 +13,7 @@
 import firstage.policy.api.LoadReport;
 import firstage.policy.api.PolicyActions;
 import firstage.policy.api.SchedulingPolicy;
-import firstage.simulation.EngineModel.Job;
+import firstage.simulation.EngineModel.RunningAttempt;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -27,145 +27,151 @@
  * It hands the decisions estimates and what is observed, never what a batch truly costs.
  */
 final class ManagerModel implements PolicyActions {
-    private static final long CONNECT = 2_500;
+    private static final long CONNECT_TIMEOUT = 2_500;
 
     /**
      * Between two probes of the membership that would carry the words, and between looks at what is
      * sick.
      */
-    static final long PERIOD = 2_000;
+    static final long GOSSIP_PERIOD = 2_000;
 
-    private static final long LOOK = 1_000;
+    private static final long EVALUATION_INTERVAL = 1_000;
 
     /** What becomes of a try, told to its client. */
-    interface Answers {
-        void returned(TrueRequest is);
+    interface ClientActions {
+        void onSucceeded(TrueRequest is);
 
-        void pushedBack(TrueRequest is, long comeBack);
+        void onRejected(TrueRequest is, long comeBack);
 
-        void errored(TrueRequest is);
+        void onFailed(TrueRequest is);
 
         /** A dispatch goes to an engine that is down, silent or hangs. */
-        void toSick();
+        void onSentToFaultyEngine();
     }
 
-    private static final class Open {
-        private final RuleChecker.Try is;
+    private static final class OpenRequest {
+        private final RuleChecker.ClientTry clientTry;
         private int index = -1;
-        private boolean over;
-        private int dispatches;
-        private int grant;
+        private boolean answered;
+        private int attempts;
+        private int grantMb;
         private int priority = 1;
-        private final List<Sent> out = new ArrayList<>();
+        private final List<ModelledAttempt> attemptsInFlight = new ArrayList<>();
 
-        private Open(RuleChecker.Try is) {
-            this.is = is;
+        private OpenRequest(RuleChecker.ClientTry is) {
+            this.clientTry = is;
         }
     }
 
     /** A dispatch that is out, from here to its outcome. */
-    private final class Sent implements EngineModel.Listener {
-        private final Open b;
+    private final class ModelledAttempt implements EngineModel.Listener {
+        private final OpenRequest openRequest;
         private final EngineModel engine;
         private final int number;
-        private final long at = calendar.now();
-        private final int mine = life;
-        private final Job job;
-        private boolean over;
+        private final long sentAt = events.now();
+        private final int ownIncarnation = incarnation;
+        private final RunningAttempt job;
+        private boolean ended;
 
-        private Sent(Open b, EngineModel engine, int number) {
-            this.b = b;
+        private ModelledAttempt(OpenRequest openRequest, EngineModel engine, int number) {
+            this.openRequest = openRequest;
             this.engine = engine;
             this.number = number;
             job =
-                    new Job(
-                            b.is.is,
-                            plan.groups().get(b.is.is.group),
+                    new RunningAttempt(
+                            openRequest.clientTry.request,
+                            plan.trafficClasses().get(openRequest.clientTry.request.trafficClass),
                             this,
                             ManagerModel.this.number,
-                            b.grant > 0 ? b.grant : b.is.is.memoryTold * 1.25,
-                            b.priority);
+                            openRequest.grantMb > 0
+                                    ? openRequest.grantMb
+                                    : openRequest.clientTry.request.estimatedMemoryMb * 1.25,
+                            openRequest.priority);
         }
 
         @Override
-        public void ended(Job ended, AttemptOutcome how) {
-            calendar.in(way(), () -> over(how));
+        public void onEnded(RunningAttempt ended, AttemptOutcome outcome) {
+            events.in(drawDelay(), () -> ended(outcome));
         }
 
         @Override
-        public void noted(Job noted, AttemptProgress.Kind what, double amount) {
-            calendar.in(
-                    way(),
+        public void onProgress(RunningAttempt noted, AttemptProgress.Kind what, double amount) {
+            events.in(
+                    drawDelay(),
                     () -> {
-                        if (!over && mine == life) {
-                            manager.onAttemptProgress(
-                                    calendar.now(),
+                        if (!ended && ownIncarnation == incarnation) {
+                            policy.onAttemptProgress(
+                                    events.now(),
                                     new AttemptProgress(
-                                            b.index, number, engine.number(), what, amount));
-                            stir();
+                                            openRequest.index,
+                                            number,
+                                            engine.number(),
+                                            what,
+                                            amount));
+                            scheduleActions();
                         }
                     });
         }
 
         @Override
-        public boolean alive() {
-            return mine == life;
+        public boolean isSenderAlive() {
+            return ownIncarnation == incarnation;
         }
 
-        private void over(AttemptOutcome how) {
-            if (over || mine != life) {
+        private void ended(AttemptOutcome outcome) {
+            if (ended || ownIncarnation != incarnation) {
                 return;
             }
-            over = true;
-            b.out.remove(this);
-            rules.ended(calendar.now(), b.is, how);
-            if (how == AttemptOutcome.SUCCEEDED && !b.over) {
-                b.over = true;
-                rules.answered(calendar.now(), b.is, false);
-                answers.returned(b.is.is);
+            ended = true;
+            openRequest.attemptsInFlight.remove(this);
+            rules.onAttemptEnded(events.now(), openRequest.clientTry, outcome);
+            if (outcome == AttemptOutcome.SUCCEEDED && !openRequest.answered) {
+                openRequest.answered = true;
+                rules.onAnswered(events.now(), openRequest.clientTry, false);
+                clientActions.onSucceeded(openRequest.clientTry.request);
             }
-            manager.onAttemptResult(
-                    calendar.now(),
+            policy.onAttemptResult(
+                    events.now(),
                     new AttemptResult(
-                            b.index,
+                            openRequest.index,
                             number,
                             engine.number(),
-                            how,
-                            calendar.now() - at,
+                            outcome,
+                            events.now() - sentAt,
                             0,
                             0,
-                            b.over,
+                            openRequest.answered,
                             null,
                             0));
-            stir();
+            scheduleActions();
         }
     }
 
     private final int number;
     private final FleetPlan plan;
-    private final PolicyUnderTest choice;
-    private final EventQueue calendar;
-    private final RandomStreams streams;
+    private final PolicyUnderTest policyUnderTest;
+    private final EventQueue events;
+    private final RandomStreams randomStreams;
     private final RuleChecker rules;
     private final List<EngineModel> engines;
-    private final Answers answers;
-    private final RandomGenerator chance;
+    private final ClientActions clientActions;
+    private final RandomGenerator random;
 
     /** Null where all managers use all engines. */
     private final CellPlan cells;
 
-    private SchedulingPolicy manager;
-    private IdRegistry<Open> batches = new IdRegistry<>();
-    private IdRegistry<Integer> keys = new IdRegistry<>();
-    private int life;
+    private SchedulingPolicy policy;
+    private IdRegistry<OpenRequest> requestIds = new IdRegistry<>();
+    private IdRegistry<Integer> keyIds = new IdRegistry<>();
+    private int incarnation;
     private boolean up;
-    private boolean turnDue;
-    private FleetCoordinator together;
-    private long reportsLater;
-    private final Set<Open> open = new LinkedHashSet<>();
+    private boolean actionsScheduled;
+    private FleetCoordinator fleetCoordinator;
+    private long loadReportDelay;
+    private final Set<OpenRequest> openRequests = new LinkedHashSet<>();
 
     /** The list as it last had it: by engine, standing and start. */
-    private final Map<Integer, EndpointUpdate.Endpoint> list = new HashMap<>();
+    private final Map<Integer, EndpointUpdate.Endpoint> endpoints = new HashMap<>();
 
     ManagerModel(
             int number,
@@ -175,29 +181,31 @@
             RandomStreams streams,
             RuleChecker rules,
             List<EngineModel> engines,
-            Answers answers) {
+            ClientActions answers) {
         this.number = number;
         this.plan = plan;
-        this.choice = choice;
-        this.calendar = calendar;
-        this.streams = streams;
+        this.policyUnderTest = choice;
+        this.events = calendar;
+        this.randomStreams = streams;
         this.rules = rules;
         this.engines = engines;
-        this.answers = answers;
-        chance = streams.of("manager", number);
+        this.clientActions = answers;
+        random = streams.of("manager", number);
         cells = plan.cells();
-        for (EngineModel e : engines) {
-            if (serves(e.number())) {
-                list.put(e.number(), entry(e.number(), Lifecycle.ACTIVE, 0));
+        for (EngineModel engineModel : engines) {
+            if (servesEngine(engineModel.number())) {
+                endpoints.put(
+                        engineModel.number(), endpoint(engineModel.number(), Lifecycle.ACTIVE, 0));
             }
         }
     }
 
-    private boolean serves(int engine) {
-        return cells == null || cells.serves(plan.cellOf(number), mark(engine), zone(engine));
+    private boolean servesEngine(int engine) {
+        return cells == null
+                || cells.serves(plan.cellOf(number), stableHash(engine), zoneName(engine));
     }
 
-    private String zone(int engine) {
+    private String zoneName(int engine) {
         return plan.zones().get(plan.zoneOf(engine));
     }
 
@@ -207,275 +215,284 @@
 
     /** Starts with nothing but its last list. */
     void start() {
-        life++;
+        incarnation++;
         up = true;
-        batches = new IdRegistry<>();
-        keys = new IdRegistry<>();
+        requestIds = new IdRegistry<>();
+        keyIds = new IdRegistry<>();
         Deployment deployment =
                 DeploymentFactory.of(
                         plan,
                         number,
-                        streams.seed("manager-life", number * 1_000L + life),
-                        choice.bounds());
-        manager = choice.start(deployment, this);
+                        randomStreams.seed("manager-life", number * 1_000L + incarnation),
+                        policyUnderTest.bounds());
+        policy = policyUnderTest.start(deployment, this);
         if (cells != null) {
-            manager.onQuotaChanged(calendar.now(), cells.share(plan.cellOf(number)));
+            policy.onQuotaChanged(events.now(), cells.share(plan.cellOf(number)));
         }
-        if (choice.peers() != null) {
-            together =
+        if (policyUnderTest.peers() != null) {
+            fleetCoordinator =
                     new FleetCoordinator(
                             name(),
                             plan.zoneOf(number),
                             plan.zones().size(),
                             deployment.shortestLatencyObjective(),
                             deployment.rules().warmUpDuration(),
-                            PERIOD,
+                            GOSSIP_PERIOD,
                             (engine, away, restIsOver) -> {
-                                manager.onProbeOwnership(
-                                        calendar.now(), (int) engine, away, restIsOver);
-                                stir();
+                                policy.onProbeOwnership(
+                                        events.now(), (int) engine, away, restIsOver);
+                                scheduleActions();
                             },
                             (now, band, part) -> {
-                                manager.onSheddingThreshold(now, band, part);
-                                stir();
+                                policy.onSheddingThreshold(now, band, part);
+                                scheduleActions();
                             },
-                            choice.peers());
-            look(life);
+                            policyUnderTest.peers());
+            evaluateFleet(incarnation);
         }
-        list.values().forEach(e -> rules.toldStart(number, e.engineId(), e.startedAt()));
-        manager.onEndpointsUpdated(
-                calendar.now(),
-                new EndpointUpdate(EndpointUpdate.Kind.INITIAL, List.copyOf(list.values())));
-        stir();
+        endpoints
+                .values()
+                .forEach(e -> rules.onEngineStartTold(number, e.engineId(), e.startedAt()));
+        policy.onEndpointsUpdated(
+                events.now(),
+                new EndpointUpdate(EndpointUpdate.Kind.INITIAL, List.copyOf(endpoints.values())));
+        scheduleActions();
     }
 
     String name() {
         return "m" + number;
     }
 
-    private void look(int mine) {
-        if (mine == life && up) {
-            for (int e : list.keySet()) {
-                together.updateEngine(
-                        calendar.now(),
+    private void evaluateFleet(int ownIncarnation) {
+        if (ownIncarnation == incarnation && up) {
+            for (int e : endpoints.keySet()) {
+                fleetCoordinator.updateEngine(
+                        events.now(),
                         plan.zoneOf(e),
                         e,
-                        manager.isUnavailable(e),
-                        manager.lastAttemptAt(e),
-                        manager.lastResponseAt(e));
+                        policy.isUnavailable(e),
+                        policy.lastAttemptAt(e),
+                        policy.lastResponseAt(e));
             }
-            together.evaluate(calendar.now(), manager.demand(calendar.now()));
-            calendar.in(LOOK, () -> look(mine));
+            fleetCoordinator.evaluate(events.now(), policy.demand(events.now()));
+            events.in(EVALUATION_INTERVAL, () -> evaluateFleet(ownIncarnation));
         }
     }
 
     /** Words of one are with the other after their way; nothing where either is down by then. */
-    void tells(ManagerModel other) {
-        if (together != null && up) {
-            byte[] digest = together.encodeDigest(calendar.now());
-            calendar.in(
-                    way(),
+    void sendDigest(ManagerModel other) {
+        if (fleetCoordinator != null && up) {
+            byte[] digest = fleetCoordinator.encodeDigest(events.now());
+            events.in(
+                    drawDelay(),
                     () -> {
-                        if (other.up && other.together != null) {
-                            other.together.onDigest(calendar.now(), name(), digest);
+                        if (other.up && other.fleetCoordinator != null) {
+                            other.fleetCoordinator.onDigest(events.now(), name(), digest);
                         }
                     });
         }
     }
 
     /** Who is up. */
-    void viewed(List<String> names) {
-        if (together != null) {
-            together.onViewChanged(names);
+    void onViewChanged(List<String> names) {
+        if (fleetCoordinator != null) {
+            fleetCoordinator.onViewChanged(names);
         }
     }
 
     /** Killed: its clients must ask again, what it had out goes on at the engines. */
     void kill() {
-        List<RuleChecker.Try> held = new ArrayList<>();
-        for (Open b : open) {
-            if (!b.over) {
-                held.add(b.is);
+        List<RuleChecker.ClientTry> held = new ArrayList<>();
+        for (OpenRequest openRequest : openRequests) {
+            if (!openRequest.answered) {
+                held.add(openRequest.clientTry);
             }
         }
-        rules.killed(number, held);
-        List<Open> lost = new ArrayList<>(open);
-        open.clear();
+        rules.onManagerKilled(number, held);
+        List<OpenRequest> lost = new ArrayList<>(openRequests);
+        openRequests.clear();
         up = false;
-        life++;
-        lost.stream().filter(b -> !b.over).forEach(b -> answers.errored(b.is.is));
+        incarnation++;
+        lost.stream()
+                .filter(openRequest -> !openRequest.answered)
+                .forEach(openRequest -> clientActions.onFailed(openRequest.clientTry.request));
     }
 
-    void reportsLater(long later) {
-        reportsLater = later;
+    void loadReportDelay(long delay) {
+        loadReportDelay = delay;
     }
 
-    private long way() {
-        return Math.max(1, plan.net().way().drawTime(chance));
+    private long drawDelay() {
+        return Math.max(1, plan.network().oneWayDelay().drawTime(random));
     }
 
-    private void stir() {
-        if (!turnDue) {
-            turnDue = true;
-            int mine = life;
-            calendar.in(
+    private void scheduleActions() {
+        if (!actionsScheduled) {
+            actionsScheduled = true;
+            int ownIncarnation = incarnation;
+            events.in(
                     0,
                     () -> {
-                        turnDue = false;
-                        if (mine == life && up) {
-                            manager.runPendingActions(calendar.now());
+                        actionsScheduled = false;
+                        if (ownIncarnation == incarnation && up) {
+                            policy.runPendingActions(events.now());
                         }
                     });
         }
     }
 
     /** A client's try is here. */
-    void take(TrueRequest is, long notAfter) {
-        Open b = new Open(new RuleChecker.Try(is, number, notAfter));
-        b.index = batches.indexFor(b);
-        open.add(b);
-        rules.took(b.is);
-        int mine = life;
-        calendar.in(notAfter - calendar.now(), () -> timeUp(b, mine));
-        calendar.in(notAfter - calendar.now() + 250, () -> rules.due(calendar.now(), b.is));
-        manager.onRequest(
-                calendar.now(),
+    void onRequest(TrueRequest request, long deadline) {
+        OpenRequest openRequest =
+                new OpenRequest(new RuleChecker.ClientTry(request, number, deadline));
+        openRequest.index = requestIds.indexFor(openRequest);
+        openRequests.add(openRequest);
+        rules.onAccepted(openRequest.clientTry);
+        int ownIncarnation = incarnation;
+        events.in(deadline - events.now(), () -> onDeadline(openRequest, ownIncarnation));
+        events.in(
+                deadline - events.now() + 250,
+                () -> rules.onDeadlinePassed(events.now(), openRequest.clientTry));
+        policy.onRequest(
+                events.now(),
                 new IncomingRequest(
-                        b.index,
-                        is.group,
-                        plan.customers().size() > 1 ? is.customer : 0,
-                        is.key < 0 ? -1 : keys.indexFor(is.key),
-                        notAfter,
-                        is.estimate,
-                        is.memoryTold,
-                        is.tables,
+                        openRequest.index,
+                        request.trafficClass,
+                        plan.tenants().size() > 1 ? request.tenant : 0,
+                        request.orderingKey < 0 ? -1 : keyIds.indexFor(request.orderingKey),
+                        deadline,
+                        request.estimatedWork,
+                        request.estimatedMemoryMb,
+                        request.tableGroup,
                         false,
                         false));
-        stir();
+        scheduleActions();
     }
 
-    private void timeUp(Open b, int mine) {
-        if (mine != life) {
+    private void onDeadline(OpenRequest openRequest, int ownIncarnation) {
+        if (ownIncarnation != incarnation) {
             return;
         }
-        for (Sent s : List.copyOf(b.out)) {
-            if (plan.managers().callOff()) {
-                s.engine.callOff(s.job);
+        for (ModelledAttempt attempt : List.copyOf(openRequest.attemptsInFlight)) {
+            if (plan.managers().cancel()) {
+                attempt.engine.cancel(attempt.job);
             }
-            s.over(AttemptOutcome.TIMED_OUT);
+            attempt.ended(AttemptOutcome.TIMED_OUT);
         }
-        calendar.in(
+        events.in(
                 100,
                 () -> {
-                    if (mine == life && !b.over) {
-                        fail(b.index);
-                        manager.onClientGone(calendar.now(), b.index);
-                        stir();
+                    if (ownIncarnation == incarnation && !openRequest.answered) {
+                        fail(openRequest.index);
+                        policy.onClientGone(events.now(), openRequest.index);
+                        scheduleActions();
                     }
                 });
     }
 
     /** What the list service says of an engine, as it comes here. */
-    void listed(int engine, Lifecycle standing, long since) {
-        if (!serves(engine)) {
+    void onEndpointUpdate(int engine, Lifecycle lifecycle, long startedAt) {
+        if (!servesEngine(engine)) {
             return;
         }
-        EndpointUpdate.Endpoint entry = entry(engine, standing, since);
-        list.put(engine, entry);
+        EndpointUpdate.Endpoint entry = endpoint(engine, lifecycle, startedAt);
+        endpoints.put(engine, entry);
         if (up) {
-            rules.listed(calendar.now(), number, engine, standing == Lifecycle.ACTIVE);
-            rules.toldStart(number, engine, since);
-            manager.onEndpointsUpdated(
-                    calendar.now(), new EndpointUpdate(EndpointUpdate.Kind.DELTA, List.of(entry)));
-            stir();
+            rules.onEndpointUpdate(events.now(), number, engine, lifecycle == Lifecycle.ACTIVE);
+            rules.onEngineStartTold(number, engine, startedAt);
+            policy.onEndpointsUpdated(
+                    events.now(), new EndpointUpdate(EndpointUpdate.Kind.DELTA, List.of(entry)));
+            scheduleActions();
         }
     }
 
-    private EndpointUpdate.Endpoint entry(int engine, Lifecycle standing, long since) {
-        double coldPart =
-                cells == null || choice.coldBySettings()
+    private EndpointUpdate.Endpoint endpoint(int engine, Lifecycle lifecycle, long startedAt) {
+        double warmUpShare =
+                cells == null || policyUnderTest.coldBySettings()
                         ? 0
-                        : cells.warmUpShare(null, plan.cellOf(number), mark(engine), zone(engine));
+                        : cells.warmUpShare(
+                                null, plan.cellOf(number), stableHash(engine), zoneName(engine));
         return new EndpointUpdate.Endpoint(
-                engine, mark(engine), 0, 0, 0, standing, 1, since, coldPart);
+                engine, stableHash(engine), 0, 0, 0, lifecycle, 1, startedAt, warmUpShare);
     }
 
     /** The same at every manager, and tells nothing of the engine's number. */
-    private static long mark(int engine) {
+    private static long stableHash(int engine) {
         return (engine + 1) * 2_654_435_761L & 0xFFFFFFFFL;
     }
 
     // ---- What is decided.
     @Override
-    public void setGrantAndPriority(int batch, int grantMb, int priority) {
-        Open b = batches.idOf(batch);
-        b.grant = grantMb;
-        b.priority = priority;
-        for (Sent s : b.out) {
-            calendar.in(way(), () -> s.engine.priority(s.job, priority));
+    public void setGrantAndPriority(int request, int grantMb, int priority) {
+        OpenRequest openRequest = requestIds.idOf(request);
+        openRequest.grantMb = grantMb;
+        openRequest.priority = priority;
+        for (ModelledAttempt attempt : openRequest.attemptsInFlight) {
+            events.in(drawDelay(), () -> attempt.engine.setPriority(attempt.job, priority));
         }
     }
 
     @Override
-    public void startAttempt(int batch, int engine, long within) {
-        Open b = batches.idOf(batch);
-        EngineModel e = engines.get(engine);
-        rules.dispatched(calendar.now(), b.is, engine);
-        if (e.standing() != EngineModel.Standing.UP
-                && e.standing() != EngineModel.Standing.DRAINING) {
-            answers.toSick();
+    public void startAttempt(int request, int engine, long within) {
+        OpenRequest openRequest = requestIds.idOf(request);
+        EngineModel engineModel = engines.get(engine);
+        rules.onAttemptSent(events.now(), openRequest.clientTry, engine);
+        if (engineModel.state() != EngineModel.State.UP
+                && engineModel.state() != EngineModel.State.DRAINING) {
+            clientActions.onSentToFaultyEngine();
         }
-        Sent s = new Sent(b, e, b.dispatches++);
-        b.out.add(s);
-        boolean fresh = e.standing() == EngineModel.Standing.SILENT && chance.nextBoolean();
+        ModelledAttempt attempt =
+                new ModelledAttempt(openRequest, engineModel, openRequest.attempts++);
+        openRequest.attemptsInFlight.add(attempt);
+        boolean fresh = engineModel.state() == EngineModel.State.SILENT && random.nextBoolean();
         if (fresh) {
             // A new connection to a machine that is gone never comes up; what goes out on an old
             // one is lost.
-            calendar.in(CONNECT, () -> s.over(AttemptOutcome.CONNECT_FAILED));
+            events.in(CONNECT_TIMEOUT, () -> attempt.ended(AttemptOutcome.CONNECT_FAILED));
         } else {
-            calendar.in(way(), () -> e.send(s.job));
+            events.in(drawDelay(), () -> engineModel.start(attempt.job));
         }
     }
 
     @Override
-    public void cancelAttempt(int batch, int dispatch) {
-        for (Sent s : List.copyOf(batches.idOf(batch).out)) {
-            if (s.number == dispatch) {
-                calendar.in(way(), () -> s.engine.callOff(s.job));
-                calendar.in(1, () -> s.over(AttemptOutcome.CANCELLED));
+    public void cancelAttempt(int request, int attemptNumber) {
+        for (ModelledAttempt attempt : List.copyOf(requestIds.idOf(request).attemptsInFlight)) {
+            if (attempt.number == attemptNumber) {
+                events.in(drawDelay(), () -> attempt.engine.cancel(attempt.job));
+                events.in(1, () -> attempt.ended(AttemptOutcome.CANCELLED));
             }
         }
     }
 
     @Override
-    public void reject(int batch, long comeBack) {
-        Open b = batches.idOf(batch);
-        if (!b.over) {
-            b.over = true;
-            rules.answered(calendar.now(), b.is, true);
-            answers.pushedBack(b.is.is, comeBack);
+    public void reject(int request, long retryAfter) {
+        OpenRequest openRequest = requestIds.idOf(request);
+        if (!openRequest.answered) {
+            openRequest.answered = true;
+            rules.onAnswered(events.now(), openRequest.clientTry, true);
+            clientActions.onRejected(openRequest.clientTry.request, retryAfter);
         }
     }
 
     @Override
-    public void fail(int batch) {
-        Open b = batches.idOf(batch);
-        if (!b.over) {
-            b.over = true;
-            rules.answered(calendar.now(), b.is, false);
-            answers.errored(b.is.is);
+    public void fail(int request) {
+        OpenRequest openRequest = requestIds.idOf(request);
+        if (!openRequest.answered) {
+            openRequest.answered = true;
+            rules.onAnswered(events.now(), openRequest.clientTry, false);
+            clientActions.onFailed(openRequest.clientTry.request);
         }
     }
 
     @Override
-    public void releaseRequest(int batch) {
-        open.remove(batches.idOf(batch));
-        batches.release(batch);
+    public void releaseRequest(int request) {
+        openRequests.remove(requestIds.idOf(request));
+        requestIds.release(request);
     }
 
     @Override
     public void releaseKey(int key) {
-        keys.release(key);
+        keyIds.release(key);
     }
 
     @Override
@@ -485,36 +502,41 @@
 
     @Override
     public void probeEngine(int engine) {
-        EngineModel e = engines.get(engine);
-        int mine = life;
+        EngineModel engineModel = engines.get(engine);
+        int ownIncarnation = incarnation;
         boolean answers =
-                e.standing() == EngineModel.Standing.UP
-                        || e.standing() == EngineModel.Standing.DRAINING;
+                engineModel.state() == EngineModel.State.UP
+                        || engineModel.state() == EngineModel.State.DRAINING;
         LoadReport report =
-                new LoadReport(Double.NaN, e.waiting(), Double.NaN, Double.NaN, Double.NaN);
-        calendar.in(
-                answers ? 2 * way() + reportsLater : CONNECT,
+                new LoadReport(
+                        Double.NaN,
+                        engineModel.waitingForMemory(),
+                        Double.NaN,
+                        Double.NaN,
+                        Double.NaN);
+        events.in(
+                answers ? 2 * drawDelay() + loadReportDelay : CONNECT_TIMEOUT,
                 () -> {
-                    if (mine == life) {
-                        manager.onProbeResult(
-                                calendar.now(),
+                    if (ownIncarnation == incarnation) {
+                        policy.onProbeResult(
+                                events.now(),
                                 engine,
                                 answers ? AttemptOutcome.SUCCEEDED : AttemptOutcome.TIMED_OUT,
                                 answers ? report : null);
-                        stir();
+                        scheduleActions();
                     }
                 });
     }
 
     @Override
     public void scheduleWakeUp(long delay, long token) {
-        int mine = life;
-        calendar.in(
+        int ownIncarnation = incarnation;
+        events.in(
                 Math.max(1, delay),
                 () -> {
-                    if (mine == life && up) {
-                        manager.onWakeUp(calendar.now(), token);
-                        stir();
+                    if (ownIncarnation == incarnation && up) {
+                        policy.onWakeUp(events.now(), token);
+                        scheduleActions();
                     }
                 });
     }
--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -16,46 +16,46 @@
  * (6) nor a budget (7).
  */
 public final class RuleChecker {
-    private static final long SLACK = 200;
-    private static final int KEPT = 20;
+    private static final long ANSWER_SLACK = 200;
+    private static final int MAX_VIOLATIONS_KEPT = 20;
 
     /** One try of a batch at one manager. */
-    public static final class Try {
-        public final TrueRequest is;
+    public static final class ClientTry {
+        public final TrueRequest request;
         public final int manager;
-        public final long notAfter;
+        public final long deadline;
         private int answers;
-        private boolean nobodys;
-        private int out;
+        private boolean abandoned;
+        private int attemptsInFlight;
         private boolean mayHaveRun;
-        private long firstRan = -1;
-        private boolean sent;
-        private long excused;
+        private long firstSentAt = -1;
+        private boolean attempted;
+        private long pauseAllowance;
         private long overtakenAt;
 
-        public Try(TrueRequest is, int manager, long notAfter) {
-            this.is = is;
+        public ClientTry(TrueRequest is, int manager, long notAfter) {
+            this.request = is;
             this.manager = manager;
-            this.notAfter = notAfter;
+            this.deadline = notAfter;
         }
 
         /** Whether its manager's life ended, or it never came to one. */
-        public boolean nobodys() {
-            return nobodys;
+        public boolean abandoned() {
+            return abandoned;
         }
 
         /** Whether a dispatch of it was seen. */
-        public boolean sent() {
-            return sent;
+        public boolean attempted() {
+            return attempted;
         }
 
         /** Its manager was stopped: so much later its answer may come. */
-        public void excuse(long by) {
-            excused = Math.max(excused, by);
+        public void allowPause(long by) {
+            pauseAllowance = Math.max(pauseAllowance, by);
         }
 
-        public boolean excused() {
-            return excused > 0;
+        public boolean pauseAllowance() {
+            return pauseAllowance > 0;
         }
 
         public int answers() {
@@ -63,242 +63,283 @@
         }
     }
 
-    private static final class Key {
-        private final List<Try> open = new ArrayList<>();
-        private Try running;
-        private long restUntil;
+    private static final class KeyState {
+        private final List<ClientTry> openTries = new ArrayList<>();
+        private ClientTry running;
+        private long quietUntil;
     }
 
     private final FleetPlan plan;
-    private final long slack;
-    private final long sent;
-    private final List<String> broken = new ArrayList<>();
-    private long count;
-    private final Map<Long, Integer> runs = new HashMap<>();
-    private final List<Map<Integer, Key>> keys = new ArrayList<>();
+    private final long answerSlack;
+    private final long observationDelay;
+    private final List<String> violations = new ArrayList<>();
+    private long violationCount;
+    private final Map<Long, Integer> runsByRequest = new HashMap<>();
+    private final List<Map<Integer, KeyState>> keysByManager = new ArrayList<>();
 
     /** By manager and engine, when it was told of a drain or an end; absent while it is up. */
-    private final List<Map<Integer, Long>> drains = new ArrayList<>();
+    private final List<Map<Integer, Long>> drainsByManager = new ArrayList<>();
 
-    private final List<Map<Integer, Long>> starts = new ArrayList<>();
+    private final List<Map<Integer, Long>> startsByManager = new ArrayList<>();
 
     RuleChecker(FleetPlan plan) {
-        this(plan, SLACK, 0);
+        this(plan, ANSWER_SLACK, 0);
     }
 
     /**
-     * {@code slack} for answers, {@code sent} for what is seen at engines after it was sent; both
-     * tenths of ms.
+     * {@code answerSlack} for answers, {@code attempted} for what is seen at engines after it was
+     * sent; both tenths of ms.
      */
     public RuleChecker(FleetPlan plan, long slack, long sent) {
         this.plan = plan;
-        this.slack = slack;
-        this.sent = sent;
+        this.answerSlack = slack;
+        this.observationDelay = sent;
         for (int m = 0; m < plan.managers().count(); m++) {
-            keys.add(new HashMap<>());
-            drains.add(new HashMap<>());
-            starts.add(new HashMap<>());
+            keysByManager.add(new HashMap<>());
+            drainsByManager.add(new HashMap<>());
+            startsByManager.add(new HashMap<>());
         }
     }
 
-    public void took(Try t) {
-        if (t.is.key >= 0) {
-            keys.get(t.manager).computeIfAbsent(t.is.key, k -> new Key()).open.add(t);
+    public void onAccepted(ClientTry clientTry) {
+        if (clientTry.request.orderingKey >= 0) {
+            keysByManager
+                    .get(clientTry.manager)
+                    .computeIfAbsent(clientTry.request.orderingKey, k -> new KeyState())
+                    .openTries
+                    .add(clientTry);
         }
     }
 
-    public void listed(long now, int manager, int engine, boolean up) {
+    public void onEndpointUpdate(long now, int manager, int engine, boolean up) {
         if (up) {
-            drains.get(manager).remove(engine);
+            drainsByManager.get(manager).remove(engine);
         } else {
-            drains.get(manager).putIfAbsent(engine, now);
+            drainsByManager.get(manager).putIfAbsent(engine, now);
         }
     }
 
     /** The list told this manager when an engine last started. */
-    public void toldStart(int manager, int engine, long since) {
-        starts.get(manager).merge(engine, since, Math::max);
+    public void onEngineStartTold(int manager, int engine, long since) {
+        startsByManager.get(manager).merge(engine, since, Math::max);
     }
 
-    boolean knowsStart(int manager, int engine, long since) {
-        return starts.get(manager).getOrDefault(engine, 0L) >= since;
+    boolean knowsEngineStart(int manager, int engine, long since) {
+        return startsByManager.get(manager).getOrDefault(engine, 0L) >= since;
     }
 
     /** It never came to a manager, or to none that lives. */
-    public void untaken(Try t) {
-        t.nobodys = true;
-        Key key = t.is.key >= 0 ? keys.get(t.manager).get(t.is.key) : null;
-        if (key != null) {
-            key.open.remove(t);
+    public void onNeverAccepted(ClientTry clientTry) {
+        clientTry.abandoned = true;
+        KeyState keyState =
+                clientTry.request.orderingKey >= 0
+                        ? keysByManager.get(clientTry.manager).get(clientTry.request.orderingKey)
+                        : null;
+        if (keyState != null) {
+            keyState.openTries.remove(clientTry);
         }
     }
 
     /** What it held is no duty of anybody's. */
-    public void killed(int manager, Iterable<Try> held) {
-        held.forEach(t -> t.nobodys = true);
-        keys.get(manager).clear();
-        drains.get(manager).clear();
+    public void onManagerKilled(int manager, Iterable<ClientTry> delayed) {
+        delayed.forEach(clientTry -> clientTry.abandoned = true);
+        keysByManager.get(manager).clear();
+        drainsByManager.get(manager).clear();
     }
 
-    public void dispatched(long now, Try t, int engine) {
-        dispatched(now, t, engine, false);
+    public void onAttemptSent(long now, ClientTry clientTry, int engine) {
+        onAttemptSent(now, clientTry, engine, false);
     }
 
     /**
      * {@code held}: the way may have kept it back; when it was sent is not known, only that it came
      * now.
      */
-    public void dispatched(long now, Try t, int engine, boolean held) {
-        Effect effect = plan.groups().get(t.is.group).effect();
-        if (t.answers > 0 && !held) {
-            breaks(now, 1, t, "sent after its answer");
+    public void onAttemptSent(long now, ClientTry clientTry, int engine, boolean delayed) {
+        Effect effect = plan.trafficClasses().get(clientTry.request.trafficClass).effect();
+        if (clientTry.answers > 0 && !delayed) {
+            recordViolation(now, 1, clientTry, "sent after its answer");
         }
-        if (effect == Effect.NON_IDEMPOTENT && (t.mayHaveRun || t.out > 0)) {
-            breaks(now, 2, t, "sent again, and may have run");
+        if (effect == Effect.NON_IDEMPOTENT
+                && (clientTry.mayHaveRun || clientTry.attemptsInFlight > 0)) {
+            recordViolation(now, 2, clientTry, "sent again, and may have run");
         }
         if (effect == Effect.IDEMPOTENT_WITH_KEY
-                && t.firstRan >= 0
-                && now > t.firstRan + plan.groups().get(t.is.group).window()) {
-            breaks(now, 2, t, "sent again past its window");
+                && clientTry.firstSentAt >= 0
+                && now
+                        > clientTry.firstSentAt
+                                + plan.trafficClasses()
+                                        .get(clientTry.request.trafficClass)
+                                        .idempotencyWindow()) {
+            recordViolation(now, 2, clientTry, "sent again past its window");
         }
-        Long drain = drains.get(t.manager).get(engine);
-        if (drain != null && !held && now > drain + plan.rules().drainGrace() + sent) {
-            breaks(
+        Long drain = drainsByManager.get(clientTry.manager).get(engine);
+        if (drain != null
+                && !delayed
+                && now > drain + plan.rules().drainGrace() + observationDelay) {
+            recordViolation(
                     now,
                     3,
-                    t,
+                    clientTry,
                     "sent to engine "
                             + engine
                             + ", whose drain was told "
                             + (now - drain) / 10
                             + " ms before");
         }
-        t.out++;
-        t.sent = true;
-        t.firstRan = t.firstRan < 0 ? now : t.firstRan;
-        Key key = t.is.key >= 0 && !t.nobodys ? keys.get(t.manager).get(t.is.key) : null;
-        if (key != null) {
-            if (key.running != null && key.running != t) {
-                breaks(now, 5, t, "sent while batch " + key.running.is.id + " of its key is out");
-            } else if (sent == 0 && (key.open.isEmpty() || key.open.get(0) != t)) {
-                breaks(now, 5, t, "sent out of turn");
+        clientTry.attemptsInFlight++;
+        clientTry.attempted = true;
+        clientTry.firstSentAt = clientTry.firstSentAt < 0 ? now : clientTry.firstSentAt;
+        KeyState keyState =
+                clientTry.request.orderingKey >= 0 && !clientTry.abandoned
+                        ? keysByManager.get(clientTry.manager).get(clientTry.request.orderingKey)
+                        : null;
+        if (keyState != null) {
+            if (keyState.running != null && keyState.running != clientTry) {
+                recordViolation(
+                        now,
+                        5,
+                        clientTry,
+                        "sent while batch " + keyState.running.request.id + " of its key is out");
+            } else if (observationDelay == 0
+                    && (keyState.openTries.isEmpty() || keyState.openTries.get(0) != clientTry)) {
+                recordViolation(now, 5, clientTry, "sent out of turn");
             }
             // Where answers are seen later than statements, one that is on its way is no break.
-            key.open.stream()
-                    .takeWhile(a -> a != t)
+            keyState.openTries.stream()
+                    .takeWhile(a -> a != clientTry)
                     .filter(a -> a.overtakenAt == 0)
                     .forEach(a -> a.overtakenAt = now);
-            if (key.running == null && now < key.restUntil && t.firstRan == now) {
-                breaks(now, 5, t, "sent while its key rests");
+            if (keyState.running == null
+                    && now < keyState.quietUntil
+                    && clientTry.firstSentAt == now) {
+                recordViolation(now, 5, clientTry, "sent while its key rests");
             }
-            key.running = t;
+            keyState.running = clientTry;
         }
     }
 
-    public void ended(long now, Try t, AttemptOutcome how) {
-        t.out--;
-        t.mayHaveRun |= how.mayHaveRun;
-        if (!how.mayHaveRun && !t.mayHaveRun && t.out == 0) {
-            t.firstRan = -1;
+    public void onAttemptEnded(long now, ClientTry clientTry, AttemptOutcome outcome) {
+        clientTry.attemptsInFlight--;
+        clientTry.mayHaveRun |= outcome.mayHaveRun;
+        if (!outcome.mayHaveRun && !clientTry.mayHaveRun && clientTry.attemptsInFlight == 0) {
+            clientTry.firstSentAt = -1;
         }
-        Key key = t.is.key >= 0 ? keys.get(t.manager).get(t.is.key) : null;
-        if (key != null && t.out == 0 && key.running == t) {
-            key.running = null;
-            if (how == AttemptOutcome.TIMED_OUT
-                    || how == AttemptOutcome.CONNECTION_LOST
-                    || how == AttemptOutcome.CANCELLED) {
-                key.restUntil = now + plan.rules().keyRest();
+        KeyState keyState =
+                clientTry.request.orderingKey >= 0
+                        ? keysByManager.get(clientTry.manager).get(clientTry.request.orderingKey)
+                        : null;
+        if (keyState != null && clientTry.attemptsInFlight == 0 && keyState.running == clientTry) {
+            keyState.running = null;
+            if (outcome == AttemptOutcome.TIMED_OUT
+                    || outcome == AttemptOutcome.CONNECTION_LOST
+                    || outcome == AttemptOutcome.CANCELLED) {
+                keyState.quietUntil = now + plan.rules().keyQuietPeriod();
             }
         }
     }
 
-    public void answered(long now, Try t, boolean pushedBack) {
-        if (++t.answers > 1) {
-            breaks(now, 1, t, "answered twice");
+    public void onAnswered(long now, ClientTry clientTry, boolean rejected) {
+        if (++clientTry.answers > 1) {
+            recordViolation(now, 1, clientTry, "answered twice");
         }
-        if (sent > 0 && t.overtakenAt > 0 && now > t.overtakenAt + sent) {
-            breaks(
+        if (observationDelay > 0
+                && clientTry.overtakenAt > 0
+                && now > clientTry.overtakenAt + observationDelay) {
+            recordViolation(
                     now,
                     5,
-                    t,
+                    clientTry,
                     "overtaken by a later one of its key, and answered "
-                            + (now - t.overtakenAt) / 10
+                            + (now - clientTry.overtakenAt) / 10
                             + " ms after that");
         }
-        if (now > t.notAfter + slack + t.excused) {
-            breaks(now, 1, t, "answered " + (now - t.notAfter) / 10 + " ms late");
+        if (now > clientTry.deadline + answerSlack + clientTry.pauseAllowance) {
+            recordViolation(
+                    now, 1, clientTry, "answered " + (now - clientTry.deadline) / 10 + " ms late");
         }
-        if (pushedBack
-                && plan.groups().get(t.is.group).effect() == Effect.NON_IDEMPOTENT
-                && (t.mayHaveRun || t.out > 0)) {
-            breaks(now, 2, t, "pushed back, and may have run");
+        if (rejected
+                && plan.trafficClasses().get(clientTry.request.trafficClass).effect()
+                        == Effect.NON_IDEMPOTENT
+                && (clientTry.mayHaveRun || clientTry.attemptsInFlight > 0)) {
+            recordViolation(now, 2, clientTry, "pushed back, and may have run");
         }
-        Key key = t.is.key >= 0 ? keys.get(t.manager).get(t.is.key) : null;
-        if (key != null) {
-            key.open.remove(t);
+        KeyState keyState =
+                clientTry.request.orderingKey >= 0
+                        ? keysByManager.get(clientTry.manager).get(clientTry.request.orderingKey)
+                        : null;
+        if (keyState != null) {
+            keyState.openTries.remove(clientTry);
         }
     }
 
     /** Its time is over and a little more; it must have its answer. */
-    public void due(long now, Try t) {
-        if (t.answers == 0 && !t.nobodys) {
-            breaks(now, 1, t, "never answered");
+    public void onDeadlinePassed(long now, ClientTry clientTry) {
+        if (clientTry.answers == 0 && !clientTry.abandoned) {
+            recordViolation(now, 1, clientTry, "never answered");
         }
     }
 
     /** A run begins at an engine. */
-    void runs(TrueRequest is, long now) {
-        if (runs.merge(is.id, 1, Integer::sum) > 1
-                && plan.groups().get(is.group).effect() == Effect.NON_IDEMPOTENT) {
-            breaks(now, 2, new Try(is, -1, 0), "runs twice");
+    void runsByRequest(TrueRequest request, long now) {
+        if (runsByRequest.merge(request.id, 1, Integer::sum) > 1
+                && plan.trafficClasses().get(request.trafficClass).effect()
+                        == Effect.NON_IDEMPOTENT) {
+            recordViolation(now, 2, new ClientTry(request, -1, 0), "runs twice");
         }
     }
 
     /** A run ends there. */
-    public void stops(TrueRequest is) {
-        if (plan.groups().get(is.group).effect() != Effect.NON_IDEMPOTENT) {
-            runs.remove(is.id);
+    public void onRunEnded(TrueRequest request) {
+        if (plan.trafficClasses().get(request.trafficClass).effect() != Effect.NON_IDEMPOTENT) {
+            runsByRequest.remove(request.id);
         }
     }
 
-    void fell(int engine, long now, String how) {
-        count++;
-        keep("rule 4 at " + now / 10 + " ms: cold engine " + engine + " was pushed over; " + how);
+    void onColdEngineOverloaded(int engine, long now, String how) {
+        violationCount++;
+        keepViolation(
+                "rule 4 at "
+                        + now / 10
+                        + " ms: cold engine "
+                        + engine
+                        + " was pushed over; "
+                        + how);
     }
 
-    private void breaks(long now, int rule, Try t, String how) {
-        count++;
-        keep(
+    private void recordViolation(long now, int rule, ClientTry clientTry, String how) {
+        violationCount++;
+        keepViolation(
                 "rule "
                         + rule
                         + " at "
                         + now / 10
                         + " ms: batch "
-                        + t.is.id
+                        + clientTry.request.id
                         + " at manager "
-                        + t.manager
+                        + clientTry.manager
                         + " "
                         + how);
     }
 
     /** What a carrier sees by itself. */
-    public void broken(String line) {
-        count++;
-        keep(line);
+    public void violations(String line) {
+        violationCount++;
+        keepViolation(line);
     }
 
-    private void keep(String line) {
-        if (broken.size() < KEPT) {
-            broken.add(line);
+    private void keepViolation(String line) {
+        if (violations.size() < MAX_VIOLATIONS_KEPT) {
+            violations.add(line);
         }
     }
 
     /** What broke: which rule, when, by whom; the first of them. */
-    public List<String> broken() {
-        return broken;
+    public List<String> violations() {
+        return violations;
     }
 
-    long count() {
-        return count;
+    long violationCount() {
+        return violationCount;
     }
 }
--- a/src/main/java/firstage/simulation/Scoreboard.java
+++ b/src/main/java/firstage/simulation/Scoreboard.java
@@ -35,34 +35,40 @@
         int spans = (int) (plan.length() / SPAN) + 1;
         asked = new double[spans];
         served = new double[spans];
-        byGroup = new double[plan.groups().size()][2];
-        byCustomer = new double[plan.customers().size()][2];
-        plan.groups().forEach(g -> latency.add(new Histogram(MOST_LATENCY, 2)));
+        byGroup = new double[plan.trafficClasses().size()][2];
+        byCustomer = new double[plan.tenants().size()][2];
+        plan.trafficClasses().forEach(g -> latency.add(new Histogram(MOST_LATENCY, 2)));
     }
 
     private int span(TrueRequest is) {
-        return (int) Math.min(asked.length - 1, (is.asked - start) / SPAN);
+        return (int) Math.min(asked.length - 1, (is.firstRequestedAt - start) / SPAN);
     }
 
     public void asked(TrueRequest is) {
-        double utility = plan.groups().get(is.group).utility();
+        double utility = plan.trafficClasses().get(is.trafficClass).priorityWeight();
         batches++;
         asked[span(is)] += utility;
-        byGroup[is.group][0] += utility;
-        byCustomer[is.customer][0] += utility;
+        byGroup[is.trafficClass][0] += utility;
+        byCustomer[is.tenant][0] += utility;
     }
 
     public void returned(long now, TrueRequest is) {
-        FleetPlan.Group group = plan.groups().get(is.group);
-        long took = now - is.asked;
-        boolean inTime = took <= group.goal() + group.stretch() * is.work / group.threads();
-        double earned = now > is.limit ? 0 : group.utility() * (inTime ? 1 : group.lateValue());
+        FleetPlan.TrafficClassPlan group = plan.trafficClasses().get(is.trafficClass);
+        long took = now - is.firstRequestedAt;
+        boolean inTime =
+                took
+                        <= group.latencyObjective()
+                                + group.latencyObjectivePerWork() * is.work / group.threads();
+        double earned =
+                now > is.deadline
+                        ? 0
+                        : group.priorityWeight() * (inTime ? 1 : group.lateValueShare());
         returned++;
         late += inTime ? 0 : 1;
         served[span(is)] += earned;
-        byGroup[is.group][1] += earned;
-        byCustomer[is.customer][1] += earned;
-        latency.get(is.group).recordValue(Math.min(took, MOST_LATENCY));
+        byGroup[is.trafficClass][1] += earned;
+        byCustomer[is.tenant][1] += earned;
+        latency.get(is.trafficClass).recordValue(Math.min(took, MOST_LATENCY));
     }
 
     public void pushedBack() {
@@ -100,14 +106,15 @@
         for (double[] c : byCustomer) {
             worstCustomer = Math.min(worstCustomer, share(c[1], c[0]));
         }
-        FleetPlan.Goal goal = plan.goal();
-        double weights = goal.whole() + goal.worstSpan() + goal.worstGroup() + goal.worstCustomer();
+        FleetPlan.ScoreWeights goal = plan.scoreWeights();
+        double weights =
+                goal.wholeRun() + goal.worstSpan() + goal.worstTrafficClass() + goal.worstTenant();
         figures.put(
                 "service",
-                (goal.whole() * share(got, all)
+                (goal.wholeRun() * share(got, all)
                                 + goal.worstSpan() * worst
-                                + goal.worstGroup() * worstGroup
-                                + goal.worstCustomer() * worstCustomer)
+                                + goal.worstTrafficClass() * worstGroup
+                                + goal.worstTenant() * worstCustomer)
                         / weights);
         figures.put("whole run", share(got, all));
         figures.put("worst 10 s", worst);
@@ -115,15 +122,16 @@
         figures.put("worst customer", worstCustomer);
         for (int g = 0; g < byGroup.length; g++) {
             figures.put(
-                    "group " + plan.groups().get(g).name(), share(byGroup[g][1], byGroup[g][0]));
+                    "group " + plan.trafficClasses().get(g).name(),
+                    share(byGroup[g][1], byGroup[g][0]));
         }
         for (int c = 0; c < byCustomer.length; c++) {
             figures.put(
-                    "customer " + plan.customers().get(c).name(),
+                    "customer " + plan.tenants().get(c).name(),
                     share(byCustomer[c][1], byCustomer[c][0]));
         }
         for (int g = 0; g < byGroup.length; g++) {
-            String name = plan.groups().get(g).name();
+            String name = plan.trafficClasses().get(g).name();
             figures.put("median ms " + name, latency.get(g).getValueAtPercentile(50) / 10.0);
             figures.put("99th ms " + name, latency.get(g).getValueAtPercentile(99) / 10.0);
         }
--- a/src/main/java/firstage/simulation/TrafficSource.java
+++ b/src/main/java/firstage/simulation/TrafficSource.java
@@ -20,13 +20,17 @@
 
     public TrafficSource(FleetPlan plan, RandomStreams streams) {
         this.plan = plan;
-        shape = TrafficShape.of(plan.traffic().kind());
+        shape = TrafficShape.of(plan.traffic().shape());
         chance = streams.of("traffic", 0);
-        groupEnds = ends(plan.groups().stream().mapToDouble(FleetPlan.Group::share).toArray());
+        groupEnds =
+                ends(
+                        plan.trafficClasses().stream()
+                                .mapToDouble(FleetPlan.TrafficClassPlan::share)
+                                .toArray());
         customerEnds =
-                ends(plan.customers().stream().mapToDouble(FleetPlan.Customer::share).toArray());
-        keyEnds = ends(heat(plan.traffic().keys(), plan.traffic().keyHeat()));
-        tableEnds = ends(heat(plan.traffic().tables(), plan.traffic().tableHeat()));
+                ends(plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).toArray());
+        keyEnds = ends(heat(plan.traffic().keys(), plan.traffic().keySkew()));
+        tableEnds = ends(heat(plan.traffic().tableGroups(), plan.traffic().tableGroupSkew()));
         double high = 0;
         for (int i = 0; i <= 2_000; i++) {
             high = Math.max(high, shape.factor(i / 2_000.0, plan.traffic().swing()));
@@ -81,23 +85,27 @@
     }
 
     /** {@code dear}: spells that are on, by their group. */
-    public TrueRequest draw(long now, List<FleetPlan.Trouble> dear) {
+    public TrueRequest draw(long now, List<FleetPlan.Disturbance> dear) {
         int g = pick(groupEnds);
-        FleetPlan.Group group = plan.groups().get(g);
+        FleetPlan.TrafficClassPlan group = plan.trafficClasses().get(g);
         double z = chance.nextGaussian();
         double work =
-                group.work() * Math.exp(group.spread() * z - group.spread() * group.spread() / 2);
+                group.work()
+                        * Math.exp(
+                                group.workSpread() * z
+                                        - group.workSpread() * group.workSpread() / 2);
         double told = work;
         double lot = chance.nextDouble();
-        for (FleetPlan.Trouble t : dear) {
-            if (t.group() == g && lot < t.extra()) {
+        for (FleetPlan.Disturbance t : dear) {
+            if (t.trafficClass() == g && lot < t.extra()) {
                 work *= t.size();
-                told = t.kind() == FleetPlan.Trouble.Kind.EXPENSIVE ? work : told;
+                told = t.kind() == FleetPlan.Disturbance.Kind.EXPENSIVE ? work : told;
             }
         }
         double memory = group.memoryMb() * Math.exp(0.5 * chance.nextGaussian());
-        double off = group.low() * Math.exp(group.scatter() * chance.nextGaussian());
-        double memoryOff = Math.exp(group.scatter() * chance.nextGaussian());
+        double off =
+                group.estimateFactor() * Math.exp(group.estimateScatter() * chance.nextGaussian());
+        double memoryOff = Math.exp(group.estimateScatter() * chance.nextGaussian());
         int customer = pick(customerEnds);
         int key = group.ordered() && plan.traffic().keys() > 0 ? pick(keyEnds) : -1;
         return new TrueRequest(
@@ -107,7 +115,7 @@
                 key,
                 pick(tableEnds),
                 now,
-                now + group.limit(),
+                now + group.timeout(),
                 Math.max(1, work),
                 memory,
                 Math.max(1, Math.round(told * off)),
--- a/src/main/java/firstage/simulation/TrueRequest.java
+++ b/src/main/java/firstage/simulation/TrueRequest.java
@@ -7,15 +7,15 @@
  */
 public final class TrueRequest {
     public final long id;
-    public final int group;
-    public final int customer;
-    public final int key;
-    public final int tables;
+    public final int trafficClass;
+    public final int tenant;
+    public final int orderingKey;
+    public final int tableGroup;
 
     /** First asked for, and when its client gives up for good. */
-    public final long asked;
+    public final long firstRequestedAt;
 
-    public final long limit;
+    public final long deadline;
 
     /** Truly needed: the time of one thread on one core at speed 1, and MB. */
     public final double work;
@@ -23,11 +23,11 @@
     public final double memoryMb;
 
     /** As told. */
-    public final long estimate;
+    public final long estimatedWork;
 
-    public final int memoryTold;
+    public final int estimatedMemoryMb;
     public int tries;
-    public boolean done;
+    public boolean succeeded;
 
     TrueRequest(
             long id,
@@ -42,15 +42,15 @@
             long estimate,
             int memoryTold) {
         this.id = id;
-        this.group = group;
-        this.customer = customer;
-        this.key = key;
-        this.tables = tables;
-        this.asked = asked;
-        this.limit = limit;
+        this.trafficClass = group;
+        this.tenant = customer;
+        this.orderingKey = key;
+        this.tableGroup = tables;
+        this.firstRequestedAt = asked;
+        this.deadline = limit;
         this.work = work;
         this.memoryMb = memoryMb;
-        this.estimate = estimate;
-        this.memoryTold = memoryTold;
+        this.estimatedWork = estimate;
+        this.estimatedMemoryMb = memoryTold;
     }
 }
--- a/src/test/java/firstage/cli/StoredPlansTest.java
+++ b/src/test/java/firstage/cli/StoredPlansTest.java
@@ -46,20 +46,21 @@
         assertThat(plan.clients().retries()).isEqualTo(2);
         assertThat(plan.traffic())
                 .isEqualTo(new FleetPlan.Traffic("steady", 57, 0.2, 40, 0.8, 20, 0.7));
-        assertThat(plan.customers())
+        assertThat(plan.tenants())
                 .containsExactly(
-                        new FleetPlan.Customer("large", 0.6), new FleetPlan.Customer("small", 0.4));
+                        new FleetPlan.TenantPlan("large", 0.6),
+                        new FleetPlan.TenantPlan("small", 0.4));
     }
 
     @Test
     void read_storedFleetPlan_givesClassesAndFaults() throws IOException {
         FleetPlan plan = FleetPlanReader.read(stored("fleet.toml"));
-        assertThat(plan.groups())
-                .extracting(FleetPlan.Group::name)
+        assertThat(plan.trafficClasses())
+                .extracting(FleetPlan.TrafficClassPlan::name)
                 .containsExactly("lookup", "report", "log-load");
-        assertThat(plan.groups().get(2))
+        assertThat(plan.trafficClasses().get(2))
                 .isEqualTo(
-                        new FleetPlan.Group(
+                        new FleetPlan.TrafficClassPlan(
                                 "log-load",
                                 0.06,
                                 Ticks.ofSeconds(4),
@@ -81,18 +82,18 @@
                                 0,
                                 1,
                                 0.4));
-        assertThat(plan.troubles())
+        assertThat(plan.disturbances())
                 .containsExactly(
-                        new FleetPlan.Trouble(
-                                FleetPlan.Trouble.Kind.CRASH,
+                        new FleetPlan.Disturbance(
+                                FleetPlan.Disturbance.Kind.CRASH,
                                 Ticks.ofSeconds(15),
                                 Ticks.ofSeconds(12),
                                 0.15,
                                 1,
                                 0.01,
                                 0),
-                        new FleetPlan.Trouble(
-                                FleetPlan.Trouble.Kind.RESTART,
+                        new FleetPlan.Disturbance(
+                                FleetPlan.Disturbance.Kind.RESTART,
                                 Ticks.ofSeconds(35),
                                 Ticks.ofSeconds(3),
                                 1,
@@ -106,7 +107,7 @@
         FleetPlan plan = FleetPlanReader.read(stored("fault-test.toml"));
         assertThat(plan.name()).isEqualTo("zone-cut");
         assertThat(plan.zones()).containsExactly("north", "south");
-        assertThat(plan.managers().listDelay())
+        assertThat(plan.managers().discoveryDelay())
                 .isEqualTo(new Range(Ticks.ofMillis(300), Ticks.ofMillis(1_500)));
         assertThat(plan.faults())
                 .hasSize(3)
@@ -118,12 +119,13 @@
                             assertThat(fault.oneWay()).isFalse();
                         });
         assertThat(plan.faults())
-                .extracting(fault -> fault.who() + " / " + fault.to())
+                .extracting(fault -> fault.source() + " / " + fault.target())
                 .containsExactly(
                         "managers of north / engines of south",
                         "managers of south / engines of north",
                         "managers of north / managers of south");
-        assertThat(plan.expects()).containsExactly(new FleetPlan.Expect(95, "quiet after s", 0, 8));
+        assertThat(plan.expectations())
+                .containsExactly(new FleetPlan.Expectation(95, "quiet after s", 0, 8));
     }
 
     @Test
--- a/src/test/java/firstage/emulator/LoadGeneratorTest.java
+++ b/src/test/java/firstage/emulator/LoadGeneratorTest.java
@@ -7,7 +7,7 @@
 import firstage.simulation.FleetPlanReader;
 import firstage.simulation.RandomStreams;
 import firstage.simulation.RuleChecker;
-import firstage.simulation.RuleChecker.Try;
+import firstage.simulation.RuleChecker.ClientTry;
 import firstage.simulation.Scoreboard;
 import firstage.simulation.TrueRequest;
 import java.io.BufferedReader;
@@ -37,12 +37,12 @@
                 }
 
                 @Override
-                public void tried(Try t) {
-                    tries.merge(t.is, 1, Integer::sum);
+                public void tried(ClientTry t) {
+                    tries.merge(t.request, 1, Integer::sum);
                 }
 
                 @Override
-                public void ended(Try t, String how) {
+                public void ended(ClientTry t, String how) {
                     // Only tries are counted.
                 }
             };
@@ -88,13 +88,13 @@
 
     private long count(FleetPlan plan, Effect effect) {
         return tries.keySet().stream()
-                .filter(w -> plan.groups().get(w.group).effect() == effect)
+                .filter(w -> plan.trafficClasses().get(w.trafficClass).effect() == effect)
                 .count();
     }
 
     private int most(FleetPlan plan, Effect effect) {
         return tries.entrySet().stream()
-                .filter(t -> plan.groups().get(t.getKey().group).effect() == effect)
+                .filter(t -> plan.trafficClasses().get(t.getKey().trafficClass).effect() == effect)
                 .mapToInt(Map.Entry::getValue)
                 .max()
                 .orElse(0);
