--- a/src/main/java/firstage/config/SettingsKeys.java
+++ b/src/main/java/firstage/config/SettingsKeys.java
@@ -25,8 +25,8 @@
 
     public static final String DISCOVERY_SUBSCRIBE = "subscribe";
 
-    // Traffic classes, each under classes.N.
-    public static final String CLASSES = "classes";
+    // Traffic classes, each under classes.N: see classField.
+    public static final String CLASS_COUNT = "classes.count";
     public static final String CLASS_NAME = "name";
 
     /** The latency objective, in seconds. */
@@ -79,8 +79,8 @@
 
     public static final String LOAD_REPORT_FIELDS = "report.fields";
 
-    // Tenants, each under tenants.N.
-    public static final String TENANTS = "tenants";
+    // Tenants, each under tenants.N: see tenantField.
+    public static final String TENANT_COUNT = "tenants.count";
     public static final String TENANT_NAME = "name";
 
     /** Requests a second over all managers. */
@@ -136,12 +136,13 @@
 
     private SettingsKeys() {}
 
-    /**
-     * The path of one field of one entry in a list of objects, such as {@code classes.2.name}.
-     *
-     * @param list the list, {@link #CLASSES} or {@link #TENANTS}
-     */
-    public static String entry(String list, int index, String field) {
-        return list + "." + index + "." + field;
+    /** The path of a field of the traffic class with this index, such as classes.2.name. */
+    public static String classField(int index, String field) {
+        return "classes." + index + "." + field;
+    }
+
+    /** The path of a field of the tenant with this index. */
+    public static String tenantField(int index, String field) {
+        return "tenants." + index + "." + field;
     }
 }
--- a/src/main/java/firstage/config/SettingsParser.java
+++ b/src/main/java/firstage/config/SettingsParser.java
@@ -82,9 +82,9 @@
         String[] tableLoads = list(SettingsKeys.CLASS_TABLE_LOAD);
         String[] blockedByTableLoads = list(SettingsKeys.CLASS_BLOCKED_BY_TABLE_LOADS);
         List<TrafficClass> classes = new ArrayList<>();
-        int count = settings.getInt(SettingsKeys.CLASSES + SettingsKeys.COUNT_SUFFIX, 0);
+        int count = settings.getInt(SettingsKeys.CLASS_COUNT, 0);
         for (int index = 0; index < count; index++) {
-            String path = SettingsKeys.entry(SettingsKeys.CLASSES, index, "");
+            String path = SettingsKeys.classField(index, "");
             classes.add(
                     new TrafficClass(
                             settings.getTicks(path + SettingsKeys.CLASS_LATENCY_OBJECTIVE),
@@ -126,9 +126,9 @@
     /** Each tenant's rate in requests a tick. */
     private List<Double> tenantRates() {
         List<Double> rates = new ArrayList<>();
-        int count = settings.getInt(SettingsKeys.TENANTS + SettingsKeys.COUNT_SUFFIX, 0);
+        int count = settings.getInt(SettingsKeys.TENANT_COUNT, 0);
         for (int tenant = 0; tenant < count; tenant++) {
-            String key = SettingsKeys.entry(SettingsKeys.TENANTS, tenant, SettingsKeys.TENANT_RATE);
+            String key = SettingsKeys.tenantField(tenant, SettingsKeys.TENANT_RATE);
             rates.add(settings.getDouble(key, 0) / WireFields.secondsToTicks(1));
         }
         return rates;
--- a/src/main/java/firstage/server/client/TrafficClasses.java
+++ b/src/main/java/firstage/server/client/TrafficClasses.java
@@ -1,5 +1,6 @@
 package firstage.server.client;
 
+import firstage.config.SettingsKeys;
 import firstage.config.WireFields;
 import java.util.ArrayList;
 import java.util.List;
@@ -12,13 +13,16 @@
 
     /** {@code noDeadlineMs} stands for the deadline of a class that has none. */
     TrafficClasses(WireFields settings, double noDeadlineMs) {
-        for (int i = 0; i < settings.getInt("classes.count", 0); i++) {
-            names.add(settings.getString("classes." + i + ".name", ""));
-            double deadlineMs = settings.getDouble("classes." + i + ".deadline", 0) * 1_000;
+        for (int i = 0; i < settings.getInt(SettingsKeys.CLASS_COUNT, 0); i++) {
+            String nameKey = SettingsKeys.classField(i, SettingsKeys.CLASS_NAME);
+            names.add(settings.getString(nameKey, ""));
+            String deadlineKey = SettingsKeys.classField(i, SettingsKeys.CLASS_TIMEOUT);
+            double deadlineMs = settings.getDouble(deadlineKey, 0) * 1_000;
             deadlinesMs.add(deadlineMs > 0 ? deadlineMs : noDeadlineMs);
         }
-        for (int i = 0; i < settings.getInt("tenants.count", 0); i++) {
-            tenants.add(settings.getString("tenants." + i + ".name", ""));
+        for (int i = 0; i < settings.getInt(SettingsKeys.TENANT_COUNT, 0); i++) {
+            String nameKey = SettingsKeys.tenantField(i, SettingsKeys.TENANT_NAME);
+            tenants.add(settings.getString(nameKey, ""));
         }
     }
 
--- a/src/main/java/firstage/server/discovery/EndpointParser.java
+++ b/src/main/java/firstage/server/discovery/EndpointParser.java
@@ -2,6 +2,7 @@
 
 import firstage.config.MalformedLineException;
 import firstage.config.ManagerConfig;
+import firstage.config.SettingsKeys;
 import firstage.config.WireFields;
 import firstage.policy.api.EndpointUpdate.Lifecycle;
 import firstage.server.ServerEvents.DiscoveredEndpoint;
@@ -25,8 +26,9 @@
 
     EndpointParser(TickClock clock, WireFields settings) {
         this.clock = clock;
-        zones = Arrays.asList(settings.getString("areas", "").split(","));
-        machineTypes = Arrays.asList(settings.getString("kinds", "").split(","));
+        zones = Arrays.asList(settings.getString(SettingsKeys.ZONE_NAMES, "").split(","));
+        machineTypes =
+                Arrays.asList(settings.getString(SettingsKeys.MACHINE_TYPE_NAMES, "").split(","));
     }
 
     List<DiscoveredEndpoint> parse(ByteBuffer payload) throws IOException {
--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -1,6 +1,7 @@
 package firstage.server.engine;
 
 import firstage.config.ManagerConfig;
+import firstage.config.SettingsKeys;
 import firstage.policy.api.AttemptOutcome;
 import firstage.policy.api.EndpointUpdate.Lifecycle;
 import firstage.policy.api.LoadReport;
@@ -38,7 +39,7 @@
             Counters counters,
             ServerEvents events,
             ManagerConfig config) {
-        long keepAlive = config.settings().getTicks("limits.keepalive");
+        long keepAlive = config.settings().getTicks(SettingsKeys.KEEPALIVE);
         context =
                 new EngineContext(
                         io,
@@ -46,7 +47,7 @@
                         counters,
                         events,
                         ByteBuffer.allocateDirect(READ_BUFFER_BYTES),
-                        Math.max(1, config.settings().getTicks("limits.connect_timeout") / 10),
+                        Math.max(1, config.settings().getTicks(SettingsKeys.CONNECT_TIMEOUT) / 10),
                         (keepAlive > 0 ? keepAlive : DEFAULT_KEEP_ALIVE) / 2);
         budget = new ConnectionBudget(counters, config.maxEngineConnections());
     }
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -7,6 +7,7 @@
 import firstage.cells.EngineSubset;
 import firstage.config.ManagerConfig;
 import firstage.config.PeerConfig;
+import firstage.config.SettingsKeys;
 import firstage.failover.FleetCoordinator;
 import firstage.failover.ZoneActions;
 import firstage.failover.ZoneFailover;
@@ -127,7 +128,8 @@
             Consumer<List<DiscoveredEndpoint>> onEnginesReleased) {
         this.config = config;
         Deployment deployment = managerConfig.deployment();
-        zoneNames = List.of(managerConfig.settings().getString("areas", "").split(","));
+        zoneNames =
+                List.of(managerConfig.settings().getString(SettingsKeys.ZONE_NAMES, "").split(","));
         fleetCoordinator =
                 new FleetCoordinator(
                         config.name(),
--- a/src/test/java/firstage/config/WireFieldsTest.java
+++ b/src/test/java/firstage/config/WireFieldsTest.java
@@ -29,8 +29,8 @@
                                 "classes", List.of(Map.of("name", "a"), Map.of("name", "b")),
                                 "areas", List.of("north, east", "south"),
                                 "limits", Map.of("sockets", 9)));
-        assertThat(fields.getInt("classes.count", 0)).isEqualTo(2);
-        assertThat(fields.getString(SettingsKeys.entry(SettingsKeys.CLASSES, 1, "name"), ""))
+        assertThat(fields.getInt(SettingsKeys.CLASS_COUNT, 0)).isEqualTo(2);
+        assertThat(fields.getString(SettingsKeys.classField(1, SettingsKeys.CLASS_NAME), ""))
                 .isEqualTo("b");
         assertThat(fields.getString("areas", "")).isEqualTo("north_ east,south");
         assertThat(fields.getInt("limits.sockets", 0)).isEqualTo(9);
