--- a/src/main/java/firstage/cli/FaultTestShowCommand.java
+++ b/src/main/java/firstage/cli/FaultTestShowCommand.java
@@ -18,7 +18,7 @@
         name = "show",
         mixinStandardHelpOptions = true,
         description =
-                "Prints the story of a batch, an engine, a manager or a moment over all"
+                "Prints the events of a request, an engine, a manager or a moment over all"
                         + " processes.")
 final class FaultTestShowCommand implements Callable<Integer> {
     // Fields of the timeline's events.
@@ -31,8 +31,8 @@
     @Parameters(index = "0", paramLabel = "DIR", description = "the record of a run")
     private Path folder;
 
-    @Option(names = "--batch", paramLabel = "ID", description = "events of this batch")
-    private String batch;
+    @Option(names = "--batch", paramLabel = "ID", description = "events of this request")
+    private String request;
 
     @Option(names = "--engine", paramLabel = "N", description = "events at this engine")
     private String engine;
@@ -69,10 +69,10 @@
 
     /** Without options all events but those of single requests are wanted. */
     private boolean isWanted(Map<String, String> event) {
-        if (batch == null && engine == null && manager == null && at == null) {
+        if (request == null && engine == null && manager == null && at == null) {
             return !event.containsKey(REQUEST);
         }
-        return (batch == null || batch.equals(event.get(REQUEST)))
+        return (request == null || request.equals(event.get(REQUEST)))
                 && (engine == null || engine.equals(event.get("engine")))
                 && (manager == null || manager.equals(event.get("manager")))
                 && (at == null || Math.abs(timeMs(event) - at * 1_000) <= MAX_DISTANCE_MS);
--- a/src/main/java/firstage/config/ManagerConfig.java
+++ b/src/main/java/firstage/config/ManagerConfig.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * What the platform tells a workload manager at its start.
+ * A workload manager's configuration, which the platform writes before its start.
  *
  * @param name its name, for logs
  * @param listenAddress where clients reach it
@@ -16,7 +16,7 @@
  * @param memoryLimitMb the memory that it may use; 0 where unlimited
  * @param initialEndpoints the endpoint list known so far, as JSON maps and lists; empty if none
  * @param settings the deployment's settings, with the manager's random seed
- * @param deployment the settings as the scheduling policy is told them
+ * @param deployment the settings in the terms of the scheduling policy
  */
 public record ManagerConfig(
         String name,
--- a/src/main/java/firstage/config/PeerConfig.java
+++ b/src/main/java/firstage/config/PeerConfig.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * What a manager is told of its peers.
+ * What a manager's peers file says of it and its peers.
  *
  * @param fleet the fleet's name; datagrams of another fleet are dropped
  * @param name its own name, unlike that of any peer
  * @param zone its zone's name
- * @param weight of the traffic that it wants, told to the others
+ * @param weight of the traffic that it wants, sent to the others
  * @param listenAddress where its datagrams come in
  * @param probeInterval the ticks between two probes
  * @param peerAddresses each address at which a peer may ever be; in a fleet of cells those of its
--- a/src/main/java/firstage/config/SettingsParser.java
+++ b/src/main/java/firstage/config/SettingsParser.java
@@ -10,8 +10,8 @@
 import java.util.TreeSet;
 
 /**
- * Turns a deployment's settings into what the scheduling policy is told of it. The words of the
- * users' pages end here. Unknown keys are skipped; a key that is absent leaves its feature off.
+ * Turns a deployment's settings into the scheduling policy's view of it. The words of the users'
+ * pages end here. Unknown keys are skipped; a key that is absent leaves its feature off.
  */
 public final class SettingsParser {
     private static final String REPORTS_OFF = "off";
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -216,7 +216,7 @@
                         plan,
                         number,
                         streams.seed("manager-life", number * 1_000L + life),
-                        choice.bounds());
+                        choice.capacityFactor());
         manager = choice.start(deployment, this);
         if (cells != null) {
             manager.onQuotaChanged(calendar.now(), cells.share(plan.cellOf(number)));
@@ -393,7 +393,7 @@
 
     private EndpointUpdate.Endpoint entry(int engine, Lifecycle standing, long since) {
         double coldPart =
-                cells == null || choice.coldBySettings()
+                cells == null || choice.warmUpBySettings()
                         ? 0
                         : cells.warmUpShare(null, plan.cellOf(number), mark(engine), zone(engine));
         return new EndpointUpdate.Endpoint(
--- a/src/main/java/firstage/simulation/PolicyUnderTest.java
+++ b/src/main/java/firstage/simulation/PolicyUnderTest.java
@@ -9,17 +9,23 @@
 import java.util.Locale;
 
 /**
- * What decides in a run: the real decisions, or a textbook policy. {@code bounds} tells the
- * decisions that each engine has so many times its cores and memory, which opens their bounds as a
- * wrong setting would. {@code peers}, null where there are none: managers know each other, by the
- * truth, tell each other what takes its time on its way, and these faults are put back.
+ * The policy that decides in a simulation: the scheduler, or a textbook baseline.
+ *
+ * @param name as it was chosen
+ * @param baseline the baseline, or null for the scheduler
+ * @param capacityFactor the scheduler is told that each engine has so many times its cores and
+ *     memory, which opens its limits as a wrong setting would
+ * @param peers null where managers do not know each other; else the defects to inject into their
+ *     coordination, which runs over links with the plan's delay
+ * @param warmUpBySettings in cells, engines are warmed up by the share of the settings, rather than
+ *     by that of the cells
  */
 public record PolicyUnderTest(
         String name,
-        BaselinePolicy.Kind plain,
-        double bounds,
+        BaselinePolicy.Kind baseline,
+        double capacityFactor,
         FleetCoordinator.InjectedDefects peers,
-        boolean coldBySettings) {
+        boolean warmUpBySettings) {
     private static final String SCHEDULER = "scheduler";
 
     /** The word of earlier versions for {@link #SCHEDULER}, still understood. */
@@ -69,12 +75,16 @@
         }
         if (variant.startsWith(BOUNDS)) {
             return new PolicyUnderTest(
-                    text, null, bounds(text, variant.substring(BOUNDS.length())), null, false);
+                    text,
+                    null,
+                    capacityFactor(text, variant.substring(BOUNDS.length())),
+                    null,
+                    false);
         }
         throw unknown(text);
     }
 
-    private static double bounds(String text, String number) {
+    private static double capacityFactor(String text, String number) {
         try {
             double bounds = Double.parseDouble(number);
             if (bounds > 0 && bounds <= MAX_BOUNDS) {
@@ -106,9 +116,9 @@
                 "two-choices");
     }
 
-    SchedulingPolicy start(Deployment deployment, PolicyActions host) {
-        return plain == null
-                ? new WorkloadScheduler(deployment, host)
-                : new BaselinePolicy(plain, deployment, host);
+    SchedulingPolicy start(Deployment deployment, PolicyActions actions) {
+        return baseline == null
+                ? new WorkloadScheduler(deployment, actions)
+                : new BaselinePolicy(baseline, deployment, actions);
     }
 }
--- a/src/test/java/firstage/simulation/FleetSimulationTest.java
+++ b/src/test/java/firstage/simulation/FleetSimulationTest.java
@@ -39,9 +39,9 @@
 
     @Test
     void theSameSeedGivesTheSameResult() {
-        assertThat(play(shop(), "brain", 3, 1)).isEqualTo(play(shop(), "brain", 3, 1));
-        assertThat(play(shop(), "brain", 2, 1).get(0).figures())
-                .isNotEqualTo(play(shop(), "brain", 2, 1).get(1).figures());
+        assertThat(play(shop(), "scheduler", 3, 1)).isEqualTo(play(shop(), "scheduler", 3, 1));
+        assertThat(play(shop(), "scheduler", 2, 1).get(0).figures())
+                .isNotEqualTo(play(shop(), "scheduler", 2, 1).get(1).figures());
     }
 
     /**
@@ -55,7 +55,7 @@
     @Test
     void theRealDecisionsKeepTheRulesThroughCrashes() {
         assertThat(crashes()).contains("crash").doesNotContain("restart");
-        assertThat(play(crashes(), "brain", 8, 1))
+        assertThat(play(crashes(), "scheduler", 8, 1))
                 .allSatisfy(r -> assertThat(r.broken()).isEmpty());
     }
 
@@ -63,7 +63,7 @@
     void aPolicyThatPushesColdEnginesOverHasNoVerdict() {
         PairedComparison c =
                 new PairedComparison(
-                        play(shop(), "brain", 4, 1), play(shop(), "two-choices", 4, 1));
+                        play(shop(), "scheduler", 4, 1), play(shop(), "two-choices", 4, 1));
         assertThat(c.verdict()).isEqualTo(PairedComparison.Verdict.BROKEN);
         assertThat(c.broken())
                 .anySatisfy(
@@ -76,7 +76,7 @@
      */
     @Test
     void aChoiceIsNotToldFromItself() {
-        List<SimulationResult> all = play(crashes(), "brain", 80, 100);
+        List<SimulationResult> all = play(crashes(), "scheduler", 80, 100);
         int told = 0;
         for (int i = 0; i < 10; i++) {
             List<SimulationResult> left = all.subList(8 * i, 8 * i + 4);
@@ -106,7 +106,8 @@
                 shop().replace("rate = 57.0", "rate = 90.0")
                         .replaceAll("(?s)\\[\\[trouble\\]\\].*", "");
         PairedComparison c =
-                new PairedComparison(play(overload, "brain", 6, 1), play(overload, "random", 6, 1));
+                new PairedComparison(
+                        play(overload, "scheduler", 6, 1), play(overload, "random", 6, 1));
         assertThat(c.verdict()).isEqualTo(PairedComparison.Verdict.LEFT);
     }
 
@@ -129,7 +130,7 @@
                         at = "3 s"
                         part = "50%"
                         """;
-        SimulationResult result = play(mass, "brain", 1, 1).get(0);
+        SimulationResult result = play(mass, "scheduler", 1, 1).get(0);
         assertThat(result.broken()).isEmpty();
         assertThat(result.batches()).isGreaterThan(3_000);
     }
@@ -150,7 +151,7 @@
             assertThat(plan.cells().cells().get(plan.cellOf(m)).zone())
                     .isEqualTo(plan.zones().get(plan.zoneOf(m)));
         }
-        SimulationResult result = play(cells(), "brain:peers", 1, 1).get(0);
+        SimulationResult result = play(cells(), "scheduler:peers", 1, 1).get(0);
         assertThat(result.broken()).isEmpty();
         assertThat(result.figures().get("service")).isGreaterThan(0.3);
     }
@@ -165,8 +166,8 @@
                 Files.readString(Path.of("deploy", "fleet", "cold-zone.toml"))
                         .replace("length = \"24 s\"", "length = \"9 s\"")
                         .replace("at = \"6 s\"", "at = \"2 s\"");
-        SimulationResult byPlan = play(zone, "brain", 1, 1).get(0);
-        SimulationResult bySettings = play(zone, "brain:cold=settings", 1, 1).get(0);
+        SimulationResult byPlan = play(zone, "scheduler", 1, 1).get(0);
+        SimulationResult bySettings = play(zone, "scheduler:cold=settings", 1, 1).get(0);
         assertThat(byPlan.broken()).isEmpty();
         assertThat(byPlan.figures().get("service")).isGreaterThan(0.9);
         assertThat(bySettings.figures().get("service")).isLessThan(0.6);
--- a/src/test/java/firstage/simulation/PolicyUnderTestTest.java
+++ b/src/test/java/firstage/simulation/PolicyUnderTestTest.java
@@ -18,16 +18,16 @@
         assertThat(alias.name()).isEqualTo("brain" + variant);
         assertThat(scheduler.name()).isEqualTo("scheduler" + variant);
         assertThat(alias).usingRecursiveComparison().ignoringFields("name").isEqualTo(scheduler);
-        assertThat(scheduler.plain()).isNull();
+        assertThat(scheduler.baseline()).isNull();
     }
 
     @Test
     void of_variants_areRead() {
-        assertThat(PolicyUnderTest.of("scheduler:bounds=4").bounds()).isEqualTo(4);
-        assertThat(PolicyUnderTest.of("scheduler:cold=settings").coldBySettings()).isTrue();
+        assertThat(PolicyUnderTest.of("scheduler:bounds=4").capacityFactor()).isEqualTo(4);
+        assertThat(PolicyUnderTest.of("scheduler:cold=settings").warmUpBySettings()).isTrue();
         assertThat(PolicyUnderTest.of("scheduler:peers").peers())
                 .isEqualTo(FleetCoordinator.InjectedDefects.NONE);
-        assertThat(PolicyUnderTest.of("two-choices").plain())
+        assertThat(PolicyUnderTest.of("two-choices").baseline())
                 .isEqualTo(BaselinePolicy.Kind.TWO_CHOICES);
     }
 
