--- a/src/main/java/firstage/cli/FaultTestRunCommand.java
+++ b/src/main/java/firstage/cli/FaultTestRunCommand.java
@@ -1,6 +1,8 @@
 package firstage.cli;
 
+import firstage.faulttest.FaultTestResult;
 import firstage.faulttest.FaultTestRun;
+import firstage.faulttest.FaultTestSpec;
 import firstage.faulttest.OrphanedProcesses;
 import firstage.simulation.FleetPlan;
 import firstage.simulation.FleetPlanReader;
@@ -71,9 +73,9 @@
     @Override
     public Integer call() throws IOException {
         FleetPlan plan = plan();
-        OrphanedProcesses.sweep().forEach(line -> System.err.println("fault-test: " + line));
+        OrphanedProcesses.endAll().forEach(line -> System.err.println("fault-test: " + line));
         Path folder = out != null ? out : newFolder(plan);
-        FaultTestRun.Result result = play(plan, folder, jar);
+        FaultTestResult result = play(plan, folder, jar);
         if (against == null) {
             print(result, Optional.empty());
             System.out.println("record: " + folder);
@@ -89,7 +91,7 @@
         return Path.of("target", "fault-test", plan.name() + "-" + seed + "-" + process);
     }
 
-    private static int status(FaultTestRun.Result result) {
+    private static int status(FaultTestResult result) {
         return result.verdict().equals(KEPT) || result.verdict().equals(VOID) ? 0 : BROKEN_STATUS;
     }
 
@@ -122,14 +124,14 @@
                         "(?m)(^\\[managers\\][^\\[]*?^count\\s*=\\s*)\\d+", "$1" + managers);
     }
 
-    private FaultTestRun.Result play(FleetPlan plan, Path folder, Path program) throws IOException {
+    private FaultTestResult play(FleetPlan plan, Path folder, Path program) throws IOException {
         String command = ServeCommandLine.of(program);
         boolean interactive = System.console() != null;
         Files.createDirectories(folder);
         Files.copy(file, folder.resolve("plan.toml"), StandardCopyOption.REPLACE_EXISTING);
-        FaultTestRun.Result result =
+        FaultTestResult result =
                 FaultTestRun.play(
-                        new FaultTestRun.Order(
+                        new FaultTestSpec(
                                 plan,
                                 seed,
                                 folder.toAbsolutePath(),
@@ -147,20 +149,20 @@
         return result;
     }
 
-    private static String firstLine(FaultTestRun.Result result) {
+    private static String firstLine(FaultTestResult result) {
         return switch (result.verdict()) {
-            case VOID -> "void: " + result.isVoid();
-            case "broken" -> "broken: " + result.broken().get(0);
-            case "missed" -> "missed: " + result.missed().get(0);
+            case VOID -> "void: " + result.voidReason().orElse("");
+            case "broken" -> "broken: " + result.violations().get(0);
+            case "missed" -> "missed: " + result.missedExpectations().get(0);
             default -> KEPT;
         };
     }
 
-    private static void print(FaultTestRun.Result result, Optional<FaultTestRun.Result> against) {
+    private static void print(FaultTestResult result, Optional<FaultTestResult> against) {
         System.out.println(
                 firstLine(result)
                         + against.map(other -> "   |   against: " + firstLine(other)).orElse(""));
-        Stream.concat(result.broken().stream(), result.missed().stream())
+        Stream.concat(result.violations().stream(), result.missedExpectations().stream())
                 .skip(result.verdict().equals(VOID) ? 0 : 1)
                 .forEach(line -> System.out.println("also: " + line));
         result.figures()
@@ -174,7 +176,7 @@
                                         against.map(other -> figure(other, name)).orElse("")));
     }
 
-    private static String figure(FaultTestRun.Result result, String name) {
+    private static String figure(FaultTestResult result, String name) {
         return String.format(Locale.ROOT, " %10.4f", result.figures().get(name));
     }
 }
--- a/src/main/java/firstage/emulator/EmulatedCoordinator.java
+++ b/src/main/java/firstage/emulator/EmulatedCoordinator.java
@@ -15,19 +15,20 @@
  * addresses of its own. Threads that wait, not many.
  */
 public final class EmulatedCoordinator implements AutoCloseable {
-    private static final int RECORD = 27;
-    private static final int HEAD = 9;
-    private static final int BEAT_MS = 1_000;
+    private static final int RECORD_BYTES = 27;
+    private static final int HEADER_BYTES = 9;
+    private static final int HEARTBEAT_MS = 1_000;
 
     /**
      * Of an engine; {@code state} 0 ready, 1 draining, 2 gone; {@code startedMs} Unix time of a
      * late start, else 0.
      */
-    public record Listed(int id, InetSocketAddress at, int state, int zone, long startedMs) {
-        private void write(ByteBuffer to) {
-            to.putInt(id)
-                    .put(at.getAddress().getAddress())
-                    .putShort((short) at.getPort())
+    public record ListedEndpoint(
+            int id, InetSocketAddress address, int state, int zone, long startedMs) {
+        private void write(ByteBuffer buffer) {
+            buffer.putInt(id)
+                    .put(address.getAddress().getAddress())
+                    .putShort((short) address.getPort())
                     .put((byte) state)
                     .put((byte) zone)
                     .put((byte) 0)
@@ -42,20 +43,20 @@
     /** The events after the first, in order; the first is in the manager's configuration. */
     private final List<byte[]> events = new ArrayList<>();
 
-    private final List<Socket> open = new ArrayList<>();
+    private final List<Socket> connections = new ArrayList<>();
     private boolean closed;
 
-    public EmulatedCoordinator(InetSocketAddress at) throws IOException {
+    public EmulatedCoordinator(InetSocketAddress address) throws IOException {
         server.setReuseAddress(true);
-        server.bind(at, 16);
-        daemon(
+        server.bind(address, 16);
+        startDaemon(
                 () -> {
                     while (true) {
-                        Socket s = server.accept();
+                        Socket socket = server.accept();
                         synchronized (this) {
-                            open.add(s);
+                            connections.add(socket);
                         }
-                        daemon(() -> serve(s));
+                        startDaemon(() -> serve(socket));
                     }
                 });
     }
@@ -64,13 +65,13 @@
         void run() throws Exception;
     }
 
-    private static void daemon(Task task) {
+    private static void startDaemon(Task task) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
                                 task.run();
-                            } catch (Exception over) {
+                            } catch (Exception connectionClosed) {
                                 // The other end is gone, or this one is closed.
                             }
                         },
@@ -80,29 +81,36 @@
     }
 
     /** Tells what has changed. */
-    public synchronized void tell(List<Listed> changed) {
-        ByteBuffer frame = ByteBuffer.allocate(4 + HEAD + RECORD * changed.size());
-        frame.putInt(HEAD + RECORD * changed.size()).putLong(events.size() + 2L).put((byte) 2);
-        changed.forEach(l -> l.write(frame));
+    public synchronized void publish(List<ListedEndpoint> changed) {
+        ByteBuffer frame = ByteBuffer.allocate(4 + HEADER_BYTES + RECORD_BYTES * changed.size());
+        frame.putInt(HEADER_BYTES + RECORD_BYTES * changed.size())
+                .putLong(events.size() + 2L)
+                .put((byte) 2);
+        changed.forEach(endpoint -> endpoint.write(frame));
         events.add(frame.array());
         notifyAll();
     }
 
-    private void serve(Socket s) throws Exception {
-        long next = Math.max(1, new DataInputStream(s.getInputStream()).readLong() + 1) - 2;
+    private void serve(Socket socket) throws Exception {
+        long nextEvent =
+                Math.max(1, new DataInputStream(socket.getInputStream()).readLong() + 1) - 2;
         while (true) {
             byte[] frame =
-                    ByteBuffer.allocate(4 + HEAD).putInt(HEAD).putLong(0).put((byte) 0).array();
+                    ByteBuffer.allocate(4 + HEADER_BYTES)
+                            .putInt(HEADER_BYTES)
+                            .putLong(0)
+                            .put((byte) 0)
+                            .array();
             synchronized (this) {
-                if (next >= events.size() && !closed) {
-                    wait(BEAT_MS);
+                if (nextEvent >= events.size() && !closed) {
+                    wait(HEARTBEAT_MS);
                 }
-                if (next < events.size()) {
-                    next = Math.max(0, next);
-                    frame = events.get((int) next++);
+                if (nextEvent < events.size()) {
+                    nextEvent = Math.max(0, nextEvent);
+                    frame = events.get((int) nextEvent++);
                 }
             }
-            s.getOutputStream().write(frame);
+            socket.getOutputStream().write(frame);
         }
     }
 
@@ -110,8 +118,8 @@
     public synchronized void close() throws IOException {
         closed = true;
         server.close();
-        for (Socket s : open) {
-            s.close();
+        for (Socket socket : connections) {
+            socket.close();
         }
     }
 }
--- a/src/main/java/firstage/emulator/EmulatedEngine.java
+++ b/src/main/java/firstage/emulator/EmulatedEngine.java
@@ -33,8 +33,8 @@
  * call for news is held for 250 ms.
  */
 public final class EmulatedEngine implements AutoCloseable {
-    private static final long HOLDS = 2_500;
-    private static final long FORGETS = 20_000;
+    private static final long LONG_POLL_TIMEOUT = 2_500;
+    private static final long STATEMENT_EXPIRY = 20_000;
     private static final HttpString TICKET = new HttpString("X-Ticket");
     private static final HttpString GRANT = new HttpString("Grant-Mb");
     private static final HttpString RANK = new HttpString("Rank");
@@ -45,190 +45,194 @@
     private static final HttpString METER = new HttpString("X-Meter");
 
     /** Told of what comes here. */
-    public interface Witness {
+    public interface Observer {
         /** A statement came whole: a batch's first dispatch, or a further one. */
-        void dispatched(Try t, int engine, boolean further);
+        void onAttempt(Try clientTry, int engine, boolean retry);
 
-        void probed(int engine);
+        void onProbe(int engine);
 
         /**
          * Whether the way from this manager to this engine may have kept something back of late.
          */
-        boolean heldBack(int manager, int engine);
+        boolean mayBeDelayed(int manager, int engine);
     }
 
     private final class Statement implements EngineModel.Listener {
         private final String id;
-        private final Try is;
+        private final Try clientTry;
         private Job job;
-        private long asked;
-        private boolean told;
-        private AttemptOutcome end;
-        private AttemptProgress.Kind note;
-        private double amount;
-        private HttpServerExchange held;
-        private int calls;
+        private long lastPolledAt;
+        private boolean outcomeReported;
+        private AttemptOutcome result;
+        private AttemptProgress.Kind pendingProgress;
+        private double progressValue;
+        private HttpServerExchange waitingPoll;
+        private int pollCount;
 
-        private Statement(String id, Try is) {
+        private Statement(String id, Try clientTry) {
             this.id = id;
-            this.is = is;
+            this.clientTry = clientTry;
         }
 
         @Override
-        public void ended(Job ended, AttemptOutcome how) {
-            end = how;
-            give();
+        public void ended(Job attempt, AttemptOutcome outcome) {
+            result = outcome;
+            answerPoll();
         }
 
         @Override
-        public void noted(Job noted, AttemptProgress.Kind kind, double much) {
-            note = kind;
-            amount = much;
-            give();
+        public void noted(Job attempt, AttemptProgress.Kind kind, double value) {
+            pendingProgress = kind;
+            progressValue = value;
+            answerPoll();
         }
 
         @Override
         public boolean alive() {
-            return !is.nobodys();
+            return !clientTry.nobodys();
         }
 
         /** A call that wants news. */
-        private void asks(HttpServerExchange x) {
-            asked = stage.now();
-            int mine = ++calls;
-            if (held != null) {
-                answer(held, 202);
+        private void onPoll(HttpServerExchange exchange) {
+            lastPolledAt = loop.now();
+            int ownPoll = ++pollCount;
+            if (waitingPoll != null) {
+                answer(waitingPoll, 202);
             }
-            held = x;
-            x.dispatch(SameThreadExecutor.INSTANCE, () -> {});
-            if (end != null || note != null) {
-                give();
+            waitingPoll = exchange;
+            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {});
+            if (result != null || pendingProgress != null) {
+                answerPoll();
                 return;
             }
-            stage.calendar()
+            loop.events()
                     .in(
-                            HOLDS,
+                            LONG_POLL_TIMEOUT,
                             () -> {
-                                if (mine == calls && held != null) {
-                                    asked = stage.now();
-                                    HttpServerExchange empty = held;
-                                    held = null;
+                                if (ownPoll == pollCount && waitingPoll != null) {
+                                    lastPolledAt = loop.now();
+                                    HttpServerExchange empty = waitingPoll;
+                                    waitingPoll = null;
                                     answer(empty, 202);
                                 }
                             });
         }
 
-        private void give() {
-            if (held == null
+        private void answerPoll() {
+            if (waitingPoll == null
                     || model.standing() == Standing.HANGING
                     || model.standing() == Standing.SILENT) {
                 return;
             }
-            HttpServerExchange x = held;
-            held = null;
-            asked = stage.now();
-            if (end == null) {
-                x.getResponseHeaders()
+            HttpServerExchange exchange = waitingPoll;
+            waitingPoll = null;
+            lastPolledAt = loop.now();
+            if (result == null) {
+                exchange.getResponseHeaders()
                         .put(
                                 REMARK,
-                                note == AttemptProgress.Kind.FRACTION_DONE
+                                pendingProgress == AttemptProgress.Kind.FRACTION_DONE
                                         ? "pct"
-                                        : note == AttemptProgress.Kind.SPILLING
+                                        : pendingProgress == AttemptProgress.Kind.SPILLING
                                                 ? "overflow"
                                                 : "queued")
                         .put(
                                 FIGURE,
                                 String.valueOf(
-                                        note == AttemptProgress.Kind.FRACTION_DONE
-                                                        || note == AttemptProgress.Kind.SPILLING
-                                                ? amount
-                                                : note == AttemptProgress.Kind.WAITING_FOR_MEMORY
+                                        pendingProgress == AttemptProgress.Kind.FRACTION_DONE
+                                                        || pendingProgress
+                                                                == AttemptProgress.Kind.SPILLING
+                                                ? progressValue
+                                                : pendingProgress
+                                                                == AttemptProgress.Kind
+                                                                        .WAITING_FOR_MEMORY
                                                         ? 1
                                                         : 2));
-                note = null;
-                answer(x, 202);
+                pendingProgress = null;
+                answer(exchange, 202);
                 return;
             }
-            over(end);
-            switch (end) {
+            reportOutcome(result);
+            switch (result) {
                 case SUCCEEDED -> {
-                    x.getResponseHeaders().put(PAGE_COUNT, "1");
-                    x.setStatusCode(200);
-                    x.getResponseSender().send("a\tb\tc\n");
+                    exchange.getResponseHeaders().put(PAGE_COUNT, "1");
+                    exchange.setStatusCode(200);
+                    exchange.getResponseSender().send("a\tb\tc\n");
                 }
                 case REFUSED -> {
                     statements.remove(id);
-                    x.getResponseHeaders().put(SHED, "1");
-                    answer(x, 503);
+                    exchange.getResponseHeaders().put(SHED, "1");
+                    answer(exchange, 503);
                 }
-                default -> answer(x, 500);
+                default -> answer(exchange, 500);
             }
         }
 
-        private void over(AttemptOutcome how) {
-            if (!told) {
-                told = true;
-                rules.ended(stage.now(), is, how);
+        private void reportOutcome(AttemptOutcome outcome) {
+            if (!outcomeReported) {
+                outcomeReported = true;
+                rules.ended(loop.now(), clientTry, outcome);
             }
         }
 
-        private void forgetLater() {
-            stage.calendar()
+        private void scheduleExpiry() {
+            loop.events()
                     .in(
-                            Math.max(1, asked + FORGETS - stage.now()),
+                            Math.max(1, lastPolledAt + STATEMENT_EXPIRY - loop.now()),
                             () -> {
                                 if (statements.get(id) != this) {
                                     return;
                                 }
-                                if (stage.now() - asked >= FORGETS && held == null) {
-                                    gone(AttemptOutcome.TIMED_OUT);
+                                if (loop.now() - lastPolledAt >= STATEMENT_EXPIRY
+                                        && waitingPoll == null) {
+                                    discard(AttemptOutcome.TIMED_OUT);
                                 } else {
-                                    forgetLater();
+                                    scheduleExpiry();
                                 }
                             });
         }
 
-        private void gone(AttemptOutcome how) {
+        private void discard(AttemptOutcome outcome) {
             statements.remove(id, this);
             if (job != null) {
                 model.callOff(job);
             }
-            over(how);
-            if (held != null) {
-                answer(held, 500);
-                held = null;
+            reportOutcome(outcome);
+            if (waitingPoll != null) {
+                answer(waitingPoll, 500);
+                waitingPoll = null;
             }
         }
     }
 
-    private final RealTimeLoop stage;
+    private final RealTimeLoop loop;
     private final RuleChecker rules;
-    private final Function<String, Try> tickets;
-    private final Witness witness;
+    private final Function<String, Try> triesById;
+    private final Observer observer;
     private final FleetPlan plan;
     private final EngineModel model;
     private final int number;
     private final AcceptingChannel<StreamConnection> server;
     private final Map<String, Statement> statements = new HashMap<>();
 
-    /** {@code tickets}: the try that an id belongs to; null where no client sent it. */
+    /** {@code triesById}: the try that an id belongs to; null where no client sent it. */
     public EmulatedEngine(
-            RealTimeLoop stage,
+            RealTimeLoop loop,
             FleetPlan plan,
             int number,
-            InetSocketAddress at,
+            InetSocketAddress address,
             RandomStreams streams,
             RuleChecker rules,
-            Function<String, Try> tickets,
-            Witness witness)
+            Function<String, Try> triesById,
+            Observer observer)
             throws IOException {
-        this.stage = stage;
+        this.loop = loop;
         this.plan = plan;
         this.rules = rules;
-        this.tickets = tickets;
-        this.witness = witness;
+        this.triesById = triesById;
+        this.observer = observer;
         this.number = number;
-        model = new EngineModel(number, plan, stage.calendar(), streams, rules);
+        model = new EngineModel(number, plan, loop.events(), streams, rules);
         HttpOpenListener http =
                 new HttpOpenListener(
                         new DefaultByteBufferPool(true, 8 * 1024, 256, 0),
@@ -237,21 +241,21 @@
                                 .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
                                 .getMap());
         http.setRootHandler(
-                x -> {
-                    stage.calendar().play(stage.now());
-                    call(x);
+                exchange -> {
+                    loop.events().play(loop.now());
+                    onCall(exchange);
                 });
         server =
-                stage.worker()
+                loop.worker()
                         .createStreamConnectionServer(
-                                at,
+                                address,
                                 (ChannelListener<AcceptingChannel<StreamConnection>>)
-                                        from -> {
+                                        channel -> {
                                             try {
-                                                for (StreamConnection c = from.accept();
-                                                        c != null;
-                                                        c = from.accept()) {
-                                                    http.handleEvent(c);
+                                                for (StreamConnection connection = channel.accept();
+                                                        connection != null;
+                                                        connection = channel.accept()) {
+                                                    http.handleEvent(connection);
                                                 }
                                             } catch (IOException gone) {
                                                 // The next one may come in.
@@ -270,95 +274,99 @@
     }
 
     /** Dies, goes silent, hangs, drains or is back; on the stage's thread. */
-    public void becomes(Standing next) {
-        boolean loses = next == Standing.DOWN || next == Standing.SILENT;
+    public void setState(Standing next) {
+        boolean losesStatements = next == Standing.DOWN || next == Standing.SILENT;
         model.becomes(next);
-        if (loses) {
-            statements.values().forEach(s -> s.over(AttemptOutcome.CONNECTION_LOST));
+        if (losesStatements) {
+            statements
+                    .values()
+                    .forEach(statement -> statement.reportOutcome(AttemptOutcome.CONNECTION_LOST));
             statements.clear();
         }
     }
 
-    private static void answer(HttpServerExchange x, int status) {
-        x.setStatusCode(status);
-        x.endExchange();
+    private static void answer(HttpServerExchange exchange, int status) {
+        exchange.setStatusCode(status);
+        exchange.endExchange();
     }
 
-    private void call(HttpServerExchange x) {
-        String path = x.getRequestPath();
-        String method = x.getRequestMethod().toString();
+    private void onCall(HttpServerExchange exchange) {
+        String path = exchange.getRequestPath();
+        String method = exchange.getRequestMethod().toString();
         if (model.standing() == Standing.SILENT
                 || model.standing() == Standing.HANGING && !method.equals("POST")) {
             // Its connections stay open, and nobody is there.
-            x.dispatch(SameThreadExecutor.INSTANCE, () -> {});
+            exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {});
             return;
         }
         if (path.equals("/busy")) {
-            witness.probed(number);
-            x.getResponseHeaders().put(METER, "waiting:" + model.waiting());
-            answer(x, 200);
+            observer.onProbe(number);
+            exchange.getResponseHeaders().put(METER, "waiting:" + model.waiting());
+            answer(exchange, 200);
         } else if (method.equals("POST")) {
-            x.getRequestReceiver().receiveFullBytes((whole, body) -> post(whole));
+            exchange.getRequestReceiver().receiveFullBytes((received, body) -> onSubmit(received));
         } else {
             String[] parts = path.split("/");
-            Statement s = parts.length > 2 ? statements.get(parts[2]) : null;
+            Statement statement = parts.length > 2 ? statements.get(parts[2]) : null;
             switch (method) {
                 case "DELETE" -> {
-                    if (s != null) {
-                        s.gone(AttemptOutcome.CANCELLED);
+                    if (statement != null) {
+                        statement.discard(AttemptOutcome.CANCELLED);
                     }
-                    answer(x, 204);
+                    answer(exchange, 204);
                 }
                 case "PUT" ->
-                        x.getRequestReceiver()
+                        exchange.getRequestReceiver()
                                 .receiveFullString(
-                                        (whole, rank) -> {
-                                            if (s != null && s.job != null) {
+                                        (received, priority) -> {
+                                            if (statement != null && statement.job != null) {
                                                 model.priority(
-                                                        s.job, Integer.parseInt(rank.trim()));
+                                                        statement.job,
+                                                        Integer.parseInt(priority.trim()));
                                             }
-                                            answer(whole, 204);
+                                            answer(received, 204);
                                         });
                 default -> {
-                    if (s == null) {
-                        answer(x, 500);
+                    if (statement == null) {
+                        answer(exchange, 500);
                     } else {
-                        s.asks(x);
+                        statement.onPoll(exchange);
                     }
                 }
             }
         }
     }
 
-    private void post(HttpServerExchange x) {
-        String id = x.getRequestHeaders().getFirst(TICKET);
-        Try t = id == null ? null : tickets.apply(id);
-        if (t == null || statements.containsKey(id)) {
-            answer(x, 500);
+    private void onSubmit(HttpServerExchange exchange) {
+        String id = exchange.getRequestHeaders().getFirst(TICKET);
+        Try clientTry = id == null ? null : triesById.apply(id);
+        if (clientTry == null || statements.containsKey(id)) {
+            answer(exchange, 500);
             return;
         }
-        boolean further = t.sent();
-        witness.dispatched(t, number, further);
-        rules.dispatched(stage.now(), t, number, witness.heldBack(t.manager, number));
-        Statement s = new Statement(id, t);
-        statements.put(id, s);
-        double grant = Double.parseDouble(header(x, GRANT, "0"));
-        FleetPlan.Group group = plan.groups().get(t.is.group);
-        s.job =
+        boolean retry = clientTry.sent();
+        observer.onAttempt(clientTry, number, retry);
+        rules.dispatched(
+                loop.now(), clientTry, number, observer.mayBeDelayed(clientTry.manager, number));
+        Statement statement = new Statement(id, clientTry);
+        statements.put(id, statement);
+        double grant = Double.parseDouble(header(exchange, GRANT, "0"));
+        FleetPlan.Group group = plan.groups().get(clientTry.is.group);
+        statement.job =
                 new Job(
-                        t.is,
+                        clientTry.is,
                         group,
-                        s,
-                        t.manager,
-                        grant > 0 ? grant : t.is.memoryTold * 1.25,
-                        Integer.parseInt(header(x, RANK, "1")));
-        s.asks(x);
-        s.forgetLater();
-        model.send(s.job);
+                        statement,
+                        clientTry.manager,
+                        grant > 0 ? grant : clientTry.is.memoryTold * 1.25,
+                        Integer.parseInt(header(exchange, RANK, "1")));
+        statement.onPoll(exchange);
+        statement.scheduleExpiry();
+        model.send(statement.job);
     }
 
-    private static String header(HttpServerExchange x, HttpString name, String absent) {
-        String value = x.getRequestHeaders().getFirst(name);
+    private static String header(HttpServerExchange exchange, HttpString name, String absent) {
+        String value = exchange.getRequestHeaders().getFirst(name);
         return value == null ? absent : value;
     }
 
--- a/src/main/java/firstage/emulator/FaultInjectingProxy.java
+++ b/src/main/java/firstage/emulator/FaultInjectingProxy.java
@@ -30,38 +30,38 @@
  */
 public final class FaultInjectingProxy implements AutoCloseable {
     private static final int BACKLOG = 256;
-    private static final int PIECE = 16 * 1024;
+    private static final int BUFFER_BYTES = 16 * 1024;
 
     /** A source that is so far ahead is not read on: its own window must fill. */
-    private static final int MOST_QUEUED = 64;
+    private static final int MAX_QUEUED_CHUNKS = 64;
 
     /** Into the line of a listener that takes one, and none is accepted: it holds two. */
-    private static final int FILLERS = 4;
+    private static final int BACKLOG_FILLERS = 4;
 
     private final Selector selector;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final PriorityQueue<Timed> timers =
-            new PriorityQueue<>(Comparator.comparingLong(t -> t.due));
-    private final ByteBuffer shared = ByteBuffer.allocateDirect(PIECE);
-    private final List<Door> doors = new ArrayList<>();
+    private final PriorityQueue<TimedTask> timers =
+            new PriorityQueue<>(Comparator.comparingLong(timer -> timer.due));
+    private final ByteBuffer buffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
+    private final List<Endpoint> endpoints = new ArrayList<>();
     private final Thread thread;
     private volatile boolean closed;
-    private volatile Exception fault;
+    private volatile Exception failure;
 
-    private record Timed(long due, Runnable what) {}
+    private record TimedTask(long due, Runnable task) {}
 
     /** How a door answers. */
-    public enum Answer {
+    public enum EndpointMode {
         OPEN,
-        REFUSES,
-        SILENT
+        REFUSING,
+        UNRESPONSIVE
     }
 
-    public FaultInjectingProxy(RandomGenerator chance) throws IOException {
-        this.chance = chance;
+    public FaultInjectingProxy(RandomGenerator random) throws IOException {
+        this.random = random;
         selector = Selector.open();
-        thread = new Thread(this::loop, "relay");
+        thread = new Thread(this::run, "relay");
         thread.setDaemon(true);
     }
 
@@ -70,8 +70,8 @@
     }
 
     /** A new direction between two parties; before the start. */
-    public LinkFaults way() {
-        return new LinkFaults(chance);
+    public LinkFaults newLink() {
+        return new LinkFaults(random);
     }
 
     private static long now() {
@@ -79,16 +79,16 @@
     }
 
     /** On this thread, soon. */
-    private void soon(Runnable what) {
-        tasks.add(what);
+    private void execute(Runnable task) {
+        tasks.add(task);
         selector.wakeup();
     }
 
-    private void after(long delay, Runnable what) {
-        timers.add(new Timed(now() + delay, what));
+    private void schedule(long delay, Runnable task) {
+        timers.add(new TimedTask(now() + delay, task));
     }
 
-    private void loop() {
+    private void run() {
         while (!closed) {
             try {
                 long wait = timers.isEmpty() ? 100 : Math.max(0, (timers.peek().due - now()) / 10);
@@ -101,36 +101,36 @@
                     task.run();
                 }
                 while (!timers.isEmpty() && timers.peek().due <= now()) {
-                    timers.poll().what.run();
+                    timers.poll().task.run();
                 }
                 Set<SelectionKey> ready = selector.selectedKeys();
                 for (SelectionKey key : List.copyOf(ready)) {
-                    ((Ready) key.attachment()).ready(key);
+                    ((ReadyHandler) key.attachment()).onReady(key);
                 }
                 ready.clear();
             } catch (CancelledKeyException gone) {
                 selector.selectedKeys().clear();
-            } catch (IOException | RuntimeException over) {
+            } catch (IOException | RuntimeException ended) {
                 // Nothing is carried from here on: whatever the run shows, it shows of this.
-                fault = over;
+                failure = ended;
                 return;
             }
         }
     }
 
     /** What ended it before its time; null if nothing did. */
-    public Exception fault() {
-        return fault;
+    public Exception failure() {
+        return failure;
     }
 
-    private interface Ready {
-        void ready(SelectionKey key) throws IOException;
+    private interface ReadyHandler {
+        void onReady(SelectionKey key) throws IOException;
     }
 
-    private static void quietly(AutoCloseable c) {
+    private static void closeQuietly(AutoCloseable resource) {
         try {
-            if (c != null) {
-                c.close();
+            if (resource != null) {
+                resource.close();
             }
         } catch (Exception nothingToDo) {
             // It is gone either way.
@@ -138,84 +138,90 @@
     }
 
     /** An address at which one party reaches another. */
-    public final class Door {
-        private final InetSocketAddress at;
-        private final InetSocketAddress onward;
-        private final LinkFaults there;
-        private final LinkFaults back;
-        private final Set<Pair> pairs = new HashSet<>();
+    public final class Endpoint {
+        private final InetSocketAddress listenAddress;
+        private final InetSocketAddress targetAddress;
+        private final LinkFaults forwardFaults;
+        private final LinkFaults returnFaults;
+        private final Set<Connection> connections = new HashSet<>();
         private final List<SocketChannel> fillers = new ArrayList<>();
         private ServerSocketChannel listener;
-        private Answer answer = Answer.REFUSES;
-        private Answer told = Answer.OPEN;
-
-        private Door(
-                InetSocketAddress at, InetSocketAddress onward, LinkFaults there, LinkFaults back) {
-            this.at = at;
-            this.onward = onward;
-            this.there = there;
-            this.back = back;
+        private EndpointMode mode = EndpointMode.REFUSING;
+        private EndpointMode requestedMode = EndpointMode.OPEN;
+
+        private Endpoint(
+                InetSocketAddress listenAddress,
+                InetSocketAddress targetAddress,
+                LinkFaults forwardFaults,
+                LinkFaults returnFaults) {
+            this.listenAddress = listenAddress;
+            this.targetAddress = targetAddress;
+            this.forwardFaults = forwardFaults;
+            this.returnFaults = returnFaults;
         }
 
         /** How the party behind it stands; {@code resets} what is open, as a dying process does. */
-        public void answers(Answer next, boolean resets) {
-            soon(
+        public void setMode(EndpointMode next, boolean resetConnections) {
+            execute(
                     () -> {
-                        told = next;
-                        if (resets) {
-                            List.copyOf(pairs).forEach(Pair::reset);
+                        requestedMode = next;
+                        if (resetConnections) {
+                            List.copyOf(connections).forEach(Connection::reset);
                         }
-                        settle();
+                        applyMode();
                     });
         }
 
         /** A way was cut or healed. */
-        public void changed() {
-            soon(
+        public void onLinkChanged() {
+            execute(
                     () -> {
-                        settle();
-                        List.copyOf(pairs).forEach(Pair::go);
+                        applyMode();
+                        List.copyOf(connections).forEach(Connection::transfer);
                     });
         }
 
-        private void settle() {
-            boolean cut = there.isCut() || back.isCut();
-            Answer next = told == Answer.OPEN && cut ? Answer.SILENT : told;
-            if (next != answer) {
+        private void applyMode() {
+            boolean cut = forwardFaults.isCut() || returnFaults.isCut();
+            EndpointMode next =
+                    requestedMode == EndpointMode.OPEN && cut
+                            ? EndpointMode.UNRESPONSIVE
+                            : requestedMode;
+            if (next != mode) {
                 close();
-                answer = next;
+                mode = next;
                 try {
                     listen();
                 } catch (IOException fault) {
-                    throw new IllegalStateException("can't listen at " + at, fault);
+                    throw new IllegalStateException("can't listen at " + listenAddress, fault);
                 }
             }
         }
 
         private void listen() throws IOException {
-            if (answer == Answer.REFUSES) {
+            if (mode == EndpointMode.REFUSING) {
                 return;
             }
             listener = ServerSocketChannel.open();
             listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            listener.bind(at, answer == Answer.OPEN ? BACKLOG : 1);
+            listener.bind(listenAddress, mode == EndpointMode.OPEN ? BACKLOG : 1);
             listener.configureBlocking(false);
-            if (answer == Answer.OPEN) {
-                listener.register(selector, SelectionKey.OP_ACCEPT, (Ready) key -> accept());
+            if (mode == EndpointMode.OPEN) {
+                listener.register(selector, SelectionKey.OP_ACCEPT, (ReadyHandler) key -> accept());
             } else {
-                for (int i = 0; i < FILLERS; i++) {
+                for (int i = 0; i < BACKLOG_FILLERS; i++) {
                     SocketChannel filler = SocketChannel.open();
                     filler.configureBlocking(false);
-                    filler.connect(at);
+                    filler.connect(listenAddress);
                     fillers.add(filler);
                 }
             }
         }
 
         private void close() {
-            quietly(listener);
+            closeQuietly(listener);
             listener = null;
-            fillers.forEach(FaultInjectingProxy::quietly);
+            fillers.forEach(FaultInjectingProxy::closeQuietly);
             fillers.clear();
             try {
                 // What is closed goes only once its key is gone.
@@ -226,213 +232,227 @@
         }
 
         private void accept() throws IOException {
-            for (SocketChannel c = listener == null ? null : listener.accept();
-                    c != null;
-                    c = listener.accept()) {
-                new Pair(this, c);
+            for (SocketChannel client = listener == null ? null : listener.accept();
+                    client != null;
+                    client = listener.accept()) {
+                new Connection(this, client);
             }
         }
     }
 
     /** A connection through a door. */
-    private final class Pair {
-        private final Door door;
-        private final SocketChannel near;
-        private final SocketChannel far;
-        private final Flow there;
-        private final Flow back;
-        private boolean up;
-        private boolean over;
-
-        private Pair(Door door, SocketChannel near) throws IOException {
-            this.door = door;
-            this.near = near;
-            near.configureBlocking(false);
-            near.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            far = SocketChannel.open();
-            far.configureBlocking(false);
-            far.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            there = new Flow(this, near, far, door.there);
-            back = new Flow(this, far, near, door.back);
-            door.pairs.add(this);
-            near.register(selector, 0, (Ready) this::ready);
-            far.register(selector, SelectionKey.OP_CONNECT, (Ready) this::ready);
-            far.connect(door.onward);
+    private final class Connection {
+        private final Endpoint endpoint;
+        private final SocketChannel clientSide;
+        private final SocketChannel targetSide;
+        private final Direction outbound;
+        private final Direction inbound;
+        private boolean connected;
+        private boolean closed;
+
+        private Connection(Endpoint endpoint, SocketChannel clientSide) throws IOException {
+            this.endpoint = endpoint;
+            this.clientSide = clientSide;
+            clientSide.configureBlocking(false);
+            clientSide.setOption(StandardSocketOptions.TCP_NODELAY, true);
+            targetSide = SocketChannel.open();
+            targetSide.configureBlocking(false);
+            targetSide.setOption(StandardSocketOptions.TCP_NODELAY, true);
+            outbound = new Direction(this, clientSide, targetSide, endpoint.forwardFaults);
+            inbound = new Direction(this, targetSide, clientSide, endpoint.returnFaults);
+            endpoint.connections.add(this);
+            clientSide.register(selector, 0, (ReadyHandler) this::onReady);
+            targetSide.register(selector, SelectionKey.OP_CONNECT, (ReadyHandler) this::onReady);
+            targetSide.connect(endpoint.targetAddress);
         }
 
-        private void ready(SelectionKey key) {
+        private void onReady(SelectionKey key) {
             try {
-                if (key.channel() == far && !up) {
-                    far.finishConnect();
-                    up = true;
+                if (key.channel() == targetSide && !connected) {
+                    targetSide.finishConnect();
+                    connected = true;
                 } else if (key.isReadable()) {
-                    (key.channel() == near ? there : back).read();
+                    (key.channel() == clientSide ? outbound : inbound).read();
                 }
-                go();
+                transfer();
             } catch (IOException | CancelledKeyException fault) {
                 reset();
             }
         }
 
         /** Writes what may be written and says what is wanted next. */
-        private void go() {
-            if (over || !up) {
+        private void transfer() {
+            if (closed || !connected) {
                 return;
             }
             try {
-                there.write();
-                back.write();
-                if (there.ended && back.ended) {
-                    end();
+                outbound.write();
+                inbound.write();
+                if (outbound.outputShutDown && inbound.outputShutDown) {
+                    close();
                     return;
                 }
-                near.keyFor(selector).interestOps(there.wantsRead() | back.wantsWrite());
-                far.keyFor(selector).interestOps(back.wantsRead() | there.wantsWrite());
+                clientSide
+                        .keyFor(selector)
+                        .interestOps(outbound.readInterest() | inbound.writeInterest());
+                targetSide
+                        .keyFor(selector)
+                        .interestOps(inbound.readInterest() | outbound.writeInterest());
             } catch (IOException | CancelledKeyException fault) {
                 reset();
             }
         }
 
         private void reset() {
-            if (!over) {
+            if (!closed) {
                 try {
-                    near.setOption(StandardSocketOptions.SO_LINGER, 0);
-                    far.setOption(StandardSocketOptions.SO_LINGER, 0);
+                    clientSide.setOption(StandardSocketOptions.SO_LINGER, 0);
+                    targetSide.setOption(StandardSocketOptions.SO_LINGER, 0);
                 } catch (IOException gone) {
                     // Then there is nobody to be told.
                 }
-                end();
+                close();
             }
         }
 
-        private void end() {
-            over = true;
-            door.pairs.remove(this);
-            quietly(near);
-            quietly(far);
+        private void close() {
+            closed = true;
+            endpoint.connections.remove(this);
+            closeQuietly(clientSide);
+            closeQuietly(targetSide);
         }
     }
 
     /** One direction of a connection. */
-    private final class Flow {
+    private final class Direction {
         private record Chunk(long due, ByteBuffer bytes) {}
 
-        private final Pair pair;
-        private final SocketChannel from;
-        private final SocketChannel to;
-        private final LinkFaults way;
+        private final Connection connection;
+        private final SocketChannel source;
+        private final SocketChannel sink;
+        private final LinkFaults faults;
         private final ArrayDeque<Chunk> queue = new ArrayDeque<>();
-        private long latest;
-        private boolean eof;
-        private boolean ended;
-        private boolean full;
-
-        private Flow(Pair pair, SocketChannel from, SocketChannel to, LinkFaults way) {
-            this.pair = pair;
-            this.from = from;
-            this.to = to;
-            this.way = way;
+        private long lastDue;
+        private boolean endOfInput;
+        private boolean outputShutDown;
+        private boolean sinkFull;
+
+        private Direction(
+                Connection connection,
+                SocketChannel source,
+                SocketChannel sink,
+                LinkFaults faults) {
+            this.connection = connection;
+            this.source = source;
+            this.sink = sink;
+            this.faults = faults;
         }
 
         private void read() throws IOException {
-            shared.clear();
-            int n = from.read(shared);
-            if (n < 0) {
-                eof = true;
-            } else if (n > 0) {
-                ByteBuffer copy = ByteBuffer.allocate(n).put(shared.flip()).flip();
-                long due = Math.max(latest, now() + way.later(false));
-                latest = due;
+            buffer.clear();
+            int length = source.read(buffer);
+            if (length < 0) {
+                endOfInput = true;
+            } else if (length > 0) {
+                ByteBuffer copy = ByteBuffer.allocate(length).put(buffer.flip()).flip();
+                long due = Math.max(lastDue, now() + faults.drawDelay(false));
+                lastDue = due;
                 queue.add(new Chunk(due, copy));
                 if (due > now()) {
-                    after(due - now(), pair::go);
+                    schedule(due - now(), connection::transfer);
                 }
             }
         }
 
         private void write() throws IOException {
-            full = false;
-            while (!queue.isEmpty() && !way.isCut() && queue.peek().due <= now()) {
+            sinkFull = false;
+            while (!queue.isEmpty() && !faults.isCut() && queue.peek().due <= now()) {
                 ByteBuffer next = queue.peek().bytes;
-                to.write(next);
+                sink.write(next);
                 if (next.hasRemaining()) {
-                    full = true;
+                    sinkFull = true;
                     return;
                 }
                 queue.poll();
             }
-            if (eof && queue.isEmpty() && !ended && !way.isCut()) {
-                ended = true;
-                to.shutdownOutput();
+            if (endOfInput && queue.isEmpty() && !outputShutDown && !faults.isCut()) {
+                outputShutDown = true;
+                sink.shutdownOutput();
             }
         }
 
-        private int wantsRead() {
-            return !eof && queue.size() < MOST_QUEUED ? SelectionKey.OP_READ : 0;
+        private int readInterest() {
+            return !endOfInput && queue.size() < MAX_QUEUED_CHUNKS ? SelectionKey.OP_READ : 0;
         }
 
-        private int wantsWrite() {
-            return full ? SelectionKey.OP_WRITE : 0;
+        private int writeInterest() {
+            return sinkFull ? SelectionKey.OP_WRITE : 0;
         }
     }
 
-    /** Connections made at {@code at} go on to {@code onward}. It answers at once. */
-    public Door door(
-            InetSocketAddress at, InetSocketAddress onward, LinkFaults there, LinkFaults back) {
-        Door door = new Door(at, onward, there, back);
-        doors.add(door);
-        soon(door::settle);
-        return door;
+    /**
+     * Connections made at {@code listenAddress} go on to {@code targetAddress}. It answers at once.
+     */
+    public Endpoint addEndpoint(
+            InetSocketAddress listenAddress,
+            InetSocketAddress targetAddress,
+            LinkFaults forwardFaults,
+            LinkFaults returnFaults) {
+        Endpoint endpoint = new Endpoint(listenAddress, targetAddress, forwardFaults, returnFaults);
+        endpoints.add(endpoint);
+        execute(endpoint::applyMode);
+        return endpoint;
     }
 
     /**
      * Datagrams between two parties: {@code first} reaches the second at {@code atFirst}, and is
      * seen by it as coming from {@code atSecond}, where the second reaches the first.
      */
-    public void mail(
+    public void forwardDatagrams(
             InetSocketAddress first,
             InetSocketAddress second,
-            InetSocketAddress atFirst,
-            InetSocketAddress atSecond,
-            LinkFaults there,
-            LinkFaults back)
+            InetSocketAddress secondSeenByFirst,
+            InetSocketAddress firstSeenBySecond,
+            LinkFaults forwardFaults,
+            LinkFaults returnFaults)
             throws IOException {
-        DatagramChannel one = DatagramChannel.open().bind(atFirst);
-        DatagramChannel two = DatagramChannel.open().bind(atSecond);
+        DatagramChannel one = DatagramChannel.open().bind(secondSeenByFirst);
+        DatagramChannel two = DatagramChannel.open().bind(firstSeenBySecond);
         one.configureBlocking(false);
         two.configureBlocking(false);
-        soon(
+        execute(
                 () -> {
-                    carry(one, two, second, there);
-                    carry(two, one, first, back);
+                    forward(one, two, second, forwardFaults);
+                    forward(two, one, first, returnFaults);
                 });
     }
 
-    private void carry(DatagramChannel in, DatagramChannel out, SocketAddress to, LinkFaults way) {
+    private void forward(
+            DatagramChannel in, DatagramChannel out, SocketAddress to, LinkFaults faults) {
         try {
             in.register(
                     selector,
                     SelectionKey.OP_READ,
-                    (Ready)
+                    (ReadyHandler)
                             key -> {
-                                shared.clear();
+                                buffer.clear();
                                 for (SocketAddress from = receive(in);
                                         from != null;
                                         from = receive(in)) {
-                                    shared.flip();
-                                    if (way.passes()) {
+                                    buffer.flip();
+                                    if (faults.passes()) {
                                         ByteBuffer copy =
-                                                ByteBuffer.allocate(shared.remaining())
-                                                        .put(shared)
+                                                ByteBuffer.allocate(buffer.remaining())
+                                                        .put(buffer)
                                                         .flip();
-                                        long later = way.later(true);
-                                        if (later > 0) {
-                                            after(later, () -> send(out, copy, to));
+                                        long delay = faults.drawDelay(true);
+                                        if (delay > 0) {
+                                            schedule(delay, () -> send(out, copy, to));
                                         } else {
                                             send(out, copy, to);
                                         }
                                     }
-                                    shared.clear();
+                                    buffer.clear();
                                 }
                             });
         } catch (IOException fault) {
@@ -442,8 +462,8 @@
 
     private SocketAddress receive(DatagramChannel in) throws IOException {
         try {
-            return in.receive(shared);
-        } catch (java.net.PortUnreachableException nobody) {
+            return in.receive(buffer);
+        } catch (java.net.PortUnreachableException unreachable) {
             return null;
         }
     }
@@ -451,7 +471,7 @@
     private void send(DatagramChannel out, ByteBuffer bytes, SocketAddress to) {
         try {
             out.send(bytes, to);
-        } catch (IOException nobody) {
+        } catch (IOException unreachable) {
             // As on any network.
         }
     }
@@ -466,9 +486,9 @@
             Thread.currentThread().interrupt();
         }
         for (SelectionKey key : selector.keys()) {
-            quietly(key.channel());
+            closeQuietly(key.channel());
         }
-        doors.forEach(d -> d.fillers.forEach(FaultInjectingProxy::quietly));
-        quietly(selector);
+        endpoints.forEach(endpoint -> endpoint.fillers.forEach(FaultInjectingProxy::closeQuietly));
+        closeQuietly(selector);
     }
 }
--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -40,7 +40,7 @@
  * of one key are written well apart.
  */
 public final class LoadGenerator implements AutoCloseable {
-    private static final Pattern POLL = Pattern.compile("\"poll\":\"([^\"]+)\"");
+    private static final Pattern POLL_PATH = Pattern.compile("\"poll\":\"([^\"]+)\"");
 
     /**
      * Between batches of one key at one manager: it may be a new connection each time, which the
@@ -51,378 +51,429 @@
     /**
      * After its time is up a client waits so much longer: an answer in it is late, none is lost.
      */
-    private static final long LAST_WAIT = 5_000;
+    private static final long RESPONSE_GRACE = 5_000;
 
     /** The front hears of a death, or of a new life, after about this. */
-    private static final long NOTICE = 15_000;
+    private static final long DETECTION_DELAY = 15_000;
 
-    private static final int POLL_TRIES = 3;
-    private static final int CONNECT_MS = 1_000;
+    private static final int MAX_POLL_ATTEMPTS = 3;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
 
-    /** Told of what happens to batches. */
-    public interface Witness {
-        void asked(TrueRequest is, int manager);
+    /** How one try of a client ended. */
+    public enum TryOutcome {
+        SUCCEEDED("returned"),
+        SUCCEEDED_LATE("late"),
+        REJECTED("pushed-back"),
+        FAILED("errored"),
+        NEVER_ACCEPTED("refused"),
+        LOST("lost");
 
-        void tried(Try t);
+        private final String recordedName;
 
-        /** {@code how}: returned, pushed-back, errored, late, refused, lost. */
-        void ended(Try t, String how);
+        TryOutcome(String recordedName) {
+            this.recordedName = recordedName;
+        }
+
+        /** The name in recorded files and in the figures of plans. */
+        public String recordedName() {
+            return recordedName;
+        }
     }
 
-    private final RealTimeLoop stage;
+    /** Receives what happens to requests; on the loop's thread. */
+    public interface Observer {
+        void onRequest(TrueRequest request, int manager);
+
+        void onTry(Try clientTry);
+
+        void onTryEnded(Try clientTry, TryOutcome outcome);
+    }
+
+    private final RealTimeLoop loop;
     private final FleetPlan plan;
     private final RuleChecker rules;
-    private final Scoreboard score;
-    private final Witness witness;
-    private final TrafficSource traffic;
-    private final RandomGenerator chance;
+    private final Scoreboard scoreboard;
+    private final Observer observer;
+    private final TrafficSource trafficSource;
+    private final RandomGenerator random;
     private final List<InetSocketAddress> managers;
-    private final ClientBehavior clients;
-    private final Map<String, Try> tickets = new HashMap<>();
-    private final Map<Integer, Long> keyFree = new HashMap<>();
-    private final List<Set<Try>> open = new ArrayList<>();
-    private final Set<Integer> known = new HashSet<>();
-    private final long[] lifeChanged;
-    private final boolean[] down;
+    private final ClientBehavior clientBehavior;
+    private final Map<String, Try> triesById = new HashMap<>();
+    private final Map<Integer, Long> keyFreeAt = new HashMap<>();
+    private final List<Set<Try>> openTries = new ArrayList<>();
+    private final Set<Integer> aliveManagers = new HashSet<>();
+    private final long[] stateChanges;
+    private final boolean[] killed;
 
     /**
      * Until when each stands still; a process that is stopped runs no batch's time down by its own
      * fault.
      */
-    private final long[] stoppedUntil;
+    private final long[] pausedUntil;
 
-    private final ExecutorService threads =
+    private final ExecutorService executor =
             Executors.newFixedThreadPool(
                     3,
-                    r -> {
-                        Thread thread = new Thread(r, "clients");
+                    task -> {
+                        Thread thread = new Thread(task, "clients");
                         thread.setDaemon(true);
                         return thread;
                     });
     private final HttpClient http;
-    private double boost = 1;
-    private long begin;
-    private long until;
-    private long ids;
-    private final long origin;
+    private double trafficFactor = 1;
+    private long startedAt;
+    private long endsAt;
+    private long lastId;
+    private final long idPrefix;
 
     public LoadGenerator(
-            RealTimeLoop stage,
+            RealTimeLoop loop,
             FleetPlan plan,
             RandomStreams streams,
             RuleChecker rules,
-            Scoreboard score,
+            Scoreboard scoreboard,
             List<InetSocketAddress> managers,
-            Witness witness) {
+            Observer observer) {
         System.setProperty("jdk.httpclient.keepalive.timeout", "3");
-        this.stage = stage;
+        this.loop = loop;
         this.plan = plan;
         this.rules = rules;
-        this.score = score;
+        this.scoreboard = scoreboard;
         this.managers = managers;
-        this.witness = witness;
-        traffic = new TrafficSource(plan, streams);
-        chance = streams.of("clients", 0);
-        origin = streams.seed("tickets", 0) & 0xFFFFFFFFL;
+        this.observer = observer;
+        trafficSource = new TrafficSource(plan, streams);
+        random = streams.of("clients", 0);
+        idPrefix = streams.seed("tickets", 0) & 0xFFFFFFFFL;
         http =
                 HttpClient.newBuilder()
                         .version(HttpClient.Version.HTTP_1_1)
-                        .executor(threads)
-                        .connectTimeout(Duration.ofMillis(CONNECT_MS))
+                        .executor(executor)
+                        .connectTimeout(Duration.ofMillis(CONNECT_TIMEOUT_MS))
                         .build();
-        clients = new ClientBehavior(plan, chance);
-        lifeChanged = new long[managers.size()];
-        down = new boolean[managers.size()];
-        stoppedUntil = new long[managers.size()];
-        for (int m = 0; m < managers.size(); m++) {
-            open.add(new LinkedHashSet<>());
-            known.add(m);
+        clientBehavior = new ClientBehavior(plan, random);
+        stateChanges = new long[managers.size()];
+        killed = new boolean[managers.size()];
+        pausedUntil = new long[managers.size()];
+        for (int manager = 0; manager < managers.size(); manager++) {
+            openTries.add(new LinkedHashSet<>());
+            aliveManagers.add(manager);
         }
     }
 
     /** The try that an id belongs to, or null; on the stage's thread. */
-    public Try ticket(String id) {
-        return tickets.get(id);
+    public Try tryById(String id) {
+        return triesById.get(id);
     }
 
     /** Batches come from now on for the plan's length; on the stage's thread. */
     public void start() {
-        until = stage.now() + plan.length();
-        begin = stage.now();
-        next();
+        endsAt = loop.now() + plan.length();
+        startedAt = loop.now();
+        scheduleNext();
     }
 
-    public void boost(double times) {
-        boost = times;
+    public void setTrafficFactor(double times) {
+        trafficFactor = times;
     }
 
-    private void next() {
-        long now = stage.calendar().now();
-        stage.calendar()
+    private void scheduleNext() {
+        long now = loop.events().now();
+        loop.events()
                 .in(
-                        traffic.next(now, begin, boost) - now,
+                        trafficSource.next(now, startedAt, trafficFactor) - now,
                         () -> {
-                            if (stage.calendar().now() < until) {
-                                TrueRequest is = traffic.draw(stage.calendar().now(), List.of());
-                                score.asked(is);
-                                int m = manager(is);
-                                witness.asked(is, m);
-                                goes(is, m);
-                                next();
+                            if (loop.events().now() < endsAt) {
+                                TrueRequest request =
+                                        trafficSource.draw(loop.events().now(), List.of());
+                                scoreboard.asked(request);
+                                int manager = chooseManager(request);
+                                observer.onRequest(request, manager);
+                                sendInKeyOrder(request, manager);
+                                scheduleNext();
                             }
                         });
     }
 
     /** Whether nothing is asked for any more. */
     public boolean idle() {
-        return stage.now() > until
-                && open.stream().flatMap(Set::stream).allMatch(t -> t.answers() > 0 || t.nobodys());
+        return loop.now() > endsAt
+                && openTries.stream()
+                        .flatMap(Set::stream)
+                        .allMatch(clientTry -> clientTry.answers() > 0 || clientTry.nobodys());
     }
 
     /** A manager's process is ended: what it holds is nobody's. */
-    public void died(int manager) {
+    public void onManagerKilled(int manager) {
         List<Try> held = new ArrayList<>();
-        open.get(manager).stream().filter(t -> t.answers() == 0).forEach(held::add);
+        openTries.get(manager).stream()
+                .filter(clientTry -> clientTry.answers() == 0)
+                .forEach(held::add);
         rules.killed(manager, held);
-        down[manager] = true;
-        changed(manager, false);
+        killed[manager] = true;
+        onManagerStateChanged(manager, false);
     }
 
     /** A manager's process serves again, or is about to end by itself. */
-    public void changed(int manager, boolean up) {
-        down[manager] &= !up;
-        long mine = ++lifeChanged[manager];
-        stage.calendar()
+    public void onManagerStateChanged(int manager, boolean up) {
+        killed[manager] &= !up;
+        long ownChange = ++stateChanges[manager];
+        loop.events()
                 .in(
-                        up ? 0 : NOTICE / 2 + chance.nextLong(NOTICE),
+                        up ? 0 : DETECTION_DELAY / 2 + random.nextLong(DETECTION_DELAY),
                         () -> {
-                            if (lifeChanged[manager] == mine && up) {
-                                known.add(manager);
-                            } else if (lifeChanged[manager] == mine) {
-                                known.remove(manager);
+                            if (stateChanges[manager] == ownChange && up) {
+                                aliveManagers.add(manager);
+                            } else if (stateChanges[manager] == ownChange) {
+                                aliveManagers.remove(manager);
                             }
                         });
     }
 
     /** A manager's process stands still until then. */
-    public void stopped(int manager, long until) {
-        stoppedUntil[manager] = until;
-        open.get(manager).forEach(t -> excuse(t, until));
+    public void onManagerPaused(int manager, long until) {
+        pausedUntil[manager] = until;
+        openTries.get(manager).forEach(clientTry -> allowPause(clientTry, until));
     }
 
-    private static void excuse(Try t, long until) {
-        t.excuse(Math.max(0, until + LAST_WAIT - t.notAfter));
+    private static void allowPause(Try clientTry, long until) {
+        clientTry.excuse(Math.max(0, until + RESPONSE_GRACE - clientTry.notAfter));
     }
 
-    private void judge(Try t) {
-        if (t.excused() && t.answers() == 0) {
+    private void checkDeadline(Try clientTry) {
+        if (clientTry.excused() && clientTry.answers() == 0) {
             // Its time ran out while its manager stood still, and its client left.
-            rules.untaken(t);
+            rules.untaken(clientTry);
         } else {
-            rules.due(stage.now(), t);
+            rules.due(loop.now(), clientTry);
         }
     }
 
-    private int manager(TrueRequest is) {
-        int m = clients.manager(is);
+    private int chooseManager(TrueRequest request) {
+        int manager = clientBehavior.manager(request);
         // The next one that the front holds for alive; those of one key go on together.
-        for (int i = 0; i < managers.size() && !known.contains(m); i++) {
-            m = (m + 1) % managers.size();
+        for (int i = 0; i < managers.size() && !aliveManagers.contains(manager); i++) {
+            manager = (manager + 1) % managers.size();
         }
-        return m;
+        return manager;
     }
 
-    private void goes(TrueRequest is, int m) {
-        long now = stage.calendar().now();
-        if (is.key >= 0) {
-            long free = Math.max(now, keyFree.getOrDefault(is.key, 0L));
-            keyFree.put(is.key, free + KEY_GAP);
-            if (free > now) {
-                stage.calendar().in(free - now, () -> send(is, m));
+    private void sendInKeyOrder(TrueRequest request, int manager) {
+        long now = loop.events().now();
+        if (request.key >= 0) {
+            long freeAt = Math.max(now, keyFreeAt.getOrDefault(request.key, 0L));
+            keyFreeAt.put(request.key, freeAt + KEY_GAP);
+            if (freeAt > now) {
+                loop.events().in(freeAt - now, () -> send(request, manager));
                 return;
             }
         }
-        send(is, m);
+        send(request, manager);
     }
 
-    private void send(TrueRequest is, int m) {
-        long now = stage.calendar().now();
-        long left = is.limit - now;
-        if (left <= 0) {
+    private void send(TrueRequest request, int manager) {
+        long now = loop.events().now();
+        long remaining = request.limit - now;
+        if (remaining <= 0) {
             return;
         }
-        is.tries++;
+        request.tries++;
         long patience =
                 Math.min(
-                        left,
-                        Math.max(1, Math.round((is.limit - is.asked) * plan.clients().tryShare())));
-        Try t = new Try(is, m, now + patience);
-        String id = String.format(Locale.ROOT, "%08x%08x", origin, ++ids);
-        tickets.put(id, t);
-        open.get(m).add(t);
-        rules.took(t);
-        witness.tried(t);
-        FleetPlan.Group group = plan.groups().get(is.group);
-        HttpRequest.Builder call =
-                HttpRequest.newBuilder(uri(m, "/ops/" + group.name()))
-                        .timeout(Duration.ofMillis((patience + LAST_WAIT) / 10))
+                        remaining,
+                        Math.max(
+                                1,
+                                Math.round(
+                                        (request.limit - request.asked)
+                                                * plan.clients().tryShare())));
+        Try clientTry = new Try(request, manager, now + patience);
+        String id = String.format(Locale.ROOT, "%08x%08x", idPrefix, ++lastId);
+        triesById.put(id, clientTry);
+        openTries.get(manager).add(clientTry);
+        rules.took(clientTry);
+        observer.onTry(clientTry);
+        FleetPlan.Group trafficClass = plan.groups().get(request.group);
+        HttpRequest.Builder httpRequest =
+                HttpRequest.newBuilder(uri(manager, "/ops/" + trafficClass.name()))
+                        .timeout(Duration.ofMillis((patience + RESPONSE_GRACE) / 10))
                         .header("X-Job-Id", id)
                         .header("X-Allow-Ms", String.valueOf(Math.max(1, patience / 10)))
-                        .header("X-Team", plan.customers().get(is.customer).name())
-                        .header("X-Size-Ms", String.format(Locale.ROOT, "%.1f", is.estimate / 10.0))
-                        .header("X-Memory", String.valueOf(is.memoryTold));
-        if (is.key >= 0) {
-            call.header("X-Item", String.format(Locale.ROOT, "%016x", is.key + 1));
+                        .header("X-Team", plan.customers().get(request.customer).name())
+                        .header(
+                                "X-Size-Ms",
+                                String.format(Locale.ROOT, "%.1f", request.estimate / 10.0))
+                        .header("X-Memory", String.valueOf(request.memoryTold));
+        if (request.key >= 0) {
+            httpRequest.header("X-Item", String.format(Locale.ROOT, "%016x", request.key + 1));
         }
-        call.POST(
+        httpRequest.POST(
                 HttpRequest.BodyPublishers.ofString(
-                        (group.load() ? "INSERT INTO sales_" : "SELECT a FROM sales_")
-                                + is.tables
+                        (trafficClass.load() ? "INSERT INTO sales_" : "SELECT a FROM sales_")
+                                + request.tables
                                 + ".orders"));
-        ask(t, id, call.build(), POLL_TRIES, true);
+        call(clientTry, id, httpRequest.build(), MAX_POLL_ATTEMPTS, true);
         // One that stands still can't know how long the batch lay there: it counts its time from
         // when it reads it.
-        t.excuse(Math.max(0, stoppedUntil[m] - now));
-        stage.calendar().in(patience + LAST_WAIT / 2, () -> judge(t));
-        stage.calendar()
+        clientTry.excuse(Math.max(0, pausedUntil[manager] - now));
+        loop.events().in(patience + RESPONSE_GRACE / 2, () -> checkDeadline(clientTry));
+        loop.events()
                 .in(
-                        patience + 2 * LAST_WAIT,
+                        patience + 2 * RESPONSE_GRACE,
                         () -> {
-                            open.get(m).remove(t);
-                            tickets.remove(id);
+                            openTries.get(manager).remove(clientTry);
+                            triesById.remove(id);
                         });
     }
 
-    private URI uri(int m, String path) {
-        InetSocketAddress at = managers.get(m);
-        return URI.create("http://" + at.getAddress().getHostAddress() + ":" + at.getPort() + path);
+    private URI uri(int manager, String path) {
+        InetSocketAddress address = managers.get(manager);
+        return URI.create(
+                "http://" + address.getAddress().getHostAddress() + ":" + address.getPort() + path);
     }
 
-    private void ask(Try t, String id, HttpRequest call, int tries, boolean first) {
-        http.sendAsync(call, HttpResponse.BodyHandlers.ofString())
+    private void call(
+            Try clientTry, String id, HttpRequest httpRequest, int attemptsLeft, boolean first) {
+        http.sendAsync(httpRequest, HttpResponse.BodyHandlers.ofString())
                 .whenComplete(
-                        (answer, fault) ->
-                                stage.news(
+                        (response, fault) ->
+                                loop.execute(
                                         () -> {
                                             if (fault != null) {
-                                                failed(
-                                                        t,
+                                                onFailure(
+                                                        clientTry,
                                                         id,
-                                                        call,
-                                                        tries,
+                                                        httpRequest,
+                                                        attemptsLeft,
                                                         first,
                                                         fault instanceof CompletionException
                                                                 ? fault.getCause()
                                                                 : fault);
                                                 return;
                                             }
-                                            Matcher poll = POLL.matcher(answer.body());
-                                            if (answer.statusCode() == 200 && poll.find()) {
-                                                long left =
+                                            Matcher poll = POLL_PATH.matcher(response.body());
+                                            if (response.statusCode() == 200 && poll.find()) {
+                                                long remainingMs =
                                                         Math.max(
                                                                         10,
-                                                                        t.notAfter
-                                                                                + LAST_WAIT
-                                                                                - stage.now())
+                                                                        clientTry.notAfter
+                                                                                + RESPONSE_GRACE
+                                                                                - loop.now())
                                                                 / 10;
-                                                ask(
-                                                        t,
+                                                call(
+                                                        clientTry,
                                                         id,
                                                         HttpRequest.newBuilder(
                                                                         uri(
-                                                                                t.manager,
+                                                                                clientTry.manager,
                                                                                 poll.group(1)))
-                                                                .timeout(Duration.ofMillis(left))
+                                                                .timeout(
+                                                                        Duration.ofMillis(
+                                                                                remainingMs))
                                                                 .build(),
-                                                        POLL_TRIES,
+                                                        MAX_POLL_ATTEMPTS,
                                                         false);
                                             } else {
-                                                answered(t, answer);
+                                                onResponse(clientTry, response);
                                             }
                                         }));
     }
 
-    private void failed(
-            Try t, String id, HttpRequest call, int tries, boolean first, Throwable fault) {
-        boolean unreached =
+    private void onFailure(
+            Try clientTry,
+            String id,
+            HttpRequest httpRequest,
+            int attemptsLeft,
+            boolean first,
+            Throwable fault) {
+        boolean unreachable =
                 fault instanceof ConnectException || fault instanceof HttpConnectTimeoutException;
         // What was written to a process that is on its way out was taken by nobody.
-        if (first && (unreached || down[t.manager])) {
-            rules.untaken(t);
-            witness.ended(t, "refused");
-            score.errored();
+        if (first && (unreachable || killed[clientTry.manager])) {
+            rules.untaken(clientTry);
+            observer.onTryEnded(clientTry, TryOutcome.NEVER_ACCEPTED);
+            scoreboard.errored();
             // By the protocol page others than repeatable ones come again only after a pushback, or
             // where their manager
             // could not be reached. Under a connection that broke it may have run: asked again, it
             // would run twice.
-            again(
-                    t.is,
+            retry(
+                    clientTry.is,
                     0,
-                    unreached || plan.groups().get(t.is.group).effect() == Effect.IDEMPOTENT);
+                    unreachable
+                            || plan.groups().get(clientTry.is.group).effect() == Effect.IDEMPOTENT);
         } else if (!first
-                && tries > 1
-                && stage.now() < t.notAfter
+                && attemptsLeft > 1
+                && loop.now() < clientTry.notAfter
                 && fault instanceof IOException) {
-            ask(t, id, call, tries - 1, false);
+            call(clientTry, id, httpRequest, attemptsLeft - 1, false);
         } else {
             // Rule 1 is judged when its time is up; what a manager that died held is nobody's.
-            witness.ended(t, "lost");
-            score.errored();
-            if (!t.nobodys() && !t.excused() && !(fault instanceof HttpTimeoutException)) {
-                stage.calendar()
+            observer.onTryEnded(clientTry, TryOutcome.LOST);
+            scoreboard.errored();
+            if (!clientTry.nobodys()
+                    && !clientTry.excused()
+                    && !(fault instanceof HttpTimeoutException)) {
+                loop.events()
                         .in(
                                 2_000,
                                 () -> {
-                                    if (!t.nobodys()) {
+                                    if (!clientTry.nobodys()) {
                                         rules.broken(
                                                 "rule 1: batch "
-                                                        + t.is.id
+                                                        + clientTry.is.id
                                                         + " at manager "
-                                                        + t.manager
+                                                        + clientTry.manager
                                                         + " got no answer that can be read: "
                                                         + fault);
                                     }
                                 });
             }
-            again(t.is, 0, plan.groups().get(t.is.group).effect() == Effect.IDEMPOTENT);
+            retry(
+                    clientTry.is,
+                    0,
+                    plan.groups().get(clientTry.is.group).effect() == Effect.IDEMPOTENT);
         }
     }
 
-    private void answered(Try t, HttpResponse<String> answer) {
-        long now = stage.now();
-        boolean busy =
-                answer.statusCode() == 429
-                        || answer.statusCode() == 503
-                        || answer.body().contains("\"err\":\"Busy\"");
-        boolean good = answer.statusCode() == 200 && !answer.body().contains("\"err\"");
-        rules.answered(now, t, busy);
-        if (good) {
-            witness.ended(t, now <= t.is.limit ? "returned" : "late");
-            if (!t.is.done) {
-                t.is.done = true;
-                score.returned(now, t.is);
+    private void onResponse(Try clientTry, HttpResponse<String> response) {
+        long now = loop.now();
+        boolean rejected =
+                response.statusCode() == 429
+                        || response.statusCode() == 503
+                        || response.body().contains("\"err\":\"Busy\"");
+        boolean succeeded = response.statusCode() == 200 && !response.body().contains("\"err\"");
+        rules.answered(now, clientTry, rejected);
+        if (succeeded) {
+            observer.onTryEnded(
+                    clientTry,
+                    now <= clientTry.is.limit ? TryOutcome.SUCCEEDED : TryOutcome.SUCCEEDED_LATE);
+            if (!clientTry.is.done) {
+                clientTry.is.done = true;
+                scoreboard.returned(now, clientTry.is);
             }
-        } else if (busy) {
-            witness.ended(t, "pushed-back");
-            score.pushedBack();
-            long wait = answer.headers().firstValueAsLong("X-Wait-Ms").orElse(0) * 10;
-            again(t.is, wait, true);
+        } else if (rejected) {
+            observer.onTryEnded(clientTry, TryOutcome.REJECTED);
+            scoreboard.pushedBack();
+            long wait = response.headers().firstValueAsLong("X-Wait-Ms").orElse(0) * 10;
+            retry(clientTry.is, wait, true);
         } else {
-            witness.ended(t, "errored");
-            score.errored();
-            again(t.is, 0, plan.groups().get(t.is.group).effect() == Effect.IDEMPOTENT);
+            observer.onTryEnded(clientTry, TryOutcome.FAILED);
+            scoreboard.errored();
+            retry(
+                    clientTry.is,
+                    0,
+                    plan.groups().get(clientTry.is.group).effect() == Effect.IDEMPOTENT);
         }
     }
 
-    private void again(TrueRequest is, long comeBack, boolean may) {
-        long wait = clients.again(is, stage.now(), comeBack, may);
+    private void retry(TrueRequest request, long retryAfter, boolean mayRetry) {
+        long wait = clientBehavior.again(request, loop.now(), retryAfter, mayRetry);
         if (wait >= 0) {
-            stage.calendar().in(wait, () -> goes(is, manager(is)));
+            loop.events().in(wait, () -> sendInKeyOrder(request, chooseManager(request)));
         }
     }
 
     @Override
     public void close() {
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/main/java/firstage/emulator/RealTimeLoop.java
+++ b/src/main/java/firstage/emulator/RealTimeLoop.java
@@ -2,6 +2,9 @@
 
 import firstage.simulation.EventQueue;
 import java.io.IOException;
+import java.util.concurrent.Callable;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 import org.xnio.OptionMap;
@@ -20,13 +23,13 @@
     public static final long START = 1_000_000;
 
     private static final long TICK_MS = 1;
-    private static final long MOST_LATE_US = 60_000_000;
+    private static final long MAX_LATENESS_US = 60_000_000;
     private final XnioWorker worker;
-    private final XnioIoThread io;
-    private final EventQueue calendar = new EventQueue(START);
+    private final XnioIoThread ioThread;
+    private final EventQueue events = new EventQueue(START);
     private final long startNs = System.nanoTime();
     private final long startMs = System.currentTimeMillis();
-    private final Histogram late = new Histogram(MOST_LATE_US, 2);
+    private final Histogram lateness = new Histogram(MAX_LATENESS_US, 2);
     private volatile boolean closed;
 
     public RealTimeLoop() throws IOException {
@@ -39,7 +42,7 @@
                                         .set(Options.WORKER_TASK_CORE_THREADS, 1)
                                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                                         .getMap());
-        io = worker.getIoThread();
+        ioThread = worker.getIoThread();
         tick(System.nanoTime());
     }
 
@@ -53,42 +56,68 @@
     }
 
     /** The Unix millisecond of a moment of the calendar. */
-    public long unixMs(long at) {
-        return startMs + (at - START) / 10;
+    public long unixMs(long time) {
+        return startMs + (time - START) / 10;
     }
 
     /** The calendar, for what runs on this thread. */
-    public EventQueue calendar() {
-        return calendar;
+    public EventQueue events() {
+        return events;
     }
 
     /**
      * Something happened elsewhere: it is played on this thread, at the moment at which it comes
      * here.
      */
-    public void news(Runnable what) {
-        io.execute(
+    public void execute(Runnable task) {
+        ioThread.execute(
                 () -> {
-                    calendar.play(now());
-                    what.run();
+                    events.play(now());
+                    task.run();
                 });
     }
 
-    private void tick(long due) {
+    /**
+     * Runs the call on this thread and waits for its result.
+     *
+     * @throws IOException if the call fails or the wait is interrupted
+     */
+    public <T> T call(Callable<T> task) throws IOException {
+        CompletableFuture<T> done = new CompletableFuture<>();
+        execute(
+                () -> {
+                    try {
+                        done.complete(task.call());
+                    } catch (Exception failure) {
+                        done.completeExceptionally(failure);
+                    }
+                });
+        try {
+            return done.get();
+        } catch (ExecutionException failure) {
+            throw new IOException(failure.getCause());
+        } catch (InterruptedException interrupted) {
+            Thread.currentThread().interrupt();
+            throw new IOException("interrupted", interrupted);
+        }
+    }
+
+    private void tick(long scheduledNs) {
         if (closed) {
             return;
         }
-        late.recordValue(Math.min(MOST_LATE_US, Math.max(0, (System.nanoTime() - due) / 1_000)));
-        calendar.play(now());
-        long next = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TICK_MS);
-        io.executeAfter(() -> tick(next), TICK_MS, TimeUnit.MILLISECONDS);
+        lateness.recordValue(
+                Math.min(MAX_LATENESS_US, Math.max(0, (System.nanoTime() - scheduledNs) / 1_000)));
+        events.play(now());
+        long nextNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TICK_MS);
+        ioThread.executeAfter(() -> tick(nextNs), TICK_MS, TimeUnit.MILLISECONDS);
     }
 
     /**
      * How late this thread came, in microseconds: a machine that has no time for it proves nothing.
      */
-    public Histogram late() {
-        return late;
+    public Histogram lateness() {
+        return lateness;
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/firstage/faulttest/EngineFaults.java
@@ -0,0 +1,156 @@
+package firstage.faulttest;
+
+import firstage.emulator.EmulatedCoordinator;
+import firstage.emulator.EmulatedEngine;
+import firstage.emulator.FaultInjectingProxy.EndpointMode;
+import firstage.emulator.RealTimeLoop;
+import firstage.policy.api.EndpointUpdate.Lifecycle;
+import firstage.simulation.EngineModel;
+import firstage.simulation.FleetPlan;
+import firstage.simulation.RuleChecker;
+import firstage.util.Ticks;
+import java.util.List;
+import java.util.Locale;
+import java.util.random.RandomGenerator;
+
+/** Fails, drains and revives emulated engines, and announces it through the coordinators. */
+final class EngineFaults {
+    /** How long a drained engine is down. */
+    private static final long DOWN_AFTER_DRAIN = Ticks.ofSeconds(1);
+
+    /** An unresponsive engine leaves the endpoint list this many times later than a dead one. */
+    private static final int SILENCE_DETECTION_FACTOR = 3;
+
+    private final FleetPlan plan;
+    private final LoopbackAddresses addresses;
+    private final RealTimeLoop loop;
+    private final RunClock clock;
+    private final RunRecorder recorder;
+    private final RuleChecker rules;
+    private final List<EmulatedEngine> engines;
+    private final List<EmulatedCoordinator> coordinators;
+    private final NetworkLinks links;
+
+    EngineFaults(
+            FleetPlan plan,
+            LoopbackAddresses addresses,
+            RealTimeLoop loop,
+            RunClock clock,
+            RunRecorder recorder,
+            RuleChecker rules,
+            List<EmulatedEngine> engines,
+            List<EmulatedCoordinator> coordinators,
+            NetworkLinks links) {
+        this.plan = plan;
+        this.addresses = addresses;
+        this.loop = loop;
+        this.clock = clock;
+        this.recorder = recorder;
+        this.rules = rules;
+        this.engines = engines;
+        this.coordinators = coordinators;
+        this.links = links;
+    }
+
+    /** The process dies: connections break, new ones are refused. */
+    void die(int engine, long ticks, RandomGenerator random) {
+        takeDown(engine, EngineModel.Standing.DOWN, ticks, 1, random);
+    }
+
+    /** The machine is gone without a word: nothing is answered, nothing is reset. */
+    void silence(int engine, long ticks, RandomGenerator random) {
+        takeDown(engine, EngineModel.Standing.SILENT, ticks, SILENCE_DETECTION_FACTOR, random);
+    }
+
+    /** The process accepts statements and makes no progress. */
+    void hang(int engine, long ticks) {
+        engines.get(engine).setState(EngineModel.Standing.HANGING);
+        loop.events().in(ticks, () -> engines.get(engine).setState(EngineModel.Standing.UP));
+    }
+
+    /** Drains for {@code ticks}, then is down for a second. */
+    void drain(int engine, long ticks, RandomGenerator random) {
+        engines.get(engine).setState(EngineModel.Standing.DRAINING);
+        links.setEngineMode(engine, EndpointMode.REFUSING, false);
+        announce(engine, Lifecycle.DRAINING, 0, 1, random);
+        loop.events()
+                .in(
+                        ticks,
+                        () ->
+                                takeDown(
+                                        engine,
+                                        EngineModel.Standing.DOWN,
+                                        DOWN_AFTER_DRAIN,
+                                        1,
+                                        random));
+    }
+
+    private void takeDown(
+            int engine,
+            EngineModel.Standing state,
+            long ticks,
+            int detectionFactor,
+            RandomGenerator random) {
+        engines.get(engine).setState(state);
+        recorder.writeEvent(
+                clock.elapsed(),
+                "engine",
+                "engine",
+                engine,
+                "is",
+                state.name().toLowerCase(Locale.ROOT));
+        boolean silent = state == EngineModel.Standing.SILENT;
+        links.setEngineMode(
+                engine, silent ? EndpointMode.UNRESPONSIVE : EndpointMode.REFUSING, !silent);
+        announce(engine, Lifecycle.GONE, 0, detectionFactor, random);
+        loop.events().in(ticks, () -> revive(engine, silent, random));
+    }
+
+    private void revive(int engine, boolean wasSilent, RandomGenerator random) {
+        engines.get(engine).setState(EngineModel.Standing.UP);
+        recorder.writeEvent(clock.elapsed(), "engine", "engine", engine, "is", "up");
+        links.setEngineMode(engine, EndpointMode.OPEN, wasSilent);
+        announce(engine, Lifecycle.ACTIVE, loop.events().now(), 1, random);
+    }
+
+    /** Tells each manager after a discovery delay of its own. */
+    private void announce(
+            int engine,
+            Lifecycle lifecycle,
+            long startedAt,
+            int detectionFactor,
+            RandomGenerator random) {
+        for (int m = 0; m < coordinators.size(); m++) {
+            int manager = m;
+            loop.events()
+                    .in(
+                            detectionFactor * plan.managers().listDelay().drawTime(random),
+                            () -> announceTo(manager, engine, lifecycle, startedAt));
+        }
+    }
+
+    private void announceTo(int manager, int engine, Lifecycle lifecycle, long startedAt) {
+        boolean stale =
+                lifecycle == Lifecycle.GONE
+                        && engines.get(engine).model().standing() == EngineModel.Standing.UP;
+        if (stale) {
+            return;
+        }
+        rules.listed(loop.now(), manager, engine, lifecycle == Lifecycle.ACTIVE);
+        rules.toldStart(manager, engine, startedAt);
+        coordinators
+                .get(manager)
+                .publish(
+                        List.of(
+                                new EmulatedCoordinator.ListedEndpoint(
+                                        engine + 1,
+                                        addresses.engineSeenBy(manager, engine),
+                                        stateCode(lifecycle),
+                                        plan.zoneOf(engine),
+                                        startedAt == 0 ? 0 : loop.unixMs(startedAt))));
+    }
+
+    private static int stateCode(Lifecycle lifecycle) {
+        return lifecycle == Lifecycle.ACTIVE ? 0 : lifecycle == Lifecycle.DRAINING ? 1 : 2;
+    }
+}
--- /dev/null
+++ b/src/main/java/firstage/faulttest/FaultInjector.java
@@ -0,0 +1,137 @@
+package firstage.faulttest;
+
+import firstage.emulator.LinkFaults;
+import firstage.emulator.LoadGenerator;
+import firstage.emulator.RealTimeLoop;
+import firstage.simulation.FleetPlan;
+import firstage.simulation.FleetPlan.Fault;
+import firstage.simulation.RandomStreams;
+import java.util.List;
+import java.util.Locale;
+import java.util.function.BiConsumer;
+import java.util.function.IntConsumer;
+import java.util.random.RandomGenerator;
+
+/** Plays the faults of a plan at their times; on the loop's thread. */
+final class FaultInjector {
+    private final FleetPlan plan;
+    private final RealTimeLoop loop;
+    private final RunClock clock;
+    private final RunRecorder recorder;
+    private final ManagerController managers;
+    private final EngineFaults engines;
+    private final NetworkLinks links;
+    private final LoadGenerator generator;
+
+    FaultInjector(
+            FleetPlan plan,
+            RealTimeLoop loop,
+            RunClock clock,
+            RunRecorder recorder,
+            ManagerController managers,
+            EngineFaults engines,
+            NetworkLinks links,
+            LoadGenerator generator) {
+        this.plan = plan;
+        this.loop = loop;
+        this.clock = clock;
+        this.recorder = recorder;
+        this.managers = managers;
+        this.engines = engines;
+        this.links = links;
+        this.generator = generator;
+    }
+
+    /** Schedules all faults; each draws from a random stream of its own. */
+    void scheduleAll(RandomStreams randomStreams) {
+        int number = 0;
+        for (Fault fault : plan.faults()) {
+            RandomGenerator random = randomStreams.of("fault", number++);
+            loop.events().in(fault.at(), () -> inject(fault, random));
+        }
+    }
+
+    private void inject(Fault fault, RandomGenerator random) {
+        List<Integer> affected = fault.who() == null ? List.of() : fault.who().among(plan, random);
+        recorder.writeEvent(
+                clock.elapsed(),
+                "fault",
+                "kind",
+                recordedKind(fault),
+                "who",
+                fault.who() == null ? "clients" : fault.who() + " " + affected,
+                "to",
+                String.valueOf(fault.to()),
+                "length_ms",
+                fault.length() / 10);
+        switch (fault.kind()) {
+            case KILL -> repeat(fault, affected, m -> managers.kill(m, random));
+            case STOP -> repeat(fault, affected, m -> managers.stop(m, random));
+            case PAUSE -> repeat(fault, affected, m -> managers.pause(m, fault.length()));
+            case RELOAD -> repeat(fault, affected, m -> managers.signal(m, "HUP"));
+            case DIE -> affected.forEach(e -> engines.die(e, fault.length(), random));
+            case SILENCE -> affected.forEach(e -> engines.silence(e, fault.length(), random));
+            case HANG -> affected.forEach(e -> engines.hang(e, fault.length()));
+            case DRAIN -> affected.forEach(e -> engines.drain(e, fault.length(), random));
+            case CUT -> onLinks(fault, random, (link, active) -> link.setCut(active));
+            case LOSS ->
+                    onLinks(
+                            fault,
+                            random,
+                            (link, active) -> link.setLoss(active ? fault.size() : 0));
+            case DELAY ->
+                    onLinks(
+                            fault,
+                            random,
+                            (link, active) ->
+                                    link.setDelay(active ? Math.round(fault.size() * 10) : 0));
+            case TRAFFIC -> {
+                generator.setTrafficFactor(fault.size());
+                loop.events().in(fault.length(), () -> generator.setTrafficFactor(1));
+            }
+        }
+    }
+
+    private static String recordedKind(Fault fault) {
+        return fault.kind().name().toLowerCase(Locale.ROOT);
+    }
+
+    /** All at once; with an interval one after another, round and round until the plan's end. */
+    private void repeat(Fault fault, List<Integer> affected, IntConsumer action) {
+        if (fault.every() <= 0) {
+            affected.forEach(action::accept);
+        } else {
+            applyToNext(fault, affected, action, 0);
+        }
+    }
+
+    private void applyToNext(
+            Fault fault, List<Integer> affected, IntConsumer action, int repetition) {
+        if (clock.elapsed() < plan.length()) {
+            action.accept(affected.get(repetition % affected.size()));
+            loop.events()
+                    .in(fault.every(), () -> applyToNext(fault, affected, action, repetition + 1));
+        }
+    }
+
+    /** Sets a fault on links, repairs it after its length, and repeats it at its interval. */
+    private void onLinks(
+            Fault fault, RandomGenerator random, BiConsumer<LinkFaults, Boolean> setActive) {
+        List<Integer> from = fault.who().among(plan, random);
+        List<Integer> to = fault.to().among(plan, random);
+        links.forEach(fault, from, to, link -> setActive.accept(link, true));
+        loop.events()
+                .in(
+                        fault.length(),
+                        () -> {
+                            links.forEach(fault, from, to, link -> setActive.accept(link, false));
+                            recorder.writeEvent(
+                                    clock.elapsed(), "healed", "kind", recordedKind(fault));
+                            if (fault.every() > 0
+                                    && clock.elapsed() + fault.every() < plan.length()) {
+                                loop.events()
+                                        .in(fault.every(), () -> onLinks(fault, random, setActive));
+                            }
+                        });
+    }
+}
--- a/src/main/java/firstage/faulttest/ManagerConfigWriter.java
+++ b/src/main/java/firstage/faulttest/ManagerConfigWriter.java
@@ -20,27 +20,28 @@
  * peers.
  */
 public final class ManagerConfigWriter {
-    private static final double SECOND = 10_000;
+    private static final double TICKS_PER_SECOND = 10_000;
 
     private ManagerConfigWriter() {}
 
-    static String engineId(int e) {
-        return String.format(Locale.ROOT, "s-%08x", e + 1);
+    static String engineId(int engine) {
+        return String.format(Locale.ROOT, "s-%08x", engine + 1);
     }
 
     /** Its configuration; the seed differs by manager and run. */
-    static void config(Path file, FleetPlan plan, LoopbackAddresses at, int m, long seed)
+    static void writeConfig(
+            Path file, FleetPlan plan, LoopbackAddresses addresses, int manager, long seed)
             throws IOException {
-        config(
+        writeConfig(
                 file,
                 plan,
-                new Place(
-                        "m" + m,
-                        at.manager(m),
-                        at.coordinator(m),
-                        m,
-                        plan.zoneOf(m),
-                        e -> at.engineFrom(m, e)),
+                new ManagerPlace(
+                        "m" + manager,
+                        addresses.manager(manager),
+                        addresses.coordinator(manager),
+                        manager,
+                        plan.zoneOf(manager),
+                        engine -> addresses.engineSeenBy(manager, engine)),
                 seed);
     }
 
@@ -48,42 +49,45 @@
      * A manager's: its name, where it listens, whom it asks for the list (nobody where null), its
      * number, its zone, and where it reaches each engine.
      */
-    public record Place(
+    public record ManagerPlace(
             String name,
-            InetSocketAddress listen,
-            InetSocketAddress coordinator,
+            InetSocketAddress listenAddress,
+            InetSocketAddress coordinatorAddress,
             int rank,
             int zone,
-            IntFunction<InetSocketAddress> engine) {}
+            IntFunction<InetSocketAddress> engineAddress) {}
 
     /** The configuration of a manager at this place. */
-    public static void config(Path file, FleetPlan plan, Place of, long seed) throws IOException {
-        config(file, plan, of, seed, 1_024);
+    public static void writeConfig(Path file, FleetPlan plan, ManagerPlace place, long seed)
+            throws IOException {
+        writeConfig(file, plan, place, seed, 1_024);
     }
 
     /** The same; {@code sockets}: the limit that it is told. */
-    public static void config(Path file, FleetPlan plan, Place of, long seed, int sockets)
+    public static void writeConfig(
+            Path file, FleetPlan plan, ManagerPlace place, long seed, int sockets)
             throws IOException {
         try (JsonGenerator out = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
             out.writeStartObject();
-            out.writeStringField("name", of.name);
-            out.writeStringField("listen", LoopbackAddresses.text(of.listen));
+            out.writeStringField("name", place.name);
+            out.writeStringField("listen", LoopbackAddresses.hostPort(place.listenAddress));
             out.writeStringField("seed", Long.toHexString(seed));
             out.writeObjectFieldStart("limits");
             out.writeNumberField("memory_mb", 192);
             out.writeNumberField("sockets", sockets);
             out.writeEndObject();
-            if (of.coordinator != null) {
-                out.writeStringField("coordinator", LoopbackAddresses.text(of.coordinator));
+            if (place.coordinatorAddress != null) {
+                out.writeStringField(
+                        "coordinator", LoopbackAddresses.hostPort(place.coordinatorAddress));
             }
-            known(out, plan, of.engine);
-            settings(out, plan, of.rank, of.zone);
+            writeEndpoints(out, plan, place.engineAddress);
+            writeSettings(out, plan, place.rank, place.zone);
             out.writeEndObject();
         }
     }
 
-    private static void known(
-            JsonGenerator out, FleetPlan plan, IntFunction<InetSocketAddress> engine)
+    private static void writeEndpoints(
+            JsonGenerator out, FleetPlan plan, IntFunction<InetSocketAddress> engineAddress)
             throws IOException {
         out.writeObjectFieldStart("known");
         out.writeNumberField("index", 1);
@@ -97,7 +101,7 @@
         for (int e = 0; e < plan.engines().count(); e++) {
             out.writeStartObject();
             out.writeStringField("instanceId", engineId(e));
-            out.writeStringField("hostPort", LoopbackAddresses.text(engine.apply(e)));
+            out.writeStringField("hostPort", LoopbackAddresses.hostPort(engineAddress.apply(e)));
             out.writeStringField("zone", plan.zones().get(plan.zoneOf(e)));
             out.writeStringField("machineType", "std");
             out.writeNumberField("cell", 0);
@@ -113,49 +117,50 @@
         out.writeEndObject();
     }
 
-    private static void array(JsonGenerator out, String name, List<?> values) throws IOException {
+    private static void writeArray(JsonGenerator out, String name, List<?> values)
+            throws IOException {
         out.writeArrayFieldStart(name);
-        for (Object v : values) {
-            out.writeRawValue(v instanceof String s ? "\"" + s + "\"" : v.toString());
+        for (Object value : values) {
+            out.writeRawValue(value instanceof String s ? "\"" + s + "\"" : value.toString());
         }
         out.writeEndArray();
     }
 
-    private static void settings(JsonGenerator out, FleetPlan plan, int m, int zone)
+    private static void writeSettings(JsonGenerator out, FleetPlan plan, int manager, int zone)
             throws IOException {
         out.writeObjectFieldStart("settings");
-        array(out, "areas", plan.zones());
-        array(out, "kinds", List.of("std"));
+        writeArray(out, "areas", plan.zones());
+        writeArray(out, "kinds", List.of("std"));
         out.writeNumberField("group_size", plan.managers().of());
-        out.writeNumberField("rank", m);
+        out.writeNumberField("rank", manager);
         out.writeNumberField("zone", zone);
         out.writeArrayFieldStart("classes");
-        for (FleetPlan.Group g : plan.groups()) {
+        for (FleetPlan.Group trafficClass : plan.groups()) {
             out.writeStartObject();
-            out.writeStringField("name", g.name());
+            out.writeStringField("name", trafficClass.name());
             out.writeStringField(
                     "effect",
-                    switch (g.effect()) {
+                    switch (trafficClass.effect()) {
                         case IDEMPOTENT -> "retryable";
                         case IDEMPOTENT_WITH_KEY -> "dedup";
                         case NON_IDEMPOTENT -> "fragile";
                     });
-            out.writeStringField("group", g.scope().name().toLowerCase(Locale.ROOT));
-            out.writeNumberField("target", g.goal() / SECOND);
-            out.writeNumberField("aim_stretch", g.stretch());
-            out.writeNumberField("deadline", g.limit() / SECOND);
-            out.writeNumberField("worth", g.utility());
-            out.writeNumberField("late_value", g.lateValue());
-            out.writeNumberField("window", g.window() / SECOND);
-            out.writeBooleanField("by_arrival", g.ordered());
+            out.writeStringField("group", trafficClass.scope().name().toLowerCase(Locale.ROOT));
+            out.writeNumberField("target", trafficClass.goal() / TICKS_PER_SECOND);
+            out.writeNumberField("aim_stretch", trafficClass.stretch());
+            out.writeNumberField("deadline", trafficClass.limit() / TICKS_PER_SECOND);
+            out.writeNumberField("worth", trafficClass.utility());
+            out.writeNumberField("late_value", trafficClass.lateValue());
+            out.writeNumberField("window", trafficClass.window() / TICKS_PER_SECOND);
+            out.writeBooleanField("by_arrival", trafficClass.ordered());
             out.writeEndObject();
         }
         out.writeEndArray();
         out.writeArrayFieldStart("tenants");
         double shares = plan.customers().stream().mapToDouble(FleetPlan.Customer::share).sum();
-        for (FleetPlan.Customer c : plan.customers()) {
+        for (FleetPlan.Customer tenant : plan.customers()) {
             out.writeStartObject();
-            out.writeStringField("name", c.name());
+            out.writeStringField("name", tenant.name());
             out.writeNumberField(
                     "quota_per_s",
                     plan.customers().size() < 2
@@ -163,21 +168,24 @@
                             : plan.traffic().rate()
                                     * plan.managers().of()
                                     / plan.managers().count()
-                                    * c.share()
+                                    * tenant.share()
                                     / shares);
             out.writeEndObject();
         }
         out.writeEndArray();
-        FleetPlan.Engines e = plan.engines();
+        FleetPlan.Engines engine = plan.engines();
         out.writeObjectFieldStart("family_info");
-        array(out, "dop", plan.groups().stream().map(FleetPlan.Group::threads).toList());
-        array(out, "class_load", plan.groups().stream().map(FleetPlan.Group::load).toList());
-        array(out, "yields_to_loads", plan.groups().stream().map(FleetPlan.Group::yields).toList());
-        array(out, "kind_cores", List.of(e.cores()));
-        array(out, "size_mb", List.of(e.memoryMb()));
-        out.writeBooleanField("takes_grants", e.grants());
-        out.writeBooleanField("lanes_count", e.priorities());
-        out.writeNumberField("progress_pace", e.notePace() / SECOND);
+        writeArray(out, "dop", plan.groups().stream().map(FleetPlan.Group::threads).toList());
+        writeArray(out, "class_load", plan.groups().stream().map(FleetPlan.Group::load).toList());
+        writeArray(
+                out,
+                "yields_to_loads",
+                plan.groups().stream().map(FleetPlan.Group::yields).toList());
+        writeArray(out, "kind_cores", List.of(engine.cores()));
+        writeArray(out, "size_mb", List.of(engine.memoryMb()));
+        out.writeBooleanField("takes_grants", engine.grants());
+        out.writeBooleanField("lanes_count", engine.priorities());
+        out.writeNumberField("progress_pace", engine.notePace() / TICKS_PER_SECOND);
         out.writeNumberField("largest_share", 0.4);
         out.writeEndObject();
         FleetPlan.Managers managers = plan.managers();
@@ -196,56 +204,71 @@
         out.writeNumberField("cross_zone", plan.zones().size() > 1 ? 0.045 : 0);
         out.writeEndObject();
         out.writeObjectFieldStart("rules");
-        out.writeNumberField("drain_grace", plan.rules().drainGrace() / SECOND);
-        out.writeNumberField("cold_from", e.coldFrom());
-        out.writeNumberField("ramp_time", e.warmAfter().high() / SECOND);
+        out.writeNumberField("drain_grace", plan.rules().drainGrace() / TICKS_PER_SECOND);
+        out.writeNumberField("cold_from", engine.coldFrom());
+        out.writeNumberField("ramp_time", engine.warmAfter().high() / TICKS_PER_SECOND);
         out.writeNumberField("tip_multiple", plan.rules().tipMultiple());
-        out.writeNumberField("fall", plan.rules().fall() / SECOND);
-        out.writeNumberField("key_quiet", plan.rules().keyRest() / SECOND);
+        out.writeNumberField("fall", plan.rules().fall() / TICKS_PER_SECOND);
+        out.writeNumberField("key_quiet", plan.rules().keyRest() / TICKS_PER_SECOND);
         out.writeEndObject();
         out.writeEndObject();
     }
 
     /** Its peers, each at the address at which this one reaches it. */
-    static void peers(Path file, FleetPlan plan, LoopbackAddresses at, int m) throws IOException {
+    static void writePeers(Path file, FleetPlan plan, LoopbackAddresses addresses, int manager)
+            throws IOException {
         List<String> lines = new ArrayList<>();
         lines.add("fleet = \"" + plan.name() + "\"");
-        lines.add("name = \"m" + m + "\"");
-        lines.add("listen = \"" + LoopbackAddresses.text(at.mail(m)) + "\"");
+        lines.add("name = \"m" + manager + "\"");
+        lines.add("listen = \"" + LoopbackAddresses.hostPort(addresses.gossip(manager)) + "\"");
         lines.add("probe = \"200 ms\"");
         CellPlan cells = plan.cells();
         if (cells != null) {
             lines.addAll(List.of("plan = " + cells.number(), "spread = " + cells.spread()));
-            for (CellPlan.Cell c : cells.cells()) {
+            for (CellPlan.Cell cell : cells.cells()) {
                 lines.addAll(
                         List.of(
                                 "",
                                 "[[cell]]",
-                                "name = \"" + c.name() + "\"",
-                                "zone = \"" + c.zone() + "\"",
-                                "hosts = [" + hosts(plan, at, m, cells.indexOf(c.name())) + "]"));
+                                "name = \"" + cell.name() + "\"",
+                                "zone = \"" + cell.zone() + "\"",
+                                "hosts = ["
+                                        + hostList(
+                                                plan,
+                                                addresses,
+                                                manager,
+                                                cells.indexOf(cell.name()))
+                                        + "]"));
             }
             Files.write(file, lines);
             return;
         }
-        lines.add("zone = \"" + plan.zones().get(plan.zoneOf(m)) + "\"");
-        for (int p = 0; p < plan.managers().count(); p++) {
-            if (p != m) {
+        lines.add("zone = \"" + plan.zones().get(plan.zoneOf(manager)) + "\"");
+        for (int peer = 0; peer < plan.managers().count(); peer++) {
+            if (peer != manager) {
                 lines.add("");
                 lines.add("[[peer]]");
-                lines.add("name = \"m" + p + "\"");
-                lines.add("address = \"" + LoopbackAddresses.text(at.peerFrom(m, p)) + "\"");
+                lines.add("name = \"m" + peer + "\"");
+                lines.add(
+                        "address = \""
+                                + LoopbackAddresses.hostPort(addresses.peerSeenBy(manager, peer))
+                                + "\"");
             }
         }
         Files.write(file, lines);
     }
 
     /** The managers of a cell, each at the address at which this one reaches it. */
-    private static String hosts(FleetPlan plan, LoopbackAddresses at, int m, int cell) {
+    private static String hostList(
+            FleetPlan plan, LoopbackAddresses addresses, int manager, int cell) {
         return IntStream.range(0, plan.managers().count())
-                .filter(p -> plan.cellOf(p) == cell)
-                .mapToObj(p -> p == m ? at.mail(m) : at.peerFrom(m, p))
-                .map(address -> "\"" + LoopbackAddresses.text(address) + "\"")
+                .filter(peer -> plan.cellOf(peer) == cell)
+                .mapToObj(
+                        peer ->
+                                peer == manager
+                                        ? addresses.gossip(manager)
+                                        : addresses.peerSeenBy(manager, peer))
+                .map(address -> "\"" + LoopbackAddresses.hostPort(address) + "\"")
                 .collect(Collectors.joining(", "));
     }
 }
--- /dev/null
+++ b/src/main/java/firstage/faulttest/ManagerController.java
@@ -0,0 +1,200 @@
+package firstage.faulttest;
+
+import firstage.emulator.LoadGenerator;
+import firstage.emulator.RealTimeLoop;
+import firstage.simulation.FleetPlan;
+import firstage.util.Ticks;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.Executor;
+import java.util.random.RandomGenerator;
+
+/**
+ * Kills, stops, pauses, restarts and ends the managers' processes, and keeps apart the ends that
+ * were ordered from those that were not.
+ */
+final class ManagerController {
+    private static final long SHUTDOWN_TIMEOUT_MS = 8_000;
+    private static final long GRACEFUL_STOP_TIMEOUT_MS = 30_000;
+
+    /** From SIGTERM until the clients' load balancer begins to notice that the manager leaves. */
+    private static final long STOP_ANNOUNCED_AFTER = Ticks.ofMillis(300);
+
+    private final FleetPlan plan;
+    private final boolean withPeers;
+    private final LoopbackAddresses addresses;
+    private final RealTimeLoop loop;
+    private final RunClock clock;
+    private final RunRecorder recorder;
+    private final ManagerProcesses processes;
+    private final LoadGenerator generator;
+    private final Executor blockingTasks;
+    private final boolean[] endExpected;
+    private final List<String> unexpectedEnds = new ArrayList<>();
+
+    /** {@code blockingTasks} runs what waits for a process. */
+    ManagerController(
+            FaultTestSpec spec,
+            LoopbackAddresses addresses,
+            RealTimeLoop loop,
+            RunClock clock,
+            RunRecorder recorder,
+            ManagerProcesses processes,
+            LoadGenerator generator,
+            Executor blockingTasks) {
+        plan = spec.plan();
+        withPeers = spec.withPeers();
+        this.addresses = addresses;
+        this.loop = loop;
+        this.clock = clock;
+        this.recorder = recorder;
+        this.processes = processes;
+        this.generator = generator;
+        this.blockingTasks = blockingTasks;
+        endExpected = new boolean[plan.managers().count()];
+    }
+
+    /** Notices processes that ended without an order. */
+    void checkProcesses() {
+        for (int m = 0; m < endExpected.length; m++) {
+            if (!processes.isAlive(m) && !endExpected[m]) {
+                endExpected[m] = true;
+                unexpectedEnds.add(
+                        "manager "
+                                + m
+                                + " ended by itself at "
+                                + clock.elapsed() / 10
+                                + " ms with "
+                                + processes.exitStatus(m));
+                int manager = m;
+                loop.execute(() -> generator.onManagerKilled(manager));
+            }
+        }
+    }
+
+    /** Sends TERM, HUP, STOP or CONT to a manager. */
+    void signal(int manager, String name) {
+        try {
+            processes.signal(manager, name);
+            recorder.writeEvent(clock.elapsed(), "signal", "manager", manager, "name", name);
+        } catch (IOException failure) {
+            unexpectedEnds.add(
+                    "no signal " + name + " for manager " + manager + ": " + failure.getMessage());
+        }
+    }
+
+    /** Stops a manager's process for {@code ticks} without ending it. */
+    void pause(int manager, long ticks) {
+        signal(manager, "STOP");
+        generator.onManagerPaused(manager, loop.events().now() + ticks);
+        loop.events().in(ticks, () -> signal(manager, "CONT"));
+    }
+
+    /** Kills a manager and restarts it after the plan's restart time. */
+    void kill(int manager, RandomGenerator random) {
+        if (processes.isAlive(manager)) {
+            endExpected[manager] = true;
+            processes.kill(manager);
+            generator.onManagerKilled(manager);
+            recorder.writeEvent(clock.elapsed(), "killed", "manager", manager);
+            restartLater(manager, random);
+        }
+    }
+
+    /** Shuts a manager down by SIGTERM and restarts it after the plan's restart time. */
+    void stop(int manager, RandomGenerator random) {
+        if (processes.isAlive(manager)) {
+            endExpected[manager] = true;
+            signal(manager, "TERM");
+            loop.events()
+                    .in(
+                            STOP_ANNOUNCED_AFTER,
+                            () -> generator.onManagerStateChanged(manager, false));
+            blockingTasks.execute(
+                    () -> {
+                        boolean ended = processes.awaitExit(manager, GRACEFUL_STOP_TIMEOUT_MS);
+                        loop.execute(() -> onStopped(manager, ended, random));
+                    });
+        }
+    }
+
+    private void onStopped(int manager, boolean ended, RandomGenerator random) {
+        if (!ended || processes.exitStatus(manager) != 0) {
+            unexpectedEnds.add(
+                    "manager "
+                            + manager
+                            + " did not end well after SIGTERM: "
+                            + (ended
+                                    ? "status " + processes.exitStatus(manager)
+                                    : "still there after 30 s"));
+        }
+        recorder.writeEvent(clock.elapsed(), "ended", "manager", manager);
+        restartLater(manager, random);
+    }
+
+    private void restartLater(int manager, RandomGenerator random) {
+        loop.events()
+                .in(
+                        plan.managers().restart().drawTime(random),
+                        () -> blockingTasks.execute(() -> restart(manager)));
+    }
+
+    private void restart(int manager) {
+        try {
+            processes.start(manager, withPeers);
+            processes.awaitReady(manager, addresses.manager(manager));
+            loop.execute(() -> onRestarted(manager));
+        } catch (IOException failure) {
+            loop.execute(() -> unexpectedEnds.add(failure.getMessage()));
+        }
+    }
+
+    private void onRestarted(int manager) {
+        endExpected[manager] = false;
+        generator.onManagerStateChanged(manager, true);
+        recorder.writeEvent(
+                clock.elapsed(),
+                "serves",
+                "manager",
+                manager,
+                "life",
+                processes.incarnation(manager));
+    }
+
+    /** Ends all managers by SIGTERM and returns the processor time that they used, s. */
+    double shutDownAll() throws IOException {
+        double processorSeconds = 0;
+        for (int m = 0; m < endExpected.length; m++) {
+            processorSeconds += processes.processorSeconds(m);
+            endExpected[m] = true;
+            processes.signal(m, "CONT");
+            processes.signal(m, "TERM");
+        }
+        long deadlineNs = System.nanoTime() + SHUTDOWN_TIMEOUT_MS * 1_000_000;
+        for (int m = 0; m < endExpected.length; m++) {
+            long remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000;
+            if (!processes.awaitExit(m, Math.max(1, remainingMs))) {
+                unexpectedEnds.add(
+                        "manager "
+                                + m
+                                + " had not ended "
+                                + SHUTDOWN_TIMEOUT_MS
+                                + " ms after SIGTERM");
+            } else if (processes.exitStatus(m) != 0) {
+                unexpectedEnds.add(
+                        "manager "
+                                + m
+                                + " ended with "
+                                + processes.exitStatus(m)
+                                + " after SIGTERM");
+            }
+        }
+        return processorSeconds;
+    }
+
+    /** Processes that ended otherwise than ordered, and orders that failed. */
+    List<String> unexpectedEnds() {
+        return unexpectedEnds;
+    }
+}
--- a/src/main/java/firstage/faulttest/ManagerProcesses.java
+++ b/src/main/java/firstage/faulttest/ManagerProcesses.java
@@ -18,25 +18,25 @@
  * interrupted.
  */
 public final class ManagerProcesses implements AutoCloseable {
-    private static final int READY_MS = 20_000;
-    private static final int LAST_LINES = 8;
+    private static final int READY_TIMEOUT_MS = 20_000;
+    private static final int LOG_LINES_SHOWN = 8;
     private final List<Process> processes = new ArrayList<>();
-    private final List<Integer> lives = new ArrayList<>();
+    private final List<Integer> incarnations = new ArrayList<>();
     private final Path folder;
-    private final Path held;
+    private final Path processListFile;
     private final List<String> command;
-    private final Thread hook = new Thread(this::endAll, "end of the yard");
+    private final Thread shutdownHook = new Thread(this::endAll, "end of the yard");
 
     /** {@code command}: what starts a manager; its configuration is named by the environment. */
-    public ManagerProcesses(Path folder, Path held, List<String> command, int count) {
+    public ManagerProcesses(Path folder, Path processListFile, List<String> command, int count) {
         this.folder = folder;
-        this.held = held;
+        this.processListFile = processListFile;
         this.command = command;
-        for (int m = 0; m < count; m++) {
+        for (int manager = 0; manager < count; manager++) {
             processes.add(null);
-            lives.add(0);
+            incarnations.add(0);
         }
-        Runtime.getRuntime().addShutdownHook(hook);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     /**
@@ -57,146 +57,152 @@
         return words;
     }
 
-    public static Path config(Path folder, int m) {
-        return folder.resolve("m" + m + ".json");
+    public static Path configFile(Path folder, int manager) {
+        return folder.resolve("m" + manager + ".json");
     }
 
-    public static Path peers(Path folder, int m) {
-        return folder.resolve("m" + m + ".peers.toml");
+    public static Path peersFile(Path folder, int manager) {
+        return folder.resolve("m" + manager + ".peers.toml");
     }
 
     /** Where yards note whom they started. */
-    public static Path notes() {
+    public static Path processListFolder() {
         return Path.of(System.getProperty("java.io.tmpdir"), "firstage-yards");
     }
 
-    public void start(int m, boolean peers) throws IOException {
-        Files.createDirectories(log(m).getParent());
+    public void start(int manager, boolean peers) throws IOException {
+        Files.createDirectories(logFile(manager).getParent());
         List<String> words = new ArrayList<>(command);
         if (peers) {
-            words.addAll(List.of("--peers", peers(folder, m).toString()));
+            words.addAll(List.of("--peers", peersFile(folder, manager).toString()));
         }
         ProcessBuilder builder = new ProcessBuilder(words);
-        builder.environment().put("ROUTER_CONFIG", config(folder, m).toString());
+        builder.environment().put("ROUTER_CONFIG", configFile(folder, manager).toString());
         processes.set(
-                m,
+                manager,
                 builder.redirectErrorStream(true)
-                        .redirectOutput(ProcessBuilder.Redirect.appendTo(log(m).toFile()))
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile(manager).toFile()))
                         .start());
-        lives.set(m, lives.get(m) + 1);
-        note();
+        incarnations.set(manager, incarnations.get(manager) + 1);
+        writeProcessList();
     }
 
     /** Who is to be ended, for a yard that finds this one killed. */
-    private synchronized void note() throws IOException {
+    private synchronized void writeProcessList() throws IOException {
         List<String> lines = new ArrayList<>();
         lines.add(
                 String.valueOf(ProcessHandle.current().pid())
                         + " "
-                        + started(ProcessHandle.current()));
-        for (Process p : processes) {
-            if (p != null && p.isAlive()) {
-                lines.add(p.pid() + " " + started(p.toHandle()));
+                        + startTimeMs(ProcessHandle.current()));
+        for (Process process : processes) {
+            if (process != null && process.isAlive()) {
+                lines.add(process.pid() + " " + startTimeMs(process.toHandle()));
             }
         }
-        Files.createDirectories(held.getParent());
-        Files.write(held, lines);
+        Files.createDirectories(processListFile.getParent());
+        Files.write(processListFile, lines);
     }
 
-    private static long started(ProcessHandle p) {
-        return p.info().startInstant().map(Instant::toEpochMilli).orElse(0L);
+    private static long startTimeMs(ProcessHandle process) {
+        return process.info().startInstant().map(Instant::toEpochMilli).orElse(0L);
     }
 
     /**
      * Ends what yards that were killed left behind, and says so; ids that are somebody else's now
      * are left alone.
      */
-    static List<String> sweep(Path notes) throws IOException {
-        List<String> found = new ArrayList<>();
-        if (!Files.isDirectory(notes)) {
-            return found;
+    static List<String> endOrphans(Path processListFolder) throws IOException {
+        List<String> ended = new ArrayList<>();
+        if (!Files.isDirectory(processListFolder)) {
+            return ended;
         }
-        List<Path> all;
-        try (var listed = Files.list(notes)) {
-            all = listed.filter(p -> p.getFileName().toString().endsWith(".held")).toList();
+        List<Path> listFiles;
+        try (var listed = Files.list(processListFolder)) {
+            listFiles =
+                    listed.filter(file -> file.getFileName().toString().endsWith(".held")).toList();
         }
-        for (Path each : all) {
+        for (Path listFile : listFiles) {
             List<ProcessHandle> alive =
-                    Files.readAllLines(each).stream()
-                            .map(ManagerProcesses::find)
+                    Files.readAllLines(listFile).stream()
+                            .map(ManagerProcesses::findLive)
                             .flatMap(Optional::stream)
                             .toList();
-            List<String> lines = Files.readAllLines(each);
-            if (!lines.isEmpty() && find(lines.get(0)).isPresent()) {
+            List<String> lines = Files.readAllLines(listFile);
+            if (!lines.isEmpty() && findLive(lines.get(0)).isPresent()) {
                 continue;
             }
-            for (ProcessHandle p : alive) {
-                found.add("ended process " + p.pid() + ", left by a yard that was killed");
-                p.destroyForcibly();
+            for (ProcessHandle process : alive) {
+                ended.add("ended process " + process.pid() + ", left by a yard that was killed");
+                process.destroyForcibly();
             }
-            Files.deleteIfExists(each);
+            Files.deleteIfExists(listFile);
         }
-        return found;
+        return ended;
     }
 
-    private static Optional<ProcessHandle> find(String line) {
+    private static Optional<ProcessHandle> findLive(String line) {
         String[] words = line.split(" ");
         return ProcessHandle.of(Long.parseLong(words[0]))
-                .filter(p -> p.isAlive() && started(p) == Long.parseLong(words[1]));
+                .filter(
+                        process ->
+                                process.isAlive()
+                                        && startTimeMs(process) == Long.parseLong(words[1]));
     }
 
     /** Waits until it serves; the message of the exception has its last words. */
-    public void awaitReady(int m, InetSocketAddress at) throws IOException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
+    public void awaitReady(int manager, InetSocketAddress address) throws IOException {
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
         while (true) {
-            if (!processes.get(m).isAlive()) {
+            if (!processes.get(manager).isAlive()) {
                 throw new IOException(
                         "manager "
-                                + m
+                                + manager
                                 + " ended at its start with "
-                                + processes.get(m).exitValue()
+                                + processes.get(manager).exitValue()
                                 + ": "
-                                + lastWords(m));
+                                + lastLogLines(manager));
             }
-            if (isReady(at)) {
+            if (isReady(address)) {
                 return;
             }
-            if (System.nanoTime() > until) {
+            if (System.nanoTime() > deadlineNs) {
                 throw new IOException(
                         "manager "
-                                + m
+                                + manager
                                 + " did not serve within "
-                                + READY_MS
+                                + READY_TIMEOUT_MS
                                 + " ms: "
-                                + lastWords(m));
+                                + lastLogLines(manager));
             }
             pause(20);
         }
     }
 
-    static boolean isReady(InetSocketAddress at) {
+    static boolean isReady(InetSocketAddress address) {
         try {
-            HttpURLConnection c =
+            HttpURLConnection connection =
                     (HttpURLConnection)
-                            URI.create("http://" + LoopbackAddresses.text(at) + "/alive")
+                            URI.create("http://" + LoopbackAddresses.hostPort(address) + "/alive")
                                     .toURL()
                                     .openConnection();
-            c.setConnectTimeout(200);
-            c.setReadTimeout(500);
-            boolean ready = c.getResponseCode() == 200;
-            c.disconnect();
+            connection.setConnectTimeout(200);
+            connection.setReadTimeout(500);
+            boolean ready = connection.getResponseCode() == 200;
+            connection.disconnect();
             return ready;
         } catch (IOException notYet) {
             return false;
         }
     }
 
-    private String lastWords(int m) throws IOException {
-        List<String> lines = Files.exists(log(m)) ? Files.readAllLines(log(m)) : List.of();
+    private String lastLogLines(int manager) throws IOException {
+        List<String> lines =
+                Files.exists(logFile(manager)) ? Files.readAllLines(logFile(manager)) : List.of();
         return lines.isEmpty()
                 ? "it said nothing"
                 : String.join(
-                        " | ", lines.subList(Math.max(0, lines.size() - LAST_LINES), lines.size()));
+                        " | ",
+                        lines.subList(Math.max(0, lines.size() - LOG_LINES_SHOWN), lines.size()));
     }
 
     private static void pause(long ms) {
@@ -207,68 +213,69 @@
         }
     }
 
-    boolean lives(int m) {
-        return processes.get(m) != null && processes.get(m).isAlive();
+    boolean isAlive(int manager) {
+        return processes.get(manager) != null && processes.get(manager).isAlive();
     }
 
     /** How often it was started. */
-    int life(int m) {
-        return lives.get(m);
+    int incarnation(int manager) {
+        return incarnations.get(manager);
     }
 
-    void kill(int m) {
-        processes.get(m).destroyForcibly();
+    void kill(int manager) {
+        processes.get(manager).destroyForcibly();
     }
 
     /** KILL aside: TERM, HUP, STOP, CONT. */
-    public void signal(int m, String name) throws IOException {
-        if (lives(m)) {
-            new ProcessBuilder("kill", "-" + name, String.valueOf(processes.get(m).pid())).start();
+    public void signal(int manager, String name) throws IOException {
+        if (isAlive(manager)) {
+            new ProcessBuilder("kill", "-" + name, String.valueOf(processes.get(manager).pid()))
+                    .start();
         }
     }
 
     /** Ends by itself within this, or not. */
-    public boolean awaitEnd(int m, long ms) {
+    public boolean awaitExit(int manager, long ms) {
         try {
-            return processes.get(m).waitFor(ms, TimeUnit.MILLISECONDS);
+            return processes.get(manager).waitFor(ms, TimeUnit.MILLISECONDS);
         } catch (InterruptedException fault) {
             Thread.currentThread().interrupt();
             return false;
         }
     }
 
-    int exit(int m) {
-        return processes.get(m).exitValue();
+    int exitStatus(int manager) {
+        return processes.get(manager).exitValue();
     }
 
     /** The process of a manager's present life. */
-    public ProcessHandle handle(int m) {
-        return processes.get(m).toHandle();
+    public ProcessHandle handle(int manager) {
+        return processes.get(manager).toHandle();
     }
 
     /** Where a manager's words go. */
-    public Path log(int m) {
-        return folder.resolve("logs").resolve("m" + m + ".log");
+    public Path logFile(int manager) {
+        return folder.resolve("logs").resolve("m" + manager + ".log");
     }
 
     /** Processor time used by each life that runs, s; 0 where it is not told. */
-    double processorSeconds(int m) {
-        return lives(m)
+    double processorSeconds(int manager) {
+        return isAlive(manager)
                 ? processes
-                        .get(m)
+                        .get(manager)
                         .toHandle()
                         .info()
                         .totalCpuDuration()
-                        .map(d -> d.toMillis() / 1e3)
+                        .map(duration -> duration.toMillis() / 1e3)
                         .orElse(0.0)
                 : 0;
     }
 
     private void endAll() {
-        processes.stream().filter(p -> p != null).forEach(Process::destroyForcibly);
+        processes.stream().filter(process -> process != null).forEach(Process::destroyForcibly);
         try {
-            Files.deleteIfExists(held);
-        } catch (IOException left) {
+            Files.deleteIfExists(processListFile);
+        } catch (IOException ignored) {
             // The next yard finds the ids of nobody.
         }
     }
@@ -276,6 +283,6 @@
     @Override
     public void close() {
         endAll();
-        Runtime.getRuntime().removeShutdownHook(hook);
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
     }
 }
--- a/src/main/java/firstage/faulttest/OrphanedProcesses.java
+++ b/src/main/java/firstage/faulttest/OrphanedProcesses.java
@@ -8,7 +8,7 @@
     private OrphanedProcesses() {}
 
     /** Ends the processes that it had started, by id and time of start, and says which. */
-    public static List<String> sweep() throws IOException {
-        return ManagerProcesses.sweep(ManagerProcesses.notes());
+    public static List<String> endAll() throws IOException {
+        return ManagerProcesses.endOrphans(ManagerProcesses.processListFolder());
     }
 }
--- /dev/null
+++ b/src/main/java/firstage/faulttest/RunClock.java
@@ -0,0 +1,26 @@
+package firstage.faulttest;
+
+import firstage.emulator.RealTimeLoop;
+
+/** Time since a run's traffic began, in ticks; far below zero before that. */
+final class RunClock {
+    private final RealTimeLoop loop;
+    private long startedAt = Long.MAX_VALUE / 2;
+
+    RunClock(RealTimeLoop loop) {
+        this.loop = loop;
+    }
+
+    /** Traffic begins at this time of the loop. */
+    void start(long time) {
+        startedAt = time;
+    }
+
+    long startedAt() {
+        return startedAt;
+    }
+
+    long elapsed() {
+        return loop.now() - startedAt;
+    }
+}
--- /dev/null
+++ b/src/main/java/firstage/faulttest/RunObserver.java
@@ -0,0 +1,127 @@
+package firstage.faulttest;
+
+import firstage.emulator.EmulatedEngine;
+import firstage.emulator.LoadGenerator;
+import firstage.emulator.RealTimeLoop;
+import firstage.simulation.FleetPlan;
+import firstage.simulation.RuleChecker.Try;
+import firstage.simulation.TrueRequest;
+import firstage.util.Ticks;
+
+/** Records what clients and engines see: events, and sums by second. On the loop's thread. */
+final class RunObserver implements LoadGenerator.Observer, EmulatedEngine.Observer {
+    /** Data that a faulty link kept back arrives within this after the link is repaired. */
+    private static final long DELAYED_BY_LINK = Ticks.ofSeconds(2);
+
+    private final FleetPlan plan;
+    private final RealTimeLoop loop;
+    private final RunClock clock;
+    private final RunRecorder recorder;
+    private final NetworkLinks links;
+
+    RunObserver(
+            FleetPlan plan,
+            RealTimeLoop loop,
+            RunClock clock,
+            RunRecorder recorder,
+            NetworkLinks links) {
+        this.plan = plan;
+        this.loop = loop;
+        this.clock = clock;
+        this.recorder = recorder;
+        this.links = links;
+    }
+
+    @Override
+    public void onRequest(TrueRequest request, int manager) {
+        double priorityWeight = plan.groups().get(request.group).utility();
+        recorder.add(clock.elapsed(), "asked " + zoneName(manager), priorityWeight);
+        recorder.add(clock.elapsed(), "asked", priorityWeight);
+        recorder.writeEvent(
+                clock.elapsed(),
+                "asked",
+                "batch",
+                request.id,
+                "group",
+                plan.groups().get(request.group).name(),
+                "manager",
+                manager,
+                "key",
+                request.key);
+    }
+
+    @Override
+    public void onTry(Try clientTry) {
+        recorder.add(clock.elapsed(), "tries", 1);
+        recorder.add(clock.elapsed(), "client retries", clientTry.is.tries > 1 ? 1 : 0);
+        recorder.writeEvent(
+                clock.elapsed(),
+                "tried",
+                "batch",
+                clientTry.is.id,
+                "manager",
+                clientTry.manager,
+                "try",
+                clientTry.is.tries);
+    }
+
+    @Override
+    public void onTryEnded(Try clientTry, LoadGenerator.TryOutcome outcome) {
+        recorder.add(clock.elapsed(), outcome.recordedName(), 1);
+        recorder.writeEvent(
+                clock.elapsed(),
+                outcome.recordedName(),
+                "batch",
+                clientTry.is.id,
+                "manager",
+                clientTry.manager);
+        if (outcome == LoadGenerator.TryOutcome.SUCCEEDED && !clientTry.is.done) {
+            addEarned(clientTry);
+        }
+    }
+
+    /** Counts in the second of the request's arrival: the share of its weight that it earned. */
+    private void addEarned(Try clientTry) {
+        FleetPlan.Group trafficClass = plan.groups().get(clientTry.is.group);
+        boolean inTime =
+                loop.now() - clientTry.is.asked
+                        <= trafficClass.goal()
+                                + trafficClass.stretch()
+                                        * clientTry.is.work
+                                        / trafficClass.threads();
+        long requestedAt = clientTry.is.asked - clock.startedAt();
+        double earned = trafficClass.utility() * (inTime ? 1 : trafficClass.lateValue());
+        recorder.add(requestedAt, "earned " + zoneName(clientTry.manager), earned);
+        recorder.add(requestedAt, "earned", earned);
+    }
+
+    private String zoneName(int manager) {
+        return plan.zones().get(plan.zoneOf(manager));
+    }
+
+    @Override
+    public void onAttempt(Try clientTry, int engine, boolean retry) {
+        recorder.add(clock.elapsed(), retry ? "further dispatches" : "first dispatches", 1);
+        recorder.writeEvent(
+                clock.elapsed(),
+                "dispatched",
+                "batch",
+                clientTry.is.id,
+                "manager",
+                clientTry.manager,
+                "engine",
+                engine,
+                "further",
+                retry ? 1 : 0);
+    }
+
+    @Override
+    public boolean mayBeDelayed(int manager, int engine) {
+        return links.toEngineFaultyWithin(manager, engine, DELAYED_BY_LINK);
+    }
+
+    @Override
+    public void onProbe(int engine) {
+        recorder.add(clock.elapsed(), "probes", 1);
+    }
+}
--- a/src/main/java/firstage/faulttest/RunRecorder.java
+++ b/src/main/java/firstage/faulttest/RunRecorder.java
@@ -22,61 +22,68 @@
  * thread.
  */
 final class RunRecorder implements AutoCloseable {
-    private static final int WIDE = 1_000;
-    private static final int HIGH = 420;
+    /** When a fault lasted, in seconds since traffic began. */
+    record FaultInterval(double start, double end) {
+        boolean contains(int second) {
+            return second >= start && second < end;
+        }
+    }
+
+    private static final int CHART_WIDTH = 1_000;
+    private static final int CHART_HEIGHT = 420;
     private final Path folder;
-    private final Writer lines;
+    private final Writer timeline;
     private final JsonFactory json = new JsonFactory();
 
     /** By second and name. */
-    private final List<Map<String, Double>> seconds = new ArrayList<>();
+    private final List<Map<String, Double>> valuesBySecond = new ArrayList<>();
 
-    private final Map<String, Integer> names = new TreeMap<>();
+    private final Map<String, Integer> columnNames = new TreeMap<>();
     private final Map<String, Double> sums = new TreeMap<>();
 
     RunRecorder(Path folder) throws IOException {
         this.folder = folder;
         Files.createDirectories(folder);
-        lines = Files.newBufferedWriter(folder.resolve("timeline.jsonl"));
+        timeline = Files.newBufferedWriter(folder.resolve("timeline.jsonl"));
     }
 
     /**
      * One event; {@code at} in tenths of a millisecond since traffic began; pairs of name and
      * value.
      */
-    void event(long at, String what, Object... pairs) {
-        try (JsonGenerator out = json.createGenerator(lines)) {
+    void writeEvent(long time, String name, Object... pairs) {
+        try (JsonGenerator out = json.createGenerator(timeline)) {
             out.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
             out.writeStartObject();
-            out.writeNumberField("ms", at / 10.0);
-            out.writeStringField("what", what);
+            out.writeNumberField("ms", time / 10.0);
+            out.writeStringField("what", name);
             for (int i = 0; i < pairs.length; i += 2) {
                 out.writeFieldName((String) pairs[i]);
-                if (pairs[i + 1] instanceof Number n) {
+                if (pairs[i + 1] instanceof Number number) {
                     out.writeNumber(
-                            n.doubleValue() == n.longValue()
-                                    ? String.valueOf(n.longValue())
-                                    : n.toString());
+                            number.doubleValue() == number.longValue()
+                                    ? String.valueOf(number.longValue())
+                                    : number.toString());
                 } else {
                     out.writeString(String.valueOf(pairs[i + 1]));
                 }
             }
             out.writeEndObject();
             out.flush();
-            lines.write('\n');
+            timeline.write('\n');
         } catch (IOException fault) {
             throw new UncheckedIOException(fault);
         }
     }
 
     /** Adds to a second's figure and to its sum. */
-    void add(long at, String name, double amount) {
-        int second = (int) Math.max(0, at / 10_000);
-        while (seconds.size() <= second) {
-            seconds.add(new TreeMap<>());
+    void add(long time, String name, double amount) {
+        int second = (int) Math.max(0, time / 10_000);
+        while (valuesBySecond.size() <= second) {
+            valuesBySecond.add(new TreeMap<>());
         }
-        seconds.get(second).merge(name, amount, Double::sum);
-        names.putIfAbsent(name, names.size());
+        valuesBySecond.get(second).merge(name, amount, Double::sum);
+        columnNames.putIfAbsent(name, columnNames.size());
         sums.merge(name, amount, Double::sum);
     }
 
@@ -84,17 +91,22 @@
         return sums.getOrDefault(name, 0.0);
     }
 
-    double second(int second, String name) {
-        return second < seconds.size() ? seconds.get(second).getOrDefault(name, 0.0) : 0;
+    double valueInSecond(int second, String name) {
+        return second < valuesBySecond.size()
+                ? valuesBySecond.get(second).getOrDefault(name, 0.0)
+                : 0;
     }
 
     /** The table of seconds, and the charts; faults are shaded by a series of their own. */
-    void tables(String title, List<double[]> faults, List<String> zones) throws IOException {
-        List<String> rows = new ArrayList<>(List.of("second," + String.join(",", names.keySet())));
-        for (int s = 0; s < seconds.size(); s++) {
-            StringBuilder row = new StringBuilder(String.valueOf(s));
-            for (String name : names.keySet()) {
-                row.append(',').append(String.format(Locale.ROOT, "%.2f", second(s, name)));
+    void writeTables(String title, List<FaultInterval> faults, List<String> zones)
+            throws IOException {
+        List<String> rows =
+                new ArrayList<>(List.of("second," + String.join(",", columnNames.keySet())));
+        for (int second = 0; second < valuesBySecond.size(); second++) {
+            StringBuilder row = new StringBuilder(String.valueOf(second));
+            for (String name : columnNames.keySet()) {
+                row.append(',')
+                        .append(String.format(Locale.ROOT, "%.2f", valueInSecond(second, name)));
             }
             rows.add(row.toString());
         }
@@ -102,18 +114,22 @@
         System.setProperty("java.awt.headless", "true");
         XYChart served = chart(title, "share of utility");
         for (String zone : zones) {
-            series(
+            addSeries(
                     served,
                     zone,
-                    s ->
-                            second(s, "asked " + zone) == 0
+                    second ->
+                            valueInSecond(second, "asked " + zone) == 0
                                     ? Double.NaN
-                                    : second(s, "earned " + zone) / second(s, "asked " + zone));
+                                    : valueInSecond(second, "earned " + zone)
+                                            / valueInSecond(second, "asked " + zone));
         }
-        series(
+        addSeries(
                 served,
                 "fault",
-                s -> faults.stream().anyMatch(f -> s >= f[0] && s < f[1]) ? 0.02 : Double.NaN);
+                second ->
+                        faults.stream().anyMatch(fault -> fault.contains(second))
+                                ? 0.02
+                                : Double.NaN);
         BitmapEncoder.saveBitmap(
                 served, folder.resolve("served.png").toString(), BitmapEncoder.BitmapFormat.PNG);
         XYChart calls = chart(title, "a second");
@@ -125,7 +141,7 @@
                         "pushed-back",
                         "errored",
                         "client retries")) {
-            series(calls, name, s -> second(s, name));
+            addSeries(calls, name, second -> valueInSecond(second, name));
         }
         BitmapEncoder.saveBitmap(
                 calls, folder.resolve("calls.png").toString(), BitmapEncoder.BitmapFormat.PNG);
@@ -133,8 +149,8 @@
 
     private static XYChart chart(String title, String y) {
         return new XYChartBuilder()
-                .width(WIDE)
-                .height(HIGH)
+                .width(CHART_WIDTH)
+                .height(CHART_HEIGHT)
                 .title(title + " (engines simulated)")
                 .xAxisTitle("second")
                 .yAxisTitle(y)
@@ -145,18 +161,18 @@
         double at(int second);
     }
 
-    private void series(XYChart chart, String name, BySecond figure) {
-        double[] x = new double[Math.max(1, seconds.size())];
+    private void addSeries(XYChart chart, String name, BySecond figure) {
+        double[] x = new double[Math.max(1, valuesBySecond.size())];
         double[] y = new double[x.length];
-        for (int s = 0; s < x.length; s++) {
-            x[s] = s;
-            y[s] = figure.at(s);
+        for (int second = 0; second < x.length; second++) {
+            x[second] = second;
+            y[second] = figure.at(second);
         }
         chart.addSeries(name, x, y).setMarker(SeriesMarkers.NONE);
     }
 
     @Override
     public void close() throws IOException {
-        lines.close();
+        timeline.close();
     }
 }
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -130,14 +130,15 @@
         plan = order.plan;
         chance = new Random(order.seed);
         Files.createDirectories(order.folder.resolve("logs"));
-        lock = LoopbackAddresses.hold();
+        lock = LoopbackAddresses.reservePort();
         at = new ScaleAddresses(lock.getLocalPort());
         watches = new EmulatedWatches(at.coordinator());
         engines = new HollowEngines(at.engine(), STATEMENT_MS);
         real =
                 new ManagerProcesses(
                         order.folder,
-                        ManagerProcesses.notes().resolve("scale-" + at.port() + ".held"),
+                        ManagerProcesses.processListFolder()
+                                .resolve("scale-" + at.port() + ".held"),
                         ManagerProcesses.command(order.run, order.jar),
                         Math.max(1, plan.real()));
         Runtime.getRuntime().addShutdownHook(hook);
@@ -312,21 +313,21 @@
         int started = 0;
         for (int m = 0; m < plan.managers(); m++) {
             if (plan.isReal(m)) {
-                ManagerConfigWriter.Place of =
-                        new ManagerConfigWriter.Place(
+                ManagerConfigWriter.ManagerPlace of =
+                        new ManagerConfigWriter.ManagerPlace(
                                 "m" + m,
                                 at.manager(started),
                                 at.coordinator(),
                                 m,
                                 plan.zones().indexOf(plan.zoneOf(m)),
                                 e -> at.engine());
-                ManagerConfigWriter.config(
-                        ManagerProcesses.config(order.folder, started),
+                ManagerConfigWriter.writeConfig(
+                        ManagerProcesses.configFile(order.folder, started),
                         like,
                         of,
                         order.seed * 1_009 + m,
                         sockets());
-                Files.write(ManagerProcesses.peers(order.folder, started), peers(m));
+                Files.write(ManagerProcesses.peersFile(order.folder, started), peers(m));
                 real.start(started, true);
                 started++;
             }
@@ -350,7 +351,7 @@
                                 "fleet = \"" + plan.name() + "\"",
                                 "name = \"m" + m + "\"",
                                 "zone = \"" + plan.zoneOf(m) + "\"",
-                                "listen = \"" + LoopbackAddresses.text(at.mail(plan, m)) + "\"",
+                                "listen = \"" + LoopbackAddresses.hostPort(at.mail(plan, m)) + "\"",
                                 "probe = \"" + plan.period() / 10 + " ms\""));
         if (plan.cell() == 0) {
             for (int p = 0; p < plan.managers(); p++) {
@@ -359,7 +360,7 @@
                             List.of(
                                     "[[peer]]",
                                     "address = \""
-                                            + LoopbackAddresses.text(at.mail(plan, p))
+                                            + LoopbackAddresses.hostPort(at.mail(plan, p))
                                             + "\""));
                 }
             }
@@ -706,8 +707,8 @@
             real.signal(r, "TERM");
         }
         for (int r = 0; r < plan.real(); r++) {
-            real.awaitEnd(r, 10_000);
-            Matcher m = DATAGRAMS.matcher(Files.readString(real.log(r)));
+            real.awaitExit(r, 10_000);
+            Matcher m = DATAGRAMS.matcher(Files.readString(real.logFile(r)));
             bytes += m.find() ? Double.parseDouble(m.group(1)) : 0;
         }
         figure("a real one: datagrams' bytes in all", plan.real() == 0 ? 0 : bytes / plan.real());
--- a/src/test/java/firstage/emulator/LoadGeneratorTest.java
+++ b/src/test/java/firstage/emulator/LoadGeneratorTest.java
@@ -25,34 +25,31 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients as the protocol page has them: who may ask again after what. */
+/** Clients of the load generator retry only what the protocol lets them retry. */
 @Timeout(30)
 class LoadGeneratorTest {
     private final Map<TrueRequest, Integer> tries = new ConcurrentHashMap<>();
-    private final LoadGenerator.Witness witness =
-            new LoadGenerator.Witness() {
+    private final LoadGenerator.Observer observer =
+            new LoadGenerator.Observer() {
                 @Override
-                public void asked(TrueRequest is, int manager) {
+                public void onRequest(TrueRequest request, int manager) {
                     // Only tries are counted.
                 }
 
                 @Override
-                public void tried(Try t) {
-                    tries.merge(t.is, 1, Integer::sum);
+                public void onTry(Try clientTry) {
+                    tries.merge(clientTry.is, 1, Integer::sum);
                 }
 
                 @Override
-                public void ended(Try t, String how) {
+                public void onTryEnded(Try clientTry, LoadGenerator.TryOutcome outcome) {
                     // Only tries are counted.
                 }
             };
 
-    /**
-     * A manager that reads each call whole, and dies under it: its connection breaks, what it had
-     * is nobody's.
-     */
+    /** Each call is read whole and its connection then reset, as when the manager is killed. */
     @Test
-    void underAManagerThatDiesOnlyRepeatableBatchesAreAskedForAgain() throws Exception {
+    void retry_managerKilledDuringCall_onlyIdempotentRequestsAreSentAgain() throws Exception {
         FleetPlan plan =
                 FleetPlanReader.read(
                         Files.readString(Path.of("deploy", "fault-tests", "mass-restart.toml"))
@@ -60,39 +57,40 @@
                                 .replace("share = \"79%\"", "share = \"50%\"")
                                 .replace("share = \"6%\"", "share = \"35%\"")
                                 .replaceAll("(?s)\\[\\[fault\\]\\].*", ""));
-        RealTimeLoop stage = new RealTimeLoop();
+        RealTimeLoop loop = new RealTimeLoop();
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             RuleChecker rules = new RuleChecker(plan, 1_500, 1_000);
-            LoadGenerator crowd =
+            LoadGenerator generator =
                     new LoadGenerator(
-                            stage,
+                            loop,
                             plan,
                             new RandomStreams(1),
                             rules,
-                            new Scoreboard(plan, stage.now()),
+                            new Scoreboard(plan, loop.now()),
                             List.of((InetSocketAddress) server.getLocalSocketAddress()),
-                            witness);
-            Thread manager = new Thread(() -> dieUnderEachCall(server, stage, crowd));
+                            observer);
+            Thread manager = new Thread(() -> killManagerOnEachCall(server, loop, generator));
             manager.setDaemon(true);
             manager.start();
-            stage.news(crowd::start);
-            while (most(plan, Effect.IDEMPOTENT) < 2 || count(plan, Effect.NON_IDEMPOTENT) < 30) {
+            loop.execute(generator::start);
+            while (maxTries(plan, Effect.IDEMPOTENT) < 2
+                    || count(plan, Effect.NON_IDEMPOTENT) < 30) {
                 Thread.sleep(20);
             }
-            assertThat(most(plan, Effect.NON_IDEMPOTENT)).isEqualTo(1);
-            stage.close();
-            stage.worker().awaitTermination();
-            crowd.close();
+            assertThat(maxTries(plan, Effect.NON_IDEMPOTENT)).isEqualTo(1);
+            loop.close();
+            loop.worker().awaitTermination();
+            generator.close();
         }
     }
 
     private long count(FleetPlan plan, Effect effect) {
         return tries.keySet().stream()
-                .filter(w -> plan.groups().get(w.group).effect() == effect)
+                .filter(request -> plan.groups().get(request.group).effect() == effect)
                 .count();
     }
 
-    private int most(FleetPlan plan, Effect effect) {
+    private int maxTries(FleetPlan plan, Effect effect) {
         return tries.entrySet().stream()
                 .filter(t -> plan.groups().get(t.getKey().group).effect() == effect)
                 .mapToInt(Map.Entry::getValue)
@@ -100,8 +98,8 @@
                 .orElse(0);
     }
 
-    private static void dieUnderEachCall(
-            ServerSocket server, RealTimeLoop stage, LoadGenerator crowd) {
+    private static void killManagerOnEachCall(
+            ServerSocket server, RealTimeLoop loop, LoadGenerator generator) {
         try {
             while (true) {
                 Socket client = server.accept();
@@ -112,9 +110,9 @@
                         line = in.readLine()) {
                     assertThat(line).isNotEmpty();
                 }
-                stage.news(
+                loop.execute(
                         () -> {
-                            crowd.died(0);
+                            generator.onManagerKilled(0);
                             try {
                                 client.setSoLinger(true, 0);
                                 client.close();
--- a/src/test/java/firstage/faulttest/FaultTestIT.java
+++ b/src/test/java/firstage/faulttest/FaultTestIT.java
@@ -17,13 +17,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Several processes of the packaged program, faults between them. Rules and crashes are judged, and
- * what members hold of each other; no figure that a busy machine moves, and a run without time
- * proves nothing either way.
+ * Several processes of the packaged program with injected faults. Checks rules, crashes and what
+ * the members log about each other; no figure that depends on the machine's load. A run whose
+ * emulators came too late is void: it passes and says so.
  */
 @Timeout(120)
 class FaultTestIT {
-    private static final String RUN =
+    private static final String SERVE_COMMAND =
             "java -Xmx64m -Xss512k -XX:+UseSerialGC -XX:TieredStopAtLevel=1"
                     + " -jar target/firstage.jar serve";
     @TempDir private Path folder;
@@ -34,53 +34,51 @@
                 .replace("rate = 50.0", "rate = 25.0");
     }
 
-    private FaultTestRun.Result play(String plan, boolean peers, String more) throws IOException {
+    private FaultTestResult play(String plan, boolean peers, String more) throws IOException {
         return playText(text(plan) + more, peers);
     }
 
-    private FaultTestRun.Result playText(String plan, boolean peers) throws IOException {
+    private FaultTestResult playText(String plan, boolean peers) throws IOException {
         FleetPlan read = FleetPlanReader.read(plan);
         FaultTestRun.check(read);
         return FaultTestRun.play(
-                new FaultTestRun.Order(
+                new FaultTestSpec(
                         read,
                         1,
                         folder,
                         Path.of("target", "firstage.jar").toAbsolutePath(),
-                        RUN,
+                        SERVE_COMMAND,
                         peers,
                         line -> {}));
     }
 
-    private void holds(FaultTestRun.Result r) {
-        if (r.isVoid() != null) {
-            System.out.println("fault-test: void: " + r.isVoid());
-        }
-        assertThat(r.broken()).isEmpty();
+    private void assertNoViolation(FaultTestResult result) {
+        result.voidReason().ifPresent(reason -> System.out.println("fault-test: void: " + reason));
+        assertThat(result.violations()).isEmpty();
     }
 
-    private List<String> told(int manager, String what) throws IOException {
+    private List<String> logLines(int manager, String what) throws IOException {
         return Files.readAllLines(folder.resolve("logs").resolve("m" + manager + ".log")).stream()
                 .filter(line -> line.contains(what))
                 .toList();
     }
 
     @Test
-    void inCalmNoRuleBreaksAndTheMembersAgree() throws IOException {
-        holds(play("calm", true, ""));
-        for (int m = 0; m < 4; m++) {
-            assertThat(told(m, "view {")).anyMatch(line -> line.contains("m0 m1 m2 m3"));
-            assertThat(told(m, "\"is\":\"suspect\"")).isEmpty();
+    void play_noFaults_noViolationAndMembersAgree() throws IOException {
+        assertNoViolation(play("calm", true, ""));
+        for (int manager = 0; manager < 4; manager++) {
+            assertThat(logLines(manager, "view {")).anyMatch(line -> line.contains("m0 m1 m2 m3"));
+            assertThat(logLines(manager, "\"is\":\"suspect\"")).isEmpty();
         }
         try (Stream<Path> files = Files.list(folder)) {
-            assertThat(files.map(p -> p.getFileName().toString()).collect(Collectors.toSet()))
+            assertThat(files.map(file -> file.getFileName().toString()).collect(Collectors.toSet()))
                     .contains("timeline.jsonl", "seconds.csv", "served.png", "calls.png");
         }
     }
 
     @Test
-    void aOneSidedCutAndAKilledManagerBreakNothingAndAreTold() throws IOException {
-        holds(
+    void play_oneWayCutAndKilledManager_noViolationAndMembersReportBoth() throws IOException {
+        assertNoViolation(
                 play(
                         "one-sided-cut",
                         true,
@@ -91,21 +89,21 @@
 at = "2 s"
 who = "managers 3"
 """));
-        assertThat(told(0, "member {\"is\":\"suspect\",\"name\":\"m3\"")).isNotEmpty();
-        // Back with a new life, it is one of them again.
-        List<String> views = told(0, "view {");
+        assertThat(logLines(0, "member {\"is\":\"suspect\",\"name\":\"m3\"")).isNotEmpty();
+        // Restarted under a new incarnation, it rejoins.
+        List<String> views = logLines(0, "view {");
         assertThat(views).anyMatch(line -> line.contains("\"m0 m1 m2\""));
         assertThat(views.subList(2, views.size())).anyMatch(line -> line.contains("m0 m1 m2 m3"));
-        assertThat(told(0, "\"is\":\"dead\"")).isEmpty();
+        assertThat(logLines(0, "\"is\":\"dead\"")).isEmpty();
     }
 
     /**
-     * Twelve processes in four cells: engines come back cold, a cell is cut off from another,
-     * managers die.
+     * Twelve processes in four cells: engines restart, a cell is cut off from another, managers are
+     * killed.
      */
     @Test
-    void inCellsNoRuleBreaksAndEachSendsToTheEnginesOfItsZoneOnly() throws IOException {
-        holds(
+    void play_cellsWithFaults_noViolationAndAttemptsStayInTheirZone() throws IOException {
+        assertNoViolation(
                 playText(
                         text("cells")
                                 .replace("length = \"26 s\"", "length = \"14 s\"")
@@ -113,9 +111,9 @@
                                 .replace("at = \"13 s\"", "at = \"7 s\"")
                                 .replace("at = \"15 s\"", "at = \"8 s\""),
                         true));
-        for (int m = 0; m < 12; m++) {
-            assertThat(told(m, "\"is\":\"met\""))
-                    .as("cells that m" + m + " met")
+        for (int manager = 0; manager < 12; manager++) {
+            assertThat(logLines(manager, "\"is\":\"met\""))
+                    .as("cells that m" + manager + " met")
                     .hasSizeGreaterThanOrEqualTo(2);
         }
         List<String> sent =
@@ -128,14 +126,14 @@
     }
 
     private static int number(String line, String name) {
-        Matcher m = Pattern.compile("\"" + name + "\":(\\d+)").matcher(line);
-        assertThat(m.find()).as(line).isTrue();
-        return Integer.parseInt(m.group(1));
+        Matcher matcher = Pattern.compile("\"" + name + "\":(\\d+)").matcher(line);
+        assertThat(matcher.find()).as(line).isTrue();
+        return Integer.parseInt(matcher.group(1));
     }
 
     @Test
-    void whatAYardThatWasKilledLeftIsFoundNamedAndEnded() throws Exception {
-        Process yard =
+    void endOrphans_faultTestKilled_itsProcessesAreNamedAndEnded() throws Exception {
+        Process faultTest =
                 new ProcessBuilder(
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                                 "-jar",
@@ -151,27 +149,28 @@
         List<ProcessHandle> managers = List.of();
         while (managers.size() < 4) {
             Thread.sleep(50);
-            assertThat(yard.isAlive()).isTrue();
-            managers = yard.descendants().toList();
+            assertThat(faultTest.isAlive()).isTrue();
+            managers = faultTest.descendants().toList();
         }
-        // Its note is written just after each start.
+        // The list of started processes is written just after each start.
         Thread.sleep(500);
-        yard.destroyForcibly().waitFor();
+        faultTest.destroyForcibly().waitFor();
         assertThat(managers).allMatch(ProcessHandle::isAlive);
-        List<String> ended = OrphanedProcesses.sweep();
-        for (ProcessHandle p : managers) {
-            assertThat(ended).anyMatch(line -> line.startsWith("ended process " + p.pid() + ","));
-            p.onExit().get(10, java.util.concurrent.TimeUnit.SECONDS);
+        List<String> ended = OrphanedProcesses.endAll();
+        for (ProcessHandle process : managers) {
+            assertThat(ended)
+                    .anyMatch(line -> line.startsWith("ended process " + process.pid() + ","));
+            process.onExit().get(10, java.util.concurrent.TimeUnit.SECONDS);
         }
     }
 
     @Test
-    void whoDiesAtItsStartIsNamedWithItsLastWords() {
+    void play_managerEndsAtStart_exceptionNamesItWithItsLastLogLines() {
         assertThat(
                         org.assertj.core.api.Assertions.catchThrowable(
                                 () ->
                                         FaultTestRun.play(
-                                                new FaultTestRun.Order(
+                                                new FaultTestSpec(
                                                         FleetPlanReader.read(
                                                                 Files.readString(
                                                                         Path.of(
@@ -181,7 +180,7 @@
                                                         1,
                                                         folder,
                                                         folder.resolve("none.jar"),
-                                                        RUN,
+                                                        SERVE_COMMAND,
                                                         false,
                                                         line -> {}))))
                 .hasMessageContaining("manager 0 ended at its start")
@@ -189,7 +188,7 @@
     }
 
     @Test
-    void aPlanThatNamesAManagerItDoesNotHaveIsRefusedWithLineAndCure() throws IOException {
+    void readAndCheck_planWithUnknownNames_refusedWithLineAndCure() throws IOException {
         String plan = Files.readString(Path.of("deploy", "fault-tests", "one-sided-cut.toml"));
         assertThat(
                         org.assertj.core.api.Assertions.catchThrowable(
--- a/src/test/java/firstage/server/CellsIT.java
+++ b/src/test/java/firstage/server/CellsIT.java
@@ -70,10 +70,10 @@
                                 .replace("count = 6", "count = " + ENGINES));
         Path file = folder.resolve(cell + ".json");
         int rank = cell.equals("a") ? 0 : 1;
-        ManagerConfigWriter.config(
+        ManagerConfigWriter.writeConfig(
                 file,
                 plan,
-                new ManagerConfigWriter.Place(
+                new ManagerConfigWriter.ManagerPlace(
                         cell,
                         ManagerConfig.parseAddress(address(cell, HTTP_OCTET)),
                         null,
@@ -163,7 +163,7 @@
 
     @Test
     void movedEngines_losingCellHoldsNewPlan_areTakenOver() throws Exception {
-        portLock = LoopbackAddresses.hold();
+        portLock = LoopbackAddresses.reservePort();
         CellPlan firstPlan =
                 new CellPlan(
                         1,
