--- a/src/main/java/firstage/emulator/EmulatedEngine.java
+++ b/src/main/java/firstage/emulator/EmulatedEngine.java
@@ -3,12 +3,12 @@
 import firstage.policy.api.AttemptOutcome;
 import firstage.policy.api.AttemptProgress;
 import firstage.simulation.EngineModel;
-import firstage.simulation.EngineModel.Job;
-import firstage.simulation.EngineModel.Standing;
+import firstage.simulation.EngineModel.RunningAttempt;
+import firstage.simulation.EngineModel.State;
 import firstage.simulation.FleetPlan;
 import firstage.simulation.RandomStreams;
 import firstage.simulation.RuleChecker;
-import firstage.simulation.RuleChecker.Try;
+import firstage.simulation.RuleChecker.ClientTry;
 import io.undertow.UndertowOptions;
 import io.undertow.server.DefaultByteBufferPool;
 import io.undertow.server.HttpServerExchange;
@@ -47,7 +47,7 @@
     /** Told of what comes here. */
     public interface Observer {
         /** A statement came whole: a batch's first dispatch, or a further one. */
-        void onAttempt(Try clientTry, int engine, boolean retry);
+        void onAttempt(ClientTry clientTry, int engine, boolean retry);
 
         void onProbe(int engine);
 
@@ -59,8 +59,8 @@
 
     private final class Statement implements EngineModel.Listener {
         private final String id;
-        private final Try clientTry;
-        private Job job;
+        private final ClientTry clientTry;
+        private RunningAttempt job;
         private long lastPolledAt;
         private boolean outcomeReported;
         private AttemptOutcome result;
@@ -69,27 +69,27 @@
         private HttpServerExchange waitingPoll;
         private int pollCount;
 
-        private Statement(String id, Try clientTry) {
+        private Statement(String id, ClientTry clientTry) {
             this.id = id;
             this.clientTry = clientTry;
         }
 
         @Override
-        public void ended(Job attempt, AttemptOutcome outcome) {
+        public void onEnded(RunningAttempt attempt, AttemptOutcome outcome) {
             result = outcome;
             answerPoll();
         }
 
         @Override
-        public void noted(Job attempt, AttemptProgress.Kind kind, double value) {
+        public void onProgress(RunningAttempt attempt, AttemptProgress.Kind kind, double value) {
             pendingProgress = kind;
             progressValue = value;
             answerPoll();
         }
 
         @Override
-        public boolean alive() {
-            return !clientTry.nobodys();
+        public boolean isSenderAlive() {
+            return !clientTry.abandoned();
         }
 
         /** A call that wants news. */
@@ -120,8 +120,8 @@
 
         private void answerPoll() {
             if (waitingPoll == null
-                    || model.standing() == Standing.HANGING
-                    || model.standing() == Standing.SILENT) {
+                    || model.state() == State.HANGING
+                    || model.state() == State.SILENT) {
                 return;
             }
             HttpServerExchange exchange = waitingPoll;
@@ -171,7 +171,7 @@
         private void reportOutcome(AttemptOutcome outcome) {
             if (!outcomeReported) {
                 outcomeReported = true;
-                rules.ended(loop.now(), clientTry, outcome);
+                rules.onAttemptEnded(loop.now(), clientTry, outcome);
             }
         }
 
@@ -195,7 +195,7 @@
         private void discard(AttemptOutcome outcome) {
             statements.remove(id, this);
             if (job != null) {
-                model.callOff(job);
+                model.cancel(job);
             }
             reportOutcome(outcome);
             if (waitingPoll != null) {
@@ -207,7 +207,7 @@
 
     private final RealTimeLoop loop;
     private final RuleChecker rules;
-    private final Function<String, Try> triesById;
+    private final Function<String, ClientTry> triesById;
     private final Observer observer;
     private final FleetPlan plan;
     private final EngineModel model;
@@ -223,7 +223,7 @@
             InetSocketAddress address,
             RandomStreams streams,
             RuleChecker rules,
-            Function<String, Try> triesById,
+            Function<String, ClientTry> triesById,
             Observer observer)
             throws IOException {
         this.loop = loop;
@@ -274,9 +274,9 @@
     }
 
     /** Dies, goes silent, hangs, drains or is back; on the stage's thread. */
-    public void setState(Standing next) {
-        boolean losesStatements = next == Standing.DOWN || next == Standing.SILENT;
-        model.becomes(next);
+    public void setState(State next) {
+        boolean losesStatements = next == State.DOWN || next == State.SILENT;
+        model.setState(next);
         if (losesStatements) {
             statements
                     .values()
@@ -293,15 +293,15 @@
     private void onCall(HttpServerExchange exchange) {
         String path = exchange.getRequestPath();
         String method = exchange.getRequestMethod().toString();
-        if (model.standing() == Standing.SILENT
-                || model.standing() == Standing.HANGING && !method.equals("POST")) {
+        if (model.state() == State.SILENT
+                || model.state() == State.HANGING && !method.equals("POST")) {
             // Its connections stay open, and nobody is there.
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {});
             return;
         }
         if (path.equals("/busy")) {
             observer.onProbe(number);
-            exchange.getResponseHeaders().put(METER, "waiting:" + model.waiting());
+            exchange.getResponseHeaders().put(METER, "waiting:" + model.waitingForMemory());
             answer(exchange, 200);
         } else if (method.equals("POST")) {
             exchange.getRequestReceiver().receiveFullBytes((received, body) -> onSubmit(received));
@@ -320,7 +320,7 @@
                                 .receiveFullString(
                                         (received, priority) -> {
                                             if (statement != null && statement.job != null) {
-                                                model.priority(
+                                                model.setPriority(
                                                         statement.job,
                                                         Integer.parseInt(priority.trim()));
                                             }
@@ -339,30 +339,31 @@
 
     private void onSubmit(HttpServerExchange exchange) {
         String id = exchange.getRequestHeaders().getFirst(TICKET);
-        Try clientTry = id == null ? null : triesById.apply(id);
+        ClientTry clientTry = id == null ? null : triesById.apply(id);
         if (clientTry == null || statements.containsKey(id)) {
             answer(exchange, 500);
             return;
         }
-        boolean retry = clientTry.sent();
+        boolean retry = clientTry.attempted();
         observer.onAttempt(clientTry, number, retry);
-        rules.dispatched(
+        rules.onAttemptSent(
                 loop.now(), clientTry, number, observer.mayBeDelayed(clientTry.manager, number));
         Statement statement = new Statement(id, clientTry);
         statements.put(id, statement);
         double grant = Double.parseDouble(header(exchange, GRANT, "0"));
-        FleetPlan.Group group = plan.groups().get(clientTry.is.group);
+        FleetPlan.TrafficClassPlan group =
+                plan.trafficClasses().get(clientTry.request.trafficClass);
         statement.job =
-                new Job(
-                        clientTry.is,
+                new RunningAttempt(
+                        clientTry.request,
                         group,
                         statement,
                         clientTry.manager,
-                        grant > 0 ? grant : clientTry.is.memoryTold * 1.25,
+                        grant > 0 ? grant : clientTry.request.estimatedMemoryMb * 1.25,
                         Integer.parseInt(header(exchange, RANK, "1")));
         statement.onPoll(exchange);
         statement.scheduleExpiry();
-        model.send(statement.job);
+        model.start(statement.job);
     }
 
     private static String header(HttpServerExchange exchange, HttpString name, String absent) {
--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -5,7 +5,7 @@
 import firstage.simulation.FleetPlan;
 import firstage.simulation.RandomStreams;
 import firstage.simulation.RuleChecker;
-import firstage.simulation.RuleChecker.Try;
+import firstage.simulation.RuleChecker.ClientTry;
 import firstage.simulation.Scoreboard;
 import firstage.simulation.TrafficSource;
 import firstage.simulation.TrueRequest;
@@ -84,9 +84,9 @@
     public interface Observer {
         void onRequest(TrueRequest request, int manager);
 
-        void onTry(Try clientTry);
+        void onTry(ClientTry clientTry);
 
-        void onTryEnded(Try clientTry, TryOutcome outcome);
+        void onTryEnded(ClientTry clientTry, TryOutcome outcome);
     }
 
     private final RealTimeLoop loop;
@@ -98,9 +98,9 @@
     private final RandomGenerator random;
     private final List<InetSocketAddress> managers;
     private final ClientBehavior clientBehavior;
-    private final Map<String, Try> triesById = new HashMap<>();
+    private final Map<String, ClientTry> triesById = new HashMap<>();
     private final Map<Integer, Long> keyFreeAt = new HashMap<>();
-    private final List<Set<Try>> openTries = new ArrayList<>();
+    private final List<Set<ClientTry>> openTries = new ArrayList<>();
     private final Set<Integer> aliveManagers = new HashSet<>();
     private final long[] stateChanges;
     private final boolean[] killed;
@@ -161,7 +161,7 @@
     }
 
     /** The try that an id belongs to, or null; on the stage's thread. */
-    public Try tryById(String id) {
+    public ClientTry tryById(String id) {
         return triesById.get(id);
     }
 
@@ -199,16 +199,16 @@
         return loop.now() > endsAt
                 && openTries.stream()
                         .flatMap(Set::stream)
-                        .allMatch(clientTry -> clientTry.answers() > 0 || clientTry.nobodys());
+                        .allMatch(clientTry -> clientTry.answers() > 0 || clientTry.abandoned());
     }
 
     /** A manager's process is ended: what it holds is nobody's. */
     public void onManagerKilled(int manager) {
-        List<Try> held = new ArrayList<>();
+        List<ClientTry> held = new ArrayList<>();
         openTries.get(manager).stream()
                 .filter(clientTry -> clientTry.answers() == 0)
                 .forEach(held::add);
-        rules.killed(manager, held);
+        rules.onManagerKilled(manager, held);
         killed[manager] = true;
         onManagerStateChanged(manager, false);
     }
@@ -235,16 +235,16 @@
         openTries.get(manager).forEach(clientTry -> allowPause(clientTry, until));
     }
 
-    private static void allowPause(Try clientTry, long until) {
-        clientTry.excuse(Math.max(0, until + RESPONSE_GRACE - clientTry.notAfter));
+    private static void allowPause(ClientTry clientTry, long until) {
+        clientTry.allowPause(Math.max(0, until + RESPONSE_GRACE - clientTry.deadline));
     }
 
-    private void checkDeadline(Try clientTry) {
-        if (clientTry.excused() && clientTry.answers() == 0) {
+    private void checkDeadline(ClientTry clientTry) {
+        if (clientTry.pauseAllowance() && clientTry.answers() == 0) {
             // Its time ran out while its manager stood still, and its client left.
-            rules.untaken(clientTry);
+            rules.onNeverAccepted(clientTry);
         } else {
-            rules.due(loop.now(), clientTry);
+            rules.onDeadlinePassed(loop.now(), clientTry);
         }
     }
 
@@ -259,9 +259,9 @@
 
     private void sendInKeyOrder(TrueRequest request, int manager) {
         long now = loop.events().now();
-        if (request.key >= 0) {
-            long freeAt = Math.max(now, keyFreeAt.getOrDefault(request.key, 0L));
-            keyFreeAt.put(request.key, freeAt + KEY_GAP);
+        if (request.orderingKey >= 0) {
+            long freeAt = Math.max(now, keyFreeAt.getOrDefault(request.orderingKey, 0L));
+            keyFreeAt.put(request.orderingKey, freeAt + KEY_GAP);
             if (freeAt > now) {
                 loop.events().in(freeAt - now, () -> send(request, manager));
                 return;
@@ -272,7 +272,7 @@
 
     private void send(TrueRequest request, int manager) {
         long now = loop.events().now();
-        long remaining = request.limit - now;
+        long remaining = request.deadline - now;
         if (remaining <= 0) {
             return;
         }
@@ -283,37 +283,38 @@
                         Math.max(
                                 1,
                                 Math.round(
-                                        (request.limit - request.asked)
-                                                * plan.clients().tryShare())));
-        Try clientTry = new Try(request, manager, now + patience);
+                                        (request.deadline - request.firstRequestedAt)
+                                                * plan.clients().deadlineShareOfTry())));
+        ClientTry clientTry = new ClientTry(request, manager, now + patience);
         String id = String.format(Locale.ROOT, "%08x%08x", idPrefix, ++lastId);
         triesById.put(id, clientTry);
         openTries.get(manager).add(clientTry);
-        rules.took(clientTry);
+        rules.onAccepted(clientTry);
         observer.onTry(clientTry);
-        FleetPlan.Group trafficClass = plan.groups().get(request.group);
+        FleetPlan.TrafficClassPlan trafficClass = plan.trafficClasses().get(request.trafficClass);
         HttpRequest.Builder httpRequest =
                 HttpRequest.newBuilder(uri(manager, "/ops/" + trafficClass.name()))
                         .timeout(Duration.ofMillis((patience + RESPONSE_GRACE) / 10))
                         .header("X-Job-Id", id)
                         .header("X-Allow-Ms", String.valueOf(Math.max(1, patience / 10)))
-                        .header("X-Team", plan.customers().get(request.customer).name())
+                        .header("X-Team", plan.tenants().get(request.tenant).name())
                         .header(
                                 "X-Size-Ms",
-                                String.format(Locale.ROOT, "%.1f", request.estimate / 10.0))
-                        .header("X-Memory", String.valueOf(request.memoryTold));
-        if (request.key >= 0) {
-            httpRequest.header("X-Item", String.format(Locale.ROOT, "%016x", request.key + 1));
+                                String.format(Locale.ROOT, "%.1f", request.estimatedWork / 10.0))
+                        .header("X-Memory", String.valueOf(request.estimatedMemoryMb));
+        if (request.orderingKey >= 0) {
+            httpRequest.header(
+                    "X-Item", String.format(Locale.ROOT, "%016x", request.orderingKey + 1));
         }
         httpRequest.POST(
                 HttpRequest.BodyPublishers.ofString(
-                        (trafficClass.load() ? "INSERT INTO sales_" : "SELECT a FROM sales_")
-                                + request.tables
+                        (trafficClass.tableLoad() ? "INSERT INTO sales_" : "SELECT a FROM sales_")
+                                + request.tableGroup
                                 + ".orders"));
         call(clientTry, id, httpRequest.build(), MAX_POLL_ATTEMPTS, true);
         // One that stands still can't know how long the batch lay there: it counts its time from
         // when it reads it.
-        clientTry.excuse(Math.max(0, pausedUntil[manager] - now));
+        clientTry.allowPause(Math.max(0, pausedUntil[manager] - now));
         loop.events().in(patience + RESPONSE_GRACE / 2, () -> checkDeadline(clientTry));
         loop.events()
                 .in(
@@ -331,7 +332,11 @@
     }
 
     private void call(
-            Try clientTry, String id, HttpRequest httpRequest, int attemptsLeft, boolean first) {
+            ClientTry clientTry,
+            String id,
+            HttpRequest httpRequest,
+            int attemptsLeft,
+            boolean first) {
         http.sendAsync(httpRequest, HttpResponse.BodyHandlers.ofString())
                 .whenComplete(
                         (response, fault) ->
@@ -354,7 +359,7 @@
                                                 long remainingMs =
                                                         Math.max(
                                                                         10,
-                                                                        clientTry.notAfter
+                                                                        clientTry.deadline
                                                                                 + RESPONSE_GRACE
                                                                                 - loop.now())
                                                                 / 10;
@@ -378,7 +383,7 @@
     }
 
     private void onFailure(
-            Try clientTry,
+            ClientTry clientTry,
             String id,
             HttpRequest httpRequest,
             int attemptsLeft,
@@ -388,7 +393,7 @@
                 fault instanceof ConnectException || fault instanceof HttpConnectTimeoutException;
         // What was written to a process that is on its way out was taken by nobody.
         if (first && (unreachable || killed[clientTry.manager])) {
-            rules.untaken(clientTry);
+            rules.onNeverAccepted(clientTry);
             observer.onTryEnded(clientTry, TryOutcome.NEVER_ACCEPTED);
             scoreboard.errored();
             // By the protocol page others than repeatable ones come again only after a pushback, or
@@ -396,30 +401,31 @@
             // could not be reached. Under a connection that broke it may have run: asked again, it
             // would run twice.
             retry(
-                    clientTry.is,
+                    clientTry.request,
                     0,
                     unreachable
-                            || plan.groups().get(clientTry.is.group).effect() == Effect.IDEMPOTENT);
+                            || plan.trafficClasses().get(clientTry.request.trafficClass).effect()
+                                    == Effect.IDEMPOTENT);
         } else if (!first
                 && attemptsLeft > 1
-                && loop.now() < clientTry.notAfter
+                && loop.now() < clientTry.deadline
                 && fault instanceof IOException) {
             call(clientTry, id, httpRequest, attemptsLeft - 1, false);
         } else {
             // Rule 1 is judged when its time is up; what a manager that died held is nobody's.
             observer.onTryEnded(clientTry, TryOutcome.LOST);
             scoreboard.errored();
-            if (!clientTry.nobodys()
-                    && !clientTry.excused()
+            if (!clientTry.abandoned()
+                    && !clientTry.pauseAllowance()
                     && !(fault instanceof HttpTimeoutException)) {
                 loop.events()
                         .in(
                                 2_000,
                                 () -> {
-                                    if (!clientTry.nobodys()) {
-                                        rules.broken(
+                                    if (!clientTry.abandoned()) {
+                                        rules.violations(
                                                 "rule 1: batch "
-                                                        + clientTry.is.id
+                                                        + clientTry.request.id
                                                         + " at manager "
                                                         + clientTry.manager
                                                         + " got no answer that can be read: "
@@ -428,40 +434,44 @@
                                 });
             }
             retry(
-                    clientTry.is,
+                    clientTry.request,
                     0,
-                    plan.groups().get(clientTry.is.group).effect() == Effect.IDEMPOTENT);
+                    plan.trafficClasses().get(clientTry.request.trafficClass).effect()
+                            == Effect.IDEMPOTENT);
         }
     }
 
-    private void onResponse(Try clientTry, HttpResponse<String> response) {
+    private void onResponse(ClientTry clientTry, HttpResponse<String> response) {
         long now = loop.now();
         boolean rejected =
                 response.statusCode() == 429
                         || response.statusCode() == 503
                         || response.body().contains("\"err\":\"Busy\"");
         boolean succeeded = response.statusCode() == 200 && !response.body().contains("\"err\"");
-        rules.answered(now, clientTry, rejected);
+        rules.onAnswered(now, clientTry, rejected);
         if (succeeded) {
             observer.onTryEnded(
                     clientTry,
-                    now <= clientTry.is.limit ? TryOutcome.SUCCEEDED : TryOutcome.SUCCEEDED_LATE);
-            if (!clientTry.is.done) {
-                clientTry.is.done = true;
-                scoreboard.returned(now, clientTry.is);
+                    now <= clientTry.request.deadline
+                            ? TryOutcome.SUCCEEDED
+                            : TryOutcome.SUCCEEDED_LATE);
+            if (!clientTry.request.succeeded) {
+                clientTry.request.succeeded = true;
+                scoreboard.returned(now, clientTry.request);
             }
         } else if (rejected) {
             observer.onTryEnded(clientTry, TryOutcome.REJECTED);
             scoreboard.pushedBack();
             long wait = response.headers().firstValueAsLong("X-Wait-Ms").orElse(0) * 10;
-            retry(clientTry.is, wait, true);
+            retry(clientTry.request, wait, true);
         } else {
             observer.onTryEnded(clientTry, TryOutcome.FAILED);
             scoreboard.errored();
             retry(
-                    clientTry.is,
+                    clientTry.request,
                     0,
-                    plan.groups().get(clientTry.is.group).effect() == Effect.IDEMPOTENT);
+                    plan.trafficClasses().get(clientTry.request.trafficClass).effect()
+                            == Effect.IDEMPOTENT);
         }
     }
 
--- a/src/main/java/firstage/faulttest/EngineFaults.java
+++ b/src/main/java/firstage/faulttest/EngineFaults.java
@@ -54,23 +54,23 @@
 
     /** The process dies: connections break, new ones are refused. */
     void die(int engine, long ticks, RandomGenerator random) {
-        takeDown(engine, EngineModel.Standing.DOWN, ticks, 1, random);
+        takeDown(engine, EngineModel.State.DOWN, ticks, 1, random);
     }
 
     /** The machine is gone without a word: nothing is answered, nothing is reset. */
     void silence(int engine, long ticks, RandomGenerator random) {
-        takeDown(engine, EngineModel.Standing.SILENT, ticks, SILENCE_DETECTION_FACTOR, random);
+        takeDown(engine, EngineModel.State.SILENT, ticks, SILENCE_DETECTION_FACTOR, random);
     }
 
     /** The process accepts statements and makes no progress. */
     void hang(int engine, long ticks) {
-        engines.get(engine).setState(EngineModel.Standing.HANGING);
-        loop.events().in(ticks, () -> engines.get(engine).setState(EngineModel.Standing.UP));
+        engines.get(engine).setState(EngineModel.State.HANGING);
+        loop.events().in(ticks, () -> engines.get(engine).setState(EngineModel.State.UP));
     }
 
     /** Drains for {@code ticks}, then is down for a second. */
     void drain(int engine, long ticks, RandomGenerator random) {
-        engines.get(engine).setState(EngineModel.Standing.DRAINING);
+        engines.get(engine).setState(EngineModel.State.DRAINING);
         links.setEngineMode(engine, EndpointMode.REFUSING, false);
         announce(engine, Lifecycle.DRAINING, 0, 1, random);
         loop.events()
@@ -79,7 +79,7 @@
                         () ->
                                 takeDown(
                                         engine,
-                                        EngineModel.Standing.DOWN,
+                                        EngineModel.State.DOWN,
                                         DOWN_AFTER_DRAIN,
                                         1,
                                         random));
@@ -87,7 +87,7 @@
 
     private void takeDown(
             int engine,
-            EngineModel.Standing state,
+            EngineModel.State state,
             long ticks,
             int detectionFactor,
             RandomGenerator random) {
@@ -99,7 +99,7 @@
                 engine,
                 "is",
                 state.name().toLowerCase(Locale.ROOT));
-        boolean silent = state == EngineModel.Standing.SILENT;
+        boolean silent = state == EngineModel.State.SILENT;
         links.setEngineMode(
                 engine, silent ? EndpointMode.UNRESPONSIVE : EndpointMode.REFUSING, !silent);
         announce(engine, Lifecycle.GONE, 0, detectionFactor, random);
@@ -107,7 +107,7 @@
     }
 
     private void revive(int engine, boolean wasSilent, RandomGenerator random) {
-        engines.get(engine).setState(EngineModel.Standing.UP);
+        engines.get(engine).setState(EngineModel.State.UP);
         recorder.writeEvent(clock.elapsed(), "engine", "engine", engine, "is", "up");
         links.setEngineMode(engine, EndpointMode.OPEN, wasSilent);
         announce(engine, Lifecycle.ACTIVE, loop.events().now(), 1, random);
@@ -124,7 +124,7 @@
             int manager = m;
             loop.events()
                     .in(
-                            detectionFactor * plan.managers().listDelay().drawTime(random),
+                            detectionFactor * plan.managers().discoveryDelay().drawTime(random),
                             () -> announceTo(manager, engine, lifecycle, startedAt));
         }
     }
@@ -132,12 +132,12 @@
     private void announceTo(int manager, int engine, Lifecycle lifecycle, long startedAt) {
         boolean stale =
                 lifecycle == Lifecycle.GONE
-                        && engines.get(engine).model().standing() == EngineModel.Standing.UP;
+                        && engines.get(engine).model().state() == EngineModel.State.UP;
         if (stale) {
             return;
         }
-        rules.listed(loop.now(), manager, engine, lifecycle == Lifecycle.ACTIVE);
-        rules.toldStart(manager, engine, startedAt);
+        rules.onEndpointUpdate(loop.now(), manager, engine, lifecycle == Lifecycle.ACTIVE);
+        rules.onEngineStartTold(manager, engine, startedAt);
         coordinators
                 .get(manager)
                 .publish(
--- a/src/main/java/firstage/faulttest/FaultInjector.java
+++ b/src/main/java/firstage/faulttest/FaultInjector.java
@@ -52,16 +52,17 @@
     }
 
     private void inject(Fault fault, RandomGenerator random) {
-        List<Integer> affected = fault.who() == null ? List.of() : fault.who().among(plan, random);
+        List<Integer> affected =
+                fault.source() == null ? List.of() : fault.source().among(plan, random);
         recorder.writeEvent(
                 clock.elapsed(),
                 "fault",
                 "kind",
                 recordedKind(fault),
                 "who",
-                fault.who() == null ? "clients" : fault.who() + " " + affected,
+                fault.source() == null ? "clients" : fault.source() + " " + affected,
                 "to",
-                String.valueOf(fault.to()),
+                String.valueOf(fault.target()),
                 "length_ms",
                 fault.length() / 10);
         switch (fault.kind()) {
@@ -98,7 +99,7 @@
 
     /** All at once; with an interval one after another, round and round until the plan's end. */
     private void repeat(Fault fault, List<Integer> affected, IntConsumer action) {
-        if (fault.every() <= 0) {
+        if (fault.interval() <= 0) {
             affected.forEach(action::accept);
         } else {
             applyToNext(fault, affected, action, 0);
@@ -110,15 +111,17 @@
         if (clock.elapsed() < plan.length()) {
             action.accept(affected.get(repetition % affected.size()));
             loop.events()
-                    .in(fault.every(), () -> applyToNext(fault, affected, action, repetition + 1));
+                    .in(
+                            fault.interval(),
+                            () -> applyToNext(fault, affected, action, repetition + 1));
         }
     }
 
     /** Sets a fault on links, repairs it after its length, and repeats it at its interval. */
     private void onLinks(
             Fault fault, RandomGenerator random, BiConsumer<LinkFaults, Boolean> setActive) {
-        List<Integer> from = fault.who().among(plan, random);
-        List<Integer> to = fault.to().among(plan, random);
+        List<Integer> from = fault.source().among(plan, random);
+        List<Integer> to = fault.target().among(plan, random);
         links.forEach(fault, from, to, link -> setActive.accept(link, true));
         loop.events()
                 .in(
@@ -127,10 +130,12 @@
                             links.forEach(fault, from, to, link -> setActive.accept(link, false));
                             recorder.writeEvent(
                                     clock.elapsed(), "healed", "kind", recordedKind(fault));
-                            if (fault.every() > 0
-                                    && clock.elapsed() + fault.every() < plan.length()) {
+                            if (fault.interval() > 0
+                                    && clock.elapsed() + fault.interval() < plan.length()) {
                                 loop.events()
-                                        .in(fault.every(), () -> onLinks(fault, random, setActive));
+                                        .in(
+                                                fault.interval(),
+                                                () -> onLinks(fault, random, setActive));
                             }
                         });
     }
--- a/src/main/java/firstage/faulttest/FaultTestRun.java
+++ b/src/main/java/firstage/faulttest/FaultTestRun.java
@@ -92,7 +92,7 @@
      * @throws InvalidPlanException naming line and cure
      */
     public static void check(FleetPlan plan) {
-        if (!plan.troubles().isEmpty()) {
+        if (!plan.disturbances().isEmpty()) {
             throw new InvalidPlanException(
                     0,
                     "[[trouble]] is for the fleet model; write [[fault]] for what a fault test"
@@ -217,7 +217,10 @@
         generator.start();
         newFaultInjector().scheduleAll(randomStreams);
         long longestTimeout =
-                plan.groups().stream().mapToLong(FleetPlan.Group::limit).max().orElse(0);
+                plan.trafficClasses().stream()
+                        .mapToLong(FleetPlan.TrafficClassPlan::timeout)
+                        .max()
+                        .orElse(0);
         return clock.startedAt() + plan.length() + longestTimeout + ANSWER_SLACK;
     }
 
@@ -238,7 +241,7 @@
     }
 
     private FaultTestResult conclude(double processorSeconds) throws IOException {
-        List<String> violations = new ArrayList<>(rules.broken());
+        List<String> violations = new ArrayList<>(rules.violations());
         violations.addAll(managers.unexpectedEnds());
         FaultTestResult result =
                 new ResultEvaluator(plan, recorder, scoreboard, loop, proxy)
@@ -260,7 +263,7 @@
     /** When a fault is shown in the charts: at least for a second. */
     private RunRecorder.FaultInterval interval(FleetPlan.Fault fault) {
         long end =
-                fault.every() > 0
+                fault.interval() > 0
                         ? plan.length()
                         : fault.at() + Math.max(Ticks.ofSeconds(1), fault.length());
         return new RunRecorder.FaultInterval(fault.at() / 1e4, end / 1e4);
--- a/src/main/java/firstage/faulttest/ManagerConfigWriter.java
+++ b/src/main/java/firstage/faulttest/ManagerConfigWriter.java
@@ -131,11 +131,11 @@
         out.writeObjectFieldStart("settings");
         writeArray(out, "areas", plan.zones());
         writeArray(out, "kinds", List.of("std"));
-        out.writeNumberField("group_size", plan.managers().of());
+        out.writeNumberField("group_size", plan.managers().fleetSize());
         out.writeNumberField("rank", manager);
         out.writeNumberField("zone", zone);
         out.writeArrayFieldStart("classes");
-        for (FleetPlan.Group trafficClass : plan.groups()) {
+        for (FleetPlan.TrafficClassPlan trafficClass : plan.trafficClasses()) {
             out.writeStartObject();
             out.writeStringField("name", trafficClass.name());
             out.writeStringField(
@@ -145,28 +145,29 @@
                         case IDEMPOTENT_WITH_KEY -> "dedup";
                         case NON_IDEMPOTENT -> "fragile";
                     });
-            out.writeStringField("group", trafficClass.scope().name().toLowerCase(Locale.ROOT));
-            out.writeNumberField("target", trafficClass.goal() / TICKS_PER_SECOND);
-            out.writeNumberField("aim_stretch", trafficClass.stretch());
-            out.writeNumberField("deadline", trafficClass.limit() / TICKS_PER_SECOND);
-            out.writeNumberField("worth", trafficClass.utility());
-            out.writeNumberField("late_value", trafficClass.lateValue());
-            out.writeNumberField("window", trafficClass.window() / TICKS_PER_SECOND);
+            out.writeStringField(
+                    "group", trafficClass.idempotencyScope().name().toLowerCase(Locale.ROOT));
+            out.writeNumberField("target", trafficClass.latencyObjective() / TICKS_PER_SECOND);
+            out.writeNumberField("aim_stretch", trafficClass.latencyObjectivePerWork());
+            out.writeNumberField("deadline", trafficClass.timeout() / TICKS_PER_SECOND);
+            out.writeNumberField("worth", trafficClass.priorityWeight());
+            out.writeNumberField("late_value", trafficClass.lateValueShare());
+            out.writeNumberField("window", trafficClass.idempotencyWindow() / TICKS_PER_SECOND);
             out.writeBooleanField("by_arrival", trafficClass.ordered());
             out.writeEndObject();
         }
         out.writeEndArray();
         out.writeArrayFieldStart("tenants");
-        double shares = plan.customers().stream().mapToDouble(FleetPlan.Customer::share).sum();
-        for (FleetPlan.Customer tenant : plan.customers()) {
+        double shares = plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).sum();
+        for (FleetPlan.TenantPlan tenant : plan.tenants()) {
             out.writeStartObject();
             out.writeStringField("name", tenant.name());
             out.writeNumberField(
                     "quota_per_s",
-                    plan.customers().size() < 2
+                    plan.tenants().size() < 2
                             ? 1e9
                             : plan.traffic().rate()
-                                    * plan.managers().of()
+                                    * plan.managers().fleetSize()
                                     / plan.managers().count()
                                     * tenant.share()
                                     / shares);
@@ -175,28 +176,36 @@
         out.writeEndArray();
         FleetPlan.Engines engine = plan.engines();
         out.writeObjectFieldStart("family_info");
-        writeArray(out, "dop", plan.groups().stream().map(FleetPlan.Group::threads).toList());
-        writeArray(out, "class_load", plan.groups().stream().map(FleetPlan.Group::load).toList());
+        writeArray(
+                out,
+                "dop",
+                plan.trafficClasses().stream().map(FleetPlan.TrafficClassPlan::threads).toList());
+        writeArray(
+                out,
+                "class_load",
+                plan.trafficClasses().stream().map(FleetPlan.TrafficClassPlan::tableLoad).toList());
         writeArray(
                 out,
                 "yields_to_loads",
-                plan.groups().stream().map(FleetPlan.Group::yields).toList());
+                plan.trafficClasses().stream()
+                        .map(FleetPlan.TrafficClassPlan::blockedByTableLoads)
+                        .toList());
         writeArray(out, "kind_cores", List.of(engine.cores()));
         writeArray(out, "size_mb", List.of(engine.memoryMb()));
         out.writeBooleanField("takes_grants", engine.grants());
         out.writeBooleanField("lanes_count", engine.priorities());
-        out.writeNumberField("progress_pace", engine.notePace() / TICKS_PER_SECOND);
+        out.writeNumberField("progress_pace", engine.progressInterval() / TICKS_PER_SECOND);
         out.writeNumberField("largest_share", 0.4);
         out.writeEndObject();
         FleetPlan.Managers managers = plan.managers();
         out.writeObjectFieldStart("limits");
         out.writeNumberField("connect_timeout", 0.25);
         out.writeNumberField("keepalive", 15);
-        out.writeNumberField("max_attempts", managers.dispatches());
+        out.writeNumberField("max_attempts", managers.maxAttempts());
         out.writeNumberField("max_retry_after", 2);
         out.writeBooleanField("retry_after", true);
-        out.writeBooleanField("second_copies", managers.secondCopies());
-        out.writeBooleanField("may_cancel", managers.callOff());
+        out.writeBooleanField("second_copies", managers.hedging());
+        out.writeBooleanField("may_cancel", managers.cancel());
         out.writeBooleanField("probing", managers.probes());
         out.writeEndObject();
         out.writeObjectFieldStart("deductions");
@@ -205,11 +214,11 @@
         out.writeEndObject();
         out.writeObjectFieldStart("rules");
         out.writeNumberField("drain_grace", plan.rules().drainGrace() / TICKS_PER_SECOND);
-        out.writeNumberField("cold_from", engine.coldFrom());
-        out.writeNumberField("ramp_time", engine.warmAfter().high() / TICKS_PER_SECOND);
-        out.writeNumberField("tip_multiple", plan.rules().tipMultiple());
-        out.writeNumberField("fall", plan.rules().fall() / TICKS_PER_SECOND);
-        out.writeNumberField("key_quiet", plan.rules().keyRest() / TICKS_PER_SECOND);
+        out.writeNumberField("cold_from", engine.initialCapacityShare());
+        out.writeNumberField("ramp_time", engine.warmUpDuration().high() / TICKS_PER_SECOND);
+        out.writeNumberField("tip_multiple", plan.rules().overloadMultiple());
+        out.writeNumberField("fall", plan.rules().overloadWindow() / TICKS_PER_SECOND);
+        out.writeNumberField("key_quiet", plan.rules().keyQuietPeriod() / TICKS_PER_SECOND);
         out.writeEndObject();
         out.writeEndObject();
     }
--- a/src/main/java/firstage/faulttest/ManagerController.java
+++ b/src/main/java/firstage/faulttest/ManagerController.java
@@ -136,7 +136,7 @@
     private void restartLater(int manager, RandomGenerator random) {
         loop.events()
                 .in(
-                        plan.managers().restart().drawTime(random),
+                        plan.managers().restartTime().drawTime(random),
                         () -> blockingTasks.execute(() -> restart(manager)));
     }
 
--- a/src/main/java/firstage/faulttest/NetworkLinks.java
+++ b/src/main/java/firstage/faulttest/NetworkLinks.java
@@ -81,8 +81,8 @@
 
     /** Applies the action to each link from one of {@code from} to one of {@code to}. */
     void forEach(Fault fault, List<Integer> from, List<Integer> to, Consumer<LinkFaults> action) {
-        boolean fromEngines = fault.who().isEngines();
-        boolean toEngines = fault.to().isEngines();
+        boolean fromEngines = fault.source().isEngines();
+        boolean toEngines = fault.target().isEngines();
         boolean betweenPeers = !fromEngines && !toEngines;
         if (fromEngines && toEngines) {
             return;
--- a/src/main/java/firstage/faulttest/ResultEvaluator.java
+++ b/src/main/java/firstage/faulttest/ResultEvaluator.java
@@ -65,7 +65,7 @@
         List<String> known = new ArrayList<>(new Scoreboard(plan, 0).figures().keySet());
         plan.zones().forEach(zone -> known.add("zone " + zone));
         known.addAll(FIGURES);
-        for (FleetPlan.Expect expectation : plan.expects()) {
+        for (FleetPlan.Expectation expectation : plan.expectations()) {
             if (!known.contains(expectation.figure())) {
                 throw new InvalidPlanException(
                         expectation.line(),
@@ -110,18 +110,18 @@
 
     private List<String> missedExpectations(Map<String, Double> figures) {
         List<String> missed = new ArrayList<>();
-        for (FleetPlan.Expect expectation : plan.expects()) {
+        for (FleetPlan.Expectation expectation : plan.expectations()) {
             double value = figures.get(expectation.figure());
-            if (value < expectation.least() || value > expectation.most()) {
+            if (value < expectation.min() || value > expectation.max()) {
                 missed.add(
                         String.format(
                                 Locale.ROOT,
                                 "%s is %.4f, wanted %s",
                                 expectation.figure(),
                                 value,
-                                value < expectation.least()
-                                        ? "at least " + expectation.least()
-                                        : "at most " + expectation.most()));
+                                value < expectation.min()
+                                        ? "at least " + expectation.min()
+                                        : "at most " + expectation.max()));
             }
         }
         return missed;
@@ -157,7 +157,7 @@
             lastFaultEnd =
                     Math.max(
                             lastFaultEnd,
-                            fault.every() > 0 ? plan.length() : fault.at() + fault.length());
+                            fault.interval() > 0 ? plan.length() : fault.at() + fault.length());
         }
         int from = (int) (lastFaultEnd / TICKS_PER_SECOND);
         int last = (int) (plan.length() / TICKS_PER_SECOND);
--- a/src/main/java/firstage/faulttest/RunObserver.java
+++ b/src/main/java/firstage/faulttest/RunObserver.java
@@ -4,7 +4,7 @@
 import firstage.emulator.LoadGenerator;
 import firstage.emulator.RealTimeLoop;
 import firstage.simulation.FleetPlan;
-import firstage.simulation.RuleChecker.Try;
+import firstage.simulation.RuleChecker.ClientTry;
 import firstage.simulation.TrueRequest;
 import firstage.util.Ticks;
 
@@ -34,7 +34,7 @@
 
     @Override
     public void onRequest(TrueRequest request, int manager) {
-        double priorityWeight = plan.groups().get(request.group).utility();
+        double priorityWeight = plan.trafficClasses().get(request.trafficClass).priorityWeight();
         recorder.add(clock.elapsed(), "asked " + zoneName(manager), priorityWeight);
         recorder.add(clock.elapsed(), "asked", priorityWeight);
         recorder.writeEvent(
@@ -43,54 +43,56 @@
                 "batch",
                 request.id,
                 "group",
-                plan.groups().get(request.group).name(),
+                plan.trafficClasses().get(request.trafficClass).name(),
                 "manager",
                 manager,
                 "key",
-                request.key);
+                request.orderingKey);
     }
 
     @Override
-    public void onTry(Try clientTry) {
+    public void onTry(ClientTry clientTry) {
         recorder.add(clock.elapsed(), "tries", 1);
-        recorder.add(clock.elapsed(), "client retries", clientTry.is.tries > 1 ? 1 : 0);
+        recorder.add(clock.elapsed(), "client retries", clientTry.request.tries > 1 ? 1 : 0);
         recorder.writeEvent(
                 clock.elapsed(),
                 "tried",
                 "batch",
-                clientTry.is.id,
+                clientTry.request.id,
                 "manager",
                 clientTry.manager,
                 "try",
-                clientTry.is.tries);
+                clientTry.request.tries);
     }
 
     @Override
-    public void onTryEnded(Try clientTry, LoadGenerator.TryOutcome outcome) {
+    public void onTryEnded(ClientTry clientTry, LoadGenerator.TryOutcome outcome) {
         recorder.add(clock.elapsed(), outcome.recordedName(), 1);
         recorder.writeEvent(
                 clock.elapsed(),
                 outcome.recordedName(),
                 "batch",
-                clientTry.is.id,
+                clientTry.request.id,
                 "manager",
                 clientTry.manager);
-        if (outcome == LoadGenerator.TryOutcome.SUCCEEDED && !clientTry.is.done) {
+        if (outcome == LoadGenerator.TryOutcome.SUCCEEDED && !clientTry.request.succeeded) {
             addEarned(clientTry);
         }
     }
 
     /** Counts in the second of the request's arrival: the share of its weight that it earned. */
-    private void addEarned(Try clientTry) {
-        FleetPlan.Group trafficClass = plan.groups().get(clientTry.is.group);
+    private void addEarned(ClientTry clientTry) {
+        FleetPlan.TrafficClassPlan trafficClass =
+                plan.trafficClasses().get(clientTry.request.trafficClass);
         boolean inTime =
-                loop.now() - clientTry.is.asked
-                        <= trafficClass.goal()
-                                + trafficClass.stretch()
-                                        * clientTry.is.work
+                loop.now() - clientTry.request.firstRequestedAt
+                        <= trafficClass.latencyObjective()
+                                + trafficClass.latencyObjectivePerWork()
+                                        * clientTry.request.work
                                         / trafficClass.threads();
-        long requestedAt = clientTry.is.asked - clock.startedAt();
-        double earned = trafficClass.utility() * (inTime ? 1 : trafficClass.lateValue());
+        long requestedAt = clientTry.request.firstRequestedAt - clock.startedAt();
+        double earned =
+                trafficClass.priorityWeight() * (inTime ? 1 : trafficClass.lateValueShare());
         recorder.add(requestedAt, "earned " + zoneName(clientTry.manager), earned);
         recorder.add(requestedAt, "earned", earned);
     }
@@ -100,13 +102,13 @@
     }
 
     @Override
-    public void onAttempt(Try clientTry, int engine, boolean retry) {
+    public void onAttempt(ClientTry clientTry, int engine, boolean retry) {
         recorder.add(clock.elapsed(), retry ? "further dispatches" : "first dispatches", 1);
         recorder.writeEvent(
                 clock.elapsed(),
                 "dispatched",
                 "batch",
-                clientTry.is.id,
+                clientTry.request.id,
                 "manager",
                 clientTry.manager,
                 "engine",
--- a/src/test/java/firstage/emulator/LoadGeneratorTest.java
+++ b/src/test/java/firstage/emulator/LoadGeneratorTest.java
@@ -7,7 +7,7 @@
 import firstage.simulation.FleetPlanReader;
 import firstage.simulation.RandomStreams;
 import firstage.simulation.RuleChecker;
-import firstage.simulation.RuleChecker.Try;
+import firstage.simulation.RuleChecker.ClientTry;
 import firstage.simulation.Scoreboard;
 import firstage.simulation.TrueRequest;
 import java.io.BufferedReader;
@@ -37,12 +37,12 @@
                 }
 
                 @Override
-                public void onTry(Try clientTry) {
-                    tries.merge(clientTry.is, 1, Integer::sum);
+                public void onTry(ClientTry clientTry) {
+                    tries.merge(clientTry.request, 1, Integer::sum);
                 }
 
                 @Override
-                public void onTryEnded(Try clientTry, LoadGenerator.TryOutcome outcome) {
+                public void onTryEnded(ClientTry clientTry, LoadGenerator.TryOutcome outcome) {
                     // Only tries are counted.
                 }
             };
@@ -86,13 +86,15 @@
 
     private long count(FleetPlan plan, Effect effect) {
         return tries.keySet().stream()
-                .filter(request -> plan.groups().get(request.group).effect() == effect)
+                .filter(
+                        request ->
+                                plan.trafficClasses().get(request.trafficClass).effect() == effect)
                 .count();
     }
 
     private int maxTries(FleetPlan plan, Effect effect) {
         return tries.entrySet().stream()
-                .filter(t -> plan.groups().get(t.getKey().group).effect() == effect)
+                .filter(t -> plan.trafficClasses().get(t.getKey().trafficClass).effect() == effect)
                 .mapToInt(Map.Entry::getValue)
                 .max()
                 .orElse(0);
