--- a/src/main/java/firstage/cli/FaultScheduleCommand.java
+++ b/src/main/java/firstage/cli/FaultScheduleCommand.java
@@ -44,7 +44,7 @@
                 arguments.size() > 2 ? defect(arguments.get(2)) : InjectedDefect.NONE;
         long start = System.nanoTime();
         Map<Long, List<String>> broken =
-                FaultSchedules.play(firstSeed, count, defect, MAX_BROKEN_SHOWN);
+                FaultSchedules.run(firstSeed, count, defect, MAX_BROKEN_SHOWN);
         broken.forEach(
                 (seed, rules) ->
                         System.out.println("seed " + seed + ": " + String.join("; ", rules)));
--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -2,8 +2,8 @@
 
 import firstage.cells.CellDirectory;
 import firstage.simulation.schedule.SimulatedCells;
-import firstage.simulation.schedule.SimulatedCells.Kind;
-import firstage.simulation.schedule.SimulatedCells.Place;
+import firstage.simulation.schedule.SimulatedCells.ManagerHost;
+import firstage.simulation.schedule.SimulatedCells.MessageKind;
 import firstage.simulation.schedule.SimulatedCells.Shape;
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryMXBean;
@@ -51,9 +51,9 @@
         double before = used();
         SimulatedCells f = new SimulatedCells(shape, seed);
         start(f, shape, new LinkedHashMap<>());
-        f.pass(10 * SECOND);
+        f.advance(10 * SECOND);
         double after = used();
-        return f.places().isEmpty() ? 0 : (after - before) / 1_024 / shape.managers();
+        return f.hosts().isEmpty() ? 0 : (after - before) / 1_024 / shape.managers();
     }
 
     private static double used() {
@@ -69,12 +69,12 @@
         row.put("managers", (double) shape.managers());
         SimulatedCells f = new SimulatedCells(shape, seed);
         start(f, shape, row);
-        long[] before = new long[Kind.values().length];
-        f.bytes().forEach((k, b) -> before[k.ordinal()] = b);
+        long[] before = new long[MessageKind.values().length];
+        f.bytesByKind().forEach((k, b) -> before[k.ordinal()] = b);
         long datagrams = f.datagrams();
-        f.pass(10 * SECOND);
+        f.advance(10 * SECOND);
         double all = 0;
-        for (Map.Entry<Kind, Long> e : f.bytes().entrySet()) {
+        for (Map.Entry<MessageKind, Long> e : f.bytesByKind().entrySet()) {
             double rate = (e.getValue() - before[e.getKey().ordinal()]) / 10.0 / shape.managers();
             row.put("bytes a s, " + e.getKey().name().toLowerCase(Locale.ROOT), rate);
             all += rate;
@@ -92,42 +92,42 @@
     }
 
     private static void start(SimulatedCells f, Shape shape, Map<String, Double> row) {
-        for (Place p : f.places()) {
-            f.calendar().in(f.chance().nextLong(START), p::start);
+        for (ManagerHost p : f.hosts()) {
+            f.events().in(f.random().nextLong(START), p::start);
         }
         double worst = 0;
-        long since = f.calendar().now();
+        long since = f.events().now();
         long sum = 0;
         long agreed = -1;
         double shares = 0;
         for (int second = 1; second <= 20; second++) {
             for (int step = 0; step < 10; step++) {
-                f.pass(SECOND / 10);
+                f.advance(SECOND / 10);
                 if (agreed < 0
-                        && f.calendar().now() - since >= START
-                        && f.agreed() == shape.cells()) {
-                    agreed = f.calendar().now() - since;
+                        && f.events().now() - since >= START
+                        && f.agreedCells() == shape.cellCount()) {
+                    agreed = f.events().now() - since;
                 }
             }
-            long now = f.bytes().values().stream().mapToLong(b -> b).sum();
+            long now = f.bytesByKind().values().stream().mapToLong(b -> b).sum();
             worst = Math.max(worst, (double) (now - sum) / shape.managers());
             sum = now;
-            shares = second == 10 ? f.inForce() : shares;
+            shares = second == 10 ? f.quotaInForce() : shares;
         }
         row.put("start: worst second, bytes", worst);
         row.put("start: to one view, s", agreed < 0 ? -1 : agreed / 1e4);
         row.put("start: slices in force at 10 s", shares);
-        row.put("start: slices in force at 20 s", f.inForce());
+        row.put("start: slices in force at 20 s", f.quotaInForce());
     }
 
     /** The most that one manager sent in any of so many seconds. */
     private static double most(SimulatedCells f, int seconds) {
         double most = 0;
         for (int s = 0; s < seconds; s++) {
-            List<Long> before = f.places().stream().map(Place::bytes).toList();
-            f.pass(SECOND);
+            List<Long> before = f.hosts().stream().map(ManagerHost::bytesSent).toList();
+            f.advance(SECOND);
             for (int p = 0; p < before.size(); p++) {
-                most = Math.max(most, f.places().get(p).bytes() - before.get(p));
+                most = Math.max(most, f.hosts().get(p).bytesSent() - before.get(p));
             }
         }
         return most;
@@ -135,10 +135,10 @@
 
     private static void ages(SimulatedCells f, Map<String, Double> row) {
         DescriptiveStatistics ages = new DescriptiveStatistics();
-        for (Place p : f.places()) {
-            if (p.up() && p.cells() != null) {
-                p.cells()
-                        .cells(f.calendar().now())
+        for (ManagerHost p : f.hosts()) {
+            if (p.up() && p.cellDirectory() != null) {
+                p.cellDirectory()
+                        .cells(f.events().now())
                         .forEach(k -> ages.addValue(k.age() < 0 ? 99 : k.age() / 1e4));
             }
         }
@@ -151,11 +151,12 @@
     private static void kills(SimulatedCells f, Map<String, Double> row) {
         DescriptiveStatistics known = new DescriptiveStatistics();
         for (int i = 0; i < KILLS; i++) {
-            int who = f.chance().nextInt(f.places().size());
-            f.places().get(who).kill();
-            f.untilOut(who, 10 * SECOND).forEach(t -> known.addValue(t < 0 ? 99 : t / 1e4));
-            f.places().get(who).start();
-            f.pass(5 * SECOND);
+            int who = f.random().nextInt(f.hosts().size());
+            f.hosts().get(who).kill();
+            f.timesUntilRemoved(who, 10 * SECOND)
+                    .forEach(t -> known.addValue(t < 0 ? 99 : t / 1e4));
+            f.hosts().get(who).start();
+            f.advance(5 * SECOND);
         }
         row.put("a kill known, median, s", known.getPercentile(50));
         row.put("a kill known, 99th, s", known.getPercentile(99));
@@ -166,58 +167,60 @@
             SimulatedCells f, Shape shape, Map<String, Double> row, int times) {
         // The page's pace is of 2,600 managers; a smaller fleet has as many fewer.
         long every = Math.round((double) ONE_IN / times * 2_600 / shape.managers());
-        long before = f.bytes().values().stream().mapToLong(b -> b).sum();
+        long before = f.bytesByKind().values().stream().mapToLong(b -> b).sum();
         double least = 1;
         long next = every;
         for (long t = 0; t < 60 * SECOND; t += SECOND / 2) {
             if (t >= next) {
                 next += every;
-                Place p = f.places().get(f.chance().nextInt(f.places().size()));
+                ManagerHost p = f.hosts().get(f.random().nextInt(f.hosts().size()));
                 if (p.up()) {
                     p.leave();
-                    f.calendar().in(AWAY, p::start);
+                    f.events().in(AWAY, p::start);
                 }
             }
-            f.pass(SECOND / 2);
-            least = Math.min(least, f.inForce());
+            f.advance(SECOND / 2);
+            least = Math.min(least, f.quotaInForce());
         }
-        long after = f.bytes().values().stream().mapToLong(b -> b).sum();
+        long after = f.bytesByKind().values().stream().mapToLong(b -> b).sum();
         row.put(
                 "restarts at " + times + " times the pace: bytes a s",
                 (after - before) / 60.0 / shape.managers());
         row.put("restarts at " + times + " times the pace: least slices in force", least);
-        f.pass(5 * SECOND);
+        f.advance(5 * SECOND);
     }
 
     private static void massRestart(SimulatedCells f, Shape shape, Map<String, Double> row) {
-        List<Place> all = new ArrayList<>(f.places());
-        Collections.shuffle(all, new Random(f.chance().nextLong()));
-        List<Place> killed =
-                all.subList(0, (int) (all.size() * RESTARTED)).stream().filter(Place::up).toList();
-        killed.forEach(Place::kill);
-        for (Place p : killed) {
-            f.calendar().in(SECOND / 2 + f.chance().nextLong(BACK), p::start);
+        List<ManagerHost> all = new ArrayList<>(f.hosts());
+        Collections.shuffle(all, new Random(f.random().nextLong()));
+        List<ManagerHost> killed =
+                all.subList(0, (int) (all.size() * RESTARTED)).stream()
+                        .filter(ManagerHost::up)
+                        .toList();
+        killed.forEach(ManagerHost::kill);
+        for (ManagerHost p : killed) {
+            f.events().in(SECOND / 2 + f.random().nextLong(BACK), p::start);
         }
         double worst = 0;
-        long sum = f.bytes().values().stream().mapToLong(b -> b).sum();
-        long since = f.calendar().now();
+        long sum = f.bytesByKind().values().stream().mapToLong(b -> b).sum();
+        long since = f.events().now();
         long agreed = -1;
         double inForce = -1;
         for (int step = 1; step <= 600 && (agreed < 0 || inForce < 0); step++) {
-            f.pass(SECOND / 10);
+            f.advance(SECOND / 10);
             if (step % 10 == 0) {
-                long now = f.bytes().values().stream().mapToLong(b -> b).sum();
+                long now = f.bytesByKind().values().stream().mapToLong(b -> b).sum();
                 worst = Math.max(worst, (double) (now - sum) / shape.managers());
                 sum = now;
             }
-            boolean back = f.calendar().now() - since > BACK + SECOND / 2;
+            boolean back = f.events().now() - since > BACK + SECOND / 2;
             agreed =
-                    agreed < 0 && back && f.agreed() == shape.cells()
-                            ? f.calendar().now() - since
+                    agreed < 0 && back && f.agreedCells() == shape.cellCount()
+                            ? f.events().now() - since
                             : agreed;
             inForce =
-                    inForce < 0 && back && f.inForce() > 0.999
-                            ? f.calendar().now() - since
+                    inForce < 0 && back && f.quotaInForce() > 0.999
+                            ? f.events().now() - since
                             : inForce;
         }
         row.put("seven in ten restarted: worst second, bytes", worst);
@@ -231,42 +234,43 @@
         row.put("managers", (double) shape.managers());
         SimulatedCells f = new SimulatedCells(shape, seed);
         f.start(START);
-        f.pass(40 * SECOND);
+        f.advance(40 * SECOND);
         double usual = rate(f, 20) / shape.managers();
-        f.cut(p -> f.places().get(p).cell() % 2 == 0, true);
+        f.setPartition(p -> f.hosts().get(p).cell() % 2 == 0, true);
         double least = 1;
         for (long t = 0; t < length; t += 10 * SECOND) {
-            f.pass(10 * SECOND);
-            least = Math.min(least, f.inForce());
+            f.advance(10 * SECOND);
+            least = Math.min(least, f.quotaInForce());
         }
         row.put("cut, min", length / 6e5);
         row.put("bytes a s before", usual);
         row.put("bytes a s while cut", rate(f, 20) / shape.managers());
         row.put("least slices in force while cut", least);
-        f.cut(p -> false, false);
+        f.setPartition(p -> false, false);
         double worst = 0;
         long heard = -1;
         for (int s = 1; s <= 60; s++) {
             worst = Math.max(worst, rate(f, 1) / shape.managers());
-            boolean all = f.places().stream().allMatch(p -> hearsAll(p, f.calendar().now()));
+            boolean all = f.hosts().stream().allMatch(p -> hearsAll(p, f.events().now()));
             heard = heard < 0 && all ? s : heard;
         }
         row.put("worst second after, bytes", worst);
         row.put("all cells heard by all after, s", (double) heard);
-        row.put("cells of one view after, part", (double) f.agreed() / shape.cells());
+        row.put("cells of one view after, part", (double) f.agreedCells() / shape.cellCount());
         return row;
     }
 
-    private static boolean hearsAll(SimulatedCells.Place p, long now) {
-        return p.cells() == null
-                || p.cells().cells(now).stream()
+    private static boolean hearsAll(SimulatedCells.ManagerHost p, long now) {
+        return p.cellDirectory() == null
+                || p.cellDirectory().cells(now).stream()
                         .allMatch(k -> k.state() == CellDirectory.CellState.ACTIVE);
     }
 
     private static double rate(SimulatedCells f, int seconds) {
-        long before = f.bytes().values().stream().mapToLong(b -> b).sum();
-        f.pass(seconds * SECOND);
-        return (f.bytes().values().stream().mapToLong(b -> b).sum() - before) / (double) seconds;
+        long before = f.bytesByKind().values().stream().mapToLong(b -> b).sum();
+        f.advance(seconds * SECOND);
+        return (f.bytesByKind().values().stream().mapToLong(b -> b).sum() - before)
+                / (double) seconds;
     }
 
     /** The slope of a figure against the managers, a thousand of them, and its standard error. */
--- a/src/main/java/firstage/simulation/schedule/FaultSchedule.java
+++ b/src/main/java/firstage/simulation/schedule/FaultSchedule.java
@@ -21,95 +21,95 @@
 public final class FaultSchedule {
     private static final long SECOND = 10_000;
     private static final long START = 100 * SECOND;
-    private static final long GAP = 600;
-    private static final long GAP_NEW = 2_500;
-    private static final long LIMIT = 5 * SECOND;
+    private static final long KEY_GAP = 600;
+    private static final long KEY_GAP_NEW_CONNECTION = 2_500;
+    private static final long MAX_DEADLINE = 5 * SECOND;
     private static final int KEYS = 2;
-    private static final double[] ROUGHNESS = {0, 0.02, 0.1, 0.3};
+    private static final double[] FAULT_PROBABILITIES = {0, 0.02, 0.1, 0.3};
 
     private FaultSchedule() {}
 
     /** What broke, in words; empty where all rules held and all tables are empty at the end. */
-    public static List<String> play(long seed, InjectedDefect fault) {
-        RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        EventQueue calendar = new EventQueue(START);
-        ScheduleRuleChecker check = new ScheduleRuleChecker();
-        int count = 1 + chance.nextInt(3);
+    public static List<String> run(long seed, InjectedDefect defect) {
+        RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
+        EventQueue events = new EventQueue(START);
+        ScheduleRuleChecker ruleChecker = new ScheduleRuleChecker();
+        int count = 1 + random.nextInt(3);
         List<SimulatedEngine> engines = new ArrayList<>();
-        for (int e = 0; e < count; e++) {
-            engines.add(new SimulatedEngine(calendar, check, chance));
+        for (int index = 0; index < count; index++) {
+            engines.add(new SimulatedEngine(events, ruleChecker, random));
         }
-        Deployment deployment = deployment(chance);
-        double roughness = ROUGHNESS[chance.nextInt(ROUGHNESS.length)];
-        boolean stalls = chance.nextBoolean();
-        Supplier<SimulatedManager> starts =
+        Deployment deployment = deployment(random);
+        double faultProbability = FAULT_PROBABILITIES[random.nextInt(FAULT_PROBABILITIES.length)];
+        boolean stalls = random.nextBoolean();
+        Supplier<SimulatedManager> startManager =
                 () -> {
                     SimulatedManager next =
                             new SimulatedManager(
-                                    calendar,
-                                    chance,
-                                    check,
-                                    fault,
+                                    events,
+                                    random,
+                                    ruleChecker,
+                                    defect,
                                     deployment,
                                     engines,
-                                    roughness,
+                                    faultProbability,
                                     stalls);
-                    next.knows(count);
+                    next.setInitialEndpoints(count);
                     return next;
                 };
-        SimulatedManager[] up = {starts.get()};
-        traffic(chance, calendar, check, up);
-        troubles(chance, calendar, up, engines);
-        restarts(chance, calendar, check, up, starts);
-        calendar.play(START + 20 * SECOND);
-        check.close(calendar.now());
-        up[0].close();
-        return check.broken();
+        SimulatedManager[] manager = {startManager.get()};
+        scheduleTraffic(random, events, ruleChecker, manager);
+        scheduleFaults(random, events, manager, engines);
+        scheduleManagerEvents(random, events, ruleChecker, manager, startManager);
+        events.play(START + 20 * SECOND);
+        ruleChecker.checkAllAnswered(events.now());
+        manager[0].close();
+        return ruleChecker.violations();
     }
 
     /** Killed, and up again at once with a burst of what came meanwhile; or told to end. */
-    private static void restarts(
-            RandomGenerator chance,
-            EventQueue calendar,
-            ScheduleRuleChecker check,
-            SimulatedManager[] up,
-            Supplier<SimulatedManager> starts) {
-        long at = chance.nextLong(4 * SECOND);
-        switch (chance.nextInt(5)) {
+    private static void scheduleManagerEvents(
+            RandomGenerator random,
+            EventQueue events,
+            ScheduleRuleChecker ruleChecker,
+            SimulatedManager[] manager,
+            Supplier<SimulatedManager> startManager) {
+        long at = random.nextLong(4 * SECOND);
+        switch (random.nextInt(5)) {
             case 0 ->
-                    calendar.in(
+                    events.in(
                             at,
                             () -> {
-                                up[0].die();
-                                check.killed();
-                                up[0] = starts.get();
-                                up[0].thread().standStill(chance.nextLong(SECOND));
+                                manager[0].kill();
+                                ruleChecker.onManagerKilled();
+                                manager[0] = startManager.get();
+                                manager[0].thread().pause(random.nextLong(SECOND));
                             });
-            case 1 -> calendar.in(at, () -> up[0].closes(calendar.now() + 3 * SECOND));
-            case 2 -> calendar.in(at, () -> up[0].listedAnew());
+            case 1 -> events.in(at, () -> manager[0].shutDown(events.now() + 3 * SECOND));
+            case 2 -> events.in(at, () -> manager[0].onEndpointSnapshot());
             default -> {}
         }
     }
 
-    private static Deployment deployment(RandomGenerator chance) {
-        boolean copies = chance.nextBoolean();
-        List<TrafficClass> groups =
+    private static Deployment deployment(RandomGenerator random) {
+        boolean hedging = random.nextBoolean();
+        List<TrafficClass> trafficClasses =
                 List.of(
-                        group(Effect.IDEMPOTENT, false, 1),
-                        group(Effect.NON_IDEMPOTENT, true, 2),
-                        group(Effect.IDEMPOTENT, true, 1));
+                        trafficClass(Effect.IDEMPOTENT, false, 1),
+                        trafficClass(Effect.NON_IDEMPOTENT, true, 2),
+                        trafficClass(Effect.IDEMPOTENT, true, 1));
         return new Deployment(
-                chance.nextLong(),
+                random.nextLong(),
                 1,
                 0,
                 0,
-                groups,
+                trafficClasses,
                 List.of(new Deployment.MachineType(8, 16_000)),
                 List.of(),
                 new Deployment.Capabilities(
-                        chance.nextBoolean(), copies, true, true, true, 4, 2 * SECOND),
+                        random.nextBoolean(), hedging, true, true, true, 4, 2 * SECOND),
                 new Deployment.Rules(
-                        0, 0, 0, 2 * SECOND, chance.nextBoolean() ? 0 : SECOND / 2, -1, 0, SECOND),
+                        0, 0, 0, 2 * SECOND, random.nextBoolean() ? 0 : SECOND / 2, -1, 0, SECOND),
                 0.5,
                 SECOND / 2,
                 false,
@@ -119,17 +119,17 @@
                 false);
     }
 
-    private static TrafficClass group(Effect effect, boolean ordered, int threads) {
+    private static TrafficClass trafficClass(Effect effect, boolean keyed, int threads) {
         return new TrafficClass(
                 2 * SECOND,
                 2,
-                LIMIT,
-                ordered ? 8 : 1,
+                MAX_DEADLINE,
+                keyed ? 8 : 1,
                 0.5,
                 effect,
                 Scope.ALL,
                 6 * SECOND,
-                ordered,
+                keyed,
                 threads,
                 false,
                 false,
@@ -137,94 +137,114 @@
                 Set.of());
     }
 
-    private static void traffic(
-            RandomGenerator chance,
-            EventQueue calendar,
-            ScheduleRuleChecker check,
-            SimulatedManager[] up) {
-        int batch = 0;
-        for (int key = 0; key < KEYS; key++) {
-            long at = chance.nextLong(SECOND);
-            int many = 3 + chance.nextInt(5);
-            int group = 1 + chance.nextInt(2);
-            for (int i = 0; i < many; i++) {
-                boolean fresh = chance.nextInt(3) == 0;
-                comes(chance, calendar, check, up, batch++, group, key, at, fresh);
-                long gap = fresh ? GAP_NEW : GAP;
-                at += chance.nextBoolean() ? gap : gap + chance.nextLong(SECOND / 2);
+    private static void scheduleTraffic(
+            RandomGenerator random,
+            EventQueue events,
+            ScheduleRuleChecker ruleChecker,
+            SimulatedManager[] manager) {
+        int requestId = 0;
+        for (int orderingKey = 0; orderingKey < KEYS; orderingKey++) {
+            long at = random.nextLong(SECOND);
+            int requestCount = 3 + random.nextInt(5);
+            int trafficClass = 1 + random.nextInt(2);
+            for (int i = 0; i < requestCount; i++) {
+                boolean newConnection = random.nextInt(3) == 0;
+                scheduleRequest(
+                        random,
+                        events,
+                        ruleChecker,
+                        manager,
+                        requestId++,
+                        trafficClass,
+                        orderingKey,
+                        at,
+                        newConnection);
+                long gap = newConnection ? KEY_GAP_NEW_CONNECTION : KEY_GAP;
+                at += random.nextBoolean() ? gap : gap + random.nextLong(SECOND / 2);
             }
         }
         for (int i = 0; i < 4; i++) {
-            comes(
-                    chance,
-                    calendar,
-                    check,
-                    up,
-                    batch++,
+            scheduleRequest(
+                    random,
+                    events,
+                    ruleChecker,
+                    manager,
+                    requestId++,
                     0,
                     -1,
-                    chance.nextLong(4 * SECOND),
-                    chance.nextBoolean());
+                    random.nextLong(4 * SECOND),
+                    random.nextBoolean());
         }
     }
 
-    private static void comes(
-            RandomGenerator chance,
-            EventQueue calendar,
-            ScheduleRuleChecker check,
-            SimulatedManager[] up,
-            int batch,
-            int group,
-            int key,
+    private static void scheduleRequest(
+            RandomGenerator random,
+            EventQueue events,
+            ScheduleRuleChecker ruleChecker,
+            SimulatedManager[] manager,
+            int requestId,
+            int trafficClass,
+            int orderingKey,
             long at,
-            boolean fresh) {
-        long limit = START + at + SECOND / 2 + chance.nextLong(LIMIT);
-        long runs = 50 + chance.nextLong(chance.nextInt(4) == 0 ? SECOND * 3 : SECOND / 4);
-        SimulatedManager.Taken b = new SimulatedManager.Taken(batch, group, key, limit, runs);
-        calendar.in(
+            boolean newConnection) {
+        long deadline = START + at + SECOND / 2 + random.nextLong(MAX_DEADLINE);
+        long runTime = 50 + random.nextLong(random.nextInt(4) == 0 ? SECOND * 3 : SECOND / 4);
+        SimulatedManager.SimulatedRequest request =
+                new SimulatedManager.SimulatedRequest(
+                        requestId, trafficClass, orderingKey, deadline, runTime);
+        events.in(
                 at,
                 () -> {
-                    check.came(calendar.now(), batch, key, group == 1, limit);
-                    up[0].comes(b, fresh);
+                    ruleChecker.onArrived(
+                            events.now(), requestId, orderingKey, trafficClass == 1, deadline);
+                    manager[0].onRequestReceived(request, newConnection);
                 });
-        if (chance.nextInt(10) == 0) {
-            calendar.in(at + chance.nextLong(SECOND), () -> up[0].leaves(b));
+        if (random.nextInt(10) == 0) {
+            events.in(at + random.nextLong(SECOND), () -> manager[0].onClientQuit(request));
         }
     }
 
-    private static void troubles(
-            RandomGenerator chance,
-            EventQueue calendar,
-            SimulatedManager[] up,
+    private static void scheduleFaults(
+            RandomGenerator random,
+            EventQueue events,
+            SimulatedManager[] manager,
             List<SimulatedEngine> engines) {
-        int stalls = chance.nextInt(4);
+        int stalls = random.nextInt(4);
         for (int i = 0; i < stalls; i++) {
-            calendar.in(
-                    chance.nextLong(4 * SECOND),
-                    () -> up[0].thread().standStill(500 + chance.nextLong(SECOND)));
+            events.in(
+                    random.nextLong(4 * SECOND),
+                    () -> manager[0].thread().pause(500 + random.nextLong(SECOND)));
         }
-        for (int e = 0; e < engines.size(); e++) {
-            int which = e;
-            SimulatedEngine engine = engines.get(e);
-            long at = chance.nextLong(4 * SECOND);
-            switch (chance.nextInt(6)) {
+        for (int index = 0; index < engines.size(); index++) {
+            int engineIndex = index;
+            SimulatedEngine engine = engines.get(index);
+            long at = random.nextLong(4 * SECOND);
+            switch (random.nextInt(6)) {
                 case 0 -> {
-                    calendar.in(at, () -> engine.becomes(SimulatedEngine.Standing.DOWN));
-                    calendar.in(
-                            at + chance.nextLong(2 * SECOND),
-                            () -> engine.becomes(SimulatedEngine.Standing.UP));
+                    events.in(at, () -> engine.setAvailability(SimulatedEngine.Availability.DOWN));
+                    events.in(
+                            at + random.nextLong(2 * SECOND),
+                            () -> engine.setAvailability(SimulatedEngine.Availability.UP));
                 }
                 case 1 -> {
-                    calendar.in(at, () -> engine.becomes(SimulatedEngine.Standing.MUTE));
-                    calendar.in(
-                            at + chance.nextLong(4 * SECOND),
-                            () -> engine.becomes(SimulatedEngine.Standing.UP));
+                    events.in(
+                            at,
+                            () ->
+                                    engine.setAvailability(
+                                            SimulatedEngine.Availability.UNRESPONSIVE));
+                    events.in(
+                            at + random.nextLong(4 * SECOND),
+                            () -> engine.setAvailability(SimulatedEngine.Availability.UP));
                 }
                 case 2 -> {
-                    calendar.in(at, () -> engine.becomes(SimulatedEngine.Standing.DRAINING));
-                    calendar.in(
-                            at + chance.nextLong(SECOND),
-                            () -> up[0].listed(which, EndpointUpdate.Lifecycle.DRAINING));
+                    events.in(
+                            at,
+                            () -> engine.setAvailability(SimulatedEngine.Availability.DRAINING));
+                    events.in(
+                            at + random.nextLong(SECOND),
+                            () ->
+                                    manager[0].onEndpointChanged(
+                                            engineIndex, EndpointUpdate.Lifecycle.DRAINING));
                 }
                 default -> {}
             }
--- a/src/main/java/firstage/simulation/schedule/FaultSchedules.java
+++ b/src/main/java/firstage/simulation/schedule/FaultSchedules.java
@@ -14,31 +14,31 @@
      * Seeds of the schedules that broke something, with what; at most the first {@code show} are
      * kept.
      */
-    public static Map<Long, List<String>> play(
-            long from, long count, InjectedDefect fault, int show) {
-        ConcurrentSkipListMap<Long, List<String>> broken = new ConcurrentSkipListMap<>();
-        LongStream.range(from, from + count)
+    public static Map<Long, List<String>> run(
+            long firstSeed, long count, InjectedDefect defect, int maxShown) {
+        ConcurrentSkipListMap<Long, List<String>> findings = new ConcurrentSkipListMap<>();
+        LongStream.range(firstSeed, firstSeed + count)
                 .parallel()
                 .forEach(
                         seed -> {
-                            List<String> what;
+                            List<String> violations;
                             try {
-                                what = FaultSchedule.play(seed, fault);
-                            } catch (RuntimeException thrown) {
-                                what =
+                                violations = FaultSchedule.run(seed, defect);
+                            } catch (RuntimeException exception) {
+                                violations =
                                         List.of(
                                                 "thrown: "
-                                                        + thrown
+                                                        + exception
                                                         + " at "
-                                                        + thrown.getStackTrace()[0]);
+                                                        + exception.getStackTrace()[0]);
                             }
-                            if (!what.isEmpty()) {
-                                broken.put(seed, what);
-                                if (broken.size() > show) {
-                                    broken.pollLastEntry();
+                            if (!violations.isEmpty()) {
+                                findings.put(seed, violations);
+                                if (findings.size() > maxShown) {
+                                    findings.pollLastEntry();
                                 }
                             }
                         });
-        return new TreeMap<>(broken);
+        return new TreeMap<>(findings);
     }
 }
--- a/src/main/java/firstage/simulation/schedule/InjectedDefect.java
+++ b/src/main/java/firstage/simulation/schedule/InjectedDefect.java
@@ -7,9 +7,9 @@
 public enum InjectedDefect {
     NONE,
     /** Batches are told as they are read, whatever the thread missed meanwhile. */
-    TOLD_AS_READ,
+    DELIVERED_AS_READ,
     /** One new connection is accepted a look, and two looks are taken for all. */
-    ONE_ACCEPTED_A_LOOK,
+    ONE_ACCEPTED_PER_ROUND,
     /** A refused call for news ends a dispatch for good, also at an engine that drains. */
     REFUSED_IS_OVER,
     /**
@@ -23,7 +23,7 @@
      * A dispatch that is given up ends as soon as its time to hear of it is over, and its key goes
      * on.
      */
-    GIVEN_UP_IS_OVER,
+    ABANDONED_IS_OVER,
     /**
      * A key rests as if what ends unasked were over when it ends, not when that is written or
      * forgotten.
@@ -36,9 +36,9 @@
     /** The client's limit answers it, and a late end answers it again. */
     ANSWERED_TWICE,
     /** A connection that came up late carries a statement to an engine that drains. */
-    DRAIN_UNHEEDED,
+    DRAIN_IGNORED,
     /** A client that does not call again is taken for there. */
-    AWAY_UNHEEDED,
+    ABSENCE_IGNORED,
     /** What has no answer at its limit gets none. */
-    LIMIT_UNHEEDED
+    DEADLINE_IGNORED
 }
--- a/src/main/java/firstage/simulation/schedule/MembershipFigures.java
+++ b/src/main/java/firstage/simulation/schedule/MembershipFigures.java
@@ -14,84 +14,91 @@
 
     private MembershipFigures() {}
 
-    private static SimulatedMembership field(int count, long seed) {
-        SimulatedMembership f =
+    private static SimulatedMembership startedFleet(int count, long seed) {
+        SimulatedMembership fleet =
                 new SimulatedMembership(
                         count,
                         seed,
                         MembershipProtocol.InjectedDefect.NONE,
                         QuotaLeases.InjectedDefect.NONE);
-        f.startAll();
-        f.pass(5 * SECOND);
-        f.changes();
-        return f;
+        fleet.startAll();
+        fleet.advance(5 * SECOND);
+        fleet.viewChanges();
+        return fleet;
     }
 
     /** Figures by name, for so many managers and seeds. */
-    public static Map<String, Double> play(int count, int seeds) {
+    public static Map<String, Double> measure(int count, int seeds) {
         Map<String, Double> figures = new LinkedHashMap<>();
-        DescriptiveStatistics known = new DescriptiveStatistics();
-        DescriptiveStatistics half = new DescriptiveStatistics();
-        DescriptiveStatistics halfViews = new DescriptiveStatistics();
-        DescriptiveStatistics healed = new DescriptiveStatistics();
-        DescriptiveStatistics bytes = new DescriptiveStatistics();
-        DescriptiveStatistics start = new DescriptiveStatistics();
-        double never = 0;
+        DescriptiveStatistics detection = new DescriptiveStatistics();
+        DescriptiveStatistics halfKilled = new DescriptiveStatistics();
+        DescriptiveStatistics viewChangesPerHost = new DescriptiveStatistics();
+        DescriptiveStatistics splitHealed = new DescriptiveStatistics();
+        DescriptiveStatistics bytesPerSecond = new DescriptiveStatistics();
+        DescriptiveStatistics startUp = new DescriptiveStatistics();
+        double neverAgreed = 0;
         for (long seed = 0; seed < seeds; seed++) {
-            SimulatedMembership first =
+            SimulatedMembership startingFleet =
                     new SimulatedMembership(
                             count,
                             seed,
                             MembershipProtocol.InjectedDefect.NONE,
                             QuotaLeases.InjectedDefect.NONE);
-            long took = first.startAll();
-            never += took < 0 ? 1 : 0;
-            start.addValue(took / 1e4);
-            SimulatedMembership f = field(count, seed);
-            long before = f.places().stream().mapToLong(SimulatedMembership.Place::bytes).sum();
-            f.pass(10 * SECOND);
-            bytes.addValue(
-                    (f.places().stream().mapToLong(SimulatedMembership.Place::bytes).sum() - before)
+            long startTime = startingFleet.startAll();
+            neverAgreed += startTime < 0 ? 1 : 0;
+            startUp.addValue(startTime / 1e4);
+            SimulatedMembership fleet = startedFleet(count, seed);
+            long bytesBefore =
+                    fleet.hosts().stream()
+                            .mapToLong(SimulatedMembership.ManagerHost::bytesSent)
+                            .sum();
+            fleet.advance(10 * SECOND);
+            bytesPerSecond.addValue(
+                    (fleet.hosts().stream()
+                                            .mapToLong(SimulatedMembership.ManagerHost::bytesSent)
+                                            .sum()
+                                    - bytesBefore)
                             / 10.0
                             / count);
-            f.places().get(0).kill();
-            f.untilKnown(0, 20 * SECOND).forEach(t -> known.addValue(t < 0 ? 99 : t / 1e4));
-            f = field(count, seed);
-            List<SimulatedMembership.Place> all = new ArrayList<>(f.places());
-            f.pass(f.chance().nextLong(SECOND));
+            fleet.hosts().get(0).kill();
+            fleet.timesUntilNotAlive(0, 20 * SECOND)
+                    .forEach(elapsed -> detection.addValue(elapsed < 0 ? 99 : elapsed / 1e4));
+            fleet = startedFleet(count, seed);
+            List<SimulatedMembership.ManagerHost> hosts = new ArrayList<>(fleet.hosts());
+            fleet.advance(fleet.random().nextLong(SECOND));
             for (int i = 0; i < count / 2; i++) {
-                all.get(2 * i).kill();
+                hosts.get(2 * i).kill();
             }
-            long agreed = f.untilAgreed(30 * SECOND);
-            never += agreed < 0 ? 1 : 0;
-            half.addValue(agreed / 1e4);
-            halfViews.addValue((double) f.changes().size() / (count - count / 2));
-            f = field(count, seed);
-            split(f, count, true);
-            f.pass(20 * SECOND);
-            split(f, count, false);
-            long one = f.untilAgreed(60 * SECOND);
-            never += one < 0 ? 1 : 0;
-            healed.addValue(one / 1e4);
+            long agreedAfter = fleet.timeUntilAgreed(30 * SECOND);
+            neverAgreed += agreedAfter < 0 ? 1 : 0;
+            halfKilled.addValue(agreedAfter / 1e4);
+            viewChangesPerHost.addValue((double) fleet.viewChanges().size() / (count - count / 2));
+            fleet = startedFleet(count, seed);
+            split(fleet, count, true);
+            fleet.advance(20 * SECOND);
+            split(fleet, count, false);
+            long healedAfter = fleet.timeUntilAgreed(60 * SECOND);
+            neverAgreed += healedAfter < 0 ? 1 : 0;
+            splitHealed.addValue(healedAfter / 1e4);
         }
-        figures.put("start to one view, s, median", start.getPercentile(50));
-        figures.put("a killed one doubted everywhere, s, median", known.getPercentile(50));
-        figures.put("a killed one doubted everywhere, s, 99th", known.getPercentile(99));
-        figures.put("half killed, one view, s, median", half.getPercentile(50));
-        figures.put("half killed, one view, s, most", half.getMax());
-        figures.put("half killed, views on the way, most", halfViews.getMax());
-        figures.put("split of 20 s healed, one view, s, median", healed.getPercentile(50));
-        figures.put("split of 20 s healed, one view, s, most", healed.getMax());
-        figures.put("bytes a second and manager", bytes.getMean());
-        figures.put("never agreed", never);
+        figures.put("start to one view, s, median", startUp.getPercentile(50));
+        figures.put("a killed one doubted everywhere, s, median", detection.getPercentile(50));
+        figures.put("a killed one doubted everywhere, s, 99th", detection.getPercentile(99));
+        figures.put("half killed, one view, s, median", halfKilled.getPercentile(50));
+        figures.put("half killed, one view, s, most", halfKilled.getMax());
+        figures.put("half killed, views on the way, most", viewChangesPerHost.getMax());
+        figures.put("split of 20 s healed, one view, s, median", splitHealed.getPercentile(50));
+        figures.put("split of 20 s healed, one view, s, most", splitHealed.getMax());
+        figures.put("bytes a second and manager", bytesPerSecond.getMean());
+        figures.put("never agreed", neverAgreed);
         return figures;
     }
 
-    private static void split(SimulatedMembership f, int count, boolean is) {
-        for (int a = 0; a < count; a++) {
-            for (int b = 0; b < count; b++) {
-                if (a < count / 2 != b < count / 2) {
-                    f.cut(a, b, is);
+    private static void split(SimulatedMembership fleet, int count, boolean block) {
+        for (int from = 0; from < count; from++) {
+            for (int to = 0; to < count; to++) {
+                if (from < count / 2 != to < count / 2) {
+                    fleet.setBlocked(from, to, block);
                 }
             }
         }
@@ -101,15 +108,15 @@
      * Live ones held for gone in so many minutes of pauses up to {@code most}, each 2 s one, with
      * 20% loss.
      */
-    public static int falselyGone(int count, long seed, int minutes, long most) {
-        SimulatedMembership f = field(count, seed);
-        f.loses(0.2);
+    public static int falselyDead(int count, long seed, int minutes, long maxPause) {
+        SimulatedMembership fleet = startedFleet(count, seed);
+        fleet.setLossProbability(0.2);
         for (int i = 0; i < minutes * 30; i++) {
-            f.places()
-                    .get(f.chance().nextInt(count))
-                    .pause(most / 5 + f.chance().nextLong(most * 4 / 5));
-            f.pass(2 * SECOND);
+            fleet.hosts()
+                    .get(fleet.random().nextInt(count))
+                    .pause(maxPause / 5 + fleet.random().nextLong(maxPause * 4 / 5));
+            fleet.advance(2 * SECOND);
         }
-        return f.falselyGone().size();
+        return fleet.falselyDead().size();
     }
 }
--- a/src/main/java/firstage/simulation/schedule/ScheduleRuleChecker.java
+++ b/src/main/java/firstage/simulation/schedule/ScheduleRuleChecker.java
@@ -15,84 +15,93 @@
  */
 public final class ScheduleRuleChecker {
     /** Tenths of a millisecond after a client's limit in which its answer still counts. */
-    private static final long SLACK = 500;
+    private static final long ANSWER_SLACK = 500;
 
     /** After its client left nothing is sent for it later than this. */
-    private static final long LEFT_FOR = 3_000;
+    private static final long MAX_SEND_DELAY_AFTER_ABSENCE = 3_000;
 
     /** What crossed of one batch. */
-    private static final class Seen {
+    private static final class ObservedRequest {
         private final int id;
-        private final int life;
-        private final int key;
-        private final boolean onceOnly;
-        private final long came;
-        private final long limit;
-        private int answers;
-        private boolean over;
-        private boolean left;
+        private final int managerIncarnation;
+        private final int orderingKey;
+        private final boolean nonIdempotent;
+        private final long arrivedAt;
+        private final long deadline;
+        private int answerCount;
+        private boolean completed;
+        private boolean owedNothing;
 
         /** Since when its client is not there; below 0 where it is. */
         private long absentSince = -1;
 
-        private int ran;
+        private int runCount;
 
-        private Seen(int id, int key, boolean onceOnly, long came, long limit, int life) {
+        private ObservedRequest(
+                int id,
+                int orderingKey,
+                boolean nonIdempotent,
+                long arrivedAt,
+                long deadline,
+                int managerIncarnation) {
             this.id = id;
-            this.life = life;
-            this.key = key;
-            this.onceOnly = onceOnly;
-            this.came = came;
-            this.limit = limit;
+            this.managerIncarnation = managerIncarnation;
+            this.orderingKey = orderingKey;
+            this.nonIdempotent = nonIdempotent;
+            this.arrivedAt = arrivedAt;
+            this.deadline = deadline;
         }
     }
 
-    private final List<String> broken = new ArrayList<>();
-    private final Map<Integer, Seen> batches = new HashMap<>();
+    private final List<String> violations = new ArrayList<>();
+    private final Map<Integer, ObservedRequest> requests = new HashMap<>();
 
     /** By key, the batches that came, in the order of their last bytes. */
-    private final Map<Integer, List<Seen>> byKey = new HashMap<>();
+    private final Map<Integer, List<ObservedRequest>> requestsByKey = new HashMap<>();
 
     /** By key, the batches whose runs are at engines now; once for each run. */
-    private final Map<Integer, List<Seen>> atEngines = new HashMap<>();
+    private final Map<Integer, List<ObservedRequest>> runningByKey = new HashMap<>();
 
     /** Which of the managers that follow each other is up. */
-    private int life;
+    private int incarnation;
 
     /** Time that the thread stood still: no answer can be asked for within it. */
-    private long stalls;
-
-    /** The last byte of a batch reached the machine; {@code key} -1 without order. */
-    public void came(long now, int id, int key, boolean onceOnly, long limit) {
-        Seen b = new Seen(id, key, onceOnly, now, limit, life);
-        batches.put(id, b);
-        if (key >= 0) {
-            byKey.computeIfAbsent(key, k -> new ArrayList<>()).add(b);
+    private long totalStall;
+
+    /** The last byte of a batch reached the machine; {@code orderingKey} -1 without order. */
+    public void onArrived(
+            long now, int requestId, int orderingKey, boolean nonIdempotent, long deadline) {
+        ObservedRequest request =
+                new ObservedRequest(
+                        requestId, orderingKey, nonIdempotent, now, deadline, incarnation);
+        requests.put(requestId, request);
+        if (orderingKey >= 0) {
+            requestsByKey.computeIfAbsent(orderingKey, absentKey -> new ArrayList<>()).add(request);
         }
     }
 
-    public void stalled(long time) {
-        stalls += time;
+    public void onStalled(long length) {
+        totalStall += length;
     }
 
     /** The manager says how it ends; a client that asks at once has it at once. */
-    public void owed(long now, int id, boolean pushedBack) {
-        Seen b = batches.get(id);
-        if (!b.left && now > b.limit + SLACK + stalls) {
-            breaks(now, 1, b, "answered too late");
+    public void onCompleted(long now, int requestId, boolean rejected) {
+        ObservedRequest request = requests.get(requestId);
+        if (!request.owedNothing && now > request.deadline + ANSWER_SLACK + totalStall) {
+            recordViolation(now, 1, request, "answered too late");
         }
-        if (pushedBack && b.onceOnly && b.ran > 0) {
-            breaks(now, 2, b, "pushed back, and may have run");
+        if (rejected && request.nonIdempotent && request.runCount > 0) {
+            recordViolation(now, 2, request, "pushed back, and may have run");
         }
-        b.over = true;
+        request.completed = true;
     }
 
     /** The client has its answer. */
-    public void answered(long now, int id) {
-        Seen b = batches.get(id);
-        b.answers++;
-        if (b.answers > 1) {
-            breaks(now, 1, b, "answered " + b.answers + " times");
+    public void onAnswered(long now, int requestId) {
+        ObservedRequest request = requests.get(requestId);
+        request.answerCount++;
+        if (request.answerCount > 1) {
+            recordViolation(now, 1, request, "answered " + request.answerCount + " times");
         }
     }
 
@@ -100,45 +109,48 @@
      * The manager was killed: what it held is no duty of anybody's, and the next one's orders begin
      * anew.
      */
-    public void killed() {
-        batches.values().stream().filter(b -> b.answers == 0).forEach(b -> left(b.id));
-        byKey.clear();
-        atEngines.clear();
-        life++;
+    public void onManagerKilled() {
+        requests.values().stream()
+                .filter(request -> request.answerCount == 0)
+                .forEach(request -> onClientLeft(request.id));
+        requestsByKey.clear();
+        runningByKey.clear();
+        incarnation++;
     }
 
     /** How many managers were killed before this one. */
-    public int life() {
-        return life;
+    public int incarnation() {
+        return incarnation;
     }
 
     /** The client left: it is owed nothing. */
-    public void left(int id) {
-        Seen b = batches.get(id);
-        b.left = true;
-        b.over = true;
+    public void onClientLeft(int requestId) {
+        ObservedRequest request = requests.get(requestId);
+        request.owedNothing = true;
+        request.completed = true;
     }
 
     /** The client is not there, for now or for ever. */
-    public void absent(long now, int id) {
-        batches.get(id).absentSince = now;
+    public void onClientAbsent(long now, int requestId) {
+        requests.get(requestId).absentSince = now;
     }
 
-    public void present(int id) {
-        batches.get(id).absentSince = -1;
+    public void onClientPresent(int requestId) {
+        requests.get(requestId).absentSince = -1;
     }
 
     /** A statement goes onto the wire. */
-    public void sent(long now, int id) {
-        Seen b = batches.get(id);
-        if (b.absentSince >= 0 && now - b.absentSince > LEFT_FOR + stalls) {
-            broken.add(
+    public void onStatementSent(long now, int requestId) {
+        ObservedRequest request = requests.get(requestId);
+        if (request.absentSince >= 0
+                && now - request.absentSince > MAX_SEND_DELAY_AFTER_ABSENCE + totalStall) {
+            violations.add(
                     "at "
                             + now
                             + ": batch "
-                            + b.id
+                            + request.id
                             + " is sent "
-                            + (now - b.absentSince)
+                            + (now - request.absentSince)
                             + " after its client left");
         }
     }
@@ -147,72 +159,83 @@
      * A statement came whole to an engine that takes it up; {@code sinceDrain} below 0 where it
      * does not drain.
      */
-    public void runs(long now, int id, long sentSinceDrain, long grace) {
-        Seen b = batches.get(id);
-        if (sentSinceDrain > grace) {
-            breaks(now, 3, b, "sent " + sentSinceDrain + " after the drain was told");
+    public void onRunStarted(long now, int requestId, long sentSinceDrain, long drainGrace) {
+        ObservedRequest request = requests.get(requestId);
+        if (sentSinceDrain > drainGrace) {
+            recordViolation(
+                    now, 3, request, "sent " + sentSinceDrain + " after the drain was told");
         }
-        if (b.onceOnly && b.ran > 0) {
-            breaks(now, 2, b, "runs again");
+        if (request.nonIdempotent && request.runCount > 0) {
+            recordViolation(now, 2, request, "runs again");
         }
-        b.ran++;
-        if (b.key < 0 || b.life != life) {
+        request.runCount++;
+        if (request.orderingKey < 0 || request.managerIncarnation != incarnation) {
             return;
         }
         // Another try or a second copy of its own is not held back by this rule.
-        List<Seen> running = atEngines.computeIfAbsent(b.key, k -> new ArrayList<>());
-        for (Seen other : running) {
-            if (other != b) {
-                breaks(now, 5, b, "runs beside " + other.id);
+        List<ObservedRequest> running =
+                runningByKey.computeIfAbsent(request.orderingKey, absentKey -> new ArrayList<>());
+        for (ObservedRequest other : running) {
+            if (other != request) {
+                recordViolation(now, 5, request, "runs beside " + other.id);
             }
         }
-        running.add(b);
-        for (Seen earlier : byKey.get(b.key)) {
-            if (earlier.came >= b.came) {
+        running.add(request);
+        for (ObservedRequest earlier : requestsByKey.get(request.orderingKey)) {
+            if (earlier.arrivedAt >= request.arrivedAt) {
                 break;
             }
-            if (!earlier.over) {
-                breaks(
+            if (!earlier.completed) {
+                recordViolation(
                         now,
                         5,
-                        b,
+                        request,
                         "runs before "
                                 + earlier.id
                                 + ", which came "
-                                + (b.came - earlier.came)
+                                + (request.arrivedAt - earlier.arrivedAt)
                                 + " earlier");
             }
         }
     }
 
     /** A run ended at its engine: by itself, by a DELETE, forgotten, or with the process. */
-    public void ends(int id) {
-        Seen b = batches.get(id);
-        if (b.key >= 0 && b.life == life) {
-            atEngines.get(b.key).remove(b);
+    public void onRunEnded(int requestId) {
+        ObservedRequest request = requests.get(requestId);
+        if (request.orderingKey >= 0 && request.managerIncarnation == incarnation) {
+            runningByKey.get(request.orderingKey).remove(request);
         }
     }
 
     /** All is played: nobody may be without an answer. */
-    public void close(long now) {
-        for (Seen b : batches.values()) {
-            if (b.answers == 0 && !b.left) {
-                breaks(now, 1, b, "never answered");
+    public void checkAllAnswered(long now) {
+        for (ObservedRequest request : requests.values()) {
+            if (request.answerCount == 0 && !request.owedNothing) {
+                recordViolation(now, 1, request, "never answered");
             }
         }
     }
 
     /** A table of the manager's that is not empty at the end. */
-    public void kept(String what) {
-        broken.add("kept at the end: " + what);
-    }
-
-    private void breaks(long now, int rule, Seen b, String how) {
-        broken.add(
-                "rule " + rule + " at " + now + ": batch " + b.id + " (key " + b.key + ") " + how);
-    }
-
-    public List<String> broken() {
-        return broken;
+    public void recordLeftover(String leftover) {
+        violations.add("kept at the end: " + leftover);
+    }
+
+    private void recordViolation(long now, int rule, ObservedRequest request, String description) {
+        violations.add(
+                "rule "
+                        + rule
+                        + " at "
+                        + now
+                        + ": batch "
+                        + request.id
+                        + " (key "
+                        + request.orderingKey
+                        + ") "
+                        + description);
+    }
+
+    public List<String> violations() {
+        return violations;
     }
 }
--- a/src/main/java/firstage/simulation/schedule/SimulatedCells.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedCells.java
@@ -34,45 +34,45 @@
  */
 public final class SimulatedCells {
     /** Between two probes of one manager. */
-    public static final long PERIOD = 2_000;
+    public static final long PROBE_PERIOD = 2_000;
 
     private static final long START = 1_000_000;
-    private static final long LOOK = 1_000;
-    private static final int MOST = 1_200;
-    private static final long GOAL = 10_000;
-    private static final long WARM = 130_000;
+    private static final long EVALUATION_INTERVAL = 1_000;
+    private static final int MAX_DATAGRAM_BYTES = 1_200;
+    private static final long LATENCY_OBJECTIVE = 10_000;
+    private static final long WARM_UP = 130_000;
 
     /**
      * Rates of a manager that serves 462 batches a second in four bands of worth: rows as long as
      * in service.
      */
-    private static final int BANDS = 4;
+    private static final int PRIORITY_BANDS = 4;
 
-    private static final double WORK = 460;
-    private static final RandomGeneratorFactory<RandomGenerator> CHANCES =
+    private static final double WORK_PER_TICK = 460;
+    private static final RandomGeneratorFactory<RandomGenerator> RANDOM_FACTORY =
             RandomGeneratorFactory.of("L64X128MixRandom");
 
     /**
-     * {@code cell}: managers in one, 0 for a fleet that is one; {@code zones}: cells lie in them by
-     * turns; {@code rooms}: whether the level's and the trials' words ride along; {@code tick}:
-     * between two looks.
+     * {@code cellSize}: managers in one, 0 for a fleet that is one; {@code zones}: cells lie in
+     * them by turns; {@code withFleetControl}: whether the level's and the trials' words ride
+     * along; {@code tickInterval}: between two looks.
      */
     public record Shape(
             int managers,
-            int cell,
+            int cellSize,
             int zones,
             int spread,
-            boolean rooms,
-            long tick,
-            CellDirectory.InjectedDefect fault) {
+            boolean withFleetControl,
+            long tickInterval,
+            CellDirectory.InjectedDefect defect) {
         /** How many cells there are. */
-        public int cells() {
-            return cell == 0 ? 1 : managers / cell;
+        public int cellCount() {
+            return cellSize == 0 ? 1 : managers / cellSize;
         }
     }
 
     /** What one manager sent, by kind of message. */
-    public enum Kind {
+    public enum MessageKind {
         PING,
         ACK,
         PING_REQUEST,
@@ -83,28 +83,28 @@
     }
 
     /** One place at which a manager runs, one life after another. */
-    public final class Place implements MembershipActions, CellActions {
+    public final class ManagerHost implements MembershipActions, CellActions {
         private final int number;
         private final int cell;
         private final int slot;
-        private MembershipProtocol members;
+        private MembershipProtocol membership;
         private QuotaLeases leases;
-        private CellDirectory cells;
-        private FleetCoordinator together;
+        private CellDirectory cellDirectory;
+        private FleetCoordinator coordinator;
         private final DemandHistogram demand = new DemandHistogram();
-        private CellPlan holds;
+        private CellPlan currentPlan;
         private boolean up;
         private boolean lentBefore;
-        private int life;
-        private int from;
-        private final long[] bytes = new long[Kind.values().length];
-        private final long[] datagrams = new long[Kind.values().length];
+        private int incarnation;
+        private int lastSenderSlot;
+        private final long[] bytesSent = new long[MessageKind.values().length];
+        private final long[] datagramsSent = new long[MessageKind.values().length];
 
-        private Place(int number) {
+        private ManagerHost(int number) {
             this.number = number;
-            cell = shape.cell == 0 ? 0 : number / shape.cell;
-            slot = shape.cell == 0 ? number : number % shape.cell;
-            holds = plan;
+            cell = shape.cellSize == 0 ? 0 : number / shape.cellSize;
+            slot = shape.cellSize == 0 ? number : number % shape.cellSize;
+            currentPlan = plan;
         }
 
         public int cell() {
@@ -115,91 +115,91 @@
             return up;
         }
 
-        public MembershipProtocol members() {
-            return members;
+        public MembershipProtocol membership() {
+            return membership;
         }
 
         /** Null in a fleet that is one. */
-        public CellDirectory cells() {
-            return cells;
+        public CellDirectory cellDirectory() {
+            return cellDirectory;
         }
 
         public double share() {
-            return leases.share(calendar.now());
+            return leases.share(events.now());
         }
 
-        public long bytes() {
+        public long bytesSent() {
             long sum = 0;
-            for (long b : bytes) {
-                sum += b;
+            for (long count : bytesSent) {
+                sum += count;
             }
             return sum;
         }
 
         /** Starts it; with another plan, the one that it held is the one before. */
-        public void start(CellPlan next) {
+        public void start(CellPlan nextPlan) {
             up = true;
-            int mine = ++life;
-            int peers = shape.cell == 0 ? places.size() : shape.cell;
+            int startedIncarnation = ++incarnation;
+            int peers = shape.cellSize == 0 ? hosts.size() : shape.cellSize;
             leases =
                     new QuotaLeases(
                             peers,
-                            shape.cell == 0 ? 1.0 / peers : next.share(cell),
-                            PERIOD,
+                            shape.cellSize == 0 ? 1.0 / peers : nextPlan.share(cell),
+                            PROBE_PERIOD,
                             lentBefore,
                             () -> {
                                 lentBefore = true;
-                                calendar.in(
+                                events.in(
                                         50,
                                         () -> {
-                                            if (life == mine) {
+                                            if (incarnation == startedIncarnation) {
                                                 leases.onWithdrawalMarkStored();
                                             }
                                         });
                             },
                             QuotaLeases.InjectedDefect.NONE);
-            members =
+            membership =
                     new MembershipProtocol(
                             "field",
                             new Member(
                                     name(number),
                                     zone(cell),
-                                    calendar.now() + 1,
+                                    events.now() + 1,
                                     MemberState.ALIVE,
                                     "1",
                                     1),
                             peers,
-                            PERIOD,
-                            MOST,
-                            CHANCES.create(chance.nextLong()),
+                            PROBE_PERIOD,
+                            MAX_DATAGRAM_BYTES,
+                            RANDOM_FACTORY.create(random.nextLong()),
                             leases,
                             this,
                             MembershipProtocol.InjectedDefect.NONE);
-            CellPlan was = next.number() > holds.number() ? holds : null;
-            cells =
-                    shape.cell == 0
+            CellPlan previousPlan = nextPlan.number() > currentPlan.number() ? currentPlan : null;
+            cellDirectory =
+                    shape.cellSize == 0
                             ? null
                             : new CellDirectory(
-                                    next,
-                                    was,
+                                    nextPlan,
+                                    previousPlan,
                                     cell,
                                     slot,
                                     name(number),
                                     "field",
-                                    calendar.now() / 10,
-                                    CHANCES.create(chance.nextLong()),
+                                    events.now() / 10,
+                                    RANDOM_FACTORY.create(random.nextLong()),
                                     this,
-                                    shape.fault);
-            holds = next;
-            together =
-                    shape.rooms
+                                    shape.defect);
+            currentPlan = nextPlan;
+            coordinator =
+                    shape.withFleetControl
                             ? new FleetCoordinator(
                                     name(number),
                                     cell % shape.zones,
                                     shape.zones,
-                                    GOAL,
-                                    WARM,
-                                    PERIOD,
+                                    LATENCY_OBJECTIVE,
+                                    WARM_UP,
+                                    PROBE_PERIOD,
                                     new ZoneActions() {
                                         @Override
                                         public void setAvoided(
@@ -215,84 +215,88 @@
                                     (now, band, part) -> {},
                                     FleetCoordinator.InjectedDefects.NONE)
                             : null;
-            tick(mine);
-            look(mine);
+            tick(startedIncarnation);
+            evaluate(startedIncarnation);
         }
 
         public void start() {
-            start(holds);
+            start(currentPlan);
         }
 
         public void kill() {
             up = false;
-            life++;
+            incarnation++;
         }
 
         /** It ends by intent. */
         public void leave() {
-            members.leave(calendar.now());
+            membership.leave(events.now());
             kill();
         }
 
-        private void tick(int mine) {
-            if (life == mine) {
-                members.tick(calendar.now());
-                if (cells != null) {
-                    cells.tick(calendar.now());
+        private void tick(int startedIncarnation) {
+            if (incarnation == startedIncarnation) {
+                membership.tick(events.now());
+                if (cellDirectory != null) {
+                    cellDirectory.tick(events.now());
                 }
-                calendar.in(shape.tick + chance.nextInt(20), () -> tick(mine));
+                events.in(shape.tickInterval + random.nextInt(20), () -> tick(startedIncarnation));
             }
         }
 
-        private void look(int mine) {
-            if (life == mine && together != null) {
-                for (int b = 0; b < BANDS; b++) {
-                    demand.arrivedWork(DemandHistogram.BANDS / 2 + 2 * b, WORK * LOOK / BANDS);
+        private void evaluate(int startedIncarnation) {
+            if (incarnation == startedIncarnation && coordinator != null) {
+                for (int band = 0; band < PRIORITY_BANDS; band++) {
+                    demand.arrivedWork(
+                            DemandHistogram.BANDS / 2 + 2 * band,
+                            WORK_PER_TICK * EVALUATION_INTERVAL / PRIORITY_BANDS);
                 }
-                demand.startedWork(WORK * LOOK);
-                together.evaluate(calendar.now(), demand);
-                calendar.in(LOOK, () -> look(mine));
+                demand.startedWork(WORK_PER_TICK * EVALUATION_INTERVAL);
+                coordinator.evaluate(events.now(), demand);
+                events.in(EVALUATION_INTERVAL, () -> evaluate(startedIncarnation));
             }
         }
 
-        private void counted(Kind kind, byte[] datagram) {
-            bytes[kind.ordinal()] += datagram.length;
-            datagrams[kind.ordinal()]++;
+        private void countSent(MessageKind kind, byte[] datagram) {
+            bytesSent[kind.ordinal()] += datagram.length;
+            datagramsSent[kind.ordinal()]++;
         }
 
         @Override
-        public void send(int seed, MembershipMessage.Kind kind, byte[] datagram) {
-            counted(Kind.valueOf(kind.name()), datagram);
-            int to = shape.cell == 0 ? seed : cell * shape.cell + seed;
-            int seat = slot;
-            pass(
-                    to,
+        public void send(int targetSlot, MembershipMessage.Kind kind, byte[] datagram) {
+            countSent(MessageKind.valueOf(kind.name()), datagram);
+            int target = shape.cellSize == 0 ? targetSlot : cell * shape.cellSize + targetSlot;
+            int senderSlot = slot;
+            deliver(
+                    target,
                     () -> {
-                        Place there = places.get(to);
-                        there.from = seat;
-                        there.members.onDatagram(calendar.now(), seat, datagram);
+                        ManagerHost targetHost = hosts.get(target);
+                        targetHost.lastSenderSlot = senderSlot;
+                        targetHost.membership.onDatagram(events.now(), senderSlot, datagram);
                     });
         }
 
         @Override
         public void send(int toCell, int toSlot, byte[] datagram) {
-            counted(Kind.ROWS, datagram);
-            int to = toCell * shape.cell + toSlot;
-            if (to < places.size()) {
-                pass(to, () -> places.get(to).cells.onDatagram(calendar.now(), datagram));
+            countSent(MessageKind.ROWS, datagram);
+            int target = toCell * shape.cellSize + toSlot;
+            if (target < hosts.size()) {
+                deliver(
+                        target,
+                        () -> hosts.get(target).cellDirectory.onDatagram(events.now(), datagram));
             }
         }
 
-        private void pass(int to, Runnable arrives) {
-            Place there = places.get(to);
-            if (to != number
-                    && !(apart && side.test(number) != side.test(to))
-                    && chance.nextDouble() >= loss) {
-                calendar.in(
-                        2 + chance.nextInt(18),
+        private void deliver(int target, Runnable arrival) {
+            ManagerHost targetHost = hosts.get(target);
+            if (target != number
+                    && !(partitioned && partitionSide.test(number) != partitionSide.test(target))
+                    && random.nextDouble() >= lossProbability) {
+                events.in(
+                        2 + random.nextInt(18),
                         () -> {
-                            if (there.up) {
-                                arrives.run();
+                            if (targetHost.up) {
+                                arrival.run();
                             }
                         });
             }
@@ -300,35 +304,38 @@
 
         @Override
         public void viewChanged(long now, MembershipView view) {
-            if (cells != null) {
-                cells.onViewChanged(view.memberNames());
+            if (cellDirectory != null) {
+                cellDirectory.onViewChanged(view.memberNames());
             }
-            if (together != null) {
-                together.onViewChanged(view.memberNames());
+            if (coordinator != null) {
+                coordinator.onViewChanged(view.memberNames());
             }
         }
 
         @Override
-        public void logMemberEvent(long now, String what, String who, String why) {
+        public void logMemberEvent(long now, String event, String member, String reason) {
             // Told to nobody: what is wanted of it is asked for.
         }
 
         @Override
-        public void logCellEvent(long now, String what, String cell, String why) {
+        public void logCellEvent(long now, String event, String cell, String reason) {
             // The same.
         }
 
         @Override
         public byte[] outgoingDigest(long now) {
-            byte[] rest = together == null ? new byte[0] : together.encodeDigest(now);
-            return cells == null ? rest : cells.encodeDigest(rest);
+            byte[] rest = coordinator == null ? new byte[0] : coordinator.encodeDigest(now);
+            return cellDirectory == null ? rest : cellDirectory.encodeDigest(rest);
         }
 
         @Override
-        public void digestReceived(long now, String who, byte[] digest) {
-            byte[] rest = cells == null ? digest : cells.onDigest(now, from, digest);
-            if (together != null) {
-                together.onDigest(now, who, rest);
+        public void digestReceived(long now, String member, byte[] digest) {
+            byte[] rest =
+                    cellDirectory == null
+                            ? digest
+                            : cellDirectory.onDigest(now, lastSenderSlot, digest);
+            if (coordinator != null) {
+                coordinator.onDigest(now, member, rest);
             }
         }
 
@@ -339,28 +346,28 @@
 
         @Override
         public int sheddingThreshold() {
-            return together == null ? 0 : together.sheddingThreshold();
+            return coordinator == null ? 0 : coordinator.sheddingThreshold();
         }
     }
 
-    private final EventQueue calendar = new EventQueue(START);
-    private final RandomGenerator chance;
+    private final EventQueue events = new EventQueue(START);
+    private final RandomGenerator random;
     private final Shape shape;
     private final CellPlan plan;
-    private final List<Place> places = new ArrayList<>();
-    private double loss;
-    private boolean apart;
-    private IntPredicate side = p -> false;
+    private final List<ManagerHost> hosts = new ArrayList<>();
+    private double lossProbability;
+    private boolean partitioned;
+    private IntPredicate partitionSide = host -> false;
 
     public SimulatedCells(Shape shape, long seed) {
         this.shape = shape;
-        chance = CHANCES.create(seed);
+        random = RANDOM_FACTORY.create(seed);
         plan =
-                shape.cell == 0
+                shape.cellSize == 0
                         ? new CellPlan(1, 1, List.of())
-                        : plan(1, shape.spread, shape.cells(), shape.zones, shape.cell);
-        for (int p = 0; p < shape.managers; p++) {
-            places.add(new Place(p));
+                        : plan(1, shape.spread, shape.cellCount(), shape.zones, shape.cellSize);
+        for (int host = 0; host < shape.managers; host++) {
+            hosts.add(new ManagerHost(host));
         }
     }
 
@@ -370,7 +377,10 @@
                 number,
                 spread,
                 IntStream.range(0, cells)
-                        .mapToObj(c -> new CellPlan.Cell("c" + c, "z" + c % zones, slots, true))
+                        .mapToObj(
+                                cell ->
+                                        new CellPlan.Cell(
+                                                "c" + cell, "z" + cell % zones, slots, true))
                         .toList());
     }
 
@@ -382,75 +392,75 @@
         return "m" + place;
     }
 
-    public List<Place> places() {
-        return places;
+    public List<ManagerHost> hosts() {
+        return hosts;
     }
 
-    public EventQueue calendar() {
-        return calendar;
+    public EventQueue events() {
+        return events;
     }
 
-    public RandomGenerator chance() {
-        return chance;
+    public RandomGenerator random() {
+        return random;
     }
 
-    public void loses(double share) {
-        loss = share;
+    public void setLossProbability(double probability) {
+        lossProbability = probability;
     }
 
     /** Nothing passes between those on this side and the others, or all does again. */
-    public void cut(IntPredicate one, boolean is) {
-        side = one;
-        apart = is;
+    public void setPartition(IntPredicate inPartition, boolean partition) {
+        partitionSide = inPartition;
+        partitioned = partition;
     }
 
-    public void pass(long time) {
-        calendar.play(calendar.now() + time);
+    public void advance(long length) {
+        events.play(events.now() + length);
     }
 
     /** All are started within this; none is waited for. */
     public void start(long within) {
-        for (Place p : places) {
-            calendar.in(chance.nextLong(within), p::start);
+        for (ManagerHost host : hosts) {
+            events.in(random.nextLong(within), host::start);
         }
-        pass(within);
+        advance(within);
     }
 
     /** How many cells hold one view of just those that are up. */
-    public int agreed() {
-        int size = shape.cell == 0 ? places.size() : shape.cell;
+    public int agreedCells() {
+        int size = shape.cellSize == 0 ? hosts.size() : shape.cellSize;
         int agreed = 0;
-        for (int c = 0; c < shape.cells(); c++) {
-            agreed += agreed(places.subList(c * size, (c + 1) * size)) ? 1 : 0;
+        for (int cell = 0; cell < shape.cellCount(); cell++) {
+            agreed += agreedCells(hosts.subList(cell * size, (cell + 1) * size)) ? 1 : 0;
         }
         return agreed;
     }
 
-    private static boolean agreed(List<Place> cell) {
+    private static boolean agreedCells(List<ManagerHost> cell) {
         int up = 0;
-        MembershipView one = null;
-        for (Place p : cell) {
-            if (p.up) {
+        MembershipView firstView = null;
+        for (ManagerHost host : cell) {
+            if (host.up) {
                 up++;
-                MembershipView v = p.members.view();
-                one = one == null ? v : one;
-                if (v.hash() != one.hash()) {
+                MembershipView view = host.membership.view();
+                firstView = firstView == null ? view : firstView;
+                if (view.hash() != firstView.hash()) {
                     return false;
                 }
             }
         }
-        Set<String> names = one == null ? Set.of() : new HashSet<>(one.memberNames());
+        Set<String> names = firstView == null ? Set.of() : new HashSet<>(firstView.memberNames());
         return names.size() == up
-                && cell.stream().allMatch(p -> p.up == names.contains(name(p.number)));
+                && cell.stream().allMatch(host -> host.up == names.contains(name(host.number)));
     }
 
     /** Tenths of a millisecond until all cells agree, in steps of 0.1 s; -1 if not within this. */
-    public long untilAgreed(long most) {
-        for (long t = 0; t <= most; t += 1_000) {
-            if (agreed() == shape.cells()) {
-                return t;
+    public long timeUntilAgreed(long limit) {
+        for (long elapsed = 0; elapsed <= limit; elapsed += 1_000) {
+            if (agreedCells() == shape.cellCount()) {
+                return elapsed;
             }
-            pass(1_000);
+            advance(1_000);
         }
         return -1;
     }
@@ -459,49 +469,56 @@
      * For each in whose view this one was, tenths of a millisecond until it is out of it; -1 for
      * not within this.
      */
-    public List<Long> untilOut(int killed, long most) {
-        List<Place> to =
-                places.stream().filter(p -> p.up && p.cell == places.get(killed).cell).toList();
-        long[] known = new long[to.size()];
-        Arrays.fill(known, -1);
-        int left = to.size();
-        for (long t = 0; t <= most && left > 0; t += 100) {
-            for (int i = 0; i < known.length; i++) {
-                if (known[i] < 0
-                        && !to.get(i).members.view().memberNames().contains(name(killed))) {
-                    known[i] = t;
-                    left--;
+    public List<Long> timesUntilRemoved(int killed, long limit) {
+        List<ManagerHost> peers =
+                hosts.stream()
+                        .filter(host -> host.up && host.cell == hosts.get(killed).cell)
+                        .toList();
+        long[] times = new long[peers.size()];
+        Arrays.fill(times, -1);
+        int remaining = peers.size();
+        for (long elapsed = 0; elapsed <= limit && remaining > 0; elapsed += 100) {
+            for (int i = 0; i < times.length; i++) {
+                if (times[i] < 0
+                        && !peers.get(i).membership.view().memberNames().contains(name(killed))) {
+                    times[i] = elapsed;
+                    remaining--;
                 }
             }
-            pass(100);
+            advance(100);
         }
-        return Arrays.stream(known).boxed().toList();
+        return Arrays.stream(times).boxed().toList();
     }
 
     /** The part of the slices in force: 1 where each manager that is up uses its whole own. */
-    public double inForce() {
+    public double quotaInForce() {
         double sum = 0;
         int up = 0;
-        for (Place p : places) {
-            if (p.up) {
+        for (ManagerHost host : hosts) {
+            if (host.up) {
                 up++;
-                sum += p.share() / (shape.cell == 0 ? 1.0 / places.size() : plan.share(p.cell));
+                sum +=
+                        host.share()
+                                / (shape.cellSize == 0
+                                        ? 1.0 / hosts.size()
+                                        : plan.share(host.cell));
             }
         }
         return up == 0 ? 0 : sum / up;
     }
 
     /** Bytes that each kind of message took so far, over all managers. */
-    public Map<Kind, Long> bytes() {
-        Map<Kind, Long> sums = new EnumMap<>(Kind.class);
-        for (Kind k : Kind.values()) {
-            sums.put(k, places.stream().mapToLong(p -> p.bytes[k.ordinal()]).sum());
+    public Map<MessageKind, Long> bytesByKind() {
+        Map<MessageKind, Long> bytesSent = new EnumMap<>(MessageKind.class);
+        for (MessageKind kind : MessageKind.values()) {
+            bytesSent.put(
+                    kind, hosts.stream().mapToLong(host -> host.bytesSent[kind.ordinal()]).sum());
         }
-        return sums;
+        return bytesSent;
     }
 
     /** Datagrams so far, over all managers. */
     public long datagrams() {
-        return places.stream().mapToLong(p -> Arrays.stream(p.datagrams).sum()).sum();
+        return hosts.stream().mapToLong(host -> Arrays.stream(host.datagramsSent).sum()).sum();
     }
 }
--- a/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
@@ -12,187 +12,188 @@
  * dies, comes back.
  */
 final class SimulatedEngine {
-    private static final long HOLDS = 2_500;
-    private static final long FORGETS = 20_000;
-    private static final double ERRS = 0.02;
-    private static final double TWO_PAGES = 0.2;
+    private static final long MAX_POLL_HOLD = 2_500;
+    private static final long RETENTION = 20_000;
+    private static final double FAILURE_PROBABILITY = 0.02;
+    private static final double TWO_PAGES_PROBABILITY = 0.2;
 
-    enum Standing {
+    enum Availability {
         UP,
         DRAINING,
         DOWN,
-        MUTE
+        UNRESPONSIVE
     }
 
-    private final class Job {
-        private final int id;
+    private final class StatementRun {
+        private final int requestId;
         private final int pages;
-        private final boolean errs;
+        private final boolean fails;
         private final long endsAt;
-        private final long limit;
-        private long asked;
-        private boolean over;
-
-        private Job(int id, long now, long runs, long limit) {
-            this.id = id;
-            this.limit = limit;
-            endsAt = now + runs;
-            asked = now;
-            errs = chance.nextDouble() < ERRS;
-            pages = chance.nextDouble() < TWO_PAGES ? 2 : 1;
+        private final long deadline;
+        private long lastPolledAt;
+        private boolean ended;
+
+        private StatementRun(int requestId, long now, long runTime, long deadline) {
+            this.requestId = requestId;
+            this.deadline = deadline;
+            endsAt = now + runTime;
+            lastPolledAt = now;
+            fails = random.nextDouble() < FAILURE_PROBABILITY;
+            pages = random.nextDouble() < TWO_PAGES_PROBABILITY ? 2 : 1;
         }
 
         private void end() {
-            if (!over) {
-                over = true;
-                check.ends(id);
+            if (!ended) {
+                ended = true;
+                ruleChecker.onRunEnded(requestId);
             }
         }
     }
 
-    private final EventQueue calendar;
-    private final ScheduleRuleChecker check;
-    private final RandomGenerator chance;
+    private final EventQueue events;
+    private final ScheduleRuleChecker ruleChecker;
+    private final RandomGenerator random;
 
     /** By the dispatch's mark: what runs here or ended here. */
-    private final Map<Integer, Job> jobs = new HashMap<>();
+    private final Map<Integer, StatementRun> runs = new HashMap<>();
 
-    private Standing standing = Standing.UP;
+    private Availability availability = Availability.UP;
 
     /** When the manager was told that it drains; below 0 where it was not. */
-    private long drainTold = -1;
+    private long drainNotifiedAt = -1;
 
-    private int lives;
+    private int incarnation;
 
-    SimulatedEngine(EventQueue calendar, ScheduleRuleChecker check, RandomGenerator chance) {
-        this.calendar = calendar;
-        this.check = check;
-        this.chance = chance;
+    SimulatedEngine(EventQueue events, ScheduleRuleChecker ruleChecker, RandomGenerator random) {
+        this.events = events;
+        this.ruleChecker = ruleChecker;
+        this.random = random;
     }
 
-    Standing standing() {
-        return standing;
+    Availability availability() {
+        return availability;
     }
 
-    void drainTold(long now) {
-        drainTold = now;
+    void onDrainNotified(long now) {
+        drainNotifiedAt = now;
     }
 
     long sinceDrain(long now) {
-        return drainTold < 0 ? -1 : now - drainTold;
+        return drainNotifiedAt < 0 ? -1 : now - drainNotifiedAt;
     }
 
-    void becomes(Standing next) {
-        if (next == Standing.DOWN) {
-            jobs.values().forEach(Job::end);
-            jobs.clear();
-            lives++;
+    void setAvailability(Availability next) {
+        if (next == Availability.DOWN) {
+            runs.values().forEach(StatementRun::end);
+            runs.clear();
+            incarnation++;
         }
-        standing = next;
+        availability = next;
     }
 
     /** A statement came whole. */
-    void post(
-            int id,
-            int mark,
+    void receiveStatement(
+            int requestId,
+            int attemptId,
             long sentSinceDrain,
-            long grace,
-            long runs,
-            long limit,
-            Consumer<EngineReply> answer) {
-        if (standing == Standing.DOWN) {
+            long drainGrace,
+            long runTime,
+            long deadline,
+            Consumer<EngineReply> reply) {
+        if (availability == Availability.DOWN) {
             return;
         }
-        if (standing == Standing.DRAINING && chance.nextBoolean()) {
-            answer.accept(EngineReply.REFUSED);
+        if (availability == Availability.DRAINING && random.nextBoolean()) {
+            reply.accept(EngineReply.REFUSED);
             return;
         }
-        check.runs(calendar.now(), id, sentSinceDrain, grace);
-        Job job = new Job(id, calendar.now(), runs, limit);
-        jobs.put(mark, job);
-        forgetLater(job);
-        answerOf(mark, answer);
+        ruleChecker.onRunStarted(events.now(), requestId, sentSinceDrain, drainGrace);
+        StatementRun run = new StatementRun(requestId, events.now(), runTime, deadline);
+        runs.put(attemptId, run);
+        scheduleForgetting(run);
+        replyWhenEnded(attemptId, reply);
     }
 
-    private void forgetLater(Job job) {
+    private void scheduleForgetting(StatementRun run) {
         // What ended of itself is out until that is written: with nobody to ask, until its client's
         // limit.
-        long due = forgottenAt(job) - calendar.now();
-        calendar.in(
-                Math.max(1, due),
+        long delay = forgetsAt(run) - events.now();
+        events.in(
+                Math.max(1, delay),
                 () -> {
-                    if (job.over || calendar.now() >= forgottenAt(job)) {
-                        job.end();
+                    if (run.ended || events.now() >= forgetsAt(run)) {
+                        run.end();
                     } else {
-                        forgetLater(job);
+                        scheduleForgetting(run);
                     }
                 });
     }
 
-    private long forgottenAt(Job job) {
-        boolean ran = job.endsAt <= calendar.now() && job.endsAt - job.asked < FORGETS;
-        return ran
-                ? Math.max(Math.max(job.asked, job.endsAt) + FORGETS, job.limit)
-                : job.asked + FORGETS;
+    private long forgetsAt(StatementRun run) {
+        boolean endedWhilePolled =
+                run.endsAt <= events.now() && run.endsAt - run.lastPolledAt < RETENTION;
+        return endedWhilePolled
+                ? Math.max(Math.max(run.lastPolledAt, run.endsAt) + RETENTION, run.deadline)
+                : run.lastPolledAt + RETENTION;
     }
 
-    void news(int mark, Consumer<EngineReply> answer) {
-        if (standing == Standing.DOWN) {
+    void poll(int attemptId, Consumer<EngineReply> reply) {
+        if (availability == Availability.DOWN) {
             return;
         }
-        Job job = jobs.get(mark);
-        if (job == null) {
-            answer.accept(EngineReply.FAILED);
+        StatementRun run = runs.get(attemptId);
+        if (run == null) {
+            reply.accept(EngineReply.FAILED);
             return;
         }
-        answerOf(mark, answer);
+        replyWhenEnded(attemptId, reply);
     }
 
     /** Held until it ends, or for so long. */
-    private void answerOf(int mark, Consumer<EngineReply> answer) {
-        Job job = jobs.get(mark);
-        long held = Math.min(HOLDS, Math.max(0, job.endsAt - calendar.now()));
-        job.asked = calendar.now() + held;
-        int life = lives;
-        calendar.in(
-                held,
+    private void replyWhenEnded(int attemptId, Consumer<EngineReply> reply) {
+        StatementRun run = runs.get(attemptId);
+        long holdTime = Math.min(MAX_POLL_HOLD, Math.max(0, run.endsAt - events.now()));
+        run.lastPolledAt = events.now() + holdTime;
+        int incarnationAtPoll = incarnation;
+        events.in(
+                holdTime,
                 () -> {
-                    if (life != lives) {
+                    if (incarnationAtPoll != incarnation) {
                         return;
                     }
-                    boolean ended = job.over || calendar.now() >= job.endsAt;
+                    boolean ended = run.ended || events.now() >= run.endsAt;
                     if (ended) {
-                        job.end();
+                        run.end();
                     }
-                    if (ended && calendar.now() < job.endsAt) {
-                        answer.accept(EngineReply.FAILED);
+                    if (ended && events.now() < run.endsAt) {
+                        reply.accept(EngineReply.FAILED);
                     } else {
-                        answer.accept(
+                        reply.accept(
                                 !ended
                                         ? EngineReply.PROGRESS
-                                        : job.errs
+                                        : run.fails
                                                 ? EngineReply.FAILED
-                                                : job.pages > 1
+                                                : run.pages > 1
                                                         ? EngineReply.PAGE
                                                         : EngineReply.LAST_PAGE);
                     }
                 });
     }
 
-    void page(int mark, Consumer<EngineReply> answer) {
-        if (standing != Standing.DOWN) {
-            answer.accept(jobs.containsKey(mark) ? EngineReply.LAST_PAGE : EngineReply.FAILED);
+    void fetchPage(int attemptId, Consumer<EngineReply> reply) {
+        if (availability != Availability.DOWN) {
+            reply.accept(runs.containsKey(attemptId) ? EngineReply.LAST_PAGE : EngineReply.FAILED);
         }
     }
 
-    void delete(int mark, Runnable answer) {
-        if (standing == Standing.DOWN) {
+    void delete(int attemptId, Runnable reply) {
+        if (availability == Availability.DOWN) {
             return;
         }
-        Job job = jobs.get(mark);
-        if (job != null) {
-            job.end();
+        StatementRun run = runs.get(attemptId);
+        if (run != null) {
+            run.end();
         }
-        answer.run();
+        reply.run();
     }
 }
--- a/src/main/java/firstage/simulation/schedule/SimulatedManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -26,83 +26,85 @@
  * and engines are modelled.
  */
 final class SimulatedManager
-        implements PolicyActions, ArrivalSequencer.ArrivalActions<SimulatedManager.Taken> {
-    private static final long GRACE = 1_000;
-    private static final long OVERDUE = 350;
-    private static final long NEWS_PATIENCE = 6_000;
-    private static final long DELETE_PATIENCE = 2_000;
-    private static final long CONNECT_PATIENCE = 2_500;
-    private static final long LATEST = 1_500;
-    private static final int MARKS = 100_000;
+        implements PolicyActions,
+                ArrivalSequencer.ArrivalActions<SimulatedManager.SimulatedRequest> {
+    private static final long DRAIN_GRACE = 1_000;
+    private static final long DEADLINE_ANSWER_DELAY = 350;
+    private static final long POLL_TIMEOUT = 6_000;
+    private static final long DELETE_TIMEOUT = 2_000;
+    private static final long CONNECT_TIMEOUT = 2_500;
+    private static final long MAX_LATE_DELIVERY = 1_500;
+    private static final int ATTEMPT_IDS_PER_INCARNATION = 100_000;
 
     /** By so much the rest once was too short: an engine's time to forget. */
-    private static final long SHORTER = 20_500;
+    private static final long QUIET_PERIOD_SHORTFALL = 20_500;
 
     /** A batch that came. */
-    static final class Taken {
-        final int batch;
-        final int group;
-        final int key;
-        final long limit;
-        final long runs;
-        boolean told;
-        boolean over;
-        boolean away;
-        Client client;
-        int dispatches;
-        final List<Sent> out = new ArrayList<>();
-
-        Taken(int batch, int group, int key, long limit, long runs) {
-            this.batch = batch;
-            this.group = group;
-            this.key = key;
-            this.limit = limit;
-            this.runs = runs;
+    static final class SimulatedRequest {
+        final int id;
+        final int trafficClass;
+        final int orderingKey;
+        final long deadline;
+        final long runTime;
+        boolean delivered;
+        boolean completed;
+        boolean clientAbsent;
+        SimulatedClient client;
+        int attemptCount;
+        final List<SimulatedAttempt> attemptsInFlight = new ArrayList<>();
+
+        SimulatedRequest(int id, int trafficClass, int orderingKey, long deadline, long runTime) {
+            this.id = id;
+            this.trafficClass = trafficClass;
+            this.orderingKey = orderingKey;
+            this.deadline = deadline;
+            this.runTime = runTime;
         }
     }
 
-    private final EventQueue calendar;
-    private final RandomGenerator chance;
-    private final ScheduleRuleChecker check;
-    private final InjectedDefect fault;
+    private final EventQueue events;
+    private final RandomGenerator random;
+    private final ScheduleRuleChecker ruleChecker;
+    private final InjectedDefect defect;
     private final List<SimulatedEngine> engines;
-    private final double roughness;
+    private final double faultProbability;
     private final SimulatedThread thread;
-    private final WorkloadScheduler brain;
-    private final ArrivalSequencer<Taken> order = new ArrivalSequencer<>(this);
-    private final Map<Integer, Taken> batches = new HashMap<>();
-    private boolean turnDue;
-    private int open;
-    private int calls;
+    private final WorkloadScheduler scheduler;
+    private final ArrivalSequencer<SimulatedRequest> arrivalSequencer =
+            new ArrivalSequencer<>(this);
+    private final Map<Integer, SimulatedRequest> requests = new HashMap<>();
+    private boolean pendingActionsDue;
+    private int openRequests;
+    private int openCalls;
 
     /** Engines know each dispatch by its mark, also one of a manager that was killed. */
-    private int marks;
+    private int nextAttemptId;
 
     SimulatedManager(
-            EventQueue calendar,
-            RandomGenerator chance,
-            ScheduleRuleChecker check,
-            InjectedDefect fault,
+            EventQueue events,
+            RandomGenerator random,
+            ScheduleRuleChecker ruleChecker,
+            InjectedDefect defect,
             Deployment deployment,
             List<SimulatedEngine> engines,
-            double roughness,
+            double faultProbability,
             boolean stalls) {
-        this.calendar = calendar;
-        this.chance = chance;
-        this.check = check;
-        this.fault = fault;
+        this.events = events;
+        this.random = random;
+        this.ruleChecker = ruleChecker;
+        this.defect = defect;
         this.engines = engines;
-        this.roughness = roughness;
-        marks = check.life() * MARKS;
+        this.faultProbability = faultProbability;
+        nextAttemptId = ruleChecker.incarnation() * ATTEMPT_IDS_PER_INCARNATION;
         thread =
                 new SimulatedThread(
-                        calendar,
-                        chance,
-                        check,
+                        events,
+                        random,
+                        ruleChecker,
                         stalls,
-                        fault == InjectedDefect.ONE_ACCEPTED_A_LOOK,
-                        this::turn);
-        brain = new WorkloadScheduler(deployment, this);
+                        defect == InjectedDefect.ONE_ACCEPTED_PER_ROUND,
+                        this::runPendingActions);
+        scheduler = new WorkloadScheduler(deployment, this);
     }
 
     SimulatedThread thread() {
@@ -110,67 +112,69 @@
     }
 
     /** Killed outright: what it had on its way to engines still comes there. */
-    void die() {
-        thread.die();
+    void kill() {
+        thread.kill();
     }
 
     /** SIGTERM: it takes batches for a while yet, and ends at {@code endsAt}. */
-    void closes(long endsAt) {
-        thread.arrives(
+    void shutDown(long endsAt) {
+        thread.submit(
                 () -> {
-                    brain.onShutdown(calendar.now(), endsAt);
-                    turnDue = true;
+                    scheduler.onShutdown(events.now(), endsAt);
+                    pendingActionsDue = true;
                 });
     }
 
-    private void turn() {
-        if (turnDue) {
-            turnDue = false;
-            brain.runPendingActions(calendar.now());
+    private void runPendingActions() {
+        if (pendingActionsDue) {
+            pendingActionsDue = false;
+            scheduler.runPendingActions(events.now());
         }
     }
 
     // ---- Clients.
     /** The last byte of a batch is at the machine now. */
-    void comes(Taken b, boolean newConnection) {
+    void onRequestReceived(SimulatedRequest request, boolean newConnection) {
         Runnable read =
                 () -> {
-                    open++;
-                    b.client = new Client(b);
-                    b.client.life.start();
-                    thread(b.limit - calendar.now(), () -> timeUp(b));
-                    if (fault == InjectedDefect.TOLD_AS_READ) {
-                        deliver(b, true);
+                    openRequests++;
+                    request.client = new SimulatedClient(request);
+                    request.client.stateMachine.start();
+                    runOnThreadAfter(request.deadline - events.now(), () -> onDeadline(request));
+                    if (defect == InjectedDefect.DELIVERED_AS_READ) {
+                        deliver(request, true);
                     } else {
-                        order.onRequestRead(b, b.key >= 0 ? (Object) b.key : null);
+                        arrivalSequencer.onRequestRead(
+                                request,
+                                request.orderingKey >= 0 ? (Object) request.orderingKey : null);
                     }
                 };
         if (newConnection) {
-            thread.connects(read);
+            thread.submitOnNewConnection(read);
         } else {
-            thread.arrives(read);
+            thread.submit(read);
         }
     }
 
-    void leaves(Taken b) {
-        thread.arrives(
+    void onClientQuit(SimulatedRequest request) {
+        thread.submit(
                 () -> {
-                    if (b.client != null) {
-                        b.client.quits();
+                    if (request.client != null) {
+                        request.client.quit();
                     }
                 });
     }
 
-    private void left(Taken b) {
-        if (!b.over) {
-            b.over = true;
-            open--;
-            check.left(b.batch);
-            if (b.told) {
-                brain.onClientGone(calendar.now(), b.batch);
+    private void clientGone(SimulatedRequest request) {
+        if (!request.completed) {
+            request.completed = true;
+            openRequests--;
+            ruleChecker.onClientLeft(request.id);
+            if (request.delivered) {
+                scheduler.onClientGone(events.now(), request.id);
             }
-            callOffAll(b);
-            turnDue = true;
+            cancelAttempts(request);
+            pendingActionsDue = true;
         }
     }
 
@@ -178,60 +182,60 @@
      * A client and its call: it asks at the path that it is given, loses connections now and then,
      * and asks again; some never do.
      */
-    private final class Client implements ClientCallStateMachine.ClientCallActions {
-        private final Taken b;
-        private final ClientCallStateMachine life = new ClientCallStateMachine(this);
-        private final boolean vanishes = chance.nextInt(12) == 0;
-        private int held = 1;
-        private boolean atPath;
-        private boolean got;
-        private boolean gone;
-        private int timer;
-        private int tries;
-
-        private Client(Taken b) {
-            this.b = b;
-            calls++;
-        }
-
-        private void quits() {
-            if (!gone && !thread.dead()) {
-                check.absent(calendar.now(), b.batch);
-                if (atPath || held == 0) {
-                    life.onClientCancelled();
+    private final class SimulatedClient implements ClientCallStateMachine.ClientCallActions {
+        private final SimulatedRequest request;
+        private final ClientCallStateMachine stateMachine = new ClientCallStateMachine(this);
+        private final boolean neverPolls = random.nextInt(12) == 0;
+        private int heldCalls = 1;
+        private boolean hasPollPath;
+        private boolean answered;
+        private boolean released;
+        private int timerGeneration;
+        private int pollCount;
+
+        private SimulatedClient(SimulatedRequest request) {
+            this.request = request;
+            openCalls++;
+        }
+
+        private void quit() {
+            if (!released && !thread.isKilled()) {
+                ruleChecker.onClientAbsent(events.now(), request.id);
+                if (hasPollPath || heldCalls == 0) {
+                    stateMachine.onClientCancelled();
                 } else {
-                    held = 0;
-                    life.onFirstCallBroken();
+                    heldCalls = 0;
+                    stateMachine.onFirstCallBroken();
                 }
             }
         }
 
-        private void asksLater(long delay) {
-            if (!vanishes && tries++ < 4) {
-                thread(
+        private void pollLater(long delay) {
+            if (!neverPolls && pollCount++ < 4) {
+                runOnThreadAfter(
                         delay,
                         () -> {
-                            if (!gone) {
-                                check.present(b.batch);
-                                held++;
-                                life.onPoll();
-                                breaksLater();
+                            if (!released) {
+                                ruleChecker.onClientPresent(request.id);
+                                heldCalls++;
+                                stateMachine.onPoll();
+                                breakConnectionLater();
                             }
                         });
             }
         }
 
         /** Its connection may break while the call is held. */
-        private void breaksLater() {
-            if (chance.nextDouble() < roughness) {
-                thread(
-                        chance.nextLong(5_000),
+        private void breakConnectionLater() {
+            if (random.nextDouble() < faultProbability) {
+                runOnThreadAfter(
+                        random.nextLong(5_000),
                         () -> {
-                            if (!gone && held == 1 && !got) {
-                                check.absent(calendar.now(), b.batch);
-                                held = 0;
-                                life.onLastPollBroken();
-                                asksLater(100);
+                            if (!released && heldCalls == 1 && !answered) {
+                                ruleChecker.onClientAbsent(events.now(), request.id);
+                                heldCalls = 0;
+                                stateMachine.onLastPollBroken();
+                                pollLater(100);
                             }
                         });
             }
@@ -239,239 +243,254 @@
 
         @Override
         public void respondWithPollPath() {
-            check.absent(calendar.now(), b.batch);
-            held = 0;
-            atPath = true;
-            asksLater(20);
+            ruleChecker.onClientAbsent(events.now(), request.id);
+            heldCalls = 0;
+            hasPollPath = true;
+            pollLater(20);
         }
 
         @Override
         public void respond() {
-            if (held == 0) {
-                check.kept("an answer given to no call of batch " + b.batch);
+            if (heldCalls == 0) {
+                ruleChecker.recordLeftover("an answer given to no call of batch " + request.id);
             }
-            held = 0;
-            if (!got || fault == InjectedDefect.ANSWERED_TWICE) {
-                got = true;
-                check.answered(calendar.now(), b.batch);
+            heldCalls = 0;
+            if (!answered || defect == InjectedDefect.ANSWERED_TWICE) {
+                answered = true;
+                ruleChecker.onAnswered(events.now(), request.id);
             }
         }
 
         @Override
         public void startTimer(long delay) {
-            int mine = ++timer;
-            thread(
+            int generation = ++timerGeneration;
+            runOnThreadAfter(
                     delay,
                     () -> {
-                        if (mine == timer) {
-                            life.onTimeout();
+                        if (generation == timerGeneration) {
+                            stateMachine.onTimeout();
                         }
                     });
         }
 
         @Override
         public void stopTimer() {
-            timer++;
+            timerGeneration++;
         }
 
         @Override
         public void closeHeldCalls() {
-            held = 0;
+            heldCalls = 0;
         }
 
         @Override
         public void failHeldCalls() {
             // Its client gave up: what is said to it yet is no answer that it waits for.
-            held = 0;
+            heldCalls = 0;
         }
 
         @Override
         public void markClientAbsent() {
-            tellAway(true);
+            reportAbsence(true);
         }
 
         @Override
         public void markClientPresent() {
-            tellAway(false);
+            reportAbsence(false);
         }
 
-        private void tellAway(boolean away) {
-            b.away = away && fault != InjectedDefect.AWAY_UNHEEDED;
-            if (b.told && !b.over) {
-                brain.onClientPresence(calendar.now(), b.batch, b.away);
-                turnDue = true;
+        private void reportAbsence(boolean absent) {
+            request.clientAbsent = absent && defect != InjectedDefect.ABSENCE_IGNORED;
+            if (request.delivered && !request.completed) {
+                scheduler.onClientPresence(events.now(), request.id, request.clientAbsent);
+                pendingActionsDue = true;
             }
         }
 
         @Override
         public void markClientGone() {
-            SimulatedManager.this.left(b);
+            SimulatedManager.this.clientGone(request);
         }
 
         @Override
         public void release() {
-            if (gone) {
-                check.kept("a call that is forgotten twice, of batch " + b.batch);
+            if (released) {
+                ruleChecker.recordLeftover(
+                        "a call that is forgotten twice, of batch " + request.id);
             }
-            gone = true;
-            calls--;
-            if (!got && b.over) {
+            released = true;
+            openCalls--;
+            if (!answered && request.completed) {
                 // It was answered at a path where its client never asked: it is gone.
-                check.left(b.batch);
+                ruleChecker.onClientLeft(request.id);
             }
         }
     }
 
-    private void thread(long delay, Runnable what) {
-        calendar.in(delay, () -> thread.arrives(what));
+    private void runOnThreadAfter(long delay, Runnable action) {
+        events.in(delay, () -> thread.submit(action));
     }
 
-    private void timeUp(Taken b) {
-        if (fault == InjectedDefect.LIMIT_UNHEEDED) {
+    private void onDeadline(SimulatedRequest request) {
+        if (defect == InjectedDefect.DEADLINE_IGNORED) {
             return;
         }
-        List.copyOf(b.out).forEach(s -> s.life.abandon(calendar.now(), AttemptOutcome.TIMED_OUT));
-        thread(
-                OVERDUE,
+        List.copyOf(request.attemptsInFlight)
+                .forEach(
+                        attempt ->
+                                attempt.stateMachine.abandon(
+                                        events.now(), AttemptOutcome.TIMED_OUT));
+        runOnThreadAfter(
+                DEADLINE_ANSWER_DELAY,
                 () -> {
-                    if (!b.over || fault == InjectedDefect.ANSWERED_TWICE) {
-                        answer(b, false);
-                        if (b.told) {
-                            brain.onClientGone(calendar.now(), b.batch);
-                            turnDue = true;
+                    if (!request.completed || defect == InjectedDefect.ANSWERED_TWICE) {
+                        complete(request, false);
+                        if (request.delivered) {
+                            scheduler.onClientGone(events.now(), request.id);
+                            pendingActionsDue = true;
                         }
                     }
                 });
     }
 
-    private void answer(Taken b, boolean pushedBack) {
-        if (!b.over || fault == InjectedDefect.ANSWERED_TWICE) {
-            if (!b.over) {
-                open--;
+    private void complete(SimulatedRequest request, boolean rejected) {
+        if (!request.completed || defect == InjectedDefect.ANSWERED_TWICE) {
+            if (!request.completed) {
+                openRequests--;
             }
-            b.over = true;
-            check.owed(calendar.now(), b.batch, pushedBack);
-            if (fault == InjectedDefect.ANSWERED_TWICE) {
-                check.answered(calendar.now(), b.batch);
+            request.completed = true;
+            ruleChecker.onCompleted(events.now(), request.id, rejected);
+            if (defect == InjectedDefect.ANSWERED_TWICE) {
+                ruleChecker.onAnswered(events.now(), request.id);
             } else {
-                b.client.life.onAnswerAvailable();
+                request.client.stateMachine.onAnswerAvailable();
             }
         }
     }
 
     @Override
     public void requestReadBarrier(Object key) {
-        thread.barrier(() -> order.onReadBarrierPassed(key));
+        thread.addBarrier(() -> arrivalSequencer.onReadBarrierPassed(key));
     }
 
     @Override
-    public void deliver(Taken b, boolean turnKnown) {
-        turnDue = true;
-        if (b.over) {
+    public void deliver(SimulatedRequest request, boolean orderKnown) {
+        pendingActionsDue = true;
+        if (request.completed) {
             return;
         }
-        b.told = true;
-        batches.put(b.batch, b);
-        brain.onRequest(
-                calendar.now(),
+        request.delivered = true;
+        requests.put(request.id, request);
+        scheduler.onRequest(
+                events.now(),
                 new IncomingRequest(
-                        b.batch,
-                        b.group,
+                        request.id,
+                        request.trafficClass,
                         0,
-                        b.key,
-                        b.limit,
-                        b.runs,
+                        request.orderingKey,
+                        request.deadline,
+                        request.runTime,
                         64,
-                        b.batch % 5,
+                        request.id % 5,
                         false,
-                        !turnKnown));
+                        !orderKnown));
     }
 
-    void listed(int engine, EndpointUpdate.Lifecycle standing) {
-        thread.arrives(
+    void onEndpointChanged(int engine, EndpointUpdate.Lifecycle lifecycle) {
+        thread.submit(
                 () -> {
-                    if (standing == EndpointUpdate.Lifecycle.DRAINING) {
-                        engines.get(engine).drainTold(calendar.now());
+                    if (lifecycle == EndpointUpdate.Lifecycle.DRAINING) {
+                        engines.get(engine).onDrainNotified(events.now());
                     }
-                    brain.onEndpointsUpdated(
-                            calendar.now(),
+                    scheduler.onEndpointsUpdated(
+                            events.now(),
                             new EndpointUpdate(
-                                    EndpointUpdate.Kind.DELTA, List.of(entry(engine, standing))));
-                    turnDue = true;
+                                    EndpointUpdate.Kind.DELTA,
+                                    List.of(endpoint(engine, lifecycle))));
+                    pendingActionsDue = true;
                 });
     }
 
     /** The coordinator is another one and tells the whole list again, as it stands. */
-    void listedAnew() {
-        thread.arrives(
+    void onEndpointSnapshot() {
+        thread.submit(
                 () -> {
-                    List<EndpointUpdate.Endpoint> all = new ArrayList<>();
-                    for (int e = 0; e < engines.size(); e++) {
-                        all.add(
-                                entry(
-                                        e,
-                                        engines.get(e).sinceDrain(calendar.now()) >= 0
+                    List<EndpointUpdate.Endpoint> endpoints = new ArrayList<>();
+                    for (int engine = 0; engine < engines.size(); engine++) {
+                        endpoints.add(
+                                endpoint(
+                                        engine,
+                                        engines.get(engine).sinceDrain(events.now()) >= 0
                                                 ? EndpointUpdate.Lifecycle.DRAINING
                                                 : EndpointUpdate.Lifecycle.ACTIVE));
                     }
-                    brain.onEndpointsUpdated(
-                            calendar.now(), new EndpointUpdate(EndpointUpdate.Kind.SNAPSHOT, all));
-                    turnDue = true;
+                    scheduler.onEndpointsUpdated(
+                            events.now(),
+                            new EndpointUpdate(EndpointUpdate.Kind.SNAPSHOT, endpoints));
+                    pendingActionsDue = true;
                 });
     }
 
-    void knows(int count) {
-        List<EndpointUpdate.Endpoint> all = new ArrayList<>();
-        for (int e = 0; e < count; e++) {
-            all.add(entry(e, EndpointUpdate.Lifecycle.ACTIVE));
+    void setInitialEndpoints(int count) {
+        List<EndpointUpdate.Endpoint> endpoints = new ArrayList<>();
+        for (int engine = 0; engine < count; engine++) {
+            endpoints.add(endpoint(engine, EndpointUpdate.Lifecycle.ACTIVE));
         }
-        brain.onEndpointsUpdated(
-                calendar.now(), new EndpointUpdate(EndpointUpdate.Kind.SNAPSHOT, all));
-        brain.runPendingActions(calendar.now());
+        scheduler.onEndpointsUpdated(
+                events.now(), new EndpointUpdate(EndpointUpdate.Kind.SNAPSHOT, endpoints));
+        scheduler.runPendingActions(events.now());
     }
 
-    private static EndpointUpdate.Endpoint entry(int engine, EndpointUpdate.Lifecycle standing) {
-        return new EndpointUpdate.Endpoint(engine, engine + 1, 0, 0, 0, standing, 1, 0);
+    private static EndpointUpdate.Endpoint endpoint(
+            int engine, EndpointUpdate.Lifecycle lifecycle) {
+        return new EndpointUpdate.Endpoint(engine, engine + 1, 0, 0, 0, lifecycle, 1, 0);
     }
 
     // ---- Decisions.
     @Override
-    public void setGrantAndPriority(int batch, int grantMb, int priority) {}
+    public void setGrantAndPriority(int requestId, int grantMb, int priority) {}
 
     @Override
-    public void startAttempt(int batch, int engine, long within) {
-        Taken b = batches.get(batch);
-        Sent s = new Sent(b, b.dispatches++, engine);
-        b.out.add(s);
-        calendar.in(0, s.life::start);
+    public void startAttempt(int requestId, int engine, long timeout) {
+        SimulatedRequest request = requests.get(requestId);
+        SimulatedAttempt attempt = new SimulatedAttempt(request, request.attemptCount++, engine);
+        request.attemptsInFlight.add(attempt);
+        events.in(0, attempt.stateMachine::start);
     }
 
     @Override
-    public void cancelAttempt(int batch, int dispatch) {
-        List.copyOf(batches.get(batch).out).stream()
-                .filter(s -> s.number == dispatch)
-                .forEach(s -> s.life.abandon(calendar.now(), AttemptOutcome.CANCELLED));
+    public void cancelAttempt(int requestId, int attemptNumber) {
+        List.copyOf(requests.get(requestId).attemptsInFlight).stream()
+                .filter(attempt -> attempt.attemptNumber == attemptNumber)
+                .forEach(
+                        attempt ->
+                                attempt.stateMachine.abandon(
+                                        events.now(), AttemptOutcome.CANCELLED));
     }
 
-    private void callOffAll(Taken b) {
-        List.copyOf(b.out).forEach(s -> s.life.abandon(calendar.now(), AttemptOutcome.CANCELLED));
+    private void cancelAttempts(SimulatedRequest request) {
+        List.copyOf(request.attemptsInFlight)
+                .forEach(
+                        attempt ->
+                                attempt.stateMachine.abandon(
+                                        events.now(), AttemptOutcome.CANCELLED));
     }
 
     @Override
-    public void reject(int batch, long comeBack) {
-        Taken b = batches.get(batch);
-        answer(b, true);
-        callOffAll(b);
+    public void reject(int requestId, long retryAfter) {
+        SimulatedRequest request = requests.get(requestId);
+        complete(request, true);
+        cancelAttempts(request);
     }
 
     @Override
-    public void fail(int batch) {
-        answer(batches.get(batch), false);
+    public void fail(int requestId) {
+        complete(requests.get(requestId), false);
     }
 
     @Override
-    public void releaseRequest(int batch) {
-        batches.remove(batch);
+    public void releaseRequest(int requestId) {
+        requests.remove(requestId);
     }
 
     @Override
@@ -482,21 +501,21 @@
 
     @Override
     public void probeEngine(int engine) {
-        thread(
+        runOnThreadAfter(
                 20,
                 () -> {
-                    brain.onProbeResult(calendar.now(), engine, AttemptOutcome.SUCCEEDED, null);
-                    turnDue = true;
+                    scheduler.onProbeResult(events.now(), engine, AttemptOutcome.SUCCEEDED, null);
+                    pendingActionsDue = true;
                 });
     }
 
     @Override
     public void scheduleWakeUp(long delay, long token) {
-        thread(
+        runOnThreadAfter(
                 delay,
                 () -> {
-                    brain.onWakeUp(calendar.now(), token);
-                    turnDue = true;
+                    scheduler.onWakeUp(events.now(), token);
+                    pendingActionsDue = true;
                 });
     }
 
@@ -505,344 +524,375 @@
 
     /** What must be empty once all is over. */
     void close() {
-        for (int e = 0; e < engines.size(); e++) {
-            if (brain.attemptsInFlight(e) != 0) {
-                check.kept(brain.attemptsInFlight(e) + " dispatches at engine " + e);
+        for (int engine = 0; engine < engines.size(); engine++) {
+            if (scheduler.attemptsInFlight(engine) != 0) {
+                ruleChecker.recordLeftover(
+                        scheduler.attemptsInFlight(engine) + " dispatches at engine " + engine);
             }
         }
-        if (!batches.isEmpty()) {
-            check.kept(batches.size() + " batches");
+        if (!requests.isEmpty()) {
+            ruleChecker.recordLeftover(requests.size() + " batches");
         }
-        if (order.undelivered() != 0 || open != 0 || calls != 0) {
-            check.kept(order.undelivered() + " unsettled, " + open + " open, " + calls + " calls");
+        if (arrivalSequencer.undelivered() != 0 || openRequests != 0 || openCalls != 0) {
+            ruleChecker.recordLeftover(
+                    arrivalSequencer.undelivered()
+                            + " unsettled, "
+                            + openRequests
+                            + " open, "
+                            + openCalls
+                            + " calls");
         }
     }
 
     /** A dispatch on modelled connections: each call may fail, be late, or lose its answer. */
-    private final class Sent implements AttemptStateMachine.AttemptActions {
-        private final Taken b;
-        private final int number;
+    private final class SimulatedAttempt implements AttemptStateMachine.AttemptActions {
+        private final SimulatedRequest request;
+        private final int attemptNumber;
         private final SimulatedEngine engine;
-        private final int index;
-        private final int mark = marks++;
-        private final long sent = calendar.now();
-        private final AttemptStateMachine life;
-        private boolean blind = true;
-        private int deletes;
+        private final int engineIndex;
+        private final int attemptId = nextAttemptId++;
+        private final long sentAt = events.now();
+        private final AttemptStateMachine stateMachine;
+        private boolean statementUnanswered = true;
+        private int deletesSent;
 
-        private Sent(Taken b, int number, int index) {
-            this.b = b;
-            this.number = number;
-            this.index = index;
-            engine = engines.get(index);
-            life = new AttemptStateMachine(this, b.key >= 0);
+        private SimulatedAttempt(SimulatedRequest request, int attemptNumber, int engineIndex) {
+            this.request = request;
+            this.attemptNumber = attemptNumber;
+            this.engineIndex = engineIndex;
+            engine = engines.get(engineIndex);
+            stateMachine = new AttemptStateMachine(this, request.orderingKey >= 0);
         }
 
-        private boolean rough() {
-            return chance.nextDouble() < roughness;
+        private boolean drawFault() {
+            return random.nextDouble() < faultProbability;
         }
 
-        private long way() {
-            return 2 + chance.nextInt(14);
+        private long drawOneWayDelay() {
+            return 2 + random.nextInt(14);
         }
 
-        private void tell(Runnable news) {
-            thread.arrives(
+        private void onManagerThread(Runnable action) {
+            thread.submit(
                     () -> {
-                        news.run();
-                        turnDue = true;
+                        action.run();
+                        pendingActionsDue = true;
                     });
         }
 
         @Override
         public void sendStatement() {
-            boolean refuses =
-                    engine.standing() == SimulatedEngine.Standing.DOWN
-                            || engine.standing() == SimulatedEngine.Standing.DRAINING
-                                    && chance.nextBoolean();
-            boolean mute =
-                    engine.standing() == SimulatedEngine.Standing.MUTE && chance.nextBoolean();
-            long up = chance.nextInt(10) == 0 ? chance.nextInt((int) CONNECT_PATIENCE) : 2 * way();
-            calendar.in(
-                    mute ? CONNECT_PATIENCE : up,
+            boolean refused =
+                    engine.availability() == SimulatedEngine.Availability.DOWN
+                            || engine.availability() == SimulatedEngine.Availability.DRAINING
+                                    && random.nextBoolean();
+            boolean unresponsive =
+                    engine.availability() == SimulatedEngine.Availability.UNRESPONSIVE
+                            && random.nextBoolean();
+            long connectDelay =
+                    random.nextInt(10) == 0
+                            ? random.nextInt((int) CONNECT_TIMEOUT)
+                            : 2 * drawOneWayDelay();
+            events.in(
+                    unresponsive ? CONNECT_TIMEOUT : connectDelay,
                     () ->
-                            tell(
+                            onManagerThread(
                                     () -> {
-                                        if (refuses || mute) {
-                                            life.onStatementFailed(
-                                                    calendar.now(),
-                                                    refuses
+                                        if (refused || unresponsive) {
+                                            stateMachine.onStatementFailed(
+                                                    events.now(),
+                                                    refused
                                                             ? CallFailure.CONNECTION_REFUSED
                                                             : CallFailure.CONNECT_TIMEOUT);
-                                        } else if (rough()) {
-                                            life.onStatementFailed(
-                                                    calendar.now(), CallFailure.RESET_BEFORE_SEND);
-                                        } else if (!life.shouldSendStatement()
-                                                || b.away
-                                                || engine.sinceDrain(calendar.now()) >= 0
-                                                        && fault != InjectedDefect.DRAIN_UNHEEDED) {
-                                            life.onStatementFailed(
-                                                    calendar.now(), CallFailure.NOT_SENT);
+                                        } else if (drawFault()) {
+                                            stateMachine.onStatementFailed(
+                                                    events.now(), CallFailure.RESET_BEFORE_SEND);
+                                        } else if (!stateMachine.shouldSendStatement()
+                                                || request.clientAbsent
+                                                || engine.sinceDrain(events.now()) >= 0
+                                                        && defect != InjectedDefect.DRAIN_IGNORED) {
+                                            stateMachine.onStatementFailed(
+                                                    events.now(), CallFailure.NOT_SENT);
                                         } else {
-                                            write();
+                                            writeStatement();
                                         }
                                     }));
         }
 
-        private void write() {
-            check.sent(calendar.now(), b.batch);
-            life.onStatementWritten(calendar.now());
-            long sinceDrain = engine.sinceDrain(calendar.now());
+        private void writeStatement() {
+            ruleChecker.onStatementSent(events.now(), request.id);
+            stateMachine.onStatementWritten(events.now());
+            long sinceDrain = engine.sinceDrain(events.now());
             boolean[] answered = {false};
-            boolean breaks = rough();
-            boolean reaches = !breaks || chance.nextBoolean();
+            boolean connectionBreaks = drawFault();
+            boolean reachesEngine = !connectionBreaks || random.nextBoolean();
             // The bytes may lie on their way when the connection under them is gone.
-            long late = breaks && chance.nextBoolean() ? chance.nextLong(LATEST) : way();
-            if (reaches && engine.standing() != SimulatedEngine.Standing.MUTE) {
-                calendar.in(
-                        late,
+            long deliveryDelay =
+                    connectionBreaks && random.nextBoolean()
+                            ? random.nextLong(MAX_LATE_DELIVERY)
+                            : drawOneWayDelay();
+            if (reachesEngine
+                    && engine.availability() != SimulatedEngine.Availability.UNRESPONSIVE) {
+                events.in(
+                        deliveryDelay,
                         () ->
-                                engine.post(
-                                        b.batch,
-                                        mark,
+                                engine.receiveStatement(
+                                        request.id,
+                                        attemptId,
                                         sinceDrain,
-                                        GRACE,
-                                        b.runs,
-                                        b.limit,
-                                        word -> {
-                                            if (!breaks) {
-                                                back(
+                                        DRAIN_GRACE,
+                                        request.runTime,
+                                        request.deadline,
+                                        reply -> {
+                                            if (!connectionBreaks) {
+                                                deliverReply(
                                                         answered,
                                                         () -> {
-                                                            blind = false;
-                                                            life.onStatementReply(
-                                                                    calendar.now(), word);
+                                                            statementUnanswered = false;
+                                                            stateMachine.onStatementReply(
+                                                                    events.now(), reply);
                                                         },
                                                         loss ->
-                                                                life.onStatementFailed(
-                                                                        calendar.now(), loss));
+                                                                stateMachine.onStatementFailed(
+                                                                        events.now(), loss));
                                             }
                                         }));
             }
-            lossAfter(
-                    breaks ? 2 * way() : NEWS_PATIENCE,
+            scheduleLoss(
+                    connectionBreaks ? 2 * drawOneWayDelay() : POLL_TIMEOUT,
                     answered,
                     loss -> {
-                        if (fault == InjectedDefect.BROKEN_NEVER_RAN) {
+                        if (defect == InjectedDefect.BROKEN_NEVER_RAN) {
                             reportEnd(AttemptOutcome.CONNECT_FAILED, 0);
                         } else {
-                            life.onStatementFailed(calendar.now(), loss);
+                            stateMachine.onStatementFailed(events.now(), loss);
                         }
                     });
         }
 
-        private interface Lost {
-            void as(CallFailure loss);
+        private interface LossHandler {
+            void onLost(CallFailure loss);
         }
 
         /** An answer on its way back: it comes, comes spoilt, or never comes. */
-        private void back(boolean[] answered, Runnable whole, Lost lost) {
-            if (answered[0] || rough() && chance.nextBoolean()) {
+        private void deliverReply(boolean[] answered, Runnable onReply, LossHandler lossHandler) {
+            if (answered[0] || drawFault() && random.nextBoolean()) {
                 return;
             }
-            boolean spoilt = rough();
-            calendar.in(
-                    way(),
+            boolean unreadable = drawFault();
+            events.in(
+                    drawOneWayDelay(),
                     () ->
-                            tell(
+                            onManagerThread(
                                     () -> {
                                         if (!answered[0]) {
                                             answered[0] = true;
-                                            if (spoilt) {
-                                                lost.as(CallFailure.REPLY_UNREADABLE);
+                                            if (unreadable) {
+                                                lossHandler.onLost(CallFailure.REPLY_UNREADABLE);
                                             } else {
-                                                whole.run();
+                                                onReply.run();
                                             }
                                         }
                                     }));
         }
 
-        private void lossAfter(long patience, boolean[] answered, Lost lost) {
-            calendar.in(
-                    patience,
+        private void scheduleLoss(long timeout, boolean[] answered, LossHandler lossHandler) {
+            events.in(
+                    timeout,
                     () ->
-                            tell(
+                            onManagerThread(
                                     () -> {
                                         if (!answered[0]) {
                                             answered[0] = true;
-                                            lost.as(CallFailure.REPLY_LOST);
+                                            lossHandler.onLost(CallFailure.REPLY_LOST);
                                         }
                                     }));
         }
 
-        private void call(long patience, boolean fresh, Consumer<boolean[]> reach, Lost lost) {
+        private void sendCall(
+                long timeout,
+                boolean newConnection,
+                Consumer<boolean[]> send,
+                LossHandler lossHandler) {
             boolean[] answered = {false};
-            boolean refuses =
-                    engine.standing() == SimulatedEngine.Standing.DOWN
-                            || fresh
-                                    && engine.standing() == SimulatedEngine.Standing.DRAINING
-                                    && chance.nextBoolean();
-            if (refuses) {
+            boolean refused =
+                    engine.availability() == SimulatedEngine.Availability.DOWN
+                            || newConnection
+                                    && engine.availability()
+                                            == SimulatedEngine.Availability.DRAINING
+                                    && random.nextBoolean();
+            if (refused) {
                 answered[0] = true;
-                calendar.in(2 * way(), () -> tell(() -> lost.as(CallFailure.CONNECTION_REFUSED)));
+                events.in(
+                        2 * drawOneWayDelay(),
+                        () ->
+                                onManagerThread(
+                                        () -> lossHandler.onLost(CallFailure.CONNECTION_REFUSED)));
                 return;
             }
-            boolean breaks = rough();
-            if (engine.standing() != SimulatedEngine.Standing.MUTE
-                    && (!breaks || chance.nextBoolean())) {
-                calendar.in(way(), () -> reach.accept(answered));
+            boolean connectionBreaks = drawFault();
+            if (engine.availability() != SimulatedEngine.Availability.UNRESPONSIVE
+                    && (!connectionBreaks || random.nextBoolean())) {
+                events.in(drawOneWayDelay(), () -> send.accept(answered));
             }
-            lossAfter(breaks ? 2 * way() : patience, answered, lost);
+            scheduleLoss(connectionBreaks ? 2 * drawOneWayDelay() : timeout, answered, lossHandler);
         }
 
         @Override
-        public void poll(boolean fresh) {
-            call(
-                    NEWS_PATIENCE,
-                    fresh,
+        public void poll(boolean newConnection) {
+            sendCall(
+                    POLL_TIMEOUT,
+                    newConnection,
                     answered ->
-                            engine.news(
-                                    mark,
-                                    word ->
-                                            back(
+                            engine.poll(
+                                    attemptId,
+                                    reply ->
+                                            deliverReply(
                                                     answered,
                                                     () -> {
-                                                        boolean unknown =
-                                                                blind && word == EngineReply.FAILED;
-                                                        blind &= word == EngineReply.FAILED;
-                                                        if (unknown
-                                                                && fault
+                                                        boolean unknownAtEngine =
+                                                                statementUnanswered
+                                                                        && reply
+                                                                                == EngineReply
+                                                                                        .FAILED;
+                                                        statementUnanswered &=
+                                                                reply == EngineReply.FAILED;
+                                                        if (unknownAtEngine
+                                                                && defect
                                                                         == InjectedDefect
                                                                                 .UNKNOWN_IS_OVER) {
                                                             reportEnd(AttemptOutcome.FAILED, 0);
                                                         } else {
-                                                            life.onReply(calendar.now(), word);
+                                                            stateMachine.onReply(
+                                                                    events.now(), reply);
                                                         }
                                                     },
                                                     loss ->
-                                                            life.onCallFailed(
-                                                                    calendar.now(), loss))),
-                    this::lost);
+                                                            stateMachine.onCallFailed(
+                                                                    events.now(), loss))),
+                    this::onCallLost);
         }
 
-        private void lost(CallFailure loss) {
-            if (loss == CallFailure.CONNECTION_REFUSED && fault == InjectedDefect.REFUSED_IS_OVER) {
+        private void onCallLost(CallFailure loss) {
+            if (loss == CallFailure.CONNECTION_REFUSED
+                    && defect == InjectedDefect.REFUSED_IS_OVER) {
                 reportEnd(AttemptOutcome.CONNECTION_LOST, 0);
             } else {
-                life.onCallFailed(calendar.now(), loss);
+                stateMachine.onCallFailed(events.now(), loss);
             }
         }
 
         @Override
-        public void fetchPage(int page, boolean fresh) {
-            call(
-                    NEWS_PATIENCE,
-                    fresh,
+        public void fetchPage(int page, boolean newConnection) {
+            sendCall(
+                    POLL_TIMEOUT,
+                    newConnection,
                     answered ->
-                            engine.page(
-                                    mark,
-                                    word ->
-                                            back(
+                            engine.fetchPage(
+                                    attemptId,
+                                    reply ->
+                                            deliverReply(
                                                     answered,
-                                                    () -> life.onReply(calendar.now(), word),
+                                                    () -> stateMachine.onReply(events.now(), reply),
                                                     loss ->
-                                                            life.onCallFailed(
-                                                                    calendar.now(), loss))),
-                    this::lost);
+                                                            stateMachine.onCallFailed(
+                                                                    events.now(), loss))),
+                    this::onCallLost);
         }
 
         @Override
-        public void sendDelete(boolean fresh) {
-            if (deletes++ > 0 && fault == InjectedDefect.UNWRITTEN_END_IS_FORGOTTEN) {
+        public void sendDelete(boolean newConnection) {
+            if (deletesSent++ > 0 && defect == InjectedDefect.UNWRITTEN_END_IS_FORGOTTEN) {
                 return;
             }
-            call(
-                    DELETE_PATIENCE,
-                    fresh,
+            sendCall(
+                    DELETE_TIMEOUT,
+                    newConnection,
                     answered ->
                             engine.delete(
-                                    mark,
+                                    attemptId,
                                     () ->
-                                            back(
+                                            deliverReply(
                                                     answered,
                                                     () -> {
-                                                        if (fault
+                                                        if (defect
                                                                 == InjectedDefect.DELETED_IS_OVER) {
                                                             reportEnd(AttemptOutcome.CANCELLED, 0);
                                                         } else {
-                                                            life.onDeleteAcknowledged(
-                                                                    calendar.now());
+                                                            stateMachine.onDeleteAcknowledged(
+                                                                    events.now());
                                                         }
                                                     },
                                                     loss ->
-                                                            life.onDeleteFailed(
-                                                                    calendar.now(), loss))),
-                    loss -> life.onDeleteFailed(calendar.now(), loss));
+                                                            stateMachine.onDeleteFailed(
+                                                                    events.now(), loss))),
+                    loss -> stateMachine.onDeleteFailed(events.now(), loss));
         }
 
         @Override
-        public void startTimer(long delay, Timeout alarm) {
-            thread(
+        public void startTimer(long delay, Timeout timeout) {
+            runOnThreadAfter(
                     delay,
                     () -> {
-                        life.onTimeout(calendar.now(), alarm);
-                        turnDue = true;
+                        stateMachine.onTimeout(events.now(), timeout);
+                        pendingActionsDue = true;
                     });
         }
 
         @Override
         public boolean hasOpenConnection() {
             // Known only by chance: other dispatches may hold connections to it or not.
-            return engine.standing() != SimulatedEngine.Standing.DOWN && chance.nextBoolean();
+            return engine.availability() != SimulatedEngine.Availability.DOWN
+                    && random.nextBoolean();
         }
 
         @Override
         public boolean isResultAwaited() {
-            return !b.over
-                    || fault == InjectedDefect.GIVEN_UP_IS_OVER
-                    || fault == InjectedDefect.UNWRITTEN_END_IS_OVER
-                    || fault == InjectedDefect.UNWRITTEN_END_IS_FORGOTTEN;
+            return !request.completed
+                    || defect == InjectedDefect.ABANDONED_IS_OVER
+                    || defect == InjectedDefect.UNWRITTEN_END_IS_OVER
+                    || defect == InjectedDefect.UNWRITTEN_END_IS_FORGOTTEN;
         }
 
         @Override
         public long deadline() {
-            return fault == InjectedDefect.UNWRITTEN_END_IS_OVER
-                            || fault == InjectedDefect.UNWRITTEN_END_IS_FORGOTTEN
+            return defect == InjectedDefect.UNWRITTEN_END_IS_OVER
+                            || defect == InjectedDefect.UNWRITTEN_END_IS_FORGOTTEN
                     ? 0
-                    : b.limit;
+                    : request.deadline;
         }
 
         @Override
         public void release() {}
 
         @Override
-        public void reportEnd(AttemptOutcome how, long rest) {
-            if (!b.out.remove(this)) {
+        public void reportEnd(AttemptOutcome outcome, long quietPeriod) {
+            if (!request.attemptsInFlight.remove(this)) {
                 return;
             }
-            if (how == AttemptOutcome.SUCCEEDED) {
-                answer(b, false);
+            if (outcome == AttemptOutcome.SUCCEEDED) {
+                complete(request, false);
             }
-            turnDue = true;
-            brain.onAttemptResult(
-                    calendar.now(),
+            pendingActionsDue = true;
+            scheduler.onAttemptResult(
+                    events.now(),
                     new AttemptResult(
-                            b.batch,
-                            number,
-                            index,
-                            how,
-                            calendar.now() - sent,
+                            request.id,
+                            attemptNumber,
+                            engineIndex,
+                            outcome,
+                            events.now() - sentAt,
                             0,
                             0,
-                            b.over,
+                            request.completed,
                             null,
-                            fault == InjectedDefect.GIVEN_UP_IS_OVER
+                            defect == InjectedDefect.ABANDONED_IS_OVER
                                     ? 0
-                                    : fault == InjectedDefect.UNWRITTEN_END_IS_OVER
-                                            ? Math.max(0, rest - SHORTER)
-                                            : rest));
-            if (how == AttemptOutcome.SUCCEEDED) {
-                callOffAll(b);
+                                    : defect == InjectedDefect.UNWRITTEN_END_IS_OVER
+                                            ? Math.max(0, quietPeriod - QUIET_PERIOD_SHORTFALL)
+                                            : quietPeriod));
+            if (outcome == AttemptOutcome.SUCCEEDED) {
+                cancelAttempts(request);
             }
         }
     }
--- a/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
@@ -21,165 +21,173 @@
  * cut by a plan. Every figure of it is simulated. Times are tenths of a millisecond.
  */
 public final class SimulatedMembership {
-    public static final long PERIOD = 2_000;
+    public static final long PROBE_PERIOD = 2_000;
     private static final long START = 1_000_000;
-    private static final long TICK = 200;
-    private static final int MOST = 1_200;
+    private static final long TICK_INTERVAL = 200;
+    private static final int MAX_DATAGRAM_BYTES = 1_200;
 
     /** One place at which a manager runs, one life after another. */
-    public final class Place implements MembershipActions {
+    public final class ManagerHost implements MembershipActions {
         private final int number;
-        private MembershipProtocol members;
+        private MembershipProtocol membership;
         private QuotaLeases leases;
         private boolean up;
         private boolean lentBefore;
         private long pausedUntil;
-        private final List<Runnable> waiting = new ArrayList<>();
-        private int life;
-        private int views;
-        private long bytes;
+        private final List<Runnable> waitingDatagrams = new ArrayList<>();
+        private int incarnation;
+        private int viewChangeCount;
+        private long bytesSent;
 
-        private Place(int number) {
+        private ManagerHost(int number) {
             this.number = number;
         }
 
-        public MembershipProtocol members() {
-            return members;
+        public MembershipProtocol membership() {
+            return membership;
         }
 
-        public int views() {
-            return views;
+        public int viewChangeCount() {
+            return viewChangeCount;
         }
 
-        public long bytes() {
-            return bytes;
+        public long bytesSent() {
+            return bytesSent;
         }
 
         public double share() {
-            return leases.share(calendar.now());
+            return leases.share(events.now());
         }
 
         /** Starts it with nothing but its name and its seeds. */
         public void start() {
             up = true;
-            int mine = ++life;
+            int startedIncarnation = ++incarnation;
             leases =
                     new QuotaLeases(
-                            places.size(),
-                            PERIOD,
+                            hosts.size(),
+                            PROBE_PERIOD,
                             lentBefore,
                             () -> {
                                 lentBefore = true;
-                                calendar.in(
+                                events.in(
                                         50,
                                         () -> {
-                                            if (life == mine) {
+                                            if (incarnation == startedIncarnation) {
                                                 leases.onWithdrawalMarkStored();
                                             }
                                         });
                             },
-                            leaseFault);
-            members =
+                            leaseDefect);
+            membership =
                     new MembershipProtocol(
                             "field",
                             new Member(
                                     "m" + number,
                                     "z" + number % 2,
-                                    calendar.now() + 1,
+                                    events.now() + 1,
                                     MemberState.ALIVE,
                                     "1",
                                     1),
-                            places.size(),
-                            PERIOD,
-                            MOST,
-                            CHANCES.create(chance.nextLong()),
+                            hosts.size(),
+                            PROBE_PERIOD,
+                            MAX_DATAGRAM_BYTES,
+                            RANDOM_FACTORY.create(random.nextLong()),
                             leases,
                             this,
-                            fault);
-            tick(mine);
+                            defect);
+            tick(startedIncarnation);
         }
 
         public void kill() {
             up = false;
-            life++;
-            waiting.clear();
+            incarnation++;
+            waitingDatagrams.clear();
         }
 
         /** Stopped for so long; what comes waits for it. */
         public void pause(long length) {
-            pausedUntil = calendar.now() + length;
-            int mine = life;
-            calendar.in(
+            pausedUntil = events.now() + length;
+            int startedIncarnation = incarnation;
+            events.in(
                     length,
                     () -> {
-                        if (life == mine) {
+                        if (incarnation == startedIncarnation) {
                             tickOnce();
-                            List<Runnable> all = List.copyOf(waiting);
-                            waiting.clear();
-                            all.forEach(Runnable::run);
+                            List<Runnable> arrived = List.copyOf(waitingDatagrams);
+                            waitingDatagrams.clear();
+                            arrived.forEach(Runnable::run);
                         }
                     });
         }
 
-        private void tick(int mine) {
-            if (life != mine) {
+        private void tick(int startedIncarnation) {
+            if (incarnation != startedIncarnation) {
                 return;
             }
-            if (calendar.now() >= pausedUntil) {
+            if (events.now() >= pausedUntil) {
                 tickOnce();
             }
-            calendar.in(TICK + chance.nextInt(20), () -> tick(mine));
+            events.in(TICK_INTERVAL + random.nextInt(20), () -> tick(startedIncarnation));
         }
 
         private void tickOnce() {
-            members.tick(calendar.now());
+            membership.tick(events.now());
         }
 
-        private void receives(int from, byte[] datagram) {
+        private void receive(int senderSlot, byte[] datagram) {
             if (!up) {
                 return;
             }
-            int mine = life;
-            Runnable reads =
+            int startedIncarnation = incarnation;
+            Runnable read =
                     () -> {
-                        if (life == mine) {
-                            members.onDatagram(calendar.now(), from, datagram);
+                        if (incarnation == startedIncarnation) {
+                            membership.onDatagram(events.now(), senderSlot, datagram);
                         }
                     };
-            if (calendar.now() < pausedUntil) {
-                waiting.add(reads);
+            if (events.now() < pausedUntil) {
+                waitingDatagrams.add(read);
             } else {
-                reads.run();
+                read.run();
             }
         }
 
         @Override
-        public void send(int seed, MembershipMessage.Kind kind, byte[] datagram) {
-            bytes += datagram.length;
-            int from = number;
-            if (seed != number && !cut[from][seed] && chance.nextDouble() >= loss) {
-                int copies = chance.nextDouble() < doubled ? 2 : 1;
+        public void send(int targetSlot, MembershipMessage.Kind kind, byte[] datagram) {
+            bytesSent += datagram.length;
+            int senderSlot = number;
+            if (targetSlot != number
+                    && !blocked[senderSlot][targetSlot]
+                    && random.nextDouble() >= lossProbability) {
+                int copies = random.nextDouble() < duplicateProbability ? 2 : 1;
                 for (int i = 0; i < copies; i++) {
-                    calendar.in(
-                            2 + chance.nextInt(18),
-                            () -> places.get(seed).receives(from, datagram));
+                    events.in(
+                            2 + random.nextInt(18),
+                            () -> hosts.get(targetSlot).receive(senderSlot, datagram));
                 }
             }
         }
 
         @Override
         public void viewChanged(long now, MembershipView view) {
-            views++;
-            changes.add("m" + number + " " + view.number() + " " + view.memberNames().size());
+            viewChangeCount++;
+            viewChanges.add("m" + number + " " + view.number() + " " + view.memberNames().size());
         }
 
         @Override
-        public void logMemberEvent(long now, String what, String who, String why) {
-            if (what.equals("dead")) {
-                int whom = Integer.parseInt(who.substring(1));
-                if (places.get(whom).up) {
-                    falselyGone.add(
-                            now / 10 + " ms: m" + number + " holds m" + whom + " for dead: " + why);
+        public void logMemberEvent(long now, String event, String member, String reason) {
+            if (event.equals("dead")) {
+                int memberIndex = Integer.parseInt(member.substring(1));
+                if (hosts.get(memberIndex).up) {
+                    falselyDead.add(
+                            now / 10
+                                    + " ms: m"
+                                    + number
+                                    + " holds m"
+                                    + memberIndex
+                                    + " for dead: "
+                                    + reason);
                 }
             }
         }
@@ -190,90 +198,90 @@
         }
 
         @Override
-        public void digestReceived(long now, String from, byte[] digest) {
+        public void digestReceived(long now, String senderSlot, byte[] digest) {
             // The field has no rooms above.
         }
     }
 
-    private static final RandomGeneratorFactory<RandomGenerator> CHANCES =
+    private static final RandomGeneratorFactory<RandomGenerator> RANDOM_FACTORY =
             RandomGeneratorFactory.of("L64X128MixRandom");
-    private final EventQueue calendar = new EventQueue(START);
-    private final RandomGenerator chance;
-    private final MembershipProtocol.InjectedDefect fault;
-    private final QuotaLeases.InjectedDefect leaseFault;
-    private final List<Place> places = new ArrayList<>();
-    private final boolean[][] cut;
-    private final List<String> falselyGone = new ArrayList<>();
-    private final List<String> changes = new ArrayList<>();
-    private double loss;
-    private double doubled;
+    private final EventQueue events = new EventQueue(START);
+    private final RandomGenerator random;
+    private final MembershipProtocol.InjectedDefect defect;
+    private final QuotaLeases.InjectedDefect leaseDefect;
+    private final List<ManagerHost> hosts = new ArrayList<>();
+    private final boolean[][] blocked;
+    private final List<String> falselyDead = new ArrayList<>();
+    private final List<String> viewChanges = new ArrayList<>();
+    private double lossProbability;
+    private double duplicateProbability;
 
     public SimulatedMembership(
             int count,
             long seed,
-            MembershipProtocol.InjectedDefect fault,
-            QuotaLeases.InjectedDefect leaseFault) {
-        chance = CHANCES.create(seed);
-        this.fault = fault;
-        this.leaseFault = leaseFault;
-        cut = new boolean[count][count];
+            MembershipProtocol.InjectedDefect defect,
+            QuotaLeases.InjectedDefect leaseDefect) {
+        random = RANDOM_FACTORY.create(seed);
+        this.defect = defect;
+        this.leaseDefect = leaseDefect;
+        blocked = new boolean[count][count];
         for (int i = 0; i < count; i++) {
-            places.add(new Place(i));
+            hosts.add(new ManagerHost(i));
         }
     }
 
-    public List<Place> places() {
-        return places;
+    public List<ManagerHost> hosts() {
+        return hosts;
     }
 
-    public EventQueue calendar() {
-        return calendar;
+    public EventQueue events() {
+        return events;
     }
 
-    public RandomGenerator chance() {
-        return chance;
+    public RandomGenerator random() {
+        return random;
     }
 
     /**
      * Starts all within a second, and plays until they know each other; how long that took, or -1.
      */
     public long startAll() {
-        for (Place p : places) {
-            calendar.in(chance.nextInt(10_000), p::start);
+        for (ManagerHost host : hosts) {
+            events.in(random.nextInt(10_000), host::start);
         }
-        pass(10_000);
-        return untilAgreed(600_000);
+        advance(10_000);
+        return timeUntilAgreed(600_000);
     }
 
-    public void loses(double share) {
-        loss = share;
+    public void setLossProbability(double probability) {
+        lossProbability = probability;
     }
 
-    public void doubles(double share) {
-        doubled = share;
+    public void setDuplicateProbability(double probability) {
+        duplicateProbability = probability;
     }
 
     /** Nothing passes from the one to the other, or it does again. */
-    public void cut(int from, int to, boolean is) {
-        cut[from][to] = is;
+    public void setBlocked(int from, int to, boolean block) {
+        blocked[from][to] = block;
     }
 
-    public void pass(long time) {
-        calendar.play(calendar.now() + time);
+    public void advance(long length) {
+        events.play(events.now() + length);
     }
 
     /** Whether all that are up hold the same view, of just them. */
-    public boolean agreed() {
+    public boolean isAgreed() {
         Set<String> up = new HashSet<>();
-        places.stream().filter(p -> p.up).forEach(p -> up.add("m" + p.number));
-        MembershipView one = null;
-        for (Place p : places) {
-            if (p.up) {
-                MembershipView v = p.members.view();
-                one = one == null ? v : one;
-                if (v.hash() != one.hash()
-                        || v.number() != one.number()
-                        || !up.equals(Set.copyOf(v.memberNames()))) {
+        hosts.stream().filter(host -> host.up).forEach(host -> up.add("m" + host.number));
+        MembershipView firstView = null;
+        for (ManagerHost host : hosts) {
+            if (host.up) {
+                MembershipView view = host.membership.view();
+                firstView = firstView == null ? view : firstView;
+                if (view.hash() != firstView.hash()
+                        || view.number() != firstView.number()
+                        || !up.equals(Set.copyOf(view.memberNames()))) {
                     return false;
                 }
             }
@@ -284,12 +292,12 @@
     /**
      * Tenths of a millisecond until they agree, in steps of 10 ms; -1 if they do not within this.
      */
-    public long untilAgreed(long most) {
-        for (long t = 0; t <= most; t += 100) {
-            if (agreed()) {
-                return t;
+    public long timeUntilAgreed(long limit) {
+        for (long elapsed = 0; elapsed <= limit; elapsed += 100) {
+            if (isAgreed()) {
+                return elapsed;
             }
-            pass(100);
+            advance(100);
         }
         return -1;
     }
@@ -298,40 +306,43 @@
      * Until each that is up has this one out of its view; by each, tenths of a millisecond; -1 for
      * never.
      */
-    public List<Long> untilKnown(int gone, long most) {
-        TreeMap<Integer, Long> known = new TreeMap<>();
-        for (long t = 0;
-                t <= most && known.size() < places.stream().filter(p -> p.up).count();
-                t += 100) {
-            for (Place p : places) {
-                if (p.up
-                        && p.members.members().stream()
+    public List<Long> timesUntilNotAlive(int killed, long limit) {
+        TreeMap<Integer, Long> timesByHost = new TreeMap<>();
+        for (long elapsed = 0;
+                elapsed <= limit
+                        && timesByHost.size() < hosts.stream().filter(host -> host.up).count();
+                elapsed += 100) {
+            for (ManagerHost host : hosts) {
+                if (host.up
+                        && host.membership.members().stream()
                                 .anyMatch(
-                                        e ->
-                                                e.name().equals("m" + gone)
-                                                        && e.state() != MemberState.ALIVE)) {
-                    known.putIfAbsent(p.number, t);
+                                        member ->
+                                                member.name().equals("m" + killed)
+                                                        && member.state() != MemberState.ALIVE)) {
+                    timesByHost.putIfAbsent(host.number, elapsed);
                 }
             }
-            pass(100);
+            advance(100);
         }
-        places.stream().filter(p -> p.up).forEach(p -> known.putIfAbsent(p.number, -1L));
-        return List.copyOf(known.values());
+        hosts.stream()
+                .filter(host -> host.up)
+                .forEach(host -> timesByHost.putIfAbsent(host.number, -1L));
+        return List.copyOf(timesByHost.values());
     }
 
     /** Live managers that were held for dead: when, by whom. */
-    public List<String> falselyGone() {
-        return falselyGone;
+    public List<String> falselyDead() {
+        return falselyDead;
     }
 
     /** All changes of views since the last asking. */
-    public List<String> changes() {
-        List<String> all = List.copyOf(changes);
-        changes.clear();
+    public List<String> viewChanges() {
+        List<String> all = List.copyOf(viewChanges);
+        viewChanges.clear();
         return all;
     }
 
-    public double shares() {
-        return places.stream().filter(p -> p.up).mapToDouble(Place::share).sum();
+    public double totalShare() {
+        return hosts.stream().filter(host -> host.up).mapToDouble(ManagerHost::share).sum();
     }
 }
--- a/src/main/java/firstage/simulation/schedule/SimulatedThread.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedThread.java
@@ -12,146 +12,150 @@
  * looks again. A new connection takes one look to be accepted and one more to be read.
  */
 final class SimulatedThread {
-    private static final double STALL_BETWEEN = 0.004;
-    private static final long LONGEST_STALL = 9_000;
+    private static final double STALL_PROBABILITY = 0.004;
+    private static final long MAX_STALL = 9_000;
 
-    private static final class Waiting {
-        private final Runnable then;
-        private int looks = 2;
+    private static final class ReadBarrier {
+        private final Runnable action;
+        private int roundsLeft = 2;
 
-        private Waiting(Runnable then) {
-            this.then = then;
+        private ReadBarrier(Runnable action) {
+            this.action = action;
         }
     }
 
-    private final EventQueue calendar;
-    private final RandomGenerator chance;
-    private final ScheduleRuleChecker check;
-    private final boolean stalls;
-    private final boolean oneAccepted;
-    private final Runnable turn;
+    private final EventQueue events;
+    private final RandomGenerator random;
+    private final ScheduleRuleChecker ruleChecker;
+    private final boolean stallsBetweenReads;
+    private final boolean acceptsOnePerRound;
+    private final Runnable runPendingActions;
     private List<Runnable> ready = new ArrayList<>();
-    private final List<Runnable> connecting = new ArrayList<>();
-    private final ArrayDeque<Runnable> found = new ArrayDeque<>();
+    private final List<Runnable> newConnections = new ArrayList<>();
+    private final ArrayDeque<Runnable> selected = new ArrayDeque<>();
 
     /** Barriers that the look under way counts for, and those asked for since it began. */
-    private final List<Waiting> under = new ArrayList<>();
+    private final List<ReadBarrier> currentBarriers = new ArrayList<>();
 
-    private final List<Waiting> next = new ArrayList<>();
-    private boolean awake;
-    private boolean dead;
-    private long stillUntil;
+    private final List<ReadBarrier> nextBarriers = new ArrayList<>();
+    private boolean roundScheduled;
+    private boolean killed;
+    private long pausedUntil;
 
     SimulatedThread(
-            EventQueue calendar,
-            RandomGenerator chance,
-            ScheduleRuleChecker check,
-            boolean stalls,
-            boolean oneAccepted,
-            Runnable turn) {
-        this.calendar = calendar;
-        this.chance = chance;
-        this.check = check;
-        this.stalls = stalls;
-        this.oneAccepted = oneAccepted;
-        this.turn = turn;
+            EventQueue events,
+            RandomGenerator random,
+            ScheduleRuleChecker ruleChecker,
+            boolean stallsBetweenReads,
+            boolean acceptsOnePerRound,
+            Runnable runPendingActions) {
+        this.events = events;
+        this.random = random;
+        this.ruleChecker = ruleChecker;
+        this.stallsBetweenReads = stallsBetweenReads;
+        this.acceptsOnePerRound = acceptsOnePerRound;
+        this.runPendingActions = runPendingActions;
     }
 
     /** The process is killed: nothing of it happens any more. */
-    void die() {
-        dead = true;
+    void kill() {
+        killed = true;
     }
 
-    boolean dead() {
-        return dead;
+    boolean isKilled() {
+        return killed;
     }
 
     /** Something reached a socket that is open, or a timer is due. */
-    void arrives(Runnable what) {
-        ready.add(what);
-        wake();
+    void submit(Runnable action) {
+        ready.add(action);
+        scheduleRound();
     }
 
     /** Something came on a new connection. */
-    void connects(Runnable what) {
-        connecting.add(what);
-        wake();
+    void submitOnNewConnection(Runnable action) {
+        newConnections.add(action);
+        scheduleRound();
     }
 
     /** Answered once two whole looks began after this and were read. */
-    void barrier(Runnable then) {
-        next.add(new Waiting(then));
-        wake();
+    void addBarrier(Runnable action) {
+        nextBarriers.add(new ReadBarrier(action));
+        scheduleRound();
     }
 
     /** The process stands still. */
-    void standStill(long time) {
-        stillUntil = Math.max(stillUntil, calendar.now() + time);
-        check.stalled(time);
+    void pause(long length) {
+        pausedUntil = Math.max(pausedUntil, events.now() + length);
+        ruleChecker.onStalled(length);
     }
 
-    private void wake() {
-        if (!awake) {
-            awake = true;
-            calendar.in(1, this::look);
+    private void scheduleRound() {
+        if (!roundScheduled) {
+            roundScheduled = true;
+            events.in(1, this::selectReady);
         }
     }
 
-    private boolean still(Runnable then) {
-        if (dead) {
+    private boolean deferIfPaused(Runnable action) {
+        if (killed) {
             return true;
         }
-        if (calendar.now() < stillUntil) {
-            calendar.in(stillUntil - calendar.now(), then);
+        if (events.now() < pausedUntil) {
+            events.in(pausedUntil - events.now(), action);
             return true;
         }
         return false;
     }
 
-    private void look() {
-        if (still(this::look)) {
+    private void selectReady() {
+        if (deferIfPaused(this::selectReady)) {
             return;
         }
-        under.addAll(next);
-        next.clear();
-        List<Runnable> all = ready;
+        currentBarriers.addAll(nextBarriers);
+        nextBarriers.clear();
+        List<Runnable> arrived = ready;
         ready = new ArrayList<>();
-        while (!all.isEmpty()) {
-            found.add(all.remove(chance.nextInt(all.size())));
+        while (!arrived.isEmpty()) {
+            selected.add(arrived.remove(random.nextInt(arrived.size())));
         }
         // Accepted in this look, read in the next.
-        if (oneAccepted && !connecting.isEmpty()) {
-            ready.add(connecting.remove(0));
+        if (acceptsOnePerRound && !newConnections.isEmpty()) {
+            ready.add(newConnections.remove(0));
         } else {
-            ready.addAll(connecting);
-            connecting.clear();
+            ready.addAll(newConnections);
+            newConnections.clear();
         }
-        read();
+        runSelected();
     }
 
-    private void read() {
-        if (still(this::read)) {
+    private void runSelected() {
+        if (deferIfPaused(this::runSelected)) {
             return;
         }
-        while (!found.isEmpty()) {
-            found.poll().run();
-            if (stalls && chance.nextDouble() < STALL_BETWEEN) {
-                standStill(1 + chance.nextLong(LONGEST_STALL));
-                still(this::read);
+        while (!selected.isEmpty()) {
+            selected.poll().run();
+            if (stallsBetweenReads && random.nextDouble() < STALL_PROBABILITY) {
+                pause(1 + random.nextLong(MAX_STALL));
+                deferIfPaused(this::runSelected);
                 return;
             }
         }
-        through();
-        turn.run();
-        awake = false;
-        if (!ready.isEmpty() || !connecting.isEmpty() || !under.isEmpty() || !next.isEmpty()) {
-            wake();
+        passBarriers();
+        runPendingActions.run();
+        roundScheduled = false;
+        if (!ready.isEmpty()
+                || !newConnections.isEmpty()
+                || !currentBarriers.isEmpty()
+                || !nextBarriers.isEmpty()) {
+            scheduleRound();
         }
     }
 
-    private void through() {
-        List<Waiting> over = under.stream().filter(w -> --w.looks == 0).toList();
-        under.removeAll(over);
-        over.forEach(w -> w.then.run());
+    private void passBarriers() {
+        List<ReadBarrier> passed =
+                currentBarriers.stream().filter(barrier -> --barrier.roundsLeft == 0).toList();
+        currentBarriers.removeAll(passed);
+        passed.forEach(barrier -> barrier.action.run());
     }
 }
--- a/src/test/java/firstage/cells/SimulatedCellsTest.java
+++ b/src/test/java/firstage/cells/SimulatedCellsTest.java
@@ -7,7 +7,7 @@
 import firstage.cells.CellDirectory.InjectedDefect;
 import firstage.overload.RendezvousHash;
 import firstage.simulation.schedule.SimulatedCells;
-import firstage.simulation.schedule.SimulatedCells.Place;
+import firstage.simulation.schedule.SimulatedCells.ManagerHost;
 import firstage.simulation.schedule.SimulatedCells.Shape;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -30,24 +30,24 @@
     private static SimulatedCells field(int managers, int cell, InjectedDefect fault) {
         SimulatedCells f = new SimulatedCells(new Shape(managers, cell, 2, 1, true, 400, fault), 7);
         f.start(SECOND);
-        assertThat(f.untilAgreed(20 * SECOND)).isNotNegative();
-        f.pass(30 * SECOND);
+        assertThat(f.timeUntilAgreed(20 * SECOND)).isNotNegative();
+        f.advance(30 * SECOND);
         return f;
     }
 
     private static CellStatus known(SimulatedCells f, int by, int cell) {
-        return f.places().get(by).cells().cells(f.calendar().now()).get(cell);
+        return f.hosts().get(by).cellDirectory().cells(f.events().now()).get(cell);
     }
 
-    private static List<Place> of(SimulatedCells f, int cell) {
-        return f.places().stream().filter(p -> p.cell() == cell).toList();
+    private static List<ManagerHost> of(SimulatedCells f, int cell) {
+        return f.hosts().stream().filter(p -> p.cell() == cell).toList();
     }
 
     @Test
     void allKnowAllCellsAndHowManyAreHere() {
         SimulatedCells f = field(32, 8, InjectedDefect.NONE);
-        for (Place p : f.places()) {
-            assertThat(p.cells().cells(f.calendar().now()))
+        for (ManagerHost p : f.hosts()) {
+            assertThat(p.cellDirectory().cells(f.events().now()))
                     .allMatch(k -> k.state() == CellState.ACTIVE && k.aliveManagers() == 8);
         }
     }
@@ -62,15 +62,15 @@
             names = {"NONE", "FIXED_DELEGATES"})
     void whereAllDeputiesAreKilledTheCellIsHeardStill(InjectedDefect fault) {
         SimulatedCells f = field(32, 8, fault);
-        List<String> names = of(f, 1).stream().map(p -> p.members().name()).toList();
+        List<String> names = of(f, 1).stream().map(p -> p.membership().name()).toList();
         of(f, 1).stream()
                 .sorted(
                         Comparator.comparing(
-                                p -> RendezvousHash.countBefore(1, names, p.members().name())))
+                                p -> RendezvousHash.countBefore(1, names, p.membership().name())))
                 .limit(3)
                 .toList()
-                .forEach(Place::kill);
-        f.pass(45 * SECOND);
+                .forEach(ManagerHost::kill);
+        f.advance(45 * SECOND);
         assertThat(known(f, 0, 1).state())
                 .isEqualTo(fault == InjectedDefect.NONE ? CellState.ACTIVE : CellState.SILENT);
         if (fault == InjectedDefect.NONE) {
@@ -85,28 +85,28 @@
             names = {"NONE", "OLDER_ROW_WINS"})
     void aCellThatDiesAsOneIsSilentToAllAndHeardAgain(InjectedDefect fault) {
         SimulatedCells f = field(32, 8, fault);
-        of(f, 1).forEach(Place::kill);
-        f.pass(60 * SECOND);
-        List<Place> others = f.places().stream().filter(Place::up).toList();
+        of(f, 1).forEach(ManagerHost::kill);
+        f.advance(60 * SECOND);
+        List<ManagerHost> others = f.hosts().stream().filter(ManagerHost::up).toList();
         if (fault != InjectedDefect.NONE) {
             assertThat(others)
                     .anyMatch(
                             p ->
-                                    p.cells().cells(f.calendar().now()).get(1).state()
+                                    p.cellDirectory().cells(f.events().now()).get(1).state()
                                             == CellState.ACTIVE);
             return;
         }
         assertThat(others)
                 .allMatch(
                         p ->
-                                p.cells().cells(f.calendar().now()).get(1).state()
+                                p.cellDirectory().cells(f.events().now()).get(1).state()
                                         == CellState.SILENT);
-        of(f, 1).forEach(Place::start);
-        f.pass(20 * SECOND);
+        of(f, 1).forEach(ManagerHost::start);
+        f.advance(20 * SECOND);
         assertThat(others)
                 .allMatch(
                         p ->
-                                p.cells().cells(f.calendar().now()).get(1).state()
+                                p.cellDirectory().cells(f.events().now()).get(1).state()
                                         == CellState.ACTIVE);
     }
 
@@ -115,21 +115,21 @@
     @ValueSource(ints = {1, 3, 4})
     void aCellCutInTwoNeverUsesMoreThanTheWhole(int apart) {
         SimulatedCells f = field(24, 8, InjectedDefect.NONE);
-        f.cut(p -> p < apart, true);
+        f.setPartition(p -> p < apart, true);
         for (int i = 0; i < 120; i++) {
-            f.pass(SECOND / 2);
-            assertThat(of(f, 0).stream().mapToDouble(Place::share).sum())
+            f.advance(SECOND / 2);
+            assertThat(of(f, 0).stream().mapToDouble(ManagerHost::share).sum())
                     .isLessThanOrEqualTo(1 + 1e-9);
         }
         // Of eight, four are enough to keep all, fewer keep half, and five take of the other half
         // what they may.
-        assertThat(of(f, 0).stream().mapToDouble(Place::share).sum()).isGreaterThan(0.9);
+        assertThat(of(f, 0).stream().mapToDouble(ManagerHost::share).sum()).isGreaterThan(0.9);
         assertThat(of(f, 0).get(0).share()).isEqualTo(apart < 4 ? 0.0625 : 0.125);
-        assertThat(of(f, 1).stream().mapToDouble(Place::share).sum()).isEqualTo(1);
-        f.cut(p -> false, false);
-        assertThat(f.untilAgreed(10 * SECOND)).isNotNegative();
-        f.pass(20 * SECOND);
-        assertThat(of(f, 0).stream().mapToDouble(Place::share).sum()).isGreaterThan(1 - 1e-9);
+        assertThat(of(f, 1).stream().mapToDouble(ManagerHost::share).sum()).isEqualTo(1);
+        f.setPartition(p -> false, false);
+        assertThat(f.timeUntilAgreed(10 * SECOND)).isNotNegative();
+        f.advance(20 * SECOND);
+        assertThat(of(f, 0).stream().mapToDouble(ManagerHost::share).sum()).isGreaterThan(1 - 1e-9);
     }
 
     /**
@@ -141,21 +141,21 @@
         SimulatedCells f = field(48, 8, InjectedDefect.NONE);
         long usual = seconds(f, 10);
         // Every other cell is of the one region, as the zones are.
-        f.cut(p -> p / 8 % 2 == 0, true);
-        f.pass(120 * SECOND);
-        assertThat(f.inForce()).isEqualTo(1);
+        f.setPartition(p -> p / 8 % 2 == 0, true);
+        f.advance(120 * SECOND);
+        assertThat(f.quotaInForce()).isEqualTo(1);
         assertThat(known(f, 0, 1).state()).isEqualTo(CellState.SILENT);
         assertThat(known(f, 0, 2).state()).isEqualTo(CellState.ACTIVE);
-        f.cut(p -> false, false);
+        f.setPartition(p -> false, false);
         assertThat(seconds(f, 10)).isLessThan(usual * 6 / 5);
-        f.pass(20 * SECOND);
+        f.advance(20 * SECOND);
         assertThat(IntStream.range(0, 6)).allMatch(c -> known(f, 0, c).state() == CellState.ACTIVE);
     }
 
     private static long seconds(SimulatedCells f, int count) {
-        long before = f.bytes().values().stream().mapToLong(b -> b).sum();
-        f.pass(count * SECOND);
-        return f.bytes().values().stream().mapToLong(b -> b).sum() - before;
+        long before = f.bytesByKind().values().stream().mapToLong(b -> b).sum();
+        f.advance(count * SECOND);
+        return f.bytesByKind().values().stream().mapToLong(b -> b).sum() - before;
     }
 
     /**
@@ -172,8 +172,8 @@
         for (int seed = 0; seed < 4; seed++) {
             SimulatedCells f = new SimulatedCells(new Shape(24, 4, 2, 2, false, 400, fault), seed);
             f.start(SECOND);
-            f.pass(10 * SECOND);
-            f.loses(0.2);
+            f.advance(10 * SECOND);
+            f.setLossProbability(0.2);
             // Six cells; the one before the last goes, so its engines are taken over.
             CellPlan next =
                     new CellPlan(
@@ -188,21 +188,21 @@
                                                             c.slots(),
                                                             !c.name().equals("c4")))
                                     .toList());
-            List<Place> order = new ArrayList<>(f.places());
+            List<ManagerHost> order = new ArrayList<>(f.hosts());
             Collections.shuffle(order, new Random(seed));
-            for (Place p : order) {
-                f.cut(q -> q % 7 == 3, f.chance().nextInt(4) == 0);
+            for (ManagerHost p : order) {
+                f.setPartition(q -> q % 7 == 3, f.random().nextInt(4) == 0);
                 p.kill();
-                f.pass(f.chance().nextLong(SECOND));
+                f.advance(f.random().nextLong(SECOND));
                 p.start(next);
-                f.pass(f.chance().nextLong(4 * SECOND));
+                f.advance(f.random().nextLong(4 * SECOND));
                 worst = Math.max(worst, most(f));
             }
-            f.cut(q -> false, false);
-            f.pass(90 * SECOND);
+            f.setPartition(q -> false, false);
+            f.advance(90 * SECOND);
             worst = Math.max(worst, most(f));
             last = most(f);
-            assertThat(f.places()).allMatch(p -> p.cells().cellsBehindPlan().isEmpty());
+            assertThat(f.hosts()).allMatch(p -> p.cellDirectory().cellsBehindPlan().isEmpty());
         }
         if (fault == InjectedDefect.NONE) {
             assertThat(worst).isLessThanOrEqualTo(1 + 1e-9);
@@ -217,8 +217,8 @@
         for (long engine = 1; engine <= 24; engine++) {
             String zone = "z" + engine % 2;
             double sum = 0;
-            for (Place p : f.places()) {
-                sum += p.up() && p.cells().mayUse(engine, zone) ? p.share() : 0;
+            for (ManagerHost p : f.hosts()) {
+                sum += p.up() && p.cellDirectory().mayUse(engine, zone) ? p.share() : 0;
             }
             most = Math.max(most, sum);
         }
--- a/src/test/java/firstage/membership/MembershipProtocolTest.java
+++ b/src/test/java/firstage/membership/MembershipProtocolTest.java
@@ -21,14 +21,14 @@
         SimulatedMembership f =
                 new SimulatedMembership(count, 7, fault, QuotaLeases.InjectedDefect.NONE);
         assertThat(f.startAll()).isNotNegative();
-        f.pass(5 * SECOND);
-        f.changes();
+        f.advance(5 * SECOND);
+        f.viewChanges();
         return f;
     }
 
     @Test
     void whatIsWantedHoldsAtTwelve() {
-        Map<String, Double> figures = MembershipFigures.play(12, 2);
+        Map<String, Double> figures = MembershipFigures.measure(12, 2);
         assertThat(figures.get("a killed one doubted everywhere, s, median")).isLessThan(1.0);
         assertThat(figures.get("a killed one doubted everywhere, s, 99th")).isLessThan(2.5);
         assertThat(figures.get("half killed, one view, s, most")).isLessThan(3.0);
@@ -40,33 +40,33 @@
 
     @Test
     void pausesUpToOneSecondWithLossTakeNobodyForGone() {
-        assertThat(MembershipFigures.falselyGone(8, 3, 4, SECOND)).isZero();
+        assertThat(MembershipFigures.falselyDead(8, 3, 4, SECOND)).isZero();
     }
 
     @Test
     void aOneSidedCutOfOnePairLeavesBothMembersAndIsTold() {
         SimulatedMembership f = field(6, MembershipProtocol.InjectedDefect.NONE);
-        f.cut(1, 0, true);
-        f.pass(3 * SECOND);
-        assertThat(f.falselyGone()).isEmpty();
-        assertThat(f.agreed()).isTrue();
-        MembershipProtocol zero = f.places().get(0).members();
-        MembershipProtocol one = f.places().get(1).members();
-        assertThat(zero.linkState(f.calendar().now(), "m1")).isIn("deaf", "cut");
-        assertThat(one.linkState(f.calendar().now(), "m0")).isIn("unheard", "cut");
-        assertThat(zero.linkState(f.calendar().now(), "m2")).isEqualTo("ok");
-        f.pass(20 * SECOND);
-        assertThat(f.agreed()).isTrue();
-        assertThat(f.falselyGone()).isEmpty();
+        f.setBlocked(1, 0, true);
+        f.advance(3 * SECOND);
+        assertThat(f.falselyDead()).isEmpty();
+        assertThat(f.isAgreed()).isTrue();
+        MembershipProtocol zero = f.hosts().get(0).membership();
+        MembershipProtocol one = f.hosts().get(1).membership();
+        assertThat(zero.linkState(f.events().now(), "m1")).isIn("deaf", "cut");
+        assertThat(one.linkState(f.events().now(), "m0")).isIn("unheard", "cut");
+        assertThat(zero.linkState(f.events().now(), "m2")).isEqualTo("ok");
+        f.advance(20 * SECOND);
+        assertThat(f.isAgreed()).isTrue();
+        assertThat(f.falselyDead()).isEmpty();
     }
 
     @Test
     void withoutHelpersAOneSidedCutTakesALiveOneForDoubted() {
         SimulatedMembership f = field(6, MembershipProtocol.InjectedDefect.NO_INDIRECT_PROBES);
-        f.cut(1, 0, true);
-        f.cut(0, 1, true);
-        f.pass(6 * SECOND);
-        assertThat(f.changes()).isNotEmpty();
+        f.setBlocked(1, 0, true);
+        f.setBlocked(0, 1, true);
+        f.advance(6 * SECOND);
+        assertThat(f.viewChanges()).isNotEmpty();
     }
 
     @Test
@@ -77,30 +77,30 @@
                         MembershipProtocol.InjectedDefect.REFUTATION_IGNORED)) {
             SimulatedMembership f = field(5, fault);
             isolate(f, 2, true);
-            f.pass(2 * SECOND);
+            f.advance(2 * SECOND);
             isolate(f, 2, false);
-            f.pass(20 * SECOND);
-            assertThat(f.falselyGone().isEmpty())
+            f.advance(20 * SECOND);
+            assertThat(f.falselyDead().isEmpty())
                     .isEqualTo(fault == MembershipProtocol.InjectedDefect.NONE);
         }
     }
 
     private static void isolate(SimulatedMembership f, int one, boolean is) {
-        for (int m = 0; m < f.places().size(); m++) {
-            f.cut(one, m, is);
-            f.cut(m, one, is);
+        for (int m = 0; m < f.hosts().size(); m++) {
+            f.setBlocked(one, m, is);
+            f.setBlocked(m, one, is);
         }
     }
 
     @Test
     void whoWasStoppedDoubtsItselfFirst() {
         SimulatedMembership good = field(5, MembershipProtocol.InjectedDefect.NONE);
-        good.places().get(2).pause(8 * SECOND);
-        good.pass(8 * SECOND + 200);
-        List<Member> held = good.places().get(2).members().members();
+        good.hosts().get(2).pause(8 * SECOND);
+        good.advance(8 * SECOND + 200);
+        List<Member> held = good.hosts().get(2).membership().members();
         assertThat(held).allMatch(e -> e.state() == MemberState.ALIVE);
-        good.pass(5 * SECOND);
-        assertThat(good.agreed()).isTrue();
+        good.advance(5 * SECOND);
+        assertThat(good.isAgreed()).isTrue();
     }
 
     @Test
@@ -111,13 +111,13 @@
                         MembershipProtocol.InjectedDefect.ISOLATED_MANAGER_JUDGES)) {
             SimulatedMembership f = field(6, fault);
             isolate(f, 0, true);
-            f.pass(30 * SECOND);
+            f.advance(30 * SECOND);
             long gone =
-                    f.places().get(0).members().members().stream()
+                    f.hosts().get(0).membership().members().stream()
                             .filter(e -> e.state() == MemberState.DEAD)
                             .count();
             assertThat(gone).isEqualTo(fault == MembershipProtocol.InjectedDefect.NONE ? 0 : 5);
-            assertThat(f.places().get(0).members().confidence(f.calendar().now())).isZero();
+            assertThat(f.hosts().get(0).membership().confidence(f.events().now())).isZero();
         }
     }
 
@@ -128,8 +128,8 @@
                         MembershipProtocol.InjectedDefect.NONE,
                         MembershipProtocol.InjectedDefect.OLDER_INCARNATION_WINS)) {
             SimulatedMembership f = field(4, fault);
-            MembershipProtocol one = f.places().get(1).members();
-            long now = f.calendar().now();
+            MembershipProtocol one = f.hosts().get(1).membership();
+            long now = f.events().now();
             long life =
                     one.members().stream()
                             .filter(e -> e.name().equals("m2"))
@@ -188,9 +188,9 @@
             for (int round = 0; round < 40; round++) {
                 boolean cut = round % 2 == 0;
                 isolate(f, 0, cut);
-                f.pass(3 * SECOND);
+                f.advance(3 * SECOND);
             }
-            changes[i] = f.places().get(3).views();
+            changes[i] = f.hosts().get(3).viewChangeCount();
         }
         assertThat(changes[0]).isLessThan(changes[1] * 2 / 3);
     }
@@ -198,8 +198,8 @@
     @Test
     void spoiltForeignAndOldDatagramsChangeNothing() {
         SimulatedMembership f = field(3, MembershipProtocol.InjectedDefect.NONE);
-        MembershipProtocol one = f.places().get(1).members();
-        long now = f.calendar().now();
+        MembershipProtocol one = f.hosts().get(1).membership();
+        long now = f.events().now();
         byte[] good =
                 new MessageCodec(1_200)
                         .encode(
@@ -269,14 +269,14 @@
     @Test
     void twoOfOneNameAreToldAndTheFirstStays() {
         SimulatedMembership f = field(3, MembershipProtocol.InjectedDefect.NONE);
-        MembershipProtocol one = f.places().get(1).members();
+        MembershipProtocol one = f.hosts().get(1).membership();
         byte[] second =
                 new MessageCodec(1_200)
                         .encode(
                                 new MembershipMessage(
                                         "field",
                                         "m2",
-                                        f.calendar().now() * 2,
+                                        f.events().now() * 2,
                                         MembershipMessage.Kind.PING,
                                         1,
                                         "m1",
@@ -288,22 +288,22 @@
                                         List.of(),
                                         List.of(),
                                         new byte[0]));
-        one.onDatagram(f.calendar().now(), 0, second);
+        one.onDatagram(f.events().now(), 0, second);
         assertThat(one.rejectedMessages()).containsKey("two of one name");
     }
 
     @Test
     void whoLeavesByIntentIsNotDoubtedAndANewLifeIsKnown() {
         SimulatedMembership f = field(4, MembershipProtocol.InjectedDefect.NONE);
-        f.places().get(2).members().leave(f.calendar().now());
-        f.pass(SECOND / 2);
-        f.places().get(2).kill();
-        f.pass(SECOND);
-        assertThat(f.places().get(0).members().members())
+        f.hosts().get(2).membership().leave(f.events().now());
+        f.advance(SECOND / 2);
+        f.hosts().get(2).kill();
+        f.advance(SECOND);
+        assertThat(f.hosts().get(0).membership().members())
                 .filteredOn(e -> e.name().equals("m2"))
                 .allMatch(e -> e.state() == MemberState.LEFT);
-        assertThat(f.agreed()).isTrue();
-        f.places().get(2).start();
-        assertThat(f.untilAgreed(5 * SECOND)).isNotNegative();
+        assertThat(f.isAgreed()).isTrue();
+        f.hosts().get(2).start();
+        assertThat(f.timeUntilAgreed(5 * SECOND)).isNotNegative();
     }
 }
--- a/src/test/java/firstage/simulation/schedule/FaultSchedulesTest.java
+++ b/src/test/java/firstage/simulation/schedule/FaultSchedulesTest.java
@@ -13,18 +13,18 @@
 class FaultSchedulesTest {
     @Test
     void noScheduleBreaksARuleOrLeavesATableFilled() {
-        assertThat(FaultSchedules.play(0, 10_000, InjectedDefect.NONE, 3)).isEmpty();
+        assertThat(FaultSchedules.run(0, 10_000, InjectedDefect.NONE, 3)).isEmpty();
     }
 
     @ParameterizedTest
     @EnumSource(value = InjectedDefect.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
     void anOldFaultIsFound(InjectedDefect fault) {
-        assertThat(FaultSchedules.play(0, 6_000, fault, 3)).isNotEmpty();
+        assertThat(FaultSchedules.run(0, 6_000, fault, 3)).isNotEmpty();
     }
 
     @Test
     void theSameSeedsGiveTheSameVerdict() {
-        assertThat(FaultSchedules.play(0, 2_000, InjectedDefect.GIVEN_UP_IS_OVER, 5))
-                .isEqualTo(FaultSchedules.play(0, 2_000, InjectedDefect.GIVEN_UP_IS_OVER, 5));
+        assertThat(FaultSchedules.run(0, 2_000, InjectedDefect.ABANDONED_IS_OVER, 5))
+                .isEqualTo(FaultSchedules.run(0, 2_000, InjectedDefect.ABANDONED_IS_OVER, 5));
     }
 }
