--- a/src/main/java/firstage/simulation/schedule/FaultSchedule.java
+++ b/src/main/java/firstage/simulation/schedule/FaultSchedule.java
@@ -14,9 +14,10 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * One seeded schedule: a few engines, a dozen batches of two keys, and what goes wrong among them.
- * The same seed plays the same schedule. Batches of one key are written as far apart as clients
- * promise: 60 ms, 250 ms after one on a new connection.
+ * One seeded schedule in virtual time: one to three engines, some dozen requests of two ordering
+ * keys, and the faults between them. The same seed gives the same schedule. Requests of one key are
+ * sent as far apart as clients promise: 60 ms, 250 ms after one on a new connection. Times are
+ * tenths of a millisecond.
  */
 public final class FaultSchedule {
     private static final long SECOND = 10_000;
@@ -29,7 +30,12 @@
 
     private FaultSchedule() {}
 
-    /** What broke, in words; empty where all rules held and all tables are empty at the end. */
+    /**
+     * Runs the schedule of a seed.
+     *
+     * @return the violations, in words; empty if all rules held and the manager holds nothing at
+     *     the end
+     */
     public static List<String> run(long seed, InjectedDefect defect) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         EventQueue events = new EventQueue(START);
@@ -67,7 +73,9 @@
         return ruleChecker.violations();
     }
 
-    /** Killed, and up again at once with a burst of what came meanwhile; or told to end. */
+    /**
+     * Kills and restarts the manager, shuts it down, or sends it a snapshot of the endpoint list.
+     */
     private static void scheduleManagerEvents(
             RandomGenerator random,
             EventQueue events,
--- a/src/main/java/firstage/simulation/schedule/FaultSchedules.java
+++ b/src/main/java/firstage/simulation/schedule/FaultSchedules.java
@@ -6,13 +6,15 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 import java.util.stream.LongStream;
 
-/** Many schedules, on all cores; the same seeds give the same verdict. */
+/** Runs many fault schedules on all cores; the same seeds give the same findings. */
 public final class FaultSchedules {
     private FaultSchedules() {}
 
     /**
-     * Seeds of the schedules that broke something, with what; at most the first {@code show} are
-     * kept.
+     * Runs {@code count} schedules from {@code firstSeed} on.
+     *
+     * @return by seed, the violations of the schedules that had any; at most the first {@code
+     *     maxShown} seeds
      */
     public static Map<Long, List<String>> run(
             long firstSeed, long count, InjectedDefect defect, int maxShown) {
--- a/src/main/java/firstage/simulation/schedule/InjectedDefect.java
+++ b/src/main/java/firstage/simulation/schedule/InjectedDefect.java
@@ -1,44 +1,41 @@
 package firstage.simulation.schedule;
 
 /**
- * Old faults of the program, to be put back one at a time: a rig that does not find them proves
- * nothing.
+ * Defects that are injected one at a time, to check that the fault schedules find them. The names
+ * are words of the command line {@code fault-schedule FIRST COUNT [DEFECT]}.
  */
 public enum InjectedDefect {
+    /** The program as it is. */
     NONE,
-    /** Batches are told as they are read, whatever the thread missed meanwhile. */
+    /** Requests are delivered in the order of reading, without a read barrier. */
     DELIVERED_AS_READ,
-    /** One new connection is accepted a look, and two looks are taken for all. */
+    /** One new connection is accepted per select round, and two rounds count as a barrier. */
     ONE_ACCEPTED_PER_ROUND,
-    /** A refused call for news ends a dispatch for good, also at an engine that drains. */
+    /** A refused poll ends an attempt for good, also at a draining engine. */
     REFUSED_IS_OVER,
     /**
-     * An engine that does not know a dispatch whose statement was never answered for will not take
-     * it up.
+     * An attempt unknown to its engine counts as ended, though its statement was never answered.
      */
     UNKNOWN_IS_OVER,
-    /** The answer to a DELETE proves the end, also where it overtook the statement. */
+    /** The response to a DELETE counts as the end, also where it overtook the statement. */
     DELETED_IS_OVER,
-    /**
-     * A dispatch that is given up ends as soon as its time to hear of it is over, and its key goes
-     * on.
-     */
+    /** An abandoned attempt has no quiet period: its ordering key goes on at once. */
     ABANDONED_IS_OVER,
     /**
-     * A key rests as if what ends unasked were over when it ends, not when that is written or
+     * The quiet period of a key ends when an unpolled run ends, not when that is written or
      * forgotten.
      */
     UNWRITTEN_END_IS_OVER,
-    /** What ended with nobody to ask is taken for forgotten, and its DELETE is not given again. */
+    /** An unpolled run that ended counts as forgotten, and its DELETE is not repeated. */
     UNWRITTEN_END_IS_FORGOTTEN,
-    /** A connection that broke under the statement is taken for one that never came up. */
+    /** A connection broken after the statement was written counts as a failed connect. */
     BROKEN_NEVER_RAN,
-    /** The client's limit answers it, and a late end answers it again. */
+    /** A request is answered at its deadline, and again when an attempt ends late. */
     ANSWERED_TWICE,
-    /** A connection that came up late carries a statement to an engine that drains. */
+    /** A connection that opened late still carries its statement to a draining engine. */
     DRAIN_IGNORED,
-    /** A client that does not call again is taken for there. */
+    /** A client that stopped polling counts as present. */
     ABSENCE_IGNORED,
-    /** What has no answer at its limit gets none. */
+    /** A request without an answer at its deadline gets none. */
     DEADLINE_IGNORED
 }
--- a/src/main/java/firstage/simulation/schedule/MembershipFigures.java
+++ b/src/main/java/firstage/simulation/schedule/MembershipFigures.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.apache.commons.math3.stat.descriptive.DescriptiveStatistics;
 
-/** The table of docs/membership.md, played in virtual time; all of it simulated. */
+/** Measures the table of docs/membership.md in virtual time; every figure is simulated. */
 public final class MembershipFigures {
     private static final long SECOND = 10_000;
 
@@ -105,8 +105,8 @@
     }
 
     /**
-     * Live ones held for gone in so many minutes of pauses up to {@code most}, each 2 s one, with
-     * 20% loss.
+     * Counts live managers declared dead within {@code minutes} of pauses up to {@code maxPause},
+     * one every 2 s, with 20% loss.
      */
     public static int falselyDead(int count, long seed, int minutes, long maxPause) {
         SimulatedMembership fleet = startedFleet(count, seed);
--- a/src/main/java/firstage/simulation/schedule/ScheduleRuleChecker.java
+++ b/src/main/java/firstage/simulation/schedule/ScheduleRuleChecker.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * Reads what crosses between clients, one manager and engines, and says which rule breaks. It knows
- * nothing of what the manager remembers. Rule 1: one final answer in time. Rule 2: no once-only
- * batch at an engine twice, none pushed back that may have run. Rule 3: nothing to a draining
- * engine past the grace. Rule 5: nothing comes to an engine while an earlier one of its key is
- * open, or any other of its key may run. And the users' term: nothing is sent later than 0.3 s
- * after its client was last there.
+ * Observes the messages between clients, one manager and engines, and reports violations of the
+ * rules. It reads no state of the manager. Rule 1: one final answer in time. Rule 2: no
+ * non-idempotent request runs twice, and none is rejected that may have run. Rule 3: no statement
+ * to a draining engine past the grace period. Rule 5: no request reaches an engine while an earlier
+ * one of its ordering key is open, or another of its key may run. Besides: no statement is sent
+ * more than 0.3 s after its client was last present. Times are tenths of a millisecond.
  */
 public final class ScheduleRuleChecker {
     /** Tenths of a millisecond after a client's limit in which its answer still counts. */
@@ -172,7 +172,7 @@
         if (request.orderingKey < 0 || request.managerIncarnation != incarnation) {
             return;
         }
-        // Another try or a second copy of its own is not held back by this rule.
+        // A retry or a hedged request of the same request is outside this rule.
         List<ObservedRequest> running =
                 runningByKey.computeIfAbsent(request.orderingKey, absentKey -> new ArrayList<>());
         for (ObservedRequest other : running) {
--- a/src/main/java/firstage/simulation/schedule/SimulatedCells.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedCells.java
@@ -27,10 +27,10 @@
 import java.util.stream.IntStream;
 
 /**
- * A fleet's control in virtual time, without clients and engines: the membership, leases, level,
- * trials, zones and cells of each manager as they are, their datagrams delayed, lost and cut. Every
- * figure of it is simulated. It plays a fleet in cells, and the same fleet as one. Times are tenths
- * of a millisecond.
+ * Fleet control in virtual time, without clients and engines: the real membership, leases, load
+ * shedding, probes, zones and cells of each manager; their datagrams are delayed, lost and blocked.
+ * Every figure is simulated. It runs a fleet in cells, or the same fleet without cells. Times are
+ * tenths of a millisecond.
  */
 public final class SimulatedCells {
     /** Between two probes of one manager. */
@@ -71,7 +71,7 @@
         }
     }
 
-    /** What one manager sent, by kind of message. */
+    /** Kinds of messages that a manager sends. */
     public enum MessageKind {
         PING,
         ACK,
@@ -82,7 +82,7 @@
         ROWS
     }
 
-    /** One place at which a manager runs, one life after another. */
+    /** A host that runs a manager, one process after another. */
     public final class ManagerHost implements MembershipActions, CellActions {
         private final int number;
         private final int cell;
--- a/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
@@ -8,8 +8,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A modelled engine: takes statements, holds calls for news, ends what is not asked for, drains,
- * dies, comes back.
+ * A simulated engine: accepts statements, holds polls, ends and forgets runs that are not polled,
+ * drains, fails, and restarts. Times are tenths of a millisecond.
  */
 final class SimulatedEngine {
     private static final long MAX_POLL_HOLD = 2_500;
@@ -54,12 +54,12 @@
     private final ScheduleRuleChecker ruleChecker;
     private final RandomGenerator random;
 
-    /** By the dispatch's mark: what runs here or ended here. */
+    /** By attempt id, the runs that are in progress or ended here. */
     private final Map<Integer, StatementRun> runs = new HashMap<>();
 
     private Availability availability = Availability.UP;
 
-    /** When the manager was told that it drains; below 0 where it was not. */
+    /** When the manager was notified that this engine drains; below 0 if it was not. */
     private long drainNotifiedAt = -1;
 
     private int incarnation;
@@ -91,7 +91,7 @@
         availability = next;
     }
 
-    /** A statement came whole. */
+    /** A statement arrived complete. */
     void receiveStatement(
             int requestId,
             int attemptId,
@@ -115,8 +115,9 @@
     }
 
     private void scheduleForgetting(StatementRun run) {
-        // What ended of itself is out until that is written: with nobody to ask, until its client's
-        // limit.
+        // A run that ended unpolled stays open until its end is written, at the latest at the
+        // client's
+        // deadline.
         long delay = forgetsAt(run) - events.now();
         events.in(
                 Math.max(1, delay),
@@ -149,7 +150,7 @@
         replyWhenEnded(attemptId, reply);
     }
 
-    /** Held until it ends, or for so long. */
+    /** Replies when the run ends, or after {@link #MAX_POLL_HOLD}. */
     private void replyWhenEnded(int attemptId, Consumer<EngineReply> reply) {
         StatementRun run = runs.get(attemptId);
         long holdTime = Math.min(MAX_POLL_HOLD, Math.max(0, run.endsAt - events.now()));
--- a/src/main/java/firstage/simulation/schedule/SimulatedManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -22,8 +22,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A manager as the sockets make one up: the real WorkloadScheduler and the real lives; connections
- * and engines are modelled.
+ * A manager in virtual time: the real {@link WorkloadScheduler}, {@link ArrivalSequencer} and state
+ * machines of client calls and attempts, on simulated connections and engines. Times are tenths of
+ * a millisecond.
  */
 final class SimulatedManager
         implements PolicyActions,
@@ -36,10 +37,10 @@
     private static final long MAX_LATE_DELIVERY = 1_500;
     private static final int ATTEMPT_IDS_PER_INCARNATION = 100_000;
 
-    /** By so much the rest once was too short: an engine's time to forget. */
+    /** How much too short the quiet period is with UNWRITTEN_END_IS_OVER: an engine's retention. */
     private static final long QUIET_PERIOD_SHORTFALL = 20_500;
 
-    /** A batch that came. */
+    /** A request, and what the manager knows of it. */
     static final class SimulatedRequest {
         final int id;
         final int trafficClass;
@@ -77,7 +78,7 @@
     private int openRequests;
     private int openCalls;
 
-    /** Engines know each dispatch by its mark, also one of a manager that was killed. */
+    /** Unique over all managers of a schedule, since engines still know those of a killed one. */
     private int nextAttemptId;
 
     SimulatedManager(
@@ -111,12 +112,12 @@
         return thread;
     }
 
-    /** Killed outright: what it had on its way to engines still comes there. */
+    /** Kills the process; statements already on their way still reach the engines. */
     void kill() {
         thread.kill();
     }
 
-    /** SIGTERM: it takes batches for a while yet, and ends at {@code endsAt}. */
+    /** SIGTERM: it still accepts requests for a while, and ends at {@code endsAt}. */
     void shutDown(long endsAt) {
         thread.submit(
                 () -> {
@@ -133,7 +134,7 @@
     }
 
     // ---- Clients.
-    /** The last byte of a batch is at the machine now. */
+    /** The last byte of a request reached the machine. */
     void onRequestReceived(SimulatedRequest request, boolean newConnection) {
         Runnable read =
                 () -> {
@@ -179,8 +180,8 @@
     }
 
     /**
-     * A client and its call: it asks at the path that it is given, loses connections now and then,
-     * and asks again; some never do.
+     * A client and its call: it polls at the path that it is given, sometimes loses a connection
+     * and polls again; some clients never poll.
      */
     private final class SimulatedClient implements ClientCallStateMachine.ClientCallActions {
         private final SimulatedRequest request;
@@ -225,7 +226,7 @@
             }
         }
 
-        /** Its connection may break while the call is held. */
+        /** Its connection may break while the poll is held. */
         private void breakConnectionLater() {
             if (random.nextDouble() < faultProbability) {
                 runOnThreadAfter(
@@ -285,7 +286,7 @@
 
         @Override
         public void failHeldCalls() {
-            // Its client gave up: what is said to it yet is no answer that it waits for.
+            // The client gave up: a response to these calls is no answer.
             heldCalls = 0;
         }
 
@@ -321,7 +322,7 @@
             released = true;
             openCalls--;
             if (!answered && request.completed) {
-                // It was answered at a path where its client never asked: it is gone.
+                // It was answered at a path that its client never polled: the client is gone.
                 ruleChecker.onClientLeft(request.id);
             }
         }
@@ -411,7 +412,7 @@
                 });
     }
 
-    /** The coordinator is another one and tells the whole list again, as it stands. */
+    /** A new coordinator sends a snapshot of the endpoint list. */
     void onEndpointSnapshot() {
         thread.submit(
                 () -> {
@@ -544,7 +545,7 @@
         }
     }
 
-    /** A dispatch on modelled connections: each call may fail, be late, or lose its answer. */
+    /** An attempt on simulated connections: each call may fail, be late, or lose its reply. */
     private final class SimulatedAttempt implements AttemptStateMachine.AttemptActions {
         private final SimulatedRequest request;
         private final int attemptNumber;
@@ -626,7 +627,7 @@
             boolean[] answered = {false};
             boolean connectionBreaks = drawFault();
             boolean reachesEngine = !connectionBreaks || random.nextBoolean();
-            // The bytes may lie on their way when the connection under them is gone.
+            // The bytes may still be in transit after the connection broke.
             long deliveryDelay =
                     connectionBreaks && random.nextBoolean()
                             ? random.nextLong(MAX_LATE_DELIVERY)
@@ -674,7 +675,7 @@
             void onLost(CallFailure loss);
         }
 
-        /** An answer on its way back: it comes, comes spoilt, or never comes. */
+        /** Delivers a reply to the manager: complete, unreadable, or never. */
         private void deliverReply(boolean[] answered, Runnable onReply, LossHandler lossHandler) {
             if (answered[0] || drawFault() && random.nextBoolean()) {
                 return;
@@ -841,7 +842,7 @@
 
         @Override
         public boolean hasOpenConnection() {
-            // Known only by chance: other dispatches may hold connections to it or not.
+            // Drawn: other attempts may hold open connections to this engine or not.
             return engine.availability() != SimulatedEngine.Availability.DOWN
                     && random.nextBoolean();
         }
--- a/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
@@ -17,8 +17,8 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Managers' membership in virtual time: the modules as they are, their datagrams lost, delayed and
- * cut by a plan. Every figure of it is simulated. Times are tenths of a millisecond.
+ * Membership of managers in virtual time: the real protocol and leases; datagrams are lost,
+ * delayed, duplicated and blocked. Every figure is simulated. Times are tenths of a millisecond.
  */
 public final class SimulatedMembership {
     public static final long PROBE_PERIOD = 2_000;
@@ -26,7 +26,7 @@
     private static final long TICK_INTERVAL = 200;
     private static final int MAX_DATAGRAM_BYTES = 1_200;
 
-    /** One place at which a manager runs, one life after another. */
+    /** A host that runs a manager, one process after another. */
     public final class ManagerHost implements MembershipActions {
         private final int number;
         private MembershipProtocol membership;
@@ -59,7 +59,7 @@
             return leases.share(events.now());
         }
 
-        /** Starts it with nothing but its name and its seeds. */
+        /** Starts a manager that knows only its name and its seed addresses. */
         public void start() {
             up = true;
             int startedIncarnation = ++incarnation;
@@ -105,7 +105,7 @@
             waitingDatagrams.clear();
         }
 
-        /** Stopped for so long; what comes waits for it. */
+        /** Pauses the process; datagrams that arrive wait for it. */
         public void pause(long length) {
             pausedUntil = events.now() + length;
             int startedIncarnation = incarnation;
@@ -330,12 +330,12 @@
         return List.copyOf(timesByHost.values());
     }
 
-    /** Live managers that were held for dead: when, by whom. */
+    /** Live managers that were declared dead: when and by whom. */
     public List<String> falselyDead() {
         return falselyDead;
     }
 
-    /** All changes of views since the last asking. */
+    /** All view changes since the last call. */
     public List<String> viewChanges() {
         List<String> all = List.copyOf(viewChanges);
         viewChanges.clear();
--- a/src/main/java/firstage/simulation/schedule/SimulatedThread.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedThread.java
@@ -7,9 +7,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The one thread of a modelled manager, as hostile as the machine allows: it looks at its sockets,
- * reads what that look found in any order, stands still at any moment in between, and only then
- * looks again. A new connection takes one look to be accepted and one more to be read.
+ * The one I/O thread of a simulated manager. In each round it selects what is ready, runs that in
+ * random order, and may be paused between any two steps. A new connection is accepted in one round
+ * and read in the next. Times are tenths of a millisecond.
  */
 final class SimulatedThread {
     private static final double STALL_PROBABILITY = 0.004;
@@ -34,7 +34,7 @@
     private final List<Runnable> newConnections = new ArrayList<>();
     private final ArrayDeque<Runnable> selected = new ArrayDeque<>();
 
-    /** Barriers that the look under way counts for, and those asked for since it began. */
+    /** Barriers that the current round counts for. */
     private final List<ReadBarrier> currentBarriers = new ArrayList<>();
 
     private final List<ReadBarrier> nextBarriers = new ArrayList<>();
@@ -57,7 +57,7 @@
         this.runPendingActions = runPendingActions;
     }
 
-    /** The process is killed: nothing of it happens any more. */
+    /** Kills the process: it runs nothing any more. */
     void kill() {
         killed = true;
     }
@@ -66,25 +66,25 @@
         return killed;
     }
 
-    /** Something reached a socket that is open, or a timer is due. */
+    /** Runs an action in the next round: data on an open connection, or a timer that expired. */
     void submit(Runnable action) {
         ready.add(action);
         scheduleRound();
     }
 
-    /** Something came on a new connection. */
+    /** Runs an action for data on a new connection. */
     void submitOnNewConnection(Runnable action) {
         newConnections.add(action);
         scheduleRound();
     }
 
-    /** Answered once two whole looks began after this and were read. */
+    /** Runs an action once two whole rounds that began after this call are over. */
     void addBarrier(Runnable action) {
         nextBarriers.add(new ReadBarrier(action));
         scheduleRound();
     }
 
-    /** The process stands still. */
+    /** Pauses the process. */
     void pause(long length) {
         pausedUntil = Math.max(pausedUntil, events.now() + length);
         ruleChecker.onStalled(length);
@@ -119,7 +119,7 @@
         while (!arrived.isEmpty()) {
             selected.add(arrived.remove(random.nextInt(arrived.size())));
         }
-        // Accepted in this look, read in the next.
+        // Accepted in this round, read in the next.
         if (acceptsOnePerRound && !newConnections.isEmpty()) {
             ready.add(newConnections.remove(0));
         } else {
