--- a/src/main/java/firstage/emulator/EmulatedCoordinator.java
+++ b/src/main/java/firstage/emulator/EmulatedCoordinator.java
@@ -10,9 +10,9 @@
 import java.util.List;
 
 /**
- * The coordinator as one manager sees it: numbered events from 1, the later ones as frames over
- * TCP, an empty frame each second. Each manager has one of its own, as each reaches engines at
- * addresses of its own. Threads that wait, not many.
+ * The emulated coordinator of one manager: sends watch events, numbered from 1, as frames over TCP
+ * and an empty frame as heartbeat each second. Each manager has its own, because each reaches the
+ * engines at addresses of its own. One blocking thread per connection.
  */
 public final class EmulatedCoordinator implements AutoCloseable {
     private static final int RECORD_BYTES = 27;
@@ -20,8 +20,8 @@
     private static final int HEARTBEAT_MS = 1_000;
 
     /**
-     * Of an engine; {@code state} 0 ready, 1 draining, 2 gone; {@code startedMs} Unix time of a
-     * late start, else 0.
+     * An engine in an event. {@code state}: 0 ready, 1 draining, 2 gone; {@code startedMs}: Unix
+     * time of a start during the run, else 0.
      */
     public record ListedEndpoint(
             int id, InetSocketAddress address, int state, int zone, long startedMs) {
@@ -72,7 +72,7 @@
                             try {
                                 task.run();
                             } catch (Exception connectionClosed) {
-                                // The other end is gone, or this one is closed.
+                                // The peer disconnected, or this coordinator was closed.
                             }
                         },
                         "coordinator");
@@ -80,7 +80,7 @@
         thread.start();
     }
 
-    /** Tells what has changed. */
+    /** Sends the changed endpoints as the next event. */
     public synchronized void publish(List<ListedEndpoint> changed) {
         ByteBuffer frame = ByteBuffer.allocate(4 + HEADER_BYTES + RECORD_BYTES * changed.size());
         frame.putInt(HEADER_BYTES + RECORD_BYTES * changed.size())
--- a/src/main/java/firstage/emulator/EmulatedEngine.java
+++ b/src/main/java/firstage/emulator/EmulatedEngine.java
@@ -28,9 +28,9 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * An engine behind a socket: the fleet model's engine on the wall clock, spoken to by the
- * platform's protocol. A statement runs until it ends, is deleted, or was not asked for in 2 s; a
- * call for news is held for 250 ms.
+ * An engine behind a socket: the simulation's engine model on the wall clock, serving the
+ * platform's protocol. A statement runs until it ends, is deleted, or was not polled for 2 s; a
+ * poll without news is answered after 250 ms. Runs on the loop's thread.
  */
 public final class EmulatedEngine implements AutoCloseable {
     private static final long LONG_POLL_TIMEOUT = 2_500;
@@ -44,16 +44,14 @@
     private static final HttpString FIGURE = new HttpString("Figure");
     private static final HttpString METER = new HttpString("X-Meter");
 
-    /** Told of what comes here. */
+    /** Receives what an engine sees; on the loop's thread. */
     public interface Observer {
-        /** A statement came whole: a batch's first dispatch, or a further one. */
+        /** An attempt arrived; {@code retry}: not the first of its try. */
         void onAttempt(ClientTry clientTry, int engine, boolean retry);
 
         void onProbe(int engine);
 
-        /**
-         * Whether the way from this manager to this engine may have kept something back of late.
-         */
+        /** Whether the link from this manager to this engine may have delayed data recently. */
         boolean mayBeDelayed(int manager, int engine);
     }
 
@@ -92,7 +90,7 @@
             return !clientTry.abandoned();
         }
 
-        /** A call that wants news. */
+        /** A poll: answered at once if there is news. */
         private void onPoll(HttpServerExchange exchange) {
             lastPolledAt = loop.now();
             int ownPoll = ++pollCount;
@@ -215,7 +213,7 @@
     private final AcceptingChannel<StreamConnection> server;
     private final Map<String, Statement> statements = new HashMap<>();
 
-    /** {@code triesById}: the try that an id belongs to; null where no client sent it. */
+    /** Starts to listen. {@code triesById}: the try with an id; null if no client sent it. */
     public EmulatedEngine(
             RealTimeLoop loop,
             FleetPlan plan,
@@ -258,7 +256,7 @@
                                                     http.handleEvent(connection);
                                                 }
                                             } catch (IOException gone) {
-                                                // The next one may come in.
+                                                // The next connection may succeed.
                                             }
                                         },
                                 OptionMap.builder()
@@ -273,7 +271,7 @@
         return model;
     }
 
-    /** Dies, goes silent, hangs, drains or is back; on the stage's thread. */
+    /** Sets the state; one that is down or silent loses its statements. On the loop's thread. */
     public void setState(State next) {
         boolean losesStatements = next == State.DOWN || next == State.SILENT;
         model.setState(next);
@@ -295,7 +293,7 @@
         String method = exchange.getRequestMethod().toString();
         if (model.state() == State.SILENT
                 || model.state() == State.HANGING && !method.equals("POST")) {
-            // Its connections stay open, and nobody is there.
+            // The connection stays open without an answer.
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {});
             return;
         }
--- a/src/main/java/firstage/emulator/FaultInjectingProxy.java
+++ b/src/main/java/firstage/emulator/FaultInjectingProxy.java
@@ -23,19 +23,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What lies between the parties: each pair has an address of its own here, so that each direction
- * of each pair can be cut, delayed or made lossy by itself. One thread of its own. A connection to
- * a party that is gone is refused; to one that is silent or cut off it never comes up (a listener
- * whose line is full, as the kernel drops what comes then).
+ * A proxy for connections and datagrams with an address for each pair of parties, so that each
+ * direction of each pair can be cut, delayed or made lossy on its own. Runs on one thread. A
+ * connection to a dead party is refused; to an unresponsive or cut-off one it is never established:
+ * the listener's backlog is kept full, so that the kernel drops further connection attempts.
  */
 public final class FaultInjectingProxy implements AutoCloseable {
     private static final int BACKLOG = 256;
     private static final int BUFFER_BYTES = 16 * 1024;
 
-    /** A source that is so far ahead is not read on: its own window must fill. */
+    /** Above this a source is not read, so that its TCP window fills. */
     private static final int MAX_QUEUED_CHUNKS = 64;
 
-    /** Into the line of a listener that takes one, and none is accepted: it holds two. */
+    /** Connections that fill the backlog of an unresponsive endpoint's listener. */
     private static final int BACKLOG_FILLERS = 4;
 
     private final Selector selector;
@@ -51,7 +51,7 @@
 
     private record TimedTask(long due, Runnable task) {}
 
-    /** How a door answers. */
+    /** How an endpoint answers new connections. */
     public enum EndpointMode {
         OPEN,
         REFUSING,
@@ -61,7 +61,7 @@
     public FaultInjectingProxy(RandomGenerator random) throws IOException {
         this.random = random;
         selector = Selector.open();
-        thread = new Thread(this::run, "relay");
+        thread = new Thread(this::run, "proxy");
         thread.setDaemon(true);
     }
 
@@ -69,7 +69,7 @@
         thread.start();
     }
 
-    /** A new direction between two parties; before the start. */
+    /** Adds one direction between two parties; call it before {@link #start()}. */
     public LinkFaults newLink() {
         return new LinkFaults(random);
     }
@@ -78,7 +78,7 @@
         return System.nanoTime() / 100_000;
     }
 
-    /** On this thread, soon. */
+    /** Runs the task on the proxy's thread. */
     private void execute(Runnable task) {
         tasks.add(task);
         selector.wakeup();
@@ -111,14 +111,14 @@
             } catch (CancelledKeyException gone) {
                 selector.selectedKeys().clear();
             } catch (IOException | RuntimeException ended) {
-                // Nothing is carried from here on: whatever the run shows, it shows of this.
+                // Nothing is forwarded from here on, so the run proves nothing: see failure().
                 failure = ended;
                 return;
             }
         }
     }
 
-    /** What ended it before its time; null if nothing did. */
+    /** What ended the proxy prematurely; null if it works. */
     public Exception failure() {
         return failure;
     }
@@ -133,11 +133,11 @@
                 resource.close();
             }
         } catch (Exception nothingToDo) {
-            // It is gone either way.
+            // Closed either way.
         }
     }
 
-    /** An address at which one party reaches another. */
+    /** A listening address at which one party reaches another. */
     public final class Endpoint {
         private final InetSocketAddress listenAddress;
         private final InetSocketAddress targetAddress;
@@ -160,7 +160,10 @@
             this.returnFaults = returnFaults;
         }
 
-        /** How the party behind it stands; {@code resets} what is open, as a dying process does. */
+        /**
+         * Sets the state of the party behind this address; {@code resetConnections} resets open
+         * connections, as a dying process does.
+         */
         public void setMode(EndpointMode next, boolean resetConnections) {
             execute(
                     () -> {
@@ -172,7 +175,7 @@
                     });
         }
 
-        /** A way was cut or healed. */
+        /** To be called after one of its links was cut or repaired. */
         public void onLinkChanged() {
             execute(
                     () -> {
@@ -224,7 +227,7 @@
             fillers.forEach(FaultInjectingProxy::closeQuietly);
             fillers.clear();
             try {
-                // What is closed goes only once its key is gone.
+                // A closed channel frees its address only once its key is deregistered.
                 selector.selectNow();
             } catch (IOException fault) {
                 throw new IllegalStateException(fault);
@@ -240,7 +243,7 @@
         }
     }
 
-    /** A connection through a door. */
+    /** A proxied connection: a client's, and the one to the target. */
     private final class Connection {
         private final Endpoint endpoint;
         private final SocketChannel clientSide;
@@ -280,7 +283,7 @@
             }
         }
 
-        /** Writes what may be written and says what is wanted next. */
+        /** Writes what is due and registers interest in what comes next. */
         private void transfer() {
             if (closed || !connected) {
                 return;
@@ -309,7 +312,7 @@
                     clientSide.setOption(StandardSocketOptions.SO_LINGER, 0);
                     targetSide.setOption(StandardSocketOptions.SO_LINGER, 0);
                 } catch (IOException gone) {
-                    // Then there is nobody to be told.
+                    // Already disconnected.
                 }
                 close();
             }
@@ -391,7 +394,8 @@
     }
 
     /**
-     * Connections made at {@code listenAddress} go on to {@code targetAddress}. It answers at once.
+     * Forwards connections made to {@code listenAddress} to {@code targetAddress}. Refuses until
+     * its mode is set.
      */
     public Endpoint addEndpoint(
             InetSocketAddress listenAddress,
@@ -405,8 +409,9 @@
     }
 
     /**
-     * Datagrams between two parties: {@code first} reaches the second at {@code atFirst}, and is
-     * seen by it as coming from {@code atSecond}, where the second reaches the first.
+     * Forwards datagrams between two parties: {@code first} reaches the second at {@code
+     * secondSeenByFirst}; the second sees them as coming from {@code firstSeenBySecond}, where it
+     * reaches the first.
      */
     public void forwardDatagrams(
             InetSocketAddress first,
@@ -472,7 +477,7 @@
         try {
             out.send(bytes, to);
         } catch (IOException unreachable) {
-            // As on any network.
+            // Lost, as on any network.
         }
     }
 
--- a/src/main/java/firstage/emulator/LinkFaults.java
+++ b/src/main/java/firstage/emulator/LinkFaults.java
@@ -2,12 +2,12 @@
 
 import java.util.random.RandomGenerator;
 
-/** One direction between two parties, and what is wrong with it; settable from any thread. */
+/** The faults of one direction of a link. Set from any thread, read by the proxy's. */
 public final class LinkFaults {
-    /** A lost segment on a connection is sent again after about this; tenths of a millisecond. */
+    /** A lost TCP segment is retransmitted after about this, in ticks. */
     private static final long RETRANSMISSION_DELAY = 2_000;
 
-    /** Of the loss of datagrams: so much of the pieces of a connection stand still for that. */
+    /** Share of the datagram loss rate at which the chunks of a connection are retransmitted. */
     private static final double RETRANSMITTED_SHARE_OF_LOSS = 0.1;
 
     private final RandomGenerator random;
@@ -20,25 +20,25 @@
         this.random = random;
     }
 
-    /** Nothing passes. */
+    /** While cut, nothing passes. */
     public void setCut(boolean now) {
         cut = now;
         changedAt = System.nanoTime() / 100_000;
     }
 
-    /** Datagrams are lost with this chance. */
+    /** Datagrams are lost with this probability. */
     public void setLoss(double share) {
         loss = share;
         changedAt = System.nanoTime() / 100_000;
     }
 
-    /** Everything comes later by this and up to as much again; tenths of a millisecond. */
+    /** Delays everything by once to twice this, in ticks. */
     public void setDelay(long ticks) {
         delay = ticks;
         changedAt = System.nanoTime() / 100_000;
     }
 
-    /** Whether it was harmed or mended within this; tenths of a millisecond. */
+    /** Whether it is faulty, or changed within the last {@code time} ticks. */
     public boolean faultyWithin(long time) {
         return cut || loss > 0 || delay > 0 || System.nanoTime() / 100_000 - changedAt < time;
     }
@@ -47,12 +47,12 @@
         return cut;
     }
 
-    /** Whether a datagram comes through; one thread asks. */
+    /** Draws whether a datagram passes; called by one thread. */
     boolean passes() {
         return !cut && random.nextDouble() >= loss;
     }
 
-    /** How much later the next piece comes; one thread asks. */
+    /** Draws the delay of the next datagram or chunk, in ticks; called by one thread. */
     long drawDelay(boolean datagram) {
         long ticks = delay <= 0 ? 0 : delay + random.nextLong(delay + 1);
         return ticks
--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -35,25 +35,28 @@
 import java.util.regex.Pattern;
 
 /**
- * Clients that keep to their schedule, whatever is answered, and a front that spreads them over the
- * managers and goes on sending to a dead one until it notices. They retry as the plan says; batches
- * of one key are written well apart.
+ * An open-loop load generator: clients that keep to their schedule whatever is answered, behind a
+ * load balancer that keeps sending to a dead manager until it detects the failure. Clients retry as
+ * the plan says; requests of one ordering key are sent apart from each other. Runs on the loop's
+ * thread; times are ticks.
  */
 public final class LoadGenerator implements AutoCloseable {
     private static final Pattern POLL_PATH = Pattern.compile("\"poll\":\"([^\"]+)\"");
 
     /**
-     * Between batches of one key at one manager: it may be a new connection each time, which the
-     * protocol wants apart.
+     * Minimum time between requests of one ordering key: each may open a new connection, and the
+     * protocol requires this distance then.
      */
     private static final long KEY_GAP = 3_000;
 
     /**
-     * After its time is up a client waits so much longer: an answer in it is late, none is lost.
+     * How long a client waits beyond the deadline: a response in it is late, none at all is lost.
      */
     private static final long RESPONSE_GRACE = 5_000;
 
-    /** The front hears of a death, or of a new life, after about this. */
+    /**
+     * The load balancer detects a failed manager after half of this to one and a half times this.
+     */
     private static final long DETECTION_DELAY = 15_000;
 
     private static final int MAX_POLL_ATTEMPTS = 3;
@@ -105,10 +108,7 @@
     private final long[] stateChanges;
     private final boolean[] killed;
 
-    /**
-     * Until when each stands still; a process that is stopped runs no batch's time down by its own
-     * fault.
-     */
+    /** Until when each manager is paused: what times out meanwhile is not its violation. */
     private final long[] pausedUntil;
 
     private final ExecutorService executor =
@@ -160,20 +160,21 @@
         }
     }
 
-    /** The try that an id belongs to, or null; on the stage's thread. */
+    /** The try with this id, or null; on the loop's thread. */
     public ClientTry tryById(String id) {
         return triesById.get(id);
     }
 
-    /** Batches come from now on for the plan's length; on the stage's thread. */
+    /** Starts the traffic, which lasts for the plan's length; on the loop's thread. */
     public void start() {
         endsAt = loop.now() + plan.length();
         startedAt = loop.now();
         scheduleNext();
     }
 
-    public void setTrafficFactor(double times) {
-        trafficFactor = times;
+    /** Multiplies the rate of requests from the next one on; on the loop's thread. */
+    public void setTrafficFactor(double factor) {
+        trafficFactor = factor;
     }
 
     private void scheduleNext() {
@@ -194,7 +195,7 @@
                         });
     }
 
-    /** Whether nothing is asked for any more. */
+    /** Whether traffic has ended and no try is open. */
     public boolean idle() {
         return loop.now() > endsAt
                 && openTries.stream()
@@ -202,7 +203,7 @@
                         .allMatch(clientTry -> clientTry.answers() > 0 || clientTry.abandoned());
     }
 
-    /** A manager's process is ended: what it holds is nobody's. */
+    /** A manager's process was killed: its open tries need no answer. */
     public void onManagerKilled(int manager) {
         List<ClientTry> held = new ArrayList<>();
         openTries.get(manager).stream()
@@ -213,7 +214,7 @@
         onManagerStateChanged(manager, false);
     }
 
-    /** A manager's process serves again, or is about to end by itself. */
+    /** A manager's process serves again, or is shutting down. */
     public void onManagerStateChanged(int manager, boolean up) {
         killed[manager] &= !up;
         long ownChange = ++stateChanges[manager];
@@ -229,7 +230,7 @@
                         });
     }
 
-    /** A manager's process stands still until then. */
+    /** A manager's process is paused until then. */
     public void onManagerPaused(int manager, long until) {
         pausedUntil[manager] = until;
         openTries.get(manager).forEach(clientTry -> allowPause(clientTry, until));
@@ -241,7 +242,7 @@
 
     private void checkDeadline(ClientTry clientTry) {
         if (clientTry.pauseAllowance() && clientTry.answers() == 0) {
-            // Its time ran out while its manager stood still, and its client left.
+            // It timed out while its manager was paused, and its client left.
             rules.onNeverAccepted(clientTry);
         } else {
             rules.onDeadlinePassed(loop.now(), clientTry);
@@ -250,7 +251,7 @@
 
     private int chooseManager(TrueRequest request) {
         int manager = clientBehavior.manager(request);
-        // The next one that the front holds for alive; those of one key go on together.
+        // Failover to the next one in order keeps the requests of one key together.
         for (int i = 0; i < managers.size() && !aliveManagers.contains(manager); i++) {
             manager = (manager + 1) % managers.size();
         }
@@ -312,8 +313,7 @@
                                 + request.tableGroup
                                 + ".orders"));
         call(clientTry, id, httpRequest.build(), MAX_POLL_ATTEMPTS, true);
-        // One that stands still can't know how long the batch lay there: it counts its time from
-        // when it reads it.
+        // A paused manager can't know how long the request waited: it counts from when it reads it.
         clientTry.allowPause(Math.max(0, pausedUntil[manager] - now));
         loop.events().in(patience + RESPONSE_GRACE / 2, () -> checkDeadline(clientTry));
         loop.events()
@@ -391,15 +391,13 @@
             Throwable fault) {
         boolean unreachable =
                 fault instanceof ConnectException || fault instanceof HttpConnectTimeoutException;
-        // What was written to a process that is on its way out was taken by nobody.
+        // What was sent to a process that is being killed was never accepted.
         if (first && (unreachable || killed[clientTry.manager])) {
             rules.onNeverAccepted(clientTry);
             observer.onTryEnded(clientTry, TryOutcome.NEVER_ACCEPTED);
             scoreboard.errored();
-            // By the protocol page others than repeatable ones come again only after a pushback, or
-            // where their manager
-            // could not be reached. Under a connection that broke it may have run: asked again, it
-            // would run twice.
+            // The protocol allows a retry of non-idempotent requests only after a rejection or if
+            // the manager was unreachable: on a broken connection it may have run.
             retry(
                     clientTry.request,
                     0,
@@ -412,7 +410,7 @@
                 && fault instanceof IOException) {
             call(clientTry, id, httpRequest, attemptsLeft - 1, false);
         } else {
-            // Rule 1 is judged when its time is up; what a manager that died held is nobody's.
+            // Rule 1 is checked at the deadline; a killed manager's open tries are exempt.
             observer.onTryEnded(clientTry, TryOutcome.LOST);
             scoreboard.errored();
             if (!clientTry.abandoned()
--- a/src/main/java/firstage/emulator/RealTimeLoop.java
+++ b/src/main/java/firstage/emulator/RealTimeLoop.java
@@ -14,12 +14,12 @@
 import org.xnio.XnioWorker;
 
 /**
- * One thread on which all stand-ins live, and the fleet model's calendar moved on by the wall
- * clock: what is modelled in virtual time plays here in real time. Times are tenths of a
- * millisecond; {@link #START} is when the stage was set up.
+ * The one thread of all emulators, and the simulation's event queue advanced by the wall clock:
+ * what is modelled in virtual time runs here in real time. Times are ticks; {@link #START} is when
+ * the loop was created.
  */
 public final class RealTimeLoop implements AutoCloseable {
-    /** The calendar's time at the start: above 0, which stands for long ago. */
+    /** Time at creation: above 0, which stands for "long ago" in the models. */
     public static final long START = 1_000_000;
 
     private static final long TICK_MS = 1;
@@ -37,7 +37,7 @@
                 Xnio.getInstance(RealTimeLoop.class.getClassLoader())
                         .createWorker(
                                 OptionMap.builder()
-                                        .set(Options.WORKER_NAME, "stand-ins")
+                                        .set(Options.WORKER_NAME, "emulators")
                                         .set(Options.WORKER_IO_THREADS, 1)
                                         .set(Options.WORKER_TASK_CORE_THREADS, 1)
                                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
@@ -50,25 +50,22 @@
         return worker;
     }
 
-    /** Of this moment, by the wall; any thread. */
+    /** The present time in ticks; from any thread. */
     public long now() {
         return START + (System.nanoTime() - startNs) / 100_000;
     }
 
-    /** The Unix millisecond of a moment of the calendar. */
+    /** Unix time in ms of a time of this loop. */
     public long unixMs(long time) {
         return startMs + (time - START) / 10;
     }
 
-    /** The calendar, for what runs on this thread. */
+    /** The event queue; only for use on this thread. */
     public EventQueue events() {
         return events;
     }
 
-    /**
-     * Something happened elsewhere: it is played on this thread, at the moment at which it comes
-     * here.
-     */
+    /** Runs the task on this thread, after all events that are due. */
     public void execute(Runnable task) {
         ioThread.execute(
                 () -> {
@@ -113,9 +110,7 @@
         ioThread.executeAfter(() -> tick(nextNs), TICK_MS, TimeUnit.MILLISECONDS);
     }
 
-    /**
-     * How late this thread came, in microseconds: a machine that has no time for it proves nothing.
-     */
+    /** How late this thread ran, in microseconds. A run on an overloaded machine proves nothing. */
     public Histogram lateness() {
         return lateness;
     }
--- a/src/main/java/firstage/emulator/package-info.java
+++ b/src/main/java/firstage/emulator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Stand-ins of what workload managers talk to, on loopback: engines, coordinator, clients, and the
- * ways between.
+ * Emulates on loopback what workload managers talk to: engines, coordinator, clients, and the links
+ * between them. Scripted and seeded.
  */
 package firstage.emulator;
--- a/src/main/java/firstage/faulttest/LoopbackAddresses.java
+++ b/src/main/java/firstage/faulttest/LoopbackAddresses.java
@@ -5,20 +5,25 @@
 import java.net.ServerSocket;
 
 /**
- * Who is where, all on loopback and all on one port, so that two yards at once need only another
- * port. A manager and what it reaches by a way of its own share the second number of the address.
+ * The loopback addresses of a run, all on one port, so that concurrent runs differ by port only.
+ * All addresses at which one manager reaches others share their second number.
  */
 public record LoopbackAddresses(int port) {
     private static final int FIRST_PORT = 21_000;
     private static final int PORT_STEP = 3;
     private static final int MAX_TRIES = 2_000;
 
-    /** A yard holds its port as long as it runs. */
+    /** A run holds its port by listening here. */
     private static final String LOCK_ADDRESS = "127.1.9.1";
 
     private static final int FIRST_PROXIED_NETWORK = 10;
 
-    /** The first port that no other yard holds, from one that differs by process. */
+    /**
+     * Reserves a port that no other run holds; the search starts at one derived from the process
+     * id.
+     *
+     * @throws IOException if none is free
+     */
     public static ServerSocket reservePort() throws IOException {
         IOException lastFailure = null;
         for (int i = 0; i < MAX_TRIES; i++) {
@@ -32,7 +37,7 @@
             }
         }
         throw new IOException(
-                "no port is free for a yard: "
+                "no port is free for a fault test: "
                         + (lastFailure == null ? "" : lastFailure.getMessage()));
     }
 
@@ -45,7 +50,7 @@
         return address(1, 0, manager + 1);
     }
 
-    /** Where a manager's datagrams come in. */
+    /** Where a manager receives gossip datagrams. */
     InetSocketAddress gossip(int manager) {
         return address(1, 2, manager + 1);
     }
@@ -54,17 +59,17 @@
         return address(1, 1, manager + 1);
     }
 
-    /** Where an engine truly is. */
+    /** Where an engine listens, behind the proxy. */
     InetSocketAddress engine(int engine) {
         return address(2, 1 + engine / 250, 1 + engine % 250);
     }
 
-    /** Where a manager reaches an engine. */
+    /** Where a manager reaches an engine, through the proxy. */
     InetSocketAddress engineSeenBy(int manager, int engine) {
         return address(FIRST_PROXIED_NETWORK + manager, 1 + engine / 250, 1 + engine % 250);
     }
 
-    /** Where a manager reaches another. */
+    /** Where a manager reaches another, through the proxy. */
     InetSocketAddress peerSeenBy(int manager, int peer) {
         return address(FIRST_PROXIED_NETWORK + manager, 9, 1 + peer);
     }
--- a/src/main/java/firstage/faulttest/ManagerConfigWriter.java
+++ b/src/main/java/firstage/faulttest/ManagerConfigWriter.java
@@ -15,10 +15,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/**
- * Writes what each manager is told at its start: its configuration by the platform's page, and its
- * peers.
- */
+/** Writes the configuration files of a manager: the platform's configuration and the peers file. */
 public final class ManagerConfigWriter {
     private static final double TICKS_PER_SECOND = 10_000;
 
@@ -28,7 +25,7 @@
         return String.format(Locale.ROOT, "s-%08x", engine + 1);
     }
 
-    /** Its configuration; the seed differs by manager and run. */
+    /** Writes a manager's configuration; the seed differs by manager and run. */
     static void writeConfig(
             Path file, FleetPlan plan, LoopbackAddresses addresses, int manager, long seed)
             throws IOException {
@@ -46,8 +43,8 @@
     }
 
     /**
-     * A manager's: its name, where it listens, whom it asks for the list (nobody where null), its
-     * number, its zone, and where it reaches each engine.
+     * What distinguishes a manager: its name, listening address, coordinator (null for none),
+     * number, zone index, and the address at which it reaches each engine.
      */
     public record ManagerPlace(
             String name,
@@ -57,13 +54,13 @@
             int zone,
             IntFunction<InetSocketAddress> engineAddress) {}
 
-    /** The configuration of a manager at this place. */
+    /** Writes the configuration of the manager at this place. */
     public static void writeConfig(Path file, FleetPlan plan, ManagerPlace place, long seed)
             throws IOException {
         writeConfig(file, plan, place, seed, 1_024);
     }
 
-    /** The same; {@code sockets}: the limit that it is told. */
+    /** The same with a limit of open sockets. */
     public static void writeConfig(
             Path file, FleetPlan plan, ManagerPlace place, long seed, int sockets)
             throws IOException {
@@ -223,7 +220,7 @@
         out.writeEndObject();
     }
 
-    /** Its peers, each at the address at which this one reaches it. */
+    /** Writes the peers file, each peer with the address at which this manager reaches it. */
     static void writePeers(Path file, FleetPlan plan, LoopbackAddresses addresses, int manager)
             throws IOException {
         List<String> lines = new ArrayList<>();
@@ -267,7 +264,7 @@
         Files.write(file, lines);
     }
 
-    /** The managers of a cell, each at the address at which this one reaches it. */
+    /** The managers of a cell, each with the address at which this one reaches it. */
     private static String hostList(
             FleetPlan plan, LoopbackAddresses addresses, int manager, int cell) {
         return IntStream.range(0, plan.managers().count())
--- a/src/main/java/firstage/faulttest/ManagerProcesses.java
+++ b/src/main/java/firstage/faulttest/ManagerProcesses.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The processes of the program: started, signalled, ended by id, also when the tool itself is
+ * The managers' processes: starts, signals and ends them by id, also when the tool itself is
  * interrupted.
  */
 public final class ManagerProcesses implements AutoCloseable {
@@ -25,9 +25,9 @@
     private final Path folder;
     private final Path processListFile;
     private final List<String> command;
-    private final Thread shutdownHook = new Thread(this::endAll, "end of the yard");
+    private final Thread shutdownHook = new Thread(this::endAll, "end of the fault test");
 
-    /** {@code command}: what starts a manager; its configuration is named by the environment. */
+    /** {@code command}: starts a manager; the environment names its configuration file. */
     public ManagerProcesses(Path folder, Path processListFile, List<String> command, int count) {
         this.folder = folder;
         this.processListFile = processListFile;
@@ -40,8 +40,8 @@
     }
 
     /**
-     * {@code run} of the deploy file, with another jar; without {@code exec}, as no shell stands
-     * between.
+     * The words of the deployment's command with another jar, and without {@code exec}, as no shell
+     * runs it.
      */
     public static List<String> command(String run, Path jar) {
         List<String> words =
@@ -65,7 +65,7 @@
         return folder.resolve("m" + manager + ".peers.toml");
     }
 
-    /** Where yards note whom they started. */
+    /** Where runs list the processes that they started. */
     public static Path processListFolder() {
         return Path.of(System.getProperty("java.io.tmpdir"), "firstage-yards");
     }
@@ -87,7 +87,7 @@
         writeProcessList();
     }
 
-    /** Who is to be ended, for a yard that finds this one killed. */
+    /** Lists the live processes, for a later run to end if this one is killed. */
     private synchronized void writeProcessList() throws IOException {
         List<String> lines = new ArrayList<>();
         lines.add(
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Ends what yards that were killed left behind, and says so; ids that are somebody else's now
-     * are left alone.
+     * Ends the processes of killed runs and returns a line for each; a reused process id is left
+     * alone.
      */
     static List<String> endOrphans(Path processListFolder) throws IOException {
         List<String> ended = new ArrayList<>();
@@ -132,7 +132,10 @@
                 continue;
             }
             for (ProcessHandle process : alive) {
-                ended.add("ended process " + process.pid() + ", left by a yard that was killed");
+                ended.add(
+                        "ended process "
+                                + process.pid()
+                                + ", left by a fault test that was killed");
                 process.destroyForcibly();
             }
             Files.deleteIfExists(listFile);
@@ -149,7 +152,11 @@
                                         && startTimeMs(process) == Long.parseLong(words[1]));
     }
 
-    /** Waits until it serves; the message of the exception has its last words. */
+    /**
+     * Waits until a manager serves.
+     *
+     * @throws IOException with its last log lines if it ends or does not serve in time
+     */
     public void awaitReady(int manager, InetSocketAddress address) throws IOException {
         long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
         while (true) {
@@ -217,7 +224,7 @@
         return processes.get(manager) != null && processes.get(manager).isAlive();
     }
 
-    /** How often it was started. */
+    /** How often a manager was started. */
     int incarnation(int manager) {
         return incarnations.get(manager);
     }
@@ -226,7 +233,7 @@
         processes.get(manager).destroyForcibly();
     }
 
-    /** KILL aside: TERM, HUP, STOP, CONT. */
+    /** Sends TERM, HUP, STOP or CONT to a manager if it is alive. */
     public void signal(int manager, String name) throws IOException {
         if (isAlive(manager)) {
             new ProcessBuilder("kill", "-" + name, String.valueOf(processes.get(manager).pid()))
@@ -234,7 +241,7 @@
         }
     }
 
-    /** Ends by itself within this, or not. */
+    /** Waits for a manager's end; false if it did not end in time. */
     public boolean awaitExit(int manager, long ms) {
         try {
             return processes.get(manager).waitFor(ms, TimeUnit.MILLISECONDS);
@@ -248,17 +255,17 @@
         return processes.get(manager).exitValue();
     }
 
-    /** The process of a manager's present life. */
+    /** A manager's present process. */
     public ProcessHandle handle(int manager) {
         return processes.get(manager).toHandle();
     }
 
-    /** Where a manager's words go. */
+    /** The file of a manager's standard output and error. */
     public Path logFile(int manager) {
         return folder.resolve("logs").resolve("m" + manager + ".log");
     }
 
-    /** Processor time used by each life that runs, s; 0 where it is not told. */
+    /** Processor time of a manager's present process, s; 0 if unknown. */
     double processorSeconds(int manager) {
         return isAlive(manager)
                 ? processes
@@ -276,7 +283,7 @@
         try {
             Files.deleteIfExists(processListFile);
         } catch (IOException ignored) {
-            // The next yard finds the ids of nobody.
+            // The next run finds no live process in it.
         }
     }
 
--- a/src/main/java/firstage/faulttest/OrphanedProcesses.java
+++ b/src/main/java/firstage/faulttest/OrphanedProcesses.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 import java.util.List;
 
-/** What a yard that was killed left behind. */
+/** Processes left by runs that were killed. */
 public final class OrphanedProcesses {
     private OrphanedProcesses() {}
 
-    /** Ends the processes that it had started, by id and time of start, and says which. */
+    /** Ends them, found by id and start time, and returns a line for each. */
     public static List<String> endAll() throws IOException {
         return ManagerProcesses.endOrphans(ManagerProcesses.processListFolder());
     }
--- a/src/main/java/firstage/faulttest/RunRecorder.java
+++ b/src/main/java/firstage/faulttest/RunRecorder.java
@@ -17,10 +17,7 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/**
- * What happened, as files: a line of JSON for each event, a row for each second, charts. One
- * thread.
- */
+/** Records a run in files: a line of JSON per event, a row per second, charts. For one thread. */
 final class RunRecorder implements AutoCloseable {
     /** When a fault lasted, in seconds since traffic began. */
     record FaultInterval(double start, double end) {
@@ -35,7 +32,7 @@
     private final Writer timeline;
     private final JsonFactory json = new JsonFactory();
 
-    /** By second and name. */
+    /** Index: second; key: name of the column. */
     private final List<Map<String, Double>> valuesBySecond = new ArrayList<>();
 
     private final Map<String, Integer> columnNames = new TreeMap<>();
@@ -48,8 +45,8 @@
     }
 
     /**
-     * One event; {@code at} in tenths of a millisecond since traffic began; pairs of name and
-     * value.
+     * Writes an event; {@code time} in ticks since traffic began; {@code pairs}: name, value, name
+     * ...
      */
     void writeEvent(long time, String name, Object... pairs) {
         try (JsonGenerator out = json.createGenerator(timeline)) {
@@ -76,7 +73,7 @@
         }
     }
 
-    /** Adds to a second's figure and to its sum. */
+    /** Adds to the value of a second and to the sum over the run. */
     void add(long time, String name, double amount) {
         int second = (int) Math.max(0, time / 10_000);
         while (valuesBySecond.size() <= second) {
@@ -97,7 +94,7 @@
                 : 0;
     }
 
-    /** The table of seconds, and the charts; faults are shaded by a series of their own. */
+    /** Writes the table of seconds and the charts, in which faults are a series of their own. */
     void writeTables(String title, List<FaultInterval> faults, List<String> zones)
             throws IOException {
         List<String> rows =
--- a/src/main/java/firstage/faulttest/package-info.java
+++ b/src/main/java/firstage/faulttest/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Many real processes of the program beside the stand-ins, faults between them, one verdict. A
- * tool; serve loads none of it.
+ * Fault tests: many real processes of the program beside emulators, injected faults, one verdict. A
+ * tool; {@code serve} loads none of it.
  */
 package firstage.faulttest;
