--- a/src/main/java/firstage/emulator/FaultInjectingProxy.java
+++ b/src/main/java/firstage/emulator/FaultInjectingProxy.java
@@ -394,8 +394,8 @@
     }
 
     /**
-     * Forwards connections made to {@code listenAddress} to {@code targetAddress}. Refuses until
-     * its mode is set.
+     * Forwards connections made to {@code listenAddress} to {@code targetAddress}. Open from the
+     * start.
      */
     public Endpoint addEndpoint(
             InetSocketAddress listenAddress,
--- a/src/main/java/firstage/faulttest/ManagerConfigWriter.java
+++ b/src/main/java/firstage/faulttest/ManagerConfigWriter.java
@@ -123,14 +123,23 @@
         out.writeEndArray();
     }
 
-    private static void writeSettings(JsonGenerator out, FleetPlan plan, int manager, int zone)
+    private static void writeSettings(JsonGenerator out, FleetPlan plan, int rank, int zone)
             throws IOException {
         out.writeObjectFieldStart("settings");
         writeArray(out, "areas", plan.zones());
         writeArray(out, "kinds", List.of("std"));
         out.writeNumberField("group_size", plan.managers().fleetSize());
-        out.writeNumberField("rank", manager);
+        out.writeNumberField("rank", rank);
         out.writeNumberField("zone", zone);
+        writeTrafficClasses(out, plan);
+        writeTenants(out, plan);
+        writeEngineType(out, plan);
+        writeLimits(out, plan.managers());
+        writeScoreRules(out, plan);
+        out.writeEndObject();
+    }
+
+    private static void writeTrafficClasses(JsonGenerator out, FleetPlan plan) throws IOException {
         out.writeArrayFieldStart("classes");
         for (FleetPlan.TrafficClassPlan trafficClass : plan.trafficClasses()) {
             out.writeStartObject();
@@ -154,6 +163,9 @@
             out.writeEndObject();
         }
         out.writeEndArray();
+    }
+
+    private static void writeTenants(JsonGenerator out, FleetPlan plan) throws IOException {
         out.writeArrayFieldStart("tenants");
         double shares = plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).sum();
         for (FleetPlan.TenantPlan tenant : plan.tenants()) {
@@ -171,7 +183,10 @@
             out.writeEndObject();
         }
         out.writeEndArray();
-        FleetPlan.Engines engine = plan.engines();
+    }
+
+    private static void writeEngineType(JsonGenerator out, FleetPlan plan) throws IOException {
+        FleetPlan.Engines engines = plan.engines();
         out.writeObjectFieldStart("family_info");
         writeArray(
                 out,
@@ -187,14 +202,17 @@
                 plan.trafficClasses().stream()
                         .map(FleetPlan.TrafficClassPlan::blockedByTableLoads)
                         .toList());
-        writeArray(out, "kind_cores", List.of(engine.cores()));
-        writeArray(out, "size_mb", List.of(engine.memoryMb()));
-        out.writeBooleanField("takes_grants", engine.grants());
-        out.writeBooleanField("lanes_count", engine.priorities());
-        out.writeNumberField("progress_pace", engine.progressInterval() / TICKS_PER_SECOND);
+        writeArray(out, "kind_cores", List.of(engines.cores()));
+        writeArray(out, "size_mb", List.of(engines.memoryMb()));
+        out.writeBooleanField("takes_grants", engines.grants());
+        out.writeBooleanField("lanes_count", engines.priorities());
+        out.writeNumberField("progress_pace", engines.progressInterval() / TICKS_PER_SECOND);
         out.writeNumberField("largest_share", 0.4);
         out.writeEndObject();
-        FleetPlan.Managers managers = plan.managers();
+    }
+
+    private static void writeLimits(JsonGenerator out, FleetPlan.Managers managers)
+            throws IOException {
         out.writeObjectFieldStart("limits");
         out.writeNumberField("connect_timeout", 0.25);
         out.writeNumberField("keepalive", 15);
@@ -205,19 +223,22 @@
         out.writeBooleanField("may_cancel", managers.cancel());
         out.writeBooleanField("probing", managers.probes());
         out.writeEndObject();
+    }
+
+    private static void writeScoreRules(JsonGenerator out, FleetPlan plan) throws IOException {
         out.writeObjectFieldStart("deductions");
         out.writeNumberField("probe", 0.013);
         out.writeNumberField("cross_zone", plan.zones().size() > 1 ? 0.045 : 0);
         out.writeEndObject();
         out.writeObjectFieldStart("rules");
         out.writeNumberField("drain_grace", plan.rules().drainGrace() / TICKS_PER_SECOND);
-        out.writeNumberField("cold_from", engine.initialCapacityShare());
-        out.writeNumberField("ramp_time", engine.warmUpDuration().high() / TICKS_PER_SECOND);
+        out.writeNumberField("cold_from", plan.engines().initialCapacityShare());
+        out.writeNumberField(
+                "ramp_time", plan.engines().warmUpDuration().high() / TICKS_PER_SECOND);
         out.writeNumberField("tip_multiple", plan.rules().overloadMultiple());
         out.writeNumberField("fall", plan.rules().overloadWindow() / TICKS_PER_SECOND);
         out.writeNumberField("key_quiet", plan.rules().keyQuietPeriod() / TICKS_PER_SECOND);
         out.writeEndObject();
-        out.writeEndObject();
     }
 
     /** Writes the peers file, each peer with the address at which this manager reaches it. */
