--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -224,7 +224,7 @@
                         plan,
                         number,
                         randomStreams.seed("manager-life", number * 1_000L + incarnation),
-                        policyUnderTest.bounds());
+                        policyUnderTest.capacityFactor());
         policy = policyUnderTest.start(deployment, this);
         if (cells != null) {
             policy.onQuotaChanged(events.now(), cells.share(plan.cellOf(number)));
@@ -408,7 +408,7 @@
 
     private EndpointUpdate.Endpoint endpoint(int engine, Lifecycle lifecycle, long startedAt) {
         double warmUpShare =
-                cells == null || policyUnderTest.coldBySettings()
+                cells == null || policyUnderTest.warmUpBySettings()
                         ? 0
                         : cells.warmUpShare(
                                 null, plan.cellOf(number), stableHash(engine), zoneName(engine));
