--- a/src/main/java/firstage/cli/FleetFiles.java
+++ b/src/main/java/firstage/cli/FleetFiles.java
@@ -47,7 +47,7 @@
         for (SimulationResult result : results) {
             StringBuilder line =
                     new StringBuilder(
-                            result.choice() + "," + result.seed() + "," + result.batches());
+                            result.policyName() + "," + result.seed() + "," + result.requests());
             names.forEach(name -> line.append(',').append(result.figures().get(name)));
             lines.add(line.toString());
         }
@@ -86,7 +86,7 @@
             out.writeNumberField("left", row.left());
             out.writeNumberField("right", row.right());
             out.writeNumberField("difference", row.difference());
-            out.writeNumberField("bar", row.bar());
+            out.writeNumberField("bar", row.halfInterval());
             out.writeStringField("verdict", word(row.verdict()));
             out.writeNumberField("runs needed", row.runsNeeded());
             out.writeEndObject();
@@ -100,10 +100,10 @@
 
     private static void writeRun(JsonGenerator out, SimulationResult result) throws IOException {
         out.writeStartObject();
-        out.writeStringField("choice", result.choice());
+        out.writeStringField("choice", result.policyName());
         out.writeNumberField("seed", result.seed());
         out.writeArrayFieldStart("broken");
-        for (String rule : result.broken()) {
+        for (String rule : result.violations()) {
             out.writeString(rule);
         }
         out.writeEndArray();
@@ -125,13 +125,14 @@
                 results.get(0).figures().keySet().stream()
                         .filter(PairedComparison::moreIsBetter)
                         .toList();
-        for (String choice : results.stream().map(SimulationResult::choice).distinct().toList()) {
+        for (String choice :
+                results.stream().map(SimulationResult::policyName).distinct().toList()) {
             List<Double> means = new ArrayList<>();
             List<Double> deviations = new ArrayList<>();
             for (String name : shares) {
                 SummaryStatistics statistics = new SummaryStatistics();
                 results.stream()
-                        .filter(result -> result.choice().equals(choice))
+                        .filter(result -> result.policyName().equals(choice))
                         .forEach(result -> statistics.addValue(result.figures().get(name)));
                 means.add(statistics.getMean());
                 deviations.add(statistics.getN() > 1 ? statistics.getStandardDeviation() : 0);
--- a/src/main/java/firstage/cli/FleetRunCommand.java
+++ b/src/main/java/firstage/cli/FleetRunCommand.java
@@ -31,7 +31,7 @@
         if (out().isPresent()) {
             FleetFiles.write(out().get(), origin(plan), results, Optional.empty());
         }
-        boolean rulesKept = results.stream().allMatch(result -> result.broken().isEmpty());
+        boolean rulesKept = results.stream().allMatch(result -> result.violations().isEmpty());
         return rulesKept ? 0 : FleetCommand.RULE_BROKEN_STATUS;
     }
 }
--- a/src/main/java/firstage/cli/FleetTables.java
+++ b/src/main/java/firstage/cli/FleetTables.java
@@ -25,14 +25,14 @@
                     results.size() > 1 ? statistics.getStandardDeviation() : 0);
         }
         results.stream()
-                .filter(result -> !result.broken().isEmpty())
+                .filter(result -> !result.violations().isEmpty())
                 .forEach(
                         result ->
                                 out.println(
                                         "RULE BROKEN, seed "
                                                 + result.seed()
                                                 + ": "
-                                                + result.broken().get(0)));
+                                                + result.violations().get(0)));
     }
 
     /** Prints each figure of both choices, and which is better. */
@@ -48,10 +48,10 @@
                     row.left(),
                     row.right(),
                     row.difference(),
-                    row.bar(),
+                    row.halfInterval(),
                     verdict(row));
         }
-        comparison.broken().forEach(rule -> out.println("RULE BROKEN, no verdict: " + rule));
+        comparison.violations().forEach(rule -> out.println("RULE BROKEN, no verdict: " + rule));
         out.println(
                 "verdict by service: "
                         + (comparison.verdict() == PairedComparison.Verdict.BROKEN
--- a/src/main/java/firstage/emulator/EmulatedEngine.java
+++ b/src/main/java/firstage/emulator/EmulatedEngine.java
@@ -104,7 +104,7 @@
                 return;
             }
             loop.events()
-                    .in(
+                    .schedule(
                             LONG_POLL_TIMEOUT,
                             () -> {
                                 if (ownPoll == pollCount && waitingPoll != null) {
@@ -175,7 +175,7 @@
 
         private void scheduleExpiry() {
             loop.events()
-                    .in(
+                    .schedule(
                             Math.max(1, lastPolledAt + STATEMENT_EXPIRY - loop.now()),
                             () -> {
                                 if (statements.get(id) != this) {
@@ -240,7 +240,7 @@
                                 .getMap());
         http.setRootHandler(
                 exchange -> {
-                    loop.events().play(loop.now());
+                    loop.events().runUntil(loop.now());
                     onCall(exchange);
                 });
         server =
--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -142,7 +142,7 @@
         this.managers = managers;
         this.observer = observer;
         trafficSource = new TrafficSource(plan, streams);
-        random = streams.of("clients", 0);
+        random = streams.stream("clients", 0);
         idPrefix = streams.seed("tickets", 0) & 0xFFFFFFFFL;
         http =
                 HttpClient.newBuilder()
@@ -180,13 +180,13 @@
     private void scheduleNext() {
         long now = loop.events().now();
         loop.events()
-                .in(
-                        trafficSource.next(now, startedAt, trafficFactor) - now,
+                .schedule(
+                        trafficSource.nextArrival(now, startedAt, trafficFactor) - now,
                         () -> {
                             if (loop.events().now() < endsAt) {
                                 TrueRequest request =
                                         trafficSource.draw(loop.events().now(), List.of());
-                                scoreboard.asked(request);
+                                scoreboard.onRequested(request);
                                 int manager = chooseManager(request);
                                 observer.onRequest(request, manager);
                                 sendInKeyOrder(request, manager);
@@ -219,7 +219,7 @@
         killed[manager] &= !up;
         long ownChange = ++stateChanges[manager];
         loop.events()
-                .in(
+                .schedule(
                         up ? 0 : DETECTION_DELAY / 2 + random.nextLong(DETECTION_DELAY),
                         () -> {
                             if (stateChanges[manager] == ownChange && up) {
@@ -250,7 +250,7 @@
     }
 
     private int chooseManager(TrueRequest request) {
-        int manager = clientBehavior.manager(request);
+        int manager = clientBehavior.managerFor(request);
         // Failover to the next one in order keeps the requests of one key together.
         for (int i = 0; i < managers.size() && !aliveManagers.contains(manager); i++) {
             manager = (manager + 1) % managers.size();
@@ -264,7 +264,7 @@
             long freeAt = Math.max(now, keyFreeAt.getOrDefault(request.orderingKey, 0L));
             keyFreeAt.put(request.orderingKey, freeAt + KEY_GAP);
             if (freeAt > now) {
-                loop.events().in(freeAt - now, () -> send(request, manager));
+                loop.events().schedule(freeAt - now, () -> send(request, manager));
                 return;
             }
         }
@@ -315,9 +315,9 @@
         call(clientTry, id, httpRequest.build(), MAX_POLL_ATTEMPTS, true);
         // A paused manager can't know how long the request waited: it counts from when it reads it.
         clientTry.allowPause(Math.max(0, pausedUntil[manager] - now));
-        loop.events().in(patience + RESPONSE_GRACE / 2, () -> checkDeadline(clientTry));
+        loop.events().schedule(patience + RESPONSE_GRACE / 2, () -> checkDeadline(clientTry));
         loop.events()
-                .in(
+                .schedule(
                         patience + 2 * RESPONSE_GRACE,
                         () -> {
                             openTries.get(manager).remove(clientTry);
@@ -395,7 +395,7 @@
         if (first && (unreachable || killed[clientTry.manager])) {
             rules.onNeverAccepted(clientTry);
             observer.onTryEnded(clientTry, TryOutcome.NEVER_ACCEPTED);
-            scoreboard.errored();
+            scoreboard.onFailed();
             // The protocol allows a retry of non-idempotent requests only after a rejection or if
             // the manager was unreachable: on a broken connection it may have run.
             retry(
@@ -412,12 +412,12 @@
         } else {
             // Rule 1 is checked at the deadline; a killed manager's open tries are exempt.
             observer.onTryEnded(clientTry, TryOutcome.LOST);
-            scoreboard.errored();
+            scoreboard.onFailed();
             if (!clientTry.abandoned()
                     && !clientTry.pauseAllowance()
                     && !(fault instanceof HttpTimeoutException)) {
                 loop.events()
-                        .in(
+                        .schedule(
                                 2_000,
                                 () -> {
                                     if (!clientTry.abandoned()) {
@@ -455,16 +455,16 @@
                             : TryOutcome.SUCCEEDED_LATE);
             if (!clientTry.request.succeeded) {
                 clientTry.request.succeeded = true;
-                scoreboard.returned(now, clientTry.request);
+                scoreboard.onSucceeded(now, clientTry.request);
             }
         } else if (rejected) {
             observer.onTryEnded(clientTry, TryOutcome.REJECTED);
-            scoreboard.pushedBack();
+            scoreboard.onRejected();
             long wait = response.headers().firstValueAsLong("X-Wait-Ms").orElse(0) * 10;
             retry(clientTry.request, wait, true);
         } else {
             observer.onTryEnded(clientTry, TryOutcome.FAILED);
-            scoreboard.errored();
+            scoreboard.onFailed();
             retry(
                     clientTry.request,
                     0,
@@ -474,9 +474,9 @@
     }
 
     private void retry(TrueRequest request, long retryAfter, boolean mayRetry) {
-        long wait = clientBehavior.again(request, loop.now(), retryAfter, mayRetry);
+        long wait = clientBehavior.retryDelay(request, loop.now(), retryAfter, mayRetry);
         if (wait >= 0) {
-            loop.events().in(wait, () -> sendInKeyOrder(request, chooseManager(request)));
+            loop.events().schedule(wait, () -> sendInKeyOrder(request, chooseManager(request)));
         }
     }
 
--- a/src/main/java/firstage/emulator/RealTimeLoop.java
+++ b/src/main/java/firstage/emulator/RealTimeLoop.java
@@ -69,7 +69,7 @@
     public void execute(Runnable task) {
         ioThread.execute(
                 () -> {
-                    events.play(now());
+                    events.runUntil(now());
                     task.run();
                 });
     }
@@ -105,7 +105,7 @@
         }
         lateness.recordValue(
                 Math.min(MAX_LATENESS_US, Math.max(0, (System.nanoTime() - scheduledNs) / 1_000)));
-        events.play(now());
+        events.runUntil(now());
         long nextNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TICK_MS);
         ioThread.executeAfter(() -> tick(nextNs), TICK_MS, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/firstage/faulttest/EngineFaults.java
+++ b/src/main/java/firstage/faulttest/EngineFaults.java
@@ -65,7 +65,7 @@
     /** The process accepts statements and makes no progress. */
     void hang(int engine, long ticks) {
         engines.get(engine).setState(EngineModel.State.HANGING);
-        loop.events().in(ticks, () -> engines.get(engine).setState(EngineModel.State.UP));
+        loop.events().schedule(ticks, () -> engines.get(engine).setState(EngineModel.State.UP));
     }
 
     /** Drains for {@code ticks}, then is down for a second. */
@@ -74,7 +74,7 @@
         links.setEngineMode(engine, EndpointMode.REFUSING, false);
         announce(engine, Lifecycle.DRAINING, 0, 1, random);
         loop.events()
-                .in(
+                .schedule(
                         ticks,
                         () ->
                                 takeDown(
@@ -103,7 +103,7 @@
         links.setEngineMode(
                 engine, silent ? EndpointMode.UNRESPONSIVE : EndpointMode.REFUSING, !silent);
         announce(engine, Lifecycle.GONE, 0, detectionFactor, random);
-        loop.events().in(ticks, () -> revive(engine, silent, random));
+        loop.events().schedule(ticks, () -> revive(engine, silent, random));
     }
 
     private void revive(int engine, boolean wasSilent, RandomGenerator random) {
@@ -123,7 +123,7 @@
         for (int m = 0; m < coordinators.size(); m++) {
             int manager = m;
             loop.events()
-                    .in(
+                    .schedule(
                             detectionFactor * plan.managers().discoveryDelay().drawTime(random),
                             () -> announceTo(manager, engine, lifecycle, startedAt));
         }
--- a/src/main/java/firstage/faulttest/FaultInjector.java
+++ b/src/main/java/firstage/faulttest/FaultInjector.java
@@ -46,8 +46,8 @@
     void scheduleAll(RandomStreams randomStreams) {
         int number = 0;
         for (Fault fault : plan.faults()) {
-            RandomGenerator random = randomStreams.of("fault", number++);
-            loop.events().in(fault.at(), () -> inject(fault, random));
+            RandomGenerator random = randomStreams.stream("fault", number++);
+            loop.events().schedule(fault.at(), () -> inject(fault, random));
         }
     }
 
@@ -88,7 +88,7 @@
                                     link.setDelay(active ? Math.round(fault.size() * 10) : 0));
             case TRAFFIC -> {
                 generator.setTrafficFactor(fault.size());
-                loop.events().in(fault.length(), () -> generator.setTrafficFactor(1));
+                loop.events().schedule(fault.length(), () -> generator.setTrafficFactor(1));
             }
         }
     }
@@ -111,7 +111,7 @@
         if (clock.elapsed() < plan.length()) {
             action.accept(affected.get(repetition % affected.size()));
             loop.events()
-                    .in(
+                    .schedule(
                             fault.interval(),
                             () -> applyToNext(fault, affected, action, repetition + 1));
         }
@@ -124,7 +124,7 @@
         List<Integer> to = fault.target().among(plan, random);
         links.forEach(fault, from, to, link -> setActive.accept(link, true));
         loop.events()
-                .in(
+                .schedule(
                         fault.length(),
                         () -> {
                             links.forEach(fault, from, to, link -> setActive.accept(link, false));
@@ -133,7 +133,7 @@
                             if (fault.interval() > 0
                                     && clock.elapsed() + fault.interval() < plan.length()) {
                                 loop.events()
-                                        .in(
+                                        .schedule(
                                                 fault.interval(),
                                                 () -> onLinks(fault, random, setActive));
                             }
--- a/src/main/java/firstage/faulttest/FaultTestRun.java
+++ b/src/main/java/firstage/faulttest/FaultTestRun.java
@@ -74,7 +74,7 @@
         recorder = new RunRecorder(spec.folder());
         loop = new RealTimeLoop();
         clock = new RunClock(loop);
-        proxy = new FaultInjectingProxy(randomStreams.of("relay", 0));
+        proxy = new FaultInjectingProxy(randomStreams.stream("relay", 0));
         rules = new RuleChecker(plan, ANSWER_SLACK, OBSERVATION_DELAY);
         processes =
                 new ManagerProcesses(
--- a/src/main/java/firstage/faulttest/ManagerController.java
+++ b/src/main/java/firstage/faulttest/ManagerController.java
@@ -88,7 +88,7 @@
     void pause(int manager, long ticks) {
         signal(manager, "STOP");
         generator.onManagerPaused(manager, loop.events().now() + ticks);
-        loop.events().in(ticks, () -> signal(manager, "CONT"));
+        loop.events().schedule(ticks, () -> signal(manager, "CONT"));
     }
 
     /** Kills a manager and restarts it after the plan's restart time. */
@@ -108,7 +108,7 @@
             endExpected[manager] = true;
             signal(manager, "TERM");
             loop.events()
-                    .in(
+                    .schedule(
                             STOP_ANNOUNCED_AFTER,
                             () -> generator.onManagerStateChanged(manager, false));
             blockingTasks.execute(
@@ -135,7 +135,7 @@
 
     private void restartLater(int manager, RandomGenerator random) {
         loop.events()
-                .in(
+                .schedule(
                         plan.managers().restartTime().drawTime(random),
                         () -> blockingTasks.execute(() -> restart(manager)));
     }
--- a/src/main/java/firstage/scale/DecisionCost.java
+++ b/src/main/java/firstage/scale/DecisionCost.java
@@ -20,14 +20,14 @@
 import java.util.Set;
 
 /**
- * What the decisions cost a batch in processor time by how many engines a manager knows: the real
- * ones, all news by calls, engines that return each batch after its work. Measured by this
+ * What the decisions cost a request in processor time by how many engines a manager knows: the real
+ * ones, all news by calls, engines that return each request after its work. Measured by this
  * machine's clock, one thread.
  */
 public final class DecisionCost implements PolicyActions {
     private static final long SECOND = 10_000;
 
-    /** By the size of two years on: 462 batches a second at one manager. */
+    /** By the size of two years on: 462 requests a second at one manager. */
     private static final long BETWEEN = SECOND / 462;
 
     private static final long WORK = 2_000;
@@ -114,7 +114,7 @@
         brain.runPendingActions(now);
     }
 
-    /** Microseconds a batch, and the shares dispatched and pushed back; by name. */
+    /** Microseconds a request, and the shares sent and rejected; by name. */
     public static Map<String, Double> play(int engines, int managers) {
         DecisionCost c = new DecisionCost(engines, managers);
         for (int b = 0; b < WARM; b++) {
@@ -183,7 +183,7 @@
 
     @Override
     public void scheduleWakeUp(long delay, long token) {
-        // Each batch is news enough.
+        // Each request is news enough.
     }
 
     @Override
--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -93,7 +93,7 @@
     long bytesIn;
     long listBytes;
 
-    /** Tenths of a millisecond of one clock for the process. */
+    /** Ticks of one clock for the process. */
     interface Clock {
         long now();
     }
--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -12,9 +12,9 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * A run of many managers: TOML, read as fleet and yard plans are; what can't be used is told with
+ * A run of many managers: TOML, read as fleet and fault-test plans are; what can't be used is told with
  * its line and what would do. {@code cell} 0 is a fleet that is one; {@code period} and times in
- * tenths of a millisecond.
+ * ticks.
  */
 public record ScalePlan(
         String name,
@@ -82,9 +82,9 @@
             events.add(
                     new Event(
                             Kind.valueOf(s.oneOf("kind", null, kinds).toUpperCase(Locale.ROOT)),
-                            s.time("at", null),
+                            s.duration("at", null),
                             s.line()));
-            s.done();
+            s.rejectUnknownKeys();
         }
         List<Load> loads = new ArrayList<>();
         for (TomlSection s : top.tables("load")) {
@@ -93,21 +93,21 @@
         ScalePlan plan =
                 new ScalePlan(
                         top.text("name", "scale"),
-                        top.time("settle", "12 s"),
-                        top.time("length", null),
+                        top.duration("settle", "12 s"),
+                        top.duration("length", null),
                         zones,
-                        managers.whole("hollow", 1, MOST_MANAGERS, null),
-                        managers.whole("real", 0, MOST_REAL, 0),
-                        managers.whole("cell", 0, MOST_CELL, 0),
-                        managers.whole("spread", 1, 64, 1),
-                        engines.whole("count", 1, MOST_ENGINES, null),
-                        managers.whole("in_a_process", 1, MOST_A_PROCESS, 200),
-                        top.time("probe", "200 ms"),
+                        managers.integer("hollow", 1, MOST_MANAGERS, null),
+                        managers.integer("real", 0, MOST_REAL, 0),
+                        managers.integer("cell", 0, MOST_CELL, 0),
+                        managers.integer("spread", 1, 64, 1),
+                        engines.integer("count", 1, MOST_ENGINES, null),
+                        managers.integer("in_a_process", 1, MOST_A_PROCESS, 200),
+                        top.duration("probe", "200 ms"),
                         loads,
                         events);
-        top.done();
-        managers.done();
-        engines.done();
+        top.rejectUnknownKeys();
+        managers.rejectUnknownKeys();
+        engines.rejectUnknownKeys();
         plan.check(managers, top);
         return plan;
     }
@@ -115,12 +115,12 @@
     private static Load load(TomlSection s) {
         Load load =
                 new Load(
-                        s.whole("connections", 1, MOST_CONNECTIONS, null),
-                        s.figure("rate", 0.1, MOST_RATE, null),
-                        s.time("length", "10 s"),
+                        s.integer("connections", 1, MOST_CONNECTIONS, null),
+                        s.number("rate", 0.1, MOST_RATE, null),
+                        s.duration("length", "10 s"),
                         s.flag("counted", true));
         if (load.connections > load.rate * LoadClients.MOST_REST_S) {
-            throw s.fault(
+            throw s.invalid(
                     "rate",
                     String.format(
                             Locale.ROOT,
@@ -132,7 +132,7 @@
                             load.connections / LoadClients.MOST_REST_S));
         }
         if (load.length < LEAST_LOAD || load.length > MOST_LENGTH) {
-            throw s.fault(
+            throw s.invalid(
                     "length",
                     "impossible; "
                             + LEAST_LOAD / 10_000
@@ -140,16 +140,16 @@
                             + MOST_LENGTH / 600_000
                             + " min would do");
         }
-        s.done();
+        s.rejectUnknownKeys();
         return load;
     }
 
     private void check(TomlSection managers, TomlSection top) {
         if (!loads.isEmpty() && real == 0) {
-            throw managers.fault("real", "a load wants a real manager; 1 would do");
+            throw managers.invalid("real", "a load wants a real manager; 1 would do");
         }
         if (cell > 0 && managers() % cell != 0) {
-            throw managers.fault(
+            throw managers.invalid(
                     "hollow",
                     managers()
                             + " managers are no whole number of cells of "
@@ -160,12 +160,12 @@
         }
         long fewest = IntStream.range(0, zones.size()).map(z -> cells(z)).min().orElse(0);
         if (cell > 0 && spread > fewest) {
-            throw managers.fault(
+            throw managers.invalid(
                     "spread",
                     "a zone has " + fewest + " cells; up to " + Math.max(1, fewest) + " would do");
         }
         if (length > MOST_LENGTH || settle > MOST_LENGTH) {
-            throw top.fault("length", "over " + MOST_LENGTH / 600_000 + " min; a run is bounded");
+            throw top.invalid("length", "over " + MOST_LENGTH / 600_000 + " min; a run is bounded");
         }
         for (Event e : events) {
             if (e.at >= length) {
--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -20,10 +20,10 @@
 /**
  * What control costs a manager by the size of the fleet, played in virtual time: one row of figures
  * a size, and the slope of each against the managers with its error. All of it simulated. Times are
- * tenths of a millisecond.
+ * ticks.
  */
 public final class ScalingSlopes {
-    /** Unit: tenths of a millisecond. */
+    /** Unit: ticks. */
     private static final long SECOND = 10_000;
 
     /** All are started within this, as a fleet that comes back from a power cut. */
@@ -93,7 +93,7 @@
 
     private static void start(SimulatedCells f, Shape shape, Map<String, Double> row) {
         for (ManagerHost p : f.hosts()) {
-            f.events().in(f.random().nextLong(START), p::start);
+            f.events().schedule(f.random().nextLong(START), p::start);
         }
         double worst = 0;
         long since = f.events().now();
@@ -176,7 +176,7 @@
                 ManagerHost p = f.hosts().get(f.random().nextInt(f.hosts().size()));
                 if (p.up()) {
                     p.leave();
-                    f.events().in(AWAY, p::start);
+                    f.events().schedule(AWAY, p::start);
                 }
             }
             f.advance(SECOND / 2);
@@ -199,7 +199,7 @@
                         .toList();
         killed.forEach(ManagerHost::kill);
         for (ManagerHost p : killed) {
-            f.events().in(SECOND / 2 + f.random().nextLong(BACK), p::start);
+            f.events().schedule(SECOND / 2 + f.random().nextLong(BACK), p::start);
         }
         double worst = 0;
         long sum = f.bytesByKind().values().stream().mapToLong(b -> b).sum();
--- a/src/main/java/firstage/simulation/BaselinePolicy.java
+++ b/src/main/java/firstage/simulation/BaselinePolicy.java
@@ -20,8 +20,9 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Textbook policies behind the same door, as baselines: each batch goes at once to an engine that
- * is up, batches of a key one at a time. None sends anything again, holds grants or watches health.
+ * Textbook policies behind the same door, as baselines: each request goes at once to an engine that
+ * is up, requests of a key one at a time. None sends anything again, holds grants or watches
+ * health.
  */
 final class BaselinePolicy implements SchedulingPolicy {
     /** How the engine is chosen. */
@@ -32,159 +33,162 @@
         TWO_CHOICES
     }
 
-    private static final class Open {
-        private final IncomingRequest is;
+    private static final class OpenRequest {
+        private final IncomingRequest request;
         private int engine = -1;
 
-        private Open(IncomingRequest is) {
-            this.is = is;
+        private OpenRequest(IncomingRequest is) {
+            this.request = is;
         }
     }
 
     private final Kind kind;
-    private final PolicyActions host;
+    private final PolicyActions actions;
     private final Deployment deployment;
-    private final RandomGenerator chance;
-    private final TreeMap<Integer, Integer> out = new TreeMap<>();
-    private final List<Integer> up = new ArrayList<>();
-    private final Map<Integer, Open> open = new HashMap<>();
-    private final Map<Integer, ArrayDeque<Open>> keys = new HashMap<>();
-    private final Map<Integer, Long> rests = new HashMap<>();
-    private int next;
+    private final RandomGenerator random;
+    private final TreeMap<Integer, Integer> attemptsByEngine = new TreeMap<>();
+    private final List<Integer> activeEngines = new ArrayList<>();
+    private final Map<Integer, OpenRequest> openRequests = new HashMap<>();
+    private final Map<Integer, ArrayDeque<OpenRequest>> queuesByKey = new HashMap<>();
+    private final Map<Integer, Long> quietUntilByKey = new HashMap<>();
+    private int nextRoundRobin;
 
     BaselinePolicy(Kind kind, Deployment deployment, PolicyActions host) {
         this.kind = kind;
-        this.host = host;
+        this.actions = host;
         this.deployment = deployment;
-        chance = RandomGeneratorFactory.of("L64X128MixRandom").create(deployment.seed());
+        random = RandomGeneratorFactory.of("L64X128MixRandom").create(deployment.seed());
     }
 
     @Override
-    public void onRequest(long now, IncomingRequest arrival) {
-        Open b = new Open(arrival);
-        open.put(arrival.requestId(), b);
-        TrafficClass is = deployment.trafficClasses().get(arrival.trafficClass());
-        if (is.ordered() && arrival.orderingKey() >= 0) {
-            ArrayDeque<Open> line =
-                    keys.computeIfAbsent(arrival.orderingKey(), k -> new ArrayDeque<>());
-            line.add(b);
-            if (line.size() > 1 || rests.getOrDefault(arrival.orderingKey(), 0L) > now) {
-                host.scheduleWakeUp(
-                        Math.max(1, rests.getOrDefault(arrival.orderingKey(), 0L) - now),
-                        arrival.orderingKey());
+    public void onRequest(long now, IncomingRequest request) {
+        OpenRequest openRequest = new OpenRequest(request);
+        openRequests.put(request.requestId(), openRequest);
+        TrafficClass trafficClass = deployment.trafficClasses().get(request.trafficClass());
+        if (trafficClass.ordered() && request.orderingKey() >= 0) {
+            ArrayDeque<OpenRequest> queue =
+                    queuesByKey.computeIfAbsent(request.orderingKey(), k -> new ArrayDeque<>());
+            queue.add(openRequest);
+            if (queue.size() > 1 || quietUntilByKey.getOrDefault(request.orderingKey(), 0L) > now) {
+                actions.scheduleWakeUp(
+                        Math.max(1, quietUntilByKey.getOrDefault(request.orderingKey(), 0L) - now),
+                        request.orderingKey());
                 return;
             }
         }
-        go(b);
+        start(openRequest);
     }
 
-    private void go(Open b) {
-        if (up.isEmpty()) {
-            host.reject(b.is.requestId(), 0);
-            close(b);
+    private void start(OpenRequest openRequest) {
+        if (activeEngines.isEmpty()) {
+            actions.reject(openRequest.request.requestId(), 0);
+            close(openRequest);
             return;
         }
-        b.engine = pick();
-        out.merge(b.engine, 1, Integer::sum);
-        host.startAttempt(b.is.requestId(), b.engine, 0);
+        openRequest.engine = chooseEngine();
+        attemptsByEngine.merge(openRequest.engine, 1, Integer::sum);
+        actions.startAttempt(openRequest.request.requestId(), openRequest.engine, 0);
     }
 
-    private int pick() {
+    private int chooseEngine() {
         return switch (kind) {
-            case RANDOM -> up.get(chance.nextInt(up.size()));
-            case ROUND_ROBIN -> up.get(Math.floorMod(next++, up.size()));
+            case RANDOM -> activeEngines.get(random.nextInt(activeEngines.size()));
+            case ROUND_ROBIN ->
+                    activeEngines.get(Math.floorMod(nextRoundRobin++, activeEngines.size()));
             case LEAST_OUTSTANDING -> {
-                int best = up.get(chance.nextInt(up.size()));
-                for (int e : up) {
-                    best = attemptsInFlight(e) < attemptsInFlight(best) ? e : best;
+                int best = activeEngines.get(random.nextInt(activeEngines.size()));
+                for (int candidate : activeEngines) {
+                    best = attemptsInFlight(candidate) < attemptsInFlight(best) ? candidate : best;
                 }
                 yield best;
             }
             case TWO_CHOICES -> {
-                int one = up.get(chance.nextInt(up.size()));
-                int two = up.get(chance.nextInt(up.size()));
-                yield attemptsInFlight(two) < attemptsInFlight(one) ? two : one;
+                int first = activeEngines.get(random.nextInt(activeEngines.size()));
+                int second = activeEngines.get(random.nextInt(activeEngines.size()));
+                yield attemptsInFlight(second) < attemptsInFlight(first) ? second : first;
             }
         };
     }
 
     @Override
-    public void onAttemptResult(long now, AttemptResult ending) {
-        Open b = open.get(ending.requestId());
-        if (b == null) {
+    public void onAttemptResult(long now, AttemptResult result) {
+        OpenRequest openRequest = openRequests.get(result.requestId());
+        if (openRequest == null) {
             return;
         }
-        out.merge(ending.engineId(), -1, Integer::sum);
-        b.engine = -1;
-        if (!ending.requestClosed()) {
-            if (ending.outcome().mayHaveRun) {
-                host.fail(b.is.requestId());
+        attemptsByEngine.merge(result.engineId(), -1, Integer::sum);
+        openRequest.engine = -1;
+        if (!result.requestClosed()) {
+            if (result.outcome().mayHaveRun) {
+                actions.fail(openRequest.request.requestId());
             } else {
-                host.reject(b.is.requestId(), 0);
+                actions.reject(openRequest.request.requestId(), 0);
             }
         }
-        boolean rests = ending.outcome() != AttemptOutcome.SUCCEEDED && ending.outcome().mayHaveRun;
-        if (rests && b.is.orderingKey() >= 0) {
-            this.rests.put(
-                    b.is.orderingKey(),
-                    now + Math.max(deployment.rules().keyQuietPeriod(), ending.mayStillRunFor()));
+        boolean keyQuiet =
+                result.outcome() != AttemptOutcome.SUCCEEDED && result.outcome().mayHaveRun;
+        if (keyQuiet && openRequest.request.orderingKey() >= 0) {
+            this.quietUntilByKey.put(
+                    openRequest.request.orderingKey(),
+                    now + Math.max(deployment.rules().keyQuietPeriod(), result.mayStillRunFor()));
         }
-        close(b);
-        follow(now, b.is.orderingKey());
+        close(openRequest);
+        startNextOfKey(now, openRequest.request.orderingKey());
     }
 
     /** The next of a key, once it has rested. */
-    private void follow(long now, int key) {
-        ArrayDeque<Open> line = keys.get(key);
-        if (line == null || line.isEmpty() || line.peek().engine >= 0) {
+    private void startNextOfKey(long now, int key) {
+        ArrayDeque<OpenRequest> queue = queuesByKey.get(key);
+        if (queue == null || queue.isEmpty() || queue.peek().engine >= 0) {
             return;
         }
-        long rest = rests.getOrDefault(key, 0L) - now;
-        if (rest > 0) {
-            host.scheduleWakeUp(rest, key);
+        long quietTime = quietUntilByKey.getOrDefault(key, 0L) - now;
+        if (quietTime > 0) {
+            actions.scheduleWakeUp(quietTime, key);
         } else {
-            go(line.peek());
+            start(queue.peek());
         }
     }
 
-    private void close(Open b) {
-        if (b.engine < 0 && open.remove(b.is.requestId()) != null) {
-            ArrayDeque<Open> line = keys.get(b.is.orderingKey());
-            if (line != null) {
-                line.remove(b);
-                if (line.isEmpty()) {
-                    keys.remove(b.is.orderingKey());
+    private void close(OpenRequest openRequest) {
+        if (openRequest.engine < 0
+                && openRequests.remove(openRequest.request.requestId()) != null) {
+            ArrayDeque<OpenRequest> queue = queuesByKey.get(openRequest.request.orderingKey());
+            if (queue != null) {
+                queue.remove(openRequest);
+                if (queue.isEmpty()) {
+                    queuesByKey.remove(openRequest.request.orderingKey());
                 }
             }
-            host.releaseRequest(b.is.requestId());
+            actions.releaseRequest(openRequest.request.requestId());
         }
     }
 
     @Override
-    public void onClientGone(long now, int batch) {
-        Open b = open.get(batch);
-        if (b != null && b.engine < 0) {
-            close(b);
-            follow(now, b.is.orderingKey());
+    public void onClientGone(long now, int requestId) {
+        OpenRequest openRequest = openRequests.get(requestId);
+        if (openRequest != null && openRequest.engine < 0) {
+            close(openRequest);
+            startNextOfKey(now, openRequest.request.orderingKey());
         }
     }
 
     @Override
-    public void onEndpointsUpdated(long now, EndpointUpdate list) {
-        if (list.kind() == EndpointUpdate.Kind.SNAPSHOT
-                || list.kind() == EndpointUpdate.Kind.INITIAL) {
-            up.clear();
+    public void onEndpointsUpdated(long now, EndpointUpdate update) {
+        if (update.kind() == EndpointUpdate.Kind.SNAPSHOT
+                || update.kind() == EndpointUpdate.Kind.INITIAL) {
+            activeEngines.clear();
         }
-        for (EndpointUpdate.Endpoint e : list.endpoints()) {
-            up.remove((Integer) e.engineId());
-            if (e.lifecycle() == EndpointUpdate.Lifecycle.ACTIVE) {
-                up.add(e.engineId());
+        for (EndpointUpdate.Endpoint endpoint : update.endpoints()) {
+            activeEngines.remove((Integer) endpoint.engineId());
+            if (endpoint.lifecycle() == EndpointUpdate.Lifecycle.ACTIVE) {
+                activeEngines.add(endpoint.engineId());
             }
         }
     }
 
     @Override
-    public void onAttemptProgress(long now, AttemptProgress note) {
+    public void onAttemptProgress(long now, AttemptProgress progress) {
         // None of these listens.
     }
 
@@ -200,12 +204,12 @@
 
     @Override
     public void onWakeUp(long now, long token) {
-        follow(now, (int) token);
+        startNextOfKey(now, (int) token);
     }
 
     @Override
     public int attemptsInFlight(int engine) {
-        return out.getOrDefault(engine, 0);
+        return attemptsByEngine.getOrDefault(engine, 0);
     }
 
     @Override
--- a/src/main/java/firstage/simulation/DeploymentFactory.java
+++ b/src/main/java/firstage/simulation/DeploymentFactory.java
@@ -16,30 +16,30 @@
     private DeploymentFactory() {}
 
     /** {@code bounds}: engines are told to have so many times their cores and memory. */
-    static Deployment of(FleetPlan plan, int rank, long seed, double bounds) {
-        List<TrafficClass> groups = new ArrayList<>();
-        for (FleetPlan.TrafficClassPlan g : plan.trafficClasses()) {
-            groups.add(
+    static Deployment of(FleetPlan plan, int rank, long seed, double capacityFactor) {
+        List<TrafficClass> trafficClasses = new ArrayList<>();
+        for (FleetPlan.TrafficClassPlan trafficClass : plan.trafficClasses()) {
+            trafficClasses.add(
                     new TrafficClass(
-                            g.latencyObjective(),
-                            g.latencyObjectivePerWork(),
-                            g.timeout(),
-                            g.priorityWeight(),
-                            g.lateValueShare(),
-                            g.effect(),
-                            g.idempotencyScope(),
-                            g.idempotencyWindow(),
-                            g.ordered(),
-                            g.threads(),
-                            g.tableLoad(),
-                            g.blockedByTableLoads(),
+                            trafficClass.latencyObjective(),
+                            trafficClass.latencyObjectivePerWork(),
+                            trafficClass.timeout(),
+                            trafficClass.priorityWeight(),
+                            trafficClass.lateValueShare(),
+                            trafficClass.effect(),
+                            trafficClass.idempotencyScope(),
+                            trafficClass.idempotencyWindow(),
+                            trafficClass.ordered(),
+                            trafficClass.threads(),
+                            trafficClass.tableLoad(),
+                            trafficClass.blockedByTableLoads(),
                             Set.of(),
                             Set.of()));
         }
-        FleetPlan.Engines e = plan.engines();
-        FleetPlan.Managers m = plan.managers();
-        // Customers' rates are of the whole fleet, of which so much is played.
-        double mean = plan.traffic().rate() * m.fleetSize() / m.count();
+        FleetPlan.Engines engines = plan.engines();
+        FleetPlan.Managers managers = plan.managers();
+        // Tenants' rates are of the whole fleet, of which so much is played.
+        double mean = plan.traffic().rate() * managers.fleetSize() / managers.count();
         double shares = plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).sum();
         List<Double> rates =
                 plan.tenants().size() < 2
@@ -49,25 +49,26 @@
                                 .toList();
         return new Deployment(
                 seed,
-                m.fleetSize(),
+                managers.fleetSize(),
                 rank,
                 0,
-                groups,
+                trafficClasses,
                 List.of(
                         new Deployment.MachineType(
-                                (int) Math.round(e.cores() * bounds), e.memoryMb() * bounds)),
+                                (int) Math.round(engines.cores() * capacityFactor),
+                                engines.memoryMb() * capacityFactor)),
                 rates,
                 new Deployment.Capabilities(
-                        m.cancel(),
-                        m.hedging(),
+                        managers.cancel(),
+                        managers.hedging(),
                         true,
-                        e.grants(),
-                        e.priorities(),
-                        m.maxAttempts(),
+                        engines.grants(),
+                        engines.priorities(),
+                        managers.maxAttempts(),
                         2 * (long) SECOND),
                 new Deployment.Rules(
-                        e.initialCapacityShare(),
-                        Math.round(e.warmUpDuration().high()),
+                        engines.initialCapacityShare(),
+                        Math.round(engines.warmUpDuration().high()),
                         plan.rules().overloadMultiple(),
                         plan.rules().overloadWindow(),
                         plan.rules().keyQuietPeriod(),
@@ -75,10 +76,10 @@
                         0,
                         (long) SECOND),
                 0.4,
-                e.progressInterval(),
+                engines.progressInterval(),
                 false,
                 false,
-                m.probes() ? 0.013 : -1,
+                managers.probes() ? 0.013 : -1,
                 true,
                 false);
     }
--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -50,7 +50,7 @@
         boolean isSenderAlive();
     }
 
-    /** A dispatch that is here. */
+    /** An attempt that is here. */
     public static final class RunningAttempt {
         public final TrueRequest request;
         final FleetPlan.TrafficClassPlan trafficClass;
@@ -117,8 +117,8 @@
         this.events = calendar;
         this.rules = rules;
         rulesOfPlan = plan.rules();
-        random = streams.of("engine", number);
-        RandomGenerator nature = streams.of("engine-nature", number);
+        random = streams.stream("engine", number);
+        RandomGenerator nature = streams.stream("engine-nature", number);
         speed = engineType.speed().draw(nature);
         threadsPerCoreKnee = engineType.threadsPerCoreKnee().draw(nature);
         thrashing = engineType.thrashing().draw(nature);
@@ -204,7 +204,7 @@
                         + (1 - engineType.initialCapacityShare()) * age / warmUpDuration;
     }
 
-    /** A dispatch comes in. */
+    /** An attempt comes in. */
     public void start(RunningAttempt attempt) {
         recordArrival(attempt);
         if (state == State.SILENT || state == State.HANGING) {
@@ -382,7 +382,7 @@
         if (first < Double.MAX_VALUE) {
             // A cold engine gets faster by itself: it is looked at again before long.
             long due = (long) Math.ceil(capacityShare() < 1 ? Math.min(first, 5_000) : first);
-            events.in(
+            events.schedule(
                     Math.max(1, due),
                     () -> {
                         if (mine == schedule) {
@@ -492,7 +492,7 @@
         if (engineType.progressInterval() <= 0) {
             return;
         }
-        events.in(
+        events.schedule(
                 engineType.progressInterval(),
                 () -> {
                     if (attempt.ended || state == State.SILENT || state == State.DOWN) {
--- a/src/main/java/firstage/simulation/EventQueue.java
+++ b/src/main/java/firstage/simulation/EventQueue.java
@@ -5,8 +5,7 @@
 import java.util.List;
 
 /**
- * Virtual time in tenths of a millisecond: what is due first happens first; of two due at once, the
- * one set first.
+ * Virtual time in ticks: what is due first happens first; of two due at once, the one set first.
  *
  * <p>A wheel of three levels of 1,024 slots (a slot of the first is one tenth, of the second a
  * tenth of a second, of the third 105 s), with a bit for each slot that is filled, so that setting
@@ -20,26 +19,26 @@
     private static final int MASK = SLOTS - 1;
     private static final int LEVELS = 3;
 
-    private static final class Entry {
+    private static final class ScheduledEvent {
         private final long due;
         private final long order;
-        private final Runnable what;
-        private Entry next;
+        private final Runnable action;
+        private ScheduledEvent next;
 
-        private Entry(long due, long order, Runnable what) {
+        private ScheduledEvent(long due, long order, Runnable what) {
             this.due = due;
             this.order = order;
-            this.what = what;
+            this.action = what;
         }
     }
 
-    private final Entry[][] first = new Entry[LEVELS][SLOTS];
-    private final Entry[][] last = new Entry[LEVELS][SLOTS];
+    private final ScheduledEvent[][] first = new ScheduledEvent[LEVELS][SLOTS];
+    private final ScheduledEvent[][] last = new ScheduledEvent[LEVELS][SLOTS];
     private final long[][] filled = new long[LEVELS][SLOTS / Long.SIZE];
-    private Entry beyond;
+    private ScheduledEvent overflow;
 
     /** All slots before this moment are empty. */
-    private long at;
+    private long wheelPosition;
 
     private long now;
     private long order;
@@ -47,7 +46,7 @@
 
     public EventQueue(long start) {
         now = start;
-        at = start;
+        wheelPosition = start;
     }
 
     public long now() {
@@ -60,37 +59,37 @@
     }
 
     /** Sets what is due after {@code delay}; a negative one counts as none. */
-    public void in(long delay, Runnable what) {
-        place(new Entry(now + Math.max(0, delay), order++, what));
+    public void schedule(long delay, Runnable action) {
+        insert(new ScheduledEvent(now + Math.max(0, delay), order++, action));
         size++;
     }
 
-    private void place(Entry e) {
-        e.next = null;
+    private void insert(ScheduledEvent event) {
+        event.next = null;
         // The level whose slot holds it and no slot of now's turn before it: what differs from `at`
         // decides.
-        long differs = e.due ^ at;
+        long differs = event.due ^ wheelPosition;
         int level =
                 differs < SLOTS
                         ? 0
                         : differs < 1L << 2 * BITS ? 1 : differs < 1L << 3 * BITS ? 2 : LEVELS;
         if (level == LEVELS) {
-            e.next = beyond;
-            beyond = e;
+            event.next = overflow;
+            overflow = event;
             return;
         }
-        int slot = (int) (e.due >> level * BITS) & MASK;
+        int slot = (int) (event.due >> level * BITS) & MASK;
         if (first[level][slot] == null) {
-            first[level][slot] = e;
+            first[level][slot] = event;
             filled[level][slot / Long.SIZE] |= 1L << slot;
         } else {
-            last[level][slot].next = e;
+            last[level][slot].next = event;
         }
-        last[level][slot] = e;
+        last[level][slot] = event;
     }
 
-    private Entry empty(int level, int slot) {
-        Entry all = first[level][slot];
+    private ScheduledEvent takeSlot(int level, int slot) {
+        ScheduledEvent all = first[level][slot];
         first[level][slot] = null;
         last[level][slot] = null;
         filled[level][slot / Long.SIZE] &= ~(1L << slot);
@@ -98,7 +97,7 @@
     }
 
     /** The first filled slot from this one on, or -1. */
-    private int next(int level, int from) {
+    private int nextFilledSlot(int level, int from) {
         for (int word = from / Long.SIZE; word < SLOTS / Long.SIZE; word++) {
             long bits = filled[level][word];
             if (word == from / Long.SIZE) {
@@ -112,102 +111,102 @@
     }
 
     /** Plays until this moment, or until nothing is due; returns how much happened. */
-    public long play(long until) {
-        long happened = 0;
+    public long runUntil(long until) {
+        long executed = 0;
         while (size > 0 && advance(until)) {
-            int slot = (int) at & MASK;
-            now = at;
+            int slot = (int) wheelPosition & MASK;
+            now = wheelPosition;
             // What is set for this very moment while it is played comes behind it, in the same
             // slot.
             while (first[0][slot] != null) {
-                Entry e = sorted(empty(0, slot));
-                while (e != null) {
-                    Entry after = e.next;
+                ScheduledEvent event = inOrder(takeSlot(0, slot));
+                while (event != null) {
+                    ScheduledEvent after = event.next;
                     size--;
-                    happened++;
-                    e.what.run();
-                    e = after;
+                    executed++;
+                    event.action.run();
+                    event = after;
                 }
             }
         }
         now = Math.max(now, until);
-        return happened;
+        return executed;
     }
 
     /** Moves to the next filled slot of the first level; false where nothing is due by then. */
     private boolean advance(long until) {
         while (true) {
-            int slot = next(0, (int) at & MASK);
+            int slot = nextFilledSlot(0, (int) wheelPosition & MASK);
             if (slot >= 0) {
-                long due = at & ~(long) MASK | slot;
+                long due = wheelPosition & ~(long) MASK | slot;
                 if (due > until) {
                     return false;
                 }
-                at = due;
+                wheelPosition = due;
                 return true;
             }
-            if (!turn(until)) {
+            if (!refillFirstLevel(until)) {
                 return false;
             }
         }
     }
 
     /** The first level is empty: its next turn is filled from the levels above. */
-    private boolean turn(long until) {
+    private boolean refillFirstLevel(long until) {
         for (int level = 1; level < LEVELS; level++) {
-            int here = (int) (at >> level * BITS) & MASK;
-            int slot = next(level, here);
+            int currentSlot = (int) (wheelPosition >> level * BITS) & MASK;
+            int slot = nextFilledSlot(level, currentSlot);
             if (slot >= 0) {
                 long begins =
-                        at >> (level + 1) * BITS << (level + 1) * BITS
+                        wheelPosition >> (level + 1) * BITS << (level + 1) * BITS
                                 | (long) slot << level * BITS;
                 if (begins > until) {
                     return false;
                 }
-                at = Math.max(at, begins);
-                again(empty(level, slot));
+                wheelPosition = Math.max(wheelPosition, begins);
+                insertAll(takeSlot(level, slot));
                 return true;
             }
         }
-        if (beyond == null) {
+        if (overflow == null) {
             return false;
         }
         long earliest = Long.MAX_VALUE;
-        for (Entry e = beyond; e != null; e = e.next) {
-            earliest = Math.min(earliest, e.due);
+        for (ScheduledEvent event = overflow; event != null; event = event.next) {
+            earliest = Math.min(earliest, event.due);
         }
         if (earliest > until) {
             return false;
         }
-        at = earliest;
-        Entry all = beyond;
-        beyond = null;
-        again(all);
+        wheelPosition = earliest;
+        ScheduledEvent all = overflow;
+        overflow = null;
+        insertAll(all);
         return true;
     }
 
-    private void again(Entry all) {
-        for (Entry e = all; e != null; ) {
-            Entry after = e.next;
-            place(e);
-            e = after;
+    private void insertAll(ScheduledEvent all) {
+        for (ScheduledEvent event = all; event != null; ) {
+            ScheduledEvent after = event.next;
+            insert(event);
+            event = after;
         }
     }
 
     /** What fell into one slot from two levels may stand out of order. */
-    private static Entry sorted(Entry all) {
+    private static ScheduledEvent inOrder(ScheduledEvent all) {
         boolean inOrder = true;
-        for (Entry e = all; e.next != null; e = e.next) {
-            inOrder &= e.order < e.next.order;
+        for (ScheduledEvent event = all; event.next != null; event = event.next) {
+            inOrder &= event.order < event.next.order;
         }
         if (inOrder) {
             return all;
         }
-        List<Entry> list = new ArrayList<>();
-        for (Entry e = all; e != null; e = e.next) {
-            list.add(e);
+        List<ScheduledEvent> list = new ArrayList<>();
+        for (ScheduledEvent event = all; event != null; event = event.next) {
+            list.add(event);
         }
-        list.sort(Comparator.comparingLong(e -> e.order));
+        list.sort(Comparator.comparingLong(event -> event.order));
         for (int i = 0; i < list.size(); i++) {
             list.get(i).next = i + 1 < list.size() ? list.get(i + 1) : null;
         }
--- a/src/main/java/firstage/simulation/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -6,10 +6,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/**
- * What a fleet file sets. Times are tenths of a millisecond, memory MB, work the time of one thread
- * on one core.
- */
+/** What a fleet file sets. Times are ticks, memory MB, work the time of one thread on one core. */
 public record FleetPlan(
         String name,
         long length,
@@ -61,7 +58,7 @@
             DIE,
             /** Engines say nothing, new connections never come up; they come back cold. */
             SILENCE,
-            /** Engines take batches and end none. */
+            /** Engines take requests and end none. */
             HANG,
             /** Engines drain for {@code length}, die, and come back cold. */
             DRAIN,
@@ -139,8 +136,8 @@
     /**
      * One kind of engine. {@code threadsPerCoreKnee}: threads a core up to which all work; {@code
      * thrashing}: of the work that each further thread a core costs; {@code spillCost}: further
-     * work of a batch with no memory at all; {@code warmTableGain}: of the reading that warm tables
-     * save; {@code initialCapacityShare}: of its capacity at a start.
+     * work of a request with no memory at all; {@code warmTableGain}: of the reading that warm
+     * tables save; {@code initialCapacityShare}: of its capacity at a start.
      */
     public record Engines(
             int count,
@@ -173,7 +170,7 @@
     public record Rules(
             long drainGrace, double overloadMultiple, long overloadWindow, long keyQuietPeriod) {}
 
-    /** Weights of the whole run, its worst 10 s, its worst-served group and customer. */
+    /** Weights of the whole run, its worst 10 s, its worst-served group and tenant. */
     public record ScoreWeights(
             double wholeRun, double worstSpan, double worstTrafficClass, double worstTenant) {}
 
@@ -234,15 +231,15 @@
             CRASH,
             /** Engines say nothing, and come back cold. */
             SILENCE,
-            /** Engines take batches and end none. */
+            /** Engines take requests and end none. */
             HANG,
-            /** Engines drain, a batch of them at a time, and are replaced by cold ones. */
+            /** Engines drain, a request of them at a time, and are replaced by cold ones. */
             RELEASE,
             /** Managers are killed and come back with nothing. */
             RESTART,
             /** Traffic times {@code size}. */
             BURST,
-            /** {@code extra} of one group's batches cost {@code size} times; estimates show it. */
+            /** {@code extra} of one group's requests cost {@code size} times; estimates show it. */
             EXPENSIVE,
             /** The same, and estimates do not. */
             EXPENSIVE_UNSEEN,
--- a/src/main/java/firstage/simulation/FleetPlanReader.java
+++ b/src/main/java/firstage/simulation/FleetPlanReader.java
@@ -32,7 +32,7 @@
         FleetPlan plan =
                 new FleetPlan(
                         top.text("name", "fleet"),
-                        top.time("length", null),
+                        top.duration("length", null),
                         managers,
                         engines,
                         net(top.table("net")),
@@ -46,7 +46,7 @@
                         zones,
                         faults(top, zones, managers.count(), engines.count()),
                         expects(top));
-        top.done();
+        top.rejectUnknownKeys();
         return plan;
     }
 
@@ -58,7 +58,7 @@
         List<String> zones =
                 Arrays.stream(top.text("zones", "a").split(",")).map(String::trim).toList();
         if (zones.contains("") || Set.copyOf(zones).size() < zones.size()) {
-            throw top.fault(
+            throw top.invalid(
                     "zones",
                     "'"
                             + String.join(", ", zones)
@@ -95,7 +95,7 @@
                             || kind == FleetPlan.Fault.Kind.HANG
                             || kind == FleetPlan.Fault.Kind.DRAIN;
             if (who != null && !way && who.isEngines() != toEngines) {
-                throw s.fault(
+                throw s.invalid(
                         "who",
                         "a "
                                 + kind.name().toLowerCase(Locale.ROOT)
@@ -108,14 +108,14 @@
                     new FleetPlan.Fault(
                             s.line(),
                             kind,
-                            s.time("at", null),
-                            s.time("length", "0 s"),
+                            s.duration("at", null),
+                            s.duration("length", "0 s"),
                             who,
                             to,
                             s.flag("one_way", false),
-                            s.figure("size", 0, 100_000, 1.0),
-                            s.time("every", "0 s")));
-            s.done();
+                            s.number("size", 0, 100_000, 1.0),
+                            s.duration("every", "0 s")));
+            s.rejectUnknownKeys();
         }
         return faults;
     }
@@ -125,7 +125,7 @@
         try {
             return FaultTarget.of(s.text(key, null), zones, managers, engines);
         } catch (IllegalArgumentException fault) {
-            throw s.fault(key, fault.getMessage());
+            throw s.invalid(key, fault.getMessage());
         }
     }
 
@@ -136,23 +136,23 @@
                     new FleetPlan.Expectation(
                             s.line(),
                             s.text("figure", null),
-                            s.figure("least", -1e9, 1e9, -1e9),
-                            s.figure("most", -1e9, 1e9, 1e9)));
-            s.done();
+                            s.number("least", -1e9, 1e9, -1e9),
+                            s.number("most", -1e9, 1e9, 1e9)));
+            s.rejectUnknownKeys();
         }
         return expects;
     }
 
     private static FleetPlan.Managers managers(TomlSection s, int zones) {
-        int count = s.whole("count", 1, 4_000, null);
-        int of = s.whole("of", 1, 10_000, count);
-        int cell = s.whole("cell", 0, 4_000, 0);
-        int spread = s.whole("spread", 1, 100, 1);
+        int count = s.integer("count", 1, 4_000, null);
+        int of = s.integer("of", 1, 10_000, count);
+        int cell = s.integer("cell", 0, 4_000, 0);
+        int spread = s.integer("spread", 1, 100, 1);
         if (of < count) {
-            throw s.fault("of", of + " is under count; " + count + " and more would do");
+            throw s.invalid("of", of + " is under count; " + count + " and more would do");
         }
         if (cell > 0 && (count % (cell * zones) != 0 || spread > count / cell / zones)) {
-            throw s.fault(
+            throw s.invalid(
                     count % (cell * zones) != 0 ? "cell" : "spread",
                     count
                             + " managers are not "
@@ -170,65 +170,65 @@
                         cell,
                         spread,
                         s.share("unequal", 0.0),
-                        s.times("list_delay", "1 s to 3 s"),
+                        s.durationRange("list_delay", "1 s to 3 s"),
                         s.flag("probes", false),
                         s.flag("second_copies", false),
                         s.flag("call_off", false),
-                        s.whole("dispatches", 1, 100, 6),
-                        s.times("restart", "500 ms to 1500 ms"));
-        s.done();
+                        s.integer("dispatches", 1, 100, 6),
+                        s.durationRange("restart", "500 ms to 1500 ms"));
+        s.rejectUnknownKeys();
         return m;
     }
 
     private static FleetPlan.Engines engines(TomlSection s) {
         FleetPlan.Engines e =
                 new FleetPlan.Engines(
-                        s.whole("count", 1, 10_000, null),
-                        s.whole("cores", 1, 1_024, null),
-                        s.size("memory", null),
-                        s.figures("speed", 0.01, 100, "1"),
-                        s.figures("knee", 0.1, 100, "1.3 to 2.2"),
-                        s.figures("thrash", 0, 10, "0.3 to 0.6"),
-                        s.figure("disks", 0.1, 1_000, 0.5),
-                        s.figures("spill", 0, 100, "1.5 to 3"),
-                        s.whole("sessions", 1, 10_000, 64),
-                        s.whole("warm_tables", 0, 1_000, 4),
+                        s.integer("count", 1, 10_000, null),
+                        s.integer("cores", 1, 1_024, null),
+                        s.sizeMb("memory", null),
+                        s.numberRange("speed", 0.01, 100, "1"),
+                        s.numberRange("knee", 0.1, 100, "1.3 to 2.2"),
+                        s.numberRange("thrash", 0, 10, "0.3 to 0.6"),
+                        s.number("disks", 0.1, 1_000, 0.5),
+                        s.numberRange("spill", 0, 100, "1.5 to 3"),
+                        s.integer("sessions", 1, 10_000, 64),
+                        s.integer("warm_tables", 0, 1_000, 4),
                         s.share("warm_gain", 0.5),
                         s.share("cold_from", 0.3),
-                        s.times("warm_after", "13 s"),
+                        s.durationRange("warm_after", "13 s"),
                         s.flag("grants", true),
                         s.flag("priorities", true),
-                        s.time("notes", "500 ms"),
+                        s.duration("notes", "500 ms"),
                         s.share("errs", 0.0));
-        s.done();
+        s.rejectUnknownKeys();
         return e;
     }
 
     private static FleetPlan.Network net(TomlSection s) {
-        FleetPlan.Network n = new FleetPlan.Network(s.times("way", "0.2 ms to 1 ms"));
-        s.done();
+        FleetPlan.Network n = new FleetPlan.Network(s.durationRange("way", "0.2 ms to 1 ms"));
+        s.rejectUnknownKeys();
         return n;
     }
 
     private static FleetPlan.Clients clients(TomlSection s) {
         FleetPlan.Clients c =
                 new FleetPlan.Clients(
-                        s.whole("retries", 0, 100, 1),
-                        s.times("wait", "100 ms to 500 ms"),
+                        s.integer("retries", 0, 100, 1),
+                        s.durationRange("wait", "100 ms to 500 ms"),
                         s.share("try_share", 1.0),
                         s.share("honour", 0.7));
-        s.done();
+        s.rejectUnknownKeys();
         return c;
     }
 
     private static FleetPlan.Rules rules(TomlSection s) {
         FleetPlan.Rules r =
                 new FleetPlan.Rules(
-                        s.time("drain_grace", "500 ms"),
-                        s.figure("tip_multiple", 0, 100, 2.0),
-                        s.time("fall", "2 s"),
-                        s.time("key_rest", "0 s"));
-        s.done();
+                        s.duration("drain_grace", "500 ms"),
+                        s.number("tip_multiple", 0, 100, 2.0),
+                        s.duration("fall", "2 s"),
+                        s.duration("key_rest", "0 s"));
+        s.rejectUnknownKeys();
         return r;
     }
 
@@ -239,7 +239,7 @@
                         s.share("worst_span", 0.2),
                         s.share("worst_group", 0.2),
                         s.share("worst_customer", 0.1));
-        s.done();
+        s.rejectUnknownKeys();
         return g;
     }
 
@@ -247,13 +247,13 @@
         FleetPlan.Traffic t =
                 new FleetPlan.Traffic(
                         s.oneOf("kind", "steady", TrafficShape.NAMES),
-                        s.figure("rate", 0.001, 1e6, null),
+                        s.number("rate", 0.001, 1e6, null),
                         s.share("swing", 0.2),
-                        s.whole("keys", 0, 1_000_000, 0),
-                        s.figure("key_heat", 0, 3, 0.8),
-                        s.whole("tables", 1, 100_000, 20),
-                        s.figure("table_heat", 0, 3, 0.7));
-        s.done();
+                        s.integer("keys", 0, 1_000_000, 0),
+                        s.number("key_heat", 0, 3, 0.8),
+                        s.integer("tables", 1, 100_000, 20),
+                        s.number("table_heat", 0, 3, 0.7));
+        s.rejectUnknownKeys();
         return t;
     }
 
@@ -264,15 +264,15 @@
                     new FleetPlan.TrafficClassPlan(
                             s.text("name", null),
                             s.share("share", null),
-                            s.time("work", null),
-                            s.figure("spread", 0, 5, 0.8),
+                            s.duration("work", null),
+                            s.number("spread", 0, 5, 0.8),
                             s.share("io", 0.3),
-                            s.whole("threads", 1, 256, 1),
-                            s.size("memory", null),
-                            s.time("goal", null),
-                            s.figure("stretch", 0, 100, 0.0),
-                            s.time("limit", null),
-                            s.figure("utility", 0, 1e6, 1.0),
+                            s.integer("threads", 1, 256, 1),
+                            s.sizeMb("memory", null),
+                            s.duration("goal", null),
+                            s.number("stretch", 0, 100, 0.0),
+                            s.duration("limit", null),
+                            s.number("utility", 0, 1e6, 1.0),
                             s.share("late_value", 0.0),
                             effect(
                                     s.oneOf(
@@ -282,14 +282,14 @@
                             Scope.valueOf(
                                     s.oneOf("scope", "all", List.of("all", "zone", "cell"))
                                             .toUpperCase(Locale.ROOT)),
-                            s.time("window", "5 s"),
+                            s.duration("window", "5 s"),
                             s.flag("ordered", false),
                             s.flag("load", false),
                             s.flag("yields", false),
                             s.share("bad_plans", 0.0),
-                            s.figure("estimate_low", 0.01, 100, 1.0),
-                            s.figure("estimate_scatter", 0, 5, 0.4)));
-            s.done();
+                            s.number("estimate_low", 0.01, 100, 1.0),
+                            s.number("estimate_scatter", 0, 5, 0.4)));
+            s.rejectUnknownKeys();
         }
         if (groups.isEmpty()) {
             throw new InvalidPlanException(
@@ -312,7 +312,7 @@
         List<FleetPlan.TenantPlan> customers = new ArrayList<>();
         for (TomlSection s : all) {
             customers.add(new FleetPlan.TenantPlan(s.text("name", null), s.share("share", null)));
-            s.done();
+            s.rejectUnknownKeys();
         }
         return customers.isEmpty() ? List.of(new FleetPlan.TenantPlan("all", 1)) : customers;
     }
@@ -332,13 +332,13 @@
             troubles.add(
                     new FleetPlan.Disturbance(
                             kind,
-                            s.time("at", null),
-                            s.time("length", "0 s"),
+                            s.duration("at", null),
+                            s.duration("length", "0 s"),
                             s.share("part", 1.0),
-                            s.figure("size", 0, 1_000, 1.0),
+                            s.number("size", 0, 1_000, 1.0),
                             s.share("extra", 0.01),
-                            s.whole("group", 0, 1_000, 0)));
-            s.done();
+                            s.integer("group", 0, 1_000, 0)));
+            s.rejectUnknownKeys();
         }
         return troubles;
     }
--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -16,7 +16,7 @@
 
 /**
  * One run of a fleet: the same plan, choice and seed give the same result, and two choices of one
- * seed meet the same traffic, engines and troubles.
+ * seed meet the same traffic, engines and faults.
  */
 public final class FleetSimulation implements ManagerModel.ClientActions {
     private static final long START = 1_000_000;
@@ -57,7 +57,7 @@
         rules = new RuleChecker(plan);
         scoreboard = new Scoreboard(plan, START);
         traffic = new TrafficSource(plan, randomStreams);
-        clients = new ClientBehavior(plan, randomStreams.of("clients", 0));
+        clients = new ClientBehavior(plan, randomStreams.stream("clients", 0));
         for (int engine = 0; engine < plan.engines().count(); engine++) {
             engines.add(new EngineModel(engine, plan, events, randomStreams, rules));
         }
@@ -93,12 +93,12 @@
     private SimulationResult play(PolicyUnderTest policyUnderTest, long seed) {
         managers.forEach(ManagerModel::start);
         if (policyUnderTest.peers() != null) {
-            gossip(randomStreams.of("gossip", 0));
+            gossip(randomStreams.stream("gossip", 0));
         }
         int number = 0;
         for (Disturbance disturbance : plan.disturbances()) {
-            RandomGenerator random = randomStreams.of("trouble", number++);
-            events.in(disturbance.at(), () -> inject(disturbance, random));
+            RandomGenerator random = randomStreams.stream("trouble", number++);
+            events.schedule(disturbance.at(), () -> inject(disturbance, random));
         }
         for (FleetPlan.Fault fault : plan.faults()) {
             if (!fault.simulated()) {
@@ -106,18 +106,18 @@
                         fault.line(),
                         "fault: the fleet model has no "
                                 + fault.kind().name().toLowerCase(Locale.ROOT)
-                                + "; play this plan on processes (yard run)");
+                                + "; play this plan on processes (fault-test run)");
             }
-            RandomGenerator random = randomStreams.of("fault", number++);
-            events.in(fault.at(), () -> inject(fault, random));
+            RandomGenerator random = randomStreams.stream("fault", number++);
+            events.schedule(fault.at(), () -> inject(fault, random));
         }
-        events.in(traffic.next(START, START, 1) - START, this::onArrival);
+        events.schedule(traffic.nextArrival(START, START, 1) - START, this::onArrival);
         long longest =
                 plan.trafficClasses().stream()
                         .mapToLong(FleetPlan.TrafficClassPlan::timeout)
                         .max()
                         .orElse(0);
-        long happened = events.play(START + plan.length() + longest + COOL_DOWN);
+        long happened = events.runUntil(START + plan.length() + longest + COOL_DOWN);
         Map<String, Double> figures = scoreboard.figures();
         figures.put(
                 "to a sick engine a s",
@@ -127,7 +127,7 @@
                 seed,
                 figures,
                 rules.violations(),
-                scoreboard.batches(),
+                scoreboard.requests(),
                 happened);
     }
 
@@ -148,7 +148,7 @@
             }
         }
         if (events.now() < START + plan.length()) {
-            events.in(ManagerModel.GOSSIP_PERIOD, () -> gossip(random));
+            events.schedule(ManagerModel.GOSSIP_PERIOD, () -> gossip(random));
         }
     }
 
@@ -164,15 +164,15 @@
             return;
         }
         TrueRequest request = traffic.draw(now, expensiveWork);
-        scoreboard.asked(request);
+        scoreboard.onRequested(request);
         sendToManager(request);
-        events.in(traffic.next(now, START, trafficFactor) - now, this::onArrival);
+        events.schedule(traffic.nextArrival(now, START, trafficFactor) - now, this::onArrival);
     }
 
     private void sendToManager(TrueRequest request) {
         long now = events.now();
         request.tries++;
-        ManagerModel to = managers.get(clients.manager(request));
+        ManagerModel to = managers.get(clients.managerFor(request));
         long patience =
                 Math.round(
                         (request.deadline - request.firstRequestedAt)
@@ -189,9 +189,9 @@
                 harmless
                         || plan.trafficClasses().get(request.trafficClass).effect()
                                 != Effect.NON_IDEMPOTENT;
-        long wait = clients.again(request, events.now(), retryAfter, may);
+        long wait = clients.retryDelay(request, events.now(), retryAfter, may);
         if (wait >= 0) {
-            events.in(wait, () -> sendToManager(request));
+            events.schedule(wait, () -> sendToManager(request));
         }
     }
 
@@ -199,23 +199,23 @@
     public void onSucceeded(TrueRequest request) {
         if (!request.succeeded) {
             request.succeeded = true;
-            scoreboard.returned(events.now(), request);
+            scoreboard.onSucceeded(events.now(), request);
         }
     }
 
     @Override
     public void onRejected(TrueRequest request, long retryAfter) {
-        scoreboard.pushedBack();
+        scoreboard.onRejected();
         retryLater(request, retryAfter, true);
     }
 
     @Override
     public void onFailed(TrueRequest request) {
-        scoreboard.errored();
+        scoreboard.onFailed();
         retryLater(request, 0, false);
     }
 
-    // ---- Troubles.
+    // ---- Faults.
     private List<Integer> drawAffected(int of, double part, RandomGenerator random) {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < of; i++) {
@@ -256,7 +256,7 @@
                             .forEach(
                                     engine -> {
                                         engines.get(engine).setState(EngineModel.State.HANGING);
-                                        events.in(
+                                        events.schedule(
                                                 disturbance.length(),
                                                 () ->
                                                         engines.get(engine)
@@ -267,13 +267,13 @@
                     drawAffected(managers.size(), disturbance.affectedShare(), random)
                             .forEach(
                                     m ->
-                                            events.in(
+                                            events.schedule(
                                                     disturbance.length() > 0
                                                             ? random.nextLong(disturbance.length())
                                                             : 0,
                                                     () -> {
                                                         managers.get(m).kill();
-                                                        events.in(
+                                                        events.schedule(
                                                                 plan.managers()
                                                                         .restartTime()
                                                                         .drawTime(random),
@@ -281,22 +281,22 @@
                                                     }));
             case BURST -> {
                 trafficFactor = disturbance.size();
-                events.in(disturbance.length(), () -> trafficFactor = 1);
+                events.schedule(disturbance.length(), () -> trafficFactor = 1);
             }
             case EXPENSIVE, EXPENSIVE_UNSEEN -> {
                 expensiveWork.add(disturbance);
-                events.in(disturbance.length(), () -> expensiveWork.remove(disturbance));
+                events.schedule(disturbance.length(), () -> expensiveWork.remove(disturbance));
             }
             case SLOW -> {
                 engines.forEach(engine -> engine.slowdown(disturbance.size()));
-                events.in(
+                events.schedule(
                         disturbance.length(), () -> engines.forEach(engine -> engine.slowdown(1)));
             }
             case LATE_REPORTS -> {
                 managers.forEach(
                         manager ->
                                 manager.loadReportDelay(Math.round(disturbance.size() * 10_000)));
-                events.in(
+                events.schedule(
                         disturbance.length(),
                         () -> managers.forEach(manager -> manager.loadReportDelay(0)));
             }
@@ -337,7 +337,7 @@
                             engine -> {
                                 faultySeconds += fault.length() / 1e4;
                                 engines.get(engine).setState(EngineModel.State.HANGING);
-                                events.in(
+                                events.schedule(
                                         fault.length(),
                                         () -> engines.get(engine).setState(EngineModel.State.UP));
                             });
@@ -345,13 +345,13 @@
                     struck.forEach(
                             m -> {
                                 managers.get(m).kill();
-                                events.in(
+                                events.schedule(
                                         plan.managers().restartTime().drawTime(random),
                                         () -> managers.get(m).start());
                             });
             default -> {
                 trafficFactor = fault.size();
-                events.in(fault.length(), () -> trafficFactor = 1);
+                events.schedule(fault.length(), () -> trafficFactor = 1);
             }
         }
     }
@@ -361,7 +361,7 @@
         faultySeconds += length / 1e4;
         engines.get(engine).setState(state);
         announce(engine, Lifecycle.GONE, 0, later, random);
-        events.in(
+        events.schedule(
                 length,
                 () -> {
                     engines.get(engine).setState(EngineModel.State.UP);
@@ -374,7 +374,7 @@
             int engine, Lifecycle standing, long since, int later, RandomGenerator random) {
         int said = ++endpointVersions[engine];
         for (ManagerModel manager : managers) {
-            events.in(
+            events.schedule(
                     later * plan.managers().discoveryDelay().drawTime(random),
                     () -> {
                         if (endpointVersions[engine] == said || later == 1) {
@@ -390,12 +390,12 @@
         int steps = (all.size() + each - 1) / each;
         for (int i = 0; i < all.size(); i++) {
             int engine = all.get(i);
-            events.in(
+            events.schedule(
                     i / each * (disturbance.length() / Math.max(1, steps)),
                     () -> {
                         engines.get(engine).setState(EngineModel.State.DRAINING);
                         announce(engine, Lifecycle.DRAINING, 0, 1, random);
-                        events.in(
+                        events.schedule(
                                 DRAIN_DURATION,
                                 () ->
                                         takeDown(
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -24,7 +24,7 @@
 
 /**
  * One manager of the fleet: the decisions behind their door, and what carries them in virtual time.
- * It hands the decisions estimates and what is observed, never what a batch truly costs.
+ * It hands the decisions estimates and what is observed, never what a request truly costs.
  */
 final class ManagerModel implements PolicyActions {
     private static final long CONNECT_TIMEOUT = 2_500;
@@ -45,7 +45,7 @@
 
         void onFailed(TrueRequest is);
 
-        /** A dispatch goes to an engine that is down, silent or hangs. */
+        /** An attempt goes to an engine that is down, silent or hangs. */
         void onSentToFaultyEngine();
     }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    /** A dispatch that is out, from here to its outcome. */
+    /** An attempt that is out, from here to its outcome. */
     private final class ModelledAttempt implements EngineModel.Listener {
         private final OpenRequest openRequest;
         private final EngineModel engine;
@@ -91,12 +91,12 @@
 
         @Override
         public void onEnded(RunningAttempt ended, AttemptOutcome outcome) {
-            events.in(drawDelay(), () -> ended(outcome));
+            events.schedule(drawDelay(), () -> ended(outcome));
         }
 
         @Override
         public void onProgress(RunningAttempt noted, AttemptProgress.Kind what, double amount) {
-            events.in(
+            events.schedule(
                     drawDelay(),
                     () -> {
                         if (!ended && ownIncarnation == incarnation) {
@@ -190,7 +190,7 @@
         this.rules = rules;
         this.engines = engines;
         this.clientActions = answers;
-        random = streams.of("manager", number);
+        random = streams.stream("manager", number);
         cells = plan.cells();
         for (EngineModel engineModel : engines) {
             if (servesEngine(engineModel.number())) {
@@ -275,7 +275,7 @@
                         policy.lastResponseAt(e));
             }
             fleetCoordinator.evaluate(events.now(), policy.demand(events.now()));
-            events.in(EVALUATION_INTERVAL, () -> evaluateFleet(ownIncarnation));
+            events.schedule(EVALUATION_INTERVAL, () -> evaluateFleet(ownIncarnation));
         }
     }
 
@@ -283,7 +283,7 @@
     void sendDigest(ManagerModel other) {
         if (fleetCoordinator != null && up) {
             byte[] digest = fleetCoordinator.encodeDigest(events.now());
-            events.in(
+            events.schedule(
                     drawDelay(),
                     () -> {
                         if (other.up && other.fleetCoordinator != null) {
@@ -330,7 +330,7 @@
         if (!actionsScheduled) {
             actionsScheduled = true;
             int ownIncarnation = incarnation;
-            events.in(
+            events.schedule(
                     0,
                     () -> {
                         actionsScheduled = false;
@@ -349,8 +349,8 @@
         openRequests.add(openRequest);
         rules.onAccepted(openRequest.clientTry);
         int ownIncarnation = incarnation;
-        events.in(deadline - events.now(), () -> onDeadline(openRequest, ownIncarnation));
-        events.in(
+        events.schedule(deadline - events.now(), () -> onDeadline(openRequest, ownIncarnation));
+        events.schedule(
                 deadline - events.now() + 250,
                 () -> rules.onDeadlinePassed(events.now(), openRequest.clientTry));
         policy.onRequest(
@@ -379,7 +379,7 @@
             }
             attempt.ended(AttemptOutcome.TIMED_OUT);
         }
-        events.in(
+        events.schedule(
                 100,
                 () -> {
                     if (ownIncarnation == incarnation && !openRequest.answered) {
@@ -428,7 +428,7 @@
         openRequest.grantMb = grantMb;
         openRequest.priority = priority;
         for (ModelledAttempt attempt : openRequest.attemptsInFlight) {
-            events.in(drawDelay(), () -> attempt.engine.setPriority(attempt.job, priority));
+            events.schedule(drawDelay(), () -> attempt.engine.setPriority(attempt.job, priority));
         }
     }
 
@@ -448,9 +448,9 @@
         if (fresh) {
             // A new connection to a machine that is gone never comes up; what goes out on an old
             // one is lost.
-            events.in(CONNECT_TIMEOUT, () -> attempt.ended(AttemptOutcome.CONNECT_FAILED));
+            events.schedule(CONNECT_TIMEOUT, () -> attempt.ended(AttemptOutcome.CONNECT_FAILED));
         } else {
-            events.in(drawDelay(), () -> engineModel.start(attempt.job));
+            events.schedule(drawDelay(), () -> engineModel.start(attempt.job));
         }
     }
 
@@ -458,8 +458,8 @@
     public void cancelAttempt(int request, int attemptNumber) {
         for (ModelledAttempt attempt : List.copyOf(requestIds.idOf(request).attemptsInFlight)) {
             if (attempt.number == attemptNumber) {
-                events.in(drawDelay(), () -> attempt.engine.cancel(attempt.job));
-                events.in(1, () -> attempt.ended(AttemptOutcome.CANCELLED));
+                events.schedule(drawDelay(), () -> attempt.engine.cancel(attempt.job));
+                events.schedule(1, () -> attempt.ended(AttemptOutcome.CANCELLED));
             }
         }
     }
@@ -514,7 +514,7 @@
                         Double.NaN,
                         Double.NaN,
                         Double.NaN);
-        events.in(
+        events.schedule(
                 answers ? 2 * drawDelay() + loadReportDelay : CONNECT_TIMEOUT,
                 () -> {
                     if (ownIncarnation == incarnation) {
@@ -531,7 +531,7 @@
     @Override
     public void scheduleWakeUp(long delay, long token) {
         int ownIncarnation = incarnation;
-        events.in(
+        events.schedule(
                 Math.max(1, delay),
                 () -> {
                     if (ownIncarnation == incarnation && up) {
--- a/src/main/java/firstage/simulation/PairedComparison.java
+++ b/src/main/java/firstage/simulation/PairedComparison.java
@@ -12,8 +12,8 @@
  * and it is said how many runs would be likely to.
  */
 public final class PairedComparison {
-    private static final double SURE = 0.95;
-    private static final int MOST_RUNS = 100_000;
+    private static final double CONFIDENCE = 0.95;
+    private static final int MAX_RUNS = 100_000;
 
     /** Who is better by a figure. */
     public enum Verdict {
@@ -23,18 +23,21 @@
         BROKEN
     }
 
-    /** {@code bar}: half the width of the interval round {@code difference} (right less left). */
+    /**
+     * {@code halfInterval}: half the width of the interval round {@code difference} (right less
+     * left).
+     */
     public record Row(
             String figure,
             double left,
             double right,
             double difference,
-            double bar,
+            double halfInterval,
             Verdict verdict,
             int runsNeeded) {}
 
     private final List<Row> rows = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private final int runs;
 
     /** Both sides in the order of the same seeds, at least two. */
@@ -51,25 +54,32 @@
             add(right.get(i));
         }
         List<String> names = List.copyOf(left.get(0).figures().keySet());
-        double wide =
+        double quantile =
                 new TDistribution(runs - 1)
-                        .inverseCumulativeProbability(1 - (1 - SURE) / 2 / names.size());
+                        .inverseCumulativeProbability(1 - (1 - CONFIDENCE) / 2 / names.size());
         for (String name : names) {
-            rows.add(row(name, left, right, wide));
+            rows.add(row(name, left, right, quantile));
         }
     }
 
     private void add(SimulationResult result) {
-        result.broken().stream()
+        result.violations().stream()
                 .limit(1)
                 .forEach(
                         what ->
-                                broken.add(
-                                        result.choice() + ", seed " + result.seed() + ": " + what));
+                                violations.add(
+                                        result.policyName()
+                                                + ", seed "
+                                                + result.seed()
+                                                + ": "
+                                                + what));
     }
 
     private Row row(
-            String name, List<SimulationResult> left, List<SimulationResult> right, double wide) {
+            String name,
+            List<SimulationResult> left,
+            List<SimulationResult> right,
+            double quantile) {
         SummaryStatistics lefts = new SummaryStatistics();
         SummaryStatistics rights = new SummaryStatistics();
         SummaryStatistics differences = new SummaryStatistics();
@@ -81,31 +91,33 @@
             differences.addValue(r - l);
         }
         double mean = differences.getMean();
-        double bar = wide * differences.getStandardDeviation() / Math.sqrt(runs);
-        boolean told = Math.abs(mean) > bar && mean != 0;
+        double halfInterval = quantile * differences.getStandardDeviation() / Math.sqrt(runs);
+        boolean significant = Math.abs(mean) > halfInterval && mean != 0;
         Verdict verdict =
-                !broken.isEmpty()
+                !violations.isEmpty()
                         ? Verdict.BROKEN
-                        : !told
+                        : !significant
                                 ? Verdict.NONE
                                 : mean > 0 == moreIsBetter(name) ? Verdict.RIGHT : Verdict.LEFT;
         double needed =
                 mean == 0
-                        ? MOST_RUNS
-                        : Math.pow(wide * differences.getStandardDeviation() / mean, 2);
+                        ? MAX_RUNS
+                        : Math.pow(quantile * differences.getStandardDeviation() / mean, 2);
         return new Row(
                 name,
                 lefts.getMean(),
                 rights.getMean(),
                 mean,
-                bar,
+                halfInterval,
                 verdict,
-                told ? runs : (int) Math.min(MOST_RUNS, Math.max(runs + 1, Math.ceil(needed))));
+                significant
+                        ? runs
+                        : (int) Math.min(MAX_RUNS, Math.max(runs + 1, Math.ceil(needed))));
     }
 
     /**
-     * Shares of utility, of which more is better; of latencies, pushbacks, errors and late answers
-     * less is.
+     * Shares of priority weight, of which more is better; of latencies, rejections, errors and late
+     * answers less is.
      */
     public static boolean moreIsBetter(String name) {
         return !name.contains(" ms ")
@@ -120,8 +132,8 @@
     }
 
     /** The first that broke in each run that broke one: such a comparison has no verdict. */
-    public List<String> broken() {
-        return broken;
+    public List<String> violations() {
+        return violations;
     }
 
     public int runs() {
@@ -130,6 +142,6 @@
 
     /** By the first figure, service as a whole. */
     public Verdict verdict() {
-        return broken.isEmpty() ? rows.get(0).verdict() : Verdict.BROKEN;
+        return violations.isEmpty() ? rows.get(0).verdict() : Verdict.BROKEN;
     }
 }
--- a/src/main/java/firstage/simulation/RandomStreams.java
+++ b/src/main/java/firstage/simulation/RandomStreams.java
@@ -5,8 +5,8 @@
 
 /**
  * A stream of chance for each actor, told by its kind and number: adding an actor shifts no other's
- * draws, so two choices played on one seed meet the same traffic and the same troubles (common
- * random numbers).
+ * draws, so two choices played on one seed meet the same traffic and the same faults (common random
+ * numbers).
  */
 public final class RandomStreams {
     private static final RandomGeneratorFactory<RandomGenerator> KIND =
@@ -17,13 +17,13 @@
         this.seed = seed;
     }
 
-    public RandomGenerator of(String kind, long number) {
+    public RandomGenerator stream(String kind, long number) {
         return KIND.create(mix(mix(seed) ^ kind.hashCode()) ^ mix(number + 0x9E3779B97F4A7C15L));
     }
 
     /** A seed for another such set. */
     public long seed(String kind, long number) {
-        return of(kind, number).nextLong();
+        return stream(kind, number).nextLong();
     }
 
     /** The finalizer of SplitMix64: one bit in changes half of those out. */
--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -9,17 +9,17 @@
 
 /**
  * The rules, by what crosses between managers, engines and clients; it never asks what a manager
- * remembers. What it can see of each: 1 one answer for each try, in time; 2 once-only batches at
- * engines once, pushed back only while none may have run, referenced ones within their window; 3
- * nothing to an engine past the grace after its drain was told; 4 no cold engine pushed over; 5 one
- * at a time and in turn for each key and manager, with its rest. A fleet file states neither places
- * (6) nor a budget (7).
+ * remembers. What it can see of each: 1 one answer for each try, in time; 2 non-idempotent requests
+ * at engines once, rejected only while none may have run, those with an idempotency key within
+ * their window; 3 nothing to an engine past the grace after its drain was told; 4 no cold engine
+ * pushed over; 5 one at a time and in turn for each key and manager, with its rest. A fleet file
+ * states neither places (6) nor a budget (7).
  */
 public final class RuleChecker {
     private static final long ANSWER_SLACK = 200;
     private static final int MAX_VIOLATIONS_KEPT = 20;
 
-    /** One try of a batch at one manager. */
+    /** One try of a request at one manager. */
     public static final class ClientTry {
         public final TrueRequest request;
         public final int manager;
@@ -44,7 +44,7 @@
             return abandoned;
         }
 
-        /** Whether a dispatch of it was seen. */
+        /** Whether an attempt of it was seen. */
         public boolean attempted() {
             return attempted;
         }
@@ -88,7 +88,7 @@
 
     /**
      * {@code answerSlack} for answers, {@code attempted} for what is seen at engines after it was
-     * sent; both tenths of ms.
+     * sent; both ticks.
      */
     public RuleChecker(FleetPlan plan, long slack, long sent) {
         this.plan = plan;
--- a/src/main/java/firstage/simulation/SimulationResult.java
+++ b/src/main/java/firstage/simulation/SimulationResult.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * What one run came to: its figures by name, and which rules broke. {@code happened}: events of its
- * calendar.
+ * What one run came to: its figures by name, and which rules broke. {@code executedEvents}: events
+ * of its calendar.
  */
 public record SimulationResult(
-        String choice,
+        String policyName,
         long seed,
         Map<String, Double> figures,
-        List<String> broken,
-        long batches,
-        long happened) {}
+        List<String> violations,
+        long requests,
+        long executedEvents) {}
--- a/src/main/java/firstage/simulation/TomlSection.java
+++ b/src/main/java/firstage/simulation/TomlSection.java
@@ -20,7 +20,7 @@
     private final TomlTable table;
     private final String path;
     private final int line;
-    private final Set<String> known = new LinkedHashSet<>();
+    private final Set<String> knownKeys = new LinkedHashSet<>();
 
     public TomlSection(TomlTable table, String path, int line) {
         this.table = table;
@@ -32,10 +32,10 @@
         return line;
     }
 
-    private Object value(String key, Object absent, String unit) {
-        known.add(key);
+    private Object value(String key, Object defaultValue, String unit) {
+        knownKeys.add(key);
         Object value = table == null ? null : table.get(List.of(key));
-        if (value == null && absent == null) {
+        if (value == null && defaultValue == null) {
             throw new InvalidPlanException(
                     line,
                     (path.isEmpty() ? "" : path + " ")
@@ -46,10 +46,10 @@
                             + " = "
                             + unit);
         }
-        return value == null ? absent : value;
+        return value == null ? defaultValue : value;
     }
 
-    public InvalidPlanException fault(String key, String what) {
+    public InvalidPlanException invalid(String key, String what) {
         int at =
                 table == null || table.inputPositionOf(List.of(key)) == null
                         ? line
@@ -57,132 +57,132 @@
         return new InvalidPlanException(at, (path.isEmpty() ? "" : path + ".") + key + ": " + what);
     }
 
-    public String text(String key, String absent) {
-        Object value = value(key, absent, "\"...\"");
+    public String text(String key, String defaultValue) {
+        Object value = value(key, defaultValue, "\"...\"");
         if (value instanceof String text) {
             return text;
         }
-        throw fault(key, value + " is no text; write " + key + " = \"" + value + "\"");
+        throw invalid(key, value + " is no text; write " + key + " = \"" + value + "\"");
     }
 
-    public String oneOf(String key, String absent, List<String> words) {
-        String text = text(key, absent);
+    public String oneOf(String key, String defaultValue, List<String> words) {
+        String text = text(key, defaultValue);
         if (!words.contains(text)) {
-            throw fault(key, "'" + text + "' is none of " + String.join(", ", words));
+            throw invalid(key, "'" + text + "' is none of " + String.join(", ", words));
         }
         return text;
     }
 
-    public boolean flag(String key, boolean absent) {
-        Object value = value(key, absent, "true");
+    public boolean flag(String key, boolean defaultValue) {
+        Object value = value(key, defaultValue, "true");
         if (value instanceof Boolean flag) {
             return flag;
         }
-        throw fault(key, value + " is neither true nor false");
+        throw invalid(key, value + " is neither true nor false");
     }
 
-    public int whole(String key, int least, int most, Integer absent) {
+    public int integer(String key, int min, int max, Integer defaultValue) {
         Object value =
                 value(
                         key,
-                        absent == null ? null : (Object) Long.valueOf(absent),
-                        String.valueOf(least));
+                        defaultValue == null ? null : (Object) Long.valueOf(defaultValue),
+                        String.valueOf(min));
         if (!(value instanceof Long whole)) {
-            throw fault(key, value + " is no whole number");
+            throw invalid(key, value + " is no whole number");
         }
-        if (whole < least || whole > most) {
-            throw fault(key, whole + " is impossible; " + least + " to " + most + " would do");
+        if (whole < min || whole > max) {
+            throw invalid(key, whole + " is impossible; " + min + " to " + max + " would do");
         }
         return (int) (long) whole;
     }
 
-    public double figure(String key, double least, double most, Double absent) {
-        Object value = value(key, absent, "a number");
+    public double number(String key, double min, double max, Double defaultValue) {
+        Object value = value(key, defaultValue, "a number");
         if (!(value instanceof Number number)) {
-            throw fault(key, value + " is no number");
+            throw invalid(key, value + " is no number");
         }
-        return bounded(key, number.doubleValue(), least, most);
+        return bounded(key, number.doubleValue(), min, max);
     }
 
-    private double bounded(String key, double figure, double least, double most) {
-        if (!(figure >= least && figure <= most)) {
-            throw fault(key, figure + " is impossible; " + least + " to " + most + " would do");
+    private double bounded(String key, double figure, double min, double max) {
+        if (!(figure >= min && figure <= max)) {
+            throw invalid(key, figure + " is impossible; " + min + " to " + max + " would do");
         }
         return figure;
     }
 
     /** From 0 to 1, or as "12%". */
-    double share(String key, Double absent) {
-        Object value = value(key, absent, "\"10%\"");
+    double share(String key, Double defaultValue) {
+        Object value = value(key, defaultValue, "\"10%\"");
         double share;
         if (value instanceof String text && text.trim().endsWith("%")) {
-            share = figure(key, text, Map.of("%", 0.01), "\"12%\"");
+            share = number(key, text, Map.of("%", 0.01), "\"12%\"");
         } else if (value instanceof Number number) {
             share = number.doubleValue();
         } else {
-            throw fault(key, "'" + value + "' is no share; write 0.12 or \"12%\"");
+            throw invalid(key, "'" + value + "' is no share; write 0.12 or \"12%\"");
         }
         return bounded(key, share, 0, 1);
     }
 
-    Range figures(String key, double least, double most, String absent) {
-        Object value = value(key, absent, "a number");
+    Range numberRange(String key, double min, double max, String defaultValue) {
+        Object value = value(key, defaultValue, "a number");
         String text =
                 value instanceof Number ? value.toString() : value instanceof String t ? t : "?";
         Range range = range(key, text, Map.of("", 1.0), "\"1 to 2\"");
-        bounded(key, range.low(), least, most);
-        bounded(key, range.high(), least, most);
+        bounded(key, range.low(), min, max);
+        bounded(key, range.high(), min, max);
         return range;
     }
 
-    public long time(String key, String absent) {
-        Object value = value(key, absent, "\"5 s\"");
-        return Math.round(figure(key, value, TIMES, "\"5 s\", \"200 ms\", \"2 min\" or \"1 h\""));
+    public long duration(String key, String defaultValue) {
+        Object value = value(key, defaultValue, "\"5 s\"");
+        return Math.round(number(key, value, TIMES, "\"5 s\", \"200 ms\", \"2 min\" or \"1 h\""));
     }
 
-    Range times(String key, String absent) {
-        return range(key, value(key, absent, "\"1 s to 3 s\""), TIMES, "\"1 s to 3 s\"");
+    Range durationRange(String key, String defaultValue) {
+        return range(key, value(key, defaultValue, "\"1 s to 3 s\""), TIMES, "\"1 s to 3 s\"");
     }
 
-    double size(String key, String absent) {
-        return figure(key, value(key, absent, "\"16 GB\""), SIZES, "\"512 MB\" or \"16 GB\"");
+    double sizeMb(String key, String defaultValue) {
+        return number(key, value(key, defaultValue, "\"16 GB\""), SIZES, "\"512 MB\" or \"16 GB\"");
     }
 
-    private Range range(String key, Object value, Map<String, Double> units, String would) {
+    private Range range(String key, Object value, Map<String, Double> units, String example) {
         String[] parts = String.valueOf(value).split(" to ", 2);
-        double low = figure(key, parts[0], units, would);
-        double high = parts.length > 1 ? figure(key, parts[1], units, would) : low;
+        double low = number(key, parts[0], units, example);
+        double high = parts.length > 1 ? number(key, parts[1], units, example) : low;
         if (high < low) {
-            throw fault(key, "'" + value + "' runs backwards; the lesser figure comes first");
+            throw invalid(key, "'" + value + "' runs backwards; the lesser figure comes first");
         }
         return new Range(low, high);
     }
 
-    private double figure(String key, Object value, Map<String, Double> units, String would) {
+    private double number(String key, Object value, Map<String, Double> units, String example) {
         Matcher m = FIGURE.matcher(String.valueOf(value));
         if (!m.matches()) {
-            throw fault(key, "'" + value + "' is no figure; " + would + " would do");
+            throw invalid(key, "'" + value + "' is no figure; " + example + " would do");
         }
         Double unit = units.get(m.group(2));
         if (unit == null) {
-            throw fault(
+            throw invalid(
                     key,
                     "'"
                             + value
                             + "' "
                             + (m.group(2).isEmpty() ? "has no unit" : "has an unknown unit")
                             + "; "
-                            + would
+                            + example
                             + " would do");
         }
         return Double.parseDouble(m.group(1)) * unit;
     }
 
     public TomlSection table(String key) {
-        known.add(key);
+        knownKeys.add(key);
         Object value = table.get(List.of(key));
         if (value != null && !(value instanceof TomlTable)) {
-            throw fault(key, "is no section; write [" + key + "]");
+            throw invalid(key, "is no section; write [" + key + "]");
         }
         return new TomlSection(
                 (TomlTable) value,
@@ -191,14 +191,14 @@
     }
 
     public List<TomlSection> tables(String key) {
-        known.add(key);
+        knownKeys.add(key);
         Object value = table.get(List.of(key));
         if (value == null) {
             return List.of();
         }
         if (!(value instanceof TomlArray array)
                 || !array.toList().stream().allMatch(TomlTable.class::isInstance)) {
-            throw fault(key, "is no list of sections; write [[" + key + "]]");
+            throw invalid(key, "is no list of sections; write [[" + key + "]]");
         }
         List<TomlSection> all = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
@@ -212,13 +212,13 @@
     }
 
     /** All that was written must have been asked for. */
-    public void done() {
+    public void rejectUnknownKeys() {
         if (table == null) {
             return;
         }
         for (String key : table.keySet()) {
-            if (!known.contains(key)) {
-                throw fault(key, "is unknown; known here: " + String.join(", ", known));
+            if (!knownKeys.contains(key)) {
+                throw invalid(key, "is unknown; known here: " + String.join(", ", knownKeys));
             }
         }
     }
--- a/src/main/java/firstage/simulation/TrafficSource.java
+++ b/src/main/java/firstage/simulation/TrafficSource.java
@@ -4,49 +4,52 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Draws what clients ask for: unequal customers, keys and tables of unequal heat, work and
- * estimates that scatter.
+ * Draws what clients ask for: unequal tenants, keys and tables of unequal heat, work and estimates
+ * that scatter.
  */
 public final class TrafficSource {
     private final FleetPlan plan;
     private final TrafficShape shape;
-    private final RandomGenerator chance;
-    private final double[] groupEnds;
-    private final double[] customerEnds;
-    private final double[] keyEnds;
-    private final double[] tableEnds;
-    private final double most;
-    private long ids;
+    private final RandomGenerator random;
+    private final double[] trafficClassBounds;
+    private final double[] tenantBounds;
+    private final double[] keyBounds;
+    private final double[] tableGroupBounds;
+    private final double peakFactor;
+    private long nextId;
 
     public TrafficSource(FleetPlan plan, RandomStreams streams) {
         this.plan = plan;
         shape = TrafficShape.of(plan.traffic().shape());
-        chance = streams.of("traffic", 0);
-        groupEnds =
-                ends(
+        random = streams.stream("traffic", 0);
+        trafficClassBounds =
+                cumulate(
                         plan.trafficClasses().stream()
                                 .mapToDouble(FleetPlan.TrafficClassPlan::share)
                                 .toArray());
-        customerEnds =
-                ends(plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).toArray());
-        keyEnds = ends(heat(plan.traffic().keys(), plan.traffic().keySkew()));
-        tableEnds = ends(heat(plan.traffic().tableGroups(), plan.traffic().tableGroupSkew()));
+        tenantBounds =
+                cumulate(
+                        plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).toArray());
+        keyBounds = cumulate(zipfWeights(plan.traffic().keys(), plan.traffic().keySkew()));
+        tableGroupBounds =
+                cumulate(
+                        zipfWeights(plan.traffic().tableGroups(), plan.traffic().tableGroupSkew()));
         double high = 0;
         for (int i = 0; i <= 2_000; i++) {
             high = Math.max(high, shape.factor(i / 2_000.0, plan.traffic().swing()));
         }
-        most = high * 1.1;
+        peakFactor = high * 1.1;
     }
 
-    private static double[] heat(int count, double heat) {
+    private static double[] zipfWeights(int count, double skew) {
         double[] shares = new double[count];
         for (int i = 0; i < count; i++) {
-            shares[i] = Math.pow(i + 1, -heat);
+            shares[i] = Math.pow(i + 1, -skew);
         }
         return shares;
     }
 
-    private static double[] ends(double[] shares) {
+    private static double[] cumulate(double[] shares) {
         double[] ends = new double[shares.length];
         double sum = 0;
         for (int i = 0; i < shares.length; i++) {
@@ -56,13 +59,13 @@
         return ends;
     }
 
-    private int pick(double[] ends) {
-        double at = chance.nextDouble() * ends[ends.length - 1];
+    private int drawIndex(double[] bounds) {
+        double drawn = random.nextDouble() * bounds[bounds.length - 1];
         int low = 0;
-        int high = ends.length - 1;
+        int high = bounds.length - 1;
         while (low < high) {
             int middle = (low + high) >>> 1;
-            if (ends[middle] > at) {
+            if (bounds[middle] > drawn) {
                 high = middle;
             } else {
                 low = middle + 1;
@@ -71,54 +74,61 @@
         return low;
     }
 
-    /** When the next batch comes after {@code now}, by thinning a stream of the highest rate. */
-    public long next(long now, long start, double boost) {
-        double mean = 10_000 / (plan.traffic().rate() * most * boost);
-        long at = now;
+    /** When the next request comes after {@code now}, by thinning a stream of the highest rate. */
+    public long nextArrival(long now, long start, double trafficFactor) {
+        double meanInterval = 10_000 / (plan.traffic().rate() * peakFactor * trafficFactor);
+        long arrival = now;
         do {
-            at += Math.max(1, Math.round(-Math.log(1 - chance.nextDouble()) * mean));
-        } while (chance.nextDouble() * most
+            arrival += Math.max(1, Math.round(-Math.log(1 - random.nextDouble()) * meanInterval));
+        } while (random.nextDouble() * peakFactor
                 > shape.factor(
-                        Math.min(1, (double) (at - start) / plan.length()),
+                        Math.min(1, (double) (arrival - start) / plan.length()),
                         plan.traffic().swing()));
-        return at;
+        return arrival;
     }
 
     /** {@code dear}: spells that are on, by their group. */
-    public TrueRequest draw(long now, List<FleetPlan.Disturbance> dear) {
-        int g = pick(groupEnds);
-        FleetPlan.TrafficClassPlan group = plan.trafficClasses().get(g);
-        double z = chance.nextGaussian();
+    public TrueRequest draw(long now, List<FleetPlan.Disturbance> activeDisturbances) {
+        int classIndex = drawIndex(trafficClassBounds);
+        FleetPlan.TrafficClassPlan trafficClass = plan.trafficClasses().get(classIndex);
+        double normal = random.nextGaussian();
         double work =
-                group.work()
+                trafficClass.work()
                         * Math.exp(
-                                group.workSpread() * z
-                                        - group.workSpread() * group.workSpread() / 2);
-        double told = work;
-        double lot = chance.nextDouble();
-        for (FleetPlan.Disturbance t : dear) {
-            if (t.trafficClass() == g && lot < t.extra()) {
-                work *= t.size();
-                told = t.kind() == FleetPlan.Disturbance.Kind.EXPENSIVE ? work : told;
+                                trafficClass.workSpread() * normal
+                                        - trafficClass.workSpread()
+                                                * trafficClass.workSpread()
+                                                / 2);
+        double workSeenByEstimate = work;
+        double uniform = random.nextDouble();
+        for (FleetPlan.Disturbance disturbance : activeDisturbances) {
+            if (disturbance.trafficClass() == classIndex && uniform < disturbance.extra()) {
+                work *= disturbance.size();
+                workSeenByEstimate =
+                        disturbance.kind() == FleetPlan.Disturbance.Kind.EXPENSIVE
+                                ? work
+                                : workSeenByEstimate;
             }
         }
-        double memory = group.memoryMb() * Math.exp(0.5 * chance.nextGaussian());
-        double off =
-                group.estimateFactor() * Math.exp(group.estimateScatter() * chance.nextGaussian());
-        double memoryOff = Math.exp(group.estimateScatter() * chance.nextGaussian());
-        int customer = pick(customerEnds);
-        int key = group.ordered() && plan.traffic().keys() > 0 ? pick(keyEnds) : -1;
+        double memory = trafficClass.memoryMb() * Math.exp(0.5 * random.nextGaussian());
+        double workError =
+                trafficClass.estimateFactor()
+                        * Math.exp(trafficClass.estimateScatter() * random.nextGaussian());
+        double memoryError = Math.exp(trafficClass.estimateScatter() * random.nextGaussian());
+        int tenant = drawIndex(tenantBounds);
+        int orderingKey =
+                trafficClass.ordered() && plan.traffic().keys() > 0 ? drawIndex(keyBounds) : -1;
         return new TrueRequest(
-                ids++,
-                g,
-                customer,
-                key,
-                pick(tableEnds),
+                nextId++,
+                classIndex,
+                tenant,
+                orderingKey,
+                drawIndex(tableGroupBounds),
                 now,
-                now + group.timeout(),
+                now + trafficClass.timeout(),
                 Math.max(1, work),
                 memory,
-                Math.max(1, Math.round(told * off)),
-                (int) Math.max(1, memory * memoryOff));
+                Math.max(1, Math.round(workSeenByEstimate * workError)),
+                (int) Math.max(1, memory * memoryError));
     }
 }
--- a/src/main/java/firstage/simulation/TrueRequest.java
+++ b/src/main/java/firstage/simulation/TrueRequest.java
@@ -1,9 +1,9 @@
 package firstage.simulation;
 
 /**
- * A batch as it truly is: what its client wants, and what it costs. Only estimates and what is
+ * A request as it truly is: what its client wants, and what it costs. Only estimates and what is
  * observed ever pass to the decisions ({@link ManagerModel} hands those on). Indices are -1 where
- * there is none; times tenths of a millisecond.
+ * there is none; times ticks.
  */
 public final class TrueRequest {
     public final long id;
--- a/src/main/java/firstage/simulation/schedule/FaultSchedule.java
+++ b/src/main/java/firstage/simulation/schedule/FaultSchedule.java
@@ -17,7 +17,7 @@
  * One seeded schedule in virtual time: one to three engines, some dozen requests of two ordering
  * keys, and the faults between them. The same seed gives the same schedule. Requests of one key are
  * sent as far apart as clients promise: 60 ms, 250 ms after one on a new connection. Times are
- * tenths of a millisecond.
+ * ticks.
  */
 public final class FaultSchedule {
     private static final long SECOND = 10_000;
@@ -67,7 +67,7 @@
         scheduleTraffic(random, events, ruleChecker, manager);
         scheduleFaults(random, events, manager, engines);
         scheduleManagerEvents(random, events, ruleChecker, manager, startManager);
-        events.play(START + 20 * SECOND);
+        events.runUntil(START + 20 * SECOND);
         ruleChecker.checkAllAnswered(events.now());
         manager[0].close();
         return ruleChecker.violations();
@@ -85,7 +85,7 @@
         long at = random.nextLong(4 * SECOND);
         switch (random.nextInt(5)) {
             case 0 ->
-                    events.in(
+                    events.schedule(
                             at,
                             () -> {
                                 manager[0].kill();
@@ -93,8 +93,8 @@
                                 manager[0] = startManager.get();
                                 manager[0].thread().pause(random.nextLong(SECOND));
                             });
-            case 1 -> events.in(at, () -> manager[0].shutDown(events.now() + 3 * SECOND));
-            case 2 -> events.in(at, () -> manager[0].onEndpointSnapshot());
+            case 1 -> events.schedule(at, () -> manager[0].shutDown(events.now() + 3 * SECOND));
+            case 2 -> events.schedule(at, () -> manager[0].onEndpointSnapshot());
             default -> {}
         }
     }
@@ -200,7 +200,7 @@
         SimulatedManager.SimulatedRequest request =
                 new SimulatedManager.SimulatedRequest(
                         requestId, trafficClass, orderingKey, deadline, runTime);
-        events.in(
+        events.schedule(
                 at,
                 () -> {
                     ruleChecker.onArrived(
@@ -208,7 +208,7 @@
                     manager[0].onRequestReceived(request, newConnection);
                 });
         if (random.nextInt(10) == 0) {
-            events.in(at + random.nextLong(SECOND), () -> manager[0].onClientQuit(request));
+            events.schedule(at + random.nextLong(SECOND), () -> manager[0].onClientQuit(request));
         }
     }
 
@@ -219,7 +219,7 @@
             List<SimulatedEngine> engines) {
         int stalls = random.nextInt(4);
         for (int i = 0; i < stalls; i++) {
-            events.in(
+            events.schedule(
                     random.nextLong(4 * SECOND),
                     () -> manager[0].thread().pause(500 + random.nextLong(SECOND)));
         }
@@ -229,26 +229,27 @@
             long at = random.nextLong(4 * SECOND);
             switch (random.nextInt(6)) {
                 case 0 -> {
-                    events.in(at, () -> engine.setAvailability(SimulatedEngine.Availability.DOWN));
-                    events.in(
+                    events.schedule(
+                            at, () -> engine.setAvailability(SimulatedEngine.Availability.DOWN));
+                    events.schedule(
                             at + random.nextLong(2 * SECOND),
                             () -> engine.setAvailability(SimulatedEngine.Availability.UP));
                 }
                 case 1 -> {
-                    events.in(
+                    events.schedule(
                             at,
                             () ->
                                     engine.setAvailability(
                                             SimulatedEngine.Availability.UNRESPONSIVE));
-                    events.in(
+                    events.schedule(
                             at + random.nextLong(4 * SECOND),
                             () -> engine.setAvailability(SimulatedEngine.Availability.UP));
                 }
                 case 2 -> {
-                    events.in(
+                    events.schedule(
                             at,
                             () -> engine.setAvailability(SimulatedEngine.Availability.DRAINING));
-                    events.in(
+                    events.schedule(
                             at + random.nextLong(SECOND),
                             () ->
                                     manager[0].onEndpointChanged(
--- a/src/main/java/firstage/simulation/schedule/ScheduleRuleChecker.java
+++ b/src/main/java/firstage/simulation/schedule/ScheduleRuleChecker.java
@@ -11,16 +11,16 @@
  * non-idempotent request runs twice, and none is rejected that may have run. Rule 3: no statement
  * to a draining engine past the grace period. Rule 5: no request reaches an engine while an earlier
  * one of its ordering key is open, or another of its key may run. Besides: no statement is sent
- * more than 0.3 s after its client was last present. Times are tenths of a millisecond.
+ * more than 0.3 s after its client was last present. Times are ticks.
  */
 public final class ScheduleRuleChecker {
-    /** Tenths of a millisecond after a client's limit in which its answer still counts. */
+    /** Ticks after a client's limit in which its answer still counts. */
     private static final long ANSWER_SLACK = 500;
 
     /** After its client left nothing is sent for it later than this. */
     private static final long MAX_SEND_DELAY_AFTER_ABSENCE = 3_000;
 
-    /** What crossed of one batch. */
+    /** What crossed of one request. */
     private static final class ObservedRequest {
         private final int id;
         private final int managerIncarnation;
@@ -56,10 +56,10 @@
     private final List<String> violations = new ArrayList<>();
     private final Map<Integer, ObservedRequest> requests = new HashMap<>();
 
-    /** By key, the batches that came, in the order of their last bytes. */
+    /** By key, the requests that came, in the order of their last bytes. */
     private final Map<Integer, List<ObservedRequest>> requestsByKey = new HashMap<>();
 
-    /** By key, the batches whose runs are at engines now; once for each run. */
+    /** By key, the requests whose runs are at engines now; once for each run. */
     private final Map<Integer, List<ObservedRequest>> runningByKey = new HashMap<>();
 
     /** Which of the managers that follow each other is up. */
@@ -68,7 +68,7 @@
     /** Time that the thread stood still: no answer can be asked for within it. */
     private long totalStall;
 
-    /** The last byte of a batch reached the machine; {@code orderingKey} -1 without order. */
+    /** The last byte of a request reached the machine; {@code orderingKey} -1 without order. */
     public void onArrived(
             long now, int requestId, int orderingKey, boolean nonIdempotent, long deadline) {
         ObservedRequest request =
--- a/src/main/java/firstage/simulation/schedule/SimulatedCells.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedCells.java
@@ -30,7 +30,7 @@
  * Fleet control in virtual time, without clients and engines: the real membership, leases, load
  * shedding, probes, zones and cells of each manager; their datagrams are delayed, lost and blocked.
  * Every figure is simulated. It runs a fleet in cells, or the same fleet without cells. Times are
- * tenths of a millisecond.
+ * ticks.
  */
 public final class SimulatedCells {
     /** Between two probes of one manager. */
@@ -43,7 +43,7 @@
     private static final long WARM_UP = 130_000;
 
     /**
-     * Rates of a manager that serves 462 batches a second in four bands of worth: rows as long as
+     * Rates of a manager that serves 462 requests a second in four bands of worth: rows as long as
      * in service.
      */
     private static final int PRIORITY_BANDS = 4;
@@ -149,7 +149,7 @@
                             lentBefore,
                             () -> {
                                 lentBefore = true;
-                                events.in(
+                                events.schedule(
                                         50,
                                         () -> {
                                             if (incarnation == startedIncarnation) {
@@ -240,7 +240,8 @@
                 if (cellDirectory != null) {
                     cellDirectory.tick(events.now());
                 }
-                events.in(shape.tickInterval + random.nextInt(20), () -> tick(startedIncarnation));
+                events.schedule(
+                        shape.tickInterval + random.nextInt(20), () -> tick(startedIncarnation));
             }
         }
 
@@ -253,7 +254,7 @@
                 }
                 demand.startedWork(WORK_PER_TICK * EVALUATION_INTERVAL);
                 coordinator.evaluate(events.now(), demand);
-                events.in(EVALUATION_INTERVAL, () -> evaluate(startedIncarnation));
+                events.schedule(EVALUATION_INTERVAL, () -> evaluate(startedIncarnation));
             }
         }
 
@@ -292,7 +293,7 @@
             if (target != number
                     && !(partitioned && partitionSide.test(number) != partitionSide.test(target))
                     && random.nextDouble() >= lossProbability) {
-                events.in(
+                events.schedule(
                         2 + random.nextInt(18),
                         () -> {
                             if (targetHost.up) {
@@ -415,13 +416,13 @@
     }
 
     public void advance(long length) {
-        events.play(events.now() + length);
+        events.runUntil(events.now() + length);
     }
 
     /** All are started within this; none is waited for. */
     public void start(long within) {
         for (ManagerHost host : hosts) {
-            events.in(random.nextLong(within), host::start);
+            events.schedule(random.nextLong(within), host::start);
         }
         advance(within);
     }
@@ -454,7 +455,7 @@
                 && cell.stream().allMatch(host -> host.up == names.contains(name(host.number)));
     }
 
-    /** Tenths of a millisecond until all cells agree, in steps of 0.1 s; -1 if not within this. */
+    /** Ticks until all cells agree, in steps of 0.1 s; -1 if not within this. */
     public long timeUntilAgreed(long limit) {
         for (long elapsed = 0; elapsed <= limit; elapsed += 1_000) {
             if (agreedCells() == shape.cellCount()) {
@@ -465,10 +466,7 @@
         return -1;
     }
 
-    /**
-     * For each in whose view this one was, tenths of a millisecond until it is out of it; -1 for
-     * not within this.
-     */
+    /** For each in whose view this one was, ticks until it is out of it; -1 for not within this. */
     public List<Long> timesUntilRemoved(int killed, long limit) {
         List<ManagerHost> peers =
                 hosts.stream()
--- a/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
@@ -9,7 +9,7 @@
 
 /**
  * A simulated engine: accepts statements, holds polls, ends and forgets runs that are not polled,
- * drains, fails, and restarts. Times are tenths of a millisecond.
+ * drains, fails, and restarts. Times are ticks.
  */
 final class SimulatedEngine {
     private static final long MAX_POLL_HOLD = 2_500;
@@ -119,7 +119,7 @@
         // client's
         // deadline.
         long delay = forgetsAt(run) - events.now();
-        events.in(
+        events.schedule(
                 Math.max(1, delay),
                 () -> {
                     if (run.ended || events.now() >= forgetsAt(run)) {
@@ -156,7 +156,7 @@
         long holdTime = Math.min(MAX_POLL_HOLD, Math.max(0, run.endsAt - events.now()));
         run.lastPolledAt = events.now() + holdTime;
         int incarnationAtPoll = incarnation;
-        events.in(
+        events.schedule(
                 holdTime,
                 () -> {
                     if (incarnationAtPoll != incarnation) {
--- a/src/main/java/firstage/simulation/schedule/SimulatedManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -329,7 +329,7 @@
     }
 
     private void runOnThreadAfter(long delay, Runnable action) {
-        events.in(delay, () -> thread.submit(action));
+        events.schedule(delay, () -> thread.submit(action));
     }
 
     private void onDeadline(SimulatedRequest request) {
@@ -456,7 +456,7 @@
         SimulatedRequest request = requests.get(requestId);
         SimulatedAttempt attempt = new SimulatedAttempt(request, request.attemptCount++, engine);
         request.attemptsInFlight.add(attempt);
-        events.in(0, attempt.stateMachine::start);
+        events.schedule(0, attempt.stateMachine::start);
     }
 
     @Override
@@ -594,7 +594,7 @@
                     random.nextInt(10) == 0
                             ? random.nextInt((int) CONNECT_TIMEOUT)
                             : 2 * drawOneWayDelay();
-            events.in(
+            events.schedule(
                     unresponsive ? CONNECT_TIMEOUT : connectDelay,
                     () ->
                             onManagerThread(
@@ -634,7 +634,7 @@
                             : drawOneWayDelay();
             if (reachesEngine
                     && engine.availability() != SimulatedEngine.Availability.UNRESPONSIVE) {
-                events.in(
+                events.schedule(
                         deliveryDelay,
                         () ->
                                 engine.receiveStatement(
@@ -681,7 +681,7 @@
                 return;
             }
             boolean unreadable = drawFault();
-            events.in(
+            events.schedule(
                     drawOneWayDelay(),
                     () ->
                             onManagerThread(
@@ -698,7 +698,7 @@
         }
 
         private void scheduleLoss(long timeout, boolean[] answered, LossHandler lossHandler) {
-            events.in(
+            events.schedule(
                     timeout,
                     () ->
                             onManagerThread(
@@ -724,7 +724,7 @@
                                     && random.nextBoolean();
             if (refused) {
                 answered[0] = true;
-                events.in(
+                events.schedule(
                         2 * drawOneWayDelay(),
                         () ->
                                 onManagerThread(
@@ -734,7 +734,7 @@
             boolean connectionBreaks = drawFault();
             if (engine.availability() != SimulatedEngine.Availability.UNRESPONSIVE
                     && (!connectionBreaks || random.nextBoolean())) {
-                events.in(drawOneWayDelay(), () -> send.accept(answered));
+                events.schedule(drawOneWayDelay(), () -> send.accept(answered));
             }
             scheduleLoss(connectionBreaks ? 2 * drawOneWayDelay() : timeout, answered, lossHandler);
         }
--- a/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
@@ -18,7 +18,7 @@
 
 /**
  * Membership of managers in virtual time: the real protocol and leases; datagrams are lost,
- * delayed, duplicated and blocked. Every figure is simulated. Times are tenths of a millisecond.
+ * delayed, duplicated and blocked. Every figure is simulated. Times are ticks.
  */
 public final class SimulatedMembership {
     public static final long PROBE_PERIOD = 2_000;
@@ -70,7 +70,7 @@
                             lentBefore,
                             () -> {
                                 lentBefore = true;
-                                events.in(
+                                events.schedule(
                                         50,
                                         () -> {
                                             if (incarnation == startedIncarnation) {
@@ -109,7 +109,7 @@
         public void pause(long length) {
             pausedUntil = events.now() + length;
             int startedIncarnation = incarnation;
-            events.in(
+            events.schedule(
                     length,
                     () -> {
                         if (incarnation == startedIncarnation) {
@@ -128,7 +128,7 @@
             if (events.now() >= pausedUntil) {
                 tickOnce();
             }
-            events.in(TICK_INTERVAL + random.nextInt(20), () -> tick(startedIncarnation));
+            events.schedule(TICK_INTERVAL + random.nextInt(20), () -> tick(startedIncarnation));
         }
 
         private void tickOnce() {
@@ -162,7 +162,7 @@
                     && random.nextDouble() >= lossProbability) {
                 int copies = random.nextDouble() < duplicateProbability ? 2 : 1;
                 for (int i = 0; i < copies; i++) {
-                    events.in(
+                    events.schedule(
                             2 + random.nextInt(18),
                             () -> hosts.get(targetSlot).receive(senderSlot, datagram));
                 }
@@ -247,7 +247,7 @@
      */
     public long startAll() {
         for (ManagerHost host : hosts) {
-            events.in(random.nextInt(10_000), host::start);
+            events.schedule(random.nextInt(10_000), host::start);
         }
         advance(10_000);
         return timeUntilAgreed(600_000);
@@ -267,7 +267,7 @@
     }
 
     public void advance(long length) {
-        events.play(events.now() + length);
+        events.runUntil(events.now() + length);
     }
 
     /** Whether all that are up hold the same view, of just them. */
@@ -289,9 +289,7 @@
         return true;
     }
 
-    /**
-     * Tenths of a millisecond until they agree, in steps of 10 ms; -1 if they do not within this.
-     */
+    /** Ticks until they agree, in steps of 10 ms; -1 if they do not within this. */
     public long timeUntilAgreed(long limit) {
         for (long elapsed = 0; elapsed <= limit; elapsed += 100) {
             if (isAgreed()) {
@@ -302,10 +300,7 @@
         return -1;
     }
 
-    /**
-     * Until each that is up has this one out of its view; by each, tenths of a millisecond; -1 for
-     * never.
-     */
+    /** Until each that is up has this one out of its view; by each, ticks; -1 for never. */
     public List<Long> timesUntilNotAlive(int killed, long limit) {
         TreeMap<Integer, Long> timesByHost = new TreeMap<>();
         for (long elapsed = 0;
--- a/src/main/java/firstage/simulation/schedule/SimulatedThread.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedThread.java
@@ -9,7 +9,7 @@
 /**
  * The one I/O thread of a simulated manager. In each round it selects what is ready, runs that in
  * random order, and may be paused between any two steps. A new connection is accepted in one round
- * and read in the next. Times are tenths of a millisecond.
+ * and read in the next. Times are ticks.
  */
 final class SimulatedThread {
     private static final double STALL_PROBABILITY = 0.004;
@@ -93,7 +93,7 @@
     private void scheduleRound() {
         if (!roundScheduled) {
             roundScheduled = true;
-            events.in(1, this::selectReady);
+            events.schedule(1, this::selectReady);
         }
     }
 
@@ -102,7 +102,7 @@
             return true;
         }
         if (events.now() < pausedUntil) {
-            events.in(pausedUntil - events.now(), action);
+            events.schedule(pausedUntil - events.now(), action);
             return true;
         }
         return false;
--- a/src/test/java/firstage/simulation/EventQueueTest.java
+++ b/src/test/java/firstage/simulation/EventQueueTest.java
@@ -39,7 +39,7 @@
                         };
                 Due due = new Due(calendar.now() + delay, order[0]++);
                 heap.add(due);
-                calendar.in(
+                calendar.schedule(
                         delay,
                         () -> {
                             assertThat(calendar.now()).isEqualTo(due.due);
@@ -58,7 +58,7 @@
             setter.set();
         }
         for (long until = start; calendar.size() > 0; until += chance.nextLong(1L << 31)) {
-            calendar.play(until);
+            calendar.runUntil(until);
             assertThat(calendar.now()).isGreaterThanOrEqualTo(until);
         }
         List<Due> expected = new ArrayList<>();
--- a/src/test/java/firstage/simulation/FleetSimulationTest.java
+++ b/src/test/java/firstage/simulation/FleetSimulationTest.java
@@ -56,7 +56,7 @@
     void theRealDecisionsKeepTheRulesThroughCrashes() {
         assertThat(crashes()).contains("crash").doesNotContain("restart");
         assertThat(play(crashes(), "scheduler", 8, 1))
-                .allSatisfy(r -> assertThat(r.broken()).isEmpty());
+                .allSatisfy(r -> assertThat(r.violations()).isEmpty());
     }
 
     @Test
@@ -65,7 +65,7 @@
                 new PairedComparison(
                         play(shop(), "scheduler", 4, 1), play(shop(), "two-choices", 4, 1));
         assertThat(c.verdict()).isEqualTo(PairedComparison.Verdict.BROKEN);
-        assertThat(c.broken())
+        assertThat(c.violations())
                 .anySatisfy(
                         what -> assertThat(what).contains("two-choices", "rule 4", "pushed over"));
     }
@@ -85,11 +85,11 @@
                 SimulationResult r = all.get(8 * i + 4 + k);
                 right.add(
                         new SimulationResult(
-                                r.choice(),
+                                r.policyName(),
                                 left.get(k).seed(),
                                 r.figures(),
-                                r.broken(),
-                                r.batches(),
+                                r.violations(),
+                                r.requests(),
                                 0));
             }
             told +=
@@ -131,8 +131,8 @@
                         part = "50%"
                         """;
         SimulationResult result = play(mass, "scheduler", 1, 1).get(0);
-        assertThat(result.broken()).isEmpty();
-        assertThat(result.batches()).isGreaterThan(3_000);
+        assertThat(result.violations()).isEmpty();
+        assertThat(result.requests()).isGreaterThan(3_000);
     }
 
     /** Two cells of two serve each engine; of the fleet's 2,600 managers only those know it. */
@@ -152,7 +152,7 @@
                     .isEqualTo(plan.zones().get(plan.zoneOf(m)));
         }
         SimulationResult result = play(cells(), "scheduler:peers", 1, 1).get(0);
-        assertThat(result.broken()).isEmpty();
+        assertThat(result.violations()).isEmpty();
         assertThat(result.figures().get("service")).isGreaterThan(0.3);
     }
 
@@ -168,7 +168,7 @@
                         .replace("at = \"6 s\"", "at = \"2 s\"");
         SimulationResult byPlan = play(zone, "scheduler", 1, 1).get(0);
         SimulationResult bySettings = play(zone, "scheduler:cold=settings", 1, 1).get(0);
-        assertThat(byPlan.broken()).isEmpty();
+        assertThat(byPlan.violations()).isEmpty();
         assertThat(byPlan.figures().get("service")).isGreaterThan(0.9);
         assertThat(bySettings.figures().get("service")).isLessThan(0.6);
     }
