--- a/src/main/java/firstage/faulttest/ManagerConfigWriter.java
+++ b/src/main/java/firstage/faulttest/ManagerConfigWriter.java
@@ -15,10 +15,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/**
- * Writes what each manager is told at its start: its configuration by the platform's page, and its
- * peers.
- */
+/** Writes the configuration files of a manager: the platform's configuration and the peers file. */
 public final class ManagerConfigWriter {
     private static final double TICKS_PER_SECOND = 10_000;
 
@@ -28,7 +25,7 @@
         return String.format(Locale.ROOT, "s-%08x", engine + 1);
     }
 
-    /** Its configuration; the seed differs by manager and run. */
+    /** Writes a manager's configuration; the seed differs by manager and run. */
     static void writeConfig(
             Path file, FleetPlan plan, LoopbackAddresses addresses, int manager, long seed)
             throws IOException {
@@ -46,8 +43,8 @@
     }
 
     /**
-     * A manager's: its name, where it listens, whom it asks for the list (nobody where null), its
-     * number, its zone, and where it reaches each engine.
+     * What distinguishes a manager: its name, listening address, coordinator (null for none),
+     * number, zone index, and the address at which it reaches each engine.
      */
     public record ManagerPlace(
             String name,
@@ -57,13 +54,13 @@
             int zone,
             IntFunction<InetSocketAddress> engineAddress) {}
 
-    /** The configuration of a manager at this place. */
+    /** Writes the configuration of the manager at this place. */
     public static void writeConfig(Path file, FleetPlan plan, ManagerPlace place, long seed)
             throws IOException {
         writeConfig(file, plan, place, seed, 1_024);
     }
 
-    /** The same; {@code sockets}: the limit that it is told. */
+    /** The same with a limit of open sockets. */
     public static void writeConfig(
             Path file, FleetPlan plan, ManagerPlace place, long seed, int sockets)
             throws IOException {
@@ -126,14 +123,23 @@
         out.writeEndArray();
     }
 
-    private static void writeSettings(JsonGenerator out, FleetPlan plan, int manager, int zone)
+    private static void writeSettings(JsonGenerator out, FleetPlan plan, int rank, int zone)
             throws IOException {
         out.writeObjectFieldStart("settings");
         writeArray(out, "areas", plan.zones());
         writeArray(out, "kinds", List.of("std"));
         out.writeNumberField("group_size", plan.managers().fleetSize());
-        out.writeNumberField("rank", manager);
+        out.writeNumberField("rank", rank);
         out.writeNumberField("zone", zone);
+        writeTrafficClasses(out, plan);
+        writeTenants(out, plan);
+        writeEngineType(out, plan);
+        writeLimits(out, plan.managers());
+        writeScoreRules(out, plan);
+        out.writeEndObject();
+    }
+
+    private static void writeTrafficClasses(JsonGenerator out, FleetPlan plan) throws IOException {
         out.writeArrayFieldStart("classes");
         for (FleetPlan.TrafficClassPlan trafficClass : plan.trafficClasses()) {
             out.writeStartObject();
@@ -157,6 +163,9 @@
             out.writeEndObject();
         }
         out.writeEndArray();
+    }
+
+    private static void writeTenants(JsonGenerator out, FleetPlan plan) throws IOException {
         out.writeArrayFieldStart("tenants");
         double shares = plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).sum();
         for (FleetPlan.TenantPlan tenant : plan.tenants()) {
@@ -174,7 +183,10 @@
             out.writeEndObject();
         }
         out.writeEndArray();
-        FleetPlan.Engines engine = plan.engines();
+    }
+
+    private static void writeEngineType(JsonGenerator out, FleetPlan plan) throws IOException {
+        FleetPlan.Engines engines = plan.engines();
         out.writeObjectFieldStart("family_info");
         writeArray(
                 out,
@@ -190,14 +202,17 @@
                 plan.trafficClasses().stream()
                         .map(FleetPlan.TrafficClassPlan::blockedByTableLoads)
                         .toList());
-        writeArray(out, "kind_cores", List.of(engine.cores()));
-        writeArray(out, "size_mb", List.of(engine.memoryMb()));
-        out.writeBooleanField("takes_grants", engine.grants());
-        out.writeBooleanField("lanes_count", engine.priorities());
-        out.writeNumberField("progress_pace", engine.progressInterval() / TICKS_PER_SECOND);
+        writeArray(out, "kind_cores", List.of(engines.cores()));
+        writeArray(out, "size_mb", List.of(engines.memoryMb()));
+        out.writeBooleanField("takes_grants", engines.grants());
+        out.writeBooleanField("lanes_count", engines.priorities());
+        out.writeNumberField("progress_pace", engines.progressInterval() / TICKS_PER_SECOND);
         out.writeNumberField("largest_share", 0.4);
         out.writeEndObject();
-        FleetPlan.Managers managers = plan.managers();
+    }
+
+    private static void writeLimits(JsonGenerator out, FleetPlan.Managers managers)
+            throws IOException {
         out.writeObjectFieldStart("limits");
         out.writeNumberField("connect_timeout", 0.25);
         out.writeNumberField("keepalive", 15);
@@ -208,22 +223,25 @@
         out.writeBooleanField("may_cancel", managers.cancel());
         out.writeBooleanField("probing", managers.probes());
         out.writeEndObject();
+    }
+
+    private static void writeScoreRules(JsonGenerator out, FleetPlan plan) throws IOException {
         out.writeObjectFieldStart("deductions");
         out.writeNumberField("probe", 0.013);
         out.writeNumberField("cross_zone", plan.zones().size() > 1 ? 0.045 : 0);
         out.writeEndObject();
         out.writeObjectFieldStart("rules");
         out.writeNumberField("drain_grace", plan.rules().drainGrace() / TICKS_PER_SECOND);
-        out.writeNumberField("cold_from", engine.initialCapacityShare());
-        out.writeNumberField("ramp_time", engine.warmUpDuration().high() / TICKS_PER_SECOND);
+        out.writeNumberField("cold_from", plan.engines().initialCapacityShare());
+        out.writeNumberField(
+                "ramp_time", plan.engines().warmUpDuration().high() / TICKS_PER_SECOND);
         out.writeNumberField("tip_multiple", plan.rules().overloadMultiple());
         out.writeNumberField("fall", plan.rules().overloadWindow() / TICKS_PER_SECOND);
         out.writeNumberField("key_quiet", plan.rules().keyQuietPeriod() / TICKS_PER_SECOND);
         out.writeEndObject();
-        out.writeEndObject();
     }
 
-    /** Its peers, each at the address at which this one reaches it. */
+    /** Writes the peers file, each peer with the address at which this manager reaches it. */
     static void writePeers(Path file, FleetPlan plan, LoopbackAddresses addresses, int manager)
             throws IOException {
         List<String> lines = new ArrayList<>();
@@ -267,7 +285,7 @@
         Files.write(file, lines);
     }
 
-    /** The managers of a cell, each at the address at which this one reaches it. */
+    /** The managers of a cell, each with the address at which this one reaches it. */
     private static String hostList(
             FleetPlan plan, LoopbackAddresses addresses, int manager, int cell) {
         return IntStream.range(0, plan.managers().count())
