--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -421,7 +421,7 @@
                                 2_000,
                                 () -> {
                                     if (!clientTry.abandoned()) {
-                                        rules.violations(
+                                        rules.addViolation(
                                                 "rule 1: batch "
                                                         + clientTry.request.id
                                                         + " at manager "
--- a/src/main/java/firstage/membership/FlapDamping.java
+++ b/src/main/java/firstage/membership/FlapDamping.java
@@ -10,8 +10,8 @@
     /** Returns without a hold-down: a restart and a suspicion by chance. */
     private static final double FREE_RETURNS = 2;
 
-    /** After the third return, doubled with each further one. */
-    private static final long FIRST_HOLD_DOWN = Ticks.ofMillis(500);
+    /** Doubled at the third return and again with each further one. */
+    private static final long HOLD_DOWN_BASE = Ticks.ofMillis(500);
 
     private static final long MAX_HOLD_DOWN = Ticks.ofSeconds(30);
 
@@ -32,7 +32,7 @@
         lastReturnAt = now;
         if (recentReturns > FREE_RETURNS && mayHoldDown) {
             double doublings = Math.min(MAX_DOUBLINGS, recentReturns - FREE_RETURNS);
-            double holdDown = FIRST_HOLD_DOWN * Math.pow(2, doublings);
+            double holdDown = HOLD_DOWN_BASE * Math.pow(2, doublings);
             heldOutUntil = now + (long) Math.min(MAX_HOLD_DOWN, holdDown);
         }
     }
--- a/src/main/java/firstage/membership/MembershipProtocol.java
+++ b/src/main/java/firstage/membership/MembershipProtocol.java
@@ -13,10 +13,10 @@
  * member, {@link GossipQueue} and {@link MessageSender} pass it on, {@link ViewAgreement} makes the
  * view of it, {@link FlapDamping} keeps those out of it that come and go.
  *
- * <p>A suspect leaves the view at once, so that nothing new is shared with it; it is dead only
- * after a silence longer than any pause that is borne, and refutes the suspicion by a higher
- * incarnation. A process that stood still judges nobody by what is from before. Times are ticks of
- * a clock that only goes forward.
+ * <p>A suspect leaves the view at once, so that nothing new is shared with it. It is declared dead
+ * only after it was unresponsive for longer than any pause that is tolerated, and until then can
+ * refute the suspicion with a higher incarnation. A process that was paused ignores what it
+ * observed before the pause. Times are ticks of a clock that only goes forward.
  */
 public final class MembershipProtocol {
     /** Between two ticks: this process stood still; two probe periods. */
@@ -248,7 +248,10 @@
         rejectedMessages.merge(reason, 1L, Long::sum);
     }
 
-    /** Whether the message is of this fleet and of the manager that has the name now. */
+    /**
+     * Whether the message is of this fleet and of the manager that has the name now. Also counts
+     * and logs why not, and answers a sender with an old incarnation.
+     */
     private boolean mayAccept(long now, int address, MembershipMessage message) {
         if (!message.fleet().equals(fleet)) {
             reject("another fleet");
--- a/src/main/java/firstage/membership/QuotaLeases.java
+++ b/src/main/java/firstage/membership/QuotaLeases.java
@@ -156,7 +156,10 @@
         withdrawalMarkStored = true;
     }
 
-    /** Whether an answer to this member carries this manager's grant; asked for each answer. */
+    /**
+     * Whether an answer to this member carries this manager's grant; asked for each answer, and
+     * records the grant.
+     */
     boolean grantTo(long now, String name) {
         recordStart(now);
         PeerGrant peer = peer(name);
@@ -223,10 +226,9 @@
         shareUntil = Long.MAX_VALUE;
         grantExpiries.values().removeIf(until -> until <= now);
         grantExpiries.values().forEach(until -> shareUntil = Math.min(shareUntil, until));
-        double fullShareOfEngine = fullShare;
         // Its own grant counts for itself, and is never withdrawn.
         boolean fullShareGranted = grantExpiries.size() + 1 >= quorum;
-        share = fullShareOfEngine * (fullShareGranted ? 1 : GUARANTEED_FRACTION);
+        share = fullShare * (fullShareGranted ? 1 : GUARANTEED_FRACTION);
         if (fullShareGranted) {
             withdrawalExpiries.forEach(
                     (name, expiries) -> {
@@ -243,7 +245,7 @@
                         }
                         if (expiries.size() + (withdrawnByThisManager ? 1 : 0)
                                 >= (defect == InjectedDefect.MINORITY_SUFFICES ? 1 : majority)) {
-                            share += fullShareOfEngine * (1 - GUARANTEED_FRACTION) / (managers - 1);
+                            share += fullShare * (1 - GUARANTEED_FRACTION) / (managers - 1);
                         }
                     });
             withdrawalExpiries.values().removeIf(Map::isEmpty);
--- a/src/main/java/firstage/overload/LoadSheddingLevel.java
+++ b/src/main/java/firstage/overload/LoadSheddingLevel.java
@@ -60,7 +60,7 @@
     /** Times the mean of the others that one row counts for at most. */
     private static final double MAX_ROW_WEIGHT = 4;
 
-    private static final double TENTHS = 10_000;
+    private static final double TICKS_PER_SECOND = 10_000;
 
     /** Rows are dated in steps of this: 32 bits are more than a year. */
     private static final long TIMESTAMP_UNIT = Ticks.ofMillis(10);
@@ -110,7 +110,7 @@
     public LoadSheddingLevel(
             String self, long latencyObjective, SheddingActions actions, InjectedDefect defect) {
         this.self = managerHash(self);
-        this.targetDelayS = latencyObjective / TENTHS * MAX_WAIT_FRACTION;
+        this.targetDelayS = latencyObjective / TICKS_PER_SECOND * MAX_WAIT_FRACTION;
         this.actions = actions;
         this.defect = defect;
     }
@@ -198,7 +198,9 @@
                     ((demand.startedWork() - previousStartedWork) / elapsed - startRate) * weight;
             shedRate += ((demand.shedWork() - previousShedWork) / elapsed - shedRate) * weight;
             queuedWork +=
-                    (demand.waitingWork() / TENTHS + shedRate * SHED_WORK_WEIGHT - queuedWork)
+                    (demand.waitingWork() / TICKS_PER_SECOND
+                                    + shedRate * SHED_WORK_WEIGHT
+                                    - queuedWork)
                             * weight;
             runningThreads += (demand.runningThreads() - runningThreads) * weight;
         }
--- a/src/main/java/firstage/policy/AdmissionQueue.java
+++ b/src/main/java/firstage/policy/AdmissionQueue.java
@@ -54,7 +54,10 @@
         return (int) Math.max(REQUESTS_PER_CORE, cores * quotaShare * REQUESTS_PER_CORE);
     }
 
-    /** Whether a request that was never started has no place in the queue. */
+    /**
+     * Whether a request that was never started has no place in the queue. Asked in order of
+     * arrival: a queue that is too long gives up its oldest requests, which have least time left.
+     */
     boolean isFullFor(RequestState request, int maxLength, boolean shedding) {
         boolean limited = request.overQuota && !shedding;
         return request.attemptsStarted == 0
@@ -80,7 +83,7 @@
         shutdownAt = endsAt;
     }
 
-    boolean isPastShutdown(long now) {
+    boolean isPastPlannedEnd(long now) {
         return now >= shutdownAt;
     }
 
--- a/src/main/java/firstage/policy/ConcurrencyLimiter.java
+++ b/src/main/java/firstage/policy/ConcurrencyLimiter.java
@@ -13,13 +13,13 @@
  * Both start at its quota share, grow with calm results and shrink when the engine is saturated.
  */
 final class ConcurrencyLimiter {
-    /** Of an engine's memory that requests use together. */
+    /** The share of an engine's memory that all requests together may reserve. */
     private static final double POOL_SHARE = 0.75;
 
-    /** All managers' limits together: beyond it less gets done. */
+    /** Threads a core that all managers' limits together allow: beyond it less gets done. */
     private static final double THREADS_PER_CORE = 2;
 
-    /** The lowest limits of all managers together. */
+    /** Threads a core below which the limits of all managers together are never lowered. */
     private static final double MIN_THREADS_PER_CORE = 1.3;
 
     /** Factor of a step: three halve, and one bad second closes nothing. */
@@ -28,14 +28,14 @@
     /** Between steps: the last one must show in latencies first. */
     private static final long SHRINK_INTERVAL = Ticks.ofMillis(700);
 
-    /** Of a calm result's threads and grant. */
+    /** The share of a calm result's threads and grant by which the limits grow. */
     private static final double GROWTH = 0.5;
 
     /** Saturation outlives its last sign, so that the queue does not flood the engine. */
     private static final long SATURATION_HOLD = Ticks.ofSeconds(4);
 
     private final List<Deployment.MachineType> machineTypes;
-    private double share;
+    private double quotaShare;
 
     /** Threads of the quota share on the machine type with the most cores. */
     private double largestThreadShare;
@@ -45,14 +45,14 @@
      */
     ConcurrencyLimiter(List<Deployment.MachineType> machineTypes, int managers) {
         this.machineTypes = machineTypes;
-        share = 1.0 / managers;
+        quotaShare = 1.0 / managers;
         int cores = machineTypes.stream().mapToInt(Deployment.MachineType::cores).max().orElse(1);
-        largestThreadShare = cores * THREADS_PER_CORE * share;
+        largestThreadShare = cores * THREADS_PER_CORE * quotaShare;
     }
 
     /** The share of each engine that this manager may use now. */
     double quotaShare() {
-        return share;
+        return quotaShare;
     }
 
     /** Sets the engine's size and the initial limits; an unknown size counts as one core. */
@@ -63,15 +63,15 @@
         engine.cores = size == null || size.cores() <= 0 ? 1 : size.cores();
         engine.memoryMb =
                 size == null || size.memoryMb() <= 0 ? Double.MAX_VALUE / 4 : size.memoryMb();
-        engine.memorySliceMb = engine.memoryMb * POOL_SHARE * share;
-        engine.threadLimit = engine.cores * THREADS_PER_CORE * share;
+        engine.memorySliceMb = engine.memoryMb * POOL_SHARE * quotaShare;
+        engine.threadLimit = engine.cores * THREADS_PER_CORE * quotaShare;
     }
 
     /** The quota share changed: all limits follow in proportion. */
     void onQuotaChanged(double newShare, Collection<EngineState> engines) {
-        double ratio = newShare / share;
+        double ratio = newShare / quotaShare;
         largestThreadShare *= ratio;
-        share = newShare;
+        quotaShare = newShare;
         for (EngineState engine : engines) {
             engine.memorySliceMb = Math.min(engine.memoryMb, engine.memorySliceMb * ratio);
             engine.threadLimit = Math.min(maxThreads(engine), engine.threadLimit * ratio);
@@ -114,7 +114,7 @@
     /** Free memory of the slice over the initial slice; may be below 0. */
     double freeMemory(EngineState engine, double capacityShare) {
         return (engine.memorySliceMb * capacityShare - engine.reservedMb)
-                / (engine.memoryMb * POOL_SHARE * share);
+                / (engine.memoryMb * POOL_SHARE * quotaShare);
     }
 
     void markSaturated(long now, EngineState engine) {
@@ -128,27 +128,31 @@
 
     /** Memory is short there. */
     void shrinkMemorySlice(long now, EngineState engine) {
-        if (startShrink(now, engine)) {
+        if (beginShrinkIfDue(now, engine)) {
             engine.memorySliceMb =
                     Math.max(
-                            engine.memoryMb * POOL_SHARE * share / 2,
+                            engine.memoryMb * POOL_SHARE * quotaShare / 2,
                             engine.memorySliceMb * SHRINK_FACTOR);
         }
     }
 
-    /** It is slow; a limit that is not used falls to what is. */
+    /**
+     * The engine is slow: lowers the thread limit by a step. Where the share is less than one
+     * thread, a limit above what is reserved falls to that first.
+     */
     void shrinkThreadLimit(long now, EngineState engine) {
-        if (startShrink(now, engine)) {
+        if (beginShrinkIfDue(now, engine)) {
             double used =
                     largestThreadShare < 1
                             ? Math.min(engine.threadLimit, engine.reservedThreads)
                             : engine.threadLimit;
             engine.threadLimit =
-                    Math.max(engine.cores * MIN_THREADS_PER_CORE * share, used * SHRINK_FACTOR);
+                    Math.max(
+                            engine.cores * MIN_THREADS_PER_CORE * quotaShare, used * SHRINK_FACTOR);
         }
     }
 
-    private static boolean startShrink(long now, EngineState engine) {
+    private static boolean beginShrinkIfDue(long now, EngineState engine) {
         boolean due = now - engine.lastShrunkAt >= SHRINK_INTERVAL;
         engine.lastShrunkAt = due ? now : engine.lastShrunkAt;
         return due;
--- a/src/main/java/firstage/policy/EngineSelector.java
+++ b/src/main/java/firstage/policy/EngineSelector.java
@@ -19,8 +19,11 @@
     private static final double FREE_MEMORY_STEP_SCORE = 2;
     private static final double MIN_FREE_MEMORY_STEPS = -20;
 
-    /** Steps of the memory slice that count as alike: within one table affinity decides. */
-    private static final double FREE_MEMORY_STEPS = 4;
+    /**
+     * Free memory is rounded down to quarters of the slice; between engines in the same quarter
+     * table affinity decides.
+     */
+    private static final double FREE_MEMORY_STEPS_PER_SLICE = 4;
 
     private final EngineEligibility eligibility;
     private final RetryPolicy retries;
@@ -142,14 +145,14 @@
         // One of the top priority may exceed the thread limit: many short requests would starve
         // behind long ones.
         boolean onlyTop = top && !engine.hasAttemptOfPriority(PriorityClasses.TOP);
-        boolean lone =
+        boolean mayExceedLimits =
                 engine.attemptsInFlight.isEmpty() && withinLimits
                         || limiter.isShareBelowOneRequest(request.trafficClass())
                                 && onlyTop
                                 && placement.prioritiesHeeded
                                 && !latency.isTopPrioritySlow();
         // The probe owner may exceed its slice; otherwise recovery would wait for its capacity.
-        return lone
+        return mayExceedLimits
                 || OutlierDetector.isFleetProbe(engine)
                 || limiter.hasMemory(engine, grantMb, capacityShare)
                         && (limiter.hasThreads(
@@ -178,7 +181,7 @@
             double[] loadOrder) {
         boolean smallShare = limiter.isShareBelowOneRequest(request.trafficClass());
         double freeMemorySteps =
-                Math.floor(limiter.freeMemory(engine, capacityShare) * FREE_MEMORY_STEPS);
+                Math.floor(limiter.freeMemory(engine, capacityShare) * FREE_MEMORY_STEPS_PER_SLICE);
         boolean sameZone = placement.prefersOwnZone && engine.zone == placement.zone;
         return (OutlierDetector.isFleetProbe(engine) ? FLEET_PROBE_SCORE : 0)
                 + (fits ? CAPACITY_SCORE : 0)
--- a/src/main/java/firstage/policy/GrantEstimator.java
+++ b/src/main/java/firstage/policy/GrantEstimator.java
@@ -17,10 +17,10 @@
     /** ... against one that sufficed: so one in eight comes out too small. */
     private static final double MARGIN_DECREASE = 0.02;
 
-    /** The first of so many samples count more. */
+    /** The first samples, up to this many, move the margin further. */
     private static final double EARLY_SAMPLES = 6;
 
-    /** Much below the expected memory, spilling makes more spilling. */
+    /** A grant further below the expected memory would slow the engine for others, too. */
     private static final double MIN_MARGIN = -0.25;
 
     /** Estimates may be four times too low. */
--- a/src/main/java/firstage/policy/OutlierDetector.java
+++ b/src/main/java/firstage/policy/OutlierDetector.java
@@ -95,7 +95,7 @@
         }
         // The probe owner has lost attempts there that are still in flight: only its probe counts.
         boolean probing =
-                engine.probeOwner
+                engine.mayProbeNow
                         ? engine.attemptsInFlight.stream()
                                 .anyMatch(attempt -> attempt.sentAt >= engine.backoffUntil)
                         : !engine.attemptsInFlight.isEmpty();
@@ -104,7 +104,7 @@
 
     /** Whether the next request there is the one probe for the whole fleet. */
     static boolean isFleetProbe(EngineState engine) {
-        return engine.probeOwner && engine.health == EngineHealth.HALF_OPEN;
+        return engine.mayProbeNow && engine.health == EngineHealth.HALF_OPEN;
     }
 
     /** An attempt ended; first what that shows of the engine, then who is blamed for a failure. */
@@ -148,10 +148,11 @@
     }
 
     /** The fleet says who probes this engine; see {@code SchedulingPolicy}. */
-    void onProbeOwnership(long now, EngineState engine, boolean others, boolean backoffOver) {
-        engine.probedByOthers = others;
-        engine.probeOwner = backoffOver;
-        engine.backoffUntil = backoffOver ? now : engine.backoffUntil;
+    void onProbeOwnership(
+            long now, EngineState engine, boolean probedByOthers, boolean mayProbeNow) {
+        engine.probedByOthers = probedByOthers;
+        engine.mayProbeNow = mayProbeNow;
+        engine.backoffUntil = mayProbeNow ? now : engine.backoffUntil;
     }
 
     /** Takes the first transition that fits and changes the state. */
@@ -173,7 +174,7 @@
         }
         if (transition.next == EngineHealth.AVAILABLE) {
             engine.probedByOthers = false;
-            engine.probeOwner = false;
+            engine.mayProbeNow = false;
         }
         if (transition.action == Action.START_BACKOFF) {
             engine.backoffUntil = now + engine.backoff;
--- a/src/main/java/firstage/policy/RetryPolicy.java
+++ b/src/main/java/firstage/policy/RetryPolicy.java
@@ -17,7 +17,7 @@
     /** Engines that a request may fail at: a third would say the same. */
     private static final int MAX_FAILED_ENGINES = 2;
 
-    /** Half a queue clears in it. */
+    /** A client that returns after this finds about half of a full queue gone. */
     private static final long RETRY_AFTER = Ticks.ofMillis(500);
 
     /** Pieces of the budget's window: what is in doubt is counted on the safe side. */
--- a/src/main/java/firstage/policy/SlowStartBudget.java
+++ b/src/main/java/firstage/policy/SlowStartBudget.java
@@ -10,19 +10,27 @@
  * grows with its age, and of that each manager may use its own part, counted over a window.
  */
 final class SlowStartBudget {
-    /** Of the budget: other managers and random allocations need the rest. */
+    /**
+     * The share of the budget that is used: other managers and random allocations need the rest.
+     */
     private static final double SAFETY = 0.9;
 
-    /** Of the budget a window, handed out by random allocation: two managers may meet. */
+    /**
+     * The share of a window's budget that random allocation hands out; two managers may be drawn at
+     * once.
+     */
     private static final double ALLOCATED_SHARE = 0.4;
 
-    /** Of the budget: of requests this small one too many does no harm. */
+    /**
+     * Requests up to this share of the budget may be allocated at random: one too many does no
+     * harm.
+     */
     private static final double SMALL_REQUEST_SHARE = 0.05;
 
     /** The golden ratio: spreads the managers' ranks evenly. */
     private static final double RANK_STEP = 0.618034;
 
-    /** Of a straight line: how an engine warms up is unknown. */
+    /** The share of a straight line that is counted on: how an engine warms up is unknown. */
     private static final double WARM_UP_SLOPE = 0.8;
 
     /** Busy share of the cores at capacity. */
@@ -58,8 +66,8 @@
     }
 
     /**
-     * The share of its capacity an engine is sure to have: from the settings' start figure to 1
-     * when it is warm.
+     * The share of its capacity an engine is sure to have: grows from {@code initialCapacityShare}
+     * with {@link #WARM_UP_SLOPE} of a straight line, and is 1 once the warm-up is over.
      */
     double capacityShare(long now, EngineState engine) {
         // An engine that was unavailable may have restarted: the endpoint list tells so late.
@@ -111,7 +119,7 @@
      */
     private double allocation(long now, EngineState engine) {
         long window = (now - engine.lastStartAt()) / rules.overloadWindow();
-        return (rank * RANK_STEP + engine.affinity((int) window)) % 1;
+        return (rank * RANK_STEP + engine.hashFraction((int) window)) % 1;
     }
 
     /** An attempt was sent to this engine. */
--- a/src/main/java/firstage/policy/TableAffinity.java
+++ b/src/main/java/firstage/policy/TableAffinity.java
@@ -39,7 +39,7 @@
                 ? NO_ORDER
                 : engines.stream()
                         .filter(engine -> engine.lifecycle == Lifecycle.ACTIVE)
-                        .mapToDouble(engine -> engine.affinity(tableGroup))
+                        .mapToDouble(engine -> engine.hashFraction(tableGroup))
                         .sorted()
                         .toArray();
     }
@@ -56,7 +56,7 @@
      *     managers apart then
      */
     double score(RequestState request, EngineState engine, double[] loadOrder, boolean smallShare) {
-        double affinity = engine.affinity(request.incoming.tableGroup());
+        double affinity = engine.hashFraction(request.incoming.tableGroup());
         if (isLoadOfTables(request)) {
             int groups = Math.min(managers, (int) Math.ceil(loadOrder.length * LOAD_SHARE));
             int place = Arrays.binarySearch(loadOrder, affinity);
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -243,9 +243,9 @@
     }
 
     @Override
-    public void onClientPresence(long now, int requestId, boolean away) {
+    public void onClientAbsence(long now, int requestId, boolean absent) {
         Optional.ofNullable(requests.get(requestId))
-                .ifPresent(request -> request.clientAway = away);
+                .ifPresent(request -> request.clientAbsent = absent);
         queuePassDue = true;
     }
 
@@ -302,8 +302,9 @@
     }
 
     @Override
-    public void onProbeOwnership(long now, int engineId, boolean others, boolean backoffOver) {
-        outliers.onProbeOwnership(now, engines.get(engineId), others, backoffOver);
+    public void onProbeOwnership(
+            long now, int engineId, boolean probedByOthers, boolean mayProbeNow) {
+        outliers.onProbeOwnership(now, engines.get(engineId), probedByOthers, mayProbeNow);
         queuePassDue = true;
     }
 
@@ -384,8 +385,8 @@
             quotas.refill(LatencyTracker.DECAY_INTERVAL);
             nextDecay = now + LatencyTracker.DECAY_INTERVAL;
         }
-        if (queue.isPastShutdown(now)) {
-            // After shutdown nothing is answered here, while another manager can still run it.
+        if (queue.isPastPlannedEnd(now)) {
+            // Later it would get no answer here, and another manager can still run it.
             List.copyOf(requests.values()).stream()
                     .filter(request -> !request.closed && retries.mayReject(request))
                     .forEach(this::rejectOrFail);
@@ -474,7 +475,9 @@
     }
 
     private boolean mayStart(long now, RequestState request) {
-        return !request.clientAway && now < queue.lastStartAt(request) && keys.isNext(now, request);
+        return !request.clientAbsent
+                && now < queue.lastStartAt(request)
+                && keys.isNext(now, request);
     }
 
     private long kindOf(RequestState request, UnplaceableRequests unplaceable) {
--- a/src/main/java/firstage/policy/api/SchedulingPolicy.java
+++ b/src/main/java/firstage/policy/api/SchedulingPolicy.java
@@ -20,7 +20,7 @@
     void onClientGone(long now, int requestId);
 
     /** Whether the client is away and may have left: then its request is not started. */
-    default void onClientPresence(long now, int requestId, boolean away) {}
+    default void onClientAbsence(long now, int requestId, boolean absent) {}
 
     /** The endpoint list, or a change of it, arrived; or its watch failed. */
     void onEndpointsUpdated(long now, EndpointUpdate update);
@@ -63,7 +63,8 @@
      * @param backoffOver whether it may be probed now: others found it well, or this manager is the
      *     probe owner
      */
-    default void onProbeOwnership(long now, int engineId, boolean others, boolean backoffOver) {}
+    default void onProbeOwnership(
+            long now, int engineId, boolean probedByOthers, boolean mayProbeNow) {}
 
     /** The work asked for and started; empty where the policy keeps no count. */
     default DemandHistogram demand(long now) {
--- a/src/main/java/firstage/policy/state/EngineState.java
+++ b/src/main/java/firstage/policy/state/EngineState.java
@@ -77,7 +77,7 @@
      * This manager probes it for all, or others found it available: attempts lost here before do
      * not keep from probing.
      */
-    public boolean probeOwner;
+    public boolean mayProbeNow;
 
     /** How long it is left alone after the next ejection. */
     public long backoff;
@@ -196,9 +196,9 @@
         return false;
     }
 
-    /** A hash of this engine and the table group, from 0 to 1, the same at every manager. */
-    public double affinity(int tableGroup) {
-        long hash = stableHash * 0x9E3779B97F4A7C15L ^ tableGroup * 0xC2B2AE3D27D4EB4FL;
+    /** A hash of this engine and a number, from 0 to 1, the same at every manager. */
+    public double hashFraction(int salt) {
+        long hash = stableHash * 0x9E3779B97F4A7C15L ^ salt * 0xC2B2AE3D27D4EB4FL;
         hash = (hash ^ (hash >>> 29)) * 0xBF58476D1CE4E5B9L;
         return ((hash ^ (hash >>> 32)) & 0xFFFF) / 65_536.0;
     }
--- a/src/main/java/firstage/policy/state/RequestState.java
+++ b/src/main/java/firstage/policy/state/RequestState.java
@@ -52,7 +52,7 @@
     public boolean closed;
 
     /** Its client may have left: it is not to be started. */
-    public boolean clientAway;
+    public boolean clientAbsent;
 
     /** The engines probed for their load before it starts, and when, in ticks. */
     public List<EngineState> probedEngines = List.of();
@@ -127,7 +127,7 @@
                 : classStats.typicalWork();
     }
 
-    /** How many ticks that takes on its threads. */
+    /** How many ticks the expected work takes on its threads. */
     public long expectedDuration() {
         return (long) expectedWork() / classStats.trafficClass.threads();
     }
--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -12,9 +12,9 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * A run of many managers: TOML, read as fleet and fault-test plans are; what can't be used is told with
- * its line and what would do. {@code cell} 0 is a fleet that is one; {@code period} and times in
- * ticks.
+ * A run of many managers: TOML, read as fleet and fault-test plans are; what can't be used is told
+ * with its line and what would do. {@code cell} 0 is a fleet that is one; {@code period} and times
+ * in ticks.
  */
 public record ScalePlan(
         String name,
--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -193,8 +193,8 @@
     }
 
     @Override
-    public void onClientPresence(RequestExchange exchange, boolean away) {
-        requestEvents.onClientPresence(exchange, away);
+    public void onClientAbsence(RequestExchange exchange, boolean absent) {
+        requestEvents.onClientPresence(exchange, absent);
     }
 
     @Override
@@ -214,9 +214,10 @@
             long duration,
             LoadReport report,
             List<byte[]> pages,
-            long heldFor) {
+            long mayStillRunFor) {
         engines.onAttemptEnded(attempt.engine());
-        requestEvents.onAttemptEnded(exchange, attempt, outcome, duration, report, pages, heldFor);
+        requestEvents.onAttemptEnded(
+                exchange, attempt, outcome, duration, report, pages, mayStillRunFor);
     }
 
     @Override
--- a/src/main/java/firstage/server/RequestEventHandler.java
+++ b/src/main/java/firstage/server/RequestEventHandler.java
@@ -126,7 +126,7 @@
             loop.dispatch(
                     "away",
                     scheduler ->
-                            scheduler.onClientPresence(clock.now(), exchange.requestIndex, absent));
+                            scheduler.onClientAbsence(clock.now(), exchange.requestIndex, absent));
         }
     }
 
@@ -165,8 +165,8 @@
             long duration,
             LoadReport report,
             List<byte[]> pages,
-            long heldFor) {
-        requests.onAttemptEnded(exchange, attempt, outcome, heldFor);
+            long mayStillRunFor) {
+        requests.onAttemptEnded(exchange, attempt, outcome, mayStillRunFor);
         if (outcome == AttemptOutcome.SUCCEEDED && exchange.succeed(pages)) {
             requests.onRequestEnded(RequestRegistry.End.SUCCEEDED, exchange);
         }
@@ -185,7 +185,7 @@
                                         0,
                                         exchange.isSettled(),
                                         report,
-                                        heldFor)));
+                                        mayStillRunFor)));
         if (outcome == AttemptOutcome.SUCCEEDED) {
             exchange.abandonAttempts(AttemptOutcome.CANCELLED);
         }
--- a/src/main/java/firstage/server/SchedulerLoop.java
+++ b/src/main/java/firstage/server/SchedulerLoop.java
@@ -83,15 +83,15 @@
                             // client that left in that time.
                             counters.count("stalls");
                             stalled = false;
-                            barrier.runAfterPendingReads(this::evaluate);
+                            barrier.runAfterPendingReads(this::runScheduler);
                         } else {
-                            evaluate();
+                            runScheduler();
                         }
                     });
         }
     }
 
-    private void evaluate() {
+    private void runScheduler() {
         evaluationScheduled = false;
         try {
             beforeEvaluation.run();
--- a/src/main/java/firstage/server/ServerEvents.java
+++ b/src/main/java/firstage/server/ServerEvents.java
@@ -38,7 +38,7 @@
     void onClientGone(RequestExchange exchange);
 
     /** The client is absent and may be gone; or it polls again. */
-    void onClientPresence(RequestExchange exchange, boolean away);
+    void onClientAbsence(RequestExchange exchange, boolean absent);
 
     /** An engine reported progress. */
     void onAttemptProgress(
@@ -61,7 +61,7 @@
             long duration,
             LoadReport report,
             List<byte[]> pages,
-            long heldFor);
+            long mayStillRunFor);
 
     /** A probe ended; {@code report} is null where its answer carried none. */
     void onProbeResult(int engine, AttemptOutcome outcome, LoadReport report);
--- a/src/main/java/firstage/server/ShutdownSequence.java
+++ b/src/main/java/firstage/server/ShutdownSequence.java
@@ -91,7 +91,7 @@
                 ACCEPT_AFTER_SIGTERM_MS,
                 () -> {
                     phase = Phase.DRAINING;
-                    clientHandler.closing(clock.now());
+                    clientHandler.onFrontStopped(clock.now());
                     endWhenIdle();
                 });
     }
--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -149,7 +149,7 @@
      * The front sends nothing more. New connections are accepted still: a client whose connection
      * broke must be able to fetch its answer, or to cancel.
      */
-    public void closing(long now) {
+    public void onFrontStopped(long now) {
         responses.closing(now);
         // A request on a connection that the kernel accepted is ours, also where the thread had no
         // time for it yet.
@@ -166,6 +166,7 @@
 
     /** Whether all accepted requests are answered, and the answers are written. */
     public boolean isIdle() {
+        // Asked first, whatever comes next: it also closes writes that stall.
         boolean written = responses.isIdle();
         return pendingCalls.allAnswered() && written;
     }
--- a/src/main/java/firstage/server/client/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -221,13 +221,13 @@
     @Override
     public void markClientAbsent() {
         counters.count("clients absent");
-        events.onClientPresence(request, true);
+        events.onClientAbsence(request, true);
     }
 
     @Override
     public void markClientPresent() {
         counters.count("clients present again");
-        events.onClientPresence(request, false);
+        events.onClientAbsence(request, false);
     }
 
     @Override
--- a/src/main/java/firstage/simulation/BaselinePolicy.java
+++ b/src/main/java/firstage/simulation/BaselinePolicy.java
@@ -37,8 +37,8 @@
         private final IncomingRequest request;
         private int engine = -1;
 
-        private OpenRequest(IncomingRequest is) {
-            this.request = is;
+        private OpenRequest(IncomingRequest request) {
+            this.request = request;
         }
     }
 
@@ -53,9 +53,9 @@
     private final Map<Integer, Long> quietUntilByKey = new HashMap<>();
     private int nextRoundRobin;
 
-    BaselinePolicy(Kind kind, Deployment deployment, PolicyActions host) {
+    BaselinePolicy(Kind kind, Deployment deployment, PolicyActions actions) {
         this.kind = kind;
-        this.actions = host;
+        this.actions = actions;
         this.deployment = deployment;
         random = RandomGeneratorFactory.of("L64X128MixRandom").create(deployment.seed());
     }
--- a/src/main/java/firstage/simulation/ClientBehavior.java
+++ b/src/main/java/firstage/simulation/ClientBehavior.java
@@ -3,17 +3,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How clients spread over the managers and ask again: for the model's in virtual time and the
- * fault tests' on sockets.
+ * How clients spread over the managers and ask again: for the model's in virtual time and the fault
+ * tests' on sockets.
  */
 public final class ClientBehavior {
     private final FleetPlan plan;
     private final RandomGenerator random;
     private final double[] managerBounds;
 
-    public ClientBehavior(FleetPlan plan, RandomGenerator chance) {
+    public ClientBehavior(FleetPlan plan, RandomGenerator random) {
         this.plan = plan;
-        this.random = chance;
+        this.random = random;
         double skew = plan.managers().trafficSkew();
         managerBounds = new double[plan.managers().count()];
         double sum = 0;
--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -65,15 +65,15 @@
         private boolean ended;
 
         public RunningAttempt(
-                TrueRequest is,
-                FleetPlan.TrafficClassPlan group,
+                TrueRequest request,
+                FleetPlan.TrafficClassPlan trafficClass,
                 Listener listener,
                 int manager,
                 double grant,
                 int priority) {
-            this.request = is;
+            this.request = request;
             this.manager = manager;
-            this.trafficClass = group;
+            this.trafficClass = trafficClass;
             this.listener = listener;
             this.grant = grant;
             this.priority = priority;
@@ -109,12 +109,12 @@
     public EngineModel(
             int number,
             FleetPlan plan,
-            EventQueue calendar,
+            EventQueue events,
             RandomStreams streams,
             RuleChecker rules) {
         this.number = number;
         this.engineType = plan.engines();
-        this.events = calendar;
+        this.events = events;
         this.rules = rules;
         rulesOfPlan = plan.rules();
         random = streams.stream("engine", number);
@@ -209,7 +209,7 @@
         recordArrival(attempt);
         if (state == State.SILENT || state == State.HANGING) {
             if (state == State.HANGING) {
-                rules.runsByRequest(attempt.request, events.now());
+                rules.onRunStarted(attempt.request, events.now());
             }
             return;
         }
@@ -221,7 +221,7 @@
             attempt.listener.onEnded(attempt, AttemptOutcome.REFUSED);
             return;
         }
-        rules.runsByRequest(attempt.request, events.now());
+        rules.onRunStarted(attempt.request, events.now());
         advance();
         if (engineType.grants() && reservedMb + attempt.grant > engineType.memoryMb()) {
             attempt.waitingForMemory = true;
--- a/src/main/java/firstage/simulation/EventQueue.java
+++ b/src/main/java/firstage/simulation/EventQueue.java
@@ -25,10 +25,10 @@
         private final Runnable action;
         private ScheduledEvent next;
 
-        private ScheduledEvent(long due, long order, Runnable what) {
+        private ScheduledEvent(long due, long order, Runnable action) {
             this.due = due;
             this.order = order;
-            this.action = what;
+            this.action = action;
         }
     }
 
--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -84,7 +84,7 @@
                                 .values());
     }
 
-    /** Plays it; the progress of a long run is nobody's matter here. */
+    /** Plays the plan once with this policy and seed. */
     public static SimulationResult play(
             FleetPlan plan, PolicyUnderTest policyUnderTest, long seed) {
         return new FleetSimulation(plan, policyUnderTest, seed).play(policyUnderTest, seed);
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -58,8 +58,8 @@
         private int priority = 1;
         private final List<ModelledAttempt> attemptsInFlight = new ArrayList<>();
 
-        private OpenRequest(RuleChecker.ClientTry is) {
-            this.clientTry = is;
+        private OpenRequest(RuleChecker.ClientTry clientTry) {
+            this.clientTry = clientTry;
         }
     }
 
@@ -176,21 +176,21 @@
     ManagerModel(
             int number,
             FleetPlan plan,
-            PolicyUnderTest choice,
-            EventQueue calendar,
-            RandomStreams streams,
+            PolicyUnderTest policyUnderTest,
+            EventQueue events,
+            RandomStreams randomStreams,
             RuleChecker rules,
             List<EngineModel> engines,
-            ClientActions answers) {
+            ClientActions clientActions) {
         this.number = number;
         this.plan = plan;
-        this.policyUnderTest = choice;
-        this.events = calendar;
-        this.randomStreams = streams;
+        this.policyUnderTest = policyUnderTest;
+        this.events = events;
+        this.randomStreams = randomStreams;
         this.rules = rules;
         this.engines = engines;
-        this.clientActions = answers;
-        random = streams.stream("manager", number);
+        this.clientActions = clientActions;
+        random = randomStreams.stream("manager", number);
         cells = plan.cells();
         for (EngineModel engineModel : engines) {
             if (servesEngine(engineModel.number())) {
--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -33,10 +33,10 @@
         private long pauseAllowance;
         private long overtakenAt;
 
-        public ClientTry(TrueRequest is, int manager, long notAfter) {
-            this.request = is;
+        public ClientTry(TrueRequest request, int manager, long deadline) {
+            this.request = request;
             this.manager = manager;
-            this.deadline = notAfter;
+            this.deadline = deadline;
         }
 
         /** Whether its manager's life ended, or it never came to one. */
@@ -87,13 +87,13 @@
     }
 
     /**
-     * {@code answerSlack} for answers, {@code attempted} for what is seen at engines after it was
-     * sent; both ticks.
+     * @param answerSlack ticks by which an answer may be late
+     * @param observationDelay ticks by which statements and answers may be seen late
      */
-    public RuleChecker(FleetPlan plan, long slack, long sent) {
+    public RuleChecker(FleetPlan plan, long answerSlack, long observationDelay) {
         this.plan = plan;
-        this.answerSlack = slack;
-        this.observationDelay = sent;
+        this.answerSlack = answerSlack;
+        this.observationDelay = observationDelay;
         for (int m = 0; m < plan.managers().count(); m++) {
             keysByManager.add(new HashMap<>());
             drainsByManager.add(new HashMap<>());
@@ -152,8 +152,8 @@
     }
 
     /**
-     * {@code held}: the way may have kept it back; when it was sent is not known, only that it came
-     * now.
+     * {@code delayed}: the way may have kept it back; when it was sent is not known, only that it
+     * came now.
      */
     public void onAttemptSent(long now, ClientTry clientTry, int engine, boolean delayed) {
         Effect effect = plan.trafficClasses().get(clientTry.request.trafficClass).effect();
@@ -281,7 +281,7 @@
     }
 
     /** A run begins at an engine. */
-    void runsByRequest(TrueRequest request, long now) {
+    void onRunStarted(TrueRequest request, long now) {
         if (runsByRequest.merge(request.id, 1, Integer::sum) > 1
                 && plan.trafficClasses().get(request.trafficClass).effect()
                         == Effect.NON_IDEMPOTENT) {
@@ -322,8 +322,8 @@
                         + how);
     }
 
-    /** What a carrier sees by itself. */
-    public void violations(String line) {
+    /** Records a violation that the caller found itself. */
+    public void addViolation(String line) {
         violationCount++;
         keepViolation(line);
     }
--- a/src/main/java/firstage/simulation/TrueRequest.java
+++ b/src/main/java/firstage/simulation/TrueRequest.java
@@ -31,26 +31,26 @@
 
     TrueRequest(
             long id,
-            int group,
-            int customer,
-            int key,
-            int tables,
-            long asked,
-            long limit,
+            int trafficClass,
+            int tenant,
+            int orderingKey,
+            int tableGroup,
+            long firstRequestedAt,
+            long deadline,
             double work,
             double memoryMb,
-            long estimate,
-            int memoryTold) {
+            long estimatedWork,
+            int estimatedMemoryMb) {
         this.id = id;
-        this.trafficClass = group;
-        this.tenant = customer;
-        this.orderingKey = key;
-        this.tableGroup = tables;
-        this.firstRequestedAt = asked;
-        this.deadline = limit;
+        this.trafficClass = trafficClass;
+        this.tenant = tenant;
+        this.orderingKey = orderingKey;
+        this.tableGroup = tableGroup;
+        this.firstRequestedAt = firstRequestedAt;
+        this.deadline = deadline;
         this.work = work;
         this.memoryMb = memoryMb;
-        this.estimatedWork = estimate;
-        this.estimatedMemoryMb = memoryTold;
+        this.estimatedWork = estimatedWork;
+        this.estimatedMemoryMb = estimatedMemoryMb;
     }
 }
--- a/src/main/java/firstage/simulation/schedule/SimulatedManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -303,7 +303,7 @@
         private void reportAbsence(boolean absent) {
             request.clientAbsent = absent && defect != InjectedDefect.ABSENCE_IGNORED;
             if (request.delivered && !request.completed) {
-                scheduler.onClientPresence(events.now(), request.id, request.clientAbsent);
+                scheduler.onClientAbsence(events.now(), request.id, request.clientAbsent);
                 pendingActionsDue = true;
             }
         }
--- a/src/test/java/firstage/server/StartupIT.java
+++ b/src/test/java/firstage/server/StartupIT.java
@@ -48,6 +48,8 @@
         if (state.equals("missing")) {
             Files.delete(manager.configFile());
         }
+        // A busy machine may take longer to read the file than it is unusable here.
+        manager.awaitLog("tried again");
         Thread.sleep(1_200);
         assertThat(manager.isAlive()).isTrue();
         Files.writeString(manager.configFile(), whole);
