--- a/src/main/java/firstage/policy/api/AttemptOutcome.java
+++ b/src/main/java/firstage/policy/api/AttemptOutcome.java
@@ -1,6 +1,6 @@
 package firstage.policy.api;
 
-/** The ways in which an attempt can end. */
+/** Outcome of an attempt. */
 public enum AttemptOutcome {
     SUCCEEDED(true),
     FAILED(true),
@@ -11,7 +11,7 @@
     CANCELLED(true),
     NOT_SENT(false);
 
-    /** False where the outcome proves that the engine never ran it. */
+    /** Whether the engine may have run the attempt; false if the outcome proves that it did not. */
     public final boolean mayHaveRun;
 
     AttemptOutcome(boolean mayHaveRun) {
--- a/src/main/java/firstage/policy/api/AttemptProgress.java
+++ b/src/main/java/firstage/policy/api/AttemptProgress.java
@@ -1,13 +1,14 @@
 package firstage.policy.api;
 
 /**
- * A progress report on an attempt that is in flight.
+ * Progress report of an engine on an attempt in flight.
  *
- * @param amount by kind: the fraction done (0 to 1), the MB that are missing, else unused
+ * @param amount fraction done (0 to 1) for {@link Kind#FRACTION_DONE}, missing memory in MB for
+ *     {@link Kind#SPILLING}; unused for the other kinds
  */
 public record AttemptProgress(
         int requestId, int attemptNumber, int engineId, Kind kind, double amount) {
-    /** What is reported. */
+    /** Type of a progress report. */
     public enum Kind {
         FRACTION_DONE,
         SPILLING,
--- a/src/main/java/firstage/policy/api/AttemptResult.java
+++ b/src/main/java/firstage/policy/api/AttemptResult.java
@@ -1,16 +1,16 @@
 package firstage.policy.api;
 
 /**
- * How an attempt ended.
+ * Result of an attempt that has ended.
  *
- * @param attemptNumber from 0, for each request
- * @param duration in ticks, from its start
- * @param actualWork what the request truly needed, in ticks on one thread; 0 where not reported
- * @param actualMemoryMb what the request truly needed; 0 where not reported
- * @param requestClosed whether the client has its answer with this
- * @param loadReport of the engine; null where none came with it
- * @param mayStillRunFor for how many ticks its engine may still run it; 0 where its end is proven,
- *     or the deployment's quiet period covers it
+ * @param attemptNumber number of the attempt within its request, from 0
+ * @param duration time since the start of the attempt, in ticks
+ * @param actualWork work that the request needed, in ticks on one thread; 0 if not reported
+ * @param actualMemoryMb memory that the request needed; 0 if not reported
+ * @param requestClosed whether the client was answered with this result
+ * @param loadReport load report that the engine sent with the result; null if none
+ * @param mayStillRunFor upper bound, in ticks, on how long the engine may still run the attempt; 0
+ *     if the attempt is known to have ended, or if the deployment's quiet period covers it
  */
 public record AttemptResult(
         int requestId,
--- a/src/main/java/firstage/policy/api/DemandHistogram.java
+++ b/src/main/java/firstage/policy/api/DemandHistogram.java
@@ -4,18 +4,19 @@
 import java.util.Arrays;
 
 /**
- * The work that a manager was asked for, by priority band, and what became of it: sums since its
- * start, of expected work in ticks on one thread. A band is half an octave of priority weight for a
- * second of expected work.
+ * Expected work that arrived at a manager, by priority band, and how much of it was started, shed or
+ * is waiting. Work is in ticks on one thread; arrived, started and shed work are sums since the
+ * start of the manager. Each band covers half an octave of priority weight per second of expected
+ * work.
  */
 public final class DemandHistogram {
-    /** How many priority bands there are. */
+    /** Number of priority bands. */
     public static final int BANDS = 32;
 
-    /** The band of a weight of 1 for a second of work: a factor of 256 each way. */
+    /** Band of a weight of 1 per second of work; the bands cover a factor of 256 either way. */
     private static final int MIDDLE_BAND = BANDS / 2;
 
-    /** Bands that a request beyond its tenant's quota counts lower: a factor of two. */
+    /** Number of bands by which a request over its tenant's quota is lowered: a factor of two. */
     private static final int OVER_QUOTA_PENALTY = 2;
 
     private final double[] arrivedWork = new double[BANDS];
@@ -25,7 +26,12 @@
     private double runningThreads;
     private double threadCapacity;
 
-    /** The band, from 0 to {@link #BANDS} - 1, of this weight for so many ticks of work. */
+    /**
+     * Returns the band, from 0 to {@link #BANDS} - 1, of a request.
+     *
+     * @param work expected work in ticks on one thread
+     * @param overQuota whether the request exceeds its tenant's quota
+     */
     public static int priorityBand(double priorityWeight, double work, boolean overQuota) {
         double weightPerSecond = priorityWeight / Math.max(1, work) * Ticks.PER_SECOND;
         long band =
@@ -34,58 +40,63 @@
         return (int) Math.max(0, Math.min(BANDS - 1, band - (overQuota ? OVER_QUOTA_PENALTY : 0)));
     }
 
-    /** A request arrived. */
+    /** Records the work of a request that arrived. */
     public void arrivedWork(int band, double work) {
         arrivedWork[band] += work;
     }
 
-    /** A request was started for the first time. */
+    /** Records the work of a request whose first attempt was started. */
     public void startedWork(double work) {
         startedWork += work;
     }
 
-    /** A request left the queue unstarted, as it was full or too slow. */
+    /** Records the work of a request that left the full queue, or timed out in it, unstarted. */
     public void shedWork(double work) {
         shedWork += work;
     }
 
-    /** Queued requests of this work would start if there were capacity. */
+    /** Sets the work of the queued requests that could start if there were capacity. */
     public void waitingWork(double work) {
         waitingWork = work;
     }
 
-    /** This manager's threads on usable engines, and how many these bear of all managers. */
+    /**
+     * Sets the threads in use and the capacity of the usable engines.
+     *
+     * @param threads threads that this manager uses on them
+     * @param capacity threads of all managers together that they can run
+     */
     public void runningThreads(double threads, double capacity) {
         this.runningThreads = threads;
         this.threadCapacity = capacity;
     }
 
-    /** The arrived work of each band; a copy. */
+    /** Returns a copy of the arrived work of each band. */
     public double[] arrivedWork() {
         return Arrays.copyOf(arrivedWork, BANDS);
     }
 
-    /** The work of all requests that were started. */
+    /** Returns the work of all requests that were started. */
     public double startedWork() {
         return startedWork;
     }
 
-    /** The work of all requests that left the queue unstarted. */
+    /** Returns the work of all requests that left the queue unstarted. */
     public double shedWork() {
         return shedWork;
     }
 
-    /** The work that waits for capacity now. */
+    /** Returns the work that waits for capacity now. */
     public double waitingWork() {
         return waitingWork;
     }
 
-    /** This manager's threads on usable engines now. */
+    /** Returns the number of threads that this manager uses on usable engines now. */
     public double runningThreads() {
         return runningThreads;
     }
 
-    /** The threads that usable engines bear of all managers now. */
+    /** Returns the number of threads of all managers that the usable engines can run now. */
     public double threadCapacity() {
         return threadCapacity;
     }
--- a/src/main/java/firstage/policy/api/Deployment.java
+++ b/src/main/java/firstage/policy/api/Deployment.java
@@ -3,18 +3,21 @@
 import java.util.List;
 
 /**
- * What a workload manager knows of its deployment at start; absent figures are 0, lists empty.
+ * Configuration that a workload manager has of its deployment at start. Figures that are not set are
+ * 0, and lists that are not set are empty.
  *
- * @param rank this manager's number, from 0
- * @param tenantRates requests a tick, over all managers
- * @param maxGrantShare the largest memory grant, as a share of an engine's memory
- * @param progressInterval ticks between progress reports; 0 where engines send none
- * @param crossZoneCosts whether traffic between zones costs
- * @param probePrice in shares of a mean request's priority weight; below 0 where engines may not be
- *     probed
- * @param probesReportLoad whether the answer to a probe carries a load report
- * @param memoryOvercommitPages whether grants beyond an engine's memory are accepted and slow down
- *     all requests there, rather than wait in its queue
+ * @param managers number of managers that share the engines
+ * @param rank index of this manager among them, from 0
+ * @param tenantRates quota of each tenant in requests per tick, over all managers
+ * @param maxGrantShare largest memory grant, as a share of an engine's memory
+ * @param progressInterval ticks between progress reports; 0 if engines send none
+ * @param subscribesToEndpoints whether the manager has to subscribe to the endpoint list
+ * @param crossZoneCosts whether traffic between zones has a cost
+ * @param probePrice cost of a probe, as a multiple of the mean priority weight of requests; negative
+ *     if engines may not be probed
+ * @param probesReportLoad whether the answer to a probe contains a load report
+ * @param memoryOvercommitPages whether an engine accepts grants beyond its memory and pages, which
+ *     slows down all requests there; otherwise such grants wait in its queue
  */
 public record Deployment(
         long seed,
@@ -33,19 +36,24 @@
         double probePrice,
         boolean probesReportLoad,
         boolean memoryOvercommitPages) {
-    /** The shortest latency objective of a traffic class, in ticks; 1 without classes. */
+    /** Returns the shortest latency objective of all traffic classes, in ticks; 1 if there are none. */
     public long shortestLatencyObjective() {
         return trafficClasses.stream().mapToLong(TrafficClass::latencyObjective).min().orElse(1);
     }
 
-    /** The size of an engine. */
+    /** Size of an engine. */
     public record MachineType(int cores, double memoryMb) {}
 
     /**
-     * What the deployment allows.
+     * Optional features that the deployment supports, and their limits.
      *
-     * @param maxAttempts of one request
-     * @param maxRetryAfter in ticks
+     * @param cancel whether attempts can be cancelled
+     * @param hedging whether a request may have several attempts in flight
+     * @param retryAfter whether a rejection can tell the client how long to wait
+     * @param grants whether engines accept memory grants
+     * @param priorities whether engines run requests by priority
+     * @param maxAttempts maximum number of attempts of one request
+     * @param maxRetryAfter longest wait that a rejection may ask for, in ticks
      */
     public record Capabilities(
             boolean cancel,
@@ -57,15 +65,18 @@
             long maxRetryAfter) {}
 
     /**
-     * The figures of warm-up, key order and retry budget. Times are in ticks.
+     * Parameters of slow start, key order and the retry budget. Times are in ticks.
      *
-     * @param initialCapacityShare of an engine that has just started; 0: no warm-up
-     * @param overloadMultiple times its capacity that a warming engine bears in a window; 0: any
-     * @param overloadWindow over which that is counted
-     * @param keyQuietPeriod a key's pause after an attempt that may still run
-     * @param retryRatio retries for each accepted request; below 0: no budget is set
-     * @param retryAllowance retries allowed beside the ratio
-     * @param retryWindow over which retries are counted
+     * @param initialCapacityShare share of its capacity that an engine has right after its start; 0
+     *     if engines need no warm-up
+     * @param warmUpDuration time from the start of an engine to its full capacity
+     * @param overloadMultiple multiple of its current capacity that a warming engine can serve in a
+     *     window; 0 for no limit
+     * @param overloadWindow length of that window
+     * @param keyQuietPeriod pause of an ordering key after an attempt that may still run
+     * @param retryRatio retries allowed per accepted request; negative for no budget
+     * @param retryAllowance retries allowed in addition to the ratio
+     * @param retryWindow window over which retries and accepted requests are counted
      */
     public record Rules(
             double initialCapacityShare,
--- a/src/main/java/firstage/policy/api/EndpointUpdate.java
+++ b/src/main/java/firstage/policy/api/EndpointUpdate.java
@@ -2,31 +2,38 @@
 
 import java.util.List;
 
-/** The endpoint list: all of it, or what changed; FAILED leaves the earlier list valid. */
+/** Update of the endpoint list. */
 public record EndpointUpdate(Kind kind, List<Endpoint> endpoints) {
-    /** What an update holds. */
+    /** Type of an update. */
     public enum Kind {
+        /** The complete list. */
         SNAPSHOT,
+        /** The changed endpoints only. */
         DELTA,
+        /** The complete list as known at start, before the first snapshot. */
         INITIAL,
+        /** The subscription failed; the previous list stays valid. */
         FAILED
     }
 
-    /** Whether an engine takes new requests, only ends its own, or has left. */
+    /** Lifecycle of an engine. */
     public enum Lifecycle {
+        /** Accepts new requests. */
         ACTIVE,
+        /** Finishes its current requests and accepts no new ones. */
         DRAINING,
+        /** Has left the endpoint list. */
         GONE
     }
 
     /**
-     * One engine.
+     * An engine of the endpoint list.
      *
-     * @param stableHash the same at every manager
-     * @param cell the idempotency cell that it stands in
-     * @param startedAt in ticks; 0 for long ago
-     * @param warmUpShare this manager's share of what the engine bears while it warms up, where no
-     *     other manager can change it; 0: one of all managers
+     * @param stableHash hash of the engine that is the same at every manager
+     * @param cell idempotency cell of the engine
+     * @param startedAt start of the engine, in ticks; 0 if long ago
+     * @param warmUpShare this manager's share of the engine's capacity while the engine warms up, if
+     *     it is fixed and no other manager can change it; 0 for an equal share of all managers
      */
     public record Endpoint(
             int engineId,
@@ -38,7 +45,7 @@
             double weight,
             long startedAt,
             double warmUpShare) {
-        /** An engine of a fleet whose managers all use all engines. */
+        /** Creates an endpoint for a fleet in which every manager uses every engine. */
         public Endpoint(
                 int engineId,
                 long stableHash,
--- a/src/main/java/firstage/policy/api/IncomingRequest.java
+++ b/src/main/java/firstage/policy/api/IncomingRequest.java
@@ -1,17 +1,18 @@
 package firstage.policy.api;
 
 /**
- * A request that was just accepted.
+ * A request that was just accepted from a client.
  *
  * @param trafficClass index in {@link Deployment#trafficClasses}
  * @param tenant index in {@link Deployment#tenantRates}; -1 for none
- * @param orderingKey -1 for none
- * @param deadline when its client gives up, in ticks
- * @param estimatedWork work of all its threads, in ticks on one; 0 where not known
- * @param estimatedMemoryMb 0 where not known
- * @param tableGroup the tables that it reads or loads; -1 for none
- * @param retry whether its client sent it before
- * @param orderUnknown whether its place among accepted requests of its key is unknown
+ * @param orderingKey id of the ordering key; -1 for none
+ * @param deadline time at which the client gives up, in ticks
+ * @param estimatedWork estimated work of all threads together, in ticks on one thread; 0 if unknown
+ * @param estimatedMemoryMb estimated memory; 0 if unknown
+ * @param tableGroup group of tables that the request reads or loads; -1 for none
+ * @param retry whether the client sent this request before
+ * @param orderUnknown whether the position of the request among the accepted requests of its key is
+ *     unknown
  */
 public record IncomingRequest(
         int requestId,
--- a/src/main/java/firstage/policy/api/LoadReport.java
+++ b/src/main/java/firstage/policy/api/LoadReport.java
@@ -1,9 +1,10 @@
 package firstage.policy.api;
 
 /**
- * An engine's load; a figure that it does not report is not a number. Shares run from 0 to 1.
+ * Load that an engine reports. Figures that the engine does not report are NaN; shares range from 0
+ * to 1.
  *
- * @param queuedForMemory requests that wait for memory
+ * @param queuedForMemory number of requests that wait for memory
  */
 public record LoadReport(
         double activeThreads,
--- a/src/main/java/firstage/policy/api/PolicyActions.java
+++ b/src/main/java/firstage/policy/api/PolicyActions.java
@@ -1,48 +1,55 @@
 package firstage.policy.api;
 
-/** Carries out what a scheduling policy decides; implementations decide nothing. */
+/** Executes the decisions of a scheduling policy. Implementations make no decisions of their own. */
 public interface PolicyActions {
-    /** Sets the memory grant in MB (0: none) and the priority of the request's next attempt. */
+    /**
+     * Sets the memory grant and the priority of the request's next attempt.
+     *
+     * @param grantMb memory grant; 0 for none
+     */
     void setGrantAndPriority(int requestId, int grantMb, int priority);
 
     /**
      * Starts an attempt of the request at an engine.
      *
-     * @param timeout in ticks; 0 leaves it to the client's deadline
+     * @param timeout timeout of the attempt in ticks; 0 for the client's deadline
      */
     void startAttempt(int requestId, int engineId, long timeout);
 
-    /** Cancels an attempt; its result still follows. */
+    /** Cancels an attempt. The result of the attempt is still reported. */
     void cancelAttempt(int requestId, int attemptNumber);
 
     /**
-     * Rejects the request: the client may try again without harm.
+     * Rejects the request, which tells the client that it may safely send the request again.
      *
-     * @param retryAfter for how many ticks it is to stay away; 0 where the wire can't say so
+     * @param retryAfter ticks for which the client has to wait before it does so; 0 if the protocol
+     *     cannot express a wait
      */
     void reject(int requestId, long retryAfter);
 
-    /** Answers the client that its request failed. */
+    /** Tells the client that its request failed. */
     void fail(int requestId);
 
-    /** The request is closed and has no attempt in flight: its id may be reused. */
+    /** Releases the id of a request that is closed and has no attempt in flight. */
     void releaseRequest(int requestId);
 
-    /** No request waits for this ordering key, and its pause is over: its id may be reused. */
+    /** Releases the id of an ordering key that has no waiting request and whose pause is over. */
     void releaseKey(int key);
 
-    /** The engine left long ago and has no attempt in flight: its id may be reused. */
+    /** Releases the id of an engine that left long ago and has no attempt in flight. */
     void releaseEngine(int engineId);
 
-    /** Asks an engine for its load; {@link SchedulingPolicy#onProbeResult} follows. */
+    /**
+     * Asks an engine for its load. The answer is passed to {@link SchedulingPolicy#onProbeResult}.
+     */
     void probeEngine(int engineId);
 
-    /** Starts the watch of the endpoint list; nothing to do where the list comes unasked. */
+    /** Subscribes to the endpoint list; does nothing if updates arrive without a subscription. */
     default void subscribeToEndpoints() {}
 
-    /** {@link SchedulingPolicy#onWakeUp} is to be called with this token after a delay in ticks. */
+    /** Schedules a call of {@link SchedulingPolicy#onWakeUp} with this token, after a delay in ticks. */
     void scheduleWakeUp(long delay, long token);
 
-    /** A line for the operators' log. */
+    /** Writes a line to the operators' log. */
     void log(String line);
 }
--- a/src/main/java/firstage/policy/api/SchedulingPolicy.java
+++ b/src/main/java/firstage/policy/api/SchedulingPolicy.java
@@ -1,97 +1,101 @@
 package firstage.policy.api;
 
 /**
- * The events that a scheduling policy receives. Each call carries the time {@code now} in ticks;
- * {@link #runPendingActions} ends the events of one moment. A policy acts through {@link
- * PolicyActions} only. Ids of requests, engines and keys are small numbers that the caller may
- * reuse once they were released.
+ * Scheduling policy of a workload manager, which receives events and acts through {@link
+ * PolicyActions} only. Each call passes the current time {@code now} in ticks. After all events of
+ * one point in time the caller calls {@link #runPendingActions}. Ids of requests, engines and keys
+ * are small numbers that the caller may reuse once they were released.
  */
 public interface SchedulingPolicy {
-    /** A request was accepted from a client. */
+    /** Handles a request that was accepted from a client. */
     void onRequest(long now, IncomingRequest request);
 
-    /** An attempt ended; ignored where it is not in flight. */
+    /** Handles the end of an attempt. Ignored if the attempt is not in flight. */
     void onAttemptResult(long now, AttemptResult result);
 
-    /** An engine reported progress of an attempt; ignored where it is not in flight. */
+    /** Handles a progress report on an attempt. Ignored if the attempt is not in flight. */
     void onAttemptProgress(long now, AttemptProgress progress);
 
-    /** The client left, or its deadline passed: the request is closed and gets no answer. */
+    /** Closes a request whose client left or whose deadline passed. The request gets no answer. */
     void onClientGone(long now, int requestId);
 
-    /** Whether the client is away and may have left: then its request is not started. */
+    /**
+     * Records whether the client of a request is absent. A request whose client is absent is not
+     * started, as the client may have left.
+     */
     default void onClientAbsence(long now, int requestId, boolean absent) {}
 
-    /** The endpoint list, or a change of it, arrived; or its watch failed. */
+    /** Handles an update of the endpoint list, or the failure of the subscription to it. */
     void onEndpointsUpdated(long now, EndpointUpdate update);
 
     /**
-     * A probe of an engine was answered, or failed.
+     * Handles the answer to a probe of an engine, or the failure of the probe.
      *
-     * @param report null where the answer carried no load report
+     * @param report load report in the answer; null if none
      */
     void onProbeResult(long now, int engineId, AttemptOutcome outcome, LoadReport report);
 
     /**
-     * The share of each engine that this manager may use now: its own by the settings, less while
-     * it hears from too few other managers, more where those have released theirs. Never called
-     * without fleet control.
+     * Sets the share of each engine that this manager may use now. The share is the one in the
+     * settings, reduced while too few other managers are reachable, and increased when other
+     * managers have released theirs. Never called without fleet control.
      *
-     * @param share above 0, at most 1
+     * @param share share of each engine, above 0 and at most 1
      */
     default void onQuotaChanged(long now, double share) {}
 
-    /** Whether this engine is on the endpoint list and held to be down or unresponsive. */
+    /** Returns whether this engine is on the endpoint list but considered down or unresponsive. */
     default boolean isUnavailable(int engineId) {
         return false;
     }
 
-    /** When the last attempt was sent to this engine, in ticks; 0 for never. */
+    /** Returns the time at which the last attempt was sent to this engine, in ticks; 0 if never. */
     default long lastAttemptAt(int engineId) {
         return 0;
     }
 
-    /** When this engine last responded, in ticks; 0 or less for never. */
+    /** Returns the time of the last response of this engine, in ticks; 0 or less if never. */
     default long lastResponseAt(int engineId) {
         return 0;
     }
 
     /**
-     * Who probes an ejected engine. Never called without fleet control.
+     * Sets which managers may probe an ejected engine. Never called without fleet control.
      *
-     * @param others whether other managers probe it, and this one is to keep away
-     * @param backoffOver whether it may be probed now: others found it well, or this manager is the
-     *     probe owner
+     * @param probedByOthers whether other managers probe the engine, so that this one must not
+     * @param mayProbeNow whether this manager may probe the engine now, as it is the probe owner or
+     *     others found the engine available
      */
     default void onProbeOwnership(
             long now, int engineId, boolean probedByOthers, boolean mayProbeNow) {}
 
-    /** The work asked for and started; empty where the policy keeps no count. */
+    /** Returns the work that arrived, was started and waits; empty if the policy does not count it. */
     default DemandHistogram demand(long now) {
         return new DemandHistogram();
     }
 
     /**
-     * The fleet lacks capacity for low priorities: requests of a lower {@link
-     * DemandHistogram#priorityBand} than {@code band} are answered at once, and of those in it all
-     * but a share. Never called without fleet control.
+     * Sets the load-shedding threshold, for a fleet that lacks capacity for low priorities. Requests
+     * of a lower {@link DemandHistogram#priorityBand} than {@code band} are shed at once, and so is
+     * a random part of those in the band. Never called without fleet control.
      *
-     * @param admittedShare from 0 to 1
+     * @param admittedShare share of the requests in the band that are admitted, from 0 to 1
      */
     default void onSheddingThreshold(long now, int band, double admittedShare) {}
 
     /**
-     * The program ends soon: requests are still accepted for a short while, and what has no answer
-     * at {@code endsAt} (ticks) never gets one.
+     * Prepares for the end of the program. Requests are still accepted for a short while.
+     *
+     * @param endsAt time in ticks after which no request is answered any more
      */
     void onShutdown(long now, long endsAt);
 
-    /** The time of {@link PolicyActions#scheduleWakeUp} has come. */
+    /** Handles a wake-up that was scheduled by {@link PolicyActions#scheduleWakeUp}. */
     void onWakeUp(long now, long token);
 
-    /** How many attempts are in flight at this engine. */
+    /** Returns the number of attempts in flight at this engine. */
     int attemptsInFlight(int engineId);
 
-    /** All events of this moment have arrived; now act on them. */
+    /** Acts on the events received so far; called after all events of one point in time. */
     void runPendingActions(long now);
 }
--- a/src/main/java/firstage/policy/api/TrafficClass.java
+++ b/src/main/java/firstage/policy/api/TrafficClass.java
@@ -3,20 +3,24 @@
 import java.util.Set;
 
 /**
- * What a deployment states of one traffic class. Times are in ticks.
+ * Configuration of a traffic class. Times are in ticks.
  *
- * @param latencyObjective a request is to be answered within it ...
- * @param latencyObjectivePerWork ... and this many times its work over its threads
- * @param timeout from acceptance to the deadline
- * @param priorityWeight the value of a request that is answered within the objective
- * @param lateValueShare the share of it for an answer after the objective, before the deadline
- * @param idempotencyWindow for how long repetitions are dropped, from the first attempt
+ * @param latencyObjective time within which a request is to be answered, without the part that
+ *     depends on its work
+ * @param latencyObjectivePerWork factor of the work per thread that is added to the objective
+ * @param timeout time from acceptance to the deadline
+ * @param priorityWeight value of a request that is answered within the objective
+ * @param lateValueShare share of that value that is left for an answer after the objective, but
+ *     before the deadline
+ * @param effect effect of running a request more than once
+ * @param idempotencyScope engines that recognise a repetition of an idempotency key
+ * @param idempotencyWindow time from the first attempt for which repetitions are dropped
  * @param ordered whether requests of one ordering key run one after another
- * @param threads that a request uses at its engine
+ * @param threads number of threads that a request uses at its engine
  * @param tableLoad whether requests load tables
  * @param blockedByTableLoads whether requests wait while their tables are loaded
- * @param zones where requests may run; empty for everywhere
- * @param machineTypes on which requests may run; empty for all
+ * @param zones zones in which requests may run; empty for all
+ * @param machineTypes machine types on which requests may run; empty for all
  */
 public record TrafficClass(
         long latencyObjective,
@@ -33,14 +37,14 @@
         boolean blockedByTableLoads,
         Set<Integer> zones,
         Set<Integer> machineTypes) {
-    /** Whether a repetition does harm. */
+    /** Effect of running a request more than once. */
     public enum Effect {
         IDEMPOTENT,
         IDEMPOTENT_WITH_KEY,
         NON_IDEMPOTENT
     }
 
-    /** Where repetitions of an idempotency key are dropped. */
+    /** Set of engines within which repetitions of an idempotency key are dropped. */
     public enum Scope {
         ALL,
         ZONE,
--- a/src/main/java/firstage/policy/api/package-info.java
+++ b/src/main/java/firstage/policy/api/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The interface of the decisions: {@link firstage.policy.api.SchedulingPolicy} receives events,
- * {@link firstage.policy.api.PolicyActions} carries out actions, the records are what both speak
- * of. Times and durations are in ticks of a tenth of a millisecond ({@link firstage.util.Ticks}).
+ * Interface of the scheduling policy. {@link firstage.policy.api.SchedulingPolicy} receives events,
+ * {@link firstage.policy.api.PolicyActions} executes actions, and the records are the arguments of
+ * both. Times and durations are in ticks of 0.1 ms ({@link firstage.util.Ticks}).
  */
 package firstage.policy.api;
