--- a/src/main/java/firstage/policy/api/EndpointUpdate.java
+++ b/src/main/java/firstage/policy/api/EndpointUpdate.java
@@ -2,7 +2,11 @@
 
 import java.util.List;
 
-/** Update of the endpoint list. */
+/**
+ * Update of the endpoint list.
+ *
+ * @param endpoints engines of the update; empty for FAILED
+ */
 public record EndpointUpdate(Kind kind, List<Endpoint> endpoints) {
     /** Type of an update. */
     public enum Kind {
--- a/src/main/java/firstage/policy/state/Attempt.java
+++ b/src/main/java/firstage/policy/state/Attempt.java
@@ -1,41 +1,44 @@
 package firstage.policy.state;
 
-/** An attempt that is in flight: one try to run a request at an engine. Times are in ticks. */
+/** Attempt in flight: a single execution of a request at an engine. Times are in ticks. */
 public final class Attempt {
     public final RequestState request;
     public final EngineState engine;
 
-    /** From 0, for each request. */
+    /** Number of the attempt within its request, from 0. */
     public final int number;
 
     public final long sentAt;
     public final double grantMb;
 
-    /** At the engine; higher runs first. */
+    /** Priority at the engine; higher values run first. */
     public final int priority;
 
-    /** When it was sent or its engine last reported on it. */
+    /** Time of the engine's last report on this attempt; the time of sending before the first. */
     public long lastProgressAt;
 
-    /** The share done, by its latest progress report. */
+    /** Fraction done, from 0 to 1, according to the progress reports. */
     public double fractionDone;
 
-    /** Its grant was too small for it. */
+    /** Whether the attempt spilled to disk. */
     public boolean spilled;
 
-    /** It waited for memory or a table load: its latency tells nothing of its engine. */
+    /**
+     * Whether the attempt ever waited for memory or a table load, in which case its latency says
+     * nothing about its engine.
+     */
     public boolean wasBlocked;
 
-    /** It waits for a table load. */
+    /** Whether the attempt waits for a table load. */
     public boolean blockedByTableLoad;
 
-    /** It waits for memory at its engine, which sends no progress reports meanwhile. */
+    /** Whether the attempt waits for memory; its engine sends no progress reports meanwhile. */
     public boolean queuedForMemory;
 
-    /** Nothing more is expected of it: it was cancelled, or a hedged request was queued. */
+    /** Whether the attempt was cancelled, or a hedged request was queued in its place. */
     public boolean abandoned;
 
-    /** An attempt that is sent now, at {@code sentAt}. */
+    /** Creates an attempt that is sent at {@code sentAt}. */
     public Attempt(
             RequestState request,
             EngineState engine,
--- a/src/main/java/firstage/policy/state/DecayingMean.java
+++ b/src/main/java/firstage/policy/state/DecayingMean.java
@@ -1,28 +1,28 @@
 package firstage.policy.state;
 
-/** A mean over recent samples: sum and count are halved when the count reaches its limit. */
+/** Mean of recent samples. Sum and count are halved when the count reaches its maximum. */
 public final class DecayingMean {
-    private final double limit;
+    private final double maxCount;
     private double sum;
     private double count;
 
-    /** A mean over about so many samples. */
-    public DecayingMean(double limit) {
-        this.limit = limit;
+    /** Creates a mean over about the last {@code maxCount} samples. */
+    public DecayingMean(double maxCount) {
+        this.maxCount = maxCount;
     }
 
     /** Adds a sample. */
     public void add(double sample) {
         sum += sample;
         count++;
-        if (count >= limit) {
+        if (count >= maxCount) {
             sum /= 2;
             count /= 2;
         }
     }
 
-    /** The mean, or {@code unknown} without samples. */
-    public double orElse(double unknown) {
-        return count > 0 ? sum / count : unknown;
+    /** Returns the mean, or {@code defaultValue} if there are no samples. */
+    public double orElse(double defaultValue) {
+        return count > 0 ? sum / count : defaultValue;
     }
 }
--- a/src/main/java/firstage/policy/state/EngineHealth.java
+++ b/src/main/java/firstage/policy/state/EngineHealth.java
@@ -1,15 +1,15 @@
 package firstage.policy.state;
 
-/** How an engine is judged by what passes through it. */
+/** Health of an engine, derived from the requests that it receives and its responses. */
 public enum EngineHealth {
-    /** Takes requests. */
+    /** Accepts requests. */
     AVAILABLE,
-    /** Refused a request as it is full; takes none until one succeeds or its backoff is over. */
+    /** Refused a request as it is full; gets no new one until one succeeds or the backoff ends. */
     REFUSING,
-    /** Takes one request, its probe. */
+    /** Gets a single request as a probe. */
     HALF_OPEN,
-    /** Owes a response for too long. */
+    /** Has sent no response for too long. */
     UNRESPONSIVE,
-    /** Unreachable, or ejected as requests failed there. */
+    /** Is unreachable, or was ejected because requests failed there. */
     UNAVAILABLE
 }
--- a/src/main/java/firstage/policy/state/EngineState.java
+++ b/src/main/java/firstage/policy/state/EngineState.java
@@ -8,128 +8,129 @@
 import java.util.Map;
 
 /**
- * An engine as this workload manager sees it. The first fields are those of the endpoint list; each
- * other group belongs to one rule of {@link firstage.policy}. Times are in ticks.
+ * State of an engine as known to this workload manager. The fields are grouped by the class of
+ * {@link firstage.policy} that maintains them. Times are in ticks.
  */
 public final class EngineState {
     public final int id;
 
-    // ---- The endpoint list.
+    // ---- Endpoint list
 
-    /** The same at every manager. */
+    /** Hash of the engine that is the same at every manager; 0 until the engine was listed. */
     public long stableHash;
 
     public int zone;
 
-    /** The idempotency cell that it stands in. */
+    /** Idempotency cell of the engine. */
     public int cell;
 
     public Lifecycle lifecycle = Lifecycle.GONE;
 
-    /** 0 for long ago. */
+    /** Start of the engine according to the endpoint list; 0 if long ago. */
     public long startedAt;
 
-    /** This manager's share of what it bears while it warms up; 0: by the settings. */
+    /** This manager's share of the engine's capacity during warm-up; 0 for that in the settings. */
     public double warmUpShare;
 
-    /** Since when it is known to have left, with no attempt in flight; 0 if it has not. */
+    /** Time since which the engine has been gone with no attempt in flight; 0 if it is not. */
     private long goneSince;
 
-    // ---- Its size, and the limits of this manager (ConcurrencyLimiter).
+    // ---- Size of the engine and limits of this manager (ConcurrencyLimiter)
 
     public int machineType;
 
-    /** 0 until it is known. */
+    /** Number of cores; 0 until it is known. */
     public int cores;
 
     public double memoryMb;
 
-    /** How much memory this manager's attempts may reserve. */
+    /** Memory that this manager's attempts together may reserve. */
     public double memorySliceMb;
 
-    /** How many threads they may use. */
+    /** Number of threads that this manager's attempts together may use. */
     public double threadLimit;
 
-    /** There was a sign of saturation; it is taken to last until then. */
+    /** Time until which the engine counts as saturated, after the last sign of saturation. */
     public long saturatedUntil;
 
+    /** Time at which a limit was last lowered. */
     public long lastShrunkAt;
 
-    // ---- What this manager has in flight here.
+    // ---- Attempts of this manager in flight
 
     public double reservedMb;
     public int reservedThreads;
 
-    /** In the order of their start. */
+    /** Attempts in flight at this engine, in the order of their start. */
     public final List<Attempt> attemptsInFlight = new ArrayList<>();
 
-    /** When an attempt was last sent here; 0 for never. */
+    /** Time at which an attempt was last sent to the engine; 0 if never. */
     public long lastAttemptAt;
 
-    // ---- Health (OutlierDetector).
+    // ---- Health (OutlierDetector)
 
     public EngineHealth health = EngineHealth.AVAILABLE;
 
-    /** Other managers probe it, and tell when it is available. */
+    /** Whether other managers probe the engine and report when it is available. */
     public boolean probedByOthers;
 
     /**
-     * This manager probes it for all, or others found it available: attempts lost here before do
-     * not keep from probing.
+     * Whether this manager is the probe owner, or others found the engine available. If set,
+     * attempts that were lost at the engine and are still in flight do not prevent a probe.
      */
     public boolean mayProbeNow;
 
-    /** How long it is left alone after the next ejection. */
+    /** Duration of the next backoff, after which an ejected engine is probed. */
     public long backoff;
 
     public long backoffUntil;
     public long lastResponseAt;
 
-    /** When it last seemed to go down, and may have restarted; 0 if it did not. */
+    /** Time at which the engine last seemed to go down and may have restarted; 0 if never. */
     public long suspectedRestartAt;
 
-    /** Since its last success. */
+    /** Number of failures attributed to the engine since its last success. */
     public int consecutiveFailures;
 
-    // ---- Its own load reports (LoadReportTracker).
+    // ---- Load reports of the engine (LoadReportTracker)
 
     public long loadReportedAt = Long.MIN_VALUE / 2;
 
-    /** 1 is full. */
+    /** Load according to the latest report: 0 is idle, 1 is full. */
     public double reportedLoad;
 
-    /** It reported that no request waits for memory. */
+    /** Whether the latest report says that no request waits for memory. */
     public boolean memoryQueueEmpty;
 
-    // ---- Latency (LatencyTracker) and table loads.
+    // ---- Latency (LatencyTracker) and table loads
 
-    /** Latencies over the best of the traffic class. */
+    /** Ratios of latencies to the best latency of the traffic class. */
     public final LogHistogram latencyRatios = new LogHistogram();
 
-    /** Table groups that are held to be loaded here, and until when. */
+    /** Time until which the load of each table group is assumed to run at the engine. */
     public final Map<Integer, Long> tableLoadsUntil = new HashMap<>();
 
-    // ---- Warm-up (SlowStartBudget).
+    // ---- Warm-up (SlowStartBudget)
 
-    /** Work sent while it warmed up, over the overload window. */
+    /** Work sent to the engine during its warm-up, counted over the overload window. */
     public final SlidingWindowCounter warmUpWork;
 
-    /** An engine that nothing is known of. */
+    /** Creates the state of an engine that is not listed yet. */
     public EngineState(int id, long initialBackoff, SlidingWindowCounter warmUpWork) {
         this.backoff = initialBackoff;
         this.warmUpWork = warmUpWork;
         this.id = id;
     }
 
-    /** Takes over what the endpoint list says; true where that tells of a restart. */
-    public boolean applyEndpoint(Endpoint entry) {
-        boolean restarted = entry.startedAt() > startedAt && stableHash != 0;
-        stableHash = entry.stableHash();
-        zone = entry.zone();
-        cell = entry.cell();
-        lifecycle = entry.lifecycle();
-        warmUpShare = entry.warmUpShare();
-        startedAt = Math.max(startedAt, entry.startedAt());
+    /** Applies an entry of the endpoint list. Returns whether the entry shows a restart. */
+    public boolean applyEndpoint(Endpoint endpoint) {
+        boolean restarted = endpoint.startedAt() > startedAt && stableHash != 0;
+        stableHash = endpoint.stableHash();
+        zone = endpoint.zone();
+        cell = endpoint.cell();
+        lifecycle = endpoint.lifecycle();
+        warmUpShare = endpoint.warmUpShare();
+        startedAt = Math.max(startedAt, endpoint.startedAt());
         if (restarted) {
             tableLoadsUntil.clear();
         }
@@ -137,8 +138,8 @@
     }
 
     /**
-     * It reported on one of its attempts; one that was sent before a suspected restart proves that
-     * there was none.
+     * Records a report of the engine on one of its attempts. A report on an attempt that was sent
+     * before a suspected restart proves that the engine did not restart.
      */
     public void recordProgress(long now, Attempt attempt) {
         lastResponseAt = now;
@@ -146,22 +147,22 @@
         suspectedRestartAt = attempt.sentAt < suspectedRestartAt ? 0 : suspectedRestartAt;
     }
 
-    /** Its latest start, as listed or suspected; 0 for long ago. */
+    /** Returns the latest start of the engine, listed or suspected; 0 if long ago. */
     public long lastStartAt() {
         return Math.max(startedAt, suspectedRestartAt);
     }
 
     /**
-     * For how many ticks it has been off the endpoint list with no attempt in flight, from the
-     * first call on.
+     * Returns for how many ticks the engine has been off the endpoint list with no attempt in
+     * flight. The time counts from the first call that finds the engine in this state.
      */
     public long goneFor(long now) {
-        boolean left = lifecycle == Lifecycle.GONE && attemptsInFlight.isEmpty();
-        goneSince = !left ? 0 : goneSince == 0 ? now : goneSince;
-        return left ? now - goneSince : 0;
+        boolean gone = lifecycle == Lifecycle.GONE && attemptsInFlight.isEmpty();
+        goneSince = !gone ? 0 : goneSince == 0 ? now : goneSince;
+        return gone ? now - goneSince : 0;
     }
 
-    /** Reserves what the attempt needs, which is sent now. */
+    /** Adds an attempt that is sent now and reserves its memory grant and threads. */
     public void reserve(Attempt attempt) {
         lastAttemptAt = attempt.sentAt;
         reservedMb += attempt.grantMb;
@@ -169,7 +170,7 @@
         attemptsInFlight.add(attempt);
     }
 
-    /** Releases what the attempt reserved. */
+    /** Removes an attempt and releases its memory grant and threads. */
     public void release(Attempt attempt) {
         if (attemptsInFlight.remove(attempt)) {
             reservedMb = attemptsInFlight.isEmpty() ? 0 : reservedMb - attempt.grantMb;
@@ -177,12 +178,12 @@
         }
     }
 
-    /** Whether this manager has an attempt of this priority in flight here. */
+    /** Returns whether this manager has an attempt of this priority in flight at the engine. */
     public boolean hasAttemptOfPriority(int priority) {
         return attemptsInFlight.stream().anyMatch(attempt -> attempt.priority == priority);
     }
 
-    /** Whether this table group is known to be loaded here. */
+    /** Returns whether this table group is known to be loading at the engine. */
     public boolean hasTableLoad(long now, int tableGroup) {
         if (tableLoadsUntil.getOrDefault(tableGroup, 0L) > now) {
             return true;
@@ -196,7 +197,7 @@
         return false;
     }
 
-    /** A hash of this engine and a number, from 0 to 1, the same at every manager. */
+    /** Returns a hash of the engine and a salt in [0, 1), which is the same at every manager. */
     public double hashFraction(int salt) {
         long hash = stableHash * 0x9E3779B97F4A7C15L ^ salt * 0xC2B2AE3D27D4EB4FL;
         hash = (hash ^ (hash >>> 29)) * 0xBF58476D1CE4E5B9L;
--- a/src/main/java/firstage/policy/state/KeyQueue.java
+++ b/src/main/java/firstage/policy/state/KeyQueue.java
@@ -2,14 +2,14 @@
 
 import java.util.ArrayDeque;
 
-/** The open requests of one ordering key, in their order of arrival. */
+/** Open requests of one ordering key, in their order of arrival. */
 public final class KeyQueue {
     public final ArrayDeque<RequestState> waiting = new ArrayDeque<>();
 
-    /** Until when no new request of the key starts, in ticks. */
+    /** Time until which no new request of the key may start, in ticks. */
     public long quietUntil;
 
-    /** Whether no request is open and the pause is over. */
+    /** Returns whether the key has no open request and its pause is over. */
     public boolean isIdle(long now) {
         return waiting.isEmpty() && now >= quietUntil;
     }
--- a/src/main/java/firstage/policy/state/RequestState.java
+++ b/src/main/java/firstage/policy/state/RequestState.java
@@ -6,63 +6,65 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that is open, or closed with an attempt in flight. */
+/** State of a request that is open, or closed but still has an attempt in flight. */
 public final class RequestState {
     public final IncomingRequest incoming;
     public final TrafficClassStats classStats;
 
-    /** Place in the order of arrival at this manager. */
+    /** Position of the request in the order of arrival at this manager. */
     public final long arrivalOrder;
 
-    /** In ticks. */
+    /** Time of acceptance, in ticks. */
     public final long acceptedAt;
 
-    /** Its ordering key where its traffic class is ordered, else -1. */
+    /** Ordering key of the request if its traffic class is ordered; otherwise -1. */
     public final int orderingKey;
 
-    /** When it is to be answered by its latency objective, in ticks. */
+    /** Time at which the latency objective ends, in ticks. */
     public long objectiveAt;
 
     public int attemptsStarted;
 
-    /** Whether it came beyond its tenant's quota. */
+    /** Whether the request exceeded its tenant's quota when it arrived. */
     public boolean overQuota;
 
-    /** See {@link DemandHistogram#priorityBand}. */
+    /** Band of the request, see {@link DemandHistogram#priorityBand}. */
     public int priorityBand;
 
-    /** Whether one of the attempts that have ended may have run. */
+    /** Whether any attempt that has ended may have run. */
     public boolean mayHaveRun;
 
-    /** When the first such attempt was sent, in ticks, and to which engine. */
+    /** Time at which the earliest attempt that ended and may have run was sent, in ticks. */
     public long firstExecutionAt;
 
+    /** Engine of that attempt. */
     public EngineState firstExecutionEngine;
 
-    /** Where the latest attempt went; null before the first. */
+    /** Engine of the latest attempt; null before the first attempt. */
     public EngineState lastEngine;
 
-    /** At how many engines it failed. */
+    /** Number of engines at which the request failed. */
     public int failedEngines;
 
-    /** The first of them; null for none. */
+    /** First engine at which the request failed; null if none. */
     public EngineState firstFailedEngine;
 
-    /** Answered, or its client is gone. */
+    /** Whether the request was answered or its client is gone. */
     public boolean closed;
 
-    /** Its client may have left: it is not to be started. */
+    /** Whether the client may have left; the request is not started while set. */
     public boolean clientAbsent;
 
-    /** The engines probed for their load before it starts, and when, in ticks. */
+    /** Engines that were probed for their load before the request starts. */
     public List<EngineState> probedEngines = List.of();
 
+    /** Time of the latest probes for the request, in ticks. */
     public long probedAt;
 
-    /** In the order of their start. */
+    /** Attempts in flight, in the order of their start. */
     public final List<Attempt> attemptsInFlight = new ArrayList<>();
 
-    /** An open request that nothing was started for. */
+    /** Creates an open request that has no attempt yet. */
     public RequestState(
             IncomingRequest incoming,
             TrafficClassStats classStats,
@@ -75,12 +77,12 @@
         this.orderingKey = classStats.trafficClass.ordered() ? incoming.orderingKey() : -1;
     }
 
-    /** What the deployment states of its traffic class. */
+    /** Returns the configuration of the request's traffic class. */
     public TrafficClass trafficClass() {
         return classStats.trafficClass;
     }
 
-    /** Sets when it is to be answered: the class' latency objective, longer for more work. */
+    /** Sets the end of the latency objective, which is later for requests with more work. */
     public void setObjective() {
         TrafficClass trafficClass = trafficClass();
         objectiveAt =
@@ -92,14 +94,14 @@
                                         / trafficClass.threads());
     }
 
-    /** Sets its band, by priority weight for expected work. */
+    /** Sets the priority band from the priority weight and the expected work. */
     public void setPriorityBand() {
         priorityBand =
                 DemandHistogram.priorityBand(
                         trafficClass().priorityWeight(), expectedWork(), overQuota);
     }
 
-    /** An attempt that has ended may have run. */
+    /** Records that an attempt has ended and may have run. */
     public void recordPossibleExecution(Attempt attempt) {
         if (!mayHaveRun || attempt.sentAt < firstExecutionAt) {
             firstExecutionAt = attempt.sentAt;
@@ -109,8 +111,8 @@
     }
 
     /**
-     * When the earliest attempt was sent that may have run or is in flight, in ticks; {@code now}
-     * where there is none.
+     * Returns the time at which the earliest attempt that may have run or is in flight was sent, in
+     * ticks; {@code now} if there is none.
      */
     public long firstSentAt(long now) {
         long first = mayHaveRun ? firstExecutionAt : now;
@@ -120,31 +122,34 @@
         return first;
     }
 
-    /** The estimate, times the best ratio of its class; else the work of a typical request. */
+    /**
+     * Returns the expected work in ticks on one thread: the estimate times the best latency ratio of
+     * the traffic class, or the work of a typical request if there is no estimate.
+     */
     public double expectedWork() {
         return incoming.estimatedWork() > 0
                 ? incoming.estimatedWork() * classStats.bestRatio()
                 : classStats.typicalWork();
     }
 
-    /** How many ticks the expected work takes on its threads. */
+    /** Returns the time that the expected work takes on the threads of the request, in ticks. */
     public long expectedDuration() {
         return (long) expectedWork() / classStats.trafficClass.threads();
     }
 
-    /** The estimate of its memory, else the mean of its class; 0 without both. */
+    /** Returns the estimated memory, or the mean of the class if there is none; 0 without both. */
     public double expectedMemoryMb() {
         return incoming.estimatedMemoryMb() > 0
                 ? incoming.estimatedMemoryMb()
                 : classStats.memoryMb.orElse(0);
     }
 
-    /** Whether all engines probed for it have reported their load since. */
+    /** Returns whether all probed engines have reported their load since the probes. */
     public boolean allProbesAnswered() {
         return probedEngines.stream().allMatch(engine -> engine.loadReportedAt >= probedAt);
     }
 
-    /** The attempt of this number; null where it is not in flight. */
+    /** Returns the attempt of this number; null if it is not in flight. */
     public Attempt attemptInFlight(int number) {
         for (Attempt attempt : attemptsInFlight) {
             if (attempt.number == number) {
--- a/src/main/java/firstage/policy/state/SlidingWindowCounter.java
+++ b/src/main/java/firstage/policy/state/SlidingWindowCounter.java
@@ -3,54 +3,54 @@
 import java.util.ArrayDeque;
 
 /**
- * Sums amounts over a sliding window, which is cut into pieces; a piece is as old as its first
- * amount. Times are in ticks.
+ * Sum of amounts over a sliding window, kept in buckets. A bucket starts with its first amount.
+ * Times are in ticks.
  */
 public final class SlidingWindowCounter {
-    private static final class Piece {
+    private static final class Bucket {
         private final long startedAt;
         private double sum;
 
-        private Piece(long startedAt) {
+        private Bucket(long startedAt) {
             this.startedAt = startedAt;
         }
     }
 
-    private final ArrayDeque<Piece> pieces = new ArrayDeque<>();
-    private final long span;
-    private final long pieceSpan;
+    private final ArrayDeque<Bucket> buckets = new ArrayDeque<>();
+    private final long windowLength;
+    private final long bucketLength;
 
-    /** A window over so many ticks, in so many pieces. */
-    public SlidingWindowCounter(long span, int pieces) {
-        this.span = span;
-        this.pieceSpan = span / pieces;
+    /** Creates an empty window of this length, divided into this number of buckets. */
+    public SlidingWindowCounter(long windowLength, int bucketCount) {
+        this.windowLength = windowLength;
+        this.bucketLength = windowLength / bucketCount;
     }
 
-    /** Adds an amount now. */
+    /** Adds an amount at the time {@code now}. */
     public void add(long now, double amount) {
-        while (!pieces.isEmpty() && pieces.peek().startedAt < now - span - pieceSpan) {
-            pieces.poll();
+        while (!buckets.isEmpty() && buckets.peek().startedAt < now - windowLength - bucketLength) {
+            buckets.poll();
         }
-        if (pieces.isEmpty() || now - pieces.peekLast().startedAt > pieceSpan) {
-            pieces.add(new Piece(now));
+        if (buckets.isEmpty() || now - buckets.peekLast().startedAt > bucketLength) {
+            buckets.add(new Bucket(now));
         }
-        pieces.peekLast().sum += amount;
+        buckets.peekLast().sum += amount;
     }
 
-    /** The sum of the pieces that lie wholly within the window: never too much. */
+    /** Returns the sum of the buckets that lie entirely within the window; never too high. */
     public double lowerBound(long now) {
-        return sumSince(now - span);
+        return sumSince(now - windowLength);
     }
 
-    /** The sum of the pieces that touch the window: never too little. */
+    /** Returns the sum of the buckets that overlap the window; never too low. */
     public double upperBound(long now) {
-        return sumSince(now - span - pieceSpan);
+        return sumSince(now - windowLength - bucketLength);
     }
 
     private double sumSince(long from) {
         double sum = 0;
-        for (Piece piece : pieces) {
-            sum += piece.startedAt >= from ? piece.sum : 0;
+        for (Bucket bucket : buckets) {
+            sum += bucket.startedAt >= from ? bucket.sum : 0;
         }
         return sum;
     }
--- a/src/main/java/firstage/policy/state/TokenBucket.java
+++ b/src/main/java/firstage/policy/state/TokenBucket.java
@@ -1,26 +1,34 @@
 package firstage.policy.state;
 
-/** A rate limit that allows bursts: it fills at a rate, up to what that brings in a time span. */
+/** Token bucket: a rate limiter that allows bursts up to its capacity. */
 public final class TokenBucket {
     private final double rate;
     private final double capacity;
     private double tokens;
 
-    /** A full bucket of so many tokens a tick, that holds those of {@code span} ticks. */
-    public TokenBucket(double rate, long span) {
+    /**
+     * Creates a full bucket.
+     *
+     * @param rate tokens per tick
+     * @param burst capacity of the bucket, as the number of ticks in which an empty one fills
+     */
+    public TokenBucket(double rate, long burst) {
         this.rate = rate;
-        capacity = rate * span;
+        capacity = rate * burst;
         tokens = capacity;
     }
 
-    /** Takes one token; false where less than one was left, which is taken all the same. */
+    /**
+     * Takes one token. Returns false if less than a whole token was left, in which case the rest is
+     * taken as well.
+     */
     public boolean tryAcquire() {
-        boolean enough = tokens >= 1;
+        boolean available = tokens >= 1;
         tokens = Math.max(0, tokens - 1);
-        return enough;
+        return available;
     }
 
-    /** Adds the tokens of so many ticks. */
+    /** Adds the tokens of {@code elapsed} ticks. */
     public void refill(long elapsed) {
         tokens = Math.min(capacity, tokens + rate * elapsed);
     }
--- a/src/main/java/firstage/policy/state/TrafficClassStats.java
+++ b/src/main/java/firstage/policy/state/TrafficClassStats.java
@@ -2,32 +2,38 @@
 
 import firstage.policy.api.TrafficClass;
 
-/** A traffic class and what was learned of it. */
+/** Statistics of a traffic class. Work is in ticks on one thread. */
 public final class TrafficClassStats {
     public final TrafficClass trafficClass;
 
-    /** The true or measured work of its successes. */
+    /** Mean work of successful attempts: reported, or measured as latency times threads. */
     public final DecayingMean work;
 
-    /** The estimated work of all its requests, whether they were answered or not. */
+    /** Mean estimated work of all requests, whether they were answered or not. */
     public final DecayingMean estimatedWork;
 
-    /** The true memory of its successes. */
+    /** Mean memory that successful attempts needed, where engines report it. */
     public final DecayingMean memoryMb;
 
-    /** Latency times threads over the known or estimated work. */
+    /** Latency ratios: latency times threads, divided by the actual or estimated work. */
     public final LogHistogram latencyRatios = new LogHistogram();
 
-    /** The lowest median of those ratios so far. */
+    /** Lowest median of the latency ratios so far. */
     public double lowestRatio;
 
-    /** What is added to the expected memory for a grant, as a share of it. */
+    /** Margin that a grant adds to the expected memory, as a share of the expected memory. */
     public double grantMargin;
 
-    /** Successes that the margin has learned from. */
+    /** Number of successes from which the margin was learned. */
     public int grantSamples;
 
-    /** Starts with this margin and ratio; means are over so many samples. */
+    /**
+     * Creates statistics without samples.
+     *
+     * @param grantMargin initial margin of grants
+     * @param lowestRatio initial value of the lowest median ratio
+     * @param samples number of samples over which means are taken
+     */
     public TrafficClassStats(
             TrafficClass trafficClass, double grantMargin, double lowestRatio, int samples) {
         this.trafficClass = trafficClass;
@@ -38,38 +44,41 @@
         memoryMb = new DecayingMean(samples);
     }
 
-    /** The lowest median ratio, now or so far. */
+    /** Returns the lowest median ratio so far, including that of the current samples. */
     public double bestRatio() {
         return latencyRatios.total() > 0
                 ? Math.min(lowestRatio, latencyRatios.quantile(0.5))
                 : lowestRatio;
     }
 
-    /** Counts the estimated work of a request, in ticks on one thread; 0 is no estimate. */
+    /** Records the estimated work of a request; 0 if there is no estimate. */
     public void recordEstimate(long work) {
         if (work > 0) {
             estimatedWork.add(work);
         }
     }
 
-    /** Adds a ratio; the lowest median of so many samples is kept. */
-    public void recordLatencyRatio(double ratio, int samples) {
+    /**
+     * Records a latency ratio. When the samples reach a weight of {@code maxSamples}, the lowest
+     * median is updated and the samples are halved.
+     */
+    public void recordLatencyRatio(double ratio, int maxSamples) {
         latencyRatios.add(ratio);
-        if (latencyRatios.total() >= samples) {
+        if (latencyRatios.total() >= maxSamples) {
             lowestRatio = bestRatio();
             latencyRatios.halve();
         }
     }
 
     /**
-     * The work of a typical request against the budget of an engine that warms up: no less than the
-     * mean estimate, as the first successes after a start are those of short requests.
+     * Returns the work that a typical request takes from the budget of a warming engine. The result
+     * is at least the mean estimate, as the first successes after a start are short requests.
      */
     public double warmUpWork() {
         return Math.max(typicalWork(), estimatedWork.orElse(0));
     }
 
-    /** The work of a typical request; the latency objective where none is known. */
+    /** Returns the work of a typical request; the latency objective if no work is known yet. */
     public double typicalWork() {
         return work.orElse(trafficClass.latencyObjective());
     }
--- a/src/main/java/firstage/policy/state/package-info.java
+++ b/src/main/java/firstage/policy/state/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What the rules of {@link firstage.policy} remember: plain state that decides nothing and holds no
- * tuned value. Times are in ticks ({@link firstage.util.Ticks}), work in ticks on one thread.
+ * State of the rules in {@link firstage.policy}. The classes here make no decisions and contain no
+ * tuning parameters. Times are in ticks ({@link firstage.util.Ticks}), work is in ticks on one
+ * thread.
  */
 package firstage.policy.state;
--- a/src/main/java/firstage/util/Ticks.java
+++ b/src/main/java/firstage/util/Ticks.java
@@ -1,41 +1,41 @@
 package firstage.util;
 
 /**
- * The unit of all times and durations inside the program: a tick is a tenth of a millisecond.
- * Variables in ticks carry no unit in their names; those in any other unit do ({@code timeoutMs}).
+ * Conversions of the time unit that the program uses internally: a tick is 0.1 ms. Names of
+ * variables in ticks contain no unit; those in any other unit do ({@code timeoutMs}).
  */
 public final class Ticks {
-    /** Ticks in a millisecond. */
+    /** Number of ticks in a millisecond. */
     public static final long PER_MILLISECOND = 10;
 
-    /** Ticks in a second. */
+    /** Number of ticks in a second. */
     public static final long PER_SECOND = 1_000 * PER_MILLISECOND;
 
     private static final long NANOS_PER_TICK = 100_000;
 
     private Ticks() {}
 
-    /** A duration of so many milliseconds. */
+    /** Converts milliseconds to ticks. */
     public static long ofMillis(long millis) {
         return millis * PER_MILLISECOND;
     }
 
-    /** A duration of so many seconds. */
+    /** Converts seconds to ticks. */
     public static long ofSeconds(long seconds) {
         return seconds * PER_SECOND;
     }
 
-    /** A duration of so many nanoseconds, rounded down to whole ticks. */
+    /** Converts nanoseconds to ticks, rounded toward zero. */
     public static long ofNanos(long nanos) {
         return nanos / NANOS_PER_TICK;
     }
 
-    /** The whole milliseconds of a duration, rounded down. */
+    /** Converts ticks to milliseconds, rounded toward zero. */
     public static long toMillis(long ticks) {
         return ticks / PER_MILLISECOND;
     }
 
-    /** A duration in seconds. */
+    /** Converts ticks to seconds. */
     public static double toSeconds(long ticks) {
         return (double) ticks / PER_SECOND;
     }
--- a/src/main/java/firstage/util/package-info.java
+++ b/src/main/java/firstage/util/package-info.java
@@ -1,2 +1,2 @@
-/** Small types that every package may use. They decide nothing and depend on no other package. */
+/** Utilities that every package may use and that depend on no other package. */
 package firstage.util;
