--- a/src/main/java/firstage/policy/AdmissionQueue.java
+++ b/src/main/java/firstage/policy/AdmissionQueue.java
@@ -10,17 +10,20 @@
 import java.util.TreeMap;
 
 /**
- * The queue of requests that no engine has capacity for: in order of arrival, of bounded length,
- * and each request for no longer than it can still earn something.
+ * Bounded FIFO queue of the requests for which no engine has capacity. A request waits only as long
+ * as an attempt could still be answered with some value.
  */
 final class AdmissionQueue {
-    /** Requests on this manager's share of all cores: what a latency objective clears. */
+    /**
+     * Maximum number of queued requests per core of this manager's share; about as many as can be
+     * processed within a latency objective.
+     */
     private static final double REQUESTS_PER_CORE = 4;
 
-    /** Of the queue for tenants beyond their quota. */
+    /** Share of the queue that requests over their tenant's quota may fill. */
     private static final double OVER_QUOTA_SHARE = 0.2;
 
-    /** Before its deadline a queued request is answered. */
+    /** Time before its deadline at which a queued request is answered at the latest. */
     private static final long ANSWER_MARGIN = Ticks.ofMillis(80);
 
     private final TreeMap<Long, RequestState> queued = new TreeMap<>();
@@ -40,12 +43,12 @@
         queued.remove(request.arrivalOrder);
     }
 
-    /** The requests in order of arrival; a copy, as they are removed while it is read. */
+    /** Returns a copy of the queue in order of arrival, so that callers may remove requests. */
     List<RequestState> snapshot() {
         return queued.isEmpty() ? List.of() : new ArrayList<>(queued.values());
     }
 
-    /** How many requests the queue may hold. */
+    /** Returns the maximum number of requests in the queue. */
     int maxLength(Collection<EngineState> engines, double quotaShare) {
         int cores = 0;
         for (EngineState engine : engines) {
@@ -55,26 +58,27 @@
     }
 
     /**
-     * Whether a request that was never started has no place in the queue. Asked in order of
-     * arrival: a queue that is too long gives up its oldest requests, which have least time left.
+     * Returns whether the queue has no place for this request; requests that were started before
+     * always keep theirs. Callers ask in order of arrival, so that a queue that is too long drops its
+     * oldest requests, which have the least time left.
      */
     boolean isFullFor(RequestState request, int maxLength, boolean shedding) {
-        boolean limited = request.overQuota && !shedding;
+        boolean quotaApplies = request.overQuota && !shedding;
         return request.attemptsStarted == 0
-                && queued.size() > maxLength * (limited ? OVER_QUOTA_SHARE : 1);
+                && queued.size() > maxLength * (quotaApplies ? OVER_QUOTA_SHARE : 1);
     }
 
-    /** Whether some request could start but for capacity, as of the last pass over the queue. */
+    /** Returns whether the latest pass over the queue found a request that only lacks capacity. */
     boolean isCongested() {
         return congested;
     }
 
-    /** A pass over the queue begins. */
+    /** Prepares for a pass over the queue. */
     void beginPass() {
         congested = false;
     }
 
-    /** In this pass a request found no engine with capacity. */
+    /** Records that a request found no engine with capacity in this pass. */
     void markCongested() {
         congested = true;
     }
@@ -88,9 +92,13 @@
     }
 
     /**
-     * The queue timeout: the last moment at which an attempt could still earn something. Without an
-     * estimate a long queue gives requests up by their latency objective: else all would be late.
-     * An estimate scatters too much to say that the objective is missed.
+     * Returns the time at which a request times out in the queue, in ticks: the last time at which
+     * an attempt could still end in time to have some value.
+     *
+     * <p>Requests end in time if they meet their deadline, or their latency objective if a late
+     * answer has no value. While the queue is congested, requests without an estimate have to meet
+     * the objective as well, since otherwise all of them would be late. Requests with an estimate
+     * do not, as estimates scatter too widely to predict that the objective is missed.
      */
     long timeoutAt(RequestState request) {
         boolean estimated = request.incoming.estimatedWork() > 0;
@@ -102,7 +110,10 @@
         return Math.min(lastStartAt(request), end - (long) duration);
     }
 
-    /** The last moment to start it: before its deadline, and to be over before shutdown. */
+    /**
+     * Returns the last time at which the request may be started, in ticks: early enough to be
+     * answered before its deadline and to end before the shutdown.
+     */
     long lastStartAt(RequestState request) {
         return Math.min(
                 request.incoming.deadline() - ANSWER_MARGIN,
--- a/src/main/java/firstage/policy/ConcurrencyLimiter.java
+++ b/src/main/java/firstage/policy/ConcurrencyLimiter.java
@@ -9,53 +9,62 @@
 import java.util.List;
 
 /**
- * How much of each engine this manager may use: threads up to a limit, and memory up to a slice.
- * Both start at its quota share, grow with calm results and shrink when the engine is saturated.
+ * Limits on the threads and the memory that this manager may use at each engine. Both start at the
+ * manager's quota share, grow with results of low latency, and shrink while the engine is saturated.
  */
 final class ConcurrencyLimiter {
-    /** The share of an engine's memory that all requests together may reserve. */
-    private static final double POOL_SHARE = 0.75;
+    /** Share of an engine's memory that the requests of all managers together may reserve. */
+    private static final double RESERVABLE_MEMORY_SHARE = 0.75;
 
-    /** Threads a core that all managers' limits together allow: beyond it less gets done. */
+    /** Threads per core that the limits of all managers allow together; more lower throughput. */
     private static final double THREADS_PER_CORE = 2;
 
-    /** Threads a core below which the limits of all managers together are never lowered. */
+    /** Threads per core below which the limits of all managers together are never lowered. */
     private static final double MIN_THREADS_PER_CORE = 1.3;
 
-    /** Factor of a step: three halve, and one bad second closes nothing. */
+    /**
+     * Factor by which one step lowers a limit. Three steps halve the limit, so that a single bad
+     * second does not close an engine.
+     */
     private static final double SHRINK_FACTOR = 0.8;
 
-    /** Between steps: the last one must show in latencies first. */
+    /** Minimum time between two steps; the effect of the first has to show in latencies. */
     private static final long SHRINK_INTERVAL = Ticks.ofMillis(700);
 
-    /** The share of a calm result's threads and grant by which the limits grow. */
-    private static final double GROWTH = 0.5;
+    /** Share of the threads and of the grant of a low-latency result by which the limits grow. */
+    private static final double GROWTH_SHARE = 0.5;
 
-    /** Saturation outlives its last sign, so that the queue does not flood the engine. */
+    /**
+     * Time for which an engine counts as saturated after the last sign of saturation, so that the
+     * queue does not flood the engine.
+     */
     private static final long SATURATION_HOLD = Ticks.ofSeconds(4);
 
     private final List<Deployment.MachineType> machineTypes;
     private double quotaShare;
 
-    /** Threads of the quota share on the machine type with the most cores. */
-    private double largestThreadShare;
+    /** Number of threads in the quota share of the machine type with the most cores. */
+    private double largestMachineThreadShare;
 
     /**
-     * @param managers how many managers share the engines
+     * @param managers number of managers that share the engines
      */
     ConcurrencyLimiter(List<Deployment.MachineType> machineTypes, int managers) {
         this.machineTypes = machineTypes;
         quotaShare = 1.0 / managers;
         int cores = machineTypes.stream().mapToInt(Deployment.MachineType::cores).max().orElse(1);
-        largestThreadShare = cores * THREADS_PER_CORE * quotaShare;
+        largestMachineThreadShare = cores * THREADS_PER_CORE * quotaShare;
     }
 
-    /** The share of each engine that this manager may use now. */
+    /** Returns the share of each engine that this manager may use now. */
     double quotaShare() {
         return quotaShare;
     }
 
-    /** Sets the engine's size and the initial limits; an unknown size counts as one core. */
+    /**
+     * Sets the size of an engine and its initial limits. An unknown size counts as one core and
+     * unlimited memory.
+     */
     void initialise(EngineState engine, int machineType) {
         boolean known = machineType >= 0 && machineType < machineTypes.size();
         Deployment.MachineType size = known ? machineTypes.get(machineType) : null;
@@ -63,14 +72,14 @@
         engine.cores = size == null || size.cores() <= 0 ? 1 : size.cores();
         engine.memoryMb =
                 size == null || size.memoryMb() <= 0 ? Double.MAX_VALUE / 4 : size.memoryMb();
-        engine.memorySliceMb = engine.memoryMb * POOL_SHARE * quotaShare;
+        engine.memorySliceMb = engine.memoryMb * RESERVABLE_MEMORY_SHARE * quotaShare;
         engine.threadLimit = engine.cores * THREADS_PER_CORE * quotaShare;
     }
 
-    /** The quota share changed: all limits follow in proportion. */
+    /** Sets the quota share and changes all limits in proportion. */
     void onQuotaChanged(double newShare, Collection<EngineState> engines) {
         double ratio = newShare / quotaShare;
-        largestThreadShare *= ratio;
+        largestMachineThreadShare *= ratio;
         quotaShare = newShare;
         for (EngineState engine : engines) {
             engine.memorySliceMb = Math.min(engine.memoryMb, engine.memorySliceMb * ratio);
@@ -82,17 +91,17 @@
         return engine.cores * THREADS_PER_CORE;
     }
 
-    /** Whether the quota share of the largest engine is less than one such request. */
+    /** Returns whether even the quota share of the largest engine is too small for one request. */
     boolean isShareBelowOneRequest(TrafficClass trafficClass) {
-        return largestThreadShare < trafficClass.threads();
+        return largestMachineThreadShare < trafficClass.threads();
     }
 
-    /** How many threads the engine bears of all managers, given the share of its capacity. */
+    /** Returns how many threads of all managers the engine can run with this share of its capacity. */
     double threadCapacity(EngineState engine, double capacityShare) {
         return engine.cores * THREADS_PER_CORE * capacityShare;
     }
 
-    /** Active threads over all that the engine bears; not a number where they are not reported. */
+    /** Returns the active threads as a share of all that the engine can run; NaN if not reported. */
     static double threadLoad(EngineState engine, double activeThreads) {
         return activeThreads / engine.cores / THREADS_PER_CORE;
     }
@@ -105,50 +114,51 @@
         return engine.reservedThreads + threads <= engine.threadLimit * capacityShare;
     }
 
-    /** Whether the engine as a whole has place beside what this manager runs there. */
+    /** Returns whether the request fits the whole engine, next to this manager's other attempts. */
     boolean isWithinEngine(EngineState engine, double grantMb, int threads) {
         return engine.reservedMb + grantMb <= engine.memoryMb
                 && engine.reservedThreads + threads <= engine.cores * THREADS_PER_CORE;
     }
 
-    /** Free memory of the slice over the initial slice; may be below 0. */
+    /** Returns the free memory of the slice as a share of the initial slice; may be negative. */
     double freeMemory(EngineState engine, double capacityShare) {
         return (engine.memorySliceMb * capacityShare - engine.reservedMb)
-                / (engine.memoryMb * POOL_SHARE * quotaShare);
+                / (engine.memoryMb * RESERVABLE_MEMORY_SHARE * quotaShare);
     }
 
     void markSaturated(long now, EngineState engine) {
         engine.saturatedUntil = now + SATURATION_HOLD;
     }
 
-    /** Whether there was a sign of saturation lately; a slow engine counts as well. */
+    /** Returns whether the engine showed a sign of saturation recently, or is slow. */
     boolean isSaturated(long now, EngineState engine, LatencyTracker latency) {
         return now < engine.saturatedUntil || latency.isSlow(engine);
     }
 
-    /** Memory is short there. */
+    /** Lowers the memory slice by a step, for an engine that is short of memory. */
     void shrinkMemorySlice(long now, EngineState engine) {
         if (beginShrinkIfDue(now, engine)) {
             engine.memorySliceMb =
                     Math.max(
-                            engine.memoryMb * POOL_SHARE * quotaShare / 2,
+                            engine.memoryMb * RESERVABLE_MEMORY_SHARE * quotaShare / 2,
                             engine.memorySliceMb * SHRINK_FACTOR);
         }
     }
 
     /**
-     * The engine is slow: lowers the thread limit by a step. Where the share is less than one
-     * thread, a limit above what is reserved falls to that first.
+     * Lowers the thread limit by a step, for an engine that is slow. If the quota share is less than
+     * one thread, the step starts from the reserved threads where these are below the limit.
      */
     void shrinkThreadLimit(long now, EngineState engine) {
         if (beginShrinkIfDue(now, engine)) {
-            double used =
-                    largestThreadShare < 1
+            double currentLimit =
+                    largestMachineThreadShare < 1
                             ? Math.min(engine.threadLimit, engine.reservedThreads)
                             : engine.threadLimit;
             engine.threadLimit =
                     Math.max(
-                            engine.cores * MIN_THREADS_PER_CORE * quotaShare, used * SHRINK_FACTOR);
+                            engine.cores * MIN_THREADS_PER_CORE * quotaShare,
+                            currentLimit * SHRINK_FACTOR);
         }
     }
 
@@ -158,17 +168,20 @@
         return due;
     }
 
-    /** A calm result; limits grow only while in use: an idle hour must not open the engine. */
+    /**
+     * Raises the limits after a result of low latency. Only limits that are at least half used grow,
+     * so that an idle period does not open the engine.
+     */
     void grow(Attempt attempt) {
         EngineState engine = attempt.engine;
         int threads = attempt.request.trafficClass().threads();
         if (engine.reservedThreads + threads >= engine.threadLimit / 2) {
             engine.threadLimit =
-                    Math.min(maxThreads(engine), engine.threadLimit + threads * GROWTH);
+                    Math.min(maxThreads(engine), engine.threadLimit + threads * GROWTH_SHARE);
         }
         if (engine.reservedMb + attempt.grantMb >= engine.memorySliceMb / 2) {
             engine.memorySliceMb =
-                    Math.min(engine.memoryMb, engine.memorySliceMb + attempt.grantMb * GROWTH);
+                    Math.min(engine.memoryMb, engine.memorySliceMb + attempt.grantMb * GROWTH_SHARE);
         }
     }
 }
--- a/src/main/java/firstage/policy/EngineEligibility.java
+++ b/src/main/java/firstage/policy/EngineEligibility.java
@@ -7,7 +7,7 @@
 import firstage.policy.state.RequestState;
 import java.util.Set;
 
-/** Whether rules and health let a request go to an engine at all, capacity aside. */
+/** Checks whether a request may go to an engine by rules and health, regardless of capacity. */
 final class EngineEligibility {
     private final SlowStartBudget slowStart;
     private final ConcurrencyLimiter limiter;
@@ -29,8 +29,8 @@
                 && slowStart.allows(now, request, engine, limiter.quotaShare());
     }
 
-    private static boolean allows(Set<Integer> places, int place) {
-        return places.isEmpty() || places.contains(place);
+    private static boolean allows(Set<Integer> allowed, int value) {
+        return allowed.isEmpty() || allowed.contains(value);
     }
 
     private static boolean hasAttemptAt(RequestState request, EngineState engine) {
@@ -42,11 +42,14 @@
         return false;
     }
 
-    /** Repetitions are dropped only where the first attempt went, in its scope. */
+    /**
+     * Returns whether the engine would drop the request if it already ran. Engines recognise a
+     * repetition of an idempotency key only within the scope of the engine of the first attempt.
+     */
     private static boolean isInIdempotencyScope(RequestState request, EngineState engine) {
         TrafficClass trafficClass = request.trafficClass();
-        boolean repetition = request.mayHaveRun || !request.attemptsInFlight.isEmpty();
-        if (!repetition || trafficClass.effect() != Effect.IDEMPOTENT_WITH_KEY) {
+        boolean isRepetition = request.mayHaveRun || !request.attemptsInFlight.isEmpty();
+        if (!isRepetition || trafficClass.effect() != Effect.IDEMPOTENT_WITH_KEY) {
             return true;
         }
         EngineState first =
--- a/src/main/java/firstage/policy/EngineRegistry.java
+++ b/src/main/java/firstage/policy/EngineRegistry.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The engines that this manager knows, in the order in which it met them. */
+/** Registry of the engines known to this manager, in the order in which they became known. */
 final class EngineRegistry {
-    /** How long an engine is remembered after it left: it may come back, and mostly does not. */
+    /** Time for which an engine is remembered after it left; it may come back, but rarely does. */
     private static final long RETENTION_AFTER_LEAVING = Ticks.ofSeconds(60);
 
     private final Map<Integer, EngineState> engines = new LinkedHashMap<>();
@@ -22,7 +22,7 @@
         this.rules = rules;
     }
 
-    /** All known engines, also those that have left and are still remembered. */
+    /** Returns all known engines, including those that left and are still remembered. */
     Collection<EngineState> all() {
         return engines.values();
     }
@@ -31,7 +31,7 @@
         return engines.containsKey(engineId);
     }
 
-    /** The engine of this id; a new one where it was not known. */
+    /** Returns the engine with this id, which is added if it is not known. */
     EngineState get(int engineId) {
         return engines.computeIfAbsent(
                 engineId,
@@ -42,12 +42,12 @@
                                 SlowStartBudget.newWorkWindow(rules)));
     }
 
-    /** Before a full endpoint list is applied: what it does not name has left. */
+    /** Marks all engines as gone, before the entries of a complete endpoint list are applied. */
     void markAllGone() {
         engines.values().forEach(engine -> engine.lifecycle = Lifecycle.GONE);
     }
 
-    /** Forgets the engines that left long ago and have no attempt in flight. */
+    /** Removes and releases the engines that left long ago and have no attempt in flight. */
     void releaseGone(long now, PolicyActions actions) {
         List<Integer> gone =
                 engines.keySet().stream()
--- a/src/main/java/firstage/policy/EngineSelector.java
+++ b/src/main/java/firstage/policy/EngineSelector.java
@@ -5,12 +5,13 @@
 import java.util.Collection;
 
 /**
- * Selects the engine for an attempt: of the eligible ones that have capacity the one with the
- * highest score, else one that is not saturated, else none.
+ * Selects the engine for an attempt: the eligible engine with the highest score. Engines where this
+ * manager's limits leave capacity score higher than engines that merely show no saturation; other
+ * engines are not selected.
  */
 final class EngineSelector {
-    // Points of the score. Where this manager has capacity outweighs what else speaks for an
-    // engine; the fleet's probe and a full engine outweigh that.
+    // Parts of the score. Capacity within this manager's limits outweighs all other parts except
+    // those for the fleet's probe and for a full engine.
     private static final double CAPACITY_SCORE = 100;
     private static final double FLEET_PROBE_SCORE = 500;
     private static final double FULL_ENGINE_PENALTY = 500;
@@ -20,8 +21,8 @@
     private static final double MIN_FREE_MEMORY_STEPS = -20;
 
     /**
-     * Free memory is rounded down to quarters of the slice; between engines in the same quarter
-     * table affinity decides.
+     * Number of steps to which the free memory of a slice is rounded down. Table affinity decides
+     * between engines with the same number of free steps.
      */
     private static final double FREE_MEMORY_STEPS_PER_SLICE = 4;
 
@@ -40,9 +41,10 @@
     private boolean metEligibleEngine;
 
     /**
-     * Where the manager stands, and what engines heed.
+     * Deployment settings that affect the selection.
      *
-     * @param prefersOwnZone whether traffic between zones costs
+     * @param zone zone of this manager
+     * @param prefersOwnZone whether traffic between zones has a cost
      * @param prioritiesHeeded whether engines run requests by priority
      */
     record Placement(int zone, boolean prefersOwnZone, boolean prioritiesHeeded) {}
@@ -72,44 +74,45 @@
         this.placement = placement;
     }
 
-    /** Whether the last selection met an eligible engine, with capacity or without. */
+    /** Returns whether the latest selection found an eligible engine, with or without capacity. */
     boolean metEligibleEngine() {
         return metEligibleEngine;
     }
 
-    /** The engine for the next attempt of this request; null where it has to wait. */
+    /** Returns the engine for the next attempt of this request; null if the request has to wait. */
     EngineState select(long now, RequestState request, Collection<EngineState> engines) {
         metEligibleEngine = false;
         if (request.attemptsStarted > 0 && !retries.mayStartAttempt(now, request)) {
             return null;
         }
-        boolean probed = probing.needsProbes(request);
-        if (probed) {
+        boolean needsProbes = probing.needsProbes(request);
+        if (needsProbes) {
             probing.probeIfDue(now, request, engines);
             if (probing.isWaiting(now, request)) {
                 return null;
             }
         }
-        boolean top = priorities.of(request) == PriorityClasses.TOP;
-        boolean withinLimits = isWithinAllLimits(request, engines);
-        double[] loadOrder = tables.loadOrder(request, engines);
+        boolean topPriority = priorities.of(request) == PriorityClasses.TOP;
+        boolean withinTotalLimit = isWithinTotalThreadLimit(request, engines);
+        double[] tableLoadOrder = tables.loadOrder(request, engines);
         EngineState best = null;
         double bestScore = Double.NEGATIVE_INFINITY;
-        for (EngineState engine : probed ? request.probedEngines : engines) {
+        for (EngineState engine : needsProbes ? request.probedEngines : engines) {
             if (!eligibility.isEligible(now, request, engine)) {
                 continue;
             }
             metEligibleEngine = true;
             double capacityShare = slowStart.capacityShare(now, engine);
             double grantMb = grants.grantMb(request, engine);
-            boolean fits = fits(request, engine, grantMb, capacityShare, top, withinLimits);
+            boolean fits =
+                    fits(request, engine, grantMb, capacityShare, topPriority, withinTotalLimit);
             boolean accepts = fits || isUncontended(now, request, engine, grantMb, capacityShare);
-            if (probed) {
+            if (needsProbes) {
                 boolean idle = engine.memoryQueueEmpty && engine.attemptsInFlight.isEmpty();
                 accepts = probing.reportedCapacity(request, engine) && (accepts || idle);
             }
             if (accepts) {
-                double score = score(now, request, engine, capacityShare, fits, loadOrder);
+                double score = score(now, request, engine, capacityShare, fits, tableLoadOrder);
                 if (score > bestScore) {
                     bestScore = score;
                     best = engine;
@@ -120,47 +123,52 @@
     }
 
     /**
-     * Whether this manager's attempts in flight stay within its thread limits of all engines
-     * together: many managers with one lone request each would fill an engine.
+     * Returns whether this manager's attempts stay within the sum of its thread limits at all usable
+     * engines. Without this check, many managers with a single request each could fill an engine.
      */
-    private static boolean isWithinAllLimits(
+    private static boolean isWithinTotalThreadLimit(
             RequestState request, Collection<EngineState> engines) {
-        double limit = 0;
+        double totalLimit = 0;
         int reserved = 0;
         for (EngineState engine : engines) {
-            limit += OutlierDetector.isUsable(engine) ? engine.threadLimit : 0;
+            totalLimit += OutlierDetector.isUsable(engine) ? engine.threadLimit : 0;
             reserved += engine.reservedThreads;
         }
-        return reserved == 0 || reserved + request.trafficClass().threads() <= limit;
+        return reserved == 0 || reserved + request.trafficClass().threads() <= totalLimit;
     }
 
-    /** Whether this manager's limits, or an exception from them, let the request go there. */
+    /** Returns whether this manager's limits, or an exception to them, admit the request. */
     private boolean fits(
             RequestState request,
             EngineState engine,
             double grantMb,
             double capacityShare,
-            boolean top,
-            boolean withinLimits) {
-        // One of the top priority may exceed the thread limit: many short requests would starve
-        // behind long ones.
-        boolean onlyTop = top && !engine.hasAttemptOfPriority(PriorityClasses.TOP);
+            boolean topPriority,
+            boolean withinTotalLimit) {
+        // One request of the top priority may exceed the thread limit, as short requests would
+        // otherwise starve behind long ones.
+        boolean onlyTopPriority =
+                topPriority && !engine.hasAttemptOfPriority(PriorityClasses.TOP);
         boolean mayExceedLimits =
-                engine.attemptsInFlight.isEmpty() && withinLimits
+                engine.attemptsInFlight.isEmpty() && withinTotalLimit
                         || limiter.isShareBelowOneRequest(request.trafficClass())
-                                && onlyTop
+                                && onlyTopPriority
                                 && placement.prioritiesHeeded
                                 && !latency.isTopPrioritySlow();
-        // The probe owner may exceed its slice; otherwise recovery would wait for its capacity.
+        // A fleet probe may exceed the limits, as the recovery of the engine must not wait for
+        // capacity of the probe owner.
         return mayExceedLimits
                 || OutlierDetector.isFleetProbe(engine)
                 || limiter.hasMemory(engine, grantMb, capacityShare)
                         && (limiter.hasThreads(
                                         engine, request.trafficClass().threads(), capacityShare)
-                                || onlyTop);
+                                || onlyTopPriority);
     }
 
-    /** Whether the engine shows no sign of saturation, so that our limits need not bind. */
+    /**
+     * Returns whether the engine is warm, shows no sign of saturation and has space for the request,
+     * in which case this manager's limits need not be enforced.
+     */
     private boolean isUncontended(
             long now,
             RequestState request,
@@ -178,8 +186,8 @@
             EngineState engine,
             double capacityShare,
             boolean fits,
-            double[] loadOrder) {
-        boolean smallShare = limiter.isShareBelowOneRequest(request.trafficClass());
+            double[] tableLoadOrder) {
+        boolean shareBelowOneRequest = limiter.isShareBelowOneRequest(request.trafficClass());
         double freeMemorySteps =
                 Math.floor(limiter.freeMemory(engine, capacityShare) * FREE_MEMORY_STEPS_PER_SLICE);
         boolean sameZone = placement.prefersOwnZone && engine.zone == placement.zone;
@@ -187,8 +195,10 @@
                 + (fits ? CAPACITY_SCORE : 0)
                 + Math.max(MIN_FREE_MEMORY_STEPS, freeMemorySteps) * FREE_MEMORY_STEP_SCORE
                 + (sameZone ? SAME_ZONE_SCORE : 0)
-                + tables.score(request, engine, loadOrder, smallShare)
-                - (smallShare ? FULL_ENGINE_PENALTY * loadReports.estimatedLoad(now, engine) : 0)
+                + tables.score(request, engine, tableLoadOrder, shareBelowOneRequest)
+                - (shareBelowOneRequest
+                        ? FULL_ENGINE_PENALTY * loadReports.estimatedLoad(now, engine)
+                        : 0)
                 - (engine == request.lastEngine ? SAME_ENGINE_PENALTY : 0);
     }
 }
--- a/src/main/java/firstage/policy/state/LogHistogram.java
+++ b/src/main/java/firstage/policy/state/LogHistogram.java
@@ -6,7 +6,7 @@
     private final double[] weights = new double[BIN_COUNT];
     private double total;
 
-    /** Share for which {@link #cachedQuantile} was computed; -1 if a sample was added since. */
+    /** Share for which {@link #cachedQuantile} was computed; -1 if the samples changed since. */
     private double cachedShare = -1;
 
     private double cachedQuantile;
