--- a/src/main/java/firstage/policy/GrantEstimator.java
+++ b/src/main/java/firstage/policy/GrantEstimator.java
@@ -6,53 +6,57 @@
 import firstage.policy.state.RequestState;
 import firstage.policy.state.TrafficClassStats;
 
-/** The memory grant of an attempt: the expected memory with a margin that each class learns. */
+/** Estimates memory grants: the expected memory plus a margin learned per traffic class. */
 final class GrantEstimator {
-    /** Margins are shares of the expected memory. */
+    /** Initial margin; all margins are shares of the expected memory. */
     static final double INITIAL_MARGIN = 0.25;
 
-    /** For a grant that was too small ... */
+    /** Increase of the margin after a grant that was too small. */
     private static final double MARGIN_INCREASE = 0.14;
 
-    /** ... against one that sufficed: so one in eight comes out too small. */
+    /**
+     * Decrease of the margin after a grant that sufficed. With a ratio of 1 to 7 to the increase,
+     * one grant in eight is too small.
+     */
     private static final double MARGIN_DECREASE = 0.02;
 
-    /** The first samples, up to this many, move the margin further. */
+    /** Number of first samples of a class that change the margin by larger steps. */
     private static final double EARLY_SAMPLES = 6;
 
-    /** A grant further below the expected memory would slow the engine for others, too. */
+    /** Lowest margin; smaller grants would slow down the engine for other requests as well. */
     private static final double MIN_MARGIN = -0.25;
 
-    /** Estimates may be four times too low. */
+    /** Highest margin; estimates may be too low by a factor of four. */
     private static final double MAX_MARGIN = 3;
 
     private final double maxGrantShare;
 
     /**
-     * @param maxGrantShare the largest grant, as a share of the engine's memory
+     * @param maxGrantShare largest grant, as a share of the engine's memory
      */
     GrantEstimator(double maxGrantShare) {
         this.maxGrantShare = maxGrantShare;
     }
 
     /**
-     * The grant in MB: the estimated or the mean true memory, with the margin; half a core's memory
-     * a thread where both are unknown.
+     * Returns the grant in MB: the expected memory plus the margin. If no memory is known, the grant
+     * per thread is half of the engine's memory per core.
      */
     double grantMb(RequestState request, EngineState engine) {
         TrafficClassStats stats = request.classStats;
         double expected = request.expectedMemoryMb();
-        double wanted =
+        double uncapped =
                 expected > 0
                         ? expected * (1 + stats.grantMargin)
                         : engine.memoryMb / engine.cores / 2 * stats.trafficClass.threads();
-        return Math.max(1, Math.min(wanted, maxGrantShare * engine.memoryMb));
+        return Math.max(1, Math.min(uncapped, maxGrantShare * engine.memoryMb));
     }
 
     /**
-     * A success: the margin learns from its grant.
+     * Adjusts the margin of the class after a successful attempt.
      *
-     * @param saturated whether its engine is saturated, so that memory is scarce
+     * @param saturated whether the engine is saturated; memory is scarce then, so that a grant that
+     *     sufficed lowers the margin faster
      */
     void recordSuccess(Attempt attempt, AttemptResult result, boolean saturated) {
         if (attempt.request.expectedMemoryMb() <= 0) {
@@ -69,12 +73,15 @@
         stats.grantMargin = Math.max(MIN_MARGIN, Math.min(MAX_MARGIN, stats.grantMargin));
     }
 
-    /** Whether it spilled though its grant sufficed: its engine had no more memory to give. */
+    /** Returns whether the attempt spilled with a sufficient grant, as the engine lacked memory. */
     static boolean spilledForLackOfMemory(Attempt attempt, AttemptResult result) {
         return attempt.spilled && result.actualMemoryMb() <= attempt.grantMb;
     }
 
-    /** An attempt waits for memory at its engine: margins give way before requests do. */
+    /**
+     * Lowers the margin of a class when one of its attempts waits for memory at its engine, so that
+     * grants shrink before requests are held back. Does so once per attempt.
+     */
     void onMemoryWait(Attempt attempt) {
         TrafficClassStats stats = attempt.request.classStats;
         stats.grantMargin =
--- a/src/main/java/firstage/policy/KeyOrdering.java
+++ b/src/main/java/firstage/policy/KeyOrdering.java
@@ -9,24 +9,27 @@
 import java.util.Map;
 
 /**
- * Order within an ordering key (rule 5): requests of one key start one after another, in their
- * order of arrival; after an attempt that may still run the key pauses.
+ * Keeps the order of requests within an ordering key (rule 5). Requests of a key start one after
+ * another, in their order of arrival. The key pauses after an attempt that may still run.
  */
 final class KeyOrdering {
-    /** Until the rejection of a request of unknown order is with its client. */
+    /** Pause in which the rejection of a request of unknown order reaches its client. */
     private static final long PAUSE_AFTER_UNKNOWN_ORDER = Ticks.ofMillis(50);
 
     private final Map<Integer, KeyQueue> queues = new HashMap<>();
     private final long quietPeriod;
 
     /**
-     * @param quietPeriod how long a key pauses after an attempt that may still run, in ticks
+     * @param quietPeriod pause of a key after an attempt that may still run, in ticks
      */
     KeyOrdering(long quietPeriod) {
         this.quietPeriod = quietPeriod;
     }
 
-    /** Queues a request behind the others of its key, where its traffic class is ordered. */
+    /**
+     * Queues a request of an ordered traffic class behind the others of its key. Only pauses the key
+     * if the request's place in the order is unknown.
+     */
     void onRequest(long now, RequestState request, PolicyActions actions) {
         int key = request.incoming.orderingKey();
         if (isOutOfOrder(request)) {
@@ -39,12 +42,12 @@
         }
     }
 
-    /** Whether it must be rejected, as its place among those of its key is unknown. */
+    /** Returns whether the request must be rejected, as its order within its key is unknown. */
     boolean isOutOfOrder(RequestState request) {
         return request.orderingKey >= 0 && request.incoming.orderUnknown();
     }
 
-    /** Whether no other request of its key has to start before it. */
+    /** Returns whether the request may start now as far as the order within its key permits. */
     boolean isNext(long now, RequestState request) {
         KeyQueue queue = queues.get(request.orderingKey);
         return queue == null
@@ -53,10 +56,11 @@
     }
 
     /**
-     * An attempt ended.
+     * Pauses the key after an attempt that has ended for the client but may still run.
      *
-     * @param mayStillRun whether its engine may run it on
-     * @param mayStillRunFor for how many ticks the engine is known to hold it at most
+     * @param mayStillRun whether the engine may still run the attempt
+     * @param mayStillRunFor upper bound, in ticks, on how long the engine may still run it; 0 if
+     *     it has ended or the quiet period covers it
      */
     void onAttemptEnded(long now, RequestState request, boolean mayStillRun, long mayStillRunFor) {
         KeyQueue queue = queues.get(request.orderingKey);
@@ -66,7 +70,7 @@
         }
     }
 
-    /** The request is over: the next of its key may start. */
+    /** Removes a request that has ended, so that the next one of its key may start. */
     void remove(RequestState request) {
         KeyQueue queue = queues.get(request.orderingKey);
         if (queue != null) {
@@ -74,7 +78,7 @@
         }
     }
 
-    /** Forgets the keys that no request waits for and whose pause is over. */
+    /** Removes and releases the keys that have no open request and whose pause is over. */
     void releaseIdle(long now, PolicyActions actions) {
         List<Integer> idle =
                 queues.keySet().stream().filter(key -> queues.get(key).isIdle(now)).toList();
--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -11,52 +11,58 @@
 import java.util.List;
 
 /**
- * How slow engines are: latencies over the best that the same traffic class has seen, per engine,
- * over all engines and for requests of the top priority. Samples lose half their weight each {@link
- * #DECAY_INTERVAL}.
+ * Tracks how slow engines are, per engine, over all engines, and for requests of the top priority.
+ * Samples are ratios of latencies to the best latency of the same traffic class; they lose half
+ * their weight each {@link #DECAY_INTERVAL}.
  */
 final class LatencyTracker {
     static final long DECAY_INTERVAL = Ticks.ofSeconds(1);
 
-    /** Samples of a traffic class after which they are halved. */
-    private static final int CLASS_SAMPLES = 64;
+    /** Number of samples of a traffic class at which their weight is halved. */
+    private static final int MAX_CLASS_SAMPLES = 64;
 
-    /** Samples from which an engine's own median counts, not that of all engines. */
+    /** Number of samples below which the median of all engines replaces that of an engine. */
     private static final double MIN_ENGINE_SAMPLES = 12;
 
-    /** Below so many times the best latency an engine is calm. */
-    private static final double CALM_RATIO = 1.25;
+    /** Ratio to the best latency below which the latency of an engine is low. */
+    private static final double LOW_LATENCY_RATIO = 1.25;
 
-    /** Above so many times the best latency an engine is slow. */
+    /** Ratio to the best latency above which an engine is slow. */
     private static final double SLOW_RATIO = 1.6;
 
-    /** Latency over estimated work, before any sample: slow first answers must not pass as calm. */
+    /**
+     * Initial value of the best ratio of latency to estimated work. Without it, the latency of slow
+     * first results would be taken as the best one, and count as low.
+     */
     private static final double INITIAL_BEST_RATIO = 2.5;
 
-    /** The same where engines tell the true work: a thread has a core. */
-    private static final double BEST_RATIO_OF_TRUE_WORK = 1.2;
+    /**
+     * Upper bound of the best ratio where engines report the actual work: at best, each thread has a
+     * core of its own.
+     */
+    private static final double MAX_BEST_RATIO_OF_ACTUAL_WORK = 1.2;
 
-    /** Each decay interval: an outdated best is forgotten in minutes. */
+    /** Growth of the best ratio per decay interval, which expires an outdated best in minutes. */
     private static final double BEST_RATIO_DRIFT = 1.002;
 
-    /** Progress up to this share says little about the whole. */
-    private static final double MIN_TELLING_PROGRESS = 0.05;
+    /** Fraction done up to which a progress report says too little about the total duration. */
+    private static final double MIN_FRACTION_DONE = 0.05;
 
     private final LogHistogram allEngines = new LogHistogram();
     private final LogHistogram topPriority = new LogHistogram();
 
     static TrafficClassStats newStats(TrafficClass trafficClass) {
         return new TrafficClassStats(
-                trafficClass, GrantEstimator.INITIAL_MARGIN, INITIAL_BEST_RATIO, CLASS_SAMPLES);
+                trafficClass, GrantEstimator.INITIAL_MARGIN, INITIAL_BEST_RATIO, MAX_CLASS_SAMPLES);
     }
 
-    /** The median ratio of this engine; of all engines where it has answered too little. */
+    /** Returns the median ratio of this engine, or of all engines if it has too few samples. */
     double medianRatio(EngineState engine) {
         boolean enough = engine.latencyRatios.total() >= MIN_ENGINE_SAMPLES;
         return (enough ? engine.latencyRatios : allEngines).quantile(0.5);
     }
 
-    /** The median ratio over all engines. */
+    /** Returns the median ratio over all engines. */
     double medianRatio() {
         return allEngines.quantile(0.5);
     }
@@ -65,14 +71,14 @@
         return medianRatio(engine) > SLOW_RATIO;
     }
 
-    /** Whether the ratio of one result and its engine's median are calm. */
+    /** Returns whether both the ratio of a result and the median of its engine are low. */
     boolean isCalm(double ratio, EngineState engine) {
-        return ratio < CALM_RATIO && medianRatio(engine) < CALM_RATIO;
+        return ratio < LOW_LATENCY_RATIO && medianRatio(engine) < LOW_LATENCY_RATIO;
     }
 
-    /** Whether engines are calm all in all. */
+    /** Returns whether the median ratio over all engines is low. */
     boolean isFleetCalm() {
-        return medianRatio() < CALM_RATIO;
+        return medianRatio() < LOW_LATENCY_RATIO;
     }
 
     boolean isTopPrioritySlow() {
@@ -80,16 +86,17 @@
     }
 
     /**
-     * One latency ratio; an engine that is warming up is slow by nature, which is no sign of load.
+     * Records a latency ratio. The ratio is scaled by the capacity share, as the slowness of a
+     * warming engine is no sign of load.
      *
-     * @param capacityShare the share of its capacity that the engine has now
+     * @param capacityShare share of its capacity that the engine has now
      */
     void record(EngineState engine, double ratio, double capacityShare) {
         engine.latencyRatios.add(ratio * capacityShare);
         allEngines.add(ratio * capacityShare);
     }
 
-    /** An attempt got no answer in time: its time so far is the sample. */
+    /** Records an attempt that timed out, with its time so far as the latency. */
     void recordTimeout(long now, Attempt attempt, double capacityShare) {
         RequestState request = attempt.request;
         double ratio =
@@ -97,22 +104,26 @@
         record(attempt.engine, ratio, capacityShare);
     }
 
-    /** An attempt in flight has done a share of its estimated work: its whole time is known. */
+    /** Records the latency of an attempt in flight, extrapolated from its progress. */
     void recordProgress(long now, Attempt attempt, double capacityShare) {
         RequestState request = attempt.request;
-        if (attempt.fractionDone <= MIN_TELLING_PROGRESS
+        if (attempt.fractionDone <= MIN_FRACTION_DONE
                 || request.incoming.estimatedWork() <= 0
                 || attempt.wasBlocked) {
             return;
         }
-        double wholeWork =
+        double totalWork =
                 (now - attempt.sentAt) / attempt.fractionDone * request.trafficClass().threads();
         double ratio =
-                wholeWork / request.incoming.estimatedWork() / request.classStats.bestRatio();
+                totalWork / request.incoming.estimatedWork() / request.classStats.bestRatio();
         record(attempt.engine, ratio, capacityShare);
     }
 
-    /** What a success tells of its traffic class; returns its latency over its figure of work. */
+    /**
+     * Records a successful attempt in the statistics of its traffic class.
+     *
+     * @return latency times threads, divided by the actual, estimated or assumed work
+     */
     double recordForClass(Attempt attempt, AttemptResult result) {
         RequestState request = attempt.request;
         TrafficClassStats stats = request.classStats;
@@ -123,12 +134,12 @@
         } else if (request.incoming.estimatedWork() > 0) {
             work = request.incoming.estimatedWork();
         } else {
-            // Unknown: a typical request should need no more than half its latency objective.
+            // No figure is known: assume that the request needs half its latency objective.
             work = stats.trafficClass.latencyObjective() * threads / 2.0;
         }
         double ratio = result.duration() * threads / work;
         if (!attempt.wasBlocked) {
-            stats.recordLatencyRatio(ratio, CLASS_SAMPLES);
+            stats.recordLatencyRatio(ratio, MAX_CLASS_SAMPLES);
         }
         stats.work.add(
                 result.actualWork() > 0
@@ -137,12 +148,16 @@
         return ratio;
     }
 
-    /** The engines of this class tell the true work: the best ratio is that of free cores. */
+    /** Lowers the best ratio of a class whose engines report the actual work of requests. */
     void onTrueWorkKnown(TrafficClassStats stats) {
-        stats.lowestRatio = Math.min(stats.lowestRatio, BEST_RATIO_OF_TRUE_WORK);
+        stats.lowestRatio = Math.min(stats.lowestRatio, MAX_BEST_RATIO_OF_ACTUAL_WORK);
     }
 
-    /** A success against the best of its class; {@code ratio} is that. */
+    /**
+     * Records the latency of a successful attempt.
+     *
+     * @param ratio ratio of the latency to the best latency of the class
+     */
     void recordSuccess(Attempt attempt, double ratio, double capacityShare) {
         if (!attempt.wasBlocked) {
             record(attempt.engine, ratio, capacityShare);
@@ -152,14 +167,14 @@
         }
     }
 
-    /** Once each interval, for what all engines share. */
+    /** Halves the samples that all engines share; called once each {@link #DECAY_INTERVAL}. */
     void decay(List<TrafficClassStats> classes) {
         allEngines.halve();
         topPriority.halve();
         classes.forEach(stats -> stats.lowestRatio *= BEST_RATIO_DRIFT);
     }
 
-    /** Once each interval, for each engine. */
+    /** Halves the samples of an engine; called once each {@link #DECAY_INTERVAL}. */
     void decay(EngineState engine) {
         engine.latencyRatios.halve();
     }
--- a/src/main/java/firstage/policy/LoadProbing.java
+++ b/src/main/java/firstage/policy/LoadProbing.java
@@ -13,24 +13,24 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Asks some random engines for their load before a costly request goes to one of them, where this
- * manager's share of an engine is too small to know its load otherwise.
+ * Probes some random engines for their load before a costly request is sent to one of them. This is
+ * done if this manager's share of an engine is too small to know its load otherwise.
  */
 final class LoadProbing {
-    /** Engines asked: two choices, and one to spare. */
+    /** Number of engines probed for a request: two to choose from, and a spare. */
     private static final int PROBED_ENGINES = 3;
 
-    /** Of a request's priority weight that one probe may cost. */
+    /** Share of a request's priority weight that one probe may cost. */
     private static final double MAX_COST_SHARE = 0.01;
 
     private static final long ANSWER_TIMEOUT = Ticks.ofMillis(20);
 
-    /** Where all were full. */
+    /** Minimum time until engines are probed again for a request, if none had capacity. */
     private static final long PROBE_INTERVAL = Ticks.ofMillis(500);
 
     private static final int MEAN_SAMPLES = 64;
 
-    /** Where engines may not be probed. */
+    /** Price of a probe if engines may not be probed. */
     private static final double NO_PROBES = -1;
 
     private final RandomGenerator random;
@@ -39,7 +39,7 @@
     private final ConcurrencyLimiter limiter;
     private final LatencyTracker latency;
 
-    /** In shares of the mean request's priority weight. */
+    /** Cost of a probe, as a multiple of the mean priority weight; negative for no probes. */
     private final double probePrice;
 
     private final DecayingMean meanPriorityWeight = new DecayingMean(MEAN_SAMPLES);
@@ -51,7 +51,7 @@
             EngineEligibility eligibility,
             ConcurrencyLimiter limiter,
             LatencyTracker latency) {
-        // A probe whose answer tells no load would be paid for and waited for in vain.
+        // Without a load report in the answer, the cost of a probe and the wait would be wasted.
         probePrice = deployment.probesReportLoad() ? deployment.probePrice() : NO_PROBES;
         this.random = random;
         this.actions = actions;
@@ -64,7 +64,7 @@
         meanPriorityWeight.add(trafficClass.priorityWeight());
     }
 
-    /** Whether this request goes only to an engine that was probed for it. */
+    /** Returns whether this request may only go to an engine that was probed for it. */
     boolean needsProbes(RequestState request) {
         return probePrice >= 0
                 && request.trafficClass().priorityWeight() * MAX_COST_SHARE
@@ -73,7 +73,7 @@
                 && !latency.isFleetCalm();
     }
 
-    /** Probes engines for this request where that is due. */
+    /** Probes engines for this request, unless that was done recently. */
     void probeIfDue(long now, RequestState request, Collection<EngineState> engines) {
         if (now < request.probedAt + PROBE_INTERVAL) {
             return;
@@ -91,12 +91,12 @@
         request.probedEngines.forEach(engine -> actions.probeEngine(engine.id));
     }
 
-    /** Whether answers are still to come, and worth the wait. */
+    /** Returns whether the request has to wait for answers to its probes. */
     boolean isWaiting(long now, RequestState request) {
         return now < request.probedAt + ANSWER_TIMEOUT && !request.allProbesAnswered();
     }
 
-    /** Whether the engine answered the probe for this request, and was not full. */
+    /** Returns whether the engine reported since the probe for this request that it is not full. */
     boolean reportedCapacity(RequestState request, EngineState engine) {
         return engine.loadReportedAt >= request.probedAt && engine.reportedLoad < 1;
     }
--- a/src/main/java/firstage/policy/LoadReportTracker.java
+++ b/src/main/java/firstage/policy/LoadReportTracker.java
@@ -5,16 +5,16 @@
 import firstage.policy.state.EngineState;
 import firstage.util.Ticks;
 
-/** How loaded engines say they are: 0 is idle, 1 is full. */
+/** Tracks the load that engines report: 0 is idle, 1 is full. */
 final class LoadReportTracker {
-    /** What an engine reported loses its weight over this time. */
+    /** Time over which the weight of a load report falls to 0. */
     private static final long REPORT_VALIDITY = Ticks.ofSeconds(5);
 
     private static final int MEAN_SAMPLES = 64;
 
     private final DecayingMean meanLoad = new DecayingMean(MEAN_SAMPLES);
 
-    /** Takes over a load report; true where the engine says that it is full. */
+    /** Records a load report. Returns whether the engine reports that it is full. */
     boolean record(long now, EngineState engine, LoadReport report) {
         engine.loadReportedAt = now;
         engine.memoryQueueEmpty = report.queuedForMemory() < 1;
@@ -28,12 +28,15 @@
         return load >= 1;
     }
 
-    /** A figure that is not reported is not a number, and compares as false. */
+    /** Returns the larger value; a figure that is not reported is NaN and is ignored. */
     private static double largerIfReported(double load, double figure) {
         return figure > load ? figure : load;
     }
 
-    /** The load as reported, and the older that is, the more the mean of all engines. */
+    /**
+     * Returns the reported load, blended with the mean load of all engines; the weight of the mean
+     * grows with the age of the report.
+     */
     double estimatedLoad(long now, EngineState engine) {
         double mean = meanLoad.orElse(0);
         double weight = Math.max(0, 1 - (double) (now - engine.loadReportedAt) / REPORT_VALIDITY);
--- a/src/main/java/firstage/policy/OutlierDetector.java
+++ b/src/main/java/firstage/policy/OutlierDetector.java
@@ -10,20 +10,22 @@
 import java.util.Map;
 
 /**
- * The health of engines, as a circuit breaker with the states of {@link EngineHealth}: an engine is
- * ejected by what it shows, is half-open after a backoff that doubles, and available again after a
- * success. Invariant: a half-open engine gets one idempotent request at a time, its probe.
+ * Circuit breaker per engine, with the states of {@link EngineHealth}. An engine is ejected after
+ * failures or silence, is half-open after a backoff that doubles each time, and is available again
+ * after a success. Invariant: a half-open engine gets one idempotent request at a time, its probe.
  */
 final class OutlierDetector {
-    /** Before the first probe of an ejected engine; doubled each time. */
+    /** Delay before the first probe of an ejected engine; doubles with each further ejection. */
     static final long INITIAL_BACKOFF = Ticks.ofSeconds(1);
 
     private static final long MAX_BACKOFF = Ticks.ofSeconds(8);
 
-    /** These eject an engine: one request may fail, not three. */
+    /**
+     * Number of consecutive failures that eject an engine; fewer may be the fault of the requests.
+     */
     private static final int MAX_CONSECUTIVE_FAILURES = 3;
 
-    /** What an event shows of an engine. */
+    /** Evidence of an engine's health that an event gives. */
     enum Signal {
         SUCCESS,
         PROGRESS,
@@ -44,7 +46,10 @@
     private record Transition(
             EngineHealth state, Signal signal, EngineHealth next, Action action) {}
 
-    /** State (null: any), signal, next state, action; without effect where the state stays. */
+    /**
+     * Transitions in order of precedence; a state of null matches any state. A transition to the
+     * current state is skipped.
+     */
     private static final Transition[] TRANSITIONS = {
         new Transition(null, Signal.SUCCESS, EngineHealth.AVAILABLE, Action.RESET_BACKOFF),
         new Transition(null, Signal.RESTARTED, EngineHealth.AVAILABLE, Action.RESET_BACKOFF),
@@ -58,7 +63,10 @@
         new Transition(null, Signal.BACKOFF_OVER, EngineHealth.HALF_OPEN, Action.NONE),
     };
 
-    /** What outcomes show; a time-out, a cancellation and what was not sent show nothing. */
+    /**
+     * Signals of attempt outcomes. A timeout, a cancellation and an attempt that was not sent say
+     * nothing about the engine.
+     */
     private static final Map<AttemptOutcome, Signal> SIGNALS =
             Map.of(
                     AttemptOutcome.SUCCEEDED,
@@ -72,7 +80,7 @@
                     AttemptOutcome.REFUSED,
                     Signal.REFUSAL);
 
-    /** Whether requests may go there as far as its health and life cycle say. */
+    /** Returns whether the health and the lifecycle of the engine permit requests. */
     static boolean isUsable(EngineState engine) {
         return engine.lifecycle == Lifecycle.ACTIVE
                 && !engine.probedByOthers
@@ -80,7 +88,7 @@
                         || engine.health == EngineHealth.HALF_OPEN);
     }
 
-    /** Whether it is on the endpoint list and held to be down or unresponsive. */
+    /** Returns whether the engine is on the endpoint list but considered down or unresponsive. */
     static boolean isUnavailable(EngineState engine) {
         return engine.lifecycle == Lifecycle.ACTIVE
                 && (engine.health == EngineHealth.UNAVAILABLE
@@ -88,12 +96,13 @@
                         || engine.health == EngineHealth.HALF_OPEN);
     }
 
-    /** Whether a request of this effect may go to the engine, or be its probe. */
+    /** Returns whether a request of this effect may go to the engine; if half-open, as its probe. */
     static boolean admits(EngineState engine, Effect effect) {
         if (engine.health != EngineHealth.HALF_OPEN) {
             return true;
         }
-        // The probe owner has lost attempts there that are still in flight: only its probe counts.
+        // Attempts that were lost before the backoff ended may still be in flight. For the probe
+        // owner only attempts after it count as the probe.
         boolean probing =
                 engine.mayProbeNow
                         ? engine.attemptsInFlight.stream()
@@ -102,12 +111,12 @@
         return !probing && effect == Effect.IDEMPOTENT;
     }
 
-    /** Whether the next request there is the one probe for the whole fleet. */
+    /** Returns whether the next request to the engine is the only probe of the whole fleet. */
     static boolean isFleetProbe(EngineState engine) {
         return engine.mayProbeNow && engine.health == EngineHealth.HALF_OPEN;
     }
 
-    /** An attempt ended; first what that shows of the engine, then who is blamed for a failure. */
+    /** Records the end of an attempt: its evidence of the engine's health, then any failure. */
     void onOutcome(long now, RequestState request, EngineState engine, AttemptOutcome outcome) {
         if (SIGNALS.containsKey(outcome)) {
             engine.lastResponseAt = now;
@@ -117,28 +126,29 @@
     }
 
     /**
-     * An engine that fails at once is always free and would attract every request: a few in a row
-     * eject it. A request that may go elsewhere is retried there first: where it fails there, too,
-     * that shows nothing of engines.
+     * Counts the failures of engines and ejects an engine after a few in a row. An engine that fails
+     * requests at once is always free and would otherwise attract all requests. The failure of an
+     * idempotent request counts only when a retry succeeds at another engine, as a request that
+     * fails everywhere says nothing about engines.
      */
     private void countFailure(
             long now, RequestState request, EngineState engine, AttemptOutcome outcome) {
-        EngineState blamed = null;
+        EngineState faultyEngine = null;
         if (outcome == AttemptOutcome.SUCCEEDED) {
             engine.consecutiveFailures = 0;
-            blamed = request.firstFailedEngine == engine ? null : request.firstFailedEngine;
+            faultyEngine = request.firstFailedEngine == engine ? null : request.firstFailedEngine;
         } else if (outcome == AttemptOutcome.FAILED) {
             request.failedEngines += request.firstFailedEngine == engine ? 0 : 1;
             request.firstFailedEngine =
                     request.firstFailedEngine == null ? engine : request.firstFailedEngine;
-            blamed = request.trafficClass().effect() == Effect.IDEMPOTENT ? null : engine;
+            faultyEngine = request.trafficClass().effect() == Effect.IDEMPOTENT ? null : engine;
         }
-        if (blamed != null && ++blamed.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) {
-            onSignal(now, blamed, Signal.CONNECTION_BROKEN);
+        if (faultyEngine != null && ++faultyEngine.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) {
+            onSignal(now, faultyEngine, Signal.CONNECTION_BROKEN);
         }
     }
 
-    /** Ends the backoff of this engine when its time has come, unless others probe it. */
+    /** Makes the engine half-open once its backoff is over, unless other managers probe it. */
     void checkBackoff(long now, EngineState engine) {
         if (engine.health != EngineHealth.AVAILABLE
                 && now >= engine.backoffUntil
@@ -147,7 +157,7 @@
         }
     }
 
-    /** The fleet says who probes this engine; see {@code SchedulingPolicy}. */
+    /** Sets which managers may probe this engine; see {@code SchedulingPolicy}. */
     void onProbeOwnership(
             long now, EngineState engine, boolean probedByOthers, boolean mayProbeNow) {
         engine.probedByOthers = probedByOthers;
@@ -155,7 +165,7 @@
         engine.backoffUntil = mayProbeNow ? now : engine.backoffUntil;
     }
 
-    /** Takes the first transition that fits and changes the state. */
+    /** Applies the first transition that matches the signal and changes the state. */
     void onSignal(long now, EngineState engine, Signal signal) {
         for (Transition transition : TRANSITIONS) {
             if ((transition.state == null || transition.state == engine.health)
--- a/src/main/java/firstage/policy/PriorityClasses.java
+++ b/src/main/java/firstage/policy/PriorityClasses.java
@@ -4,19 +4,22 @@
 import firstage.policy.state.TrafficClassStats;
 import java.util.List;
 
-/** The priority at an engine: by priority weight for expected work, against the best class. */
+/**
+ * Assigns the priority of a request at its engine, by the priority weight per unit of expected work
+ * relative to that of the best traffic class.
+ */
 final class PriorityClasses {
-    /** The highest priority: requests that pay best for their work. */
+    /** Highest priority, for requests with the most priority weight per unit of work. */
     static final int TOP = 3;
 
     private static final int NORMAL = 2;
     private static final int LOW = 1;
     private static final int LOWEST = 0;
 
-    // Shares of the best class' weight for work, from which a priority is given.
-    private static final double TOP_FROM = 0.6;
-    private static final double NORMAL_FROM = 0.1;
-    private static final double LOW_FROM = 0.03;
+    // Minimum weight per work of each priority, as a share of that of the best traffic class.
+    private static final double MIN_SHARE_FOR_TOP = 0.6;
+    private static final double MIN_SHARE_FOR_NORMAL = 0.1;
+    private static final double MIN_SHARE_FOR_LOW = 0.03;
 
     private final List<TrafficClassStats> classes;
 
@@ -24,24 +27,24 @@
         this.classes = classes;
     }
 
-    /** The priority of this request, from 0 to {@link #TOP}. */
+    /** Returns the priority of this request, from 0 to {@link #TOP}. */
     int of(RequestState request) {
-        double best =
+        double bestWeightPerWork =
                 classes.stream()
                         .mapToDouble(
                                 stats -> stats.trafficClass.priorityWeight() / stats.typicalWork())
                         .max()
                         .orElse(1);
-        double rate =
+        double shareOfBest =
                 request.trafficClass().priorityWeight()
                         / Math.max(1, request.expectedWork())
-                        / best;
-        if (rate >= TOP_FROM) {
+                        / bestWeightPerWork;
+        if (shareOfBest >= MIN_SHARE_FOR_TOP) {
             return TOP;
         }
-        if (rate >= NORMAL_FROM || request.trafficClass().tableLoad()) {
+        if (shareOfBest >= MIN_SHARE_FOR_NORMAL || request.trafficClass().tableLoad()) {
             return NORMAL;
         }
-        return rate >= LOW_FROM ? LOW : LOWEST;
+        return shareOfBest >= MIN_SHARE_FOR_LOW ? LOW : LOWEST;
     }
 }
