--- a/src/main/java/firstage/policy/RetryPolicy.java
+++ b/src/main/java/firstage/policy/RetryPolicy.java
@@ -10,19 +10,20 @@
 import firstage.util.Ticks;
 
 /**
- * Which attempt may follow which outcome (rule 2): by the effect of the request, its idempotency
- * scope and window, and the retry budget of all requests (rule 7).
+ * Decides whether a request may be retried, rejected or failed after the end of an attempt: by its
+ * effect, its idempotency scope and window (rule 2), and the retry budget of all requests (rule 7).
  */
 final class RetryPolicy {
-    /** Engines that a request may fail at: a third would say the same. */
+    /** Number of engines at which a request may fail; a third one would give the same result. */
     private static final int MAX_FAILED_ENGINES = 2;
 
-    /** A client that returns after this finds about half of a full queue gone. */
+    /** Wait that rejected clients are asked for; about half of a full queue is gone after it. */
     private static final long RETRY_AFTER = Ticks.ofMillis(500);
 
-    /** Pieces of the budget's window: what is in doubt is counted on the safe side. */
-    private static final int WINDOW_PIECES = 20;
+    /** Number of buckets of the budget's window; the budget counts partial buckets conservatively. */
+    private static final int WINDOW_BUCKETS = 20;
 
+    /** Engines at which a request may be retried. */
     private enum Retry {
         ANYWHERE,
         IN_SCOPE,
@@ -31,7 +32,7 @@
 
     private record Rule(Effect effect, boolean mayHaveRun, Retry retry, boolean mayReject) {}
 
-    /** Effect, whether an attempt may have run, where it may be retried, may it be rejected. */
+    /** Rules for each effect, depending on whether an attempt of the request may have run. */
     private static final Rule[] RULES = {
         new Rule(Effect.IDEMPOTENT, false, Retry.ANYWHERE, true),
         new Rule(Effect.IDEMPOTENT, true, Retry.ANYWHERE, true),
@@ -49,8 +50,8 @@
     RetryPolicy(Deployment.Capabilities capabilities, Deployment.Rules limits) {
         this.capabilities = capabilities;
         this.limits = limits;
-        accepted = new SlidingWindowCounter(limits.retryWindow(), WINDOW_PIECES);
-        retries = new SlidingWindowCounter(limits.retryWindow(), WINDOW_PIECES);
+        accepted = new SlidingWindowCounter(limits.retryWindow(), WINDOW_BUCKETS);
+        retries = new SlidingWindowCounter(limits.retryWindow(), WINDOW_BUCKETS);
     }
 
     void recordAccepted(long now) {
@@ -61,18 +62,18 @@
         retries.add(now, attempt.number > 0 ? 1 : 0);
     }
 
-    /** Whether attempts are left, and a repetition does no harm. */
+    /** Returns whether the request has attempts left and running it again is safe. */
     boolean allowsAnotherAttempt(RequestState request) {
         return request.attemptsStarted < capabilities.maxAttempts()
                 && rule(request).retry != Retry.NEVER;
     }
 
-    /** Whether the next attempt may start now. */
+    /** Returns whether the next attempt may start now. */
     boolean mayStartAttempt(long now, RequestState request) {
         Retry retry = rule(request).retry;
         return retry != Retry.NEVER
                 && request.attemptsStarted < capabilities.maxAttempts()
-                && !hasFailedEnough(request)
+                && !hasReachedFailureLimit(request)
                 && (request.attemptsInFlight.isEmpty() || capabilities.hedging())
                 && (retry != Retry.IN_SCOPE
                         || now
@@ -81,26 +82,29 @@
                 && (request.attemptsStarted == 0 || isWithinBudget(now));
     }
 
-    /** Whether a repetition by the client or another manager does no harm. */
+    /** Returns whether it is safe that the client or another manager runs the request again. */
     boolean mayReject(RequestState request) {
         return rule(request).mayReject;
     }
 
-    /** Whether the client is told to try again, rather than that the request failed. */
+    /** Returns whether the client is told to send the request again, not that the request failed. */
     boolean rejectsRatherThanFails(RequestState request) {
         TrafficClass trafficClass = request.trafficClass();
-        boolean repetitionIsDropped =
+        boolean dropsRepetitionsEverywhere =
                 trafficClass.effect() == Effect.IDEMPOTENT_WITH_KEY
                         && trafficClass.idempotencyScope() == Scope.ALL;
-        return !hasFailedEnough(request) && (mayReject(request) || repetitionIsDropped);
+        return !hasReachedFailureLimit(request) && (mayReject(request) || dropsRepetitionsEverywhere);
     }
 
-    /** For how many ticks a rejected client is to stay away; 0 where the wire can't say so. */
+    /**
+     * Returns the number of ticks that a rejected client has to wait; 0 if the protocol cannot
+     * express a wait.
+     */
     long retryAfter() {
         return capabilities.retryAfter() ? Math.min(RETRY_AFTER, capabilities.maxRetryAfter()) : 0;
     }
 
-    private static boolean hasFailedEnough(RequestState request) {
+    private static boolean hasReachedFailureLimit(RequestState request) {
         return request.failedEngines >= MAX_FAILED_ENGINES;
     }
 
@@ -117,6 +121,6 @@
                 return rule;
             }
         }
-        throw new IllegalStateException("no rule for " + request.trafficClass().effect());
+        throw new IllegalStateException("no retry rule for effect " + request.trafficClass().effect());
     }
 }
--- a/src/main/java/firstage/policy/SheddingThreshold.java
+++ b/src/main/java/firstage/policy/SheddingThreshold.java
@@ -4,8 +4,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The fleet's load-shedding level: requests of lower priority bands are answered at once, and of
- * those in the band itself all but a share.
+ * Load-shedding threshold of the fleet: requests in priority bands below the threshold are shed, and
+ * so is a random part of those in the threshold's own band.
  */
 final class SheddingThreshold {
     private final RandomGenerator random;
@@ -16,7 +16,7 @@
         this.random = random;
     }
 
-    /** See {@code SchedulingPolicy#onSheddingThreshold}. */
+    /** Sets the threshold; see {@code SchedulingPolicy#onSheddingThreshold}. */
     void set(int newBand, double newAdmittedShare) {
         band = newBand;
         admittedShare = newAdmittedShare;
@@ -26,12 +26,12 @@
         return band != 0;
     }
 
-    /** Whether the random share of the threshold's own band sheds this new request. */
+    /** Returns whether this new request is in the threshold's band and is shed at random. */
     boolean shedsOnArrival(RequestState request) {
         return request.priorityBand == band && random.nextDouble() >= admittedShare;
     }
 
-    /** Whether it is shed, as its band is below the threshold and nothing was started for it. */
+    /** Returns whether the request is shed: its band is below the threshold and it never started. */
     boolean isBelow(RequestState request) {
         return request.attemptsStarted == 0 && request.priorityBand < band;
     }
--- a/src/main/java/firstage/policy/SlowStartBudget.java
+++ b/src/main/java/firstage/policy/SlowStartBudget.java
@@ -6,59 +6,65 @@
 import firstage.policy.state.SlidingWindowCounter;
 
 /**
- * Warm-up of engines that started lately (rule 4): such an engine bears a part of its capacity that
- * grows with its age, and of that each manager may use its own part, counted over a window.
+ * Slow start of engines (rule 4). The capacity of a warming engine grows with its age; each manager
+ * may use its own share of that capacity, counted as work over a window.
  */
 final class SlowStartBudget {
     /**
-     * The share of the budget that is used: other managers and random allocations need the rest.
+     * Share of its budget that a manager uses; the rest is left to other managers and to random
+     * allocation.
      */
-    private static final double SAFETY = 0.9;
+    private static final double USED_BUDGET_SHARE = 0.9;
 
     /**
-     * The share of a window's budget that random allocation hands out; two managers may be drawn at
-     * once.
+     * Share of a window's budget that is handed out by random allocation; the rest covers that two
+     * managers may be drawn at the same time.
      */
     private static final double ALLOCATED_SHARE = 0.4;
 
     /**
-     * Requests up to this share of the budget may be allocated at random: one too many does no
-     * harm.
+     * Largest work of a request that may be allocated at random, as a share of the engine's
+     * capacity in a window; one such request too many does no harm.
      */
     private static final double SMALL_REQUEST_SHARE = 0.05;
 
-    /** The golden ratio: spreads the managers' ranks evenly. */
+    /** Golden ratio, which spreads the ranks of the managers evenly over the range from 0 to 1. */
     private static final double RANK_STEP = 0.618034;
 
-    /** The share of a straight line that is counted on: how an engine warms up is unknown. */
+    /**
+     * Share of a linear growth of capacity that is relied on, as the actual growth of engines is
+     * unknown.
+     */
     private static final double WARM_UP_SLOPE = 0.8;
 
-    /** Busy share of the cores at capacity. */
+    /** Busy share of the cores of an engine at capacity. */
     private static final double BUSY_SHARE_AT_CAPACITY = 0.85;
 
-    /** Pieces of the window: what is in doubt is counted on the safe side. */
-    private static final int WINDOW_PIECES = 20;
+    /** Number of buckets of the window; partial buckets are counted conservatively. */
+    private static final int WINDOW_BUCKETS = 20;
 
     private final Deployment.Rules rules;
     private final int rank;
-    private final double shareBySettings;
 
-    /** When this manager first had an endpoint list; below 0 before. */
+    /** Equal share of all managers, used for engines without a {@code warmUpShare}. */
+    private final double equalShare;
+
+    /** Time at which this manager received its first endpoint list; negative before. */
     private long startedAt = -1;
 
     /**
-     * @param rank this manager's number among all
-     * @param managers how many managers share the engines
+     * @param rank index of this manager among all
+     * @param managers number of managers that share the engines
      */
     SlowStartBudget(Deployment.Rules rules, int rank, int managers) {
         this.rules = rules;
         this.rank = rank;
-        shareBySettings = 1.0 / managers;
+        equalShare = 1.0 / managers;
     }
 
-    /** A counter for the work sent to one engine while it warms up. */
+    /** Returns a new counter for the work sent to one engine during its warm-up. */
     static SlidingWindowCounter newWorkWindow(Deployment.Rules rules) {
-        return new SlidingWindowCounter(rules.overloadWindow(), WINDOW_PIECES);
+        return new SlidingWindowCounter(rules.overloadWindow(), WINDOW_BUCKETS);
     }
 
     void onEndpoints(long now) {
@@ -66,23 +72,25 @@
     }
 
     /**
-     * The share of its capacity an engine is sure to have: grows from {@code initialCapacityShare}
-     * with {@link #WARM_UP_SLOPE} of a straight line, and is 1 once the warm-up is over.
+     * Returns the share of its capacity that an engine has now at least. The share grows linearly
+     * from {@code initialCapacityShare}, with a slope reduced by {@link #WARM_UP_SLOPE}, and is 1
+     * once the warm-up is over.
      */
     double capacityShare(long now, EngineState engine) {
-        // An engine that was unavailable may have restarted: the endpoint list tells so late.
+        // The last start may be suspected only: an engine that was unavailable may have restarted,
+        // which the endpoint list reports late.
         long age = now - engine.lastStartAt();
         if (engine.lastStartAt() <= 0
                 || age >= rules.warmUpDuration()
                 || rules.initialCapacityShare() <= 0) {
             return 1;
         }
-        double straight = Math.max(0, (double) age / rules.warmUpDuration());
+        double elapsedShare = Math.max(0, (double) age / rules.warmUpDuration());
         return rules.initialCapacityShare()
-                + (1 - rules.initialCapacityShare()) * straight * WARM_UP_SLOPE;
+                + (1 - rules.initialCapacityShare()) * elapsedShare * WARM_UP_SLOPE;
     }
 
-    /** Whether this engine is warm, or its budget has room for this request. */
+    /** Returns whether this engine is warm, or its budget has room for this request. */
     boolean allows(long now, RequestState request, EngineState engine, double quotaShare) {
         return capacityShare(now, engine) >= 1 || hasBudget(now, request, engine, quotaShare);
     }
@@ -92,37 +100,39 @@
         if (rules.overloadMultiple() <= 0) {
             return true;
         }
-        // What this manager sent before its own start is unknown, and may be its whole part.
+        // Work that this manager sent before its own restart is unknown, and may be its whole share.
         if (engine.lastStartAt() < startedAt && now < startedAt + rules.overloadWindow()) {
             return false;
         }
         double work = request.classStats.warmUpWork();
-        // A quota that peers handed over does not count: the rule rests on our own part alone.
-        double own =
-                Math.min(quotaShare, engine.warmUpShare > 0 ? engine.warmUpShare : shareBySettings);
-        double sent = engine.warmUpWork.upperBound(now);
-        double bearable =
+        // Quota released by other managers is not used, so that the rule does not depend on them.
+        double ownShare =
+                Math.min(quotaShare, engine.warmUpShare > 0 ? engine.warmUpShare : equalShare);
+        double sentWork = engine.warmUpWork.upperBound(now);
+        double windowCapacity =
                 rules.overloadMultiple()
                         * capacityShare(now, engine)
                         * engine.cores
                         * BUSY_SHARE_AT_CAPACITY
                         * rules.overloadWindow();
-        return sent + work <= bearable * own * SAFETY
-                || sent == 0
-                        && work <= bearable * SMALL_REQUEST_SHARE
-                        && allocation(now, engine) < bearable * own * ALLOCATED_SHARE / work;
+        return sentWork + work <= windowCapacity * ownShare * USED_BUDGET_SHARE
+                || sentWork == 0
+                        && work <= windowCapacity * SMALL_REQUEST_SHARE
+                        && allocationDraw(now, engine)
+                                < windowCapacity * ownShare * ALLOCATED_SHARE / work;
     }
 
     /**
-     * Where each manager's part is below any request, some managers of all get one; from 0 to 1,
-     * other in each window, computed alike by all.
+     * Returns this manager's draw, from 0 to 1, for an engine in the current window. If the share of
+     * each manager is smaller than any request, the managers with low draws may send one. All
+     * managers compute the draws in the same way, and the draws differ between windows.
      */
-    private double allocation(long now, EngineState engine) {
+    private double allocationDraw(long now, EngineState engine) {
         long window = (now - engine.lastStartAt()) / rules.overloadWindow();
         return (rank * RANK_STEP + engine.hashFraction((int) window)) % 1;
     }
 
-    /** An attempt was sent to this engine. */
+    /** Records an attempt that was sent to this engine. */
     void recordAttempt(long now, RequestState request, EngineState engine) {
         engine.warmUpWork.add(
                 now, capacityShare(now, engine) < 1 ? request.classStats.warmUpWork() : 0);
--- a/src/main/java/firstage/policy/StuckAttemptDetector.java
+++ b/src/main/java/firstage/policy/StuckAttemptDetector.java
@@ -8,18 +8,27 @@
 import firstage.policy.state.RequestState;
 import firstage.util.Ticks;
 
-/** Finds attempts that make no progress, and engines that send no progress reports. */
+/** Detects attempts that make no progress, and engines that stopped responding. */
 final class StuckAttemptDetector {
-    /** Report intervals without a report: two may be late, three are not. */
+    /**
+     * Number of report intervals without a report after which an engine or an attempt is considered
+     * silent; two reports may be delayed, but not three.
+     */
     private static final double MAX_MISSED_REPORTS = 2.6;
 
-    /** Where engines send no progress reports; long against usual requests. */
+    /**
+     * Silence allowed to engines that send no progress reports, in addition to the expected
+     * duration; long compared to usual requests.
+     */
     private static final long SILENCE_WITHOUT_REPORTS = Ticks.ofSeconds(4);
 
-    /** Times the duration of a new attempt that are still ahead: estimates scatter widely. */
+    /**
+     * Ratio of the remaining time of an attempt to the duration of a new one above which the attempt
+     * is a runaway; high, as estimates scatter widely.
+     */
     private static final double RUNAWAY_FACTOR = 5;
 
-    /** What to do about an attempt. */
+    /** Action to take on an attempt. */
     enum Remedy {
         NONE,
         CANCEL,
@@ -40,15 +49,18 @@
         this.progressInterval = progressInterval;
     }
 
-    /** Whether the engine owes a response with this attempt in flight. */
+    /** Returns whether the engine has not responded for too long while this attempt is in flight. */
     boolean isEngineSilent(long now, Attempt attempt) {
-        long lastSign = Math.max(attempt.sentAt, attempt.engine.lastResponseAt);
+        long silentSince = Math.max(attempt.sentAt, attempt.engine.lastResponseAt);
         return !attempt.queuedForMemory
                 && !attempt.request.closed
-                && now - lastSign > patience(attempt);
+                && now - silentSince > silenceTimeout(attempt);
     }
 
-    /** What to do about this attempt, where a repetition is allowed and worth it. */
+    /**
+     * Returns the action to take on this attempt: {@code NONE} unless the attempt is lost, blocked
+     * or a runaway, and another attempt is allowed.
+     */
     Remedy remedyFor(long now, Attempt attempt) {
         RequestState request = attempt.request;
         boolean lost = isLost(now, attempt);
@@ -65,17 +77,20 @@
         return lost && capabilities.hedging() ? Remedy.HEDGE : Remedy.NONE;
     }
 
-    /** Its engine is down, or reports on others but not on this one. */
+    /** Returns whether the engine is down, or has stopped reporting on this attempt. */
     private boolean isLost(long now, Attempt attempt) {
         EngineState engine = attempt.engine;
         return engine.health == EngineHealth.UNRESPONSIVE
                 || engine.health == EngineHealth.UNAVAILABLE
                 || progressInterval > 0
                         && !attempt.queuedForMemory
-                        && now - attempt.lastProgressAt > patience(attempt);
+                        && now - attempt.lastProgressAt > silenceTimeout(attempt);
     }
 
-    /** Far behind its estimate, while a new attempt could still meet the latency objective. */
+    /**
+     * Returns whether the attempt is far behind its estimate, while a new attempt could still meet
+     * the latency objective.
+     */
     private boolean isRunaway(long now, Attempt attempt) {
         RequestState request = attempt.request;
         double newDuration = request.expectedDuration();
@@ -88,8 +103,8 @@
                 && now + newDuration < request.objectiveAt;
     }
 
-    /** For how long an engine, or an attempt on it, may send nothing. */
-    private long patience(Attempt attempt) {
+    /** Returns for how many ticks an engine may send no response, or none on this attempt. */
+    private long silenceTimeout(Attempt attempt) {
         return progressInterval > 0
                 ? (long) (progressInterval * MAX_MISSED_REPORTS)
                 : SILENCE_WITHOUT_REPORTS + 2 * attempt.request.expectedDuration();
--- a/src/main/java/firstage/policy/TableAffinity.java
+++ b/src/main/java/firstage/policy/TableAffinity.java
@@ -8,18 +8,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Which engines suit the tables of a request. Readers of the same tables go to the same engines,
- * whose caches hold them. Loads of the same tables block each other and the readers: managers
- * divide the engines by their ranks, those that hold the tables least first.
+ * Scores engines by the tables of a request. Readers of the same tables go to the same engines,
+ * whose caches hold these tables. Loads of the same tables block each other and the readers, so
+ * managers divide the engines among themselves by rank, in the order of increasing affinity to the
+ * tables.
  */
 final class TableAffinity {
-    /** For a load, in points of the score: above any free capacity, below fitting. */
+    /** Score of an engine for a load; higher than any for free memory, lower than for capacity. */
     private static final double OWN_ENGINE_SCORE = 30;
 
-    /** Of the engines in a table's order that loads may use: the rest reads it. */
+    /**
+     * Maximum number of groups into which the engines are divided for loads, as a share of the
+     * active engines; meant to leave the rest to readers.
+     */
     private static final double LOAD_SHARE = 0.67;
 
-    /** The order of a request that is no table load. */
+    /** Result of {@link #loadOrder} for a request that is no table load. */
     private static final double[] NO_ORDER = {};
 
     private final RandomGenerator random;
@@ -32,7 +36,10 @@
         this.managers = managers;
     }
 
-    /** The active engines' affinities to a load's tables, in ascending order; else empty. */
+    /**
+     * Returns the affinities of the active engines to the tables of a load, in ascending order;
+     * empty if the request is no table load.
+     */
     double[] loadOrder(RequestState request, Collection<EngineState> engines) {
         int tableGroup = request.incoming.tableGroup();
         return !isLoadOfTables(request)
@@ -49,19 +56,24 @@
     }
 
     /**
-     * Points for this engine, to 1 for readers.
+     * Returns the score of this engine: 0 or {@link #OWN_ENGINE_SCORE} for table loads, 0 to 1 for
+     * other requests.
      *
-     * @param loadOrder of the same request
-     * @param smallShare whether the quota share of an engine is less than the request: chance keeps
-     *     managers apart then
+     * @param loadOrder result of {@link #loadOrder} for the same request
+     * @param shareBelowOneRequest whether the quota share of an engine is too small for the request,
+     *     in which case readers get a random score, so that managers select different engines
      */
-    double score(RequestState request, EngineState engine, double[] loadOrder, boolean smallShare) {
+    double score(
+            RequestState request,
+            EngineState engine,
+            double[] loadOrder,
+            boolean shareBelowOneRequest) {
         double affinity = engine.hashFraction(request.incoming.tableGroup());
         if (isLoadOfTables(request)) {
             int groups = Math.min(managers, (int) Math.ceil(loadOrder.length * LOAD_SHARE));
-            int place = Arrays.binarySearch(loadOrder, affinity);
-            return (place - rank) % groups == 0 ? OWN_ENGINE_SCORE : 0;
+            int position = Arrays.binarySearch(loadOrder, affinity);
+            return (position - rank) % groups == 0 ? OWN_ENGINE_SCORE : 0;
         }
-        return smallShare ? random.nextDouble() : affinity;
+        return shareBelowOneRequest ? random.nextDouble() : affinity;
     }
 }
--- a/src/main/java/firstage/policy/UnplaceableRequests.java
+++ b/src/main/java/firstage/policy/UnplaceableRequests.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /**
- * Kinds of requests that found no engine in one pass over the queue. Within a pass capacity only
- * shrinks: a first attempt of the same kind that needs no less memory finds none either, so that a
- * long queue does not scan every engine for each request.
+ * Kinds of requests that found no engine in the current pass over the queue. Capacity only shrinks
+ * within a pass, so a first attempt of the same kind that needs as much memory or more finds no
+ * engine either. Remembering this avoids a scan of all engines for each request of a long queue.
  */
 final class UnplaceableRequests {
-    /** A request that must be looked at by itself. */
+    /** Kind of a request that needs a scan of its own, whatever other requests found. */
     static final long NO_KIND = -1;
 
     private final Map<Long, Double> smallestMemoryMb = new HashMap<>();
@@ -20,7 +20,10 @@
         this.trafficClasses = trafficClasses;
     }
 
-    /** A number for its traffic class, priority and, where table loads matter, its tables. */
+    /**
+     * Returns a number that identifies the traffic class, the priority and, if table loads affect
+     * the class, the table group of the request.
+     */
     long kindOf(RequestState request, int priority) {
         boolean byTables =
                 request.trafficClass().blockedByTableLoads() || request.trafficClass().tableLoad();
@@ -30,6 +33,7 @@
                 + priority;
     }
 
+    /** Returns whether a request of this kind with no more memory already found no engine. */
     boolean covers(long kind, RequestState request) {
         return kind >= 0
                 && smallestMemoryMb.getOrDefault(kind, Double.MAX_VALUE)
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -25,19 +25,18 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * The entry to all decisions of one workload manager. It receives events, hands them to the rules
- * in a fixed order, and carries out what they decide; each rule is a class of this package. Callers
- * end each moment's events with {@link #runPendingActions}. Times are in ticks.
+ * Scheduling policy of one workload manager. Passes events to the other classes of this package in a
+ * fixed order and executes their decisions. Callers call {@link #runPendingActions} after all events
+ * of one point in time. Times are in ticks.
  *
- * <p>On the ordinary path (docs/design.md) a request reserves its memory grant and its threads
- * within this manager's limits at one engine, or waits in a bounded FIFO queue until there is
- * capacity.
+ * <p>In the normal case (docs/design.md) a request reserves its memory grant and its threads within
+ * this manager's limits at one engine, or waits in a bounded FIFO queue until there is capacity.
  */
 public final class WorkloadScheduler implements SchedulingPolicy {
-    /** Between evaluations of what no event tells. */
+    /** Time between evaluations of conditions that no event reports. */
     private static final long EVALUATION_INTERVAL = Ticks.ofMillis(10);
 
-    /** Between passes over the queue without an event. */
+    /** Maximum time between passes over the queue if there are no events. */
     private static final long QUEUE_PASS_INTERVAL = Ticks.ofMillis(50);
 
     private final PolicyActions actions;
@@ -72,8 +71,8 @@
     private boolean queuePassDue;
 
     /**
-     * @param deployment what is known of the deployment at start
-     * @param actions carries out what is decided
+     * @param deployment configuration of the deployment at start
+     * @param actions executes the decisions
      */
     public WorkloadScheduler(Deployment deployment, PolicyActions actions) {
         this.actions = actions;
@@ -119,7 +118,7 @@
                                 capabilities.priorities()));
     }
 
-    // ---- Events of requests and attempts.
+    // ---- Events of requests and attempts
 
     @Override
     public void onRequest(long now, IncomingRequest incoming) {
@@ -135,7 +134,8 @@
         retries.recordAccepted(now);
         request.setPriorityBand();
         demand.arrivedWork(request.priorityBand, request.expectedWork());
-        // Run out of order it would break its key's order unseen; rejected it harms nobody.
+        // A request of unknown order could violate the order of its key unnoticed; a rejection is
+        // safe.
         if (keys.isOutOfOrder(request) || shedding.shedsOnArrival(request)) {
             rejectOrFail(request);
         } else {
@@ -162,14 +162,14 @@
         if (outcome == AttemptOutcome.REFUSED) {
             limiter.markSaturated(now, engine);
         } else if (outcome == AttemptOutcome.TIMED_OUT && OutlierDetector.isUsable(engine)) {
-            // Where nothing comes back no result tells of saturation.
+            // Timeouts are the only sign of saturation if an engine returns no results.
             latency.recordTimeout(now, attempt, slowStart.capacityShare(now, engine));
         } else if (outcome == AttemptOutcome.SUCCEEDED) {
             engine.recordProgress(now, attempt);
             learnFromSuccess(now, attempt, result);
         }
         recordLoad(now, engine, result.loadReport());
-        // A failure may stand for an attempt that was cancelled, and runs on.
+        // A failure may be reported for a cancelled attempt that still runs.
         boolean mayStillRun = outcome.mayHaveRun && outcome != AttemptOutcome.SUCCEEDED;
         keys.onAttemptEnded(now, request, mayStillRun, result.mayStillRunFor());
         if (result.requestClosed() || request.closed) {
@@ -249,7 +249,7 @@
         queuePassDue = true;
     }
 
-    // ---- Events of engines.
+    // ---- Events of engines
 
     @Override
     public void onEndpointsUpdated(long now, EndpointUpdate update) {
@@ -287,7 +287,7 @@
         }
     }
 
-    // ---- Events of the fleet's control.
+    // ---- Events of fleet control
 
     @Override
     public void onQuotaChanged(long now, double share) {
@@ -318,7 +318,7 @@
         nextEvaluation = 0;
     }
 
-    // ---- What others ask.
+    // ---- Queries
 
     @Override
     public DemandHistogram demand(long now) {
@@ -355,7 +355,7 @@
         return engines.contains(engineId) ? engines.get(engineId).lastResponseAt : 0;
     }
 
-    // ---- Steps.
+    // ---- Evaluation and queue passes
 
     @Override
     public void runPendingActions(long now) {
@@ -366,7 +366,8 @@
         if (nextEvaluation == 0) {
             evaluate(now);
         }
-        // A pass may scan all engines for each request: only after an event, and now and then.
+        // A pass may scan all engines for each request, so it runs only after events and at
+        // intervals.
         if (queuePassDue || now >= nextQueuePass) {
             runQueuePass(now);
         }
@@ -377,7 +378,7 @@
         queuePassDue = false;
     }
 
-    /** What no event tells: silent engines, backoffs that are over, stuck attempts. */
+    /** Checks conditions that no event reports: silent engines, ended backoffs, stuck attempts. */
     private void evaluate(long now) {
         boolean decay = now >= nextDecay;
         if (decay) {
@@ -386,7 +387,8 @@
             nextDecay = now + LatencyTracker.DECAY_INTERVAL;
         }
         if (queue.isPastPlannedEnd(now)) {
-            // Later it would get no answer here, and another manager can still run it.
+            // Requests without an answer by the planned end would never get one here; another
+            // manager can still run them.
             List.copyOf(requests.values()).stream()
                     .filter(request -> !request.closed && retries.mayReject(request))
                     .forEach(this::rejectOrFail);
@@ -414,8 +416,8 @@
             limiter.markSaturated(now, engine);
             limiter.shrinkThreadLimit(now, engine);
         } else if (queue.isCongested() && limiter.isSaturated(now, engine, latency)) {
-            // While requests wait the limits end this by growing: opened at once, the queue would
-            // flood the engine.
+            // Saturation lasts while requests wait, and the growth of the limits relieves it. If it
+            // ended at once, the queue would flood the engine.
             limiter.markSaturated(now, engine);
         }
     }
@@ -434,12 +436,12 @@
                 }
             }
             case NONE -> {
-                // It goes on.
+                // The attempt continues.
             }
         }
     }
 
-    /** Starts what may start of the queue, and gives up what has waited too long. */
+    /** Starts queued requests that may start, and answers those that have waited too long. */
     private void runQueuePass(long now) {
         nextQueuePass = now + QUEUE_PASS_INTERVAL;
         queue.beginPass();
@@ -451,12 +453,12 @@
             EngineState engine = null;
             if (!shed && mayStart(now, request)) {
                 long kind = kindOf(request, unplaceable);
-                boolean vain = unplaceable.covers(kind, request);
-                engine = vain ? null : selector.select(now, request, engines.all());
+                boolean knownUnplaceable = unplaceable.covers(kind, request);
+                engine = knownUnplaceable ? null : selector.select(now, request, engines.all());
                 if (engine == null) {
                     queue.markCongested();
                     unplaceable.add(kind, request);
-                    boolean lacksCapacity = vain || selector.metEligibleEngine();
+                    boolean lacksCapacity = knownUnplaceable || selector.metEligibleEngine();
                     waitingWork +=
                             lacksCapacity && request.attemptsStarted == 0
                                     ? request.expectedWork()
@@ -491,7 +493,7 @@
     private void leaveQueue(RequestState request, boolean shed) {
         queue.remove(request);
         if (request.attemptsInFlight.isEmpty()) {
-            // Work below the threshold is counted by the fleet's control already.
+            // Fleet control already counts the work below the shedding threshold.
             demand.shedWork(shed ? 0 : request.expectedWork());
             rejectOrFail(request);
         }
@@ -521,7 +523,7 @@
         slowStart.recordAttempt(now, request, engine);
     }
 
-    /** Answers the client at once; a rejection only where trying again is harmless. */
+    /** Answers the client at once, with a rejection only if sending the request again is safe. */
     private void rejectOrFail(RequestState request) {
         if (retries.rejectsRatherThanFails(request)) {
             actions.reject(request.incoming.requestId(), retries.retryAfter());
