--- a/src/main/java/firstage/policy/AdmissionQueue.java
+++ b/src/main/java/firstage/policy/AdmissionQueue.java
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Returns whether the queue has no place for this request; requests that were started before
-     * always keep theirs. Callers ask in order of arrival, so that a queue that is too long drops its
+     * Returns whether the queue is too long to keep this request; a request that was started before
+     * always stays. Callers ask in order of arrival, so that a queue that is too long drops its
      * oldest requests, which have the least time left.
      */
     boolean isFullFor(RequestState request, int maxLength, boolean shedding) {
@@ -92,13 +92,13 @@
     }
 
     /**
-     * Returns the time at which a request times out in the queue, in ticks: the last time at which
-     * an attempt could still end in time to have some value.
+     * Returns the time, in ticks, at which a request times out in the queue: the last time at which
+     * an attempt could start and still end in time.
      *
-     * <p>Requests end in time if they meet their deadline, or their latency objective if a late
-     * answer has no value. While the queue is congested, requests without an estimate have to meet
-     * the objective as well, since otherwise all of them would be late. Requests with an estimate
-     * do not, as estimates scatter too widely to predict that the objective is missed.
+     * <p>An attempt ends in time if it meets the deadline, or the latency objective if a late answer
+     * has no value. While the queue is congested, requests without an estimate have to meet the
+     * objective as well, since otherwise all of them would be late. Requests with an estimate do
+     * not, as estimates scatter too widely to predict that the objective is missed.
      */
     long timeoutAt(RequestState request) {
         boolean estimated = request.incoming.estimatedWork() > 0;
--- a/src/main/java/firstage/policy/ConcurrencyLimiter.java
+++ b/src/main/java/firstage/policy/ConcurrencyLimiter.java
@@ -28,7 +28,7 @@
      */
     private static final double SHRINK_FACTOR = 0.8;
 
-    /** Minimum time between two steps; the effect of the first has to show in latencies. */
+    /** Minimum time between two steps; a step has to show in latencies before the next one. */
     private static final long SHRINK_INTERVAL = Ticks.ofMillis(700);
 
     /** Share of the threads and of the grant of a low-latency result by which the limits grow. */
@@ -91,7 +91,7 @@
         return engine.cores * THREADS_PER_CORE;
     }
 
-    /** Returns whether even the quota share of the largest engine is too small for one request. */
+    /** Returns whether the quota share of even the largest engine is too small for one request. */
     boolean isShareBelowOneRequest(TrafficClass trafficClass) {
         return largestMachineThreadShare < trafficClass.threads();
     }
--- a/src/main/java/firstage/policy/EngineEligibility.java
+++ b/src/main/java/firstage/policy/EngineEligibility.java
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Returns whether the engine would drop the request if it already ran. Engines recognise a
+     * Returns whether the engine is within the idempotency scope of the request. Engines recognise a
      * repetition of an idempotency key only within the scope of the engine of the first attempt.
      */
     private static boolean isInIdempotencyScope(RequestState request, EngineState engine) {
--- a/src/main/java/firstage/policy/GrantEstimator.java
+++ b/src/main/java/firstage/policy/GrantEstimator.java
@@ -15,8 +15,8 @@
     private static final double MARGIN_INCREASE = 0.14;
 
     /**
-     * Decrease of the margin after a grant that sufficed. With a ratio of 1 to 7 to the increase,
-     * one grant in eight is too small.
+     * Decrease of the margin after a grant that sufficed. It is a seventh of the increase, so that
+     * in the long run one grant in eight is too small.
      */
     private static final double MARGIN_DECREASE = 0.02;
 
--- a/src/main/java/firstage/policy/KeyOrdering.java
+++ b/src/main/java/firstage/policy/KeyOrdering.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Queues a request of an ordered traffic class behind the others of its key. Only pauses the key
-     * if the request's place in the order is unknown.
+     * Queues a request of an ordered traffic class behind the others of its key, or pauses the key if
+     * the order of the request is unknown. Releases a key that the traffic class does not use.
      */
     void onRequest(long now, RequestState request, PolicyActions actions) {
         int key = request.incoming.orderingKey();
--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -21,7 +21,7 @@
     /** Number of samples of a traffic class at which their weight is halved. */
     private static final int MAX_CLASS_SAMPLES = 64;
 
-    /** Number of samples below which the median of all engines replaces that of an engine. */
+    /** Number of samples from which an engine's own median is used, not that of all engines. */
     private static final double MIN_ENGINE_SAMPLES = 12;
 
     /** Ratio to the best latency below which the latency of an engine is low. */
--- a/src/main/java/firstage/policy/UnplaceableRequests.java
+++ b/src/main/java/firstage/policy/UnplaceableRequests.java
@@ -33,7 +33,10 @@
                 + priority;
     }
 
-    /** Returns whether a request of this kind with no more memory already found no engine. */
+    /**
+     * Returns whether this request cannot be placed, as a request of the same kind that needs no
+     * more memory found no engine in this pass.
+     */
     boolean covers(long kind, RequestState request) {
         return kind >= 0
                 && smallestMemoryMb.getOrDefault(kind, Double.MAX_VALUE)
--- a/src/main/java/firstage/policy/api/DemandHistogram.java
+++ b/src/main/java/firstage/policy/api/DemandHistogram.java
@@ -13,10 +13,10 @@
     /** Number of priority bands. */
     public static final int BANDS = 32;
 
-    /** Band of a weight of 1 per second of work; the bands cover a factor of 256 either way. */
+    /** Band of a weight of 1 per second of work; bands reach a factor of 256 below and above it. */
     private static final int MIDDLE_BAND = BANDS / 2;
 
-    /** Number of bands by which a request over its tenant's quota is lowered: a factor of two. */
+    /** Number of bands that a request over its tenant's quota loses: a factor of two in weight. */
     private static final int OVER_QUOTA_PENALTY = 2;
 
     private final double[] arrivedWork = new double[BANDS];
--- a/src/test/java/firstage/policy/AdmissionQueueTest.java
+++ b/src/test/java/firstage/policy/AdmissionQueueTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The queue: its bound, its timeout and its order. */
+/** Tests the bound, the timeouts and the order of the admission queue. */
 class AdmissionQueueTest {
     private final SchedulerScenario scenario = new SchedulerScenario();
 
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void queuePass_whileSaturated_skipsWhatFitsNowhere() {
+    void queuePass_whileSaturated_skipsRequestsThatFitNowhere() {
         scenario.start(1)
                 .request(1, REPORT)
                 .progress(1, AttemptProgress.Kind.WAITING_FOR_MEMORY, 0);
@@ -72,8 +72,8 @@
                 .endpointUpdate(0, Lifecycle.GONE, 0)
                 .request(1, REPORT)
                 .advance(4 * SECOND);
-        // Its objective is 9 s off and a typical run takes 3 s; by its deadline it could have
-        // waited until 17 s.
+        // The objective ends after 9 s and a typical run takes 3 s, so the request times out after
+        // 6 s. Its deadline alone would let it wait until 17 s.
         assertThat(scenario.isAnswered(1)).isFalse();
         scenario.advance(4 * SECOND);
         assertThat(scenario.actions()).contains("reject 1");
--- a/src/test/java/firstage/policy/ConcurrencyLimiterTest.java
+++ b/src/test/java/firstage/policy/ConcurrencyLimiterTest.java
@@ -9,7 +9,7 @@
 import firstage.policy.api.AttemptProgress;
 import org.junit.jupiter.api.Test;
 
-/** Thread limits and memory slices under saturation. */
+/** Tests thread limits and memory slices under saturation. */
 class ConcurrencyLimiterTest {
     private final SchedulerScenario scenario = new SchedulerScenario();
 
@@ -50,10 +50,10 @@
     }
 
     @Test
-    void slowResults_fromTheFirstOn_doNotPassAsCalm() {
+    void slowResults_fromTheFirstOn_doNotCountAsLowLatency() {
         scenario.start(1);
-        // Results take ten times the estimate, from the first on: the limits must bind, not take
-        // them as calm.
+        // All results take ten times the estimate. The limits must be enforced and not grow as if
+        // this latency were the normal one.
         for (int id = 0; id < 60; id++) {
             scenario.request(id, LOOKUP);
             if (scenario.attempts(id) > 0) {
@@ -80,7 +80,7 @@
         for (int step = 0; step < 16; step++) {
             scenario.progress(1, AttemptProgress.Kind.FRACTION_DONE, 0).advance(SECOND / 2);
         }
-        // Eight seconds after the only sign of saturation the queue has not started at once.
+        // Eight seconds after the only sign of saturation, most of the queue still waits.
         assertThat(scenario.attemptCounts()).hasSizeLessThan(5);
     }
 }
--- a/src/test/java/firstage/policy/EngineSelectorTest.java
+++ b/src/test/java/firstage/policy/EngineSelectorTest.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Rules 3 and 6 and the choice among eligible engines. */
+/** Tests rules 3 and 6 (drains and placement) and the choice among eligible engines. */
 class EngineSelectorTest {
     private final SchedulerScenario scenario = new SchedulerScenario();
 
@@ -88,14 +88,14 @@
     }
 
     @Test
-    void loneRequests_withManyManagers_stayWithinAllLimitsTogether() {
+    void singleRequests_withManyManagers_stayWithinTheTotalThreadLimit() {
         scenario.managers = 16;
         scenario.start(4);
         for (int engine = 0; engine < 4; engine++) {
             scenario.probeResult(engine, new LoadReport(0, 5, 0, 0, 0));
         }
-        // Four engines with a limit of one thread each: two reports of two threads, not one on
-        // every engine.
+        // The limit is one thread at each of the four engines. Two reports of two threads may start,
+        // not one on every engine.
         for (int id = 10; id < 14; id++) {
             scenario.request(id, REPORT, -1, 100, -1);
         }
--- a/src/test/java/firstage/policy/GrantEstimatorTest.java
+++ b/src/test/java/firstage/policy/GrantEstimatorTest.java
@@ -8,7 +8,7 @@
 import firstage.policy.api.AttemptProgress;
 import org.junit.jupiter.api.Test;
 
-/** Memory grants and their margin. */
+/** Tests memory grants and their margin. */
 class GrantEstimatorTest {
     private final SchedulerScenario scenario = new SchedulerScenario();
 
--- a/src/test/java/firstage/policy/KeyOrderingTest.java
+++ b/src/test/java/firstage/policy/KeyOrderingTest.java
@@ -8,7 +8,7 @@
 import firstage.policy.api.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
-/** Rule 5: order within an ordering key. */
+/** Tests rule 5, the order of requests within an ordering key. */
 class KeyOrderingTest {
     private final SchedulerScenario scenario = new SchedulerScenario();
 
--- a/src/test/java/firstage/policy/LoadProbingTest.java
+++ b/src/test/java/firstage/policy/LoadProbingTest.java
@@ -9,7 +9,7 @@
 import firstage.policy.api.LoadReport;
 import org.junit.jupiter.api.Test;
 
-/** Probes of engines before a costly request. */
+/** Tests the probes of engines before a costly request. */
 class LoadProbingTest {
     private final SchedulerScenario scenario = new SchedulerScenario();
 
@@ -19,7 +19,7 @@
         scenario.probePrice = 0.01;
         scenario.start(3).request(9, REPORT);
         assertThat(scenario.actions())
-                .as("while all is calm a probe gains nothing")
+                .as("no probe is worth its cost while latencies are low")
                 .noneMatch(action -> action.startsWith("probe"));
         scenario.result(9, AttemptOutcome.SUCCEEDED)
                 .request(10, LOOKUP)
@@ -34,7 +34,7 @@
         }
         scenario.runPendingActions();
         assertThat(scenario.engineOf(1)).isEqualTo(1);
-        // The three probes of a lookup would cost more than it can lose.
+        // Three probes would cost more than the value that a lookup could lose.
         scenario.actions().clear();
         scenario.request(2, LOOKUP);
         assertThat(scenario.actions()).noneMatch(action -> action.startsWith("probe"));
@@ -48,7 +48,8 @@
         scenario.start(3).request(9, REPORT).result(9, AttemptOutcome.SUCCEEDED);
         scenario.request(10, LOOKUP).success(10, 30_000).request(11, LOOKUP).success(11, 30_000);
         scenario.request(1, REPORT);
-        // Probed, it would wait for a load report that never comes, and be rejected unstarted.
+        // If engines were probed, the request would wait for a load report that never arrives, and
+        // be rejected without an attempt.
         assertThat(scenario.actions()).noneMatch(action -> action.startsWith("probe"));
         assertThat(scenario.attempts(1)).isEqualTo(1);
     }
--- a/src/test/java/firstage/policy/OutlierDetectorTest.java
+++ b/src/test/java/firstage/policy/OutlierDetectorTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Health of engines. */
+/** Tests the ejection and the recovery of engines. */
 class OutlierDetectorTest {
     private final SchedulerScenario scenario = new SchedulerScenario();
 
@@ -44,11 +44,11 @@
                 scenario.result(id, AttemptOutcome.SUCCEEDED);
             }
         }
-        long startedThere =
+        long startedAtFailing =
                 scenario.actions().stream()
                         .filter(action -> action.equals("start at " + failing))
                         .count();
-        assertThat(startedThere).isBetween(3L, 5L);
+        assertThat(startedAtFailing).isBetween(3L, 5L);
     }
 
     @Test
--- a/src/test/java/firstage/policy/RetryPolicyTest.java
+++ b/src/test/java/firstage/policy/RetryPolicyTest.java
@@ -12,7 +12,7 @@
 import firstage.policy.api.TrafficClass.Scope;
 import org.junit.jupiter.api.Test;
 
-/** Rules 2 and 7: which attempt may follow which outcome. */
+/** Tests rules 2 and 7, which decide whether a request may be retried. */
 class RetryPolicyTest {
     private final SchedulerScenario scenario = new SchedulerScenario();
 
@@ -67,8 +67,8 @@
         for (int step = 0; step < 9; step++) {
             scenario.progress(1, AttemptProgress.Kind.FRACTION_DONE, 0.1).advance(SECOND / 2);
         }
-        // The hedged request breaks within its own window of 6 s, but past that of the first
-        // attempt, which is still in flight.
+        // The connection of the hedged request breaks within 6 s of its start, but after the window
+        // of 6 s that counts from the first attempt, which is still in flight.
         scenario.result(1, AttemptOutcome.CONNECTION_LOST).advance(SECOND);
         assertThat(scenario.attempts(1)).isEqualTo(2);
     }
@@ -80,7 +80,7 @@
         for (int id = 0; id < 10; id++) {
             scenario.request(id, LOOKUP).result(id, AttemptOutcome.REFUSED);
         }
-        // One allowed and a tenth of ten accepted.
+        // The budget allows one retry plus a tenth of the ten accepted requests.
         int retries = scenario.attemptCounts().values().stream().mapToInt(n -> n - 1).sum();
         assertThat(retries).isBetween(1, 2);
     }
--- a/src/test/java/firstage/policy/SlowStartBudgetTest.java
+++ b/src/test/java/firstage/policy/SlowStartBudgetTest.java
@@ -11,7 +11,7 @@
 import firstage.policy.api.EndpointUpdate.Lifecycle;
 import org.junit.jupiter.api.Test;
 
-/** Rule 4: engines that warm up. */
+/** Tests rule 4, the budget of warming engines. */
 class SlowStartBudgetTest {
     private final SchedulerScenario scenario = new SchedulerScenario();
 
@@ -27,12 +27,12 @@
                 sent++;
             }
         }
-        // It bears 2 x 0.3 x 8 cores x 0.85 x 2 s = 8.2 s of work from both managers.
+        // Both managers together may send 2 x 0.3 x 8 cores x 0.85 x 2 s = 8.2 s of work.
         assertThat(sent).isBetween(1, 20);
     }
 
     @Test
-    void engine_thatWentDown_warmsUpBeforeTheEndpointListTells() {
+    void engine_thatWentDown_warmsUpBeforeTheEndpointListReportsIt() {
         scenario.managers = 2;
         scenario.start(1)
                 .request(1, LOOKUP)
@@ -57,7 +57,7 @@
                 .endpointUpdate(0, Lifecycle.ACTIVE, scenario.now() - SECOND)
                 .request(1, REPORT);
         assertThat(scenario.attempts(1)).isZero();
-        // What the manager sent before its start is out of the window.
+        // Work that the manager may have sent before its start is no longer in the window.
         scenario.advance(2 * SECOND + SECOND / 10);
         assertThat(scenario.attempts(1)).isOne();
     }
@@ -69,7 +69,7 @@
         for (int id = 0; id < 4; id++) {
             scenario.request(id, REPORT);
         }
-        // Of four reports estimated at 2 s of work each, the short ones are over.
+        // Two of four reports, all estimated at 2 s of work, end early as they were short.
         scenario.success(0, 1_000).success(1, 1_000);
         scenario.endpointUpdate(0, Lifecycle.GONE, 0)
                 .endpointUpdate(1, Lifecycle.ACTIVE, scenario.now());
@@ -79,7 +79,7 @@
                 scenario.success(id, 1_000);
             }
         }
-        // It bears 8.2 s of work in any 2 s from both managers, by the rule: four reports of 2 s.
+        // Both managers together may send 8.2 s of work in any 2 s: four reports of 2 s.
         assertThat(scenario.attemptCounts().keySet().stream().filter(id -> id >= 4).count())
                 .isBetween(1L, 2L);
     }
@@ -114,24 +114,25 @@
                     .request(2, LOOKUP);
             sent += manager.attempts(1) + manager.attempts(2);
         }
-        // It bears 8.2 s of work in any 2 s, which is 41 lookups of 0.2 s.
+        // The engine can take 8.2 s of work in any 2 s: 41 lookups of 0.2 s.
         assertThat(sent).isBetween(8, 30);
     }
 
     /**
-     * Of 2,600 managers 160 share an engine; by the settings' share of one it would not warm up.
+     * Only 160 of 2,600 managers share an engine. With the share by the settings, 1/2600 for each
+     * manager, the engine would get too little work to warm up.
      */
     @Test
     void warmUpShare_inCells_isThatOfManagersThatShareTheEngine() {
-        int bySettings = 0;
-        int byPlan = 0;
+        int startedBySettings = 0;
+        int startedByWarmUpShare = 0;
         for (int rank = 0; rank < 160; rank++) {
-            bySettings += startedAtWarmingEngine(rank, 0);
-            byPlan += startedAtWarmingEngine(rank, 0.875 / 160);
+            startedBySettings += startedAtWarmingEngine(rank, 0);
+            startedByWarmUpShare += startedAtWarmingEngine(rank, 0.875 / 160);
         }
-        // It bears 8.2 s of work in any 2 s, which is 41 lookups of 0.2 s.
-        assertThat(bySettings).isLessThan(4);
-        assertThat(byPlan).isBetween(8, 36);
+        // The engine can take 8.2 s of work in any 2 s: 41 lookups of 0.2 s.
+        assertThat(startedBySettings).isLessThan(4);
+        assertThat(startedByWarmUpShare).isBetween(8, 36);
     }
 
     private static int startedAtWarmingEngine(int rank, double warmUpShare) {
--- a/src/test/java/firstage/util/TicksTest.java
+++ b/src/test/java/firstage/util/TicksTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Conversions between ticks and the units that configuration, wire and logs use. */
+/** Tests the conversions between ticks and other units of time. */
 class TicksTest {
     @Test
     void conversions_roundDownToWholeUnits() {
