--- a/src/main/java/firstage/policy/EngineSelector.java
+++ b/src/main/java/firstage/policy/EngineSelector.java
@@ -36,9 +36,9 @@
     private final LoadProbing probing;
     private final LoadReportTracker loadReports;
     private final TableAffinity tables;
-    private final Placement placement;
+    private final Placement settings;
 
-    private boolean metEligibleEngine;
+    private boolean foundEligibleEngine;
 
     /**
      * Deployment settings that affect the selection.
@@ -60,7 +60,7 @@
             LoadProbing probing,
             LoadReportTracker loadReports,
             TableAffinity tables,
-            Placement placement) {
+            Placement settings) {
         this.eligibility = eligibility;
         this.retries = retries;
         this.limiter = limiter;
@@ -71,17 +71,17 @@
         this.probing = probing;
         this.loadReports = loadReports;
         this.tables = tables;
-        this.placement = placement;
+        this.settings = settings;
     }
 
     /** Returns whether the latest selection found an eligible engine, with or without capacity. */
     boolean metEligibleEngine() {
-        return metEligibleEngine;
+        return foundEligibleEngine;
     }
 
     /** Returns the engine for the next attempt of this request; null if the request has to wait. */
     EngineState select(long now, RequestState request, Collection<EngineState> engines) {
-        metEligibleEngine = false;
+        foundEligibleEngine = false;
         if (request.attemptsStarted > 0 && !retries.mayStartAttempt(now, request)) {
             return null;
         }
@@ -101,7 +101,7 @@
             if (!eligibility.isEligible(now, request, engine)) {
                 continue;
             }
-            metEligibleEngine = true;
+            foundEligibleEngine = true;
             double capacityShare = slowStart.capacityShare(now, engine);
             double grantMb = grants.grantMb(request, engine);
             boolean fits =
@@ -153,7 +153,7 @@
                 engine.attemptsInFlight.isEmpty() && withinTotalLimit
                         || limiter.isShareBelowOneRequest(request.trafficClass())
                                 && onlyTopPriority
-                                && placement.prioritiesHeeded
+                                && settings.prioritiesHeeded
                                 && !latency.isTopPrioritySlow();
         // A fleet probe may exceed the limits, as the recovery of the engine must not wait for
         // capacity of the probe owner.
@@ -190,7 +190,7 @@
         boolean shareBelowOneRequest = limiter.isShareBelowOneRequest(request.trafficClass());
         double freeMemorySteps =
                 Math.floor(limiter.freeMemory(engine, capacityShare) * FREE_MEMORY_STEPS_PER_SLICE);
-        boolean sameZone = placement.prefersOwnZone && engine.zone == placement.zone;
+        boolean sameZone = settings.prefersOwnZone && engine.zone == settings.zone;
         return (OutlierDetector.isFleetProbe(engine) ? FLEET_PROBE_SCORE : 0)
                 + (fits ? CAPACITY_SCORE : 0)
                 + Math.max(MIN_FREE_MEMORY_STEPS, freeMemorySteps) * FREE_MEMORY_STEP_SCORE
--- a/src/main/java/firstage/policy/KeyOrdering.java
+++ b/src/main/java/firstage/policy/KeyOrdering.java
@@ -28,7 +28,7 @@
 
     /**
      * Queues a request of an ordered traffic class behind the others of its key, or pauses the key if
-     * the order of the request is unknown. Releases a key that the traffic class does not use.
+     * the request's position in it is unknown. Releases a key that the traffic class does not use.
      */
     void onRequest(long now, RequestState request, PolicyActions actions) {
         int key = request.incoming.orderingKey();
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Returns whether the request must be rejected, as its order within its key is unknown. */
+    /** Returns whether the request must be rejected, as its position within its key is unknown. */
     boolean isOutOfOrder(RequestState request) {
         return request.orderingKey >= 0 && request.incoming.orderUnknown();
     }
--- a/src/main/java/firstage/policy/PriorityClasses.java
+++ b/src/main/java/firstage/policy/PriorityClasses.java
@@ -21,16 +21,16 @@
     private static final double MIN_SHARE_FOR_NORMAL = 0.1;
     private static final double MIN_SHARE_FOR_LOW = 0.03;
 
-    private final List<TrafficClassStats> classes;
+    private final List<TrafficClassStats> trafficClasses;
 
-    PriorityClasses(List<TrafficClassStats> classes) {
-        this.classes = classes;
+    PriorityClasses(List<TrafficClassStats> trafficClasses) {
+        this.trafficClasses = trafficClasses;
     }
 
     /** Returns the priority of this request, from 0 to {@link #TOP}. */
     int of(RequestState request) {
         double bestWeightPerWork =
-                classes.stream()
+                trafficClasses.stream()
                         .mapToDouble(
                                 stats -> stats.trafficClass.priorityWeight() / stats.typicalWork())
                         .max()
--- a/src/main/java/firstage/policy/TableAffinity.java
+++ b/src/main/java/firstage/policy/TableAffinity.java
@@ -21,7 +21,7 @@
      * Maximum number of groups into which the engines are divided for loads, as a share of the
      * active engines; meant to leave the rest to readers.
      */
-    private static final double LOAD_SHARE = 0.67;
+    private static final double MAX_LOAD_GROUP_SHARE = 0.67;
 
     /** Result of {@link #loadOrder} for a request that is no table load. */
     private static final double[] NO_ORDER = {};
@@ -59,19 +59,19 @@
      * Returns the score of this engine: 0 or {@link #OWN_ENGINE_SCORE} for table loads, 0 to 1 for
      * other requests.
      *
-     * @param loadOrder result of {@link #loadOrder} for the same request
+     * @param tableLoadOrder result of {@link #loadOrder} for the same request
      * @param shareBelowOneRequest whether the quota share of an engine is too small for the request,
      *     in which case readers get a random score, so that managers select different engines
      */
     double score(
             RequestState request,
             EngineState engine,
-            double[] loadOrder,
+            double[] tableLoadOrder,
             boolean shareBelowOneRequest) {
         double affinity = engine.hashFraction(request.incoming.tableGroup());
         if (isLoadOfTables(request)) {
-            int groups = Math.min(managers, (int) Math.ceil(loadOrder.length * LOAD_SHARE));
-            int position = Arrays.binarySearch(loadOrder, affinity);
+            int groups = Math.min(managers, (int) Math.ceil(tableLoadOrder.length * MAX_LOAD_GROUP_SHARE));
+            int position = Arrays.binarySearch(tableLoadOrder, affinity);
             return (position - rank) % groups == 0 ? OWN_ENGINE_SCORE : 0;
         }
         return shareBelowOneRequest ? random.nextDouble() : affinity;
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -220,7 +220,7 @@
             case FRACTION_DONE -> {
                 attempt.fractionDone = Math.max(progress.amount(), attempt.fractionDone);
                 latency.recordProgress(now, attempt, slowStart.capacityShare(now, engine));
-                rescueIfStuck(now, attempt);
+                applyRemedyIfStuck(now, attempt);
             }
             case SPILLING -> attempt.spilled = true;
             case WAITING_FOR_MEMORY -> {
@@ -404,7 +404,7 @@
                 if (stuckAttempts.isEngineSilent(now, attempt)) {
                     outliers.onSignal(now, engine, OutlierDetector.Signal.SILENCE);
                 }
-                rescueIfStuck(now, attempt);
+                applyRemedyIfStuck(now, attempt);
             }
         }
         engines.releaseGone(now, actions);
@@ -422,7 +422,7 @@
         }
     }
 
-    private void rescueIfStuck(long now, Attempt attempt) {
+    private void applyRemedyIfStuck(long now, Attempt attempt) {
         RequestState request = attempt.request;
         switch (stuckAttempts.remedyFor(now, attempt)) {
             case CANCEL -> {
--- a/src/main/java/firstage/policy/state/LogHistogram.java
+++ b/src/main/java/firstage/policy/state/LogHistogram.java
@@ -4,7 +4,7 @@
 public final class LogHistogram {
     private static final int BIN_COUNT = 17;
     private final double[] weights = new double[BIN_COUNT];
-    private double total;
+    private double totalWeight;
 
     /** Share for which {@link #cachedQuantile} was computed; -1 if the samples changed since. */
     private double cachedShare = -1;
@@ -15,7 +15,7 @@
     public void add(double ratio) {
         double octaves = Math.log(Math.max(ratio, 1e-9)) / Math.log(2);
         weights[(int) Math.max(0, Math.min(BIN_COUNT - 1, Math.floor(octaves * 2 + BIN_COUNT / 2.0)))]++;
-        total++;
+        totalWeight++;
         cachedShare = -1;
     }
 
@@ -24,13 +24,13 @@
         for (int i = 0; i < BIN_COUNT; i++) {
             weights[i] /= 2;
         }
-        total /= 2;
+        totalWeight /= 2;
         cachedShare = -1;
     }
 
     /** Returns the total weight of the samples; each starts with a weight of 1. */
     public double total() {
-        return total;
+        return totalWeight;
     }
 
     /**
@@ -46,12 +46,12 @@
     }
 
     private double computeQuantile(double share) {
-        double remaining = share * total;
-        for (int i = 0; i < BIN_COUNT && total > 0; i++) {
-            if (weights[i] > 0 && remaining <= weights[i]) {
-                return Math.pow(2, (i - BIN_COUNT / 2.0 + remaining / weights[i]) / 2);
+        double remainingWeight = share * totalWeight;
+        for (int i = 0; i < BIN_COUNT && totalWeight > 0; i++) {
+            if (weights[i] > 0 && remainingWeight <= weights[i]) {
+                return Math.pow(2, (i - BIN_COUNT / 2.0 + remainingWeight / weights[i]) / 2);
             }
-            remaining -= weights[i];
+            remainingWeight -= weights[i];
         }
         return 1;
     }
--- a/src/main/java/firstage/policy/state/TrafficClassStats.java
+++ b/src/main/java/firstage/policy/state/TrafficClassStats.java
@@ -31,14 +31,14 @@
      * Creates statistics without samples.
      *
      * @param grantMargin initial margin of grants
-     * @param lowestRatio initial value of the lowest median ratio
+     * @param lowestLatencyRatio initial value of the lowest median ratio
      * @param samples number of samples over which means are taken
      */
     public TrafficClassStats(
-            TrafficClass trafficClass, double grantMargin, double lowestRatio, int samples) {
+            TrafficClass trafficClass, double grantMargin, double lowestLatencyRatio, int samples) {
         this.trafficClass = trafficClass;
         this.grantMargin = grantMargin;
-        this.lowestRatio = lowestRatio;
+        this.lowestRatio = lowestLatencyRatio;
         work = new DecayingMean(samples);
         estimatedWork = new DecayingMean(samples);
         memoryMb = new DecayingMean(samples);
