--- a/src/main/java/firstage/policy/AdmissionQueue.java
+++ b/src/main/java/firstage/policy/AdmissionQueue.java
@@ -11,7 +11,7 @@
 
 /**
  * Bounded FIFO queue of the requests for which no engine has capacity. A request waits only as long
- * as an attempt could still be answered with some value.
+ * as an attempt could still end in time for its answer to have some value.
  */
 final class AdmissionQueue {
     /**
@@ -68,7 +68,7 @@
                 && queued.size() > maxLength * (quotaApplies ? OVER_QUOTA_SHARE : 1);
     }
 
-    /** Returns whether the latest pass over the queue found a request that only lacks capacity. */
+    /** Returns whether the latest queue pass found a request that could start but for capacity. */
     boolean isCongested() {
         return congested;
     }
--- a/src/main/java/firstage/policy/ConcurrencyLimiter.java
+++ b/src/main/java/firstage/policy/ConcurrencyLimiter.java
@@ -36,7 +36,7 @@
 
     /**
      * Time for which an engine counts as saturated after the last sign of saturation, so that the
-     * queue does not flood the engine.
+     * queue does not flood the engine as soon as the signs end.
      */
     private static final long SATURATION_HOLD = Ticks.ofSeconds(4);
 
--- a/src/main/java/firstage/policy/KeyOrdering.java
+++ b/src/main/java/firstage/policy/KeyOrdering.java
@@ -59,8 +59,8 @@
      * Pauses the key after an attempt that has ended for the client but may still run.
      *
      * @param mayStillRun whether the engine may still run the attempt
-     * @param mayStillRunFor upper bound, in ticks, on how long the engine may still run it; 0 if
-     *     it has ended or the quiet period covers it
+     * @param mayStillRunFor upper bound, in ticks, on how long the engine may still run it; 0 if it
+     *     has ended or the quiet period covers it
      */
     void onAttemptEnded(long now, RequestState request, boolean mayStillRun, long mayStillRunFor) {
         KeyQueue queue = queues.get(request.orderingKey);
--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -31,14 +31,14 @@
     private static final double SLOW_RATIO = 1.6;
 
     /**
-     * Initial value of the best ratio of latency to estimated work. Without it, the latency of slow
-     * first results would be taken as the best one, and count as low.
+     * Best ratio of latency to estimated work that is assumed before the first sample. Otherwise slow
+     * first results would set the best latency themselves, and so count as low latency.
      */
     private static final double INITIAL_BEST_RATIO = 2.5;
 
     /**
-     * Upper bound of the best ratio where engines report the actual work: at best, each thread has a
-     * core of its own.
+     * Upper bound of the best ratio where engines report the actual work, for which each thread is
+     * assumed to have a core of its own.
      */
     private static final double MAX_BEST_RATIO_OF_ACTUAL_WORK = 1.2;
 
--- a/src/main/java/firstage/policy/OutlierDetector.java
+++ b/src/main/java/firstage/policy/OutlierDetector.java
@@ -25,7 +25,7 @@
      */
     private static final int MAX_CONSECUTIVE_FAILURES = 3;
 
-    /** Evidence of an engine's health that an event gives. */
+    /** Evidence that an event gives of the health of an engine. */
     enum Signal {
         SUCCESS,
         PROGRESS,
@@ -96,13 +96,16 @@
                         || engine.health == EngineHealth.HALF_OPEN);
     }
 
-    /** Returns whether a request of this effect may go to the engine; if half-open, as its probe. */
+    /**
+     * Returns whether the engine's health admits a request of this effect; a half-open engine admits
+     * a request only as its probe.
+     */
     static boolean admits(EngineState engine, Effect effect) {
         if (engine.health != EngineHealth.HALF_OPEN) {
             return true;
         }
-        // Attempts that were lost before the backoff ended may still be in flight. For the probe
-        // owner only attempts after it count as the probe.
+        // For the probe owner, only attempts sent since the backoff ended count as the probe: older
+        // ones were lost at the engine and may still be in flight.
         boolean probing =
                 engine.mayProbeNow
                         ? engine.attemptsInFlight.stream()
--- a/src/main/java/firstage/policy/RetryPolicy.java
+++ b/src/main/java/firstage/policy/RetryPolicy.java
@@ -17,10 +17,13 @@
     /** Number of engines at which a request may fail; a third one would give the same result. */
     private static final int MAX_FAILED_ENGINES = 2;
 
-    /** Wait that rejected clients are asked for; about half of a full queue is gone after it. */
+    /** Wait that rejected clients are asked for; a full queue shrinks to about half in this time. */
     private static final long RETRY_AFTER = Ticks.ofMillis(500);
 
-    /** Number of buckets of the budget's window; the budget counts partial buckets conservatively. */
+    /**
+     * Number of buckets of the budget's window. A bucket at the edge of the window still counts for
+     * retries, but no longer for accepted requests.
+     */
     private static final int WINDOW_BUCKETS = 20;
 
     /** Engines at which a request may be retried. */
--- a/src/main/java/firstage/policy/SlowStartBudget.java
+++ b/src/main/java/firstage/policy/SlowStartBudget.java
@@ -17,8 +17,8 @@
     private static final double USED_BUDGET_SHARE = 0.9;
 
     /**
-     * Share of a window's budget that is handed out by random allocation; the rest covers that two
-     * managers may be drawn at the same time.
+     * Share of a window's budget that is handed out by random allocation; the rest is a margin, as
+     * two managers may be drawn at the same time.
      */
     private static final double ALLOCATED_SHARE = 0.4;
 
@@ -40,7 +40,7 @@
     /** Busy share of the cores of an engine at capacity. */
     private static final double BUSY_SHARE_AT_CAPACITY = 0.85;
 
-    /** Number of buckets of the window; partial buckets are counted conservatively. */
+    /** Number of buckets of the window; a bucket at the edge of the window still counts. */
     private static final int WINDOW_BUCKETS = 20;
 
     private final Deployment.Rules rules;
@@ -72,13 +72,13 @@
     }
 
     /**
-     * Returns the share of its capacity that an engine has now at least. The share grows linearly
-     * from {@code initialCapacityShare}, with a slope reduced by {@link #WARM_UP_SLOPE}, and is 1
-     * once the warm-up is over.
+     * Returns the share of its capacity that an engine can be relied on to have now. The share grows
+     * linearly from {@code initialCapacityShare}, with a slope reduced by {@link #WARM_UP_SLOPE},
+     * and is 1 once the warm-up is over.
      */
     double capacityShare(long now, EngineState engine) {
-        // The last start may be suspected only: an engine that was unavailable may have restarted,
-        // which the endpoint list reports late.
+        // Suspected restarts count as well: an engine that was unavailable may have restarted, which
+        // the endpoint list reports late.
         long age = now - engine.lastStartAt();
         if (engine.lastStartAt() <= 0
                 || age >= rules.warmUpDuration()
--- a/src/main/java/firstage/policy/StuckAttemptDetector.java
+++ b/src/main/java/firstage/policy/StuckAttemptDetector.java
@@ -40,7 +40,7 @@
     private final long progressInterval;
 
     /**
-     * @param progressInterval ticks between progress reports; 0 where engines send none
+     * @param progressInterval ticks between progress reports; 0 if engines send none
      */
     StuckAttemptDetector(
             Deployment.Capabilities capabilities, RetryPolicy retries, long progressInterval) {
@@ -103,7 +103,7 @@
                 && now + newDuration < request.objectiveAt;
     }
 
-    /** Returns for how many ticks an engine may send no response, or none on this attempt. */
+    /** Returns how many ticks may pass without a response of the engine, or on this attempt. */
     private long silenceTimeout(Attempt attempt) {
         return progressInterval > 0
                 ? (long) (progressInterval * MAX_MISSED_REPORTS)
--- a/src/main/java/firstage/policy/TableAffinity.java
+++ b/src/main/java/firstage/policy/TableAffinity.java
@@ -14,7 +14,10 @@
  * tables.
  */
 final class TableAffinity {
-    /** Score of an engine for a load; higher than any for free memory, lower than for capacity. */
+    /**
+     * Score for a table load of an engine that is in this manager's group; higher than the score for
+     * free memory, lower than that for capacity.
+     */
     private static final double OWN_ENGINE_SCORE = 30;
 
     /**
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -64,7 +64,10 @@
     private final EngineSelector selector;
 
     private long acceptedRequests;
+
+    /** Time of the next evaluation, in ticks; 0 if one is due. */
     private long nextEvaluation;
+
     private long nextQueuePass;
     private long nextDecay;
     private boolean subscriptionDue;
@@ -416,8 +419,8 @@
             limiter.markSaturated(now, engine);
             limiter.shrinkThreadLimit(now, engine);
         } else if (queue.isCongested() && limiter.isSaturated(now, engine, latency)) {
-            // Saturation lasts while requests wait, and the growth of the limits relieves it. If it
-            // ended at once, the queue would flood the engine.
+            // While requests wait, the engine stays saturated and its limits grow step by step. If
+            // the limits were lifted at once, the queue would flood the engine.
             limiter.markSaturated(now, engine);
         }
     }
--- a/src/main/java/firstage/policy/state/EngineState.java
+++ b/src/main/java/firstage/policy/state/EngineState.java
@@ -29,7 +29,7 @@
     /** Start of the engine according to the endpoint list; 0 if long ago. */
     public long startedAt;
 
-    /** This manager's share of the engine's capacity during warm-up; 0 for that in the settings. */
+    /** This manager's share of the capacity during warm-up; 0 for an equal share of all managers. */
     public double warmUpShare;
 
     /** Time since which the engine has been gone with no attempt in flight; 0 if it is not. */
@@ -197,7 +197,7 @@
         return false;
     }
 
-    /** Returns a hash of the engine and a salt in [0, 1), which is the same at every manager. */
+    /** Returns a hash of the engine and the salt, from 0 to below 1; the same at every manager. */
     public double hashFraction(int salt) {
         long hash = stableHash * 0x9E3779B97F4A7C15L ^ salt * 0xC2B2AE3D27D4EB4FL;
         hash = (hash ^ (hash >>> 29)) * 0xBF58476D1CE4E5B9L;
