--- a/src/main/java/firstage/policy/EngineSelector.java
+++ b/src/main/java/firstage/policy/EngineSelector.java
@@ -147,12 +147,12 @@
             boolean withinTotalLimit) {
         // One request of the top priority may exceed the thread limit, as short requests would
         // otherwise starve behind long ones.
-        boolean onlyTopPriority =
+        boolean onlyTopPriorityAttempt =
                 topPriority && !engine.hasAttemptOfPriority(PriorityClasses.TOP);
         boolean mayExceedLimits =
                 engine.attemptsInFlight.isEmpty() && withinTotalLimit
                         || limiter.isShareBelowOneRequest(request.trafficClass())
-                                && onlyTopPriority
+                                && onlyTopPriorityAttempt
                                 && settings.prioritiesHeeded
                                 && !latency.isTopPrioritySlow();
         // A fleet probe may exceed the limits, as the recovery of the engine must not wait for
@@ -162,7 +162,7 @@
                 || limiter.hasMemory(engine, grantMb, capacityShare)
                         && (limiter.hasThreads(
                                         engine, request.trafficClass().threads(), capacityShare)
-                                || onlyTopPriority);
+                                || onlyTopPriorityAttempt);
     }
 
     /**
--- a/src/main/java/firstage/policy/SlowStartBudget.java
+++ b/src/main/java/firstage/policy/SlowStartBudget.java
@@ -77,8 +77,8 @@
      * and is 1 once the warm-up is over.
      */
     double capacityShare(long now, EngineState engine) {
-        // Suspected restarts count as well: an engine that was unavailable may have restarted, which
-        // the endpoint list reports late.
+        // Suspected restarts count as well: an engine that was unavailable may have restarted, and
+        // the endpoint list reports that late.
         long age = now - engine.lastStartAt();
         if (engine.lastStartAt() <= 0
                 || age >= rules.warmUpDuration()
@@ -100,7 +100,8 @@
         if (rules.overloadMultiple() <= 0) {
             return true;
         }
-        // Work that this manager sent before its own restart is unknown, and may be its whole share.
+        // Work that this manager sent before its own restart is unknown; it may have been its whole
+        // share.
         if (engine.lastStartAt() < startedAt && now < startedAt + rules.overloadWindow()) {
             return false;
         }
