--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -134,7 +134,7 @@
         } else if (request.incoming.estimatedWork() > 0) {
             work = request.incoming.estimatedWork();
         } else {
-            // No figure is known: assume that the request needs half its latency objective.
+            // No figure is known: a typical request should need half its latency objective at most.
             work = stats.trafficClass.latencyObjective() * threads / 2.0;
         }
         double ratio = result.duration() * threads / work;
