--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -15,14 +15,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An attempt over HTTP: makes the calls that its {@link AttemptStateMachine} decides on, and reads
- * what the responses say. It decides nothing. Owned by the I/O thread.
+ * Runs an attempt over HTTP: makes the calls that its {@link AttemptStateMachine} requests, and
+ * reports the parsed responses to it. All decisions are left to the state machine. Owned by the I/O
+ * thread.
  */
 final class AttemptRunner
         implements RequestExchange.AttemptHandle, AttemptStateMachine.AttemptActions {
     /**
-     * Engines answer within 250 ms; another connection is tried well before they drop a statement
-     * after 2 s.
+     * Response timeout of every call but a DELETE. Engines answer within 250 ms and drop a statement
+     * that is not polled for 2 s; this timeout leaves time to try another connection before that.
      */
     private static final long POLL_TIMEOUT_MS = 600;
 
@@ -39,10 +40,10 @@
     private final ResultPages pages = new ResultPages();
     private boolean countedAsRunning;
 
-    /** When the statement's head was made, with the time that the client has left. */
+    /** Time at which the statement's head was built; the head holds the client's remaining time. */
     private long headMadeAt;
 
-    /** What the last verdict on its sending was based on; null before. */
+    /** State of the request on which the last send verdict is based; null before the first. */
     private Knowledge knowledge;
 
     private long duration;
@@ -66,7 +67,7 @@
         this.startedAt = context.clock().now();
         this.priority = exchange.priority;
         stateMachine = new AttemptStateMachine(this, exchange.orderingKey != null);
-        // Not within the decision that starts it: its outcome is a later event.
+        // Deferred: the outcome must be a later event than the decision that starts the attempt.
         context.io().execute(stateMachine::start);
     }
 
@@ -208,14 +209,14 @@
     }
 
     /**
-     * What a response says; keeps its load report and page, and reports progress. Empty where it
-     * can't be one of an engine's: it was damaged on its way.
+     * Converts a response to an engine reply, keeps its load report and page, and reports progress.
+     * Returns empty for a response that no engine sends: it was damaged in transit.
      */
     private Optional<EngineReply> interpret(EngineResponse response, int page) {
         record(EventType.ENGINE_REPLY, response.status());
         boolean running = stateMachine.isRunning();
         if (running) {
-            // The latest only: an earlier one would pass for new when the attempt ends.
+            // Overwritten even with null: at the end, an old report would be taken for a new one.
             loadReport = EngineProtocol.loadReport(response);
         }
         return switch (response.status()) {
@@ -225,7 +226,7 @@
                 }
                 yield page > 0 && running ? Optional.empty() : Optional.of(EngineReply.PROGRESS);
             }
-            // Of an abandoned attempt only the end counts, not its pages.
+            // An abandoned attempt only has to end; its pages are not needed.
             case 200 -> running ? addPage(response, page) : Optional.of(EngineReply.LAST_PAGE);
             case 503, 504 ->
                     Optional.of(
@@ -274,12 +275,12 @@
                     new EngineCall(EngineProtocol.put(exchange.id), body, POLL_TIMEOUT_MS) {
                         @Override
                         void onResponse(EngineResponse response) {
-                            // Nothing depends on it.
+                            // Ignored: the attempt does not depend on its priority.
                         }
 
                         @Override
                         void onFailure(Failure failure) {
-                            // Nothing depends on it.
+                            // Ignored: the attempt does not depend on its priority.
                         }
                     },
                     false);
--- a/src/main/java/firstage/server/engine/EngineCall.java
+++ b/src/main/java/firstage/server/engine/EngineCall.java
@@ -5,13 +5,13 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One call to an engine and its result: exactly one of {@link #onResponse} and {@link #onFailure}
- * is called, once.
+ * A call to an engine. Its result is reported by exactly one call of either {@link #onResponse} or
+ * {@link #onFailure}.
  */
 abstract class EngineCall {
     /**
-     * Why there is no response. Nothing was sent in the first five cases, or not to its end; the
-     * others prove nothing.
+     * Reason why a call has no usable response. With the first five, the call was not sent, or not
+     * completely; with the others, the engine may have received it.
      */
     enum Failure {
         CONNECTION_REFUSED,
@@ -27,7 +27,7 @@
     final String requestLine;
     final byte[] body;
 
-    /** How long the response may take. */
+    /** Time until the response has to be complete, counted from the first write. */
     final long timeoutMs;
 
     EngineCall(String requestLine, byte[] body, long timeoutMs) {
@@ -40,37 +40,41 @@
 
     abstract void onFailure(Failure failure);
 
-    /** More header lines, each ended; asked just before {@link #checkSend}. */
+    /**
+     * Returns additional header lines, each with its line end. Called just before the {@link
+     * #checkSend} that precedes the write.
+     */
     String extraHeaders() {
         return "";
     }
 
     /**
-     * Whether it may be written now; asked when its connection is up. Where it is refused, it fails
-     * as {@link Failure#NO_LONGER_WANTED}.
+     * Decides whether the call may be written now. Called before a new connection is opened for the
+     * call, and again just before the call is written. A refused call fails with {@link
+     * Failure#NO_LONGER_WANTED}.
      */
     Verdict checkSend() {
         return Verdict.SEND;
     }
 
-    /** The same for what is left of it, where a part was written. */
+    /** Decides whether the remaining bytes of a partly written call may be written now. */
     Verdict checkRest() {
         return Verdict.SEND;
     }
 
-    /** It is not written, or not to its end. */
+    /** Called when the call is refused before it was written completely. */
     void onRefused(Verdict reason) {
-        // Nobody needs to know of most calls.
+        // Most calls do not need this event.
     }
 
-    /** Its first bytes were written. */
+    /** Called after the first write, even if that write failed. */
     void onWriting() {
-        // Nobody needs to know of most calls.
+        // Most calls do not need this event.
     }
 
-    /** All of it was handed to the system. */
+    /** Called when all bytes were passed to the operating system. */
     void onWritten() {
-        // Nobody needs to know of most calls.
+        // Most calls do not need this event.
     }
 
     ByteBuffer encode(String host) {
--- a/src/main/java/firstage/server/engine/EngineConnection.java
+++ b/src/main/java/firstage/server/engine/EngineConnection.java
@@ -13,7 +13,10 @@
 import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
-/** A connection to an engine: one call at a time. Owned by the I/O thread; times are ticks. */
+/**
+ * A connection to an engine, which carries one call at a time. Owned by the I/O thread; times are
+ * ticks.
+ */
 final class EngineConnection {
     private static final byte[] HTTP_VERSION_PREFIX = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
     private final EngineConnectionPool pool;
@@ -28,19 +31,23 @@
     private boolean closed;
     private long sentAt;
 
-    /** When its last call ended. */
+    /** Time at which the last call ended. */
     long idleSince;
 
-    /** Until when a duplicate of its last response may come. */
+    /** Time until which a duplicate of the last response may arrive. */
     long quietUntil;
 
-    /** Until when the true response could come, where the last may have been a duplicate. */
+    /** Time until which the genuine response may arrive if the last one was a duplicate. */
     long doubtUntil;
 
-    /** Its last complete response; null before the first. */
+    /** Last complete response; null before the first. */
     private EngineResponse lastResponse;
 
-    /** {@code readBuffer} is one buffer of the thread, empty between events. */
+    /**
+     * Takes over an established connection and starts to read from it.
+     *
+     * @param readBuffer buffer shared by all connections of the I/O thread; empty between events
+     */
     EngineConnection(
             EngineConnectionPool pool,
             XnioIoThread io,
@@ -59,8 +66,8 @@
     }
 
     /**
-     * Whether nothing came since its last response: what did would be taken for the response to the
-     * next call.
+     * Returns whether no bytes arrived since the last response. Such bytes would be taken for the
+     * response to the next call.
      */
     boolean hasNoUnreadBytes() {
         try {
@@ -76,8 +83,8 @@
     }
 
     /**
-     * Makes a call if it may be made at this instant. All else is done before or after: a process
-     * that is stopped between the check and the write sends on what was known before.
+     * Writes a call if its check allows this now. Everything else is done before the check or after
+     * the write: a process that is stopped in between sends the call on outdated knowledge.
      */
     Verdict sendIfAllowed(EngineCall next, String host) {
         ByteBuffer encoded = next.encode(host);
@@ -120,7 +127,7 @@
             sink.suspendWrites();
             guard.runAfterPendingReads(() -> onWritable(sink));
         } else {
-            // The engine never gets the whole of it, so it does not begin.
+            // The engine never receives the complete statement, so it does not start to run it.
             call.onRefused(verdict);
             fail(EngineCall.Failure.NO_LONGER_WANTED);
         }
@@ -143,7 +150,7 @@
         }
     }
 
-    /** Its response may be there all the same: reading shows. */
+    /** Reads from the connection after a failed write, since a response may have arrived. */
     private void onWriteFailed(ConduitStreamSinkChannel sink) {
         unsentBytes = null;
         sink.suspendWrites();
@@ -165,7 +172,7 @@
                 pool.lastResponseAt();
                 readBuffer.flip();
                 if (call == null) {
-                    // Bytes without a call: nothing on this connection can be trusted.
+                    // Bytes without a call: no later response on this connection can be trusted.
                     fail(EngineCall.Failure.MALFORMED_RESPONSE);
                 } else if (reader.read(readBuffer)) {
                     onResponseComplete();
@@ -174,7 +181,7 @@
         } catch (MalformedResponseException exception) {
             fail(EngineCall.Failure.MALFORMED_RESPONSE);
         } catch (IOException exception) {
-            // Reset, timed out, unreachable: the connection is gone, whatever its error is called.
+            // Reset, timeout or unreachable host: the connection is broken in each case.
             fail(EngineCall.Failure.CONNECTION_BROKEN);
         }
     }
@@ -182,7 +189,7 @@
     private void onResponseComplete() {
         EngineCall completedCall = call;
         boolean hasTrailingBytes = readBuffer.hasRemaining();
-        // A duplicate of the response shows that the first was complete.
+        // Trailing bytes that begin another response are a duplicate: the first one is complete.
         boolean trailingDuplicate =
                 readBuffer.remaining() >= HTTP_VERSION_PREFIX.length
                         && ByteBuffer.wrap(HTTP_VERSION_PREFIX)
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -16,26 +16,33 @@
 import org.xnio.XnioExecutor;
 
 /**
- * The connections to one engine. They belong to its id: another engine may get its address when it
- * is gone. Owned by the I/O thread; times are ticks.
+ * The connections to one engine. A pool belongs to the engine's id, not to its address: another
+ * engine may get the address after this one is gone. Owned by the I/O thread; times are ticks.
  */
 final class EngineConnectionPool {
-    /** Engines answer a poll after 250 ms; the rest is for the round trip. */
+    /**
+     * Time after the engine's last bytes in which its open connections are assumed to work. Engines
+     * answer a poll after 250 ms; the rest is for the round trip.
+     */
     private static final long TRUST_PERIOD = 4_000;
 
     /**
-     * Between a page and the next call: a duplicate of it shows within that, and would pass for
-     * another's rows. A call that must not be mistaken (a statement, a DELETE) waits so long after
-     * any response.
+     * Minimum time between a page and the next call on its connection. A duplicate of the page
+     * arrives within this time, and would be taken for rows of another result. A call whose response
+     * must not be confused (a statement, a DELETE) waits this long after any response.
      */
     private static final long QUIET_PERIOD = 100;
 
     /**
-     * Engines hold a poll for 250 ms, so the true response behind a duplicate comes within this.
+     * Time for which a connection is not used after a suspected duplicate. Engines hold a poll for
+     * 250 ms, so the genuine response arrives within this time.
      */
     private static final long DOUBT_PERIOD = 3_000;
 
-    /** How often what is known is renewed for one send, on a machine that is very busy. */
+    /**
+     * Maximum number of times that outdated knowledge is renewed for one send; only a very busy
+     * machine needs more than one renewal.
+     */
     private static final int MAX_RENEWALS = 3;
 
     private final EngineContext context;
@@ -44,13 +51,13 @@
     final InetSocketAddress address;
     private final String host;
 
-    /** The one that was used last is used next: the others age and are closed. */
+    /** Idle connections; the last used one is reused first, so that the others age and expire. */
     private final ArrayDeque<EngineConnection> idle = new ArrayDeque<>();
 
     private final Set<EngineConnection> all = new HashSet<>();
     private int connecting;
 
-    /** Attempts whose statement was written here and that were not released. */
+    /** Number of attempts whose statement was written to this engine and that are not released. */
     private int runningAttempts;
 
     private long lastResponseAt = Long.MIN_VALUE / 2;
@@ -67,28 +74,30 @@
     }
 
     /**
-     * Makes a call that must not be lost unnoticed: on an idle connection while the engine
-     * responded of late, else on a new one. The open connections of a vanished machine stay open,
-     * and what is written there is lost, while a connection that does not come up proves that
-     * nothing ran.
+     * Makes a call whose loss must not go unnoticed: on an idle connection if the engine responded
+     * recently, else on a new one. The connections to a machine that vanished stay open and lose
+     * what is written to them, whereas a failure to connect proves that nothing ran.
      */
     void startCall(EngineCall call) {
         call(call, clock.now() - lastResponseAt > TRUST_PERIOD, true);
     }
 
-    /** The engine sent something. */
+    /** Records that the engine sent bytes. */
     void lastResponseAt() {
         lastResponseAt = clock.now();
     }
 
-    /** Makes the call on an idle connection, else on a new one. */
+    /** Makes a call on any usable idle connection, else or if requested on a new one. */
     void call(EngineCall call, boolean onNewConnection) {
         call(call, onNewConnection, false);
     }
 
     /**
-     * The same; {@code requireQuiet}: only on a connection that was quiet for long enough since its
-     * last response.
+     * Makes a call.
+     *
+     * @param onNewConnection whether to open a new connection even if one is idle
+     * @param requireQuiet whether an idle connection must have received nothing for {@link
+     *     #QUIET_PERIOD} since its last response
      */
     void call(EngineCall call, boolean onNewConnection, boolean requireQuiet) {
         closeIdleTooLong();
@@ -112,7 +121,10 @@
         context.io().execute(() -> call.onFailure(EngineCall.Failure.NO_LONGER_WANTED));
     }
 
-    /** Asks at the instant at which the call would be written on this connection. */
+    /**
+     * Writes the call on this connection if its check allows this now; renews outdated knowledge and
+     * checks again.
+     */
     private void sendIfAllowed(EngineConnection connection, EngineCall call, int renewals) {
         if (connection.isClosed()) {
             context.io().execute(() -> call.onFailure(EngineCall.Failure.RESET_BEFORE_SEND));
@@ -132,8 +144,8 @@
     }
 
     /**
-     * An idle connection; where no other can be had one that should still stay quiet: a draining
-     * engine may accept no new connections.
+     * Returns a usable idle connection, or null. If no new connection can be opened (a draining
+     * engine may accept none), a connection that should still stay quiet is usable, too.
      */
     private EngineConnection findReady(boolean requireQuiet) {
         EngineConnection quietConnection = mostRecentlyUsed(clock.now(), requireQuiet);
@@ -143,8 +155,8 @@
     }
 
     /**
-     * The idle connection that was used last, of those that may be used by then and have nothing
-     * unread.
+     * Returns the most recently used idle connection that has no unread bytes and that has to stay
+     * quiet until {@code maxQuietUntil} at most, or null.
      */
     private EngineConnection mostRecentlyUsed(long quietBy, boolean requireQuiet) {
         Iterator<EngineConnection> candidates = idle.descendingIterator();
@@ -175,8 +187,8 @@
                                 address, null, OptionMap.create(Options.TCP_NODELAY, true));
         XnioExecutor.Key connectTimeout =
                 context.guard().executeAfter(context.connectTimeoutMs(), connectFuture::cancel);
-        // Handled on this thread, after the events at hand: a refusal may be known before this
-        // call returns.
+        // Handled as a later event on the I/O thread: a refused connection may be reported before
+        // this method returns.
         connectFuture.addNotifier(
                 (future, none) ->
                         context.io()
@@ -205,7 +217,7 @@
         if (!(future.getException() instanceof ConnectException)) {
             return EngineCall.Failure.RESET_BEFORE_SEND;
         }
-        // The same exception stands for ECONNREFUSED and ETIMEDOUT.
+        // ECONNREFUSED and ETIMEDOUT differ only in the message of the exception.
         return String.valueOf(future.getException().getMessage()).contains("timed out")
                 ? EngineCall.Failure.CONNECT_TIMEOUT
                 : EngineCall.Failure.CONNECTION_REFUSED;
@@ -228,39 +240,39 @@
         }
     }
 
-    /** Whether a connection is open: a process that dies resets all. */
+    /** Returns whether a connection is open; when an engine's process dies, all are reset. */
     boolean hasOpenConnection() {
         return !all.isEmpty();
     }
 
-    /** Connections in use, idle, or coming up. */
+    /** Returns the number of connections that are in use, idle or being established. */
     int connectionCount() {
         return all.size() + connecting;
     }
 
-    /** A statement was written here. */
+    /** Records that the statement of an attempt was written to this engine. */
     void onAttemptRunning() {
         runningAttempts++;
     }
 
-    /** The attempt makes no more calls. */
+    /** Records that such an attempt makes no more calls. */
     void onAttemptReleased() {
         runningAttempts--;
     }
 
     /**
-     * Whether this is the only connection while an attempt runs here. It is kept even where it is
-     * suspect: an engine that drains accepts no new one, often before the endpoint list says so,
-     * and what runs there could never be polled again; a non-idempotent request would be lost and
-     * its key blocked.
+     * Returns whether a single connection is left while attempts run at the engine. That connection
+     * is kept even if it is suspect: a draining engine accepts no new connections, often before the
+     * endpoint list reports the drain, and its attempts could never be polled again. A
+     * non-idempotent request would be lost and its ordering key blocked.
      */
     boolean isOnlyConnectionWhileRunning() {
         return runningAttempts > 0 && all.size() == 1;
     }
 
     /**
-     * Keeps the connection unused until the true response behind a duplicate would have come; its
-     * stray bytes then close it.
+     * Keeps a connection unused until the genuine response behind a duplicate must have arrived. If
+     * it has, the connection is found to have unread bytes and is closed.
      */
     void onSuspectedDuplicate(EngineConnection connection) {
         connection.doubtUntil = clock.now() + DOUBT_PERIOD;
@@ -286,8 +298,8 @@
     }
 
     /**
-     * Whether a response came at once where engines hold a poll: it may be a duplicate of the one
-     * before.
+     * Returns whether a poll was answered immediately although engines hold polls: the response may
+     * be a duplicate of the previous one.
      */
     boolean isSuspectedDuplicate(EngineResponse response, long since) {
         return response.status() == 202 && clock.now() - since < QUIET_PERIOD;
@@ -297,7 +309,7 @@
         return clock.now();
     }
 
-    /** Closes what was idle so long that the engine might close it under a call. */
+    /** Closes connections that were idle for so long that the engine may close them in a call. */
     void closeIdleTooLong() {
         while (!idle.isEmpty() && clock.now() - idle.peekFirst().idleSince > context.maxIdle()) {
             EngineConnection connection = idle.peekFirst();
@@ -306,7 +318,7 @@
         }
     }
 
-    /** Closes the connection that was idle longest; false without one. */
+    /** Closes the connection that was idle longest; returns whether one could be closed. */
     boolean closeLongestIdle() {
         EngineConnection connection = idle.peekFirst();
         boolean closable = connection != null && !isOnlyConnectionWhileRunning();
@@ -317,7 +329,7 @@
         return closable;
     }
 
-    /** Starts nothing new here; what runs is polled still. */
+    /** Marks the engine as draining: it gets no new statements, and running ones are polled. */
     void markDraining() {
         draining = true;
     }
@@ -330,7 +342,7 @@
         return closed;
     }
 
-    /** Its idle connections are closed now, the others when their call ends. */
+    /** Closes the idle connections now, and the others when their calls end. */
     void close() {
         closed = true;
         for (EngineConnection connection : Set.copyOf(idle)) {
--- a/src/main/java/firstage/server/engine/package-info.java
+++ b/src/main/java/firstage/server/engine/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The client side of the engines' HTTP/1.1: one call at a time on a connection, the connections to
- * each engine, and the calls of attempts. The names on the wire stand in {@code EngineProtocol}.
+ * HTTP/1.1 client for the engines: a pool of connections to each engine, each of which carries one
+ * call at a time, and the calls that make up an attempt. {@code EngineProtocol} defines the names on
+ * the wire.
  */
 package firstage.server.engine;
