--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -41,7 +41,7 @@
     private boolean countedAsRunning;
 
     /** Time at which the statement's head was built; the head holds the client's remaining time. */
-    private long headMadeAt;
+    private long headBuiltAt;
 
     /** State of the request on which the last send verdict is based; null before the first. */
     private Knowledge knowledge;
@@ -85,11 +85,11 @@
         return context.clock().now();
     }
 
-    private void record(EventType event, int figure) {
-        context.counters().recorder().record(event, exchange.id, number, figure);
+    private void record(EventType event, int detail) {
+        context.counters().recorder().record(event, exchange.id, number, detail);
     }
 
-    private void countUnreadable() {
+    private void countUnreadableReply() {
         context.counters().count("unreadable engine replies");
     }
 
@@ -111,14 +111,14 @@
                 new EngineCall(EngineProtocol.post(), exchange.statement, POLL_TIMEOUT_MS) {
                     @Override
                     Verdict checkSend() {
-                        inspect(stateMachine.shouldSendStatement());
+                        refreshKnowledge(stateMachine.shouldSendStatement());
                         return SendGuard.decide(now(), knowledge);
                     }
 
                     @Override
                     Verdict checkRest() {
-                        inspect(stateMachine.isRunning());
-                        return SendGuard.decideRest(now(), knowledge, headMadeAt);
+                        refreshKnowledge(stateMachine.isRunning());
+                        return SendGuard.decideRest(now(), knowledge, headBuiltAt);
                     }
 
                     @Override
@@ -150,7 +150,7 @@
                                 .ifPresentOrElse(
                                         reply -> stateMachine.onStatementReply(now(), reply),
                                         () -> {
-                                            countUnreadable();
+                                            countUnreadableReply();
                                             stateMachine.onStatementFailed(
                                                     now(), CallFailure.REPLY_UNREADABLE);
                                         });
@@ -163,15 +163,15 @@
                 });
     }
 
-    private void inspect(boolean attemptOpen) {
+    private void refreshKnowledge(boolean attemptOpen) {
         knowledge =
                 context.guard()
                         .inspect(exchange, attemptOpen, !pool.isDraining() && !pool.closed());
     }
 
     private String statementHeaders() {
-        headMadeAt = now();
-        long timeoutMs = Math.max(1, (exchange.deadline - headMadeAt) / 10);
+        headBuiltAt = now();
+        long timeoutMs = Math.max(1, (exchange.deadline - headBuiltAt) / 10);
         return EngineProtocol.statementHeaders(exchange, timeoutMs, priority);
     }
 
@@ -194,7 +194,7 @@
                                 .ifPresentOrElse(
                                         reply -> stateMachine.onReply(now(), reply),
                                         () -> {
-                                            countUnreadable();
+                                            countUnreadableReply();
                                             stateMachine.onCallFailed(
                                                     now(), CallFailure.REPLY_UNREADABLE);
                                         });
--- a/src/main/java/firstage/server/engine/EngineCall.java
+++ b/src/main/java/firstage/server/engine/EngineCall.java
@@ -88,11 +88,11 @@
                                 + length
                                 + "\r\n")
                         .getBytes(StandardCharsets.ISO_8859_1);
-        ByteBuffer all = ByteBuffer.allocate(head.length + (body == null ? 0 : body.length));
-        all.put(head);
+        ByteBuffer encoded = ByteBuffer.allocate(head.length + (body == null ? 0 : body.length));
+        encoded.put(head);
         if (body != null) {
-            all.put(body);
+            encoded.put(body);
         }
-        return all.flip();
+        return encoded.flip();
     }
 }
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -24,7 +24,7 @@
      * Time after the engine's last bytes in which its open connections are assumed to work. Engines
      * answer a poll after 250 ms; the rest is for the round trip.
      */
-    private static final long TRUST_PERIOD = 4_000;
+    private static final long LIVENESS_PERIOD = 4_000;
 
     /**
      * Minimum time between a page and the next call on its connection. A duplicate of the page
@@ -37,7 +37,7 @@
      * Time for which a connection is not used after a suspected duplicate. Engines hold a poll for
      * 250 ms, so the genuine response arrives within this time.
      */
-    private static final long DOUBT_PERIOD = 3_000;
+    private static final long QUARANTINE_PERIOD = 3_000;
 
     /**
      * Maximum number of times that outdated knowledge is renewed for one send; only a very busy
@@ -52,15 +52,15 @@
     private final String host;
 
     /** Idle connections; the last used one is reused first, so that the others age and expire. */
-    private final ArrayDeque<EngineConnection> idle = new ArrayDeque<>();
+    private final ArrayDeque<EngineConnection> idleConnections = new ArrayDeque<>();
 
-    private final Set<EngineConnection> all = new HashSet<>();
-    private int connecting;
+    private final Set<EngineConnection> openConnections = new HashSet<>();
+    private int connectingCount;
 
     /** Number of attempts whose statement was written to this engine and that are not released. */
     private int runningAttempts;
 
-    private long lastResponseAt = Long.MIN_VALUE / 2;
+    private long lastReceivedAt = Long.MIN_VALUE / 2;
     private boolean draining;
     private boolean closed;
 
@@ -79,12 +79,12 @@
      * what is written to them, whereas a failure to connect proves that nothing ran.
      */
     void startCall(EngineCall call) {
-        call(call, clock.now() - lastResponseAt > TRUST_PERIOD, true);
+        call(call, clock.now() - lastReceivedAt > LIVENESS_PERIOD, true);
     }
 
     /** Records that the engine sent bytes. */
     void lastResponseAt() {
-        lastResponseAt = clock.now();
+        lastReceivedAt = clock.now();
     }
 
     /** Makes a call on any usable idle connection, else or if requested on a new one. */
@@ -101,9 +101,9 @@
      */
     void call(EngineCall call, boolean onNewConnection, boolean requireQuiet) {
         closeIdleTooLong();
-        EngineConnection ready = onNewConnection ? null : findReady(requireQuiet);
-        if (ready != null) {
-            sendIfAllowed(ready, call, 0);
+        EngineConnection idleConnection = onNewConnection ? null : findUsableIdle(requireQuiet);
+        if (idleConnection != null) {
+            sendIfAllowed(idleConnection, call, 0);
             return;
         }
         Verdict verdict = call.checkSend();
@@ -147,7 +147,7 @@
      * Returns a usable idle connection, or null. If no new connection can be opened (a draining
      * engine may accept none), a connection that should still stay quiet is usable, too.
      */
-    private EngineConnection findReady(boolean requireQuiet) {
+    private EngineConnection findUsableIdle(boolean requireQuiet) {
         EngineConnection quietConnection = mostRecentlyUsed(clock.now(), requireQuiet);
         return quietConnection == null && (draining || budget.isExhausted())
                 ? mostRecentlyUsed(Long.MAX_VALUE, requireQuiet)
@@ -158,14 +158,14 @@
      * Returns the most recently used idle connection that has no unread bytes and that has to stay
      * quiet until {@code maxQuietUntil} at most, or null.
      */
-    private EngineConnection mostRecentlyUsed(long quietBy, boolean requireQuiet) {
-        Iterator<EngineConnection> candidates = idle.descendingIterator();
+    private EngineConnection mostRecentlyUsed(long maxQuietUntil, boolean requireQuiet) {
+        Iterator<EngineConnection> candidates = idleConnections.descendingIterator();
         while (candidates.hasNext()) {
             EngineConnection connection = candidates.next();
             boolean quietLongEnough =
                     !requireQuiet || clock.now() - connection.idleSince >= QUIET_PERIOD;
             if (clock.now() >= connection.doubtUntil
-                    && connection.quietUntil <= quietBy
+                    && connection.quietUntil <= maxQuietUntil
                     && quietLongEnough) {
                 candidates.remove();
                 if (connection.hasNoUnreadBytes()) {
@@ -179,7 +179,7 @@
     }
 
     private void connect(EngineCall call) {
-        connecting++;
+        connectingCount++;
         budget.onConnecting(this);
         IoFuture<? extends StreamConnection> connectFuture =
                 context.io()
@@ -201,7 +201,7 @@
     }
 
     private void onConnectFinished(EngineCall call, IoFuture<? extends StreamConnection> future) {
-        connecting--;
+        connectingCount--;
         if (future.getStatus() == IoFuture.Status.DONE) {
             onConnected(call, future);
         } else {
@@ -232,7 +232,7 @@
                             context.guard(),
                             context.readBuffer(),
                             future.get());
-            all.add(connection);
+            openConnections.add(connection);
             sendIfAllowed(connection, call, 0);
         } catch (IOException exception) {
             budget.release();
@@ -242,12 +242,12 @@
 
     /** Returns whether a connection is open; when an engine's process dies, all are reset. */
     boolean hasOpenConnection() {
-        return !all.isEmpty();
+        return !openConnections.isEmpty();
     }
 
     /** Returns the number of connections that are in use, idle or being established. */
     int connectionCount() {
-        return all.size() + connecting;
+        return openConnections.size() + connectingCount;
     }
 
     /** Records that the statement of an attempt was written to this engine. */
@@ -267,7 +267,7 @@
      * non-idempotent request would be lost and its ordering key blocked.
      */
     boolean isOnlyConnectionWhileRunning() {
-        return runningAttempts > 0 && all.size() == 1;
+        return runningAttempts > 0 && openConnections.size() == 1;
     }
 
     /**
@@ -275,7 +275,7 @@
      * it has, the connection is found to have unread bytes and is closed.
      */
     void onSuspectedDuplicate(EngineConnection connection) {
-        connection.doubtUntil = clock.now() + DOUBT_PERIOD;
+        connection.doubtUntil = clock.now() + QUARANTINE_PERIOD;
         idle(connection, false);
     }
 
@@ -286,13 +286,13 @@
         } else {
             connection.idleSince = clock.now();
             connection.quietUntil = connection.idleSince + (mustStayQuiet ? QUIET_PERIOD : 0);
-            idle.addLast(connection);
+            idleConnections.addLast(connection);
         }
     }
 
     void onClosed(EngineConnection connection) {
-        if (all.remove(connection)) {
-            idle.remove(connection);
+        if (openConnections.remove(connection)) {
+            idleConnections.remove(connection);
             budget.release();
         }
     }
@@ -301,8 +301,8 @@
      * Returns whether a poll was answered immediately although engines hold polls: the response may
      * be a duplicate of the previous one.
      */
-    boolean isSuspectedDuplicate(EngineResponse response, long since) {
-        return response.status() == 202 && clock.now() - since < QUIET_PERIOD;
+    boolean isSuspectedDuplicate(EngineResponse response, long sentAt) {
+        return response.status() == 202 && clock.now() - sentAt < QUIET_PERIOD;
     }
 
     long now() {
@@ -311,8 +311,8 @@
 
     /** Closes connections that were idle for so long that the engine may close them in a call. */
     void closeIdleTooLong() {
-        while (!idle.isEmpty() && clock.now() - idle.peekFirst().idleSince > context.maxIdle()) {
-            EngineConnection connection = idle.peekFirst();
+        while (!idleConnections.isEmpty() && clock.now() - idleConnections.peekFirst().idleSince > context.maxIdle()) {
+            EngineConnection connection = idleConnections.peekFirst();
             connection.close();
             onClosed(connection);
         }
@@ -320,7 +320,7 @@
 
     /** Closes the connection that was idle longest; returns whether one could be closed. */
     boolean closeLongestIdle() {
-        EngineConnection connection = idle.peekFirst();
+        EngineConnection connection = idleConnections.peekFirst();
         boolean closable = connection != null && !isOnlyConnectionWhileRunning();
         if (closable) {
             connection.close();
@@ -345,7 +345,7 @@
     /** Closes the idle connections now, and the others when their calls end. */
     void close() {
         closed = true;
-        for (EngineConnection connection : Set.copyOf(idle)) {
+        for (EngineConnection connection : Set.copyOf(idleConnections)) {
             connection.close();
             onClosed(connection);
         }
