--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -22,7 +22,7 @@
 final class AttemptRunner
         implements RequestExchange.AttemptHandle, AttemptStateMachine.AttemptActions {
     /**
-     * Response timeout of every call but a DELETE. Engines answer within 250 ms and drop a statement
+     * Response timeout of all calls of an attempt but the DELETE. Engines answer within 250 ms and drop a statement
      * that is not polled for 2 s; this timeout leaves time to try another connection before that.
      */
     private static final long POLL_TIMEOUT_MS = 600;
--- a/src/main/java/firstage/server/engine/ConnectionBudget.java
+++ b/src/main/java/firstage/server/engine/ConnectionBudget.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Set;
 
-/** The number of connections that may be open to all engines together. Owned by the I/O thread. */
+/** Limit on the open connections to all engines together. Owned by the I/O thread. */
 final class ConnectionBudget {
     private final Counters counters;
     private final int limit;
     private int inUse;
 
-    /** Pools with connections, also such as were replaced and are still polled. */
+    /** Pools with connections, including replaced ones whose attempts are still polled. */
     private final Set<EngineConnectionPool> pools = new HashSet<>();
 
     ConnectionBudget(Counters counters, int limit) {
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Reserves one more connection; where there is none left, an idle one of another engine is
-     * closed for it. False where there is none of those, either.
+     * Reserves a connection. At the limit, an idle connection of some engine is closed for it.
+     * Returns false if there is none to close.
      */
     boolean reserve() {
         if (isExhausted() && pools.stream().noneMatch(EngineConnectionPool::closeLongestIdle)) {
@@ -37,18 +37,21 @@
         return true;
     }
 
-    /** A connection was closed, or did not come up. */
+    /** Releases the reservation of a connection that was closed or could not be established. */
     void release() {
         inUse--;
         counters.checkInvariant(inUse >= 0, "a connection is released once");
     }
 
-    /** The pool uses a reserved connection. */
+    /** Records that a pool uses a reserved connection. */
     void onConnecting(EngineConnectionPool pool) {
         pools.add(pool);
     }
 
-    /** Connections reserved are those in use, idle, or coming up, and no more than the limit. */
+    /**
+     * Checks that the reserved connections are those in use, idle or being established, and that the
+     * limit is kept.
+     */
     void checkInvariants() {
         int open = pools.stream().mapToInt(EngineConnectionPool::connectionCount).sum();
         counters.checkInvariant(
--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -17,8 +17,7 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The connections and attempts of all engines that were listed, by the engines' indices. Owned by
- * the I/O thread.
+ * The connection pools and attempts of all listed engines, by engine index. Owned by the I/O thread.
  */
 public final class EngineClients {
     private static final int READ_BUFFER_BYTES = 16 * 1024;
@@ -29,7 +28,7 @@
     private int lingeringAttempts;
     private boolean shuttingDown;
 
-    /** By the engine's index; null where it is released. */
+    /** Connection pools by engine index; null for an index whose engine was removed. */
     private final List<EngineConnectionPool> poolsByEngine = new ArrayList<>();
 
     private final List<Integer> attemptsInFlight = new ArrayList<>();
@@ -55,7 +54,7 @@
         budget = new ConnectionBudget(counters, config.maxEngineConnections());
     }
 
-    /** An engine was listed, or changed. */
+    /** Adds a newly listed engine, or applies a change to a known one. */
     public void updateEndpoint(int index, ServerEvents.DiscoveredEndpoint endpoint) {
         while (poolsByEngine.size() <= index) {
             poolsByEngine.add(null);
@@ -78,23 +77,23 @@
         }
     }
 
-    /** The whole list came: engines that are not in it are gone. */
+    /** Closes the pools of all engines that are missing in a snapshot of the endpoint list. */
     public void retainOnly(List<Integer> indices) {
         for (int i = 0; i < poolsByEngine.size(); i++) {
             if (poolsByEngine.get(i) != null && !indices.contains(i)) {
-                // Also what waits for a connection there is not written any more.
+                // Draining also stops statements that still wait for a connection to this engine.
                 poolsByEngine.get(i).markDraining();
                 poolsByEngine.get(i).close();
             }
         }
     }
 
-    /** Whether it was ever listed and is not released. */
+    /** Returns whether the engine was listed and has not been removed. */
     public boolean isKnown(int index) {
         return index < poolsByEngine.size() && poolsByEngine.get(index) != null;
     }
 
-    /** The engine left long ago; its connections ended with it. */
+    /** Removes an engine that left long ago and whose connections were closed then. */
     public void removeEngine(int index) {
         context.counters()
                 .checkInvariant(
@@ -103,17 +102,17 @@
         poolsByEngine.set(index, null);
     }
 
-    /** How many engines were ever listed at once. */
+    /** Returns the number of assigned engine indices, including those of removed engines. */
     public int count() {
         return poolsByEngine.size();
     }
 
-    /** How many attempts are in flight at this engine. */
+    /** Returns the number of attempts in flight at an engine. */
     public int attemptsInFlight(int engine) {
         return attemptsInFlight.get(engine);
     }
 
-    /** One of them ended. */
+    /** Records that an attempt at the engine ended. */
     public void onAttemptEnded(int engine) {
         attemptsInFlight.set(engine, attemptsInFlight.get(engine) - 1);
     }
@@ -122,7 +121,10 @@
         lingeringAttempts += difference;
     }
 
-    /** Abandoned attempts that nobody waits for but the next request of their ordering keys. */
+    /**
+     * Returns the number of abandoned attempts whose end only the next requests of their ordering
+     * keys wait for.
+     */
     public int lingeringAttempts() {
         return lingeringAttempts;
     }
@@ -131,17 +133,20 @@
         return shuttingDown;
     }
 
-    /** The program shuts down: attempts end without proof from here on. */
+    /**
+     * Starts the shutdown: from now on, an abandoned attempt is reported as ended even if its engine
+     * has not confirmed the end.
+     */
     public void prepareShutdown() {
         shuttingDown = true;
     }
 
-    /** Checks that connections are counted once, and within the limit. */
+    /** Checks that each connection is counted once and that the limit is kept. */
     public void checkInvariants() {
         budget.checkInvariants();
     }
 
-    /** Starts an attempt; it ends by {@link ServerEvents#onAttemptEnded}. */
+    /** Starts an attempt; {@link ServerEvents#onAttemptEnded} reports its end. */
     public RequestExchange.AttemptHandle startAttempt(
             RequestExchange exchange, int number, int engine) {
         attemptsInFlight.set(engine, attemptsInFlight.get(engine) + 1);
@@ -149,7 +154,7 @@
                 this, context, poolsByEngine.get(engine), exchange, number, engine);
     }
 
-    /** Probes an engine; the answer comes by {@link ServerEvents#onProbeResult}. */
+    /** Probes an engine; {@link ServerEvents#onProbeResult} reports the result. */
     public void probe(int engine) {
         context.counters().count("probes");
         poolsByEngine
@@ -190,7 +195,7 @@
         budget.closeIdleTooLong();
     }
 
-    /** Closes idle connections now, the others when their calls end. */
+    /** Closes the idle connections now, and the others when their calls end. */
     public void close() {
         budget.closeAll();
     }
--- a/src/main/java/firstage/server/engine/EngineContext.java
+++ b/src/main/java/firstage/server/engine/EngineContext.java
@@ -8,11 +8,11 @@
 import org.xnio.XnioIoThread;
 
 /**
- * What all calls to engines share.
+ * Services and limits shared by all calls to engines.
  *
- * @param readBuffer one buffer for all connections, empty between events
- * @param connectTimeoutMs for a connection to be established
- * @param maxIdle ticks after which an idle connection is closed
+ * @param readBuffer buffer shared by all connections; empty between events
+ * @param connectTimeoutMs time until a new connection has to be established
+ * @param maxIdle time in ticks after which an idle connection is closed
  */
 record EngineContext(
         XnioIoThread io,
--- a/src/main/java/firstage/server/engine/EngineProtocol.java
+++ b/src/main/java/firstage/server/engine/EngineProtocol.java
@@ -6,21 +6,21 @@
 import java.util.Optional;
 
 /**
- * The engines' HTTP protocol: its paths and headers, each with the term for it in the code. Header
- * names of answers are in lower case.
+ * The engines' HTTP protocol: maps the paths and header names on the wire to the terms used in the
+ * code. Names of response headers are in lower case.
  */
 final class EngineProtocol {
     private static final String STATEMENTS = "/x";
     private static final String LINE_END = "\r\n";
 
-    // Of a statement.
+    // Headers of a statement.
     private static final String REQUEST_ID = "X-Ticket: ";
     private static final String TRAFFIC_CLASS = "X-Queue: ";
     private static final String TIMEOUT_MS = "X-Max-Ms: ";
     private static final String MEMORY_GRANT_MB = "Grant-Mb: ";
     private static final String PRIORITY = "Rank: ";
 
-    // Of an answer.
+    // Headers of a response.
     private static final String LOAD_REPORT = "x-meter";
     private static final String PROGRESS_KIND = "x-remark";
     private static final String PROGRESS_VALUE = "figure";
@@ -31,32 +31,36 @@
 
     private EngineProtocol() {}
 
-    /** Sends a statement. */
+    /** Returns the method and path that submit a statement. */
     static String post() {
         return "POST " + STATEMENTS;
     }
 
-    /** Polls (page 0), or fetches a page of the result. */
+    /** Returns the method and path that poll (page 0) or fetch a later page of the result. */
     static String get(String requestId, int page) {
         return "GET " + STATEMENTS + "/" + requestId + "/" + page;
     }
 
-    /** Changes the priority. */
+    /** Returns the method and path that change the priority of a statement. */
     static String put(String requestId) {
         return "PUT " + STATEMENTS + "/" + requestId;
     }
 
-    /** Ends a statement. */
+    /** Returns the method and path that cancel a statement. */
     static String delete(String requestId) {
         return "DELETE " + STATEMENTS + "/" + requestId;
     }
 
-    /** Asks an engine for its load. */
+    /** Returns the method and path that request the load of an engine. */
     static String probe() {
         return "GET /busy";
     }
 
-    /** The headers of a statement; {@code timeoutMs}: how long the client waits still. */
+    /**
+     * Returns the headers of a statement.
+     *
+     * @param timeoutMs time until the client's deadline
+     */
     static String statementHeaders(RequestExchange exchange, long timeoutMs, int priority) {
         return REQUEST_ID
                 + exchange.id
@@ -73,27 +77,27 @@
                 + LINE_END;
     }
 
-    /** Whether the engine refused the statement before it ran. */
+    /** Returns whether the engine refused the statement before running it. */
     static boolean neverRan(EngineResponse response) {
         return "1".equals(response.headers().get(NEVER_RAN));
     }
 
-    /** How many pages the result has; 0 where the answer does not say. */
+    /** Returns the number of pages of the result; 0 if the response does not report it. */
     static int pageCount(EngineResponse response) {
         return response.intHeader(PAGE_COUNT, 0);
     }
 
-    /** Which page this is; -1 where the answer does not say. */
+    /** Returns the number of the page in the response; -1 if it is not reported. */
     static int pageNumber(EngineResponse response) {
         return response.intHeader(PAGE_NUMBER, -1);
     }
 
-    /** The value that comes with a progress report; 0 without one. */
+    /** Returns the value of a progress report; 0 without one. */
     static double progressValue(EngineResponse response) {
         return response.numberHeader(PROGRESS_VALUE, 0);
     }
 
-    /** What a progress report says; empty without one, or where it is unknown. */
+    /** Returns the kind of a progress report; empty without one or if the kind is unknown. */
     static Optional<AttemptProgress.Kind> progressKind(EngineResponse response) {
         return switch (response.headers().getOrDefault(PROGRESS_KIND, "")) {
             case "pct" -> Optional.of(AttemptProgress.Kind.FRACTION_DONE);
@@ -107,7 +111,7 @@
         };
     }
 
-    /** The load report of an answer; null without one that can be read. */
+    /** Returns the load report of a response; null if it is missing or malformed. */
     static LoadReport loadReport(EngineResponse response) {
         String header = response.headers().get(LOAD_REPORT);
         if (header == null) {
@@ -128,7 +132,7 @@
         return new LoadReport(fields[0], fields[1], fields[2], fields[3], fields[4]);
     }
 
-    /** The place of a field in {@link LoadReport}; -1 where it is unknown. */
+    /** Returns the position of a field in {@link LoadReport}; -1 for an unknown field. */
     private static int loadReportField(String name) {
         return switch (name) {
             case "active", "inflight" -> 0;
--- a/src/main/java/firstage/server/engine/EngineResponse.java
+++ b/src/main/java/firstage/server/engine/EngineResponse.java
@@ -7,18 +7,19 @@
 import java.util.Map;
 
 /**
- * A response of an engine to one call.
+ * The response of an engine to one call.
  *
- * @param headers by name in lower case
- * @param trailingBytes whether bytes came behind its end
+ * @param headers header values by name in lower case
+ * @param trailingBytes whether unexpected bytes followed the response
  */
 record EngineResponse(int status, Map<String, String> headers, byte[] body, boolean trailingBytes) {
     private static final int TABS_PER_ROW = 2;
 
     /**
-     * Whether the body is a page: complete rows of three columns, in valid UTF-8. What was cut
-     * short or overwritten on its way seldom is, and what has bytes behind it may have had a wrong
-     * length; such a page must not reach a client, and is fetched again.
+     * Returns whether the body is a valid page: complete rows of three columns in valid UTF-8, with
+     * no trailing bytes. A body that was truncated or overwritten in transit is rarely valid, and
+     * trailing bytes indicate a wrong length. An invalid page must not reach a client and is fetched
+     * again.
      */
     boolean isPage() {
         int tabs = 0;
@@ -37,7 +38,7 @@
         return !trailingBytes && (body.length == 0 || body[body.length - 1] == '\n');
     }
 
-    /** An integer in a header, or {@code defaultValue} without one that can be used. */
+    /** Returns an integer header, or {@code defaultValue} if it is missing or malformed. */
     int intHeader(String name, int defaultValue) {
         return (int) numberHeader(name, defaultValue);
     }
@@ -50,7 +51,7 @@
         }
     }
 
-    /** Whether it is the same byte for byte, as a duplicate is. */
+    /** Returns whether both responses are equal byte for byte, as duplicates are. */
     boolean isSameAs(EngineResponse other) {
         return status == other.status
                 && headers.equals(other.headers)
--- a/src/main/java/firstage/server/engine/EngineResponseReader.java
+++ b/src/main/java/firstage/server/engine/EngineResponseReader.java
@@ -7,9 +7,9 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Reads one HTTP/1.1 response from bytes that come in any pieces. */
+/** Incremental reader of one HTTP/1.1 response, whose bytes may arrive in pieces of any size. */
 final class EngineResponseReader {
-    /** Well over the 6,000 bytes that a page may hold. */
+    /** Limit on the body of a response, well above the 6,000 bytes that a page may hold. */
     private static final int MAX_BODY_BYTES = 64 * 1024;
 
     private static final int MAX_HEAD_BYTES = 16 * 1024;
@@ -34,7 +34,8 @@
     private int headBytes;
 
     /**
-     * Reads what is there; true once the response is complete. What follows it stays in the buffer.
+     * Consumes the available bytes and returns whether the response is complete. Bytes that follow
+     * the response stay in the buffer.
      */
     boolean read(ByteBuffer in) throws MalformedResponseException {
         while (part != Part.DONE && in.hasRemaining()) {
@@ -128,7 +129,7 @@
             }
             part = bytesLeft == 0 ? Part.DONE : Part.BODY;
         } else {
-            // Its end could not be distinguished from a connection that breaks.
+            // Without a length, a broken connection would look like the end of the body.
             throw new MalformedResponseException("no length");
         }
     }
@@ -140,7 +141,7 @@
                 return number;
             }
         } catch (NumberFormatException exception) {
-            // Reported below.
+            // Reported below, like a negative number.
         }
         throw new MalformedResponseException("no number: " + text);
     }
--- a/src/main/java/firstage/server/engine/MalformedResponseException.java
+++ b/src/main/java/firstage/server/engine/MalformedResponseException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** An engine's response that can't be read: what came is no HTTP, or too long. */
+/** Thrown when the bytes from an engine are not an HTTP response, or exceed a limit. */
 final class MalformedResponseException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/firstage/server/engine/ResultPages.java
+++ b/src/main/java/firstage/server/engine/ResultPages.java
@@ -7,14 +7,14 @@
 final class ResultPages {
     private static final int MAX_PAGES = 64;
 
-    /** Some five times what a result may hold. */
+    /** Limit on the size of a result, about five times the largest that an engine may send. */
     private static final int MAX_RESULT_BYTES = 256 * 1024;
 
     private final List<byte[]> pages = new ArrayList<>();
     private int pageCount;
     private int bytes;
 
-    /** Keeps a page that came; false where it can't be this page of a result. */
+    /** Adds a page; returns false if the response can't be this page of the result. */
     boolean add(EngineResponse response, int page) {
         if (page == 0) {
             pageCount = EngineProtocol.pageCount(response);
--- a/src/test/java/firstage/server/engine/EngineResponseReaderTest.java
+++ b/src/test/java/firstage/server/engine/EngineResponseReaderTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Responses of engines as bytes, whole, in pieces and malformed. */
+/** Parsing of engine responses that arrive whole, in pieces or malformed. */
 class EngineResponseReaderTest {
     @ParameterizedTest
     @ValueSource(
