--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -117,8 +117,8 @@
         attemptsInFlight.set(engine, attemptsInFlight.get(engine) - 1);
     }
 
-    void addLingering(int difference) {
-        lingeringAttempts += difference;
+    void addLingering(int change) {
+        lingeringAttempts += change;
     }
 
     /**
@@ -173,12 +173,12 @@
 
                             @Override
                             void onFailure(Failure failure) {
-                                boolean unreached =
+                                boolean notConnected =
                                         failure == Failure.CONNECTION_REFUSED
                                                 || failure == Failure.CONNECT_TIMEOUT;
                                 onProbed(
                                         engine,
-                                        unreached
+                                        notConnected
                                                 ? AttemptOutcome.CONNECT_FAILED
                                                 : AttemptOutcome.TIMED_OUT,
                                         null);
--- a/src/main/java/firstage/server/engine/EngineProtocol.java
+++ b/src/main/java/firstage/server/engine/EngineProtocol.java
@@ -120,7 +120,7 @@
         double[] fields = {Double.NaN, Double.NaN, Double.NaN, Double.NaN, Double.NaN};
         for (String pair : header.split(";")) {
             String[] parts = pair.split(":", 2);
-            int field = loadReportField(parts[0].trim());
+            int field = loadReportFieldIndex(parts[0].trim());
             try {
                 if (field >= 0 && parts.length == 2) {
                     fields[field] = Double.parseDouble(parts[1].trim());
@@ -133,7 +133,7 @@
     }
 
     /** Returns the position of a field in {@link LoadReport}; -1 for an unknown field. */
-    private static int loadReportField(String name) {
+    private static int loadReportFieldIndex(String name) {
         return switch (name) {
             case "active", "inflight" -> 0;
             case "waiting", "queue" -> 1;
--- a/src/main/java/firstage/server/engine/EngineResponseReader.java
+++ b/src/main/java/firstage/server/engine/EngineResponseReader.java
@@ -14,7 +14,7 @@
 
     private static final int MAX_HEAD_BYTES = 16 * 1024;
 
-    private enum Part {
+    private enum State {
         STATUS,
         HEADERS,
         BODY,
@@ -25,10 +25,10 @@
         DONE
     }
 
-    private final ByteArrayOutputStream readLine = new ByteArrayOutputStream(64);
+    private final ByteArrayOutputStream lineBytes = new ByteArrayOutputStream(64);
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(256);
     private final Map<String, String> headers = new HashMap<>();
-    private Part part = Part.STATUS;
+    private State state = State.STATUS;
     private int status;
     private int bytesLeft;
     private int headBytes;
@@ -38,8 +38,8 @@
      * the response stay in the buffer.
      */
     boolean read(ByteBuffer in) throws MalformedResponseException {
-        while (part != Part.DONE && in.hasRemaining()) {
-            if (part == Part.BODY || part == Part.CHUNK) {
+        while (state != State.DONE && in.hasRemaining()) {
+            if (state == State.BODY || state == State.CHUNK) {
                 readBody(in);
             } else {
                 byte b = in.get();
@@ -47,15 +47,15 @@
                     throw new MalformedResponseException("head too long");
                 }
                 if (b == '\n') {
-                    String text = readLine.toString(StandardCharsets.ISO_8859_1).stripTrailing();
-                    readLine.reset();
-                    readLine(text);
+                    String text = lineBytes.toString(StandardCharsets.ISO_8859_1).stripTrailing();
+                    lineBytes.reset();
+                    parseLine(text);
                 } else {
-                    readLine.write(b);
+                    lineBytes.write(b);
                 }
             }
         }
-        return part == Part.DONE;
+        return state == State.DONE;
     }
 
     EngineResponse response(boolean trailingBytes) {
@@ -65,72 +65,72 @@
     private void readBody(ByteBuffer in) throws MalformedResponseException {
         int length = Math.min(bytesLeft, in.remaining());
         if (body.size() + length > MAX_BODY_BYTES) {
-            throw new MalformedResponseException("body too long");
+            throw new MalformedResponseException("response body too long");
         }
-        byte[] piece = new byte[length];
-        in.get(piece);
-        body.write(piece, 0, length);
+        byte[] bytes = new byte[length];
+        in.get(bytes);
+        body.write(bytes, 0, length);
         bytesLeft -= length;
         if (bytesLeft == 0) {
-            part = part == Part.BODY ? Part.DONE : Part.CHUNK_END;
+            state = state == State.BODY ? State.DONE : State.CHUNK_END;
         }
     }
 
-    private void readLine(String text) throws MalformedResponseException {
-        switch (part) {
+    private void parseLine(String text) throws MalformedResponseException {
+        switch (state) {
             case STATUS -> {
                 String[] words = text.split(" ", 3);
                 if (!text.startsWith("HTTP/1.") || words.length < 2) {
-                    throw new MalformedResponseException("no status line");
+                    throw new MalformedResponseException("malformed status line");
                 }
                 status = parseNumber(words[1], 10);
-                part = Part.HEADERS;
+                state = State.HEADERS;
             }
             case HEADERS -> {
                 int colon = text.indexOf(':');
                 if (colon > 0) {
                     String value = text.substring(colon + 1).trim();
                     String name = text.substring(0, colon).trim().toLowerCase(Locale.ROOT);
-                    String before = headers.put(name, value);
-                    if (name.equals("content-length") && before != null && !before.equals(value)) {
-                        throw new MalformedResponseException("two lengths");
+                    String previous = headers.put(name, value);
+                    if (name.equals("content-length") && previous != null && !previous.equals(value)) {
+                        throw new MalformedResponseException("conflicting content-length headers");
                     }
                 } else if (text.isEmpty()) {
                     onHeadersComplete();
                 } else {
-                    throw new MalformedResponseException("no header");
+                    throw new MalformedResponseException("malformed header line");
                 }
             }
             case CHUNK_SIZE -> {
                 int semicolon = text.indexOf(';');
                 bytesLeft = parseNumber(semicolon < 0 ? text : text.substring(0, semicolon), 16);
-                part = bytesLeft == 0 ? Part.TRAILERS : Part.CHUNK;
+                state = bytesLeft == 0 ? State.TRAILERS : State.CHUNK;
             }
-            case CHUNK_END -> part = Part.CHUNK_SIZE;
-            case TRAILERS -> part = text.isEmpty() ? Part.DONE : Part.TRAILERS;
-            default -> throw new IllegalStateException("no line in " + part);
+            case CHUNK_END -> state = State.CHUNK_SIZE;
+            case TRAILERS -> state = text.isEmpty() ? State.DONE : State.TRAILERS;
+            default -> throw new IllegalStateException("unexpected line in state " + state);
         }
     }
 
     private void onHeadersComplete() throws MalformedResponseException {
         if (status >= 100 && status < 200) {
             headers.clear();
-            part = Part.STATUS;
+            state = State.STATUS;
         } else if (status == 204 || status == 304) {
-            part = Part.DONE;
+            state = State.DONE;
         } else if (headers.getOrDefault("transfer-encoding", "")
                 .toLowerCase(Locale.ROOT)
                 .endsWith("chunked")) {
-            part = Part.CHUNK_SIZE;
+            state = State.CHUNK_SIZE;
         } else if (headers.containsKey("content-length")) {
             bytesLeft = parseNumber(headers.get("content-length"), 10);
             if (bytesLeft > MAX_BODY_BYTES) {
-                throw new MalformedResponseException("body too long");
+                throw new MalformedResponseException("response body too long");
             }
-            part = bytesLeft == 0 ? Part.DONE : Part.BODY;
+            state = bytesLeft == 0 ? State.DONE : State.BODY;
         } else {
             // Without a length, a broken connection would look like the end of the body.
-            throw new MalformedResponseException("no length");
+            throw new MalformedResponseException("neither content-length nor chunked encoding");
         }
     }
 
@@ -143,6 +143,6 @@
         } catch (NumberFormatException exception) {
             // Reported below, like a negative number.
         }
-        throw new MalformedResponseException("no number: " + text);
+        throw new MalformedResponseException("invalid number: " + text);
     }
 }
--- a/src/test/java/firstage/server/engine/EngineResponseReaderTest.java
+++ b/src/test/java/firstage/server/engine/EngineResponseReaderTest.java
@@ -32,12 +32,12 @@
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         for (int size = 1; size <= bytes.length; size++) {
             EngineResponseReader reader = new EngineResponseReader();
-            for (int at = 0; at < bytes.length; at += size) {
-                boolean last = at + size >= bytes.length;
+            for (int offset = 0; offset < bytes.length; offset += size) {
+                boolean last = offset + size >= bytes.length;
                 assertThat(
                                 reader.read(
                                         ByteBuffer.wrap(
-                                                bytes, at, Math.min(size, bytes.length - at))))
+                                                bytes, offset, Math.min(size, bytes.length - offset))))
                         .isEqualTo(last);
             }
             assertThat(reader.response(false).body())
