--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -30,25 +30,31 @@
 import org.xnio.nio.IoThreadTcpServer;
 
 /**
- * The server side of the clients' HTTP: accepts connections, sends each call to where it belongs,
- * and hands accepted requests on as events. Owned by the I/O thread.
+ * HTTP server for the clients: accepts connections, dispatches each call by its path, and reports
+ * accepted requests as events. Owned by the I/O thread.
  */
 public final class ClientHandler {
     private static final Logger LOG = Logger.getLogger(ClientHandler.class.getName());
     private static final int MAX_STATEMENT_BYTES = 64 * 1024;
 
-    /** Answered 431; a head of more than four times that is answered as no HTTP. */
+    /**
+     * Limit on the head of a call; a longer head is answered with 431. A head of more than four times
+     * the limit is answered like input that is not HTTP.
+     */
     private static final int MAX_HEAD_BYTES = 16 * 1024;
 
     private static final int ACCEPT_BACKLOG = 512;
 
-    /** Between tries to accept what waits, where the system can't for the moment. */
+    /** Delay before the next accept after the system could not accept a connection. */
     private static final int ACCEPT_RETRY_MS = 5;
 
-    /** From the end of its head to the end of a statement. */
+    /** Time from the end of a call's head to the end of its statement. */
     private static final int MAX_BODY_READ_MS = 2_000;
 
-    /** For a client that finds no capacity: much of what is kept is released by then. */
+    /**
+     * Retry delay sent to a client whose statement can't be kept for lack of memory; much of the
+     * memory is released by then.
+     */
     private static final int BUSY_RETRY_AFTER_MS = 500;
 
     private final XnioIoThread io;
@@ -64,7 +70,7 @@
     private final StatementCallValidator validator;
     private IoThreadTcpServer listener;
 
-    /** Connections wait that could not be accepted for the moment. */
+    /** Whether the last accept failed, so that connections may still wait to be accepted. */
     private boolean acceptFailing;
 
     private HttpOpenListener httpListener;
@@ -90,9 +96,9 @@
     }
 
     /**
-     * Binds and listens; connections are accepted from {@link #accept} on.
+     * Binds the address and listens; connections are accepted once {@link #accept} is called.
      *
-     * @throws IOException where the address is taken
+     * @throws IOException if the address is in use
      */
     public void listen() throws IOException {
         ByteBufferPool bufferPool = new DefaultByteBufferPool(true, 16 * 1024, 256, 0);
@@ -108,7 +114,7 @@
         listener = IoThreadTcpServer.listen(io, listenAddress, ACCEPT_BACKLOG, this::acceptPending);
     }
 
-    /** Accepts connections from here on; on the I/O thread. */
+    /** Starts to accept connections; called on the I/O thread. */
     public void accept() {
         listener.resumeAccepts();
         connections.sweep();
@@ -116,8 +122,8 @@
     }
 
     /**
-     * Accepts all connections that wait: else a request on the others would be read passes later.
-     * Where the system can't, for the moment, they are tried again.
+     * Accepts all waiting connections; if only some were accepted, requests on the others would be
+     * read several selector passes later. After a failure of the system, tries again.
      */
     private void acceptPending() {
         if (!listener.isOpen()) {
@@ -144,7 +150,7 @@
         }
     }
 
-    /** Whether connections wait that can't be accepted for the moment. */
+    /** Returns whether connections currently can't be accepted. */
     public boolean isAcceptFailing() {
         return acceptFailing;
     }
@@ -170,31 +176,31 @@
     }
 
     /**
-     * The front sends nothing more. New connections are accepted still: a client whose connection
-     * broke must be able to fetch its answer, or to cancel.
+     * Prepares the end of a shutdown, when the front sends no more requests. New connections are
+     * still accepted: a client whose connection broke must be able to fetch its answer or to cancel.
      */
     public void onFrontStopped(long now) {
         responses.closing(now);
-        // A request on a connection that the kernel accepted is ours, also where the thread had no
-        // time for it yet.
+        // This manager is responsible for requests on all connections that the kernel has accepted,
+        // including those that this thread has not accepted yet.
         acceptPending();
     }
 
-    /** Accepts no more connections; what comes on the open ones is answered still. */
+    /** Stops accepting connections; calls on the open ones are still answered. */
     public void close() {
         acceptPending();
         IoUtils.safeClose(listener);
     }
 
     /**
-     * Closes all connections without an open call, after reading them: nothing can be accepted any
-     * more once none is open.
+     * Reads all connections and closes those without an open call. Once none is open, no more
+     * requests can arrive.
      */
     public void closeIdleConnections() {
         connections.closeIdle();
     }
 
-    /** Whether all accepted requests are answered, and the answers are written. */
+    /** Returns whether all accepted requests are answered and all answers are written. */
     public boolean isIdle() {
         return pendingCalls.allAnswered() && responses.isIdle();
     }
@@ -207,8 +213,7 @@
                     next.proceed();
                 });
         if (!ClientProtocol.hasUnambiguousLength(exchange)) {
-            // One body might hide another call behind its end; nothing on this connection can be
-            // trusted.
+            // The body might hide another call, so nothing on this connection can be trusted.
             responses.refuseAndClose(exchange, 400, "length not usable");
             return;
         }
@@ -249,7 +254,7 @@
     }
 
     private void receiveStatement(HttpServerExchange exchange, String trafficClass) {
-        // A client that stops within a statement would hold its connection for ever.
+        // A client that stops in the middle of a statement would hold its connection forever.
         XnioExecutor.Key bodyTimeout =
                 guard.executeAfter(
                         MAX_BODY_READ_MS,
@@ -309,7 +314,7 @@
         if (refusal.isPresent()) {
             responses.refuse(exchange, refusal.get().status(), refusal.get().reason());
         } else if (!pendingCalls.hasCapacity(statement.length)) {
-            // Nothing of it is kept: more would end the program, and all requests with it.
+            // Refused: running out of memory would end the process and with it all requests.
             exchange.getResponseHeaders().put(ClientProtocol.RETRY_AFTER_MS, BUSY_RETRY_AFTER_MS);
             responses.refuse(exchange, 503, "Busy");
         } else {
@@ -329,8 +334,8 @@
                         pendingCalls,
                         call.requestId(),
                         pendingCalls.newPollPath(call.requestId()));
-        // What may have lain unread during a pause has that much less time: counted from when it is
-        // read, its answer would come after its client has gone.
+        // The timeout counts from the earliest possible arrival: a call that waited unread during a
+        // pause of the process would otherwise be answered after its client has given up.
         long deadline = guard.earliestArrival() + (long) (call.timeoutMs() * 10);
         RequestExchange request =
                 new RequestExchange(
--- a/src/main/java/firstage/server/client/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -22,9 +22,9 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * A client's request over HTTP: carries out what its {@link ClientCallStateMachine} decides. The
- * connection is read while a call is held, which Undertow does not do by itself: a client that
- * cancels closes it. Owned by the I/O thread.
+ * A client's request over HTTP, which performs the actions of its {@link ClientCallStateMachine}.
+ * Its connection is read while a call is held, because a client cancels by closing it and Undertow
+ * does not read by itself in that time. Owned by the I/O thread.
  */
 final class PendingCall
         implements RequestExchange.ResponseActions,
@@ -51,15 +51,18 @@
     private final ClientCallStateMachine stateMachine = new ClientCallStateMachine(this);
     private RequestExchange request;
 
-    /** The calls that are held: one, unless the client lost a connection and called on another. */
+    /**
+     * Calls that wait for the answer: one at most, unless the client lost a connection and called
+     * again on another.
+     */
     private final List<HeldCall> heldCalls = new ArrayList<>();
 
-    /** Where the path was sent, until the client polls; null else. */
+    /** Connection on which the poll path was sent; null before that and once the client polls. */
     private StreamConnection pathConnection;
 
     private long pathSentAt;
 
-    /** When the connection on which the client waits, or is to poll, was open for sure. */
+    /** Time at which a connection of the client was last known to be open while it waits or polls. */
     private long connectionOpenAt;
 
     private Answer answer;
@@ -95,7 +98,7 @@
         return path;
     }
 
-    /** Bytes that are kept for this client: its statement until it is answered, and the answer. */
+    /** Returns the number of bytes kept for this client: its statement and the answer. */
     int keptBytes() {
         return request.statement.length + (answer == null ? 0 : answer.body.remaining());
     }
@@ -106,7 +109,7 @@
         stateMachine.start();
     }
 
-    /** The client polls. */
+    /** Handles a poll by the client. */
     void poll(HttpServerExchange exchange) {
         forgetPathConnection();
         heldCalls.add(new HeldCall(exchange));
@@ -115,14 +118,14 @@
         stateMachine.onPoll();
     }
 
-    /** The client cancels by a DELETE of the path. */
+    /** Handles the client's DELETE of the poll path, which cancels the request. */
     void cancel() {
-        // Without its path it could not.
+        // The client can't have cancelled before it had the path.
         guard.onClientLeft(request, pathSentAt);
         stateMachine.onClientCancelled();
     }
 
-    /** A call that waits for its answer, and its connection, which is read meanwhile. */
+    /** A call that waits for its answer, and its connection, which is read in that time. */
     private final class HeldCall {
         private final HttpServerExchange exchange;
         private final AbstractServerConnection connection;
@@ -134,7 +137,7 @@
             connection.getOriginalSourceConduit().resumeReads();
         }
 
-        /** Ends the wait; the exchange can be answered. */
+        /** Stops reading the connection and returns the exchange, to be answered. */
         HttpServerExchange release() {
             heldCalls.remove(this);
             connection.getOriginalSourceConduit().suspendReads();
@@ -157,14 +160,14 @@
             readPending();
         }
 
-        /** Reads what lies unread: the end of the connection, or a call that must not come. */
+        /** Reads pending input: the end of the connection, or a call that breaks the protocol. */
         void readPending() {
             try (PooledByteBuffer pooled = connection.getByteBufferPool().allocate()) {
                 int bytesRead = connection.getOriginalSourceConduit().read(pooled.getBuffer());
                 if (bytesRead < 0) {
                     onConnectionEnded(this);
                 } else if (bytesRead > 0) {
-                    // The next call came before the answer to this one: that breaks the protocol.
+                    // A client must not make its next call before this one is answered.
                     responses.refuseAndClose(release(), 400, "one call at a time");
                     guard.onClientLeft(request, connectionOpenAt);
                     stateMachine.onClientCancelled();
@@ -179,7 +182,10 @@
         counters.recorder().record(event, id, reason, heldCalls.size(), 0);
     }
 
-    /** A client that closed only its own side has its answer still: to the first call, failed. */
+    /**
+     * Handles the end of a call's input. The first call is answered as failed, since its client may
+     * have closed its own side only and still read.
+     */
     private void onConnectionEnded(HeldCall call) {
         if (call.isPoll()) {
             onConnectionBroken(call, "client closed");
@@ -210,7 +216,7 @@
         return heldCalls.isEmpty() ? pathSentAt : now;
     }
 
-    /** Reads what lies unread on the connections on which the client calls or will call. */
+    /** Reads pending input on the connections on which the client waits or is expected to poll. */
     private void readPending(long now) {
         List.copyOf(heldCalls).forEach(HeldCall::readPending);
         if (pathConnection != null) {
@@ -235,7 +241,7 @@
         }
     }
 
-    // ---- Actions of the state machine.
+    // ---- Actions of the state machine
     @Override
     public void respondWithPollPath() {
         HttpServerExchange exchange = heldCalls.get(0).release();
@@ -281,7 +287,7 @@
         timer = guard.executeAfter(delay / 10, this::onTimeout);
     }
 
-    /** The client's own connection is read first: nothing else may come between. */
+    /** Reads the client's connections first: input that arrived in time prevents the timeout. */
     private void onTimeout() {
         XnioExecutor.Key elapsed = timer;
         readPending(clock.now());
@@ -334,7 +340,7 @@
         pendingCalls.release(this, answerSent);
     }
 
-    // ---- The request's answer.
+    // ---- Answers to the request
     @Override
     public void respondSucceeded(List<byte[]> pages) {
         answer(new Answer(200, 0, JsonRows.encode(pages)));
--- a/src/main/java/firstage/server/client/package-info.java
+++ b/src/main/java/firstage/server/client/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The clients' HTTP/1.1: {@link firstage.server.client.ClientHandler} accepts requests from clients
- * and answers each once. The names on the wire stand in {@code ClientProtocol}.
+ * HTTP/1.1 server for the clients: {@link firstage.server.client.ClientHandler} accepts requests and
+ * answers each once. {@code ClientProtocol} defines the names on the wire.
  */
 package firstage.server.client;
