--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -208,8 +208,8 @@
     private void handle(HttpServerExchange exchange) {
         connections.onCallStarted(ClientProtocol.connectionOf(exchange));
         exchange.addExchangeCompleteListener(
-                (over, next) -> {
-                    connections.onCallEnded(ClientProtocol.connectionOf(over));
+                (completed, next) -> {
+                    connections.onCallEnded(ClientProtocol.connectionOf(completed));
                     next.proceed();
                 });
         if (!ClientProtocol.hasUnambiguousLength(exchange)) {
--- a/src/main/java/firstage/server/client/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -103,15 +103,15 @@
         return request.statement.length + (answer == null ? 0 : answer.body.remaining());
     }
 
-    void start(RequestExchange started, HttpServerExchange first) {
-        request = started;
-        heldCalls.add(new HeldCall(first));
+    void start(RequestExchange acceptedRequest, HttpServerExchange firstCall) {
+        request = acceptedRequest;
+        heldCalls.add(new HeldCall(firstCall));
         stateMachine.start();
     }
 
     /** Handles a poll by the client. */
     void poll(HttpServerExchange exchange) {
-        forgetPathConnection();
+        clearPathConnection();
         heldCalls.add(new HeldCall(exchange));
         record(EventType.POLLED, "");
         request.onClientReturned();
@@ -234,7 +234,7 @@
         stateMachine.onPathConnectionClosed();
     }
 
-    private void forgetPathConnection() {
+    private void clearPathConnection() {
         if (pathConnection != null) {
             connections.removeCloseListener(pathConnection);
             pathConnection = null;
@@ -289,9 +289,9 @@
 
     /** Reads the client's connections first: input that arrived in time prevents the timeout. */
     private void onTimeout() {
-        XnioExecutor.Key elapsed = timer;
+        XnioExecutor.Key elapsedTimer = timer;
         readPending(clock.now());
-        if (timer == elapsed) {
+        if (timer == elapsedTimer) {
             stateMachine.onTimeout();
         }
     }
@@ -336,27 +336,27 @@
 
     @Override
     public void release() {
-        forgetPathConnection();
+        clearPathConnection();
         pendingCalls.release(this, answerSent);
     }
 
     // ---- Answers to the request
     @Override
     public void respondSucceeded(List<byte[]> pages) {
-        answer(new Answer(200, 0, JsonRows.encode(pages)));
+        setAnswer(new Answer(200, 0, JsonRows.encode(pages)));
     }
 
     @Override
     public void respondRejected(long retryAfter) {
-        answer(new Answer(503, retryAfter, ByteBuffer.wrap(BUSY_BODY)));
+        setAnswer(new Answer(503, retryAfter, ByteBuffer.wrap(BUSY_BODY)));
     }
 
     @Override
     public void respondFailed() {
-        answer(FAILED);
+        setAnswer(FAILED);
     }
 
-    private void answer(Answer newAnswer) {
+    private void setAnswer(Answer newAnswer) {
         answer = newAnswer;
         pendingCalls.addKeptBytes(newAnswer.body.remaining());
         stateMachine.onAnswerAvailable();
