--- a/src/main/java/firstage/server/client/BadRequestResponse.java
+++ b/src/main/java/firstage/server/client/BadRequestResponse.java
@@ -7,9 +7,9 @@
 import org.xnio.conduits.StreamSinkConduit;
 
 /**
- * Undertow's parser answers what is not HTTP by itself, with a 400 without a body, before any
- * handler is called. Here that answer gets the JSON body which all other refusals have; all else is
- * passed through.
+ * Adds the JSON body that all other refusals have to the answer to input that is not HTTP.
+ * Undertow's parser sends that answer, a 400 without a body, before any handler is called. All other
+ * output passes unchanged.
  */
 final class BadRequestResponse extends AbstractStreamSinkConduit<StreamSinkConduit> {
     private static final byte[] EMPTY_BAD_REQUEST =
@@ -33,8 +33,8 @@
             return super.write(from);
         }
         int size = from.remaining();
-        // The first bytes on a connection fit its buffer; else the client gets what went, and the
-        // close.
+        // Fits the socket buffer if it is the first output on the connection. Otherwise the client
+        // gets a part of it and then the end of the connection.
         super.write(ByteBuffer.wrap(FULL_BAD_REQUEST));
         from.position(from.limit());
         return size;
--- a/src/main/java/firstage/server/client/ClientConnections.java
+++ b/src/main/java/firstage/server/client/ClientConnections.java
@@ -14,18 +14,20 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * The clients' open connections, never more than their part of the file descriptors. With none left
- * XNIO stops accepting for a quarter of a second and longer, and a request that waits unseen
- * meanwhile is overtaken by the next of its key. So one connection too many closes the one that was
- * silent longest, and never one with an open call. Owned by the I/O thread.
+ * The clients' open connections, limited to their share of the file descriptors. Without a free
+ * descriptor no connection can be accepted (XNIO's own servers then pause for 0.25 s and longer),
+ * and a request that waits in that time is overtaken by the next one of its ordering key. At the
+ * limit, a new connection therefore closes the one that has been without a call for longest, but
+ * never one with an open call. Owned by the I/O thread.
  */
 final class ClientConnections {
-    /**
-     * A client that connects sends its call at once; a connection without one is closed after this.
-     */
+    /** Time after which a connection without any call is closed; clients send their call at once. */
     private static final long MAX_SILENT_MS = 2_000;
 
-    /** Clients close their idle connections after 4 s; older ones are abandoned. */
+    /**
+     * Time after which a connection is closed that had a call before. Clients close their idle
+     * connections after 4 s, so one that is idle for longer is abandoned.
+     */
     private static final long MAX_IDLE_MS = 5_000;
 
     private static final long SWEEP_PERIOD_MS = 250;
@@ -33,15 +35,16 @@
     private final Counters counters;
     private final int limit;
 
-    /** All connections, and when each was opened. */
+    /** All connections, with the time at which each was opened. */
     private final Map<StreamConnection, Long> openedAtMs = new HashMap<>();
 
-    /** Connections that never made a call, and those between calls; oldest first. */
+    /** Connections that have not carried a call yet, and since when; oldest first. */
     private final Map<StreamConnection, Long> silentSinceMs = new LinkedHashMap<>();
 
+    /** Connections between two calls, and since when; oldest first. */
     private final Map<StreamConnection, Long> idleSinceMs = new LinkedHashMap<>();
 
-    /** What is called when a connection closes; at most one a connection. */
+    /** Listeners to call when a connection closes, at most one for each. */
     private final Map<StreamConnection, Runnable> closeListeners = new HashMap<>();
 
     ClientConnections(XnioIoThread io, Counters counters, int limit) {
@@ -50,7 +53,10 @@
         this.limit = limit;
     }
 
-    /** Adds a connection, and may close another for it; false where all have open calls. */
+    /**
+     * Adds a connection; at the limit, closes another one for it. If all have open calls, closes the
+     * new connection and returns false.
+     */
     boolean tryAdd(StreamConnection connection) {
         if (openedAtMs.size() >= limit && !closeLeastRecent()) {
             counters.count("client connections refused");
@@ -63,7 +69,7 @@
         return true;
     }
 
-    /** Removes the connection when it closes; listeners that it has are called, too. */
+    /** Removes the connection when it closes; its own close listener is still called. */
     void watchClose(StreamConnection connection) {
         if (!connection.isOpen()) {
             remove(connection);
@@ -79,18 +85,18 @@
                 });
     }
 
-    /** The connection has an open call from here on. */
+    /** Records that a call began on the connection. */
     void onCallStarted(StreamConnection connection) {
         silentSinceMs.remove(connection);
         idleSinceMs.remove(connection);
     }
 
-    /** The age of the connection in ms. */
+    /** Returns the age of the connection in ms. */
     long ageMs(StreamConnection connection) {
         return nowMs() - openedAtMs.getOrDefault(connection, nowMs());
     }
 
-    /** The connection has no open call any more. */
+    /** Records that the call on the connection ended. */
     void onCallEnded(StreamConnection connection) {
         if (openedAtMs.containsKey(connection)) {
             idleSinceMs.put(connection, nowMs());
@@ -107,19 +113,19 @@
         }
     }
 
-    /** Calls back once, when the connection closes; replaces what was to be called before. */
+    /** Sets the listener that is called once when the connection closes; replaces a previous one. */
     void onClose(StreamConnection connection, Runnable listener) {
         closeListeners.put(connection, listener);
     }
 
-    /** Does not call back. */
+    /** Removes the listener that was set with {@link #onClose}. */
     void removeCloseListener(StreamConnection connection) {
         closeListeners.remove(connection);
     }
 
     /**
-     * Closes all connections without an open call. What they hold is read first: a call that came
-     * is open then, and its connection stays.
+     * Closes all connections without an open call. Pending input is read first, so a connection on
+     * which a call has arrived stays open.
      */
     void closeIdle() {
         for (Map<StreamConnection, Long> candidates : List.of(silentSinceMs, idleSinceMs)) {
@@ -131,7 +137,7 @@
         }
     }
 
-    /** Closes the connection that was silent longest. */
+    /** Closes the connection that was without a call for longest; false if all have open calls. */
     private boolean closeLeastRecent() {
         Map<StreamConnection, Long> candidates =
                 silentSinceMs.isEmpty() ? idleSinceMs : silentSinceMs;
@@ -149,8 +155,9 @@
     }
 
     /**
-     * Reads the connection before it is closed: timers and new connections may be handled before
-     * what it wrote while the thread was stalled, and a call must not end without an answer.
+     * Reads pending input and returns whether the connection still has no call and may be closed.
+     * After a stall of the thread, timers and new connections may be handled before input that
+     * arrived earlier, and closing the connection would leave a call without an answer.
      */
     private static boolean isStillSilent(
             StreamConnection connection, Map<StreamConnection, Long> candidates) {
@@ -159,7 +166,7 @@
         return since != null && since.equals(candidates.get(connection));
     }
 
-    /** Reads what lies unread, as if the selector had found it. */
+    /** Reads pending input as if the selector had reported it. */
     static void readPending(StreamConnection connection) {
         ConduitStreamSourceChannel source = connection.getSourceChannel();
         ChannelListeners.invokeChannelListener(source, source.getReadListener());
@@ -170,7 +177,7 @@
         IoUtils.safeClose(connection);
     }
 
-    /** Closes connections that were silent for too long; runs on by itself. */
+    /** Closes connections that have been without a call for too long; repeats itself periodically. */
     void sweep() {
         sweep(silentSinceMs, MAX_SILENT_MS, "silent client connections closed");
         sweep(idleSinceMs, MAX_IDLE_MS, "idle client connections closed");
--- a/src/main/java/firstage/server/client/ClientProtocol.java
+++ b/src/main/java/firstage/server/client/ClientProtocol.java
@@ -9,23 +9,23 @@
 import org.xnio.StreamConnection;
 
 /**
- * The names that the clients' HTTP protocol uses on the wire, each with the term for it in the
- * code, and how a call's head is read.
+ * The clients' HTTP protocol: maps the names on the wire to the terms used in the code, and reads
+ * the head of a call.
  */
 final class ClientProtocol {
-    /** Answers 200 while the manager lives. */
+    /** Path of the liveness check, which is answered with 200. */
     static final String ALIVE_PATH = "/alive";
 
-    /** What the path of a poll begins with. */
+    /** Prefix of the paths at which clients poll. */
     static final String POLL_PATH_PREFIX = "/-/news/";
 
-    /** The request's id: 16 hexadecimal digits. */
+    /** Id of the request: 16 hexadecimal digits. */
     static final HttpString REQUEST_ID = new HttpString("X-Job-Id");
 
-    /** How long the client waits for its answer, in ms. */
+    /** Time that the client waits for its answer, in ms. */
     static final HttpString TIMEOUT_MS = new HttpString("X-Allow-Ms");
 
-    /** The tenant's name. */
+    /** Name of the tenant. */
     static final HttpString TENANT = new HttpString("X-Team");
 
     /** The client's estimate of the work, in ms. */
@@ -34,10 +34,10 @@
     /** The client's estimate of the memory, in MB. */
     static final HttpString MEMORY_MB = new HttpString("X-Memory");
 
-    /** The ordering key: requests with the same run one at a time, in the order of arrival. */
+    /** Ordering key: requests with the same key run one at a time, in the order of their arrival. */
     static final HttpString ORDERING_KEY = new HttpString("X-Item");
 
-    /** In an answer: after how long the client may send again, in ms. */
+    /** Header of an answer: time after which the client may retry, in ms. */
     static final HttpString RETRY_AFTER_MS = new HttpString("X-Wait-Ms");
 
     private static final Pattern CONTENT_LENGTH = Pattern.compile("[0-9]{1,18}");
@@ -49,7 +49,7 @@
         return ((AbstractServerConnection) exchange.getConnection()).getChannel();
     }
 
-    /** Whether there is one way only to tell where the call's body ends. */
+    /** Returns whether the headers define the length of the body unambiguously. */
     static boolean hasUnambiguousLength(HttpServerExchange exchange) {
         HeaderValues lengths = exchange.getRequestHeaders().get(Headers.CONTENT_LENGTH);
         HeaderValues encodings = exchange.getRequestHeaders().get(Headers.TRANSFER_ENCODING);
@@ -63,13 +63,14 @@
     }
 
     /**
-     * Whether the next call came before the answer to this one: a client makes one call at a time.
+     * Returns whether the client sent its next call before this one was answered, which the protocol
+     * does not allow.
      */
     static boolean isPipelined(HttpServerExchange exchange) {
         return ((AbstractServerConnection) exchange.getConnection()).getExtraBytes() != null;
     }
 
-    /** The size of the path and of all headers. */
+    /** Returns the size of the path and all headers. */
     static int headBytes(HttpServerExchange exchange) {
         int size = exchange.getRequestURI().length();
         for (HeaderValues values : exchange.getRequestHeaders()) {
@@ -80,14 +81,18 @@
         return size;
     }
 
-    /** A header; null without it, and empty, which no field may be, where it is given twice. */
+    /**
+     * Returns the value of a header; null if it is missing. Returns an empty text, which is not valid
+     * for any header of this protocol, if the header occurs more than once.
+     */
     static String text(HttpServerExchange exchange, HttpString header) {
         HeaderValues values = exchange.getRequestHeaders().get(header);
         return values == null ? null : values.size() == 1 ? values.getFirst().trim() : "";
     }
 
     /**
-     * A decimal number in a header; {@code absent} without it, not a number where it can't be read.
+     * Returns a decimal number from a header; {@code absent} if the header is missing, and NaN if it
+     * is malformed.
      */
     static double number(HttpServerExchange exchange, HttpString header, double absent) {
         String text = text(exchange, header);
--- a/src/main/java/firstage/server/client/ClientResponses.java
+++ b/src/main/java/firstage/server/client/ClientResponses.java
@@ -20,19 +20,22 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Writes answers to clients, and ends the connections of clients that do not read theirs. Owned by
- * the I/O thread.
+ * Writes answers to clients, and closes the connections of clients that do not read their answer.
+ * Owned by the I/O thread.
  */
 final class ClientResponses {
     /**
-     * After the last answer on a connection so much is read off for so long: a close at once could
-     * take it back.
+     * Limit, in time and in size, on the input that is read and discarded after the last answer on a
+     * connection. Closing the connection at once could reset it and destroy the answer.
      */
     private static final int DRAIN_MS = 300;
 
     private static final int MAX_DRAIN_BYTES = 256 * 1024;
 
-    /** A client that reads has a whole result in milliseconds; one on a bad path in seconds. */
+    /**
+     * Time in which a client has to read an answer. A result is read in milliseconds, or in seconds
+     * over a bad network path.
+     */
     private static final int MAX_WRITE_MS = 10_000;
 
     private static final int MAX_WRITE_CLOSING_MS = 1_000;
@@ -44,7 +47,7 @@
     private final ActionGuard guard;
     private final ClientConnections connections;
 
-    /** Answers that are not all written yet, and since when; oldest first. */
+    /** Calls whose answers are not completely written, with the start of the write; oldest first. */
     private final Map<HttpServerExchange, Long> writesSince = new LinkedHashMap<>();
 
     private long closingSince;
@@ -63,7 +66,7 @@
         this.connections = connections;
     }
 
-    /** The program shuts down: connections end with their answers from here on. */
+    /** Starts the shutdown: from now on, each connection is closed after its answer. */
     void closing(long now) {
         closing = true;
         closingSince = now;
@@ -73,19 +76,18 @@
         return closing;
     }
 
-    /** Whether all answers are written, or their clients have not read them in time. */
+    /** Returns whether all answers are written, or given up because their clients did not read. */
     boolean isIdle() {
         return writesSince.isEmpty();
     }
 
     /**
-     * Ends the connections of answers that were not read in time; runs on by itself. A client that
-     * does not read its answer is waited for no longer than one that does needs: it must not keep
-     * the program from ending.
+     * Closes the connections of clients that did not read their answer in time; repeats itself
+     * periodically. Such a client must not keep the process from ending.
      */
     void sweepStalledWrites() {
         if (isOldestWriteStalled()) {
-            // What was read during a pause has made room, and is written first.
+            // A client may have read during a pause of this process; its answer is then written first.
             guard.runAfterPendingReads(this::closeStalledWrites);
         }
         io.executeAfter(this::sweepStalledWrites, WRITE_SWEEP_PERIOD_MS, TimeUnit.MILLISECONDS);
@@ -107,7 +109,7 @@
         }
     }
 
-    /** Answers a call that can't be used; it never reached an engine. */
+    /** Answers an unusable call with an error; the call has not reached an engine. */
     void refuse(HttpServerExchange exchange, int status, String reason) {
         if (!exchange.isRequestComplete()) {
             refuseAndClose(exchange, status, reason);
@@ -119,9 +121,9 @@
     }
 
     /**
-     * The same, and the connection ends with it. Of what still comes little is read: Undertow would
-     * drain a body first, for as long as a client that never ends it sends, on the one thread that
-     * serves all others.
+     * Answers an unusable call with an error and closes the connection, after a limited amount of
+     * input. Undertow by itself would read the complete body first, which a client can send without
+     * an end, on the only thread that serves all clients.
      */
     void refuseAndClose(HttpServerExchange exchange, int status, String reason) {
         counters.count("client calls refused with " + status);
@@ -173,7 +175,7 @@
                 ("{\"err\":\"" + reason + "\"}\n").getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Sends a JSON answer under the status that the exchange has. */
+    /** Sends a JSON answer with the status code of the exchange. */
     void send(HttpServerExchange exchange, ByteBuffer body) {
         send(exchange, body, IoCallback.END_EXCHANGE);
     }
--- a/src/main/java/firstage/server/client/JsonRows.java
+++ b/src/main/java/firstage/server/client/JsonRows.java
@@ -6,7 +6,8 @@
 import java.util.List;
 
 /**
- * Writes the engine's pages (columns parted by tabs, each row ended) as the JSON rows of an answer.
+ * Encodes an engine's pages (columns separated by tabs, rows ended by line feeds) as the JSON rows
+ * of an answer.
  */
 final class JsonRows {
     private static final byte[] START = bytes("{\"page\":[");
@@ -45,7 +46,7 @@
         return ByteBuffer.wrap(out.toByteArray());
     }
 
-    /** One byte of a text; those of characters beyond ASCII go on as they are. */
+    /** Writes one byte of a text, escaped if needed; bytes of non-ASCII characters are unchanged. */
     private static void writeEscaped(ByteArrayOutputStream out, byte b) {
         if (b == '"' || b == '\\') {
             out.write('\\');
--- a/src/main/java/firstage/server/client/PendingCalls.java
+++ b/src/main/java/firstage/server/client/PendingCalls.java
@@ -8,18 +8,18 @@
 import java.util.Set;
 
 /**
- * The clients' requests that are not released yet: by poll path, by id, and by the bytes that are
- * kept for them. Owned by the I/O thread.
+ * Index of the clients' requests that are not released yet, by poll path and by id, and the memory
+ * that they use. Owned by the I/O thread.
  */
 final class PendingCalls {
     private final Counters counters;
     private final long maxKeptBytes;
     private final Map<String, PendingCall> byPollPath = new HashMap<>();
 
-    /** The ids of requests whose clients are owed an answer. */
+    /** Ids of the requests that are not answered yet. */
     private final Set<String> openRequestIds = new HashSet<>();
 
-    /** Statements and answers that are kept for clients. */
+    /** Total size of the statements and answers that are kept for clients. */
     private long keptBytes;
 
     private long accepted;
@@ -30,32 +30,32 @@
         this.maxKeptBytes = maxKeptBytes;
     }
 
-    /** Whether the request with this id is owed an answer. */
+    /** Returns whether the request with this id is not answered yet. */
     boolean isOpen(String requestId) {
         return openRequestIds.contains(requestId);
     }
 
-    /** Whether so many bytes more may be kept. */
+    /** Returns whether this many additional bytes may be kept. */
     boolean hasCapacity(int bytes) {
         return keptBytes + bytes <= maxKeptBytes;
     }
 
-    /** Whether all clients have their answers. */
+    /** Returns whether no client waits for an answer. */
     boolean allAnswered() {
         return unanswered == 0;
     }
 
-    /** A new path at which the client of a request may poll. */
+    /** Returns a new path at which the client of a request may poll. */
     String newPollPath(String requestId) {
         return ClientProtocol.POLL_PATH_PREFIX + accepted++ + "-" + requestId;
     }
 
-    /** The call that is polled at this path. */
+    /** Returns the call that is polled at this path, if there is one. */
     Optional<PendingCall> find(String pollPath) {
         return Optional.ofNullable(byPollPath.get(pollPath));
     }
 
-    /** A request was accepted, with a statement of so many bytes. */
+    /** Adds the call of an accepted request, whose statement has this many bytes. */
     void add(PendingCall call, int statementBytes) {
         openRequestIds.add(call.id());
         byPollPath.put(call.path(), call);
@@ -63,13 +63,13 @@
         unanswered++;
     }
 
-    /** The client's answer was sent. */
+    /** Records that the answer was sent to the client. */
     void onAnswerSent(PendingCall call) {
         openRequestIds.remove(call.id());
         unanswered--;
     }
 
-    /** Nobody polls for the call any more. */
+    /** Removes a call whose client does not poll any more. */
     void release(PendingCall call, boolean answerSent) {
         if (byPollPath.remove(call.path(), call)) {
             addKeptBytes(-call.keptBytes());
@@ -79,7 +79,7 @@
         }
     }
 
-    /** More bytes are kept for a client, or fewer. */
+    /** Adds to the number of kept bytes; negative if bytes are released. */
     void addKeptBytes(int difference) {
         keptBytes += difference;
         counters.peak("max bytes kept for clients", keptBytes);
--- a/src/main/java/firstage/server/client/StatementCall.java
+++ b/src/main/java/firstage/server/client/StatementCall.java
@@ -3,14 +3,16 @@
 import io.undertow.server.HttpServerExchange;
 
 /**
- * A client's call with a statement, as read and not checked yet.
+ * A client's call that submits a statement, parsed but not validated yet.
  *
- * @param requestId null where it is missing
- * @param trafficClass the last part of the path
- * @param trafficClassIndex -1 where it is unknown
- * @param tenant its index, -1 where it is missing or unknown
- * @param orderingKey null without one
- * @param timeoutMs not positive or not a number where it can't be used; so are the two estimates
+ * @param requestId id of the request; null if it is missing
+ * @param trafficClass name of the traffic class, which is the last part of the path
+ * @param trafficClassIndex index of the traffic class; -1 if it is unknown
+ * @param tenant index of the tenant; 0 if the settings define none, -1 if it is missing or unknown
+ * @param orderingKey ordering key; null without one
+ * @param timeoutMs time that the client waits, in ms; -1 if it is missing, NaN if it is malformed
+ * @param estimateMs the client's estimate of the work in ms; 0 if missing, NaN if malformed
+ * @param memoryMb the client's estimate of the memory in MB; 0 if missing, NaN if malformed
  */
 record StatementCall(
         String requestId,
--- a/src/main/java/firstage/server/client/StatementCallValidator.java
+++ b/src/main/java/firstage/server/client/StatementCallValidator.java
@@ -4,30 +4,40 @@
 import java.util.function.Predicate;
 import java.util.regex.Pattern;
 
-/** Checks what a client sends with a statement. The first fault found is the one answered. */
+/** Validates calls that submit a statement; a call is refused for the first fault found. */
 final class StatementCallValidator {
-    /** Work in ms or memory in MB: a year on one core, and a thousand engines' memory. */
+    /**
+     * Upper limit on both estimates: work in ms (a year on one core) and memory in MB (the memory of
+     * a thousand engines).
+     */
     static final double MAX_ESTIMATE = 3e10;
 
-    /** Times its class's deadline: no client waits longer; clocks and rounding need far less. */
+    /**
+     * Upper limit on the timeout as a multiple of the deadline of the traffic class. No client waits
+     * longer; inaccurate clocks and rounding need far less.
+     */
     private static final double MAX_TIMEOUT_FACTOR = 1.5;
 
     private static final Pattern REQUEST_ID = Pattern.compile("[0-9a-fA-F]{16}");
     private static final Pattern ORDERING_KEY = Pattern.compile("[!-~]{1,64}");
 
-    /** An HTTP status and the text of the answer. */
+    /** HTTP status and error text of a refused call. */
     record Refusal(int status, String reason) {}
 
     private final TrafficClasses classes;
     private final Predicate<String> isOpen;
 
-    /** {@code isOpen}: whether a request with this id is owed an answer. */
+    /**
+     * Creates a validator.
+     *
+     * @param isOpen returns whether the request with an id is not answered yet
+     */
     StatementCallValidator(TrafficClasses classes, Predicate<String> isOpen) {
         this.classes = classes;
         this.isOpen = isOpen;
     }
 
-    /** Why the call can't be accepted; empty where it can. */
+    /** Returns the reason to refuse the call, or empty if it can be accepted. */
     Optional<Refusal> check(StatementCall call) {
         if (call.trafficClassIndex() < 0) {
             return refuse(400, "unknown service group");
@@ -36,8 +46,8 @@
             return refuse(400, "X-Job-Id is missing or not usable");
         }
         if (isOpen.test(call.requestId())) {
-            // Engines know a request by its id: another statement under it would get this one's
-            // answer.
+            // Engines identify a request by its id: another statement with the same id would get the
+            // answer to this one.
             return refuse(409, "X-Job-Id is of an open batch");
         }
         double maxTimeoutMs = classes.deadlineMs(call.trafficClassIndex()) * MAX_TIMEOUT_FACTOR;
--- a/src/main/java/firstage/server/client/StatementTables.java
+++ b/src/main/java/firstage/server/client/StatementTables.java
@@ -7,10 +7,10 @@
 import java.util.Set;
 
 /**
- * Finds the group of tables that a statement reads or writes: the number after the underscore in
- * the name of the schema (17 in {@code sales_17.orders}). What stands in strings and comments does
- * not count, nor does the schema {@code staging}; only a name in a place where a table may stand is
- * one of a schema.
+ * Finds the table group that a statement reads or writes: the number after the underscore in the
+ * name of the schema (17 in {@code sales_17.orders}). Ignores strings, comments and the schema
+ * {@code staging}. A qualified name in a list of tables takes precedence over one elsewhere, whose
+ * first part may be the alias of a table.
  */
 final class StatementTables {
     private static final Set<String> TABLE_LIST_OPENERS =
@@ -22,7 +22,10 @@
     private final String text;
     private int position;
 
-    /** The token last read: a name (as written, without quotes), one sign, or null at the end. */
+    /**
+     * Current token: a name as written but without quotes, a single character, {@code 0} for a number
+     * and a quote for a string; null at the end.
+     */
     private String token;
 
     private boolean tokenIsName;
@@ -31,14 +34,14 @@
         text = new String(bytes, StandardCharsets.UTF_8);
     }
 
-    /** The group, or -1 where the statement names none. */
+    /** Returns the table group, or -1 if the statement names none. */
     static int tableGroup(byte[] bytes) {
         return new StatementTables(bytes).findTableGroup();
     }
 
     private int findTableGroup() {
-        // Where tables may stand: after FROM and its like, in the statement or in a query within
-        // brackets.
+        // A list of tables begins after FROM and similar keywords, in the statement or in a query
+        // in parentheses.
         boolean inTableList = false;
         boolean inQuery = true;
         Deque<boolean[]> enclosing = new ArrayDeque<>();
@@ -84,7 +87,7 @@
         return groupOutsideTableList;
     }
 
-    /** The digits after the last underscore of a schema's name, or -1. */
+    /** Returns the number after the last underscore of a schema's name, or -1 without one. */
     private static int numberOf(String schema) {
         int underscore = schema.lastIndexOf('_');
         if (underscore < 1
@@ -136,7 +139,7 @@
         return Character.isUnicodeIdentifierPart(character) || character == '$';
     }
 
-    /** Reads a quoted text; a doubled quote within stands for one. */
+    /** Reads quoted text and returns its content, in which a doubled quote stands for one. */
     private String quoted(char quote) {
         StringBuilder content = new StringBuilder();
         for (position++; position < text.length(); position++) {
--- a/src/main/java/firstage/server/client/TrafficClasses.java
+++ b/src/main/java/firstage/server/client/TrafficClasses.java
@@ -5,13 +5,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The traffic classes and tenants of the settings, by name. */
+/** The traffic classes and tenants from the settings, by name. */
 final class TrafficClasses {
     private final List<String> names = new ArrayList<>();
     private final List<Double> deadlinesMs = new ArrayList<>();
     private final List<String> tenants = new ArrayList<>();
 
-    /** {@code noDeadlineMs} stands for the deadline of a class that has none. */
+    /**
+     * Reads the traffic classes and tenants.
+     *
+     * @param noDeadlineMs deadline to use for a class that has none
+     */
     TrafficClasses(WireFields settings, double noDeadlineMs) {
         for (int i = 0; i < settings.getInt(SettingsKeys.CLASS_COUNT, 0); i++) {
             String nameKey = SettingsKeys.classField(i, SettingsKeys.CLASS_NAME);
@@ -26,17 +30,17 @@
         }
     }
 
-    /** The index of a class; -1 where it is unknown. */
+    /** Returns the index of a class; -1 if it is unknown. */
     int indexOf(String name) {
         return names.indexOf(name);
     }
 
-    /** The deadline of a class, in ms from arrival. */
+    /** Returns the deadline of a class, in ms from the arrival of the request. */
     double deadlineMs(int index) {
         return deadlinesMs.get(index);
     }
 
-    /** The index of a tenant; 0 where the settings name none, -1 where it is unknown. */
+    /** Returns the index of a tenant; 0 if the settings define none, -1 if it is unknown. */
     int tenantIndex(String tenant) {
         return tenants.isEmpty() ? 0 : tenants.indexOf(tenant);
     }
--- a/src/test/java/firstage/server/client/StatementTablesTest.java
+++ b/src/test/java/firstage/server/client/StatementTablesTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The table group of single statements. */
+/** Table groups that are found in single statements. */
 class StatementTablesTest {
     @ParameterizedTest
     @CsvSource(
