--- a/src/main/java/firstage/server/client/BadRequestResponse.java
+++ b/src/main/java/firstage/server/client/BadRequestResponse.java
@@ -28,22 +28,22 @@
     }
 
     @Override
-    public int write(ByteBuffer from) throws IOException {
-        if (!isEmptyBadRequest(from)) {
-            return super.write(from);
+    public int write(ByteBuffer source) throws IOException {
+        if (!isEmptyBadRequest(source)) {
+            return super.write(source);
         }
-        int size = from.remaining();
+        int size = source.remaining();
         // Fits the socket buffer if it is the first output on the connection. Otherwise the client
         // gets a part of it and then the end of the connection.
         super.write(ByteBuffer.wrap(FULL_BAD_REQUEST));
-        from.position(from.limit());
+        source.position(source.limit());
         return size;
     }
 
-    private static boolean isEmptyBadRequest(ByteBuffer from) {
-        return from.remaining() >= EMPTY_BAD_REQUEST.length
+    private static boolean isEmptyBadRequest(ByteBuffer source) {
+        return source.remaining() >= EMPTY_BAD_REQUEST.length
                 && ByteBuffer.wrap(EMPTY_BAD_REQUEST)
-                        .equals(from.slice(from.position(), EMPTY_BAD_REQUEST.length));
+                        .equals(source.slice(source.position(), EMPTY_BAD_REQUEST.length));
     }
 
     private static byte[] bytes(String text) {
--- a/src/main/java/firstage/server/client/ClientConnections.java
+++ b/src/main/java/firstage/server/client/ClientConnections.java
@@ -58,7 +58,7 @@
      * new connection and returns false.
      */
     boolean tryAdd(StreamConnection connection) {
-        if (openedAtMs.size() >= limit && !closeLeastRecent()) {
+        if (openedAtMs.size() >= limit && !closeLongestWithoutCall()) {
             counters.count("client connections refused");
             IoUtils.safeClose(connection);
             return false;
@@ -77,10 +77,10 @@
         }
         ChannelListener<? super StreamConnection> previousListener = connection.getCloseListener();
         connection.setCloseListener(
-                end -> {
+                closed -> {
                     remove(connection);
                     if (previousListener != null) {
-                        previousListener.handleEvent(end);
+                        previousListener.handleEvent(closed);
                     }
                 });
     }
@@ -130,7 +130,7 @@
     void closeIdle() {
         for (Map<StreamConnection, Long> candidates : List.of(silentSinceMs, idleSinceMs)) {
             for (StreamConnection connection : List.copyOf(candidates.keySet())) {
-                if (isStillSilent(connection, candidates)) {
+                if (isStillWithoutCall(connection, candidates)) {
                     close(connection);
                 }
             }
@@ -138,11 +138,11 @@
     }
 
     /** Closes the connection that was without a call for longest; false if all have open calls. */
-    private boolean closeLeastRecent() {
+    private boolean closeLongestWithoutCall() {
         Map<StreamConnection, Long> candidates =
                 silentSinceMs.isEmpty() ? idleSinceMs : silentSinceMs;
         for (StreamConnection connection : List.copyOf(candidates.keySet())) {
-            if (isStillSilent(connection, candidates)) {
+            if (isStillWithoutCall(connection, candidates)) {
                 counters.count("client connections closed for others");
                 close(connection);
                 return true;
@@ -159,7 +159,7 @@
      * After a stall of the thread, timers and new connections may be handled before input that
      * arrived earlier, and closing the connection would leave a call without an answer.
      */
-    private static boolean isStillSilent(
+    private static boolean isStillWithoutCall(
             StreamConnection connection, Map<StreamConnection, Long> candidates) {
         Long since = candidates.get(connection);
         readPending(connection);
@@ -191,7 +191,7 @@
                 return;
             }
             StreamConnection connection = oldest.getKey();
-            if (isStillSilent(connection, candidates)) {
+            if (isStillWithoutCall(connection, candidates)) {
                 counters.count(counter);
                 close(connection);
             }
--- a/src/main/java/firstage/server/client/ClientProtocol.java
+++ b/src/main/java/firstage/server/client/ClientProtocol.java
@@ -91,13 +91,13 @@
     }
 
     /**
-     * Returns a decimal number from a header; {@code absent} if the header is missing, and NaN if it
+     * Returns a decimal number from a header; {@code defaultValue} if the header is missing, and NaN if it
      * is malformed.
      */
-    static double number(HttpServerExchange exchange, HttpString header, double absent) {
+    static double number(HttpServerExchange exchange, HttpString header, double defaultValue) {
         String text = text(exchange, header);
         return text == null
-                ? absent
+                ? defaultValue
                 : DECIMAL.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
     }
 }
--- a/src/main/java/firstage/server/client/ClientResponses.java
+++ b/src/main/java/firstage/server/client/ClientResponses.java
@@ -48,7 +48,7 @@
     private final ClientConnections connections;
 
     /** Calls whose answers are not completely written, with the start of the write; oldest first. */
-    private final Map<HttpServerExchange, Long> writesSince = new LinkedHashMap<>();
+    private final Map<HttpServerExchange, Long> writeStartedAt = new LinkedHashMap<>();
 
     private long closingSince;
     private boolean closing;
@@ -78,7 +78,7 @@
 
     /** Returns whether all answers are written, or given up because their clients did not read. */
     boolean isIdle() {
-        return writesSince.isEmpty();
+        return writeStartedAt.isEmpty();
     }
 
     /**
@@ -95,16 +95,16 @@
 
     private boolean isOldestWriteStalled() {
         long maxMs = closing ? MAX_WRITE_CLOSING_MS : MAX_WRITE_MS;
-        return !writesSince.isEmpty()
-                && clock.now() - Math.max(writesSince.values().iterator().next(), closingSince)
+        return !writeStartedAt.isEmpty()
+                && clock.now() - Math.max(writeStartedAt.values().iterator().next(), closingSince)
                         > Ticks.ofMillis(maxMs);
     }
 
     private void closeStalledWrites() {
         while (isOldestWriteStalled()) {
-            HttpServerExchange oldest = writesSince.keySet().iterator().next();
+            HttpServerExchange oldest = writeStartedAt.keySet().iterator().next();
             counters.count("responses not read");
-            writesSince.remove(oldest);
+            writeStartedAt.remove(oldest);
             IoUtils.safeClose(oldest.getConnection());
         }
     }
@@ -180,15 +180,15 @@
         send(exchange, body, IoCallback.END_EXCHANGE);
     }
 
-    private void send(HttpServerExchange exchange, ByteBuffer body, IoCallback then) {
-        writesSince.put(exchange, clock.now());
+    private void send(HttpServerExchange exchange, ByteBuffer body, IoCallback callback) {
+        writeStartedAt.put(exchange, clock.now());
         exchange.addExchangeCompleteListener(
                 (completed, next) -> {
-                    writesSince.remove(completed);
+                    writeStartedAt.remove(completed);
                     next.proceed();
                 });
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
         exchange.getResponseHeaders().put(Headers.CONTENT_LENGTH, body.remaining());
-        exchange.getResponseSender().send(body, then);
+        exchange.getResponseSender().send(body, callback);
     }
 }
--- a/src/main/java/firstage/server/client/PendingCalls.java
+++ b/src/main/java/firstage/server/client/PendingCalls.java
@@ -22,8 +22,8 @@
     /** Total size of the statements and answers that are kept for clients. */
     private long keptBytes;
 
-    private long accepted;
-    private int unanswered;
+    private long acceptedCount;
+    private int unansweredCount;
 
     PendingCalls(Counters counters, long maxKeptBytes) {
         this.counters = counters;
@@ -42,12 +42,12 @@
 
     /** Returns whether no client waits for an answer. */
     boolean allAnswered() {
-        return unanswered == 0;
+        return unansweredCount == 0;
     }
 
     /** Returns a new path at which the client of a request may poll. */
     String newPollPath(String requestId) {
-        return ClientProtocol.POLL_PATH_PREFIX + accepted++ + "-" + requestId;
+        return ClientProtocol.POLL_PATH_PREFIX + acceptedCount++ + "-" + requestId;
     }
 
     /** Returns the call that is polled at this path, if there is one. */
@@ -60,13 +60,13 @@
         openRequestIds.add(call.id());
         byPollPath.put(call.path(), call);
         addKeptBytes(statementBytes);
-        unanswered++;
+        unansweredCount++;
     }
 
     /** Records that the answer was sent to the client. */
     void onAnswerSent(PendingCall call) {
         openRequestIds.remove(call.id());
-        unanswered--;
+        unansweredCount--;
     }
 
     /** Removes a call whose client does not poll any more. */
@@ -80,8 +80,8 @@
     }
 
     /** Adds to the number of kept bytes; negative if bytes are released. */
-    void addKeptBytes(int difference) {
-        keptBytes += difference;
+    void addKeptBytes(int change) {
+        keptBytes += change;
         counters.peak("max bytes kept for clients", keptBytes);
         counters.checkInvariant(
                 keptBytes >= 0 && (keptBytes == 0 || !byPollPath.isEmpty()),
--- a/src/main/java/firstage/server/client/StatementTables.java
+++ b/src/main/java/firstage/server/client/StatementTables.java
@@ -53,7 +53,7 @@
             boolean isName = tokenIsName;
             nextToken();
             if (isName && ".".equals(token)) {
-                int group = numberOf(word);
+                int group = groupNumber(word);
                 nextToken();
                 if (tokenIsName) {
                     nextToken();
@@ -64,12 +64,12 @@
                 groupOutsideTableList = groupOutsideTableList < 0 ? group : groupOutsideTableList;
             } else if (isName) {
                 inQuery |= word.equalsIgnoreCase("select");
-                boolean opens =
+                boolean opensTableList =
                         TABLE_LIST_OPENERS.contains(word.toLowerCase(Locale.ROOT))
                                 && inQuery
                                 && !previousWord.equalsIgnoreCase("distinct");
                 inTableList =
-                        opens
+                        opensTableList
                                 || inTableList
                                         && !TABLE_LIST_CLOSERS.contains(
                                                 word.toLowerCase(Locale.ROOT));
@@ -88,7 +88,7 @@
     }
 
     /** Returns the number after the last underscore of a schema's name, or -1 without one. */
-    private static int numberOf(String schema) {
+    private static int groupNumber(String schema) {
         int underscore = schema.lastIndexOf('_');
         if (underscore < 1
                 || underscore + 1 == schema.length()
@@ -112,10 +112,10 @@
         }
         char character = text.charAt(position);
         if (character == '"' || character == '`') {
-            token = quoted(character);
+            token = readQuoted(character);
             tokenIsName = true;
         } else if (character == '\'') {
-            quoted(character);
+            readQuoted(character);
             token = "'";
         } else if (Character.isUnicodeIdentifierStart(character) || character == '_') {
             int start = position;
@@ -140,7 +140,7 @@
     }
 
     /** Reads quoted text and returns its content, in which a doubled quote stands for one. */
-    private String quoted(char quote) {
+    private String readQuoted(char quote) {
         StringBuilder content = new StringBuilder();
         for (position++; position < text.length(); position++) {
             if (text.charAt(position) != quote) {
