--- a/src/main/java/firstage/server/discovery/EndpointParser.java
+++ b/src/main/java/firstage/server/discovery/EndpointParser.java
@@ -17,17 +17,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** Parses the engines of one event, from a binary frame or from the JSON of a configuration. */
+/**
+ * Parses the endpoints of one update, from the payload of a binary frame or from the JSON of a
+ * configuration.
+ */
 final class EndpointParser {
     private static final int RECORD_BYTES = 27;
     private static final double WEIGHT_SCALE = 1_000;
 
-    /** When an engine started, as listed and in ticks. */
+    /** Start time of an engine, as listed (Unix time in ms) and in ticks. */
     private record Start(long unixMs, long at) {}
 
     private final TickClock clock;
 
-    /** By the engine's id, of those that are not gone. */
+    /** Start times by engine id, of the engines that are not gone. */
     private final Map<Long, Start> starts = new HashMap<>();
 
     private final List<String> zones;
@@ -76,7 +79,10 @@
         return endpoints;
     }
 
-    /** The same for each event that names the engine and its start, whatever the clocks do. */
+    /**
+     * Returns the start time of an engine in ticks. The result is the same for each event with the
+     * same engine and start time, even if the system clock is adjusted in between.
+     */
     private long startOf(long id, Lifecycle lifecycle, long startedAtMs) {
         if (lifecycle == Lifecycle.GONE) {
             starts.remove(id);
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -24,39 +24,42 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Watches the endpoint list: keeps a connection to the coordinator, asks for the events after the
- * last one it has, and passes them on. A connection that is silent is closed and opened again.
- * Owned by the I/O thread.
+ * Watches the endpoint list: keeps a connection to the coordinator, subscribes to the events after
+ * the last known one, and passes them on. A silent connection is closed and opened again. Owned by
+ * the I/O thread.
  */
 public final class EndpointWatcher {
     private static final Logger LOG = Logger.getLogger(EndpointWatcher.class.getName());
 
     /**
-     * An empty frame comes each second: with two missing, another connection is opened. Updates
-     * must be in force within 7 s.
+     * Time without input after which another connection is opened. The coordinator sends an empty
+     * frame each second, so two are missing then. Updates must be in force within 7 s.
      */
     private static final long SILENCE_TIMEOUT_MS = 2_300;
 
     private static final long CONNECT_TIMEOUT_MS = 1_000;
 
     /**
-     * A connection is established in a few ms; a first packet that is lost is sent again only after
-     * 1 s.
+     * Delay before another connection attempt is started in parallel. A connection is established in
+     * a few ms, but a lost first packet is sent again only after 1 s.
      */
     private static final long NEXT_ATTEMPT_MS = 150;
 
     private static final long RECONNECT_DELAY_MS = 200;
 
-    /** At most so many at once: started well before the first is cancelled, and few descriptors. */
+    /**
+     * Maximum number of parallel connection attempts: all of them start well before the first is
+     * cancelled, and they use few file descriptors.
+     */
     private static final int MAX_PARALLEL_ATTEMPTS = 5;
 
     /**
-     * From the start until the configuration's own list is acted on, where the coordinator sends
-     * nothing: it does so at once.
+     * Time from the start until the list of the configuration is acted on although the coordinator
+     * has sent nothing. A working coordinator sends its events at once.
      */
     private static final long CONFIRM_TIMEOUT_MS = 1_000;
 
-    /** Engines that a line of the log names. */
+    /** Maximum number of endpoints that are listed in a log line. */
     private static final int MAX_LOGGED_ENDPOINTS = 8;
 
     private final XnioIoThread io;
@@ -67,12 +70,12 @@
     private final TickClock clock;
     private InetSocketAddress coordinator;
 
-    /** When the configuration in force named its coordinator; for the log. */
+    /** Time at which the current configuration was applied; used in the log only. */
     private long configuredAt;
 
     private boolean dataReceived;
 
-    /** The list was confirmed since the start, or is acted on as it is. */
+    /** Whether the coordinator confirmed the list since the start, or failed to do so in time. */
     private boolean confirmed;
 
     private final ByteBuffer buffer = ByteBuffer.allocate(16 * 1024);
@@ -83,8 +86,8 @@
     private XnioExecutor.Key reconnectTimer;
 
     /**
-     * Grows with each connection that is closed: only an attempt to connect of the present round
-     * counts, and only the first of those that succeeds.
+     * Incremented when a connection is closed and when a reconnect is scheduled. Only connection
+     * attempts of the current generation count, and only the first successful one is used.
      */
     private long connectionRound;
 
@@ -106,9 +109,9 @@
     }
 
     /**
-     * Passes on the endpoints that a configuration names and that are not known yet, then follows
-     * its coordinator. Another configuration may come later: its coordinator may be elsewhere, so
-     * the old connection is closed at once. Event numbers go on.
+     * Passes on the updates in a configuration that are not known yet, then follows its coordinator.
+     * After a reload of the configuration the coordinator may be another one, so the old connection
+     * is closed at once. Event numbers continue.
      */
     public void follow(ManagerConfig config) {
         configuredAt = clock.now();
@@ -137,8 +140,8 @@
     }
 
     /**
-     * Whether the list may be acted on. A manager that was down starts with a list from before
-     * that, and would send to engines that were told to drain meanwhile.
+     * Returns whether the list may be acted on. A manager that was down starts with an outdated list,
+     * and would send statements to engines that began to drain in the meantime.
      */
     public boolean isConfirmed() {
         return confirmed || coordinator == null;
@@ -172,9 +175,8 @@
     }
 
     /**
-     * Opens a connection, and another beside it where the first is slow to come up: a first packet
-     * that is lost is sent again only after a second, in which this manager would send to engines
-     * that drain.
+     * Starts a connection attempt, and another one in parallel if it is slow: a lost first packet is
+     * sent again only after 1 s, in which this manager would send statements to draining engines.
      */
     private void openConnection(long round, int attempt) {
         if (round != connectionRound || connection != null) {
@@ -198,8 +200,8 @@
                                     connectTimeout.remove();
                                     boolean done = future.getStatus() == IoFuture.Status.DONE;
                                     if (round != connectionRound || closed || connection != null) {
-                                        // Another coordinator is followed meanwhile, or another
-                                        // attempt was faster.
+                                        // The coordinator has changed in the meantime, or
+                                        // another attempt was faster.
                                         IoUtils.safeClose(done ? result(future) : null);
                                     } else if (done) {
                                         onConnected(result(future));
@@ -240,7 +242,7 @@
             frameDecoder = new FrameDecoder();
             ByteBuffer subscription = ByteBuffer.allocate(Long.BYTES).putLong(0, lastEventNumber);
             while (subscription.hasRemaining()) {
-                // Eight bytes on a new connection always fit.
+                // Eight bytes always fit the send buffer of a new connection.
                 connection.getSinkChannel().write(subscription);
             }
             connection.getSinkChannel().flush();
@@ -330,7 +332,7 @@
             throw new IOException("a frame of kind " + frame.type());
         }
         List<ServerEvents.DiscoveredEndpoint> endpoints = parser.parse(frame.payload());
-        // Few in a run, and what a drain that was not kept is traced by.
+        // Updates are rare, and needed to find out why a draining engine was sent a statement.
         LOG.info(() -> describe(frame.eventNumber(), endpoints));
         events.onEndpointsUpdated(frame.type() == 1 ? Kind.SNAPSHOT : Kind.DELTA, endpoints);
         lastEventNumber = frame.eventNumber();
@@ -350,7 +352,7 @@
                         .toList();
     }
 
-    /** Ends the connection for good. */
+    /** Closes the connection and opens no other. */
     public void close() {
         closed = true;
         closeConnection();
--- a/src/main/java/firstage/server/discovery/FrameDecoder.java
+++ b/src/main/java/firstage/server/discovery/FrameDecoder.java
@@ -7,8 +7,9 @@
 import java.util.List;
 
 /**
- * Decodes the coordinator's frames from bytes that come in any pieces: a length of 4 bytes, the
- * event number of 8 bytes, a type of 1 byte, and the payload.
+ * Incremental decoder of the coordinator's frames, whose bytes may arrive in pieces of any size. A
+ * frame consists of the length of the rest (4 bytes), the event number (8 bytes), the type (1 byte)
+ * and the payload.
  */
 public final class FrameDecoder {
     /**
@@ -21,20 +22,20 @@
     private static final int LENGTH_BYTES = 4;
     private static final int MIN_LENGTH = 9;
 
-    /** Some 38,000 endpoints: well over any list. */
+    /** Limit on the length of a frame: some 38,000 endpoints, well above the size of any list. */
     private static final int MAX_LENGTH = 1 << 20;
 
     private final ByteArrayOutputStream unconsumed = new ByteArrayOutputStream();
 
-    /** Whether a frame has begun and its end is missing. */
+    /** Returns whether a frame was received in part. */
     public boolean hasPartialFrame() {
         return unconsumed.size() > 0;
     }
 
     /**
-     * Adds these bytes and returns the frames that are complete.
+     * Adds bytes and returns the frames that they complete.
      *
-     * @throws IOException where a length is impossible
+     * @throws IOException if a length is out of range
      */
     public List<Frame> decode(ByteBuffer in) throws IOException {
         byte[] piece = new byte[in.remaining()];
--- a/src/main/java/firstage/server/discovery/package-info.java
+++ b/src/main/java/firstage/server/discovery/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Discovery: follows the coordinator's numbered events over TCP and passes on the endpoint list.
+ * Discovery of engines: follows the coordinator's numbered events over TCP and passes on the
+ * endpoint list.
  */
 package firstage.server.discovery;
--- a/src/main/java/org/xnio/nio/IoThreadTcpServer.java
+++ b/src/main/java/org/xnio/nio/IoThreadTcpServer.java
@@ -12,10 +12,10 @@
 
 /**
  * A listening socket whose connections are accepted on the I/O thread itself, when its owner asks
- * for them. XNIO's own servers accept on a thread of their own, hand over by a queue, and accept
- * nothing for 0.25 s and longer after a call that failed: a request on a new connection would be
- * read after requests that arrived later, or too late. XNIO gives no public way to register a
- * socket, hence this class in its package (both jars are on the class path; no module is opened).
+ * for them. XNIO's own servers accept on a separate thread, hand over connections through a queue,
+ * and accept nothing for 0.25 s or longer after a failed accept. A request on a new connection would
+ * then be read after requests that arrived later, or too late. XNIO has no public method to register
+ * a socket, so this class is in its package (both jars are on the class path; no module is opened).
  */
 public final class IoThreadTcpServer extends NioHandle implements Closeable {
     private final ServerSocketChannel socket;
@@ -29,10 +29,10 @@
     }
 
     /**
-     * Binds and listens; {@code onReady} is called on the I/O thread while connections wait, from
-     * {@link #resumeAccepts} on.
+     * Binds an address and listens.
      *
-     * @throws IOException where the address is taken
+     * @param onReady called on the I/O thread while connections wait, after {@link #resumeAccepts}
+     * @throws IOException if the address is in use
      */
     public static IoThreadTcpServer listen(
             XnioIoThread thread, InetSocketAddress address, int backlog, Runnable onReady)
@@ -54,18 +54,18 @@
     }
 
     /**
-     * Accepts one connection; null where none waits.
+     * Accepts a connection; returns null if none waits.
      *
-     * @throws IOException where the system can't, for the moment
+     * @throws IOException if the system can't accept a connection at the moment
      */
     public SocketChannel accept() throws IOException {
         return socket.accept();
     }
 
     /**
-     * Makes an accepted connection one of the I/O thread's.
+     * Registers an accepted connection with the I/O thread.
      *
-     * @throws IOException where it ended meanwhile; it is closed then
+     * @throws IOException if the connection has ended in the meantime; its socket is closed then
      */
     public StreamConnection register(SocketChannel accepted) throws IOException {
         try {
@@ -79,12 +79,12 @@
         }
     }
 
-    /** Calls {@code onReady} while connections wait. */
+    /** Starts to call {@code onReady} while connections wait. */
     public void resumeAccepts() {
         resume(SelectionKey.OP_ACCEPT);
     }
 
-    /** Calls it no more. */
+    /** Stops calling {@code onReady}. */
     public void suspendAccepts() {
         suspend(SelectionKey.OP_ACCEPT);
     }
@@ -109,12 +109,12 @@
         try {
             close();
         } catch (IOException exception) {
-            // The program ends.
+            // Ignored: the process ends.
         }
     }
 
     @Override
     void terminated() {
-        // Nobody waits for it.
+        // Nothing waits for the termination.
     }
 }
--- a/src/test/java/firstage/server/discovery/EndpointParserTest.java
+++ b/src/test/java/firstage/server/discovery/EndpointParserTest.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints from records and from JSON. */
+/** Parsing of endpoints from binary records and from JSON. */
 class EndpointParserTest {
     private final TickClock clock = new TickClock();
     private final EndpointParser parser =
--- a/src/test/java/firstage/server/discovery/FrameDecoderTest.java
+++ b/src/test/java/firstage/server/discovery/FrameDecoderTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Frames of the coordinator as bytes, whole, in pieces and malformed. */
+/** Decoding of frames that arrive whole, in pieces or malformed. */
 class FrameDecoderTest {
     @Test
     void decode_framesInPieces_areComplete() throws IOException {
