--- a/src/main/java/firstage/server/discovery/EndpointParser.java
+++ b/src/main/java/firstage/server/discovery/EndpointParser.java
@@ -26,12 +26,12 @@
     private static final double WEIGHT_SCALE = 1_000;
 
     /** Start time of an engine, as listed (Unix time in ms) and in ticks. */
-    private record Start(long unixMs, long at) {}
+    private record StartTime(long unixMs, long ticks) {}
 
     private final TickClock clock;
 
     /** Start times by engine id, of the engines that are not gone. */
-    private final Map<Long, Start> starts = new HashMap<>();
+    private final Map<Long, StartTime> startTimes = new HashMap<>();
 
     private final List<String> zones;
     private final List<String> machineTypes;
@@ -45,7 +45,7 @@
 
     List<DiscoveredEndpoint> parse(ByteBuffer payload) throws IOException {
         if (payload.remaining() % RECORD_BYTES != 0) {
-            throw new IOException("a piece of a record");
+            throw new IOException("endpoint record is truncated");
         }
         List<DiscoveredEndpoint> endpoints = new ArrayList<>();
         while (payload.hasRemaining()) {
@@ -58,23 +58,23 @@
                         case 0 -> Lifecycle.ACTIVE;
                         case 1 -> Lifecycle.DRAINING;
                         case 2 -> Lifecycle.GONE;
-                        default -> throw new IOException("an unknown state");
+                        default -> throw new IOException("unknown endpoint state");
                     };
             int zone = payload.get() & 0xFF;
-            int kind = payload.get() & 0xFF;
+            int machineType = payload.get() & 0xFF;
             int cell = payload.getShort() & 0xFFFF;
             double weight = (payload.getInt() & 0xFFFFFFFFL) / WEIGHT_SCALE;
-            long started = payload.getLong();
+            long startedAtMs = payload.getLong();
             endpoints.add(
                     new DiscoveredEndpoint(
                             id,
                             new InetSocketAddress(InetAddress.getByAddress(address), port),
                             zone,
-                            kind,
+                            machineType,
                             cell,
                             lifecycle,
                             weight,
-                            startOf(id, lifecycle, started)));
+                            startTicks(id, lifecycle, startedAtMs)));
         }
         return endpoints;
     }
@@ -83,17 +83,17 @@
      * Returns the start time of an engine in ticks. The result is the same for each event with the
      * same engine and start time, even if the system clock is adjusted in between.
      */
-    private long startOf(long id, Lifecycle lifecycle, long startedAtMs) {
+    private long startTicks(long id, Lifecycle lifecycle, long startedAtMs) {
         if (lifecycle == Lifecycle.GONE) {
-            starts.remove(id);
+            startTimes.remove(id);
             return clock.fromUnixMillis(startedAtMs);
         }
-        Start known = starts.get(id);
+        StartTime known = startTimes.get(id);
         if (known == null || known.unixMs != startedAtMs) {
-            known = new Start(startedAtMs, clock.fromUnixMillis(startedAtMs));
-            starts.put(id, known);
+            known = new StartTime(startedAtMs, clock.fromUnixMillis(startedAtMs));
+            startTimes.put(id, known);
         }
-        return known.at;
+        return known.ticks;
     }
 
     List<DiscoveredEndpoint> parse(List<?> instances) {
@@ -117,7 +117,7 @@
                             fields.getInt("cell", 0),
                             lifecycle,
                             fields.getDouble("weight", 1),
-                            startOf(id, lifecycle, fields.getLong("startedAtMs", 0))));
+                            startTicks(id, lifecycle, fields.getLong("startedAtMs", 0))));
         }
         return endpoints;
     }
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -43,7 +43,7 @@
      * Delay before another connection attempt is started in parallel. A connection is established in
      * a few ms, but a lost first packet is sent again only after 1 s.
      */
-    private static final long NEXT_ATTEMPT_MS = 150;
+    private static final long PARALLEL_ATTEMPT_DELAY_MS = 150;
 
     private static final long RECONNECT_DELAY_MS = 200;
 
@@ -78,7 +78,7 @@
     /** Whether the coordinator confirmed the list since the start, or failed to do so in time. */
     private boolean confirmed;
 
-    private final ByteBuffer buffer = ByteBuffer.allocate(16 * 1024);
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(16 * 1024);
     private long lastEventNumber;
     private StreamConnection connection;
     private FrameDecoder frameDecoder;
@@ -89,7 +89,7 @@
      * Incremented when a connection is closed and when a reconnect is scheduled. Only connection
      * attempts of the current generation count, and only the first successful one is used.
      */
-    private long connectionRound;
+    private long connectionGeneration;
 
     private boolean closed;
 
@@ -119,7 +119,7 @@
         try {
             if (config.initialEndpoints().get("updates") instanceof List<?> updates) {
                 for (Object update : updates) {
-                    applyKnownUpdate((Map<?, ?>) update);
+                    applyInitialUpdate((Map<?, ?>) update);
                 }
             }
             Object index = config.initialEndpoints().get("index");
@@ -154,7 +154,7 @@
         }
     }
 
-    private void applyKnownUpdate(Map<?, ?> update) {
+    private void applyInitialUpdate(Map<?, ?> update) {
         if (Long.parseLong(String.valueOf(update.get("index"))) <= lastEventNumber) {
             return;
         }
@@ -171,15 +171,15 @@
         if (closed || coordinator == null) {
             return;
         }
-        openConnection(connectionRound, 1);
+        openConnection(connectionGeneration, 1);
     }
 
     /**
      * Starts a connection attempt, and another one in parallel if it is slow: a lost first packet is
      * sent again only after 1 s, in which this manager would send statements to draining engines.
      */
-    private void openConnection(long round, int attempt) {
-        if (round != connectionRound || connection != null) {
+    private void openConnection(long generation, int attempt) {
+        if (generation != connectionGeneration || connection != null) {
             return;
         }
         IoFuture<? extends StreamConnection> connectFuture =
@@ -190,8 +190,8 @@
                 attempt >= MAX_PARALLEL_ATTEMPTS
                         ? null
                         : io.executeAfter(
-                                () -> openConnection(round, attempt + 1),
-                                NEXT_ATTEMPT_MS,
+                                () -> openConnection(generation, attempt + 1),
+                                PARALLEL_ATTEMPT_DELAY_MS,
                                 TimeUnit.MILLISECONDS);
         connectFuture.addNotifier(
                 (future, none) ->
@@ -199,7 +199,7 @@
                                 () -> {
                                     connectTimeout.remove();
                                     boolean done = future.getStatus() == IoFuture.Status.DONE;
-                                    if (round != connectionRound || closed || connection != null) {
+                                    if (generation != connectionGeneration || closed || connection != null) {
                                         // The coordinator has changed in the meantime, or
                                         // another attempt was faster.
                                         IoUtils.safeClose(done ? result(future) : null);
@@ -223,11 +223,11 @@
     }
 
     private void scheduleReconnect() {
-        long round = ++connectionRound;
+        long generation = ++connectionGeneration;
         reconnectTimer =
                 io.executeAfter(
                         () -> {
-                            if (round == connectionRound) {
+                            if (generation == connectionGeneration) {
                                 connect();
                             }
                         },
@@ -275,7 +275,7 @@
 
     /** Closes the connection, and cancels its timers. */
     private void closeConnection() {
-        connectionRound++;
+        connectionGeneration++;
         for (XnioExecutor.Key timer : Arrays.asList(silenceTimer, reconnectTimer)) {
             if (timer != null) {
                 timer.remove();
@@ -290,8 +290,8 @@
     private void onReadable(ConduitStreamSourceChannel source) {
         try {
             while (source.isOpen()) {
-                buffer.clear();
-                int bytesRead = source.read(buffer);
+                readBuffer.clear();
+                int bytesRead = source.read(readBuffer);
                 if (bytesRead == 0) {
                     return;
                 }
@@ -310,7 +310,7 @@
                                             + " sinceConfiguredMs="
                                             + sinceConfigured / 10);
                 }
-                for (FrameDecoder.Frame frame : frameDecoder.decode(buffer.flip())) {
+                for (FrameDecoder.Frame frame : frameDecoder.decode(readBuffer.flip())) {
                     applyFrame(frame);
                 }
                 if (!frameDecoder.hasPartialFrame()) {
@@ -329,7 +329,7 @@
             return;
         }
         if (frame.type() > 2) {
-            throw new IOException("a frame of kind " + frame.type());
+            throw new IOException("unknown frame type " + frame.type());
         }
         List<ServerEvents.DiscoveredEndpoint> endpoints = parser.parse(frame.payload());
         // Updates are rare, and needed to find out why a draining engine was sent a statement.
--- a/src/main/java/firstage/server/discovery/FrameDecoder.java
+++ b/src/main/java/firstage/server/discovery/FrameDecoder.java
@@ -38,15 +38,15 @@
      * @throws IOException if a length is out of range
      */
     public List<Frame> decode(ByteBuffer in) throws IOException {
-        byte[] piece = new byte[in.remaining()];
-        in.get(piece);
-        unconsumed.write(piece, 0, piece.length);
+        byte[] bytes = new byte[in.remaining()];
+        in.get(bytes);
+        unconsumed.write(bytes, 0, bytes.length);
         ByteBuffer available = ByteBuffer.wrap(unconsumed.toByteArray());
         List<Frame> frames = new ArrayList<>();
         while (available.remaining() >= LENGTH_BYTES) {
             int length = available.getInt(available.position());
             if (length < MIN_LENGTH || length > MAX_LENGTH) {
-                throw new IOException("a frame of " + (length & 0xFFFFFFFFL) + " bytes");
+                throw new IOException("invalid frame length: " + (length & 0xFFFFFFFFL) + " bytes");
             }
             if (available.remaining() < LENGTH_BYTES + length) {
                 break;
--- a/src/test/java/firstage/server/discovery/EndpointParserTest.java
+++ b/src/test/java/firstage/server/discovery/EndpointParserTest.java
@@ -26,7 +26,7 @@
                                     "kinds",
                                     List.of("std"))));
 
-    private static ByteBuffer record(int state, long started) {
+    private static ByteBuffer record(int state, long startedAtMs) {
         return ByteBuffer.allocate(27)
                 .putInt(0xC41F7A00)
                 .put(new byte[] {10, 0, (byte) 200, 9})
@@ -36,14 +36,14 @@
                 .put((byte) 0)
                 .putShort((short) 2)
                 .putInt(4_500)
-                .putLong(started)
+                .putLong(startedAtMs)
                 .flip();
     }
 
     @Test
     void parse_recordAndJson_areEqual() throws IOException {
-        DiscoveredEndpoint framed = parser.parse(record(1, 0)).get(0);
-        DiscoveredEndpoint known =
+        DiscoveredEndpoint fromRecord = parser.parse(record(1, 0)).get(0);
+        DiscoveredEndpoint fromJson =
                 parser.parse(
                                 List.of(
                                         Map.of(
@@ -64,9 +64,9 @@
                                                 "startedAtMs",
                                                 "0")))
                         .get(0);
-        assertThat(framed).isEqualTo(known);
-        assertThat(framed.lifecycle()).isEqualTo(Lifecycle.DRAINING);
-        assertThat(framed.startedAt()).isZero();
+        assertThat(fromRecord).isEqualTo(fromJson);
+        assertThat(fromRecord.lifecycle()).isEqualTo(Lifecycle.DRAINING);
+        assertThat(fromRecord.startedAt()).isZero();
     }
 
     @Test
@@ -84,7 +84,7 @@
 
     @Test
     void parse_unknownZoneOrMachineType_isMinusOne() {
-        DiscoveredEndpoint strange =
+        DiscoveredEndpoint endpoint =
                 parser.parse(
                                 List.of(
                                         Map.of(
@@ -99,7 +99,7 @@
                                                 "colour",
                                                 "blue")))
                         .get(0);
-        assertThat(strange.zone()).isEqualTo(-1);
-        assertThat(strange.kind()).isEqualTo(-1);
+        assertThat(endpoint.zone()).isEqualTo(-1);
+        assertThat(endpoint.kind()).isEqualTo(-1);
     }
 }
--- a/src/test/java/firstage/server/discovery/FrameDecoderTest.java
+++ b/src/test/java/firstage/server/discovery/FrameDecoderTest.java
@@ -26,10 +26,10 @@
         for (int size = 1; size <= bytes.length; size++) {
             FrameDecoder decoder = new FrameDecoder();
             List<FrameDecoder.Frame> frames = new ArrayList<>();
-            for (int at = 0; at < bytes.length; at += size) {
+            for (int offset = 0; offset < bytes.length; offset += size) {
                 frames.addAll(
                         decoder.decode(
-                                ByteBuffer.wrap(bytes, at, Math.min(size, bytes.length - at))));
+                                ByteBuffer.wrap(bytes, offset, Math.min(size, bytes.length - offset))));
             }
             assertThat(frames).hasSize(2);
             assertThat(frames.get(1).eventNumber()).isEqualTo(-2);
