--- a/src/main/java/firstage/server/client/ClientConnections.java
+++ b/src/main/java/firstage/server/client/ClientConnections.java
@@ -21,11 +21,11 @@
  * never one with an open call. Owned by the I/O thread.
  */
 final class ClientConnections {
-    /** Time after which a connection without any call is closed; clients send their call at once. */
+    /** Time until the first call on a new connection; clients send it as soon as they connect. */
     private static final long MAX_SILENT_MS = 2_000;
 
     /**
-     * Time after which a connection is closed that had a call before. Clients close their idle
+     * Time after its last call after which a connection is closed. Clients close their idle
      * connections after 4 s, so one that is idle for longer is abandoned.
      */
     private static final long MAX_IDLE_MS = 5_000;
@@ -118,7 +118,7 @@
         closeListeners.put(connection, listener);
     }
 
-    /** Removes the listener that was set with {@link #onClose}. */
+    /** Removes the listener that was set with {@link #onClose}, without calling it. */
     void removeCloseListener(StreamConnection connection) {
         closeListeners.remove(connection);
     }
--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -45,7 +45,7 @@
 
     private static final int ACCEPT_BACKLOG = 512;
 
-    /** Delay before the next accept after the system could not accept a connection. */
+    /** Delay before another accept while the system can't accept connections. */
     private static final int ACCEPT_RETRY_MS = 5;
 
     /** Time from the end of a call's head to the end of its statement. */
@@ -123,7 +123,8 @@
 
     /**
      * Accepts all waiting connections; if only some were accepted, requests on the others would be
-     * read several selector passes later. After a failure of the system, tries again.
+     * read several selector passes later. While the system can't accept any, tries again every {@link
+     * #ACCEPT_RETRY_MS}.
      */
     private void acceptPending() {
         if (!listener.isOpen()) {
@@ -150,7 +151,7 @@
         }
     }
 
-    /** Returns whether connections currently can't be accepted. */
+    /** Returns whether the system currently can't accept waiting connections. */
     public boolean isAcceptFailing() {
         return acceptFailing;
     }
@@ -314,7 +315,7 @@
         if (refusal.isPresent()) {
             responses.refuse(exchange, refusal.get().status(), refusal.get().reason());
         } else if (!pendingCalls.hasCapacity(statement.length)) {
-            // Refused: running out of memory would end the process and with it all requests.
+            // Keeping more could exhaust the memory, which ends the process and all requests.
             exchange.getResponseHeaders().put(ClientProtocol.RETRY_AFTER_MS, BUSY_RETRY_AFTER_MS);
             responses.refuse(exchange, 503, "Busy");
         } else {
--- a/src/main/java/firstage/server/client/ClientResponses.java
+++ b/src/main/java/firstage/server/client/ClientResponses.java
@@ -66,7 +66,7 @@
         this.connections = connections;
     }
 
-    /** Starts the shutdown: from now on, each connection is closed after its answer. */
+    /** Starts the last phase of a shutdown: each connection is closed after its next answer. */
     void closing(long now) {
         closing = true;
         closingSince = now;
@@ -87,7 +87,7 @@
      */
     void sweepStalledWrites() {
         if (isOldestWriteStalled()) {
-            // A client may have read during a pause of this process; its answer is then written first.
+            // If clients read while this process was paused, more of their answers is written first.
             guard.runAfterPendingReads(this::closeStalledWrites);
         }
         io.executeAfter(this::sweepStalledWrites, WRITE_SWEEP_PERIOD_MS, TimeUnit.MILLISECONDS);
@@ -121,9 +121,9 @@
     }
 
     /**
-     * Answers an unusable call with an error and closes the connection, after a limited amount of
-     * input. Undertow by itself would read the complete body first, which a client can send without
-     * an end, on the only thread that serves all clients.
+     * Answers an unusable call with an error, reads a limited amount of further input and closes the
+     * connection. Undertow by itself would first read the complete body, so a client that never ends
+     * its body would occupy the one thread that serves all clients.
      */
     void refuseAndClose(HttpServerExchange exchange, int status, String reason) {
         counters.count("client calls refused with " + status);
--- a/src/main/java/firstage/server/client/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -62,7 +62,10 @@
 
     private long pathSentAt;
 
-    /** Time at which a connection of the client was last known to be open while it waits or polls. */
+    /**
+     * Time at which a connection on which the client waits, or is expected to poll, was last known to
+     * be open.
+     */
     private long connectionOpenAt;
 
     private Answer answer;
@@ -125,7 +128,7 @@
         stateMachine.onClientCancelled();
     }
 
-    /** A call that waits for its answer, and its connection, which is read in that time. */
+    /** A call that waits for its answer; its connection is read until then. */
     private final class HeldCall {
         private final HttpServerExchange exchange;
         private final AbstractServerConnection connection;
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -54,8 +54,8 @@
     private static final int MAX_PARALLEL_ATTEMPTS = 5;
 
     /**
-     * Time from the start until the list of the configuration is acted on although the coordinator
-     * has sent nothing. A working coordinator sends its events at once.
+     * Time after the start at which the configuration's own list is acted on if the coordinator has
+     * sent nothing. A working coordinator sends its events at once.
      */
     private static final long CONFIRM_TIMEOUT_MS = 1_000;
 
@@ -332,7 +332,7 @@
             throw new IOException("unknown frame type " + frame.type());
         }
         List<ServerEvents.DiscoveredEndpoint> endpoints = parser.parse(frame.payload());
-        // Updates are rare, and needed to find out why a draining engine was sent a statement.
+        // Updates are rare; the log shows which drain was known when a statement was sent.
         LOG.info(() -> describe(frame.eventNumber(), endpoints));
         events.onEndpointsUpdated(frame.type() == 1 ? Kind.SNAPSHOT : Kind.DELTA, endpoints);
         lastEventNumber = frame.eventNumber();
--- a/src/main/java/firstage/server/discovery/FrameDecoder.java
+++ b/src/main/java/firstage/server/discovery/FrameDecoder.java
@@ -13,7 +13,7 @@
  */
 public final class FrameDecoder {
     /**
-     * One frame.
+     * A decoded frame.
      *
      * @param type 0 for a heartbeat, 1 for a snapshot, 2 for a delta
      */
--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -275,12 +275,12 @@
                     new EngineCall(EngineProtocol.put(exchange.id), body, POLL_TIMEOUT_MS) {
                         @Override
                         void onResponse(EngineResponse response) {
-                            // Ignored: the attempt does not depend on its priority.
+                            // Ignored: the attempt continues with or without the new priority.
                         }
 
                         @Override
                         void onFailure(Failure failure) {
-                            // Ignored: the attempt does not depend on its priority.
+                            // Ignored: the attempt continues with or without the new priority.
                         }
                     },
                     false);
--- a/src/main/java/firstage/server/engine/ConnectionBudget.java
+++ b/src/main/java/firstage/server/engine/ConnectionBudget.java
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Reserves a connection. At the limit, an idle connection of some engine is closed for it.
-     * Returns false if there is none to close.
+     * Reserves a connection; at the limit, first closes an idle connection to any engine. Returns
+     * false if none could be closed.
      */
     boolean reserve() {
         if (isExhausted() && pools.stream().noneMatch(EngineConnectionPool::closeLongestIdle)) {
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -87,7 +87,10 @@
         lastReceivedAt = clock.now();
     }
 
-    /** Makes a call on any usable idle connection, else or if requested on a new one. */
+    /**
+     * Makes a call on a usable idle connection, or on a new one if there is none or {@code
+     * onNewConnection} is set.
+     */
     void call(EngineCall call, boolean onNewConnection) {
         call(call, onNewConnection, false);
     }
@@ -156,7 +159,8 @@
 
     /**
      * Returns the most recently used idle connection that has no unread bytes and that has to stay
-     * quiet until {@code maxQuietUntil} at most, or null.
+     * quiet until {@code maxQuietUntil} at most, or null. Closes connections on which it finds unread
+     * bytes.
      */
     private EngineConnection mostRecentlyUsed(long maxQuietUntil, boolean requireQuiet) {
         Iterator<EngineConnection> candidates = idleConnections.descendingIterator();
@@ -309,7 +313,7 @@
         return clock.now();
     }
 
-    /** Closes connections that were idle for so long that the engine may close them in a call. */
+    /** Closes connections that were idle so long that the engine might close them during a call. */
     void closeIdleTooLong() {
         while (!idleConnections.isEmpty() && clock.now() - idleConnections.peekFirst().idleSince > context.maxIdle()) {
             EngineConnection connection = idleConnections.peekFirst();
@@ -329,7 +333,7 @@
         return closable;
     }
 
-    /** Marks the engine as draining: it gets no new statements, and running ones are polled. */
+    /** Marks the engine as draining: it gets no new statements, but running ones are still polled. */
     void markDraining() {
         draining = true;
     }
