--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -319,11 +319,11 @@
             exchange.getResponseHeaders().put(ClientProtocol.RETRY_AFTER_MS, BUSY_RETRY_AFTER_MS);
             responses.refuse(exchange, 503, "Busy");
         } else {
-            accept(exchange, call);
+            acceptRequest(exchange, call);
         }
     }
 
-    private void accept(HttpServerExchange exchange, StatementCall call) {
+    private void acceptRequest(HttpServerExchange exchange, StatementCall call) {
         PendingCall pending =
                 new PendingCall(
                         clock,
--- a/src/main/java/firstage/server/client/ClientResponses.java
+++ b/src/main/java/firstage/server/client/ClientResponses.java
@@ -51,7 +51,7 @@
     private final Map<HttpServerExchange, Long> writeStartedAt = new LinkedHashMap<>();
 
     private long closingSince;
-    private boolean closing;
+    private boolean closeAfterAnswer;
 
     ClientResponses(
             XnioIoThread io,
@@ -68,12 +68,12 @@
 
     /** Starts the last phase of a shutdown: each connection is closed after its next answer. */
     void closing(long now) {
-        closing = true;
+        closeAfterAnswer = true;
         closingSince = now;
     }
 
     boolean isClosing() {
-        return closing;
+        return closeAfterAnswer;
     }
 
     /** Returns whether all answers are written, or given up because their clients did not read. */
@@ -94,7 +94,7 @@
     }
 
     private boolean isOldestWriteStalled() {
-        long maxMs = closing ? MAX_WRITE_CLOSING_MS : MAX_WRITE_MS;
+        long maxMs = closeAfterAnswer ? MAX_WRITE_CLOSING_MS : MAX_WRITE_MS;
         return !writeStartedAt.isEmpty()
                 && clock.now() - Math.max(writeStartedAt.values().iterator().next(), closingSince)
                         > Ticks.ofMillis(maxMs);
