--- a/src/main/java/firstage/server/client/ClientConnections.java
+++ b/src/main/java/firstage/server/client/ClientConnections.java
@@ -21,7 +21,7 @@
  * never one with an open call. Owned by the I/O thread.
  */
 final class ClientConnections {
-    /** Time until the first call on a new connection; clients send it as soon as they connect. */
+    /** Time after which a new connection is closed without a call; clients send theirs at once. */
     private static final long MAX_SILENT_MS = 2_000;
 
     /**
--- a/src/main/java/firstage/server/client/ClientResponses.java
+++ b/src/main/java/firstage/server/client/ClientResponses.java
@@ -87,7 +87,7 @@
      */
     void sweepStalledWrites() {
         if (isOldestWriteStalled()) {
-            // If clients read while this process was paused, more of their answers is written first.
+            // Clients may have read while this process was paused; pending output is written first.
             guard.runAfterPendingReads(this::closeStalledWrites);
         }
         io.executeAfter(this::sweepStalledWrites, WRITE_SWEEP_PERIOD_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/firstage/server/client/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -22,8 +22,8 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * A client's request over HTTP, which performs the actions of its {@link ClientCallStateMachine}.
- * Its connection is read while a call is held, because a client cancels by closing it and Undertow
+ * Handles a client's request over HTTP: performs the actions of its {@link ClientCallStateMachine}.
+ * The connection is read while a call is held, because a client cancels by closing it and Undertow
  * does not read by itself in that time. Owned by the I/O thread.
  */
 final class PendingCall
