--- a/src/main/java/firstage/server/client/StatementCallValidator.java
+++ b/src/main/java/firstage/server/client/StatementCallValidator.java
@@ -46,8 +46,8 @@
             return refuse(400, "X-Job-Id is missing or not usable");
         }
         if (isOpen.test(call.requestId())) {
-            // Engines identify a request by its id: another statement with the same id would get the
-            // answer to this one.
+            // Engines identify a request by its id: another statement with the same id would get
+            // the answer to this one.
             return refuse(409, "X-Job-Id is of an open batch");
         }
         double maxTimeoutMs = classes.deadlineMs(call.trafficClassIndex()) * MAX_TIMEOUT_FACTOR;
