--- a/src/main/java/firstage/server/client/ClientResponses.java
+++ b/src/main/java/firstage/server/client/ClientResponses.java
@@ -20,19 +20,22 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Writes answers to clients, and ends the connections of clients that do not read theirs. Owned by
- * the I/O thread.
+ * Writes answers to clients, and closes the connections of clients that do not read their answer.
+ * Owned by the I/O thread.
  */
 final class ClientResponses {
     /**
-     * After the last answer on a connection so much is read off for so long: a close at once could
-     * take it back.
+     * Limit, in time and in size, on the input that is read and discarded after the last answer on a
+     * connection. Closing the connection at once could reset it and destroy the answer.
      */
     private static final int DRAIN_MS = 300;
 
     private static final int MAX_DRAIN_BYTES = 256 * 1024;
 
-    /** A client that reads has a whole result in milliseconds; one on a bad path in seconds. */
+    /**
+     * Time in which a client has to read an answer. A result is read in milliseconds, or in seconds
+     * over a bad network path.
+     */
     private static final int MAX_WRITE_MS = 10_000;
 
     private static final int MAX_WRITE_CLOSING_MS = 1_000;
@@ -44,11 +47,11 @@
     private final ActionGuard guard;
     private final ClientConnections connections;
 
-    /** Answers that are not all written yet, and since when; oldest first. */
-    private final Map<HttpServerExchange, Long> writesSince = new LinkedHashMap<>();
+    /** Calls whose answers are not completely written, with the start of the write; oldest first. */
+    private final Map<HttpServerExchange, Long> writeStartedAt = new LinkedHashMap<>();
 
     private long closingSince;
-    private boolean closing;
+    private boolean closeAfterAnswer;
 
     ClientResponses(
             XnioIoThread io,
@@ -63,51 +66,50 @@
         this.connections = connections;
     }
 
-    /** The program shuts down: connections end with their answers from here on. */
+    /** Starts the last phase of a shutdown: each connection is closed after its next answer. */
     void closing(long now) {
-        closing = true;
+        closeAfterAnswer = true;
         closingSince = now;
     }
 
     boolean isClosing() {
-        return closing;
+        return closeAfterAnswer;
     }
 
-    /** Whether all answers are written, or their clients have not read them in time. */
+    /** Returns whether all answers are written, or given up because their clients did not read. */
     boolean isIdle() {
-        return writesSince.isEmpty();
+        return writeStartedAt.isEmpty();
     }
 
     /**
-     * Ends the connections of answers that were not read in time; runs on by itself. A client that
-     * does not read its answer is waited for no longer than one that does needs: it must not keep
-     * the program from ending.
+     * Closes the connections of clients that did not read their answer in time; repeats itself
+     * periodically. Such a client must not keep the process from ending.
      */
     void sweepStalledWrites() {
         if (isOldestWriteStalled()) {
-            // What was read during a pause has made room, and is written first.
+            // Clients may have read while this process was paused; pending output is written first.
             guard.runAfterPendingReads(this::closeStalledWrites);
         }
         io.executeAfter(this::sweepStalledWrites, WRITE_SWEEP_PERIOD_MS, TimeUnit.MILLISECONDS);
     }
 
     private boolean isOldestWriteStalled() {
-        long maxMs = closing ? MAX_WRITE_CLOSING_MS : MAX_WRITE_MS;
-        return !writesSince.isEmpty()
-                && clock.now() - Math.max(writesSince.values().iterator().next(), closingSince)
+        long maxMs = closeAfterAnswer ? MAX_WRITE_CLOSING_MS : MAX_WRITE_MS;
+        return !writeStartedAt.isEmpty()
+                && clock.now() - Math.max(writeStartedAt.values().iterator().next(), closingSince)
                         > Ticks.ofMillis(maxMs);
     }
 
     private void closeStalledWrites() {
         while (isOldestWriteStalled()) {
-            HttpServerExchange oldest = writesSince.keySet().iterator().next();
+            HttpServerExchange oldest = writeStartedAt.keySet().iterator().next();
             counters.count("responses not read");
-            writesSince.remove(oldest);
+            writeStartedAt.remove(oldest);
             IoUtils.safeClose(oldest.getConnection());
         }
     }
 
-    /** Answers a call that can't be used; it never reached an engine. */
+    /** Answers an unusable call with an error; the call has not reached an engine. */
     void refuse(HttpServerExchange exchange, int status, String reason) {
         if (!exchange.isRequestComplete()) {
             refuseAndClose(exchange, status, reason);
@@ -119,9 +121,9 @@
     }
 
     /**
-     * The same, and the connection ends with it. Of what still comes little is read: Undertow would
-     * drain a body first, for as long as a client that never ends it sends, on the one thread that
-     * serves all others.
+     * Answers an unusable call with an error, reads a limited amount of further input and closes the
+     * connection. Undertow by itself would first read the complete body, so a client that never ends
+     * its body would occupy the one thread that serves all clients.
      */
     void refuseAndClose(HttpServerExchange exchange, int status, String reason) {
         counters.count("client calls refused with " + status);
@@ -173,20 +175,20 @@
                 ("{\"err\":\"" + reason + "\"}\n").getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Sends a JSON answer under the status that the exchange has. */
+    /** Sends a JSON answer with the status code of the exchange. */
     void send(HttpServerExchange exchange, ByteBuffer body) {
         send(exchange, body, IoCallback.END_EXCHANGE);
     }
 
-    private void send(HttpServerExchange exchange, ByteBuffer body, IoCallback then) {
-        writesSince.put(exchange, clock.now());
+    private void send(HttpServerExchange exchange, ByteBuffer body, IoCallback callback) {
+        writeStartedAt.put(exchange, clock.now());
         exchange.addExchangeCompleteListener(
                 (completed, next) -> {
-                    writesSince.remove(completed);
+                    writeStartedAt.remove(completed);
                     next.proceed();
                 });
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
         exchange.getResponseHeaders().put(Headers.CONTENT_LENGTH, body.remaining());
-        exchange.getResponseSender().send(body, then);
+        exchange.getResponseSender().send(body, callback);
     }
 }
--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -15,14 +15,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An attempt over HTTP: makes the calls that its {@link AttemptStateMachine} decides on, and reads
- * what the responses say. It decides nothing. Owned by the I/O thread.
+ * Runs an attempt over HTTP: makes the calls that its {@link AttemptStateMachine} requests, and
+ * reports the parsed responses to it. All decisions are left to the state machine. Owned by the I/O
+ * thread.
  */
 final class AttemptRunner
         implements RequestExchange.AttemptHandle, AttemptStateMachine.AttemptActions {
     /**
-     * Engines answer within 250 ms; another connection is tried well before they drop a statement
-     * after 2 s.
+     * Response timeout of all calls of an attempt but the DELETE. Engines answer within 250 ms and drop a statement
+     * that is not polled for 2 s; this timeout leaves time to try another connection before that.
      */
     private static final long POLL_TIMEOUT_MS = 600;
 
@@ -39,10 +40,10 @@
     private final ResultPages pages = new ResultPages();
     private boolean countedAsRunning;
 
-    /** When the statement's head was made, with the time that the client has left. */
-    private long headMadeAt;
+    /** Time at which the statement's head was built; the head holds the client's remaining time. */
+    private long headBuiltAt;
 
-    /** What the last verdict on its sending was based on; null before. */
+    /** State of the request on which the last send verdict is based; null before the first. */
     private Knowledge knowledge;
 
     private long duration;
@@ -66,7 +67,7 @@
         this.startedAt = context.clock().now();
         this.priority = exchange.priority;
         stateMachine = new AttemptStateMachine(this, exchange.orderingKey != null);
-        // Not within the decision that starts it: its outcome is a later event.
+        // Deferred: the outcome must be a later event than the decision that starts the attempt.
         context.io().execute(stateMachine::start);
     }
 
@@ -84,11 +85,11 @@
         return context.clock().now();
     }
 
-    private void record(EventType event, int figure) {
-        context.counters().recorder().record(event, exchange.id, number, figure);
+    private void record(EventType event, int detail) {
+        context.counters().recorder().record(event, exchange.id, number, detail);
     }
 
-    private void countUnreadable() {
+    private void countUnreadableReply() {
         context.counters().count("unreadable engine replies");
     }
 
@@ -110,14 +111,14 @@
                 new EngineCall(EngineProtocol.post(), exchange.statement, POLL_TIMEOUT_MS) {
                     @Override
                     Verdict checkSend() {
-                        inspect(stateMachine.shouldSendStatement());
+                        refreshKnowledge(stateMachine.shouldSendStatement());
                         return SendGuard.decide(now(), knowledge);
                     }
 
                     @Override
                     Verdict checkRest() {
-                        inspect(stateMachine.isRunning());
-                        return SendGuard.decideRest(now(), knowledge, headMadeAt);
+                        refreshKnowledge(stateMachine.isRunning());
+                        return SendGuard.decideRest(now(), knowledge, headBuiltAt);
                     }
 
                     @Override
@@ -149,7 +150,7 @@
                                 .ifPresentOrElse(
                                         reply -> stateMachine.onStatementReply(now(), reply),
                                         () -> {
-                                            countUnreadable();
+                                            countUnreadableReply();
                                             stateMachine.onStatementFailed(
                                                     now(), CallFailure.REPLY_UNREADABLE);
                                         });
@@ -162,15 +163,15 @@
                 });
     }
 
-    private void inspect(boolean attemptOpen) {
+    private void refreshKnowledge(boolean attemptOpen) {
         knowledge =
                 context.guard()
                         .inspect(exchange, attemptOpen, !pool.isDraining() && !pool.closed());
     }
 
     private String statementHeaders() {
-        headMadeAt = now();
-        long timeoutMs = Math.max(1, (exchange.deadline - headMadeAt) / 10);
+        headBuiltAt = now();
+        long timeoutMs = Math.max(1, (exchange.deadline - headBuiltAt) / 10);
         return EngineProtocol.statementHeaders(exchange, timeoutMs, priority);
     }
 
@@ -193,7 +194,7 @@
                                 .ifPresentOrElse(
                                         reply -> stateMachine.onReply(now(), reply),
                                         () -> {
-                                            countUnreadable();
+                                            countUnreadableReply();
                                             stateMachine.onCallFailed(
                                                     now(), CallFailure.REPLY_UNREADABLE);
                                         });
@@ -208,14 +209,14 @@
     }
 
     /**
-     * What a response says; keeps its load report and page, and reports progress. Empty where it
-     * can't be one of an engine's: it was damaged on its way.
+     * Converts a response to an engine reply, keeps its load report and page, and reports progress.
+     * Returns empty for a response that no engine sends: it was damaged in transit.
      */
     private Optional<EngineReply> interpret(EngineResponse response, int page) {
         record(EventType.ENGINE_REPLY, response.status());
         boolean running = stateMachine.isRunning();
         if (running) {
-            // The latest only: an earlier one would pass for new when the attempt ends.
+            // Overwritten even with null: at the end, an old report would be taken for a new one.
             loadReport = EngineProtocol.loadReport(response);
         }
         return switch (response.status()) {
@@ -225,7 +226,7 @@
                 }
                 yield page > 0 && running ? Optional.empty() : Optional.of(EngineReply.PROGRESS);
             }
-            // Of an abandoned attempt only the end counts, not its pages.
+            // An abandoned attempt only has to end; its pages are not needed.
             case 200 -> running ? addPage(response, page) : Optional.of(EngineReply.LAST_PAGE);
             case 503, 504 ->
                     Optional.of(
@@ -274,12 +275,12 @@
                     new EngineCall(EngineProtocol.put(exchange.id), body, POLL_TIMEOUT_MS) {
                         @Override
                         void onResponse(EngineResponse response) {
-                            // Nothing depends on it.
+                            // Ignored: the attempt continues with or without the new priority.
                         }
 
                         @Override
                         void onFailure(Failure failure) {
-                            // Nothing depends on it.
+                            // Ignored: the attempt continues with or without the new priority.
                         }
                     },
                     false);
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -16,26 +16,33 @@
 import org.xnio.XnioExecutor;
 
 /**
- * The connections to one engine. They belong to its id: another engine may get its address when it
- * is gone. Owned by the I/O thread; times are ticks.
+ * The connections to one engine. A pool belongs to the engine's id, not to its address: another
+ * engine may get the address after this one is gone. Owned by the I/O thread; times are ticks.
  */
 final class EngineConnectionPool {
-    /** Engines answer a poll after 250 ms; the rest is for the round trip. */
-    private static final long TRUST_PERIOD = 4_000;
+    /**
+     * Time after the engine's last bytes in which its open connections are assumed to work. Engines
+     * answer a poll after 250 ms; the rest is for the round trip.
+     */
+    private static final long LIVENESS_PERIOD = 4_000;
 
     /**
-     * Between a page and the next call: a duplicate of it shows within that, and would pass for
-     * another's rows. A call that must not be mistaken (a statement, a DELETE) waits so long after
-     * any response.
+     * Minimum time between a page and the next call on its connection. A duplicate of the page
+     * arrives within this time, and would be taken for rows of another result. A call whose response
+     * must not be confused (a statement, a DELETE) waits this long after any response.
      */
     private static final long QUIET_PERIOD = 100;
 
     /**
-     * Engines hold a poll for 250 ms, so the true response behind a duplicate comes within this.
+     * Time for which a connection is not used after a suspected duplicate. Engines hold a poll for
+     * 250 ms, so the genuine response arrives within this time.
      */
-    private static final long DOUBT_PERIOD = 3_000;
+    private static final long QUARANTINE_PERIOD = 3_000;
 
-    /** How often what is known is renewed for one send, on a machine that is very busy. */
+    /**
+     * Maximum number of times that outdated knowledge is renewed for one send; only a very busy
+     * machine needs more than one renewal.
+     */
     private static final int MAX_RENEWALS = 3;
 
     private final EngineContext context;
@@ -44,16 +51,16 @@
     final InetSocketAddress address;
     private final String host;
 
-    /** The one that was used last is used next: the others age and are closed. */
-    private final ArrayDeque<EngineConnection> idle = new ArrayDeque<>();
+    /** Idle connections; the last used one is reused first, so that the others age and expire. */
+    private final ArrayDeque<EngineConnection> idleConnections = new ArrayDeque<>();
 
-    private final Set<EngineConnection> all = new HashSet<>();
-    private int connecting;
+    private final Set<EngineConnection> openConnections = new HashSet<>();
+    private int connectingCount;
 
-    /** Attempts whose statement was written here and that were not released. */
+    /** Number of attempts whose statement was written to this engine and that are not released. */
     private int runningAttempts;
 
-    private long lastResponseAt = Long.MIN_VALUE / 2;
+    private long lastReceivedAt = Long.MIN_VALUE / 2;
     private boolean draining;
     private boolean closed;
 
@@ -67,34 +74,39 @@
     }
 
     /**
-     * Makes a call that must not be lost unnoticed: on an idle connection while the engine
-     * responded of late, else on a new one. The open connections of a vanished machine stay open,
-     * and what is written there is lost, while a connection that does not come up proves that
-     * nothing ran.
+     * Makes a call whose loss must not go unnoticed: on an idle connection if the engine responded
+     * recently, else on a new one. The connections to a machine that vanished stay open and lose
+     * what is written to them, whereas a failure to connect proves that nothing ran.
      */
     void startCall(EngineCall call) {
-        call(call, clock.now() - lastResponseAt > TRUST_PERIOD, true);
+        call(call, clock.now() - lastReceivedAt > LIVENESS_PERIOD, true);
     }
 
-    /** The engine sent something. */
+    /** Records that the engine sent bytes. */
     void lastResponseAt() {
-        lastResponseAt = clock.now();
+        lastReceivedAt = clock.now();
     }
 
-    /** Makes the call on an idle connection, else on a new one. */
+    /**
+     * Makes a call on a usable idle connection, or on a new one if there is none or {@code
+     * onNewConnection} is set.
+     */
     void call(EngineCall call, boolean onNewConnection) {
         call(call, onNewConnection, false);
     }
 
     /**
-     * The same; {@code requireQuiet}: only on a connection that was quiet for long enough since its
-     * last response.
+     * Makes a call.
+     *
+     * @param onNewConnection whether to open a new connection even if one is idle
+     * @param requireQuiet whether an idle connection must have received nothing for {@link
+     *     #QUIET_PERIOD} since its last response
      */
     void call(EngineCall call, boolean onNewConnection, boolean requireQuiet) {
         closeIdleTooLong();
-        EngineConnection ready = onNewConnection ? null : findReady(requireQuiet);
-        if (ready != null) {
-            sendIfAllowed(ready, call, 0);
+        EngineConnection idleConnection = onNewConnection ? null : findUsableIdle(requireQuiet);
+        if (idleConnection != null) {
+            sendIfAllowed(idleConnection, call, 0);
             return;
         }
         Verdict verdict = call.checkSend();
@@ -112,7 +124,10 @@
         context.io().execute(() -> call.onFailure(EngineCall.Failure.NO_LONGER_WANTED));
     }
 
-    /** Asks at the instant at which the call would be written on this connection. */
+    /**
+     * Writes the call on this connection if its check allows this now; renews outdated knowledge and
+     * checks again.
+     */
     private void sendIfAllowed(EngineConnection connection, EngineCall call, int renewals) {
         if (connection.isClosed()) {
             context.io().execute(() -> call.onFailure(EngineCall.Failure.RESET_BEFORE_SEND));
@@ -132,10 +147,10 @@
     }
 
     /**
-     * An idle connection; where no other can be had one that should still stay quiet: a draining
-     * engine may accept no new connections.
+     * Returns a usable idle connection, or null. If no new connection can be opened (a draining
+     * engine may accept none), a connection that should still stay quiet is usable, too.
      */
-    private EngineConnection findReady(boolean requireQuiet) {
+    private EngineConnection findUsableIdle(boolean requireQuiet) {
         EngineConnection quietConnection = mostRecentlyUsed(clock.now(), requireQuiet);
         return quietConnection == null && (draining || budget.isExhausted())
                 ? mostRecentlyUsed(Long.MAX_VALUE, requireQuiet)
@@ -143,17 +158,18 @@
     }
 
     /**
-     * The idle connection that was used last, of those that may be used by then and have nothing
-     * unread.
+     * Returns the most recently used idle connection that has no unread bytes and that has to stay
+     * quiet until {@code maxQuietUntil} at most, or null. Closes connections on which it finds unread
+     * bytes.
      */
-    private EngineConnection mostRecentlyUsed(long quietBy, boolean requireQuiet) {
-        Iterator<EngineConnection> candidates = idle.descendingIterator();
+    private EngineConnection mostRecentlyUsed(long maxQuietUntil, boolean requireQuiet) {
+        Iterator<EngineConnection> candidates = idleConnections.descendingIterator();
         while (candidates.hasNext()) {
             EngineConnection connection = candidates.next();
             boolean quietLongEnough =
                     !requireQuiet || clock.now() - connection.idleSince >= QUIET_PERIOD;
             if (clock.now() >= connection.doubtUntil
-                    && connection.quietUntil <= quietBy
+                    && connection.quietUntil <= maxQuietUntil
                     && quietLongEnough) {
                 candidates.remove();
                 if (connection.hasNoUnreadBytes()) {
@@ -167,7 +183,7 @@
     }
 
     private void connect(EngineCall call) {
-        connecting++;
+        connectingCount++;
         budget.onConnecting(this);
         IoFuture<? extends StreamConnection> connectFuture =
                 context.io()
@@ -175,8 +191,8 @@
                                 address, null, OptionMap.create(Options.TCP_NODELAY, true));
         XnioExecutor.Key connectTimeout =
                 context.guard().executeAfter(context.connectTimeoutMs(), connectFuture::cancel);
-        // Handled on this thread, after the events at hand: a refusal may be known before this
-        // call returns.
+        // Handled as a later event on the I/O thread: a refused connection may be reported before
+        // this method returns.
         connectFuture.addNotifier(
                 (future, none) ->
                         context.io()
@@ -189,7 +205,7 @@
     }
 
     private void onConnectFinished(EngineCall call, IoFuture<? extends StreamConnection> future) {
-        connecting--;
+        connectingCount--;
         if (future.getStatus() == IoFuture.Status.DONE) {
             onConnected(call, future);
         } else {
@@ -205,7 +221,7 @@
         if (!(future.getException() instanceof ConnectException)) {
             return EngineCall.Failure.RESET_BEFORE_SEND;
         }
-        // The same exception stands for ECONNREFUSED and ETIMEDOUT.
+        // ECONNREFUSED and ETIMEDOUT differ only in the message of the exception.
         return String.valueOf(future.getException().getMessage()).contains("timed out")
                 ? EngineCall.Failure.CONNECT_TIMEOUT
                 : EngineCall.Failure.CONNECTION_REFUSED;
@@ -220,7 +236,7 @@
                             context.guard(),
                             context.readBuffer(),
                             future.get());
-            all.add(connection);
+            openConnections.add(connection);
             sendIfAllowed(connection, call, 0);
         } catch (IOException exception) {
             budget.release();
@@ -228,42 +244,42 @@
         }
     }
 
-    /** Whether a connection is open: a process that dies resets all. */
+    /** Returns whether a connection is open; when an engine's process dies, all are reset. */
     boolean hasOpenConnection() {
-        return !all.isEmpty();
+        return !openConnections.isEmpty();
     }
 
-    /** Connections in use, idle, or coming up. */
+    /** Returns the number of connections that are in use, idle or being established. */
     int connectionCount() {
-        return all.size() + connecting;
+        return openConnections.size() + connectingCount;
     }
 
-    /** A statement was written here. */
+    /** Records that the statement of an attempt was written to this engine. */
     void onAttemptRunning() {
         runningAttempts++;
     }
 
-    /** The attempt makes no more calls. */
+    /** Records that such an attempt makes no more calls. */
     void onAttemptReleased() {
         runningAttempts--;
     }
 
     /**
-     * Whether this is the only connection while an attempt runs here. It is kept even where it is
-     * suspect: an engine that drains accepts no new one, often before the endpoint list says so,
-     * and what runs there could never be polled again; a non-idempotent request would be lost and
-     * its key blocked.
+     * Returns whether a single connection is left while attempts run at the engine. That connection
+     * is kept even if it is suspect: a draining engine accepts no new connections, often before the
+     * endpoint list reports the drain, and its attempts could never be polled again. A
+     * non-idempotent request would be lost and its ordering key blocked.
      */
     boolean isOnlyConnectionWhileRunning() {
-        return runningAttempts > 0 && all.size() == 1;
+        return runningAttempts > 0 && openConnections.size() == 1;
     }
 
     /**
-     * Keeps the connection unused until the true response behind a duplicate would have come; its
-     * stray bytes then close it.
+     * Keeps a connection unused until the genuine response behind a duplicate must have arrived. If
+     * it has, the connection is found to have unread bytes and is closed.
      */
     void onSuspectedDuplicate(EngineConnection connection) {
-        connection.doubtUntil = clock.now() + DOUBT_PERIOD;
+        connection.doubtUntil = clock.now() + QUARANTINE_PERIOD;
         idle(connection, false);
     }
 
@@ -274,41 +290,41 @@
         } else {
             connection.idleSince = clock.now();
             connection.quietUntil = connection.idleSince + (mustStayQuiet ? QUIET_PERIOD : 0);
-            idle.addLast(connection);
+            idleConnections.addLast(connection);
         }
     }
 
     void onClosed(EngineConnection connection) {
-        if (all.remove(connection)) {
-            idle.remove(connection);
+        if (openConnections.remove(connection)) {
+            idleConnections.remove(connection);
             budget.release();
         }
     }
 
     /**
-     * Whether a response came at once where engines hold a poll: it may be a duplicate of the one
-     * before.
+     * Returns whether a poll was answered immediately although engines hold polls: the response may
+     * be a duplicate of the previous one.
      */
-    boolean isSuspectedDuplicate(EngineResponse response, long since) {
-        return response.status() == 202 && clock.now() - since < QUIET_PERIOD;
+    boolean isSuspectedDuplicate(EngineResponse response, long sentAt) {
+        return response.status() == 202 && clock.now() - sentAt < QUIET_PERIOD;
     }
 
     long now() {
         return clock.now();
     }
 
-    /** Closes what was idle so long that the engine might close it under a call. */
+    /** Closes connections that were idle so long that the engine might close them during a call. */
     void closeIdleTooLong() {
-        while (!idle.isEmpty() && clock.now() - idle.peekFirst().idleSince > context.maxIdle()) {
-            EngineConnection connection = idle.peekFirst();
+        while (!idleConnections.isEmpty() && clock.now() - idleConnections.peekFirst().idleSince > context.maxIdle()) {
+            EngineConnection connection = idleConnections.peekFirst();
             connection.close();
             onClosed(connection);
         }
     }
 
-    /** Closes the connection that was idle longest; false without one. */
+    /** Closes the connection that was idle longest; returns whether one could be closed. */
     boolean closeLongestIdle() {
-        EngineConnection connection = idle.peekFirst();
+        EngineConnection connection = idleConnections.peekFirst();
         boolean closable = connection != null && !isOnlyConnectionWhileRunning();
         if (closable) {
             connection.close();
@@ -317,7 +333,7 @@
         return closable;
     }
 
-    /** Starts nothing new here; what runs is polled still. */
+    /** Marks the engine as draining: it gets no new statements, but running ones are still polled. */
     void markDraining() {
         draining = true;
     }
@@ -330,10 +346,10 @@
         return closed;
     }
 
-    /** Its idle connections are closed now, the others when their call ends. */
+    /** Closes the idle connections now, and the others when their calls end. */
     void close() {
         closed = true;
-        for (EngineConnection connection : Set.copyOf(idle)) {
+        for (EngineConnection connection : Set.copyOf(idleConnections)) {
             connection.close();
             onClosed(connection);
         }
