--- a/src/main/java/firstage/membership/FailureDetector.java
+++ b/src/main/java/firstage/membership/FailureDetector.java
@@ -13,42 +13,56 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Finds out which peers do not answer (SWIM): one ping each period, in turn; where no answer comes,
- * others are asked to ping in this manager's place; who answers neither is reported as unanswered,
- * and as timed out if it does not refute the suspicion. A manager that is slow itself waits longer,
- * and one that nobody answers judges nobody (Lifeguard).
+ * Detects unresponsive peers (SWIM). Pings one peer each period, in turn. If no ack arrives, it asks
+ * other peers to ping the target on this manager's behalf. A peer that answers neither is reported
+ * as unanswered, and later as timed out unless it refutes the suspicion. A manager that is slow
+ * itself waits longer for acks, and a manager that receives no acks at all reports no failures
+ * (Lifeguard).
  */
 final class FailureDetector {
-    /** Asked to ping in this manager's place: one broken link or one lost message is borne. */
+    /**
+     * Number of peers asked to ping a target on this manager's behalf; tolerates one broken link or
+     * one lost message.
+     */
     static final int INDIRECT_PROBERS = 3;
 
-    /** A quarter of a period without an answer, many round trips, and others are asked. */
+    /**
+     * Ack timeouts in one period. Indirect probes are sent after a quarter of a period, which is many
+     * round trips.
+     */
     private static final long ACK_TIMEOUTS_PER_PERIOD = 4;
 
-    /** A manager that is slow itself waits up to so many times longer. */
+    /** Maximum penalty of a slow manager; each point adds one base timeout to its ack timeout. */
     private static final int MAX_LOCAL_HEALTH_PENALTY = 6;
 
-    /** Pauses of 3 s and a loss of 20 % are borne. */
+    /** Time in which a suspect may refute; tolerates pauses of 3 s and a message loss of 20 %. */
     private static final long SUSPICION_TIMEOUT = Ticks.ofMillis(4_500);
 
-    /** Without any answer so long, it is this manager that is cut off. */
+    /** Time without any ack after which this manager considers itself isolated. */
     private static final long ISOLATION_TIMEOUT = Ticks.ofSeconds(1);
 
-    /** Between probes of an address where nobody answers: halves of a fleet find each other. */
+    /**
+     * Periods between two reconnect probes, which go to addresses without an alive or suspect peer.
+     * They let the halves of a split fleet find each other.
+     */
     private static final int PERIODS_PER_RECONNECT_PROBE = 3;
 
-    /** Where no peer is known, so many addresses each period. */
+    /** Reconnect probes sent each period while no peer is alive or suspect. */
     private static final int RECONNECT_PROBES_ALONE = 3;
 
-    /** Enough to become known, and no burst on a large fleet. */
+    /**
+     * Maximum number of probes at start: enough for this manager to become known, without a burst in
+     * a large fleet.
+     */
     private static final int STARTUP_PROBES = 32;
 
-    /** Own probes and those for others. */
+    /** Limit of pending probes, both this manager's own and those on behalf of others. */
     private static final int MAX_PENDING_PROBES = 256;
 
     /**
-     * A probe without its answer. {@code target}: null where an answer says nothing of a peer that
-     * is judged; {@code requester}: for whom it was sent, or null, under its own sequence number.
+     * A probe that awaits its ack. {@code target} is null if a missing ack has no consequence;
+     * {@code requester} is the manager on whose behalf the probe was sent, or null, and {@code
+     * requesterSequence} the sequence number that the requester gave it.
      */
     private static final class Probe {
         private final long sequence;
@@ -72,7 +86,7 @@
         }
     }
 
-    /** What an answer belongs to: when it was asked for, and for whom, or null. */
+    /** The probe that an ack belongs to; {@code requester} is null for an own probe. */
     record AnsweredProbe(long sentAt, String requester, long requesterSequence) {}
 
     private record Suspicion(long endsAt, String name) {}
@@ -105,7 +119,7 @@
         this.defect = defect;
     }
 
-    /** Probes many addresses at once, so that a fleet that starts need not wait for its rounds. */
+    /** Probes many addresses at once, so that a starting fleet need not wait for probe rounds. */
     void start(long now) {
         lastResponseAt = now;
         List<Integer> all = new ArrayList<>();
@@ -118,8 +132,9 @@
     }
 
     /**
-     * This process stood still: what is pending is answered late through its own fault. It judges
-     * nobody by what is from before.
+     * Handles a pause of this process that lasted {@code gap} ticks. Acks to pending probes are late
+     * because of the pause, so the probes are dropped and the suspicions start anew: no peer is
+     * reported because of observations made before the pause.
      */
     void onPause(long now, long gap) {
         probes.clear();
@@ -132,38 +147,38 @@
                 .forEach(peer -> startSuspicion(now, peer));
     }
 
-    /** Whether nobody has answered for long. */
+    /** Returns whether no ack has arrived within the isolation timeout. */
     boolean isIsolated(long now) {
         return now - lastResponseAt > ISOLATION_TIMEOUT;
     }
 
-    private boolean mayNotJudge(long now) {
+    private boolean mustNotReportFailures(long now) {
         return isIsolated(now)
                 && defect != MembershipProtocol.InjectedDefect.ISOLATED_MANAGER_JUDGES;
     }
 
-    /** Others suspect this manager: it may be slow itself. */
+    /** Raises the local health penalty: others suspected this manager, so it may be slow. */
     void onRefutation() {
         localHealthPenalty = Math.min(MAX_LOCAL_HEALTH_PENALTY, localHealthPenalty + 1);
     }
 
-    /** The time to refute begins, or begins anew. */
+    /** Starts or restarts the time in which the peer may refute the suspicion. */
     void startSuspicion(long now, Peer peer) {
         peer.suspectSince(now);
         suspicions.add(new Suspicion(now + SUSPICION_TIMEOUT, peer.name()));
     }
 
-    /** Acts on probes without an answer and on suspicions whose time is over. */
+    /** Handles probes whose ack is overdue and suspicions that have timed out. */
     void expire(long now) {
         List.copyOf(probes.values()).forEach(probe -> expireProbe(now, probe));
         while (!suspicions.isEmpty() && suspicions.peek().endsAt() <= now) {
             Peer peer = table.peer(suspicions.poll().name());
             if (peer.state() == MemberState.SUSPECT
                     && peer.suspectedAt() + SUSPICION_TIMEOUT <= now) {
-                if (mayNotJudge(now)) {
+                if (mustNotReportFailures(now)) {
                     startSuspicion(now, peer);
                 } else {
-                    actions.suspicionTimedOut(now, peer, "not heard of again");
+                    actions.suspicionTimedOut(now, peer, "suspicion not refuted in time");
                 }
             }
         }
@@ -178,8 +193,8 @@
         } else if (!probe.indirect && age > ackTimeout()) {
             probe.indirect = true;
             if (defect != MembershipProtocol.InjectedDefect.NO_INDIRECT_PROBES) {
-                for (Peer helper : table.randomAlive(random, INDIRECT_PROBERS, probe.target)) {
-                    actions.sendPingRequest(now, helper, probe.sequence, probe.target);
+                for (Peer prober : table.randomAlive(random, INDIRECT_PROBERS, probe.target)) {
+                    actions.sendPingRequest(now, prober, probe.sequence, probe.target);
                 }
             }
         } else if (probe.indirect && age > 3 * ackTimeout() + period / 2) {
@@ -189,14 +204,14 @@
     }
 
     private void onUnanswered(long now, Probe probe) {
-        boolean mayJudge = !mayNotJudge(now);
+        boolean mayReport = !mustNotReportFailures(now);
         localHealthPenalty =
-                Math.min(MAX_LOCAL_HEALTH_PENALTY, localHealthPenalty + (mayJudge ? 0 : 1));
+                Math.min(MAX_LOCAL_HEALTH_PENALTY, localHealthPenalty + (mayReport ? 0 : 1));
         Peer target = table.peer(probe.target);
         boolean heardSince = target.lastAliveAt() > probe.sentAt;
-        if (mayJudge && !heardSince) {
+        if (mayReport && !heardSince) {
             actions.peerUnanswered(
-                    now, target, "no answer, nor to " + INDIRECT_PROBERS + " others");
+                    now, target, "no ack to direct pings or to " + INDIRECT_PROBERS + " indirect probes");
         }
     }
 
@@ -204,7 +219,7 @@
         return period * (1 + localHealthPenalty) / ACK_TIMEOUTS_PER_PERIOD;
     }
 
-    /** Sends the probes of a period where it is time to. */
+    /** Sends the probes of a period if one has begun; a leaving manager sends none. */
     void probe(long now, boolean leaving) {
         if (now < nextProbeAt) {
             return;
@@ -223,7 +238,7 @@
         }
     }
 
-    /** Probes random addresses at which nobody is known to be, or somebody who is dead or left. */
+    /** Probes random addresses whose peer is unknown, dead or left. */
     private void reconnect(long now, int count) {
         List<Integer> addresses = new ArrayList<>();
         for (int address = 0; address < table.addresses(); address++) {
@@ -239,7 +254,10 @@
         }
     }
 
-    /** In turn through a shuffled order: each is probed within two rounds. */
+    /**
+     * Returns the next peer in a shuffled order, or null if no peer is alive or suspect. Each peer is
+     * probed at least once in two rounds.
+     */
     private Peer nextTarget() {
         for (int round = 0; round < 2; round++) {
             while (!probeOrder.isEmpty()) {
@@ -255,12 +273,12 @@
         return null;
     }
 
-    /** Pings a peer that it knows, outside its turn. */
+    /** Pings a peer out of turn. */
     void pingNow(long now, Peer peer) {
         ping(now, peer.name(), peer.address(), null, 0);
     }
 
-    /** Pings a peer in another manager's place, which gets to hear of an answer. */
+    /** Pings a peer on behalf of the requester, which is told of the ack. */
     void pingFor(long now, Peer target, String requester, long requesterSequence) {
         ping(now, target.name(), target.address(), requester, requesterSequence);
     }
@@ -272,10 +290,10 @@
         }
         long sequence = nextSequence();
         Peer peer = target == null ? null : table.peer(target);
-        boolean judged = peer != null && peer.isJudged();
+        boolean aliveOrSuspect = peer != null && peer.isJudged();
         probes.put(
                 sequence,
-                judged || requester != null
+                aliveOrSuspect || requester != null
                         ? new Probe(sequence, target, now, requester, requesterSequence)
                         : new Probe(sequence, null, now, null, 0));
         actions.sendPing(now, address, sequence, target == null ? "" : target);
@@ -285,7 +303,7 @@
         return ++lastSequence;
     }
 
-    /** An answer; null where nothing was asked under its number. */
+    /** Handles an ack; returns null if no probe with this sequence number is pending. */
     AnsweredProbe onAck(long now, long sequence) {
         Probe probe = probes.remove(sequence);
         if (probe == null) {
@@ -296,7 +314,7 @@
         return new AnsweredProbe(probe.sentAt, probe.requester, probe.requesterSequence);
     }
 
-    /** Another manager got an answer to what this one had asked it to ping. */
+    /** Handles the report of another manager that the target answered an indirect probe. */
     void onIndirectAck(long now, long sequence, String target) {
         Probe probe = probes.get(sequence);
         Peer peer = table.peer(target);
--- a/src/main/java/firstage/membership/FailureDetectorActions.java
+++ b/src/main/java/firstage/membership/FailureDetectorActions.java
@@ -1,16 +1,16 @@
 package firstage.membership;
 
-/** What the failure detector wants done; none of it calls back before it returns. */
+/** Effects of the failure detector; no method calls back into it. */
 interface FailureDetectorActions {
-    /** Sends a probe; {@code target} is empty where nobody is known at the address. */
+    /** Sends a probe; {@code target} is empty if no peer is known at the address. */
     void sendPing(long now, int address, long sequence, String target);
 
-    /** Asks another to probe the target in this manager's place. */
-    void sendPingRequest(long now, Peer helper, long sequence, String target);
+    /** Asks another peer to probe the target on this manager's behalf. */
+    void sendPingRequest(long now, Peer prober, long sequence, String target);
 
-    /** A peer did not answer, neither directly nor to others. */
+    /** Reports that a peer answered neither a direct nor an indirect probe. */
     void peerUnanswered(long now, Peer peer, String reason);
 
-    /** A suspect did not refute in time. */
+    /** Reports that a suspect did not refute the suspicion in time. */
     void suspicionTimedOut(long now, Peer peer, String reason);
 }
--- a/src/main/java/firstage/membership/FlapDamping.java
+++ b/src/main/java/firstage/membership/FlapDamping.java
@@ -3,19 +3,19 @@
 import firstage.util.Ticks;
 
 /**
- * Keeps a member that dies and returns again and again out of the view, for longer with each
- * return. Returns are forgotten with time.
+ * Holds a member that repeatedly dies and returns out of the view, for longer with each return. The
+ * count of returns decays over time.
  */
 final class FlapDamping {
-    /** Returns without a hold-down: a restart and a suspicion by chance. */
+    /** Returns allowed without a hold-down: one restart and one false suspicion. */
     private static final double FREE_RETURNS = 2;
 
-    /** Doubled at the third return and again with each further one. */
+    /** Base of the hold-down in ticks; doubles at the third return and at each further one. */
     private static final long HOLD_DOWN_BASE = Ticks.ofMillis(500);
 
     private static final long MAX_HOLD_DOWN = Ticks.ofSeconds(30);
 
-    /** In which half of the returns is forgotten. */
+    /** Half-life of the count of recent returns. */
     private static final long RETURNS_HALF_LIFE = Ticks.ofSeconds(30);
 
     private static final double MAX_DOUBLINGS = 10;
@@ -24,7 +24,7 @@
     private long lastReturnAt;
     private long heldOutUntil;
 
-    /** The member is alive again. */
+    /** Records that the member is alive again; {@code mayHoldDown} allows a hold-down. */
     void recordReturn(long now, boolean mayHoldDown) {
         recentReturns =
                 recentReturns * Math.pow(0.5, (double) (now - lastReturnAt) / RETURNS_HALF_LIFE)
@@ -41,10 +41,10 @@
         return heldOutUntil > now;
     }
 
-    /** Ends a hold-down whose time is over; whether there was one. */
+    /** Ends a hold-down that has expired; returns whether one has. */
     boolean endIfOver(long now) {
-        boolean ends = heldOutUntil > 0 && heldOutUntil <= now;
-        heldOutUntil = ends ? 0 : heldOutUntil;
-        return ends;
+        boolean expired = heldOutUntil > 0 && heldOutUntil <= now;
+        heldOutUntil = expired ? 0 : heldOutUntil;
+        return expired;
     }
 }
--- a/src/main/java/firstage/membership/GossipQueue.java
+++ b/src/main/java/firstage/membership/GossipQueue.java
@@ -7,14 +7,14 @@
 import java.util.function.Function;
 
 /**
- * The members whose records changed and are still to be passed on. Each change goes out on a number
- * of messages that grows with the logarithm of the fleet; the newest goes first.
+ * Queue of members whose changed records are still to be sent to peers. Each change is attached to a
+ * number of messages that grows with the logarithm of the fleet size; the newest change goes first.
  */
 final class GossipQueue {
-    /** Times the logarithm of the fleet that a change is passed on. */
+    /** Factor on the logarithm of the fleet size in the number of sends of one change. */
     private static final int GOSSIP_FACTOR = 4;
 
-    /** Bounded, since invented names must not fill the memory. */
+    /** Limit of queued changes, so that forged member names can't exhaust the memory. */
     private static final int MAX_PENDING = 4_096;
 
     private static final class Pending {
@@ -29,32 +29,37 @@
     private final ArrayDeque<Pending> queue = new ArrayDeque<>();
     private final Map<String, Pending> byMember = new HashMap<>();
 
-    /** The record of this member changed. */
+    /** Queues the changed record of a member in front; a queued older change is replaced. */
     void add(String name) {
-        Pending old = byMember.remove(name);
-        if (old != null) {
-            queue.remove(old);
+        Pending previous = byMember.remove(name);
+        if (previous != null) {
+            queue.remove(previous);
         }
         if (queue.size() < MAX_PENDING) {
-            Pending fresh = new Pending(name);
-            queue.addFirst(fresh);
-            byMember.put(name, fresh);
+            Pending latest = new Pending(name);
+            queue.addFirst(latest);
+            byMember.put(name, latest);
         }
     }
 
-    /** How often a change is passed on in a fleet with so many peers. */
+    /** Returns how many messages carry one change in a fleet with this number of peers. */
     static int sendsPerChange(int peers) {
         return (int) Math.ceil(GOSSIP_FACTOR * Math.log(peers + 2.0) / Math.log(2));
     }
 
-    /** Adds up to so many changed records to those that a message carries. */
+    /**
+     * Adds changed records to those of a message.
+     *
+     * @param maxRecords number of changes to take at most
+     * @param sendsPerChange number of messages after which a change leaves the queue
+     */
     void takeInto(
-            List<Member> records, int room, int sendsPerChange, Function<String, Member> recordOf) {
-        for (int i = 0; i < room && i < queue.size() && !queue.isEmpty(); i++) {
+            List<Member> records, int maxRecords, int sendsPerChange, Function<String, Member> recordOf) {
+        for (int i = 0; i < maxRecords && i < queue.size() && !queue.isEmpty(); i++) {
             Pending pending = queue.poll();
-            Member entry = recordOf.apply(pending.name);
-            if (!records.contains(entry)) {
-                records.add(entry);
+            Member member = recordOf.apply(pending.name);
+            if (!records.contains(member)) {
+                records.add(member);
             }
             if (++pending.sentCount < sendsPerChange) {
                 queue.add(pending);
--- a/src/main/java/firstage/membership/Member.java
+++ b/src/main/java/firstage/membership/Member.java
@@ -1,9 +1,12 @@
 package firstage.membership;
 
 /**
- * What is known of a member. {@code incarnation}: Unix ms of its start, raised by itself alone to
- * refute a suspicion; the higher one counts, of equal ones the later state. {@code weight}: the
- * share of traffic it wants, 1 is usual.
+ * Record of a member, as it is sent in gossip. Of two records of a member the one with the higher
+ * incarnation wins, and at equal incarnations the one with the later state.
+ *
+ * @param incarnation Unix time of its start in ms; only the member itself raises it, to refute a
+ *     suspicion
+ * @param weight the relative share of traffic that the member asks for; usually 1
  */
 public record Member(
         String name,
@@ -12,7 +15,7 @@
         MemberState state,
         String version,
         double weight) {
-    /** Whether this says more than that: a newer incarnation, or a later state of the same. */
+    /** Returns whether this record replaces the other record of the same member. */
     boolean overrides(Member other) {
         return incarnation > other.incarnation
                 || incarnation == other.incarnation && state.compareTo(other.state) > 0;
--- a/src/main/java/firstage/membership/MemberState.java
+++ b/src/main/java/firstage/membership/MemberState.java
@@ -1,8 +1,9 @@
 package firstage.membership;
 
 /**
- * How a manager holds another: alive; suspect (unresponsive for now); dead (unresponsive for good);
- * left by intent. The ordinal is sent to other managers, and the later counts for more.
+ * State of a member as seen by one manager: alive; suspect (unanswered, may still refute); dead (did
+ * not refute in time); left (shut down on purpose). The ordinal is sent to other managers; at equal
+ * incarnations the later state overrides the earlier one.
  */
 public enum MemberState {
     ALIVE,
--- a/src/main/java/firstage/membership/MemberTable.java
+++ b/src/main/java/firstage/membership/MemberTable.java
@@ -10,7 +10,7 @@
 final class MemberTable {
     private final TreeMap<String, Peer> peers = new TreeMap<>();
 
-    /** By index of the address, who was last heard there. */
+    /** The peer last heard at each address, by index of the address. */
     private final String[] nameByAddress;
 
     private Member self;
@@ -28,7 +28,7 @@
         self = next;
     }
 
-    /** The peer of this name, or null. */
+    /** Returns the peer of this name, or null. */
     Peer peer(String name) {
         return peers.get(name);
     }
@@ -55,7 +55,7 @@
         nameByAddress[address] = name;
     }
 
-    /** Who was last heard at an address, or null. */
+    /** Returns the peer last heard at an address, or null. */
     Peer peerAt(int address) {
         return nameByAddress[address] == null ? null : peers.get(nameByAddress[address]);
     }
@@ -64,14 +64,14 @@
         return nameByAddress.length;
     }
 
-    /** All that is known, this manager first. */
+    /** Returns the records of all known members, this manager first. */
     List<Member> members() {
         List<Member> all = new ArrayList<>(List.of(self));
         peers.values().forEach(peer -> all.add(peer.member()));
         return all;
     }
 
-    /** So many alive peers by random choice, but the one of the name {@code except}. */
+    /** Returns up to {@code count} random alive peers, never the one named {@code except}. */
     List<Peer> randomAlive(RandomGenerator random, int count, String except) {
         List<Peer> candidates =
                 new ArrayList<>(
--- a/src/main/java/firstage/membership/MemberTransition.java
+++ b/src/main/java/firstage/membership/MemberTransition.java
@@ -1,13 +1,14 @@
 package firstage.membership;
 
 /**
- * One row of the state machine of a member as this manager holds it. Alive: it answers. Suspect: a
- * probe was not answered, here or at another manager; it can refute that by a higher incarnation.
- * Dead: it did not refute in time. Left: it said that it ends. Gossip of an older incarnation is
- * dropped before it becomes an event; what is not in the table changes nothing.
+ * One row of the state machine of a member as seen by this manager. Alive: the member answers.
+ * Suspect: a probe by this or another manager was not answered; the member can refute the suspicion
+ * with a higher incarnation. Dead: it did not refute in time. Left: it announced its shutdown. Gossip
+ * with an older incarnation is dropped before it becomes an event. A combination of state and event
+ * that has no row changes nothing.
  */
 record MemberTransition(MemberState state, Event event, MemberState next, Effect effect) {
-    /** What happens to a member. */
+    /** An observation of this manager, or gossip, about a member. */
     enum Event {
         UNANSWERED,
         SUSPECT_GOSSIP,
@@ -17,7 +18,10 @@
         SUSPICION_TIMEOUT
     }
 
-    /** What goes with the change of state. */
+    /**
+     * Side effect of a transition. All but NONE gossip the new record; SUSPECT also starts the time to
+     * refute, and RETURN counts a return for flap damping.
+     */
     enum Effect {
         NONE,
         GOSSIP,
@@ -46,7 +50,7 @@
         return new MemberTransition(state, event, next, effect);
     }
 
-    /** The row for a state and an event, or null where nothing changes. */
+    /** Returns the row for a state and an event, or null if nothing changes. */
     static MemberTransition find(MemberState state, Event event) {
         for (MemberTransition row : TABLE) {
             if (row.state == state && row.event == event) {
--- a/src/main/java/firstage/membership/MembershipActions.java
+++ b/src/main/java/firstage/membership/MembershipActions.java
@@ -1,19 +1,23 @@
 package firstage.membership;
 
-/** What the membership wants done; none of it calls back before it returns. */
+/** Effects of the membership protocol; no method calls back into it. */
 public interface MembershipActions {
-    /** To the peer at the address of this index; {@code kind}: of the message, for counters. */
+    /**
+     * Sends a datagram to the peer address with this index.
+     *
+     * @param kind kind of the encoded message, for counters
+     */
     void send(int address, MembershipMessage.Kind kind, byte[] datagram);
 
-    /** A new view is in force. */
+    /** Reports a new membership view. */
     void viewChanged(long now, MembershipView view);
 
-    /** A line for the log: the event, the member and the reason. */
+    /** Logs an event of a member and its reason. */
     void logMemberEvent(long now, String event, String member, String reason);
 
-    /** What the fleet coordinator and the cells send with each message. */
+    /** Returns the digest of the fleet coordinator and the cells to send with each message. */
     byte[] outgoingDigest(long now);
 
-    /** What a member sent for the fleet coordinator and the cells. */
+    /** Delivers a member's digest to the fleet coordinator and the cells. */
     void digestReceived(long now, String from, byte[] digest);
 }
--- a/src/main/java/firstage/membership/MembershipMessage.java
+++ b/src/main/java/firstage/membership/MembershipMessage.java
@@ -3,11 +3,15 @@
 import java.util.List;
 
 /**
- * One datagram. {@code lastHeardAgo}: ticks since its sender last heard the receiver, -1 for never:
- * so a link that is broken in one direction is seen. {@code grantsQuota}: an answer to a ping
- * grants the receiver its share. {@code withdrawnGrants}: members that the sender has withdrawn its
- * grant from. {@code unheardMembers}: whom the sender does not hear though others do. {@code
- * members}: gossip. {@code digest}: of the fleet coordinator and the cells.
+ * Contents of one datagram between managers.
+ *
+ * @param lastHeardAgo ticks since the sender last heard the receiver, -1 for never; reveals a link
+ *     that is broken in one direction
+ * @param grantsQuota whether this ack grants the receiver its full share
+ * @param withdrawnGrants members from which the sender has withdrawn its grant
+ * @param unheardMembers members that others hear but the sender does not
+ * @param members gossiped member records
+ * @param digest data of the fleet coordinator and the cells
  */
 public record MembershipMessage(
         String fleet,
@@ -25,8 +29,9 @@
         List<Member> members,
         byte[] digest) {
     /**
-     * PING asks, ACK answers; PING_REQUEST asks another to ping the target, INDIRECT_ACK says that
-     * it answered; SYNC and its reply send all that is known. The ordinal is on the wire.
+     * Kind of a message. PING asks for an ACK. PING_REQUEST asks another manager to ping the target,
+     * and INDIRECT_ACK reports that the target answered. SYNC and SYNC_REPLY carry all known member
+     * records. The ordinal is on the wire.
      */
     public enum Kind {
         PING,
@@ -37,7 +42,7 @@
         SYNC_REPLY
     }
 
-    /** The same with these member records and without a grant of quota. */
+    /** Returns a copy with other member records and without a quota grant. */
     MembershipMessage withMembers(List<Member> records) {
         return new MembershipMessage(
                 fleet,
--- a/src/main/java/firstage/membership/MembershipProtocol.java
+++ b/src/main/java/firstage/membership/MembershipProtocol.java
@@ -8,30 +8,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One manager's knowledge of the others. Takes datagrams and the time and orders the steps: {@link
- * FailureDetector} finds out who does not answer, {@link MemberTransition} says what becomes of a
- * member, {@link GossipQueue} and {@link MessageSender} pass it on, {@link ViewAgreement} makes the
- * view of it, {@link FlapDamping} keeps those out of it that come and go.
+ * Membership protocol of one manager. Receives datagrams and the time, and directs its parts: {@link
+ * FailureDetector} detects unresponsive peers, {@link MemberTransition} defines the state changes of
+ * a member, {@link GossipQueue} and {@link MessageSender} spread them, {@link ViewAgreement} derives
+ * the view from them, and {@link FlapDamping} holds flapping members out of the view.
  *
  * <p>A suspect leaves the view at once, so that nothing new is shared with it. It is declared dead
- * only after it was unresponsive for longer than any pause that is tolerated, and until then can
- * refute the suspicion with a higher incarnation. A process that was paused ignores what it
- * observed before the pause. Times are ticks of a clock that only goes forward.
+ * only after it was unresponsive for longer than any tolerated pause; until then it can refute the
+ * suspicion with a higher incarnation. A process that was paused discards what it observed before
+ * the pause. Times are ticks of a monotonic clock.
  */
 public final class MembershipProtocol {
-    /** Between two ticks: this process stood still; two probe periods. */
+    /** Gap between two ticks above which this process counts as paused: two probe periods. */
     private static final long PAUSE_THRESHOLD = Ticks.ofMillis(400);
 
-    /** Sends all to one peer: what gossip missed comes within this. */
+    /** Mean interval between full syncs with a random peer, which repair what gossip missed. */
     private static final long SYNC_INTERVAL = Ticks.ofSeconds(10);
 
-    /** Invented names must not fill the memory. */
+    /** Limit of known peers, so that forged names can't exhaust the memory. */
     private static final int MAX_MEMBERS = 2_048;
 
-    /** Of the members' last sign of life, for {@link #confidence}. */
-    private static final long CONFIDENCE_WINDOW = 5 * Peer.UNHEARD_AFTER;
+    /** Maximum age of a member's last sign of life that counts for {@link #confidence}. */
+    private static final long RECENTLY_ALIVE_WINDOW = 5 * Peer.UNHEARD_AFTER;
 
-    /** Defects that tests put in one at a time, to show that they are found. */
+    /** Defects that tests inject one at a time, to prove that the checks detect them. */
     public enum InjectedDefect {
         NONE,
         REFUTATION_IGNORED,
@@ -59,15 +59,15 @@
     private boolean leaving;
 
     /**
-     * A manager that knows nobody yet.
+     * Creates the protocol of a manager that knows no peers yet.
      *
-     * @param fleet messages of another fleet are rejected
-     * @param self this manager, alive
-     * @param addresses how many addresses peers may be at
-     * @param period between two probes, in ticks
-     * @param maxDatagramBytes what one datagram may hold
-     * @param random draws whom to probe and to ask
-     * @param leases keeps who may use which part of the engines
+     * @param fleet name of the fleet; messages of another fleet are rejected
+     * @param self record of this manager, in state alive
+     * @param addresses number of configured peer addresses
+     * @param period interval between two probes, in ticks
+     * @param maxDatagramBytes maximum size of a datagram
+     * @param random chooses the peers to probe and to ask for indirect probes
+     * @param leases quota leases that travel with acks
      */
     public MembershipProtocol(
             String fleet,
@@ -89,11 +89,11 @@
         table = new MemberTable(self, addresses);
         views = new ViewAgreement(table, actions);
         sender = new MessageSender(fleet, table, views, leases, actions, codec);
-        detector = new FailureDetector(table, period, random, new DetectorEffects(), defect);
+        detector = new FailureDetector(table, period, random, new DetectorActions(), defect);
     }
 
-    /** What the failure detector wants done. */
-    private final class DetectorEffects implements FailureDetectorActions {
+    /** Carries out the effects of the failure detector. */
+    private final class DetectorActions implements FailureDetectorActions {
         @Override
         public void sendPing(long now, int address, long sequence, String target) {
             Peer peer = target.isEmpty() ? null : table.peer(target);
@@ -101,8 +101,8 @@
         }
 
         @Override
-        public void sendPingRequest(long now, Peer helper, long sequence, String target) {
-            sender.send(now, helper, MembershipMessage.Kind.PING_REQUEST, sequence, target);
+        public void sendPingRequest(long now, Peer prober, long sequence, String target) {
+            sender.send(now, prober, MembershipMessage.Kind.PING_REQUEST, sequence, target);
         }
 
         @Override
@@ -118,60 +118,64 @@
         }
     }
 
-    /** The members that count now, under their number. */
+    /** Returns the current view. */
     public MembershipView view() {
         return views.view();
     }
 
-    /** This manager's name. */
+    /** Returns this manager's name. */
     public String name() {
         return table.self().name();
     }
 
-    /** All that is known, this manager first. */
+    /** Returns the records of all known members, this manager first. */
     public List<Member> members() {
         return table.members();
     }
 
-    /** Whether all members of the view say that they have the same. */
+    /** Returns whether all members of the view report the same view. */
     public boolean viewAgreed() {
         return views.isAgreed();
     }
 
     /**
-     * Of the other members of the view, the part that was heard of lately, from 0 to 1; 0 where
-     * nobody answers.
+     * Returns the fraction, from 0 to 1, of the other members of the view that were recently known to
+     * be alive; 0 if this manager is isolated, 1 if the view has no other members.
      */
     public double confidence(long now) {
         if (detector.isIsolated(now)) {
             return 0;
         }
         List<String> names = views.view().memberNames();
-        long heard =
+        long recentlyAlive =
                 names.stream()
                         .map(table::peer)
                         .filter(peer -> peer != null)
-                        .filter(peer -> now - peer.lastAliveAt() < CONFIDENCE_WINDOW)
+                        .filter(peer -> now - peer.lastAliveAt() < RECENTLY_ALIVE_WINDOW)
                         .count();
         long others = names.size() - 1;
-        return others == 0 ? 1 : (double) heard / others;
+        return others == 0 ? 1 : (double) recentlyAlive / others;
     }
 
     /**
-     * How the link to a member is: ok, deaf (this manager does not hear it), unheard (it does not
-     * hear this manager), cut; none where it is unknown, dead or has left.
+     * Returns the state of the link to a member: ok, deaf (this manager does not hear the member),
+     * unheard (the member does not hear this manager), cut (both), or none if the member is unknown,
+     * dead or left.
      */
     public String linkState(long now, String name) {
         Peer peer = table.peer(name);
         return peer == null || !peer.isJudged() ? "none" : peer.linkState(now, name());
     }
 
-    /** Messages that changed nothing, by cause. */
+    /** Returns the number of rejected messages by reason. */
     public Map<String, Long> rejectedMessages() {
         return rejectedMessages;
     }
 
-    /** To be called each 20 ms or so; a longer gap is taken for a pause of this process. */
+    /**
+     * Sends probes and syncs that are due and handles timeouts; to be called about every 20 ms. A much
+     * longer gap between calls counts as a pause of this process.
+     */
     public void tick(long now) {
         if (lastTickAt < 0) {
             nextSyncAt = now + period;
@@ -192,16 +196,16 @@
     }
 
     /**
-     * This process was stopped, or the machine had no time for it. Others may hold it for dead: it
-     * refutes at once what may have been said of it.
+     * Handles a pause of this process, which was stopped or got no processor time. Others may
+     * consider this manager dead, so it raises its incarnation at once to refute that.
      */
     private void onPauseDetected(long now, long gap) {
         detector.onPause(now, gap);
         Member self = table.self();
         raiseIncarnation(self.incarnation() + 1, self.state());
         actions.logMemberEvent(
-                now, "woke", self.name(), "stopped for " + Ticks.toMillis(gap) + " ms");
-        // Who suspects this manager hears of it before the suspicion ends.
+                now, "woke", self.name(), "paused for " + Ticks.toMillis(gap) + " ms");
+        // Peers that suspect this manager learn its new incarnation before the suspicion ends.
         table.randomAlive(random, FailureDetector.INDIRECT_PROBERS, null)
                 .forEach(peer -> detector.pingNow(now, peer));
     }
@@ -212,7 +216,8 @@
     }
 
     /**
-     * A datagram that came from the address of this index; the caller drops those from any other.
+     * Handles a datagram from the peer address with this index; the caller drops datagrams from
+     * unknown addresses.
      */
     public void onDatagram(long now, int address, byte[] bytes) {
         MembershipMessage message;
@@ -249,8 +254,9 @@
     }
 
     /**
-     * Whether the message is of this fleet and of the manager that has the name now. Also counts
-     * and logs why not, and answers a sender with an old incarnation.
+     * Returns whether the message is of this fleet and from the manager that owns the sender's name
+     * now. Otherwise counts the rejection; also logs a name that two managers use, and answers a
+     * sender with an old incarnation.
      */
     private boolean mayAccept(long now, int address, MembershipMessage message) {
         if (!message.fleet().equals(fleet)) {
@@ -270,8 +276,8 @@
             if (peer.timeSinceHeard(now) > period
                     && peer.address() == address
                     && peer.state() != MemberState.LEFT) {
-                // After a clock was set back a restart has a lower incarnation: by this message it
-                // learns the higher one and goes beyond.
+                // A manager that restarted after its clock was set back has too low an
+                // incarnation. This message tells it the higher one, so that it can exceed it.
                 sender.send(now, peer, MembershipMessage.Kind.INDIRECT_ACK, 0, message.from());
             }
             return false;
@@ -285,7 +291,7 @@
                     now,
                     "doubled",
                     message.from(),
-                    "two managers have this name; give each its own");
+                    "two managers use this name; give each manager a name of its own");
             return false;
         }
         return true;
@@ -297,7 +303,7 @@
         table.heardAt(address, message.from());
         message.members().forEach(member -> applyGossip(now, member));
         if (wasDead && peer.state() == MemberState.ALIVE) {
-            // Two halves that were cut from each other meet: each sends all it knows at once.
+            // Two partitions of the fleet meet again: each sends all its records at once.
             sender.sendAllMembers(now, peer, MembershipMessage.Kind.SYNC);
         }
         actions.digestReceived(now, message.from(), message.digest());
@@ -361,11 +367,11 @@
         }
         sender.gossip(member.name());
         views.onMemberChanged(now);
-        actions.logMemberEvent(now, "joined", member.name(), "heard of, " + word(member.state()));
+        actions.logMemberEvent(now, "joined", member.name(), "first reported as " + lowerCaseName(member.state()));
         return peer;
     }
 
-    /** What another says of a member, this one among them. */
+    /** Applies the gossiped record of a member, which may be this manager. */
     private void applyGossip(long now, Member member) {
         if (member.name().equals(name())) {
             refuteIfWrong(now, member);
@@ -380,32 +386,33 @@
             }
         } else if (member.overrides(peer.member())
                 || defect == InjectedDefect.OLDER_INCARNATION_WINS) {
-            applyEvent(now, peer, eventOf(member.state()), member, "told");
+            applyEvent(now, peer, eventOf(member.state()), member, "reported by gossip");
         } else if (member.incarnation() == peer.member().incarnation()
                 && peer.member().zone().isEmpty()
                 && !member.zone().isEmpty()) {
-            // It was first heard by a message without a record of its own.
+            // The peer became known by a message without its record; this record adds its zone,
+            // version and weight.
             peer.update(member.withState(peer.state()));
         }
     }
 
-    private void refuteIfWrong(long now, Member told) {
+    private void refuteIfWrong(long now, Member reported) {
         Member self = table.self();
         boolean wrong =
-                told.state() != MemberState.ALIVE
-                                && told.incarnation() >= self.incarnation()
+                reported.state() != MemberState.ALIVE
+                                && reported.incarnation() >= self.incarnation()
                                 && !leaving
-                        || told.incarnation() > self.incarnation();
+                        || reported.incarnation() > self.incarnation();
         if (wrong && defect != InjectedDefect.REFUTATION_IGNORED) {
             detector.onRefutation();
-            raiseIncarnation(told.incarnation() + 1, self.state());
+            raiseIncarnation(reported.incarnation() + 1, self.state());
             actions.logMemberEvent(
-                    now, "denied", self.name(), "was told to be " + word(told.state()));
+                    now, "denied", self.name(), "was reported as " + lowerCaseName(reported.state()));
         }
     }
 
-    private static MemberTransition.Event eventOf(MemberState told) {
-        return switch (told) {
+    private static MemberTransition.Event eventOf(MemberState reported) {
+        return switch (reported) {
             case ALIVE -> MemberTransition.Event.NEWER_ALIVE;
             case SUSPECT -> MemberTransition.Event.SUSPECT_GOSSIP;
             case DEAD -> MemberTransition.Event.DEAD_GOSSIP;
@@ -438,15 +445,15 @@
             boolean unreachable = next == MemberState.DEAD || next == MemberState.LEFT;
             leases.setUnreachable(now, member.name(), unreachable);
             views.onMemberChanged(now);
-            actions.logMemberEvent(now, word(next), member.name(), reason);
+            actions.logMemberEvent(now, lowerCaseName(next), member.name(), reason);
         }
     }
 
-    private static String word(MemberState state) {
+    private static String lowerCaseName(MemberState state) {
         return state.name().toLowerCase(Locale.ROOT);
     }
 
-    /** This manager ends by intent; it says so to some, and nobody takes it for dead. */
+    /** Announces to some peers that this manager shuts down, so that no peer declares it dead. */
     public void leave(long now) {
         leaving = true;
         raiseIncarnation(table.self().incarnation() + 1, MemberState.LEFT);
--- a/src/main/java/firstage/membership/MessageCodec.java
+++ b/src/main/java/firstage/membership/MessageCodec.java
@@ -10,12 +10,12 @@
 import java.util.List;
 
 /**
- * A message as CBOR (RFC 8949): one array, its first item the version of the form; items that a
- * newer form adds at the end are skipped. What does not fit into a datagram is left out: member
- * records at the end of the list.
+ * Encodes and decodes messages as CBOR (RFC 8949): one array whose first item is the format version.
+ * Items that a newer format adds at the end are skipped. Member records at the end of the list are
+ * left out if they do not fit into a datagram.
  */
 public final class MessageCodec {
-    /** Under the least MTU of IPv6 with its headers. */
+    /** Maximum size of a datagram; with its headers below the minimum MTU of IPv6. */
     public static final int MAX_DATAGRAM_BYTES = 1_200;
 
     private static final int VERSION = 1;
@@ -27,26 +27,26 @@
     private final CBORFactory cbor = new CBORFactory();
     private final int maxBytes;
 
-    /** {@code maxBytes}: what a datagram may hold. */
+    /** Creates a codec for datagrams of up to {@code maxBytes}. */
     public MessageCodec(int maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** A datagram that is not a whole message; the cause in a word or two. */
+    /** Thrown for a datagram that is not a valid message; its text is a short reason to count. */
     public static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1;
 
-        MalformedMessageException(String what) {
-            super(what, null, false, false);
+        MalformedMessageException(String reason) {
+            super(reason, null, false, false);
         }
     }
 
-    /** How many member records fit into one datagram beside a digest of so many bytes. */
+    /** Returns how many member records fit into one datagram beside a digest of this size. */
     public int maxMembers(int digestBytes) {
         return Math.max(1, (maxBytes - HEADER_BYTES - digestBytes) / MEMBER_BYTES);
     }
 
-    /** The bytes, with as many member records as fit. */
+    /** Encodes a message with as many member records as fit. */
     public byte[] encode(MembershipMessage message) {
         for (int members = Math.min(message.members().size(), MAX_MEMBERS); ; members--) {
             byte[] bytes = encode(message, members);
@@ -71,8 +71,8 @@
             generator.writeNumber(message.viewHash());
             generator.writeNumber(message.lastHeardAgo());
             generator.writeBoolean(message.grantsQuota());
-            names(generator, message.withdrawnGrants());
-            names(generator, message.unheardMembers());
+            writeNames(generator, message.withdrawnGrants());
+            writeNames(generator, message.unheardMembers());
             generator.writeStartArray();
             for (Member member : message.members().subList(0, members)) {
                 generator.writeStartArray();
@@ -87,13 +87,13 @@
             generator.writeEndArray();
             generator.writeBinary(message.digest());
             generator.writeEndArray();
-        } catch (IOException fault) {
-            throw new IllegalStateException("bytes in memory take all", fault);
+        } catch (IOException exception) {
+            throw new IllegalStateException("can't encode a membership message in memory", exception);
         }
         return out.toByteArray();
     }
 
-    private static void names(JsonGenerator generator, List<String> names) throws IOException {
+    private static void writeNames(JsonGenerator generator, List<String> names) throws IOException {
         generator.writeStartArray();
         for (String name : names.subList(0, Math.min(MAX_NAMES, names.size()))) {
             generator.writeString(name);
@@ -101,7 +101,7 @@
         generator.writeEndArray();
     }
 
-    /** Reads a datagram. Throws where it is not whole or not in form. */
+    /** Decodes a datagram; throws if it is too long, of an older format or malformed. */
     public MembershipMessage decode(byte[] bytes) throws MalformedMessageException {
         if (bytes.length > maxBytes) {
             throw new MalformedMessageException("too long");
@@ -124,17 +124,17 @@
             long lastHeardAgo = readLong(in);
             JsonToken grantsQuota = in.nextToken();
             require(grantsQuota == JsonToken.VALUE_TRUE || grantsQuota == JsonToken.VALUE_FALSE);
-            List<String> withdrawnGrants = names(in);
-            List<String> unheardMembers = names(in);
+            List<String> withdrawnGrants = readNames(in);
+            List<String> unheardMembers = readNames(in);
             List<Member> members = readMembers(in);
             require(in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
             byte[] digest = in.getBinaryValue();
-            // Items that a newer form adds are skipped; the array must end all the same.
-            JsonToken more = in.nextToken();
-            while (more != JsonToken.END_ARRAY) {
-                require(more != null);
+            // Items that a newer format adds are skipped, but the array must be complete.
+            JsonToken extraItem = in.nextToken();
+            while (extraItem != JsonToken.END_ARRAY) {
+                require(extraItem != null);
                 in.skipChildren();
-                more = in.nextToken();
+                extraItem = in.nextToken();
             }
             require(in.nextToken() == null && !from.isEmpty() && incarnation > 0);
             return new MembershipMessage(
@@ -152,13 +152,13 @@
                     unheardMembers,
                     members,
                     digest);
-        } catch (IOException fault) {
+        } catch (IOException exception) {
             throw new MalformedMessageException("spoilt");
         }
     }
 
-    private static void require(boolean holds) throws MalformedMessageException {
-        if (!holds) {
+    private static void require(boolean valid) throws MalformedMessageException {
+        if (!valid) {
             throw new MalformedMessageException("spoilt");
         }
     }
@@ -175,7 +175,8 @@
         return in.getLongValue();
     }
 
-    private static List<String> names(JsonParser in) throws IOException, MalformedMessageException {
+    private static List<String> readNames(JsonParser in)
+            throws IOException, MalformedMessageException {
         require(in.nextToken() == JsonToken.START_ARRAY);
         List<String> names = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
--- a/src/main/java/firstage/membership/MessageSender.java
+++ b/src/main/java/firstage/membership/MessageSender.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Builds messages, gossip of changed members on each, and sends them. */
+/** Builds messages, attaches gossip about changed members to each, and sends them. */
 final class MessageSender {
-    /** Peers named as unheard on one message. */
+    /** Maximum number of unheard members that one message lists. */
     private static final int MAX_UNHEARD_NAMED = 8;
 
     private final String fleet;
@@ -31,17 +31,17 @@
         this.codec = codec;
     }
 
-    /** The record of this member changed and is to be passed on. */
+    /** Queues the changed record of a member for gossip. */
     void gossip(String name) {
         gossip.add(name);
     }
 
-    /** To a peer, at the address where it was last heard. */
+    /** Sends a message to a peer, at the address where it was last heard. */
     void send(long now, Peer to, MembershipMessage.Kind kind, long sequence, String target) {
         send(to.address(), newMessage(now, to, kind, sequence, target));
     }
 
-    /** To whoever is at an address; {@code to}: who is thought to be, or null. */
+    /** Sends a message to an address; {@code to} is the peer expected there, or null. */
     void sendTo(
             long now,
             int address,
@@ -52,12 +52,12 @@
         send(address, newMessage(now, to, kind, sequence, target));
     }
 
-    /** All that is known, in as many datagrams as it takes. */
+    /** Sends the records of all known members, in as many datagrams as needed. */
     void sendAllMembers(long now, Peer to, MembershipMessage.Kind kind) {
         List<Member> all = table.members();
-        int room = codec.maxMembers(actions.outgoingDigest(now).length);
-        for (int from = 0; from < all.size(); from += room) {
-            List<Member> part = all.subList(from, Math.min(all.size(), from + room));
+        int recordsPerMessage = codec.maxMembers(actions.outgoingDigest(now).length);
+        for (int from = 0; from < all.size(); from += recordsPerMessage) {
+            List<Member> part = all.subList(from, Math.min(all.size(), from + recordsPerMessage));
             send(to.address(), newMessage(now, to, kind, 0, "").withMembers(part));
         }
     }
@@ -96,7 +96,7 @@
     private List<Member> recordsFor(Peer to, int digestBytes) {
         List<Member> records = new ArrayList<>(List.of(table.self()));
         if (to != null && to.state() != MemberState.ALIVE) {
-            // A suspect hears of it first, so that it can refute in its next message.
+            // A suspect receives its own record first, so that its next message can refute it.
             records.add(to.member());
         }
         gossip.takeInto(
@@ -107,7 +107,7 @@
         return records;
     }
 
-    /** Whom this manager does not hear though others do. */
+    /** Returns alive members that this manager does not hear although others do. */
     private List<String> unheardMembers(long now) {
         List<String> names = new ArrayList<>();
         for (Peer peer : table.peers()) {
--- a/src/main/java/firstage/membership/Peer.java
+++ b/src/main/java/firstage/membership/Peer.java
@@ -3,10 +3,11 @@
 import firstage.util.Ticks;
 import java.util.List;
 
-/** What this manager knows of one other: its member record and when and how it was last heard. */
+/** State of another manager: its member record, and when and how it was last heard. */
 final class Peer {
     /**
-     * After this without a message the link counts as broken: six probe periods of usual length.
+     * Time without a message after which the link counts as broken: six probe periods of the usual
+     * length.
      */
     static final long UNHEARD_AFTER = Ticks.ofMillis(1_200);
 
@@ -17,7 +18,7 @@
     private int address = -1;
     private long lastHeardAt = NEVER;
     private long indirectlyHeardAt = NEVER;
-    private long lastHeardUsAgo = -1;
+    private long reportedLastHeardAgo = -1;
     private long viewNumber;
     private long viewHash;
     private long suspectedAt;
@@ -31,8 +32,8 @@
         return member;
     }
 
-    void update(Member next) {
-        member = next;
+    void update(Member newRecord) {
+        member = newRecord;
     }
 
     String name() {
@@ -43,7 +44,7 @@
         return member.state();
     }
 
-    /** Whether it is alive or suspect, so that an unanswered probe says something new. */
+    /** Returns whether the peer is alive or suspect, so that a missing ack is significant. */
     boolean isJudged() {
         return state() == MemberState.ALIVE || state() == MemberState.SUSPECT;
     }
@@ -52,7 +53,7 @@
         return address >= 0;
     }
 
-    /** The index of its address; -1 where it has not been heard. */
+    /** Returns the index of the peer's address; -1 if the peer has not been heard yet. */
     int address() {
         return address;
     }
@@ -69,22 +70,22 @@
         return damping;
     }
 
-    /** Takes over what the head of a message says; its member records are applied apart. */
-    void onMessage(long now, int from, MembershipMessage message) {
-        address = from;
+    /** Records the header of a message from the peer; its member records are applied separately. */
+    void onMessage(long now, int senderAddress, MembershipMessage message) {
+        address = senderAddress;
         lastHeardAt = now;
-        lastHeardUsAgo = message.lastHeardAgo();
+        reportedLastHeardAgo = message.lastHeardAgo();
         viewNumber = message.viewNumber();
         viewHash = message.viewHash();
         unheardMembers = message.unheardMembers();
     }
 
-    /** Another manager got an answer from it. */
+    /** Records that another manager received an ack from the peer. */
     void onIndirectAck(long now) {
         indirectlyHeardAt = now;
     }
 
-    /** This process stood still so long: it could have heard nobody. */
+    /** Excludes a pause of this process of {@code gap} ticks, in which it could receive nothing. */
     void onPause(long gap) {
         lastHeardAt += gap;
     }
@@ -105,24 +106,26 @@
         return now - indirectlyHeardAt;
     }
 
-    /** When it was last known to answer anybody. */
+    /** Returns when the peer was last known to answer any manager. */
     long lastAliveAt() {
         return Math.max(lastHeardAt, indirectlyHeardAt);
     }
 
-    /** What a message to it says of when it was last heard: ticks, -1 for never. */
+    /** Returns the ticks since the peer was last heard, as sent to the peer; -1 for never. */
     long lastHeardAgo(long now) {
         return lastHeardAt < 0 ? -1 : Math.max(0, now - lastHeardAt);
     }
 
     /**
-     * How the link to it is: ok, deaf (this manager does not hear it), unheard (it does not hear
-     * this manager, {@code self}), cut.
+     * Returns the state of the link to the peer: ok, deaf (this manager does not hear the peer),
+     * unheard (the peer does not hear this manager) or cut (both).
+     *
+     * @param self name of this manager
      */
     String linkState(long now, String self) {
         boolean deaf = timeSinceHeard(now) > UNHEARD_AFTER;
         boolean unheard =
-                !deaf && (lastHeardUsAgo < 0 || lastHeardUsAgo > UNHEARD_AFTER)
+                !deaf && (reportedLastHeardAgo < 0 || reportedLastHeardAgo > UNHEARD_AFTER)
                         || unheardMembers.contains(self);
         return deaf && unheard ? "cut" : deaf ? "deaf" : unheard ? "unheard" : "ok";
     }
--- a/src/main/java/firstage/membership/QuotaLeases.java
+++ b/src/main/java/firstage/membership/QuotaLeases.java
@@ -7,40 +7,44 @@
 import java.util.Map;
 
 /**
- * Which part of each engine a manager may use. Half of its share is guaranteed. The other half it
- * uses while a quorum of managers has granted it lately; where a majority has withdrawn its grants
- * from a member, the others may use that member's half, each the same piece. The quorum leaves no
- * majority without it, so any quorum and any majority have a manager in common; and that one,
- * having granted, withdraws only after a time longer than a grant lasts, and grants anew only after
- * a time longer than a withdrawal lasts.
+ * Computes the fraction of each engine that this manager may use. Half of a manager's share is
+ * guaranteed. It may use the other half while a quorum of managers has recently granted it. After a
+ * majority has withdrawn its grants from a member, the other managers may use that member's second
+ * half in equal pieces. Any quorum and any majority have at least one manager in common, because the
+ * managers outside a quorum are too few for a majority. A manager that has granted withdraws only
+ * after a time longer than a grant lasts, and grants again only after a time longer than a
+ * withdrawal lasts.
  *
- * <p>Invariant: the parts in use never exceed the whole, in whatever order messages are lost, late
- * or doubled, and whoever is paused or restarted.
+ * <p>Invariant: the fractions of an engine that are in use never add up to more than 1, even if
+ * messages are lost, late, reordered or duplicated and managers are paused or restarted.
  *
- * <p>A grant is timed from when its user asked for it, by the user's clock; each wait from when the
- * granter answered, by the granter's clock. Clocks must run alike to a twentieth; they need not
- * agree. {@link #share} is to be asked before each attempt, since a paused process must check its
- * clock before it uses a grant. Times are in ticks.
+ * <p>The receiver of a grant measures its duration from the request, by its own clock. The granter
+ * measures each wait from its response, by its own clock. The rates of clocks must agree within 5 %;
+ * the times that they show need not agree. {@link #share} must be called before each attempt, since
+ * a paused process must check its clock before it uses a grant. Times are in ticks.
  */
 public final class QuotaLeases {
-    /** Of a manager's share: cut off from all, it still serves half. */
+    /** Fraction of its share that a manager may use even while it is isolated. */
     static final double GUARANTEED_FRACTION = 0.5;
 
-    /** Many probe rounds of a small fleet, so that loss alone seldom ends a grant. */
+    /**
+     * Minimum duration of a grant: many probe rounds of a small fleet, so that message loss alone
+     * seldom ends a grant.
+     */
     private static final long MIN_GRANT_DURATION = Ticks.ofSeconds(3);
 
-    /** A grant lasts so many rounds in which each manager is probed once. */
+    /** Duration of a grant in probe rounds; a round probes each manager once. */
     private static final double GRANT_PROBE_ROUNDS = 1.5;
 
-    /** Clocks run alike to a twentieth. */
+    /** Maximum ratio between the rates of two clocks. */
     private static final double CLOCK_DRIFT_FACTOR = 1.05;
 
-    /** For the time between reading a clock and acting. */
+    /** Margin added to a wait for the time between reading a clock and acting. */
     private static final long WAIT_MARGIN = Ticks.ofMillis(150);
 
     private static final long NEVER = Long.MIN_VALUE / 4;
 
-    /** Defects that tests put in one at a time, to show that they are found. */
+    /** Defects that tests inject one at a time, to prove that the checks detect them. */
     public enum InjectedDefect {
         NONE,
         NO_WITHDRAWAL_WAIT,
@@ -49,7 +53,7 @@
         GRANT_TIMED_FROM_RESPONSE
     }
 
-    /** This manager's grant to another. */
+    /** This manager's grant to another manager and its withdrawal. */
     private static final class PeerGrant {
         private boolean unreachable;
         private long grantedAt = NEVER;
@@ -64,12 +68,15 @@
     private final long withdrawalWait;
     private final InjectedDefect defect;
     private final LeaseActions actions;
-    private final Map<String, PeerGrant> peers = new HashMap<>();
+    private final Map<String, PeerGrant> peerGrants = new HashMap<>();
 
-    /** By manager, until when its grant to this one counts. */
+    /** Time until which each manager's grant to this manager is valid, by granting manager. */
     private final Map<String, Long> grantExpiries = new HashMap<>();
 
-    /** By member, who withdrew its grant from it, and until when that counts. */
+    /**
+     * Time until which a withdrawal is valid, by the member that lost the grant and then by the
+     * manager that withdrew it.
+     */
     private final Map<String, Map<String, Long>> withdrawalExpiries = new HashMap<>();
 
     private final boolean mayHaveWithdrawnBefore;
@@ -80,9 +87,11 @@
     private long shareUntil;
 
     /**
-     * {@code managers}: how many managers there are by the settings; {@code period} between two
-     * probes of one manager; {@code mayHaveWithdrawnBefore}: a previous incarnation may have
-     * withdrawn grants.
+     * Creates the leases of a manager in a fleet without cells.
+     *
+     * @param managers configured number of managers
+     * @param period interval between two probes by one manager, in ticks
+     * @param mayHaveWithdrawnBefore whether a previous incarnation may have withdrawn grants
      */
     public QuotaLeases(
             int managers,
@@ -100,9 +109,11 @@
     }
 
     /**
-     * In a fleet of cells: {@code managers} in this manager's cell, {@code fullShare} of each
-     * engine that is its own. Grants are among those of a cell only, so their duration and their
-     * majority do not grow with the fleet.
+     * Creates the leases of a manager in a fleet of cells. Only managers of the same cell exchange
+     * grants, so the duration of a grant and the size of a majority do not grow with the fleet.
+     *
+     * @param managers number of managers in this manager's cell
+     * @param fullShare this manager's full share of each engine
      */
     public QuotaLeases(
             int managers,
@@ -132,8 +143,8 @@
     }
 
     /**
-     * Whether it is so long after its start that what its previous incarnation granted or withdrew
-     * has expired.
+     * Returns whether all grants and withdrawals of the previous incarnation have expired since the
+     * start.
      */
     private boolean pastStartupWait(long now) {
         return now - startedAt > withdrawalWait
@@ -141,41 +152,44 @@
     }
 
     private PeerGrant peer(String name) {
-        return peers.computeIfAbsent(name, n -> new PeerGrant());
+        return peerGrants.computeIfAbsent(name, n -> new PeerGrant());
     }
 
-    /** What the membership says of another: dead or left, or alive. */
+    /** Records whether the membership considers another manager unreachable: dead or left. */
     public void setUnreachable(long now, String name, boolean unreachable) {
         recordStart(now);
         peer(name).unreachable = unreachable;
         share = -1;
     }
 
-    /** What {@link LeaseActions#storeWithdrawalMark} was asked for is done. */
+    /** Records that {@link LeaseActions#storeWithdrawalMark} has been completed. */
     public void onWithdrawalMarkStored() {
         withdrawalMarkStored = true;
     }
 
     /**
-     * Whether an answer to this member carries this manager's grant; asked for each answer, and
-     * records the grant.
+     * Returns whether the ack that is about to be sent to this member carries a grant, and records
+     * the grant. To be called once for each ack.
      */
     boolean grantTo(long now, String name) {
         recordStart(now);
         PeerGrant peer = peer(name);
-        boolean gives =
+        boolean grants =
                 !peer.unreachable
                         && now - peer.withdrawnAt > withdrawalWait
                         && (!mayHaveWithdrawnBefore || pastStartupWait(now));
-        peer.grantedAt = gives ? now : peer.grantedAt;
-        return gives;
+        peer.grantedAt = grants ? now : peer.grantedAt;
+        return grants;
     }
 
-    /** The members that this manager's grant is withdrawn from; sent with each answer. */
+    /**
+     * Withdraws this manager's grants from unreachable members, once that is allowed and the
+     * withdrawal mark is stored. Returns these members, which are sent with each ack.
+     */
     List<String> withdrawGrants(long now) {
         recordStart(now);
         List<String> names = new ArrayList<>();
-        peers.forEach(
+        peerGrants.forEach(
                 (name, peer) -> {
                     if (peer.unreachable
                             && now - peer.grantedAt > withdrawalWait
@@ -193,7 +207,7 @@
         return names;
     }
 
-    /** An answer that came at {@code now} to what was asked at {@code requestedAt}. */
+    /** Handles an ack, received at {@code now}, to a ping that was sent at {@code requestedAt}. */
     void onResponse(
             long now,
             long requestedAt,
@@ -214,7 +228,7 @@
         share = -1;
     }
 
-    /** The part of each engine that this manager may use now, from 0 to 1. */
+    /** Returns the fraction, from 0 to 1, of each engine that this manager may use now. */
     public double share(long now) {
         if (share < 0 || now >= shareUntil) {
             recompute(now);
@@ -226,7 +240,7 @@
         shareUntil = Long.MAX_VALUE;
         grantExpiries.values().removeIf(until -> until <= now);
         grantExpiries.values().forEach(until -> shareUntil = Math.min(shareUntil, until));
-        // Its own grant counts for itself, and is never withdrawn.
+        // This manager always grants its own share, hence the 1.
         boolean fullShareGranted = grantExpiries.size() + 1 >= quorum;
         share = fullShare * (fullShareGranted ? 1 : GUARANTEED_FRACTION);
         if (fullShareGranted) {
@@ -235,7 +249,7 @@
                         expiries.values().removeIf(until -> until <= now);
                         expiries.values()
                                 .forEach(until -> shareUntil = Math.min(shareUntil, until));
-                        PeerGrant peer = peers.get(name);
+                        PeerGrant peer = peerGrants.get(name);
                         boolean withdrawnByThisManager =
                                 peer != null
                                         && peer.unreachable
--- a/src/main/java/firstage/membership/ViewAgreement.java
+++ b/src/main/java/firstage/membership/ViewAgreement.java
@@ -8,16 +8,16 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * The view of this manager: the alive members that are not held out for flapping. A new view is
- * made when members have not changed for a short time, at the latest after a longer one. Managers
- * with the same members come to the same number: each takes the highest number that it is told for
- * the same hash, or one more than any it knows for another.
+ * Derives this manager's view: the alive members that are not held out for flapping. A new view is
+ * made once the members have not changed for a short time, or at the latest after a maximum delay.
+ * Managers with the same members agree on the number of the view: each takes the highest number that
+ * peers report for the same hash, or else one more than any number known for another hash.
  */
 final class ViewAgreement {
-    /** Without a change before a view is made: a zone that fails leaves in one view. */
+    /** Time without a change before a view is made, so that a failed zone leaves in one view. */
     private static final long QUIET_TIME = Ticks.ofMillis(250);
 
-    /** A view is made after this even while members keep flapping. */
+    /** Maximum delay of a view while members keep changing. */
     private static final long MAX_DELAY = Ticks.ofMillis(800);
 
     private final MemberTable table;
@@ -37,13 +37,13 @@
         return view;
     }
 
-    /** A member changed its state. */
+    /** Records that a member changed its state. */
     void onMemberChanged(long now) {
         changedSince = changedSince < 0 ? now : changedSince;
         changedAt = now;
     }
 
-    /** Whether all members of the view say that they have the same. */
+    /** Returns whether all members of the view report the same view. */
     boolean isAgreed() {
         return view.memberNames().stream()
                 .filter(name -> !name.equals(table.self().name()))
@@ -51,7 +51,7 @@
                 .allMatch(p -> p.viewHash() == view.hash() && p.viewNumber() == view.number());
     }
 
-    /** Another has the same members under a higher number. */
+    /** Adopts the number of a peer's view that has the same members and a higher number. */
     void onPeerView(long number, long hash) {
         if (number > view.number() && hash == view.hash()) {
             view = new MembershipView(number, view.hash(), view.memberNames());
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Makes a new view once members have not changed for the quiet time, or after the longest
+     * Makes a new view once the members have not changed for the quiet time, or after the maximum
      * delay.
      */
     void update(long now) {
