--- a/src/main/java/firstage/overload/BroadcastLoadShedding.java
+++ b/src/main/java/firstage/overload/BroadcastLoadShedding.java
@@ -8,20 +8,20 @@
 import java.util.Map;
 
 /**
- * Load shedding where each message goes to all managers and there is no membership: who was heard
- * lately is alive, and each sends its own row alone. Times are in ticks.
+ * Load shedding without a membership: each message goes to all managers, a manager that was heard
+ * recently counts as alive, and each manager sends only its own row. Times are in ticks.
  */
 public final class BroadcastLoadShedding {
-    /** Between two evaluations. */
+    /** Interval between two evaluations. */
     public static final long EVALUATION_INTERVAL = Ticks.ofMillis(100);
 
-    /** Between two messages of a manager. */
+    /** Interval between two messages of a manager. */
     private static final long SEND_INTERVAL = Ticks.ofMillis(250);
 
-    /** A manager that sent nothing so long counts as dead. */
+    /** Time without a message after which a manager counts as dead. */
     private static final long PEER_TIMEOUT = Ticks.ofSeconds(3);
 
-    /** Of the threads that engines bear; below, nothing is sent. */
+    /** Thread utilization up to which a manager without waiting work sends nothing. */
     private static final double MIN_LOAD = 0.4;
 
     private final int self;
@@ -31,8 +31,10 @@
     private int alivePeers = -1;
 
     /**
-     * {@code self}: its number among the managers; {@code latencyObjective}: the shortest of a
-     * traffic class, in ticks.
+     * Creates the load shedding of one manager.
+     *
+     * @param self number of this manager
+     * @param latencyObjective shortest latency objective of all traffic classes, in ticks
      */
     public BroadcastLoadShedding(int self, long latencyObjective, SheddingActions actions) {
         this.self = self;
@@ -45,8 +47,8 @@
     }
 
     /**
-     * Computes the threshold, to be called each {@link #EVALUATION_INTERVAL}; the message to send
-     * to all, empty for none.
+     * Computes the threshold; to be called once in each {@link #EVALUATION_INTERVAL}. Returns the
+     * message to send to all managers, empty for none.
      */
     public byte[] evaluate(long now, DemandHistogram demand) {
         lastHeardAt.values().removeIf(at -> now - at >= PEER_TIMEOUT);
@@ -73,7 +75,7 @@
         level.onViewChanged(names);
     }
 
-    /** A message of another; bytes that can't be read are dropped. */
+    /** Handles a message of another manager; malformed bytes are dropped. */
     public void onMessage(long now, int manager, byte[] digest) {
         lastHeardAt.put(manager, now);
         if (lastHeardAt.size() != alivePeers) {
--- a/src/main/java/firstage/overload/LoadRow.java
+++ b/src/main/java/firstage/overload/LoadRow.java
@@ -1,11 +1,18 @@
 package firstage.overload;
 
 /**
- * What one manager reports of itself. {@code managerHash}: of its name; {@code timestamp}: of its
- * own clock ({@link LoadSheddingLevel#timestamp}); {@code arrivalRates}: by priority band, {@code
- * startRate}: seconds of work a second; {@code queuedWork}: seconds of work; {@code zone}: its own;
- * {@code ejectedPercent}: by zone, of its engines or a mark; {@code zoneOrders}: zone, order and
- * time of each ({@link firstage.failover.ZoneFailover}).
+ * Load of one manager, as it reports it to the others.
+ *
+ * @param managerHash hash of the manager's name
+ * @param timestamp time by the manager's own clock ({@link LoadSheddingLevel#timestamp})
+ * @param arrivalRates work that arrives in each priority band, in seconds of work a second
+ * @param startRate work that is started, in seconds of work a second
+ * @param queuedWork queued work, in seconds of work
+ * @param runningThreads threads of engines in use
+ * @param zone index of the manager's own zone
+ * @param ejectedPercent by zone, the percentage of engines that are ejected, or a special value such
+ *     as {@link firstage.failover.ZoneFailover#UNKNOWN}
+ * @param zoneOrders three values for each operator's order: zone, order and time
  */
 public record LoadRow(
         int managerHash,
--- a/src/main/java/firstage/overload/LoadSheddingLevel.java
+++ b/src/main/java/firstage/overload/LoadSheddingLevel.java
@@ -14,70 +14,83 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * One load-shedding threshold for the whole fleet. Each manager sends a row with what it is asked
- * for by priority band, what it starts, what is queued and what runs. Rows are passed on, so that
- * all have nearly the same table and compute the same threshold: what the fleet can get through,
- * highest priority first. Requests of a lower band are refused at once; of the threshold's own band
- * a part is admitted.
+ * Computes one load-shedding threshold for the whole fleet. Each manager sends a row with the work
+ * that arrives by priority band, and the work that it starts, queues and runs. Managers forward rows,
+ * so that all have nearly the same table and compute the same threshold: the fleet's capacity is
+ * filled from the highest priority band down. Requests of bands below the threshold are refused at
+ * once; of the threshold's own band a fraction is admitted.
  *
- * <p>The fleet's capacity is not known ahead. It is estimated as what is started now, less where
- * work is queued too long or more threads run than engines bear, and up to three times as much
- * where neither is so. The only state is smoothed rates, so a manager that restarts agrees with the
- * others as soon as it has their rows.
+ * <p>The fleet's capacity is not known in advance. The estimate is the work that is started now;
+ * less if work is queued too long or more threads run than the engines can sustain, and up to three
+ * times as much if neither holds. The only state is smoothed rates, so a restarted manager agrees
+ * with the others as soon as it has their rows.
  *
  * <p>Invariants: rows of others only make a manager refuse more than its own queue would; no row
  * counts for more than a few times the mean of the others; without fresh rows there is no
  * threshold. Times are in ticks, rates in seconds of expected work a second.
  */
 public final class LoadSheddingLevel {
-    /** Ticks over which rates are smoothed: a storm shows in its first second. */
+    /** Time constant of the smoothed rates: an overload shows within its first second. */
     private static final double SMOOTHING_TIME = 3_000;
 
-    /** A row counts so long: some probe rounds of a small fleet, fewer than a restart takes. */
+    /**
+     * Time for which a received row counts: several probe rounds of a small fleet, and shorter than a
+     * restart.
+     */
     private static final long ROW_LIFETIME = Ticks.ofSeconds(3);
 
-    /** Of the shortest latency objective that may be spent in the queue. */
+    /** Fraction of the shortest latency objective that requests may spend in the queue. */
     private static final double MAX_WAIT_FRACTION = 0.5;
 
-    /** Seconds for which work that the queue shed counts as queued. */
+    /** Seconds for which work that was shed from the queue counts as queued. */
     private static final double SHED_WORK_WEIGHT = 1;
 
-    /** Seconds in which work that is queued too long is to be gone. */
+    /** Seconds in which the queue is to return to its target delay. */
     private static final double DRAIN_TIME_S = 2;
 
-    /** Times the start rate that may come in addition while nothing is queued. */
+    /** Maximum growth of the estimate, relative to the start rate, while nothing is queued. */
     private static final double MAX_GROWTH = 2;
 
-    /** Of the start rate held back at most. */
+    /** Maximum reduction of the estimate, relative to the start rate. */
     private static final double MAX_REDUCTION = 0.5;
 
-    /** Of the threads that engines bear. */
-    private static final double BUSY_THRESHOLD = 0.8;
+    /** Fraction of the thread capacity in use above which the estimate is reduced. */
+    private static final double UTILIZATION_THRESHOLD = 0.8;
 
-    /** Of the start rate held back for each whole of the threads beyond the threshold. */
-    private static final double REDUCTION_PER_BUSY = 1.5;
+    /** Reduction of the estimate per unit of utilization above the threshold. */
+    private static final double REDUCTION_PER_UTILIZATION = 1.5;
 
-    /** Times the mean of the others that one row counts for at most. */
+    /** Maximum weight of one row, as a multiple of the mean of the others. */
     private static final double MAX_ROW_WEIGHT = 4;
 
     private static final double TICKS_PER_SECOND = 10_000;
 
-    /** Rows are dated in steps of this: 32 bits are more than a year. */
+    /** Resolution of row timestamps in ticks; 32 bits last for more than a year. */
     private static final long TIMESTAMP_UNIT = Ticks.ofMillis(10);
 
-    /** Up to so many members each message carries all rows; beyond, rows go by turns. */
+    /** Largest view for which each message carries all rows that fit; else rows go in turn. */
     private static final int MAX_VIEW_FOR_ALL_ROWS = 24;
 
-    private static final int ROWS_BY_TURNS = 6;
+    private static final int ROWS_PER_TURN = 6;
 
-    /** Defects that tests put in one at a time, to show that they are found. */
+    /** Defects that tests inject one at a time, to prove that the checks detect them. */
     public enum InjectedDefect {
         NONE,
         NO_PEERS,
+
+        /** Rows never expire. */
         NEVER_OLD,
+
+        /** An older row replaces a newer one. */
         OLDER_WINS,
+
+        /** The weight of a single row is not limited. */
         NO_LIMIT,
+
+        /** The queueing delay is ignored. */
         WAITS_UNSEEN,
+
+        /** The capacity estimate never grows. */
         NO_WAY_BACK
     }
 
@@ -104,9 +117,14 @@
     private int[] ejectedPercent = new int[0];
     private int[] zoneOrders = new int[0];
     private int threshold;
-    private double admittedPart = 1;
+    private double admittedFraction = 1;
 
-    /** {@code latencyObjective}: the shortest of a traffic class, in ticks. */
+    /**
+     * Creates a level without a threshold.
+     *
+     * @param self name of this manager
+     * @param latencyObjective shortest latency objective of all traffic classes, in ticks
+     */
     public LoadSheddingLevel(
             String self, long latencyObjective, SheddingActions actions, InjectedDefect defect) {
         this.self = managerHash(self);
@@ -115,7 +133,10 @@
         this.defect = defect;
     }
 
-    /** A time as it is sent; compared by difference, which holds for half a year and more. */
+    /**
+     * Returns a time as it is sent in rows. Timestamps are compared by their difference, which is valid
+     * for times up to half a year apart.
+     */
     public static int timestamp(long now) {
         return (int) (now / TIMESTAMP_UNIT);
     }
@@ -124,13 +145,13 @@
         return (int) LongHashFunction.xx3().hashChars(name);
     }
 
-    /** The alive managers. */
+    /** Sets the names of the alive managers, and drops the rows of all others. */
     public void onViewChanged(List<String> names) {
         view = new HashSet<>(names.stream().map(LoadSheddingLevel::managerHash).toList());
         rowsByManager.keySet().retainAll(view);
     }
 
-    /** Rows that another sent, its own and those passed on. */
+    /** Handles rows that another manager sent: its own and forwarded ones. */
     public void onRows(long now, List<LoadRow> rows) {
         for (LoadRow row : rows) {
             ReceivedRow before = rowsByManager.get(row.managerHash());
@@ -149,14 +170,14 @@
     }
 
     /**
-     * What this manager sends: its own row first, then others', by turns where there is no room for
-     * all.
+     * Returns the rows to send: this manager's own first, then rows of others, in turn if not all of
+     * them fit.
      */
     public List<LoadRow> rowsToSend(long now, int maxRows) {
-        int most = view.size() > MAX_VIEW_FOR_ALL_ROWS ? Math.min(maxRows, ROWS_BY_TURNS) : maxRows;
+        int limit = view.size() > MAX_VIEW_FOR_ALL_ROWS ? Math.min(maxRows, ROWS_PER_TURN) : maxRows;
         List<LoadRow> others = freshPeerRows(now);
         List<LoadRow> rows = new ArrayList<>(List.of(localRow(now)));
-        for (int i = 0; i < others.size() && rows.size() < most; i++) {
+        for (int i = 0; i < others.size() && rows.size() < limit; i++) {
             rows.add(others.get((nextRow + i) % others.size()));
         }
         nextRow = others.isEmpty() ? 0 : (nextRow + rows.size() - 1) % others.size();
@@ -183,7 +204,7 @@
                 zoneOrders);
     }
 
-    /** Updates this manager's own rates; to be called each 100 ms or so. */
+    /** Updates this manager's own rates; to be called about every 100 ms. */
     public void measure(long now, DemandHistogram demand) {
         double[] arrivedWork = demand.arrivedWork();
         if (measuredAt >= 0 && now > measuredAt) {
@@ -211,14 +232,14 @@
         previousShedWork = demand.shedWork();
     }
 
-    /** What this manager observes of the zones, to be sent with its row. */
+    /** Sets this manager's observations of the zones, which are sent with its row. */
     public void setZoneObservations(int ownZone, int[] ejectedPercentByZone, int[] ordersByZone) {
         zone = ownZone;
         ejectedPercent = ejectedPercentByZone;
         zoneOrders = ordersByZone;
     }
 
-    /** All fresh rows, its own first. */
+    /** Returns all fresh rows, this manager's own first. */
     public List<LoadRow> freshRows(long now) {
         List<LoadRow> rows = new ArrayList<>(List.of(localRow(now)));
         rows.addAll(defect == InjectedDefect.NO_PEERS ? List.of() : freshPeerRows(now));
@@ -228,16 +249,16 @@
     /** Computes the threshold; to be called after {@link #measure}. */
     public void evaluate(long now) {
         List<LoadRow> rows = freshRows(now);
-        // Members without a fresh row are assumed to be as the others.
-        double unheardFactor = Math.max(1, (double) view.size() / rows.size());
+        // Members without a fresh row are assumed to be like the others.
+        double missingRowsFactor = Math.max(1, (double) view.size() / rows.size());
         double totalStartRate = rows.stream().mapToDouble(LoadRow::startRate).sum();
         double queueDelayS =
                 defect == InjectedDefect.WAITS_UNSEEN
                         ? 0
                         : limited(rows, LoadRow::queuedWork).sum() / Math.max(0.01, totalStartRate);
-        double busy =
+        double utilization =
                 limited(rows, LoadRow::runningThreads).sum()
-                        * unheardFactor
+                        * missingRowsFactor
                         / Math.max(1, threadCapacity);
         ToDoubleFunction<LoadRow> totalArrivalRate = row -> Arrays.stream(row.arrivalRates()).sum();
         double[] rates = rows.stream().mapToDouble(totalArrivalRate).toArray();
@@ -249,9 +270,9 @@
         double change =
                 Math.max(
                         -MAX_REDUCTION,
-                        busy > BUSY_THRESHOLD
+                        utilization > UTILIZATION_THRESHOLD
                                 ? Math.min(
-                                        changeByDelay, (BUSY_THRESHOLD - busy) * REDUCTION_PER_BUSY)
+                                        changeByDelay, (UTILIZATION_THRESHOLD - utilization) * REDUCTION_PER_UTILIZATION)
                                 : changeByDelay);
         double remainingRate =
                 totalStartRate
@@ -278,23 +299,24 @@
         apply(now, admitAll ? 0 : band, admitAll ? 1 : 1 + remainingRate / bandRate);
     }
 
-    private void apply(long now, int nextThreshold, double nextPart) {
-        if (nextThreshold != threshold || nextPart != admittedPart) {
+    private void apply(long now, int nextThreshold, double nextFraction) {
+        if (nextThreshold != threshold || nextFraction != admittedFraction) {
             threshold = nextThreshold;
-            admittedPart = nextPart;
-            actions.setThreshold(now, threshold, admittedPart);
+            admittedFraction = nextFraction;
+            actions.setThreshold(now, threshold, admittedFraction);
         }
     }
 
     /**
-     * The figures by row, none more than a few times the mean of the others: a mistaken row moves
-     * the fleet no further. For figures that make this manager refuse more.
+     * Returns the value of each row, limited to a few times the mean of the others, so that a single
+     * wrong row has a bounded effect on the fleet. Applied to values that make this manager refuse
+     * more.
      */
-    private DoubleStream limited(List<LoadRow> rows, ToDoubleFunction<LoadRow> figure) {
-        double total = rows.stream().mapToDouble(figure).sum();
+    private DoubleStream limited(List<LoadRow> rows, ToDoubleFunction<LoadRow> valueOf) {
+        double total = rows.stream().mapToDouble(valueOf).sum();
         boolean unlimited = defect == InjectedDefect.NO_LIMIT || rows.size() < 2;
         return rows.stream()
-                .mapToDouble(figure)
+                .mapToDouble(valueOf)
                 .map(
                         value ->
                                 unlimited
@@ -306,7 +328,7 @@
                                                         / (rows.size() - 1)));
     }
 
-    /** The priority band below which all requests are refused; 0 for none. */
+    /** Returns the priority band below which all requests are refused; 0 for none. */
     public int threshold() {
         return threshold;
     }
--- a/src/main/java/firstage/overload/OverloadDigest.java
+++ b/src/main/java/firstage/overload/OverloadDigest.java
@@ -11,17 +11,17 @@
 import java.util.List;
 
 /**
- * What one manager reports of engines and load, as CBOR in the digest of membership messages: an
- * array, its first item the version of the form; items that a newer form adds at the end are
- * skipped. Empty where there is nothing to report.
+ * Encodes and decodes a manager's reports on engines and load, which travel as CBOR in the digest of
+ * membership messages: an array whose first item is the format version. Items that a newer format
+ * adds at the end are skipped. The digest is empty if there is nothing to report.
  */
 public final class OverloadDigest {
     private static final int VERSION = 1;
 
-    /** Engines in one digest; more go by turns. */
+    /** Maximum number of engine reports in one digest; more are sent in turn. */
     public static final int MAX_REPORTS = 24;
 
-    /** Of a digest; the rest of a datagram is left to the membership. */
+    /** Size of a digest in bytes; the rest of a datagram is left to the membership. */
     private static final int MAX_BYTES = 560;
 
     private static final int REPORT_BYTES = 14;
@@ -29,33 +29,39 @@
     private static final int MIN_ROWS = 6;
     private static final int ROW_HEADER_BYTES = 18;
 
-    /** A thousandth of a core; with eight steps an octave a byte reaches four million. */
-    private static final double SMALLEST_FIGURE = 0.001;
+    /**
+     * Smallest encoded value other than 0: a thousandth of a core. With eight steps an octave a byte
+     * reaches four million.
+     */
+    private static final double SMALLEST_VALUE = 0.001;
 
     private static final double STEPS_PER_OCTAVE = 8;
     private static final byte[] NO_BYTES = new byte[0];
     private static final CBORFactory CBOR = new CBORFactory();
 
     /**
-     * Of one engine, by its id: whether it is ejected, or was readmitted after that; {@code age}:
-     * ticks since the last attempt, or since the readmission.
+     * Report on an engine that is ejected or was recently readmitted.
+     *
+     * @param engine id of the engine
+     * @param ejected whether the engine is ejected; false after a readmission
+     * @param age ticks since the last attempt on the ejected engine, or since the readmission
      */
     public record EngineReport(long engine, boolean ejected, long age) {}
 
     private OverloadDigest() {}
 
-    /** Reports on engines, and load rows, as many as there is room for. */
+    /** Decoded contents of a digest. */
     public record Contents(List<EngineReport> reports, List<LoadRow> rows) {
         static final Contents EMPTY = new Contents(List.of(), List.of());
     }
 
-    /** How many rows fit beside so many reports. */
+    /** Returns how many load rows fit beside this number of engine reports. */
     public static int rows(int reports) {
         return Math.max(
                 MIN_ROWS, (MAX_BYTES - Math.min(MAX_REPORTS, reports) * REPORT_BYTES) / ROW_BYTES);
     }
 
-    /** The bytes, with as many reports as fit. */
+    /** Encodes the rows and up to {@link #MAX_REPORTS} reports; empty if there are none. */
     public static byte[] encode(List<EngineReport> reports, List<LoadRow> rows) {
         if (reports.isEmpty() && rows.isEmpty()) {
             return NO_BYTES;
@@ -73,15 +79,17 @@
             generator.writeEndArray();
             generator.writeBinary(encodeRows(rows));
             generator.writeEndArray();
-        } catch (IOException fault) {
-            throw new IllegalStateException("bytes in memory take all", fault);
+        } catch (IOException exception) {
+            throw new IllegalStateException("can't encode an overload digest in memory", exception);
         }
         return out.toByteArray();
     }
 
     /**
-     * Each: manager, timestamp, start rate, queued work, threads, a bit for each band with
-     * arrivals, zone, reports on zones, orders, and the arrival rates of those bands.
+     * Encodes rows one after the other. Each row consists of the manager's hash, timestamp, start
+     * rate, queued work, running threads, a bit mask of the bands with arrivals, the zone, the counts
+     * of ejection percentages and of zone orders, these two lists, and the arrival rates of the bands
+     * in the mask.
      */
     private static byte[] encodeRows(List<LoadRow> rows) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(rows.size() * ROW_BYTES);
@@ -91,22 +99,22 @@
             out.write(quantize(row.startRate()));
             out.write(quantize(row.queuedWork()));
             out.write(quantize(row.runningThreads()));
-            int asked = 0;
+            int bandMask = 0;
             for (int band = 0; band < DemandHistogram.BANDS; band++) {
-                asked |= quantize(row.arrivalRates()[band]) != 0 ? 1 << band : 0;
+                bandMask |= quantize(row.arrivalRates()[band]) != 0 ? 1 << band : 0;
             }
-            writeInt(out, asked);
+            writeInt(out, bandMask);
             out.write(row.zone());
             out.write(row.ejectedPercent().length);
             out.write(row.zoneOrders().length);
-            for (int share : row.ejectedPercent()) {
-                out.write(share);
+            for (int percent : row.ejectedPercent()) {
+                out.write(percent);
             }
-            for (int figure : row.zoneOrders()) {
-                writeInt(out, figure);
+            for (int item : row.zoneOrders()) {
+                writeInt(out, item);
             }
             for (int band = 0; band < DemandHistogram.BANDS; band++) {
-                if ((asked & 1 << band) != 0) {
+                if ((bandMask & 1 << band) != 0) {
                     out.write(quantize(row.arrivalRates()[band]));
                 }
             }
@@ -128,18 +136,18 @@
         return number;
     }
 
-    private static List<LoadRow> rows(byte[] in) {
+    private static List<LoadRow> decodeRows(byte[] in) {
         List<LoadRow> rows = new ArrayList<>();
         int at = 0;
         while (in.length - at >= ROW_HEADER_BYTES) {
-            int asked = readInt(in, at + ROW_HEADER_BYTES - Integer.BYTES - 3);
+            int bandMask = readInt(in, at + ROW_HEADER_BYTES - Integer.BYTES - 3);
             int next = at + ROW_HEADER_BYTES;
             int[] ejectedPercent = new int[Byte.toUnsignedInt(in[next - 2])];
             int[] zoneOrders = new int[Byte.toUnsignedInt(in[next - 1])];
             if (in.length - next
                     < ejectedPercent.length
                             + zoneOrders.length * Integer.BYTES
-                            + Integer.bitCount(asked)) {
+                            + Integer.bitCount(bandMask)) {
                 return List.of();
             }
             for (int zone = 0; zone < ejectedPercent.length; zone++) {
@@ -151,17 +159,17 @@
             }
             double[] arrivalRates = new double[DemandHistogram.BANDS];
             for (int band = 0; band < DemandHistogram.BANDS; band++) {
-                arrivalRates[band] = (asked & 1 << band) != 0 ? dequantize(in[next++]) : 0;
+                arrivalRates[band] = (bandMask & 1 << band) != 0 ? dequantize(in[next++]) : 0;
             }
-            int figures = at + 2 * Integer.BYTES;
+            int valuesAt = at + 2 * Integer.BYTES;
             rows.add(
                     new LoadRow(
                             readInt(in, at),
                             readInt(in, at + Integer.BYTES),
                             arrivalRates,
-                            dequantize(in[figures]),
-                            dequantize(in[figures + 1]),
-                            dequantize(in[figures + 2]),
+                            dequantize(in[valuesAt]),
+                            dequantize(in[valuesAt + 1]),
+                            dequantize(in[valuesAt + 2]),
                             Byte.toUnsignedInt(in[at + ROW_HEADER_BYTES - 3]),
                             ejectedPercent,
                             zoneOrders));
@@ -170,26 +178,26 @@
         return rows;
     }
 
-    /** A figure in one byte, in steps of an eighth of an octave; 0 for next to nothing. */
-    private static byte quantize(double figure) {
+    /** Encodes a value in one byte in steps of an eighth of an octave; 0 for negligible values. */
+    private static byte quantize(double value) {
         return (byte)
-                (figure < SMALLEST_FIGURE
+                (value < SMALLEST_VALUE
                         ? 0
                         : Math.min(
                                 255,
                                 1
                                         + Math.round(
                                                 STEPS_PER_OCTAVE
-                                                        * Math.log(figure / SMALLEST_FIGURE)
+                                                        * Math.log(value / SMALLEST_VALUE)
                                                         / Math.log(2))));
     }
 
-    private static double dequantize(byte coarse) {
-        int step = Byte.toUnsignedInt(coarse);
-        return step == 0 ? 0 : SMALLEST_FIGURE * Math.pow(2, (step - 1) / STEPS_PER_OCTAVE);
+    private static double dequantize(byte quantized) {
+        int step = Byte.toUnsignedInt(quantized);
+        return step == 0 ? 0 : SMALLEST_VALUE * Math.pow(2, (step - 1) / STEPS_PER_OCTAVE);
     }
 
-    /** The contents, empty where the bytes can't be read. */
+    /** Decodes a digest; returns empty contents if the bytes are malformed. */
     public static Contents decode(byte[] bytes) {
         if (bytes.length == 0) {
             return Contents.EMPTY;
@@ -214,10 +222,10 @@
                                 ejected == JsonToken.VALUE_TRUE,
                                 Math.max(0, in.getLongValue())));
             }
-            // An older form has no rows.
-            boolean more = in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT;
-            return new Contents(reports, more ? rows(in.getBinaryValue()) : List.of());
-        } catch (IOException spoilt) {
+            // An older format has no rows.
+            boolean hasRows = in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT;
+            return new Contents(reports, hasRows ? decodeRows(in.getBinaryValue()) : List.of());
+        } catch (IOException malformed) {
             return Contents.EMPTY;
         }
     }
--- a/src/main/java/firstage/overload/ProbeActions.java
+++ b/src/main/java/firstage/overload/ProbeActions.java
@@ -1,10 +1,11 @@
 package firstage.overload;
 
-/** What the probe coordinator decides; none of it calls back. */
+/** Effects of the probe coordinator; no method calls back into it. */
 public interface ProbeActions {
     /**
-     * Whether others probe this engine in this manager's place; where {@code backoffOver}, it is to
-     * be probed now.
+     * Sets whether this manager leaves the probing of an engine to other managers.
+     *
+     * @param backoffOver whether the engine may be probed now, without waiting for its backoff
      */
     void setProbedByOthers(long engine, boolean probedByOthers, boolean backoffOver);
 }
--- a/src/main/java/firstage/overload/ProbeCoordinator.java
+++ b/src/main/java/firstage/overload/ProbeCoordinator.java
@@ -11,51 +11,55 @@
 import java.util.Set;
 
 /**
- * Decides who probes an unhealthy engine and who avoids it. Where several managers report an engine
- * as ejected, the others avoid it unless they have had a response from it lately. One of those that
- * ejected it, the probe owner by rendezvous hashing (Thaler and Ravishankar 1998), goes on probing
- * it. After a success the others follow in steps, twice as many in each, so that a step that
- * overloads it again affects few. An engine that only one manager has ejected is that manager's own
- * matter: its link is broken, not the engine. Where most engines would be avoided on others'
- * reports, the reports do not count.
+ * Decides which managers probe an unhealthy engine and which avoid it. If several managers report an
+ * engine as ejected, the other managers avoid it unless it has recently responded to them. Of the
+ * managers that ejected the engine, one keeps probing it: the probe owner by rendezvous hashing
+ * (Thaler and Ravishankar 1998). After a successful probe the other managers return in steps, each
+ * step with twice as many managers as the one before, so that only few are affected if the engine is
+ * overloaded again. An engine that only one manager has ejected concerns that manager alone: its link
+ * is broken, not the engine. If reports of others would make this manager avoid too many engines, the
+ * reports are ignored.
  *
- * <p>States of this manager's right to send to an engine: OWN (decided by its own outlier
- * detection); WITHHELD (left to the probe owner); RETURNING (readmitted elsewhere, waits for its
- * step). Invariant: the right is withheld only by reports that are fresh by this manager's own
- * clock; without any it decides alone. Times are in ticks.
+ * <p>States of this manager's right to send to an engine: OWN (decided by its own outlier detection),
+ * WITHHELD (probing is left to the probe owner), RETURNING (another manager readmitted the engine;
+ * this manager waits for its step). Invariant: only reports that are fresh by this manager's own
+ * clock withhold the right; without such reports the manager decides alone. Times are in ticks.
  */
 public final class ProbeCoordinator {
     /**
-     * Managers that have it ejected before it counts as the engine: one or two may share a broken
-     * link.
+     * Managers that must have ejected an engine before the engine counts as faulty; one or two managers
+     * may share a broken link.
      */
     private static final int REPORTERS_NEEDED = 3;
 
-    /** A report counts at least so long: some probe rounds of a small fleet. */
+    /** Minimum lifetime of a report: several probe rounds of a small fleet. */
     private static final long MIN_REPORT_LIFETIME = Ticks.ofSeconds(3);
 
-    /** A report counts so many rounds in which each manager hears each other. */
+    /** Lifetime of a report in probe rounds; in a round each manager hears every other. */
     private static final double REPORT_PROBE_ROUNDS = 1.5;
 
-    /** Between two probes of an engine by its owner, whatever the fleet. */
+    /** Interval between two probes of an engine by its owner, for a fleet of any size. */
     private static final long PROBE_INTERVAL = Ticks.ofSeconds(2);
 
-    /** A response to this manager counts for more than others' reports so long. */
+    /** Time for which a response to this manager outweighs the reports of others. */
     private static final long RECENT_RESPONSE = Ticks.ofSeconds(2);
 
-    /** Of the engines avoided on others' reports; beyond, it is not the engines. */
+    /**
+     * Maximum fraction of engines avoided because of others' reports; if more are reported, the cause
+     * is not the engines.
+     */
     private static final double MAX_AVOIDED_FRACTION = 0.34;
 
-    /** An owner without a request to probe with is passed over after this. */
+    /** Time without a probe after which an owner, which may lack requests to probe with, is skipped. */
     private static final long OWNER_IDLE_TIMEOUT = Ticks.ofSeconds(12);
 
-    /** Between steps of the return: a short request has returned by then. */
+    /** Interval between two steps of the return, longer than a short request takes. */
     private static final long RETURN_STEP = Ticks.ofMillis(250);
 
-    /** After its step a manager goes by its own observations so long. */
+    /** Time after its step in which a manager relies on its own observations only. */
     private static final long INDEPENDENT_AFTER_RETURN = Ticks.ofSeconds(5);
 
-    /** A readmission is reported so long: all steps of a large fleet. */
+    /** Time for which a readmission is reported: longer than all steps of a large fleet. */
     private static final long READMISSION_REPORTED_FOR = Ticks.ofSeconds(6);
 
     private enum State {
@@ -75,8 +79,8 @@
     private record Transition(State state, Event event, State next) {}
 
     /**
-     * State, event, next state: whether this manager's right to try an engine is its own, withheld,
-     * or due by its step.
+     * Transitions of this manager's right to send to an engine. A combination of state and event that
+     * is not listed changes nothing.
      */
     private static final Transition[] TRANSITIONS = {
         new Transition(State.OWN, Event.PROBED_BY_OTHER, State.WITHHELD),
@@ -89,19 +93,27 @@
         new Transition(State.RETURNING, Event.STEP_DUE, State.OWN),
     };
 
-    /** Defects that tests put in one at a time, to show that they are found. */
+    /** Defects that tests inject one at a time, to prove that the checks detect them. */
     public enum InjectedDefect {
         NONE,
+
+        /** Each manager that ejected an engine considers itself its probe owner. */
         ALL_OWN,
+
+        /** Reports never expire. */
         WORDS_NEVER_END,
+
+        /** All managers return in the first step. */
         ALL_AT_ONCE,
+
+        /** The report of a single manager suffices, and nobody owns the probes. */
         ALONE_IS_SHARED
     }
 
     private record ReceivedReport(EngineReport report, long receivedAt) {}
 
     private static final class EngineProbing {
-        private State right = State.OWN;
+        private State sendRight = State.OWN;
         private boolean ejected;
         private long lastAttemptAt;
         private long lastResponseAt;
@@ -121,7 +133,12 @@
     private long reportLifetime = MIN_REPORT_LIFETIME;
     private int nextReport;
 
-    /** {@code period}: between two probes of the membership, whose messages carry the reports. */
+    /**
+     * Creates the coordinator of one manager.
+     *
+     * @param self name of this manager
+     * @param period interval between two probes of the membership, whose messages carry the reports
+     */
     public ProbeCoordinator(String self, long period, ProbeActions actions, InjectedDefect defect) {
         this.self = self;
         this.period = period;
@@ -129,7 +146,7 @@
         this.defect = defect;
     }
 
-    /** The alive managers. */
+    /** Sets the names of the alive managers, and drops the reports of all others. */
     public void onViewChanged(List<String> names) {
         view = new HashSet<>(names);
         reportsByManager.keySet().retainAll(view);
@@ -137,7 +154,7 @@
                 Math.max(MIN_REPORT_LIFETIME, (long) (REPORT_PROBE_ROUNDS * names.size() * period));
     }
 
-    /** What another reports now, in place of all that it reported before. */
+    /** Replaces all earlier reports of another manager. */
     public void onReports(long now, String from, List<EngineReport> reports) {
         Map<Long, ReceivedReport> received = new HashMap<>();
         reports.forEach(report -> received.put(report.engine(), new ReceivedReport(report, now)));
@@ -149,29 +166,32 @@
     }
 
     /**
-     * What this manager observes of an engine: whether it is ejected, when a request was last sent
-     * to it and when it last responded.
+     * Records this manager's observations of an engine.
+     *
+     * @param ejected whether this manager has ejected the engine
+     * @param lastAttemptAt when this manager last sent a request to the engine
+     * @param lastResponseAt when the engine last responded to this manager
      */
     public void updateEngine(
             long now, long engine, boolean ejected, long lastAttemptAt, long lastResponseAt) {
         EngineProbing engineState = engines.computeIfAbsent(engine, e -> new EngineProbing());
         if (engineState.ejected && !ejected) {
             engineState.readmittedAt = now;
-            engineState.right = State.OWN;
+            engineState.sendRight = State.OWN;
         }
         engineState.ejected = ejected;
         engineState.lastAttemptAt = Math.max(engineState.lastAttemptAt, lastAttemptAt);
         engineState.lastResponseAt = Math.max(engineState.lastResponseAt, lastResponseAt);
     }
 
-    /** The engine is no longer in the endpoint list. */
+    /** Forgets an engine that is no longer in the endpoint list. */
     public void removeEngine(long engine) {
         engines.remove(engine);
     }
 
     /**
-     * What this manager reports: the engines it has ejected and those it readmitted lately, by
-     * turns where they are many.
+     * Returns this manager's reports: the engines that it has ejected and those that were recently
+     * readmitted, in turn if there are more than fit into a digest.
      */
     public List<EngineReport> localReports(long now) {
         List<EngineReport> reports = new ArrayList<>();
@@ -186,7 +206,8 @@
                                         true,
                                         Math.max(0, now - engineState.lastAttemptAt)));
                     } else if (now - readmittedAt < READMISSION_REPORTED_FOR) {
-                        // Passed on by who heard it, too, so that all know in a few rounds.
+                        // Managers that learned of a readmission report it too, so that all managers
+                        // know it after a few rounds.
                         reports.add(new EngineReport(engine, false, now - readmittedAt));
                     }
                 });
@@ -207,12 +228,12 @@
                 || defect == InjectedDefect.WORDS_NEVER_END;
     }
 
-    /** Decides on all unhealthy engines; to be called each 100 ms or so. */
+    /** Decides on all unhealthy engines; to be called about every 100 ms. */
     public void evaluate(long now) {
         Set<Long> suspects = new HashSet<>();
         engines.forEach(
                 (engine, engineState) -> {
-                    if (engineState.ejected || engineState.right != State.OWN) {
+                    if (engineState.ejected || engineState.sendRight != State.OWN) {
                         suspects.add(engine);
                     }
                 });
@@ -233,15 +254,15 @@
                                         !engines.get(e).ejected
                                                 && reporters(now, e).size() >= reportersNeeded())
                         .count();
-        boolean mostEjected = ejectedByOthers > MAX_AVOIDED_FRACTION * engines.size();
-        suspects.forEach(engine -> evaluate(now, engine, engines.get(engine), mostEjected));
+        boolean tooManyEjected = ejectedByOthers > MAX_AVOIDED_FRACTION * engines.size();
+        suspects.forEach(engine -> evaluate(now, engine, engines.get(engine), tooManyEjected));
     }
 
     private int reportersNeeded() {
         return Math.max(2, Math.min(REPORTERS_NEEDED, (view.size() + 1) / 2));
     }
 
-    /** Who else has it ejected, by fresh reports. */
+    /** Returns the other managers that have ejected the engine, according to fresh reports. */
     private List<String> reporters(long now, long engine) {
         List<String> reporters = new ArrayList<>();
         reportsByManager.forEach(
@@ -254,7 +275,7 @@
         return reporters;
     }
 
-    private void evaluate(long now, long engine, EngineProbing engineState, boolean mostEjected) {
+    private void evaluate(long now, long engine, EngineProbing engineState, boolean tooManyEjected) {
         List<String> reporters = reporters(now, engine);
         List<String> probingReporters =
                 new ArrayList<>(
@@ -293,13 +314,13 @@
                 probingReporters.add(self);
             }
         }
-        // Ejected by others only: a recent response to this manager counts for more, and where
-        // most engines would be avoided the reports do not count.
+        // If only others have ejected the engine, a recent response to this manager outweighs their
+        // reports. The reports are ignored if too many engines would be avoided.
         boolean shared =
                 now >= engineState.independentUntil
                                 && reporters.size() >= reportersNeeded()
                                 && (engineState.ejected
-                                        || !mostEjected
+                                        || !tooManyEjected
                                                 && now - engineState.lastResponseAt
                                                         > RECENT_RESPONSE)
                         || defect == InjectedDefect.ALONE_IS_SHARED;
@@ -316,11 +337,11 @@
                                                                                 engine, manager)))
                                                 .orElse(self)
                                                 .equals(self));
-        // A readmission before this manager's last failed attempt says nothing.
+        // A readmission that is older than this manager's last failed attempt is outdated.
         boolean readmitted = engineState.readmissionReportedAt > engineState.lastAttemptAt;
         Event event =
-                readmitted && engineState.right != State.OWN
-                        ? engineState.right == State.RETURNING && now >= engineState.stepAt
+                readmitted && engineState.sendRight != State.OWN
+                        ? engineState.sendRight == State.RETURNING && now >= engineState.stepAt
                                 ? Event.STEP_DUE
                                 : Event.READMITTED
                         : !shared
@@ -329,12 +350,12 @@
                                         ? Event.PROBE_OWNER
                                         : readmitted ? null : Event.PROBED_BY_OTHER;
         for (Transition transition : TRANSITIONS) {
-            if (transition.state == engineState.right
+            if (transition.state == engineState.sendRight
                     && transition.event == event
-                    && transition.next != engineState.right) {
-                engineState.right = transition.next;
-                if (engineState.right == State.RETURNING) {
-                    // Steps double: step n holds the next 2^n managers in the engine's order.
+                    && transition.next != engineState.sendRight) {
+                engineState.sendRight = transition.next;
+                if (engineState.sendRight == State.RETURNING) {
+                    // Step n consists of the next 2^n managers in the engine's order.
                     long managersBefore = RendezvousHash.countBefore(engine, view, self);
                     int step =
                             defect == InjectedDefect.ALL_AT_ONCE
@@ -342,13 +363,13 @@
                                     : Long.SIZE - Long.numberOfLeadingZeros(managersBefore + 1) - 1;
                     engineState.stepAt = now + step * RETURN_STEP;
                 }
-                // After its step it goes by its own observations: reports of others may be old.
+                // After its step the manager relies on its own observations; reports may be old.
                 engineState.independentUntil =
                         event == Event.STEP_DUE
                                 ? now + INDEPENDENT_AFTER_RETURN
                                 : engineState.independentUntil;
                 actions.setProbedByOthers(
-                        engine, engineState.right != State.OWN, event == Event.STEP_DUE);
+                        engine, engineState.sendRight != State.OWN, event == Event.STEP_DUE);
                 return;
             }
         }
@@ -359,10 +380,10 @@
         }
     }
 
-    /** How many engines are left to others to probe. */
+    /** Returns the number of engines whose probes are left to other managers. */
     public long withheldCount() {
         return engines.values().stream()
-                .filter(engineState -> engineState.right != State.OWN)
+                .filter(engineState -> engineState.sendRight != State.OWN)
                 .count();
     }
 }
--- a/src/main/java/firstage/overload/SheddingActions.java
+++ b/src/main/java/firstage/overload/SheddingActions.java
@@ -1,7 +1,12 @@
 package firstage.overload;
 
-/** What the load-shedding level decides. */
+/** Effects of the load-shedding level. */
 public interface SheddingActions {
-    /** Requests of a lower band are refused, and of this band all but the admitted part. */
-    void setThreshold(long now, int band, double admittedPart);
+    /**
+     * Sets the threshold. Requests of lower priority bands are refused; of this band only a fraction
+     * is admitted.
+     *
+     * @param admittedFraction fraction of the band's requests to admit, from 0 to 1
+     */
+    void setThreshold(long now, int band, double admittedFraction);
 }
--- a/src/main/java/firstage/overload/package-info.java
+++ b/src/main/java/firstage/overload/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What managers decide together where engines are unhealthy or too few: one probe owner for an
- * engine, one load-shedding threshold. Free of I/O; uses the membership's view and digests. A
- * peer's report makes a manager more careful, or hands it capacity that the peer has released; no
- * rule rests on it. docs/overload.md gives the reasons.
+ * Decisions that managers coordinate when engines are unhealthy or overloaded: one probe owner for
+ * each engine and one load-shedding threshold. Performs no I/O; uses the view and the digests of the
+ * membership. A report of a peer only makes a manager more cautious, or gives it capacity that the
+ * peer has released; no invariant depends on such a report. docs/overload.md gives the reasons.
  */
 package firstage.overload;
