--- a/src/main/java/firstage/overload/ProbeCoordinator.java
+++ b/src/main/java/firstage/overload/ProbeCoordinator.java
@@ -206,8 +206,8 @@
                                         true,
                                         Math.max(0, now - engineState.lastAttemptAt)));
                     } else if (now - readmittedAt < READMISSION_REPORTED_FOR) {
-                        // Managers that learned of a readmission report it too, so that all managers
-                        // know it after a few rounds.
+                        // Managers that learned of a readmission report it, too: all managers know
+                        // it after a few rounds.
                         reports.add(new EngineReport(engine, false, now - readmittedAt));
                     }
                 });
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -54,30 +54,31 @@
 import org.xnio.channels.SocketAddressBuffer;
 
 /**
- * Carries membership, cells and fleet coordination over UDP on the one I/O thread: datagrams, ticks
- * and log lines. Answers status requests and zone orders from this machine. Decides nothing.
+ * Transport of membership, cells and fleet coordination over UDP on the one I/O thread: datagrams,
+ * ticks and log lines. Answers status requests and zone orders from this machine. Makes no decisions
+ * of its own.
  */
 public final class MembershipTransport implements MembershipActions, CellActions {
-    /** The request for this manager's status; answered to this machine only. */
+    /** Text of a request for this manager's status; answered only to this machine. */
     public static final String STATUS_REQUEST = "firstage view 1";
 
-    /** What a zone order begins with; the order and the zone's name follow. */
+    /** Prefix of a zone order; the order and the name of the zone follow. */
     public static final String ZONE_ORDER_PREFIX = "firstage zone 1";
 
-    /** The answer to an order that can't be used. */
+    /** Answer to a zone order that is malformed or names an unknown zone. */
     public static final String ZONE_ORDER_REJECTED = "firstage zone 1 unknown";
 
     private static final Logger LOG = Logger.getLogger(MembershipTransport.class.getName());
     private static final int TICK_MS = 20;
 
-    /** Between tries to store the mark where the disk fails. */
+    /** Delay before the withdrawal mark is stored again after a disk error. */
     private static final int MARK_RETRY_MS = 1_000;
 
     private static final int MAX_DATAGRAM_BYTES = 1_200;
 
     private static final int MAX_DATAGRAMS_PER_READ = 64;
 
-    /** Cells that a status names in each of its lists. */
+    /** Maximum number of cells in each list of a status. */
     private static final int MAX_CELLS_NAMED = 8;
 
     private final PeerConfig config;
@@ -89,7 +90,7 @@
     private final FleetCoordinator fleetCoordinator;
     private final List<String> zoneNames;
 
-    /** Null where the fleet has no cells; so is the engine subset. */
+    /** Null if the fleet has no cells; the engine subset is null then, too. */
     private final CellDirectory cells;
 
     private final EngineSubset<DiscoveredEndpoint> engineSubset;
@@ -104,13 +105,16 @@
     private MulticastMessageChannel channel;
     private boolean closed;
 
-    /** The index of the address whose datagram is being read. */
+    /** Index of the address whose datagram is being handled. */
     private int currentSender;
 
     /**
-     * {@code startedAtUnixMs}: this manager's incarnation; {@code probeActions}, {@code
-     * sheddingActions}: what the fleet coordinator decides for this manager; {@code
-     * onEnginesReleased}: takes the engines that it may use from now on.
+     * Creates the transport and the parts that it serves; opens no socket.
+     *
+     * @param startedAtUnixMs start of this manager, used as its incarnation
+     * @param probeActions receives the probing decisions of the fleet coordinator
+     * @param sheddingActions receives the load-shedding threshold of the fleet coordinator
+     * @param onEnginesReleased receives engines that this manager may use from now on
      */
     public MembershipTransport(
             PeerConfig config,
@@ -136,8 +140,8 @@
                         config.probeInterval(),
                         new ZoneActions() {
                             @Override
-                            public void setAvoided(long engine, boolean away, boolean restIsOver) {
-                                probeActions.setProbedByOthers(engine, away, restIsOver);
+                            public void setAvoided(long engine, boolean avoided, boolean backoffOver) {
+                                probeActions.setProbedByOthers(engine, avoided, backoffOver);
                             }
 
                             @Override
@@ -224,7 +228,8 @@
     }
 
     /**
-     * Of a watch event the endpoints that this manager may use; all where the fleet has no cells.
+     * Returns the endpoints of a watch event that this manager may use: all of them if the fleet has
+     * no cells.
      */
     public List<DiscoveredEndpoint> usableEndpoints(
             EndpointUpdate.Kind kind, List<DiscoveredEndpoint> entries) {
@@ -234,26 +239,26 @@
     }
 
     /**
-     * This manager's share of an engine's warm-up budget; 0, for the share by the settings, where
-     * the fleet has no cells.
+     * Returns this manager's share of an engine's warm-up budget; 0 if the fleet has no cells, which
+     * stands for the share by the settings.
      */
     public double warmUpShare(DiscoveredEndpoint endpoint) {
         return cells == null ? 0 : cells.warmUpShare(endpoint.id(), zoneName(endpoint.zone()));
     }
 
-    /** Binds the socket. */
+    /** Binds the socket; datagrams are read only after {@link #start}. */
     public void listen(XnioWorker worker) throws IOException {
         channel = worker.createUdpServer(config.listenAddress(), null, OptionMap.EMPTY);
     }
 
-    /** Starts reading and ticking; on the I/O thread. */
+    /** Starts reading datagrams and the periodic ticks; to be called on the I/O thread. */
     public void start() {
         channel.getReadSetter().set(c -> onReadable());
         channel.resumeReads();
         tick();
     }
 
-    /** The part of each engine that this manager may use now, from 0 to 1. */
+    /** Returns the fraction, from 0 to 1, of each engine that this manager may use now. */
     public double share() {
         return leases.share(clock.now());
     }
@@ -268,7 +273,7 @@
         }
     }
 
-    /** Stores the mark on a thread of its own, since a disk may block. */
+    /** Stores the withdrawal mark on a separate thread, since disk writes may block. */
     private void storeWithdrawalMark() {
         Thread writer =
                 new Thread(
@@ -283,14 +288,15 @@
                                                 "withdrew\n".getBytes(StandardCharsets.US_ASCII)));
                                 file.force(true);
                                 io.execute(leases::onWithdrawalMarkStored);
-                            } catch (IOException fault) {
-                                // Until it is stored it withdraws nothing: what the others could
-                                // use stays unused, and no invariant is at stake.
+                            } catch (IOException exception) {
+                                // This manager withdraws no grants until the mark is stored. The
+                                // capacity of dead members stays unused for longer, but no
+                                // invariant is violated.
                                 LOG.warning(
                                         "no mark can be kept at "
                                                 + config.withdrawalMark()
                                                 + ": "
-                                                + fault.getMessage());
+                                                + exception.getMessage());
                                 io.executeAfter(
                                         this::storeWithdrawalMarkAgain,
                                         MARK_RETRY_MS,
@@ -341,12 +347,15 @@
                     counters.count("datagrams from nobody");
                 }
             }
-        } catch (IOException fault) {
+        } catch (IOException exception) {
             counters.count("datagrams not read");
         }
     }
 
-    /** An operator's order, {@code firstage zone 1 leave north}; false where it can't be used. */
+    /**
+     * Applies an operator's order such as {@code firstage zone 1 leave north}; returns whether the
+     * order and the zone are known.
+     */
     private boolean applyZoneOrder(byte[] bytes) {
         String[] words = new String(bytes, StandardCharsets.UTF_8).split(" ", 5);
         int zone = words.length < 5 ? -1 : zoneNames.indexOf(words[4]);
@@ -363,7 +372,7 @@
         return false;
     }
 
-    /** What this manager knows, as JSON. */
+    /** Returns this manager's status as JSON. */
     private String statusJson() throws IOException {
         long now = clock.now();
         StringWriter text = new StringWriter();
@@ -386,10 +395,10 @@
                     "zones ordered",
                     fleetCoordinator.zoneOrders().entrySet().stream()
                             .map(
-                                    member ->
-                                            zoneNames.get(member.getKey())
+                                    zoneOrder ->
+                                            zoneNames.get(zoneOrder.getKey())
                                                     + " "
-                                                    + member.getValue()
+                                                    + zoneOrder.getValue()
                                                             .name()
                                                             .toLowerCase(Locale.ROOT))
                             .collect(Collectors.joining(" ")));
@@ -401,7 +410,7 @@
                 out.writeStartObject();
                 out.writeStringField("name", member.name());
                 out.writeStringField("zone", member.zone());
-                out.writeStringField("standing", standingOnWire(member.state()));
+                out.writeStringField("standing", statusNameOf(member.state()));
                 out.writeNumberField("since", member.incarnation());
                 out.writeStringField("version", member.version());
                 out.writeNumberField("weight", member.weight());
@@ -426,7 +435,8 @@
     }
 
     /**
-     * The cells as totals and, where not all is well, by name: a status must fit into one datagram.
+     * Writes the totals of the cells, and the names of those cells only that have a problem, since a
+     * status must fit into one datagram.
      */
     private void writeCells(JsonGenerator out, long now) throws IOException {
         PeerConfig.CellPlacement placement = config.cellPlacement();
@@ -484,7 +494,7 @@
                         : "");
     }
 
-    /** This manager ends by intent; the others are told so. */
+    /** Announces to peers that this manager shuts down. */
     public void leave() {
         protocol.leave(clock.now());
     }
@@ -493,9 +503,9 @@
     public void close() {
         closed = true;
         protocol.rejectedMessages()
-                .forEach((why, n) -> counters.add("datagrams refused: " + why, n));
+                .forEach((reason, count) -> counters.add("datagrams refused: " + reason, count));
         if (cells != null) {
-            cells.rejectedMessages().forEach((why, n) -> counters.add("rows refused: " + why, n));
+            cells.rejectedMessages().forEach((reason, count) -> counters.add("rows refused: " + reason, count));
         }
         IoUtils.safeClose(channel);
     }
@@ -519,17 +529,17 @@
             if (!channel.sendTo(to, ByteBuffer.wrap(datagram))) {
                 counters.count("datagrams not sent");
             }
-        } catch (IOException nobody) {
+        } catch (IOException notSent) {
             counters.count("datagrams not sent");
         }
     }
 
     @Override
     public void enginesReleased(long now) {
-        List<DiscoveredEndpoint> may = engineSubset.takeReleased();
-        if (!may.isEmpty()) {
-            LOG.info(() -> "cell {\"engines taken over\":" + may.size() + "}");
-            onEnginesReleased.accept(may);
+        List<DiscoveredEndpoint> released = engineSubset.takeReleased();
+        if (!released.isEmpty()) {
+            LOG.info(() -> "cell {\"engines taken over\":" + released.size() + "}");
+            onEnginesReleased.accept(released);
         }
     }
 
@@ -583,26 +593,26 @@
 
     @Override
     public byte[] outgoingDigest(long now) {
-        byte[] rest = fleetCoordinator.encodeDigest(now);
-        return cells == null ? rest : cells.encodeDigest(rest);
+        byte[] fleetDigest = fleetCoordinator.encodeDigest(now);
+        return cells == null ? fleetDigest : cells.encodeDigest(fleetDigest);
     }
 
     @Override
-    public void digestReceived(long now, String name, byte[] digest) {
+    public void digestReceived(long now, String from, byte[] digest) {
         fleetCoordinator.onDigest(
-                now, name, cells == null ? digest : cells.onDigest(now, currentSender, digest));
+                now, from, cells == null ? digest : cells.onDigest(now, currentSender, digest));
     }
 
-    /** What this manager decides with the others; on the I/O thread. */
+    /** Returns the fleet coordinator, which must be used on the I/O thread only. */
     public FleetCoordinator fleetCoordinator() {
         return fleetCoordinator;
     }
 
     /**
-     * The word of the status answer for a member's state, as older versions of {@code peers} read
-     * it.
+     * Returns the value of a member's state in the status answer, as older versions of {@code peers}
+     * read it.
      */
-    private static String standingOnWire(MemberState state) {
+    private static String statusNameOf(MemberState state) {
         return switch (state) {
             case ALIVE -> "here";
             case SUSPECT -> "doubted";
--- a/src/main/java/firstage/server/membership/package-info.java
+++ b/src/main/java/firstage/server/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Carries the membership over UDP on the I/O thread; decides nothing. Loaded only where peers are
- * named.
+ * Transport of the membership: UDP on the I/O thread, without decisions of its own. Loaded only if
+ * peers are configured.
  */
 package firstage.server.membership;
