--- a/src/test/java/firstage/membership/MembershipProtocolTest.java
+++ b/src/test/java/firstage/membership/MembershipProtocolTest.java
@@ -11,19 +11,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The membership in virtual time: pauses, lost messages, one-sided cuts, deaths together, and
- * faults put back.
+ * Tests the membership in virtual time: pauses, lost messages, one-way cuts, simultaneous deaths and
+ * injected defects.
  */
 class MembershipProtocolTest {
     private static final long SECOND = 10_000;
 
-    private static SimulatedMembership field(int count, MembershipProtocol.InjectedDefect fault) {
-        SimulatedMembership f =
-                new SimulatedMembership(count, 7, fault, QuotaLeases.InjectedDefect.NONE);
-        assertThat(f.startAll()).isNotNegative();
-        f.advance(5 * SECOND);
-        f.viewChanges();
-        return f;
+    private static SimulatedMembership settledFleet(int count, MembershipProtocol.InjectedDefect defect) {
+        SimulatedMembership fleet =
+                new SimulatedMembership(count, 7, defect, QuotaLeases.InjectedDefect.NONE);
+        assertThat(fleet.startAll()).isNotNegative();
+        fleet.advance(5 * SECOND);
+        fleet.viewChanges();
+        return fleet;
     }
 
     @Test
@@ -45,99 +45,99 @@
 
     @Test
     void oneWayCut_indirectProbes_bothStayAlive() {
-        SimulatedMembership f = field(6, MembershipProtocol.InjectedDefect.NONE);
-        f.setBlocked(1, 0, true);
-        f.advance(3 * SECOND);
-        assertThat(f.falselyDead()).isEmpty();
-        assertThat(f.isAgreed()).isTrue();
-        MembershipProtocol zero = f.hosts().get(0).membership();
-        MembershipProtocol one = f.hosts().get(1).membership();
-        assertThat(zero.linkState(f.events().now(), "m1")).isIn("deaf", "cut");
-        assertThat(one.linkState(f.events().now(), "m0")).isIn("unheard", "cut");
-        assertThat(zero.linkState(f.events().now(), "m2")).isEqualTo("ok");
-        f.advance(20 * SECOND);
-        assertThat(f.isAgreed()).isTrue();
-        assertThat(f.falselyDead()).isEmpty();
+        SimulatedMembership fleet = settledFleet(6, MembershipProtocol.InjectedDefect.NONE);
+        fleet.setBlocked(1, 0, true);
+        fleet.advance(3 * SECOND);
+        assertThat(fleet.falselyDead()).isEmpty();
+        assertThat(fleet.isAgreed()).isTrue();
+        MembershipProtocol manager0 = fleet.hosts().get(0).membership();
+        MembershipProtocol manager1 = fleet.hosts().get(1).membership();
+        assertThat(manager0.linkState(fleet.events().now(), "m1")).isIn("deaf", "cut");
+        assertThat(manager1.linkState(fleet.events().now(), "m0")).isIn("unheard", "cut");
+        assertThat(manager0.linkState(fleet.events().now(), "m2")).isEqualTo("ok");
+        fleet.advance(20 * SECOND);
+        assertThat(fleet.isAgreed()).isTrue();
+        assertThat(fleet.falselyDead()).isEmpty();
     }
 
     @Test
     void oneWayCut_noIndirectProbes_liveMemberSuspected() {
-        SimulatedMembership f = field(6, MembershipProtocol.InjectedDefect.NO_INDIRECT_PROBES);
-        f.setBlocked(1, 0, true);
-        f.setBlocked(0, 1, true);
-        f.advance(6 * SECOND);
-        assertThat(f.viewChanges()).isNotEmpty();
+        SimulatedMembership fleet = settledFleet(6, MembershipProtocol.InjectedDefect.NO_INDIRECT_PROBES);
+        fleet.setBlocked(1, 0, true);
+        fleet.setBlocked(0, 1, true);
+        fleet.advance(6 * SECOND);
+        assertThat(fleet.viewChanges()).isNotEmpty();
     }
 
     @Test
     void suspicion_refutationIgnored_liveMemberDead() {
-        for (MembershipProtocol.InjectedDefect fault :
+        for (MembershipProtocol.InjectedDefect defect :
                 List.of(
                         MembershipProtocol.InjectedDefect.NONE,
                         MembershipProtocol.InjectedDefect.REFUTATION_IGNORED)) {
-            SimulatedMembership f = field(5, fault);
-            isolate(f, 2, true);
-            f.advance(2 * SECOND);
-            isolate(f, 2, false);
-            f.advance(20 * SECOND);
-            assertThat(f.falselyDead().isEmpty())
-                    .isEqualTo(fault == MembershipProtocol.InjectedDefect.NONE);
+            SimulatedMembership fleet = settledFleet(5, defect);
+            isolate(fleet, 2, true);
+            fleet.advance(2 * SECOND);
+            isolate(fleet, 2, false);
+            fleet.advance(20 * SECOND);
+            assertThat(fleet.falselyDead().isEmpty())
+                    .isEqualTo(defect == MembershipProtocol.InjectedDefect.NONE);
         }
     }
 
-    private static void isolate(SimulatedMembership f, int one, boolean is) {
-        for (int m = 0; m < f.hosts().size(); m++) {
-            f.setBlocked(one, m, is);
-            f.setBlocked(m, one, is);
+    private static void isolate(SimulatedMembership fleet, int isolated, boolean blocked) {
+        for (int m = 0; m < fleet.hosts().size(); m++) {
+            fleet.setBlocked(isolated, m, blocked);
+            fleet.setBlocked(m, isolated, blocked);
         }
     }
 
     @Test
-    void pause_onWaking_judgesNobody() {
-        SimulatedMembership good = field(5, MembershipProtocol.InjectedDefect.NONE);
-        good.hosts().get(2).pause(8 * SECOND);
-        good.advance(8 * SECOND + 200);
-        List<Member> held = good.hosts().get(2).membership().members();
-        assertThat(held).allMatch(e -> e.state() == MemberState.ALIVE);
-        good.advance(5 * SECOND);
-        assertThat(good.isAgreed()).isTrue();
+    void pause_afterResuming_noPeerSuspected() {
+        SimulatedMembership fleet = settledFleet(5, MembershipProtocol.InjectedDefect.NONE);
+        fleet.hosts().get(2).pause(8 * SECOND);
+        fleet.advance(8 * SECOND + 200);
+        List<Member> members = fleet.hosts().get(2).membership().members();
+        assertThat(members).allMatch(member -> member.state() == MemberState.ALIVE);
+        fleet.advance(5 * SECOND);
+        assertThat(fleet.isAgreed()).isTrue();
     }
 
     @Test
-    void isolation_noAnswers_judgesNobody() {
-        for (MembershipProtocol.InjectedDefect fault :
+    void isolation_noAnswers_noPeerDeclaredDead() {
+        for (MembershipProtocol.InjectedDefect defect :
                 List.of(
                         MembershipProtocol.InjectedDefect.NONE,
                         MembershipProtocol.InjectedDefect.ISOLATED_MANAGER_JUDGES)) {
-            SimulatedMembership f = field(6, fault);
-            isolate(f, 0, true);
-            f.advance(30 * SECOND);
-            long gone =
-                    f.hosts().get(0).membership().members().stream()
-                            .filter(e -> e.state() == MemberState.DEAD)
+            SimulatedMembership fleet = settledFleet(6, defect);
+            isolate(fleet, 0, true);
+            fleet.advance(30 * SECOND);
+            long deadCount =
+                    fleet.hosts().get(0).membership().members().stream()
+                            .filter(member -> member.state() == MemberState.DEAD)
                             .count();
-            assertThat(gone).isEqualTo(fault == MembershipProtocol.InjectedDefect.NONE ? 0 : 5);
-            assertThat(f.hosts().get(0).membership().confidence(f.events().now())).isZero();
+            assertThat(deadCount).isEqualTo(defect == MembershipProtocol.InjectedDefect.NONE ? 0 : 5);
+            assertThat(fleet.hosts().get(0).membership().confidence(fleet.events().now())).isZero();
         }
     }
 
     @Test
     void gossip_olderIncarnation_neverOverrides() {
-        for (MembershipProtocol.InjectedDefect fault :
+        for (MembershipProtocol.InjectedDefect defect :
                 List.of(
                         MembershipProtocol.InjectedDefect.NONE,
                         MembershipProtocol.InjectedDefect.OLDER_INCARNATION_WINS)) {
-            SimulatedMembership f = field(4, fault);
-            MembershipProtocol one = f.hosts().get(1).membership();
-            long now = f.events().now();
-            long life =
-                    one.members().stream()
-                            .filter(e -> e.name().equals("m2"))
+            SimulatedMembership fleet = settledFleet(4, defect);
+            MembershipProtocol manager1 = fleet.hosts().get(1).membership();
+            long now = fleet.events().now();
+            long incarnation =
+                    manager1.members().stream()
+                            .filter(member -> member.name().equals("m2"))
                             .findFirst()
                             .orElseThrow()
                             .incarnation();
-            // m2 repeats what was said of m3 in a life before.
-            one.onDatagram(
+            // m2 gossips a record of an earlier incarnation of m3.
+            manager1.onDatagram(
                     now,
                     2,
                     new MessageCodec(1_200)
@@ -145,7 +145,7 @@
                                     new MembershipMessage(
                                             "field",
                                             "m2",
-                                            life,
+                                            incarnation,
                                             MembershipMessage.Kind.PING,
                                             1,
                                             "m1",
@@ -164,12 +164,12 @@
                                                             "1",
                                                             1)),
                                             new byte[0])));
-            assertThat(one.members())
-                    .filteredOn(e -> e.name().equals("m3"))
+            assertThat(manager1.members())
+                    .filteredOn(member -> member.name().equals("m3"))
                     .allMatch(
-                            e ->
-                                    e.state()
-                                            == (fault == MembershipProtocol.InjectedDefect.NONE
+                            member ->
+                                    member.state()
+                                            == (defect == MembershipProtocol.InjectedDefect.NONE
                                                     ? MemberState.ALIVE
                                                     : MemberState.DEAD));
         }
@@ -179,28 +179,28 @@
     void flapDamping_repeatedReturns_heldOutLonger() {
         int[] changes = new int[2];
         for (int i = 0; i < 2; i++) {
-            SimulatedMembership f =
-                    field(
+            SimulatedMembership fleet =
+                    settledFleet(
                             6,
                             i == 0
                                     ? MembershipProtocol.InjectedDefect.NONE
                                     : MembershipProtocol.InjectedDefect.FLAP_DAMPING_OFF);
             for (int round = 0; round < 40; round++) {
                 boolean cut = round % 2 == 0;
-                isolate(f, 0, cut);
-                f.advance(3 * SECOND);
+                isolate(fleet, 0, cut);
+                fleet.advance(3 * SECOND);
             }
-            changes[i] = f.hosts().get(3).viewChangeCount();
+            changes[i] = fleet.hosts().get(3).viewChangeCount();
         }
         assertThat(changes[0]).isLessThan(changes[1] * 2 / 3);
     }
 
     @Test
     void onDatagram_malformedForeignOrOld_changesNothing() {
-        SimulatedMembership f = field(3, MembershipProtocol.InjectedDefect.NONE);
-        MembershipProtocol one = f.hosts().get(1).membership();
-        long now = f.events().now();
-        byte[] good =
+        SimulatedMembership fleet = settledFleet(3, MembershipProtocol.InjectedDefect.NONE);
+        MembershipProtocol manager1 = fleet.hosts().get(1).membership();
+        long now = fleet.events().now();
+        byte[] oldIncarnation =
                 new MessageCodec(1_200)
                         .encode(
                                 new MembershipMessage(
@@ -220,7 +220,7 @@
                                                 new Member(
                                                         "m0", "z", 99, MemberState.DEAD, "1", 1)),
                                         new byte[0]));
-        byte[] foreign =
+        byte[] otherFleet =
                 new MessageCodec(1_200)
                         .encode(
                                 new MembershipMessage(
@@ -238,45 +238,45 @@
                                         List.of(),
                                         List.of(),
                                         new byte[0]));
-        RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(1);
-        one.onDatagram(now, 2, good);
-        one.onDatagram(now, 2, foreign);
-        one.onDatagram(now, 2, new byte[2_000]);
+        RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(1);
+        manager1.onDatagram(now, 2, oldIncarnation);
+        manager1.onDatagram(now, 2, otherFleet);
+        manager1.onDatagram(now, 2, new byte[2_000]);
         for (int i = 0; i < 20_000; i++) {
-            byte[] spoilt = good.clone();
-            for (int n = 0; n <= chance.nextInt(4); n++) {
-                spoilt[chance.nextInt(spoilt.length)] = (byte) chance.nextInt();
+            byte[] corrupted = oldIncarnation.clone();
+            for (int change = 0; change <= random.nextInt(4); change++) {
+                corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
             }
-            byte[] cut = new byte[chance.nextInt(spoilt.length + 1)];
-            System.arraycopy(spoilt, 0, cut, 0, cut.length);
-            // Of an older life, whatever else was spoilt, or not to be read at all; a new name is
-            // another matter.
+            byte[] truncated = new byte[random.nextInt(corrupted.length + 1)];
+            System.arraycopy(corrupted, 0, truncated, 0, truncated.length);
+            // Keeps malformed datagrams and those of the old incarnation of m2. Others are skipped,
+            // since a datagram with a new name may add a member.
             try {
-                MembershipMessage m = new MessageCodec(1_200).decode(cut);
-                if (!m.from().equals("m2") || m.incarnation() > 1) {
+                MembershipMessage message = new MessageCodec(1_200).decode(truncated);
+                if (!message.from().equals("m2") || message.incarnation() > 1) {
                     continue;
                 }
             } catch (MessageCodec.MalformedMessageException expected) {
-                // Refused below, too.
+                // A malformed datagram must be rejected, too.
             }
-            one.onDatagram(now, 2, cut);
+            manager1.onDatagram(now, 2, truncated);
         }
-        assertThat(one.members()).hasSize(3).allMatch(e -> e.state() == MemberState.ALIVE);
-        assertThat(one.rejectedMessages())
+        assertThat(manager1.members()).hasSize(3).allMatch(member -> member.state() == MemberState.ALIVE);
+        assertThat(manager1.rejectedMessages())
                 .containsKeys("an older life", "another fleet", "too long", "spoilt");
     }
 
     @Test
     void onDatagram_twoOfOneName_firstStays() {
-        SimulatedMembership f = field(3, MembershipProtocol.InjectedDefect.NONE);
-        MembershipProtocol one = f.hosts().get(1).membership();
-        byte[] second =
+        SimulatedMembership fleet = settledFleet(3, MembershipProtocol.InjectedDefect.NONE);
+        MembershipProtocol manager1 = fleet.hosts().get(1).membership();
+        byte[] duplicate =
                 new MessageCodec(1_200)
                         .encode(
                                 new MembershipMessage(
                                         "field",
                                         "m2",
-                                        f.events().now() * 2,
+                                        fleet.events().now() * 2,
                                         MembershipMessage.Kind.PING,
                                         1,
                                         "m1",
@@ -288,22 +288,22 @@
                                         List.of(),
                                         List.of(),
                                         new byte[0]));
-        one.onDatagram(f.events().now(), 0, second);
-        assertThat(one.rejectedMessages()).containsKey("two of one name");
+        manager1.onDatagram(fleet.events().now(), 0, duplicate);
+        assertThat(manager1.rejectedMessages()).containsKey("two of one name");
     }
 
     @Test
     void leave_thenRestart_notSuspectedAndKnownAgain() {
-        SimulatedMembership f = field(4, MembershipProtocol.InjectedDefect.NONE);
-        f.hosts().get(2).membership().leave(f.events().now());
-        f.advance(SECOND / 2);
-        f.hosts().get(2).kill();
-        f.advance(SECOND);
-        assertThat(f.hosts().get(0).membership().members())
-                .filteredOn(e -> e.name().equals("m2"))
-                .allMatch(e -> e.state() == MemberState.LEFT);
-        assertThat(f.isAgreed()).isTrue();
-        f.hosts().get(2).start();
-        assertThat(f.timeUntilAgreed(5 * SECOND)).isNotNegative();
+        SimulatedMembership fleet = settledFleet(4, MembershipProtocol.InjectedDefect.NONE);
+        fleet.hosts().get(2).membership().leave(fleet.events().now());
+        fleet.advance(SECOND / 2);
+        fleet.hosts().get(2).kill();
+        fleet.advance(SECOND);
+        assertThat(fleet.hosts().get(0).membership().members())
+                .filteredOn(member -> member.name().equals("m2"))
+                .allMatch(member -> member.state() == MemberState.LEFT);
+        assertThat(fleet.isAgreed()).isTrue();
+        fleet.hosts().get(2).start();
+        assertThat(fleet.timeUntilAgreed(5 * SECOND)).isNotNegative();
     }
 }
--- a/src/test/java/firstage/membership/QuotaLeasesTest.java
+++ b/src/test/java/firstage/membership/QuotaLeasesTest.java
@@ -12,33 +12,33 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The parts in use never pass the whole: all orders of few events among three, and long hostile
- * plays of more.
+ * Tests that the shares in use never add up to more than the whole: in every order of a few events
+ * among three managers, and in long random schedules among more.
  */
 class QuotaLeasesTest {
     private static final long SECOND = 10_000;
     private static final long PERIOD = 2_000;
 
     /**
-     * Managers by their leases alone; each has a clock of its own, fast or slow by up to a
-     * fortieth.
+     * Group of managers that consist of their leases only. Each has its own clock, which is fast or
+     * slow by up to a fortieth.
      */
-    private static final class Group {
-        private final int all;
-        private final QuotaLeases.InjectedDefect fault;
+    private static final class LeaseGroup {
+        private final int managerCount;
+        private final QuotaLeases.InjectedDefect defect;
         private final QuotaLeases[] leases;
-        private final boolean[] lentBefore;
-        private final double[] pace;
+        private final boolean[] mayHaveWithdrawn;
+        private final double[] clockRate;
         private long now = 100 * SECOND;
 
-        private Group(int all, QuotaLeases.InjectedDefect fault) {
-            this.all = all;
-            this.fault = fault;
-            leases = new QuotaLeases[all];
-            lentBefore = new boolean[all];
-            pace = new double[all];
-            for (int m = 0; m < all; m++) {
-                pace[m] = 1 + (m % 3 - 1) / 40.0;
+        private LeaseGroup(int managerCount, QuotaLeases.InjectedDefect defect) {
+            this.managerCount = managerCount;
+            this.defect = defect;
+            leases = new QuotaLeases[managerCount];
+            mayHaveWithdrawn = new boolean[managerCount];
+            clockRate = new double[managerCount];
+            for (int m = 0; m < managerCount; m++) {
+                clockRate[m] = 1 + (m % 3 - 1) / 40.0;
                 start(m);
             }
         }
@@ -46,154 +46,160 @@
         private void start(int m) {
             leases[m] =
                     new QuotaLeases(
-                            all,
+                            managerCount,
                             PERIOD,
-                            lentBefore[m],
+                            mayHaveWithdrawn[m],
                             () -> {
-                                lentBefore[m] = true;
+                                mayHaveWithdrawn[m] = true;
                             },
-                            fault);
+                            defect);
             leases[m].setUnreachable(clock(m), "nobody", false);
         }
 
         private long clock(int m) {
-            return (long) (now * pace[m]);
+            return (long) (now * clockRate[m]);
         }
 
-        /** One asked another {@code late} ago, by its own clock, and hears the answer now. */
-        private void asks(int a, int b, long late) {
-            leases[b].onWithdrawalMarkStored();
-            long asked = clock(a) - late;
-            leases[a].onResponse(
-                    clock(a),
-                    asked,
-                    "m" + b,
-                    leases[b].grantTo(clock(b), "m" + a),
-                    leases[b].withdrawGrants(clock(b)));
+        /**
+         * Delivers an ack now to a ping that the requester sent {@code delay} ticks ago by its own
+         * clock.
+         */
+        private void deliverAck(int requester, int responder, long delay) {
+            leases[responder].onWithdrawalMarkStored();
+            long requestedAt = clock(requester) - delay;
+            leases[requester].onResponse(
+                    clock(requester),
+                    requestedAt,
+                    "m" + responder,
+                    leases[responder].grantTo(clock(responder), "m" + requester),
+                    leases[responder].withdrawGrants(clock(responder)));
         }
 
-        /** Both hold each other for gone, or here. */
-        private void silent(int a, boolean is) {
-            for (int m = 0; m < all; m++) {
-                if (m != a) {
-                    leases[m].setUnreachable(clock(m), "m" + a, is);
+        /** Sets whether all others consider the manager unreachable. */
+        private void setUnreachableForOthers(int target, boolean unreachable) {
+            for (int m = 0; m < managerCount; m++) {
+                if (m != target) {
+                    leases[m].setUnreachable(clock(m), "m" + target, unreachable);
                 }
             }
         }
 
-        private double sum() {
+        private double totalShare() {
             double sum = 0;
-            for (int m = 0; m < all; m++) {
+            for (int m = 0; m < managerCount; m++) {
                 sum += leases[m].share(clock(m));
             }
             return sum;
         }
     }
 
-    private static void play(Group g, int event) {
+    private static void applyEvent(LeaseGroup group, int event) {
         switch (event) {
-            case 0 -> g.now += 4 * SECOND;
-            case 1 -> g.asks(0, 1, 0);
-            case 2 -> g.asks(1, 2, 0);
-            case 3 -> g.asks(2, 0, 0);
-            case 4 -> g.asks(1, 0, 0);
-            case 5 -> g.silent(2, true);
-            case 6 -> g.silent(2, false);
-            default -> g.start(1);
+            case 0 -> group.now += 4 * SECOND;
+            case 1 -> group.deliverAck(0, 1, 0);
+            case 2 -> group.deliverAck(1, 2, 0);
+            case 3 -> group.deliverAck(2, 0, 0);
+            case 4 -> group.deliverAck(1, 0, 0);
+            case 5 -> group.setUnreachableForOthers(2, true);
+            case 6 -> group.setUnreachableForOthers(2, false);
+            default -> group.start(1);
         }
     }
 
     /**
-     * The most that is in use in any order of so many events; the last of them are an answer to
-     * each.
+     * Returns the maximum total share in any order of {@code depth} events, which follow an ack to
+     * each manager.
      */
-    private static double worst(int depth, QuotaLeases.InjectedDefect fault) {
+    private static double maxShareInAllOrders(int depth, QuotaLeases.InjectedDefect defect) {
         return IntStream.range(0, 1 << 3 * depth)
                 .parallel()
                 .mapToDouble(
                         order -> {
-                            double worst = 0;
-                            Group g = new Group(3, fault);
+                            double max = 0;
+                            LeaseGroup group = new LeaseGroup(3, defect);
                             for (int m = 0; m < 3; m++) {
-                                g.asks(m, (m + 1) % 3, 0);
+                                group.deliverAck(m, (m + 1) % 3, 0);
                             }
                             for (int i = 0; i < depth; i++) {
-                                play(g, order >> 3 * i & 7);
-                                worst = Math.max(worst, g.sum());
+                                applyEvent(group, order >> 3 * i & 7);
+                                max = Math.max(max, group.totalShare());
                             }
-                            return worst;
+                            return max;
                         })
                 .max()
                 .orElse(0);
     }
 
-    /** Eight on demand (-Dfirstage.leases=8): some minutes. */
+    /** A depth of 8 (-Dfirstage.leases=8) takes several minutes. */
     @Test
     void share_anyOrderOfSixEvents_atMostTheWhole() {
-        assertThat(worst(Integer.getInteger("firstage.leases", 6), QuotaLeases.InjectedDefect.NONE))
+        assertThat(maxShareInAllOrders(Integer.getInteger("firstage.leases", 6), QuotaLeases.InjectedDefect.NONE))
                 .isLessThanOrEqualTo(1 + 1e-9);
     }
 
-    /** Random plays of four to nine: answers lost, late and doubled, cuts, stops, new lives. */
-    private static double hostile(long seed, QuotaLeases.InjectedDefect fault) {
-        RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        Group g = new Group(3 + chance.nextInt(7), fault);
-        List<Runnable> late = new ArrayList<>();
-        double worst = 0;
-        int lost = chance.nextInt(g.all);
+    /**
+     * Returns the maximum total share in a random schedule of three to nine managers with lost and
+     * late acks, cuts and restarts.
+     */
+    private static double maxShareInRandomSchedule(long seed, QuotaLeases.InjectedDefect defect) {
+        RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
+        LeaseGroup group = new LeaseGroup(3 + random.nextInt(7), defect);
+        List<Runnable> delayedAcks = new ArrayList<>();
+        double max = 0;
+        int cutOff = random.nextInt(group.managerCount);
         for (int step = 0; step < 600; step++) {
-            g.now +=
-                    chance.nextInt(4) == 0
-                            ? chance.nextLong(2 * SECOND)
-                            : chance.nextLong(SECOND / 10);
-            int a = chance.nextInt(g.all);
-            int b = (a + 1 + chance.nextInt(g.all - 1)) % g.all;
-            switch (chance.nextInt(12)) {
+            group.now +=
+                    random.nextInt(4) == 0
+                            ? random.nextLong(2 * SECOND)
+                            : random.nextLong(SECOND / 10);
+            int requester = random.nextInt(group.managerCount);
+            int responder = (requester + 1 + random.nextInt(group.managerCount - 1)) % group.managerCount;
+            switch (random.nextInt(12)) {
                 case 0 -> {
-                    lost = chance.nextInt(g.all);
-                    g.silent(lost, chance.nextBoolean());
+                    cutOff = random.nextInt(group.managerCount);
+                    group.setUnreachableForOthers(cutOff, random.nextBoolean());
                 }
-                case 1 -> g.silent(lost, false);
+                case 1 -> group.setUnreachableForOthers(cutOff, false);
                 case 2 -> {
-                    if (chance.nextInt(4) == 0) {
-                        g.start(a);
+                    if (random.nextInt(4) == 0) {
+                        group.start(requester);
                     }
                 }
                 case 3 -> {
-                    // Asked and answered now, and read only later.
-                    boolean grants = g.leases[b].grantTo(g.clock(b), "m" + a);
-                    List<String> lent = g.leases[b].withdrawGrants(g.clock(b));
-                    long asked = g.clock(a);
-                    late.add(
-                            () -> g.leases[a].onResponse(g.clock(a), asked, "m" + b, grants, lent));
+                    // The ack is sent now, but delivered later.
+                    boolean grantsQuota = group.leases[responder].grantTo(group.clock(responder), "m" + requester);
+                    List<String> withdrawn = group.leases[responder].withdrawGrants(group.clock(responder));
+                    long requestedAt = group.clock(requester);
+                    delayedAcks.add(
+                            () -> group.leases[requester].onResponse(group.clock(requester), requestedAt, "m" + responder, grantsQuota, withdrawn));
                 }
                 case 4 -> {
-                    if (!late.isEmpty()) {
-                        late.remove(chance.nextInt(late.size())).run();
+                    if (!delayedAcks.isEmpty()) {
+                        delayedAcks.remove(random.nextInt(delayedAcks.size())).run();
                     }
                 }
                 default -> {
-                    if (a != lost && b != lost || chance.nextInt(6) == 0) {
-                        g.asks(a, b, chance.nextInt(3) == 0 ? chance.nextLong(SECOND) : 0);
+                    if (requester != cutOff && responder != cutOff || random.nextInt(6) == 0) {
+                        group.deliverAck(requester, responder, random.nextInt(3) == 0 ? random.nextLong(SECOND) : 0);
                     }
                 }
             }
-            worst = Math.max(worst, g.sum());
+            max = Math.max(max, group.totalShare());
         }
-        return worst;
+        return max;
     }
 
-    private static double worstOf(int seeds, QuotaLeases.InjectedDefect fault) {
-        double worst = 0;
+    private static double maxShareOverSeeds(int seeds, QuotaLeases.InjectedDefect defect) {
+        double max = 0;
         for (long seed = 0; seed < seeds; seed++) {
-            worst = Math.max(worst, hostile(seed, fault));
+            max = Math.max(max, maxShareInRandomSchedule(seed, defect));
         }
-        return worst;
+        return max;
     }
 
     @Test
     void share_randomSchedules_atMostTheWhole() {
-        assertThat(worstOf(3_000, QuotaLeases.InjectedDefect.NONE)).isLessThanOrEqualTo(1 + 1e-9);
+        assertThat(maxShareOverSeeds(3_000, QuotaLeases.InjectedDefect.NONE)).isLessThanOrEqualTo(1 + 1e-9);
     }
 
     @ParameterizedTest
@@ -201,37 +207,37 @@
             value = QuotaLeases.InjectedDefect.class,
             mode = EnumSource.Mode.EXCLUDE,
             names = "NONE")
-    void share_injectedDefect_exceedsTheWhole(QuotaLeases.InjectedDefect fault) {
-        assertThat(worstOf(3_000, fault)).isGreaterThan(1 + 1e-9);
+    void share_injectedDefect_exceedsTheWhole(QuotaLeases.InjectedDefect defect) {
+        assertThat(maxShareOverSeeds(3_000, defect)).isGreaterThan(1 + 1e-9);
     }
 
     @Test
     void share_deadMember_halfGoesToOthersAndBack() {
-        Group g = new Group(4, QuotaLeases.InjectedDefect.NONE);
+        LeaseGroup group = new LeaseGroup(4, QuotaLeases.InjectedDefect.NONE);
         for (int i = 0; i < 200; i++) {
-            g.now += SECOND / 5;
+            group.now += SECOND / 5;
             for (int m = 0; m < 3; m++) {
-                g.asks(m, (m + 1 + i % 2) % 3, 0);
+                group.deliverAck(m, (m + 1 + i % 2) % 3, 0);
             }
-            g.silent(3, true);
+            group.setUnreachableForOthers(3, true);
         }
-        assertThat(g.leases[0].share(g.clock(0))).isGreaterThan(0.29);
-        g.silent(3, false);
+        assertThat(group.leases[0].share(group.clock(0))).isGreaterThan(0.29);
+        group.setUnreachableForOthers(3, false);
         for (int i = 0; i < 50; i++) {
-            g.now += SECOND / 5;
+            group.now += SECOND / 5;
             for (int m = 0; m < 4; m++) {
-                g.asks(m, (m + 1 + i % 3) % 4, 0);
+                group.deliverAck(m, (m + 1 + i % 3) % 4, 0);
             }
         }
         for (int m = 0; m < 4; m++) {
-            assertThat(g.leases[m].share(g.clock(m))).isEqualTo(0.25);
+            assertThat(group.leases[m].share(group.clock(m))).isEqualTo(0.25);
         }
     }
 
     @Test
     void share_cutOffFromAll_keepsGuaranteedHalf() {
-        assertThat(new Group(4, QuotaLeases.InjectedDefect.NONE).leases[0].share(0))
+        assertThat(new LeaseGroup(4, QuotaLeases.InjectedDefect.NONE).leases[0].share(0))
                 .isEqualTo(0.125);
-        assertThat(new Group(2, QuotaLeases.InjectedDefect.NONE).leases[0].share(0)).isEqualTo(0.5);
+        assertThat(new LeaseGroup(2, QuotaLeases.InjectedDefect.NONE).leases[0].share(0)).isEqualTo(0.5);
     }
 }
--- a/src/test/java/firstage/membership/RecordedDatagramsTest.java
+++ b/src/test/java/firstage/membership/RecordedDatagramsTest.java
@@ -27,18 +27,19 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Managers of two versions of the program talk to each other: datagrams that an earlier one wrote
- * are read to the same values, and the same values are written to the same bytes.
+ * Tests that managers of two versions of the program understand each other: datagrams recorded from
+ * an earlier version are decoded to the same values, and the same values are encoded to the same
+ * bytes.
  */
 class RecordedDatagramsTest {
     private static final Map<String, byte[]> RECORDED = recorded();
-    private static final long STARTED = 1_700_000_000_000L;
+    private static final long STARTED_AT = 1_700_000_000_000L;
     private static final byte[] NONE = new byte[0];
 
     private static final Member M0 =
-            new Member("m0", "north", STARTED, MemberState.ALIVE, "1.4.0", 1);
+            new Member("m0", "north", STARTED_AT, MemberState.ALIVE, "1.4.0", 1);
     private static final Member M1 =
-            new Member("m1", "south", STARTED + 1, MemberState.SUSPECT, "", 0.5);
+            new Member("m1", "south", STARTED_AT + 1, MemberState.SUSPECT, "", 0.5);
     private static final Member M2 = new Member("m2", "", 5, MemberState.DEAD, "1.3.9", 2);
     private static final Member M3 = new Member("m3", "north", 6, MemberState.LEFT, "1.4.0", 1);
 
@@ -54,13 +55,13 @@
                     .filter(line -> !line.startsWith("#"))
                     .map(line -> line.split(" "))
                     .forEach(parts -> recorded.put(parts[0], HexFormat.of().parseHex(parts[1])));
-        } catch (IOException failed) {
-            throw new IllegalStateException(failed);
+        } catch (IOException exception) {
+            throw new IllegalStateException(exception);
         }
         return recorded;
     }
 
-    /** A message as it was recorded, and the values that it was written from. */
+    /** Name of a recorded message and the values that it was encoded from. */
     private record Case(String name, MembershipMessage message) {
         @Override
         public String toString() {
@@ -76,7 +77,7 @@
                         new MembershipMessage(
                                 "shop",
                                 "m0",
-                                STARTED,
+                                STARTED_AT,
                                 MembershipMessage.Kind.PING,
                                 1,
                                 "",
@@ -93,7 +94,7 @@
                         new MembershipMessage(
                                 "shop",
                                 "m0",
-                                STARTED,
+                                STARTED_AT,
                                 MembershipMessage.Kind.ACK,
                                 300,
                                 "m1",
@@ -110,7 +111,7 @@
                         new MembershipMessage(
                                 "shop",
                                 "m0",
-                                STARTED,
+                                STARTED_AT,
                                 MembershipMessage.Kind.PING_REQUEST,
                                 70_000,
                                 "m1",
@@ -127,7 +128,7 @@
                         new MembershipMessage(
                                 "shop",
                                 "m1",
-                                STARTED + 1,
+                                STARTED_AT + 1,
                                 MembershipMessage.Kind.INDIRECT_ACK,
                                 70_000,
                                 "m1",
@@ -144,7 +145,7 @@
                         new MembershipMessage(
                                 "shop",
                                 "m0",
-                                STARTED,
+                                STARTED_AT,
                                 MembershipMessage.Kind.SYNC,
                                 0,
                                 "",
@@ -229,7 +230,7 @@
         List<LoadRow> read = OverloadDigest.decode(bytes).rows();
         assertThat(read).hasSize(2);
         LoadRow first = read.get(0);
-        // A figure is told in steps of an eighth of an octave.
+        // Values are sent in steps of an eighth of an octave.
         assertThat(first.arrivalRates()).containsExactly(arrivalRates, within(0.6));
         assertThat(first.startRate()).isCloseTo(3.5, Offset.offset(0.2));
         assertThat(first.queuedWork()).isCloseTo(0.25, Offset.offset(0.015));
@@ -242,7 +243,7 @@
         assertThat(OverloadDigest.encode(List.of(), read)).isEqualTo(bytes);
     }
 
-    /** Keeps what a cell directory sends. */
+    /** Records the datagrams that a cell directory sends. */
     private static final class SentDatagrams implements CellActions {
         private final List<String> targets = new ArrayList<>();
         private final List<byte[]> datagrams = new ArrayList<>();
@@ -282,7 +283,7 @@
                 slot,
                 name,
                 "shop",
-                STARTED,
+                STARTED_AT,
                 random,
                 actions,
                 CellDirectory.InjectedDefect.NONE);
@@ -316,8 +317,8 @@
     @Test
     void cellRows_recordedDigest_readToTheSameValues() {
         CellDirectory cells = directory(0, 2, "m2", new SentDatagrams());
-        byte[] rest = cells.onDigest(2_000_000, 1, RECORDED.get("cell-digest"));
-        assertThat(rest).containsExactly(1, 2, 3);
+        byte[] fleetDigest = cells.onDigest(2_000_000, 1, RECORDED.get("cell-digest"));
+        assertThat(fleetDigest).containsExactly(1, 2, 3);
         assertThat(cells.cells(2_000_000).get(0).aliveManagers()).isEqualTo(2);
     }
 }
