--- a/src/test/java/firstage/overload/LoadSheddingLevelTest.java
+++ b/src/test/java/firstage/overload/LoadSheddingLevelTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A fleet that is asked for more than its engines bear, as a flow of work: who refuses what, and
- * how it comes back.
+ * Tests the load shedding of a fleet that receives more work than its engines can run: which requests
+ * are refused, and how the threshold returns to 0. Work is simulated as a flow.
  */
 class LoadSheddingLevelTest {
     private static final long SECOND = 10_000;
@@ -24,94 +24,97 @@
     private static final double CAPACITY = 40;
     private static final int LOW = 12;
     private static final int HIGH = 20;
-    private final RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(11);
-    private final List<SheddingManager> all = new ArrayList<>();
+    private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(11);
+    private final List<SheddingManager> managers = new ArrayList<>();
     private long now = 100 * SECOND;
 
-    /** By chance, and late by so many steps. */
-    private double loss;
+    /** Probability that an exchange of rows is lost. */
+    private double lossProbability;
+
+    /** Number of sends by which rows are delayed. */
+    private int sendDelay;
 
-    private int late;
     private double capacity = CAPACITY;
 
     /**
-     * A manager: what it lets in waits until the engines have room, and is lost after two seconds.
+     * Simulated manager. Admitted work waits until the engines have capacity; work beyond two seconds
+     * of the manager's share of the capacity is shed from the queue.
      */
     private final class SheddingManager {
         private final String name;
         private final LoadSheddingLevel level;
         private final DemandHistogram demand = new DemandHistogram();
-        private final double[] asks = new double[DemandHistogram.BANDS];
+        private final double[] arrivalRates = new double[DemandHistogram.BANDS];
         private final double[] queue = new double[DemandHistogram.BANDS];
         private final double[] served = new double[DemandHistogram.BANDS];
         private final List<List<LoadRow>> sent = new ArrayList<>();
-        private int cut;
-        private double part = 1;
-        private boolean up = true;
-        private boolean lies;
+        private int threshold;
+        private double admittedFraction = 1;
+        private boolean alive = true;
+        private boolean sendsFalseRows;
 
-        private SheddingManager(String name, LoadSheddingLevel.InjectedDefect fault) {
+        private SheddingManager(String name, LoadSheddingLevel.InjectedDefect defect) {
             this.name = name;
             level =
                     new LoadSheddingLevel(
                             name,
                             SECOND,
-                            (at, band, portion) -> {
-                                cut = band;
-                                part = portion;
+                            (time, band, fraction) -> {
+                                threshold = band;
+                                admittedFraction = fraction;
                             },
-                            fault);
+                            defect);
         }
 
-        private double waits() {
+        private double queuedWork() {
             return Arrays.stream(queue).sum();
         }
 
-        private void asked() {
+        private void receiveWork() {
             for (int band = 0; band < DemandHistogram.BANDS; band++) {
-                demand.arrivedWork(band, asks[band] * STEP);
-                queue[band] += asks[band] * STEP * (band < cut ? 0 : band == cut ? part : 1);
-                queue[band] = band < cut ? 0 : queue[band];
+                demand.arrivedWork(band, arrivalRates[band] * STEP);
+                queue[band] += arrivalRates[band] * STEP * (band < threshold ? 0 : band == threshold ? admittedFraction : 1);
+                queue[band] = band < threshold ? 0 : queue[band];
             }
         }
 
-        private void serve(double share) {
-            double gone = 0;
+        private void serve(double servedFraction) {
+            double started = 0;
             for (int band = 0; band < DemandHistogram.BANDS; band++) {
-                double goes = queue[band] * share;
-                queue[band] -= goes;
-                served[band] += goes;
-                gone += goes;
+                double bandWork = queue[band] * servedFraction;
+                queue[band] -= bandWork;
+                served[band] += bandWork;
+                started += bandWork;
             }
-            demand.startedWork(gone);
-            double most = 2 * SECOND * CAPACITY / all.size();
-            double over = Math.max(0, waits() - most) / Math.max(1, waits());
-            demand.shedWork(waits() * over);
+            demand.startedWork(started);
+            double maxQueue = 2 * SECOND * CAPACITY / managers.size();
+            double excessFraction = Math.max(0, queuedWork() - maxQueue) / Math.max(1, queuedWork());
+            demand.shedWork(queuedWork() * excessFraction);
             for (int band = 0; band < DemandHistogram.BANDS; band++) {
-                queue[band] *= 1 - over;
+                queue[band] *= 1 - excessFraction;
             }
-            demand.waitingWork(waits());
-            demand.runningThreads(gone / STEP, 4 * CAPACITY);
+            demand.waitingWork(queuedWork());
+            demand.runningThreads(started / STEP, 4 * CAPACITY);
             level.measure(now, demand);
             level.evaluate(now);
         }
 
-        private List<LoadRow> tells() {
+        private List<LoadRow> sendRows() {
             List<LoadRow> rows =
                     OverloadDigest.decode(
                                     OverloadDigest.encode(
                                             List.of(),
                                             level.rowsToSend(now, OverloadDigest.rows(0))))
                             .rows();
-            if (lies) {
-                double[] came = new double[DemandHistogram.BANDS];
-                came[DemandHistogram.BANDS - 1] = 1e5;
+            if (sendsFalseRows) {
+                double[] falseRates = new double[DemandHistogram.BANDS];
+                falseRates[DemandHistogram.BANDS - 1] = 1e5;
                 rows.set(
                         0,
                         new LoadRow(
                                 rows.get(0).managerHash(),
                                 rows.get(0).timestamp(),
-                                came,
+                                falseRates,
                                 0,
                                 1e5,
                                 1e5,
@@ -120,155 +123,161 @@
                                 new int[0]));
             }
             sent.add(rows);
-            return sent.size() > late ? sent.get(sent.size() - 1 - late) : List.of();
+            return sent.size() > sendDelay ? sent.get(sent.size() - 1 - sendDelay) : List.of();
         }
     }
 
-    private void fleet(int count, LoadSheddingLevel.InjectedDefect fault) {
+    private void createFleet(int count, LoadSheddingLevel.InjectedDefect defect) {
         for (int m = 0; m < count; m++) {
-            all.add(new SheddingManager("m" + m, fault));
+            managers.add(new SheddingManager("m" + m, defect));
         }
-        viewed();
+        updateViews();
     }
 
-    private void viewed() {
-        List<String> names = all.stream().filter(o -> o.up).map(o -> o.name).toList();
-        all.forEach(o -> o.level.onViewChanged(names));
+    private void updateViews() {
+        List<String> names = managers.stream().filter(manager -> manager.alive).map(manager -> manager.name).toList();
+        managers.forEach(manager -> manager.level.onViewChanged(names));
     }
 
-    /** In seconds of work a second, over the fleet: the same at each. */
-    private void asks(int band, double rate) {
-        all.forEach(o -> o.asks[band] = rate / all.size());
+    /** Sets the fleet's arrival rate in seconds of work a second, divided equally. */
+    private void setArrivalRate(int band, double rate) {
+        managers.forEach(manager -> manager.arrivalRates[band] = rate / managers.size());
     }
 
-    private void pass(double seconds) {
+    private void advance(double seconds) {
         for (long until = now + (long) (seconds * SECOND); now < until; now += STEP) {
-            List<SheddingManager> up = all.stream().filter(o -> o.up).toList();
-            up.forEach(SheddingManager::asked);
-            double waits = up.stream().mapToDouble(SheddingManager::waits).sum();
-            up.forEach(o -> o.serve(Math.min(1, capacity * STEP / Math.max(1, waits))));
+            List<SheddingManager> alive = managers.stream().filter(manager -> manager.alive).toList();
+            alive.forEach(SheddingManager::receiveWork);
+            double queuedWork = alive.stream().mapToDouble(SheddingManager::queuedWork).sum();
+            alive.forEach(manager -> manager.serve(Math.min(1, capacity * STEP / Math.max(1, queuedWork))));
             if (now / STEP % 2 == 0) {
-                for (SheddingManager o : up) {
-                    SheddingManager other = up.get(chance.nextInt(up.size()));
-                    List<LoadRow> there = o.tells();
-                    List<LoadRow> back = other.tells();
-                    if (other != o && chance.nextDouble() >= loss) {
-                        other.level.onRows(now, there);
-                        o.level.onRows(now, back);
+                for (SheddingManager manager : alive) {
+                    SheddingManager other = alive.get(random.nextInt(alive.size()));
+                    List<LoadRow> ownRows = manager.sendRows();
+                    List<LoadRow> otherRows = other.sendRows();
+                    if (other != manager && random.nextDouble() >= lossProbability) {
+                        other.level.onRows(now, ownRows);
+                        manager.level.onRows(now, otherRows);
                     }
                 }
             }
         }
     }
 
-    private double served(int band) {
-        double sum = all.stream().mapToDouble(o -> o.served[band]).sum();
-        all.forEach(o -> o.served[band] = 0);
+    private double takeServedSeconds(int band) {
+        double sum = managers.stream().mapToDouble(manager -> manager.served[band]).sum();
+        managers.forEach(manager -> manager.served[band] = 0);
         return sum / SECOND;
     }
 
-    /** Three times what the engines bear, a third of it worth sixteen times the rest. */
-    private void storm() {
-        asks(HIGH, CAPACITY);
-        asks(LOW, 2 * CAPACITY);
+    /**
+     * Sets arrivals of three times the engines' capacity; a third of them have sixteen times the
+     * priority of the rest.
+     */
+    private void startOverload() {
+        setArrivalRate(HIGH, CAPACITY);
+        setArrivalRate(LOW, 2 * CAPACITY);
     }
 
-    private void calm() {
-        asks(HIGH, 0.2 * CAPACITY);
-        asks(LOW, 0.4 * CAPACITY);
+    private void startLowLoad() {
+        setArrivalRate(HIGH, 0.2 * CAPACITY);
+        setArrivalRate(LOW, 0.4 * CAPACITY);
     }
 
     @Test
     void evaluate_lowLoad_nothingRefused() {
-        fleet(12, LoadSheddingLevel.InjectedDefect.NONE);
-        calm();
-        pass(20);
-        assertThat(all).allMatch(o -> o.cut == 0 && o.part == 1);
+        createFleet(12, LoadSheddingLevel.InjectedDefect.NONE);
+        startLowLoad();
+        advance(20);
+        assertThat(managers).allMatch(manager -> manager.threshold == 0 && manager.admittedFraction == 1);
     }
 
-    /** What is worth more is served, at once and by all alike, and all is open soon after. */
+    /**
+     * During the overload all managers serve the work of high priority; soon after it nothing is
+     * refused.
+     */
     @Test
     void evaluate_overload_sameThresholdThenOpen() {
-        fleet(12, LoadSheddingLevel.InjectedDefect.NONE);
-        calm();
-        pass(10);
-        storm();
-        pass(5);
-        served(HIGH);
-        served(LOW);
-        pass(10);
-        assertThat(served(HIGH)).isGreaterThan(0.85 * 10 * CAPACITY);
-        assertThat(all).allMatch(o -> o.cut > LOW && o.cut <= HIGH);
-        assertThat(all.stream().mapToDouble(SheddingManager::waits).sum())
+        createFleet(12, LoadSheddingLevel.InjectedDefect.NONE);
+        startLowLoad();
+        advance(10);
+        startOverload();
+        advance(5);
+        takeServedSeconds(HIGH);
+        takeServedSeconds(LOW);
+        advance(10);
+        assertThat(takeServedSeconds(HIGH)).isGreaterThan(0.85 * 10 * CAPACITY);
+        assertThat(managers).allMatch(manager -> manager.threshold > LOW && manager.threshold <= HIGH);
+        assertThat(managers.stream().mapToDouble(SheddingManager::queuedWork).sum())
                 .isLessThan(1.2 * SECOND * CAPACITY);
-        calm();
-        pass(3);
-        assertThat(all).allMatch(o -> o.cut == 0);
+        startLowLoad();
+        advance(3);
+        assertThat(managers).allMatch(manager -> manager.threshold == 0);
     }
 
     /**
-     * Three to forty, three in ten words lost, words up to two and a half seconds late: no swinging
-     * that starves.
+     * With 3 to 40 managers, up to 30 % of the exchanges lost, and rows up to 2.5 s late, the threshold
+     * does not oscillate so much that engines idle or high priorities starve.
      */
     @Test
     void evaluate_lateAndLostRows_neitherSwingsNorStarves() {
-        // Managers, words lost of a hundred, tellings late, the least share of the engines that
-        // must be used.
-        for (int[] is :
+        // Number of managers, percentage of lost exchanges, sends by which rows are late, minimum
+        // percentage of the capacity that must be used.
+        for (int[] scenario :
                 new int[][] {
                     {3, 0, 0, 95}, {12, 30, 0, 95}, {12, 0, 5, 95}, {40, 30, 2, 95}, {12, 0, 25, 85}
                 }) {
-            all.clear();
-            fleet(is[0], LoadSheddingLevel.InjectedDefect.NONE);
-            loss = is[1] / 100.0;
-            late = is[2];
-            storm();
-            pass(10);
-            served(HIGH);
-            served(LOW);
-            pass(20);
-            double high = served(HIGH);
-            assertThat(high + served(LOW))
-                    .as("%d managers", is[0])
-                    .isGreaterThan(is[3] / 100.0 * 20 * CAPACITY);
+            managers.clear();
+            createFleet(scenario[0], LoadSheddingLevel.InjectedDefect.NONE);
+            lossProbability = scenario[1] / 100.0;
+            sendDelay = scenario[2];
+            startOverload();
+            advance(10);
+            takeServedSeconds(HIGH);
+            takeServedSeconds(LOW);
+            advance(20);
+            double high = takeServedSeconds(HIGH);
+            assertThat(high + takeServedSeconds(LOW))
+                    .as("%d managers", scenario[0])
+                    .isGreaterThan(scenario[3] / 100.0 * 20 * CAPACITY);
             assertThat(high)
-                    .as("%d managers", is[0])
-                    .isGreaterThan((is[3] - 20) / 100.0 * 20 * CAPACITY);
-            calm();
-            pass(8);
-            assertThat(all).allMatch(o -> o.cut == 0);
+                    .as("%d managers", scenario[0])
+                    .isGreaterThan((scenario[3] - 20) / 100.0 * 20 * CAPACITY);
+            startLowLoad();
+            advance(8);
+            assertThat(managers).allMatch(manager -> manager.threshold == 0);
         }
     }
 
     @Test
     void evaluate_classAtOneManager_servedByFleetThreshold() {
-        fleet(12, LoadSheddingLevel.InjectedDefect.NONE);
-        asks(LOW, 3 * CAPACITY);
-        all.get(3).asks[HIGH] = 0.1 * CAPACITY;
-        pass(5);
-        served(HIGH);
-        pass(10);
-        assertThat(served(HIGH)).isGreaterThan(0.8 * 10 * 0.1 * CAPACITY);
+        createFleet(12, LoadSheddingLevel.InjectedDefect.NONE);
+        setArrivalRate(LOW, 3 * CAPACITY);
+        managers.get(3).arrivalRates[HIGH] = 0.1 * CAPACITY;
+        advance(5);
+        takeServedSeconds(HIGH);
+        advance(10);
+        assertThat(takeServedSeconds(HIGH)).isGreaterThan(0.8 * 10 * 0.1 * CAPACITY);
     }
 
     /**
-     * More rows than fit beside the rest of a digest: all have their turn, or a large fleet's table
-     * has holes.
+     * If more rows exist than fit into a digest, each row must be sent in turn: otherwise the tables
+     * of a large fleet stay incomplete.
      */
     @Test
     void rowsToSend_largeFleet_allByTurns() {
-        fleet(97, LoadSheddingLevel.InjectedDefect.NONE);
-        LoadSheddingLevel one = all.get(0).level;
-        all.forEach(o -> one.onRows(now, o.level.rowsToSend(now, 1)));
-        Set<Integer> told = new HashSet<>();
+        createFleet(97, LoadSheddingLevel.InjectedDefect.NONE);
+        LoadSheddingLevel level = managers.get(0).level;
+        managers.forEach(manager -> level.onRows(now, manager.level.rowsToSend(now, 1)));
+        Set<Integer> sentManagers = new HashSet<>();
         for (int i = 0; i < 20; i++) {
-            one.rowsToSend(now, 8).forEach(r -> told.add(r.managerHash()));
+            level.rowsToSend(now, 8).forEach(row -> sentManagers.add(row.managerHash()));
         }
-        assertThat(told).hasSize(97);
+        assertThat(sentManagers).hasSize(97);
     }
 
     @Test
-    void priorityBand_thousandfoldWeights_toldApart() {
+    void priorityBand_thousandfoldWeights_distinguished() {
         assertThat(DemandHistogram.priorityBand(1_000, SECOND, false))
                 .isEqualTo(DemandHistogram.BANDS - 1);
         assertThat(DemandHistogram.priorityBand(1, SECOND, false))
@@ -276,97 +285,98 @@
         assertThat(DemandHistogram.priorityBand(0, SECOND, false)).isZero();
         assertThat(DemandHistogram.priorityBand(Double.MAX_VALUE, 0, true))
                 .isLessThan(DemandHistogram.BANDS);
-        fleet(6, LoadSheddingLevel.InjectedDefect.NONE);
-        asks(DemandHistogram.priorityBand(100, SECOND, false), 0.3 * CAPACITY);
-        asks(DemandHistogram.priorityBand(0.1, SECOND, false), 3 * CAPACITY);
-        pass(15);
-        assertThat(served(DemandHistogram.priorityBand(100, SECOND, false)))
+        createFleet(6, LoadSheddingLevel.InjectedDefect.NONE);
+        setArrivalRate(DemandHistogram.priorityBand(100, SECOND, false), 0.3 * CAPACITY);
+        setArrivalRate(DemandHistogram.priorityBand(0.1, SECOND, false), 3 * CAPACITY);
+        advance(15);
+        assertThat(takeServedSeconds(DemandHistogram.priorityBand(100, SECOND, false)))
                 .isGreaterThan(0.9 * 15 * 0.3 * CAPACITY);
     }
 
     /**
-     * Half of the fleet is gone in an instant: what they told ends, and the rest goes by itself.
+     * Half of the fleet dies at once: the rows of dead managers expire, and the other managers
+     * continue without them.
      */
     @Test
     void evaluate_rowsOfDeadManager_expire() {
-        fleet(12, LoadSheddingLevel.InjectedDefect.NONE);
-        storm();
-        pass(10);
-        all.subList(6, 12).forEach(o -> o.up = false);
-        calm();
-        pass(4);
-        viewed();
-        pass(4);
-        assertThat(all.subList(0, 6)).allMatch(o -> o.cut == 0);
+        createFleet(12, LoadSheddingLevel.InjectedDefect.NONE);
+        startOverload();
+        advance(10);
+        managers.subList(6, 12).forEach(manager -> manager.alive = false);
+        startLowLoad();
+        advance(4);
+        updateViews();
+        advance(4);
+        assertThat(managers.subList(0, 6)).allMatch(manager -> manager.threshold == 0);
     }
 
-    /** It claims a thousandfold load of the best worth, and that all of it waits. */
+    /** One manager falsely reports a huge load of the highest priority, all of it queued. */
     @Test
     void evaluate_oneFalseRow_costsLittle() {
-        fleet(12, LoadSheddingLevel.InjectedDefect.NONE);
-        all.get(0).lies = true;
-        calm();
-        pass(10);
-        served(HIGH);
-        served(LOW);
-        pass(10);
-        assertThat(served(HIGH)).isGreaterThan(0.9 * 10 * 0.2 * CAPACITY);
-        assertThat(served(LOW)).isGreaterThan(0.85 * 10 * 0.4 * CAPACITY);
+        createFleet(12, LoadSheddingLevel.InjectedDefect.NONE);
+        managers.get(0).sendsFalseRows = true;
+        startLowLoad();
+        advance(10);
+        takeServedSeconds(HIGH);
+        takeServedSeconds(LOW);
+        advance(10);
+        assertThat(takeServedSeconds(HIGH)).isGreaterThan(0.9 * 10 * 0.2 * CAPACITY);
+        assertThat(takeServedSeconds(LOW)).isGreaterThan(0.85 * 10 * 0.4 * CAPACITY);
     }
 
-    /** Each fault is seen by one of the stories above. */
+    /** Each injected defect makes one of the scenarios above fail. */
     @ParameterizedTest
     @EnumSource(
             value = LoadSheddingLevel.InjectedDefect.class,
             mode = EnumSource.Mode.EXCLUDE,
             names = "NONE")
-    void evaluate_injectedDefect_isFound(LoadSheddingLevel.InjectedDefect fault) {
-        fleet(12, fault);
-        switch (fault) {
+    void evaluate_injectedDefect_isFound(LoadSheddingLevel.InjectedDefect defect) {
+        createFleet(12, defect);
+        switch (defect) {
             case NO_PEERS -> {
-                // One has all that is worth more; by itself, each of the others refuses by its own
-                // queue alone.
-                asks(LOW, 3 * CAPACITY);
-                all.get(0).asks[HIGH] = CAPACITY;
-                pass(10);
-                assertThat(all.stream().mapToInt(o -> o.cut).distinct().count()).isGreaterThan(1);
+                // One manager receives all work of high priority. Without rows of others each
+                // manager refuses by its own queue alone.
+                setArrivalRate(LOW, 3 * CAPACITY);
+                managers.get(0).arrivalRates[HIGH] = CAPACITY;
+                advance(10);
+                assertThat(managers.stream().mapToInt(manager -> manager.threshold).distinct().count()).isGreaterThan(1);
             }
             case NEVER_OLD -> {
-                storm();
-                pass(10);
-                all.subList(1, 12).forEach(o -> o.up = false);
-                calm();
-                pass(8);
-                assertThat(all.get(0).cut).isGreaterThan(0);
+                startOverload();
+                advance(10);
+                managers.subList(1, 12).forEach(manager -> manager.alive = false);
+                startLowLoad();
+                advance(8);
+                assertThat(managers.get(0).threshold).isGreaterThan(0);
             }
             case OLDER_WINS -> {
-                List<LoadRow> old = all.get(1).tells();
-                pass(2);
-                all.get(0).level.onRows(now, all.get(1).tells());
-                all.get(0).level.onRows(now, old);
-                assertThat(all.get(0).level.rowsToSend(now, 40)).contains(old.get(0));
+                List<LoadRow> old = managers.get(1).sendRows();
+                advance(2);
+                managers.get(0).level.onRows(now, managers.get(1).sendRows());
+                managers.get(0).level.onRows(now, old);
+                assertThat(managers.get(0).level.rowsToSend(now, 40)).contains(old.get(0));
             }
             case NO_LIMIT -> {
-                all.get(0).lies = true;
-                calm();
-                pass(10);
-                served(LOW);
-                pass(10);
-                assertThat(served(LOW)).isLessThan(0.85 * 10 * 0.4 * CAPACITY);
+                managers.get(0).sendsFalseRows = true;
+                startLowLoad();
+                advance(10);
+                takeServedSeconds(LOW);
+                advance(10);
+                assertThat(takeServedSeconds(LOW)).isLessThan(0.85 * 10 * 0.4 * CAPACITY);
             }
             case WAITS_UNSEEN -> {
-                storm();
-                pass(5);
-                served(HIGH);
-                pass(10);
-                assertThat(served(HIGH)).isLessThan(0.85 * 10 * CAPACITY);
+                startOverload();
+                advance(5);
+                takeServedSeconds(HIGH);
+                advance(10);
+                assertThat(takeServedSeconds(HIGH)).isLessThan(0.85 * 10 * CAPACITY);
             }
             default -> {
-                storm();
-                pass(10);
-                calm();
-                pass(3);
-                assertThat(all).anyMatch(o -> o.cut > 0);
+                startOverload();
+                advance(10);
+                startLowLoad();
+                advance(3);
+                assertThat(managers).anyMatch(manager -> manager.threshold > 0);
             }
         }
     }
--- a/src/test/java/firstage/overload/ProbeCoordinatorTest.java
+++ b/src/test/java/firstage/overload/ProbeCoordinatorTest.java
@@ -13,212 +13,212 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Managers that tell each other which engines are sick: who tries, who keeps away, and how all come
- * back.
+ * Tests how managers that report unhealthy engines to each other coordinate their probes: which
+ * manager probes, which avoid the engine, and how all return to it.
  */
 class ProbeCoordinatorTest {
     private static final long SECOND = 10_000;
     private static final long PERIOD = 2_000;
     private static final int ENGINES = 12;
-    private final RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(5);
+    private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(5);
 
     private final class ProbingManager {
         private final String name;
-        private final ProbeCoordinator trials;
+        private final ProbeCoordinator coordinator;
         private final Set<Long> withheld = new HashSet<>();
-        private final Set<Long> closed = new HashSet<>();
-        private long triedAt;
-        private int led;
+        private final Set<Long> ejected = new HashSet<>();
+        private long lastAttemptAt;
+        private int probesDue;
 
-        private ProbingManager(String name, ProbeCoordinator.InjectedDefect fault) {
+        private ProbingManager(String name, ProbeCoordinator.InjectedDefect defect) {
             this.name = name;
-            trials =
+            coordinator =
                     new ProbeCoordinator(
                             name,
                             PERIOD,
-                            (engine, others, over) -> {
-                                if (others) {
+                            (engine, probedByOthers, backoffOver) -> {
+                                if (probedByOthers) {
                                     withheld.add(engine);
                                 } else {
                                     withheld.remove(engine);
                                 }
-                                led += over ? 1 : 0;
+                                probesDue += backoffOver ? 1 : 0;
                             },
-                            fault);
+                            defect);
         }
 
-        private void look() {
-            for (long e = 0; e < ENGINES; e++) {
-                trials.updateEngine(
-                        now, e, closed.contains(e), closed.contains(e) ? triedAt : 0, 0);
+        private void updateAndEvaluate() {
+            for (long engine = 0; engine < ENGINES; engine++) {
+                coordinator.updateEngine(
+                        now, engine, ejected.contains(engine), ejected.contains(engine) ? lastAttemptAt : 0, 0);
             }
-            trials.evaluate(now);
+            coordinator.evaluate(now);
         }
     }
 
-    private final List<ProbingManager> all = new ArrayList<>();
+    private final List<ProbingManager> managers = new ArrayList<>();
     private long now = 100 * SECOND;
-    private boolean told = true;
+    private boolean reportsDelivered = true;
 
-    private void fleet(int count, ProbeCoordinator.InjectedDefect fault) {
+    private void createFleet(int count, ProbeCoordinator.InjectedDefect defect) {
         List<String> names = new ArrayList<>();
         for (int m = 0; m < count; m++) {
-            all.add(new ProbingManager("m" + m, fault));
+            managers.add(new ProbingManager("m" + m, defect));
             names.add("m" + m);
         }
-        all.forEach(o -> o.trials.onViewChanged(names));
+        managers.forEach(manager -> manager.coordinator.onViewChanged(names));
     }
 
-    private static List<OverloadDigest.EngineReport> carried(
-            List<OverloadDigest.EngineReport> words) {
-        return OverloadDigest.decode(OverloadDigest.encode(words, List.of())).reports();
+    private static List<OverloadDigest.EngineReport> encodeAndDecode(
+            List<OverloadDigest.EngineReport> reports) {
+        return OverloadDigest.decode(OverloadDigest.encode(reports, List.of())).reports();
     }
 
-    private void pass(long time) {
+    private void advance(long time) {
         for (long until = now + time; now < until; now += PERIOD / 2) {
-            for (ProbingManager o : all) {
-                o.look();
-                ProbingManager other = all.get(chance.nextInt(all.size()));
-                if (told && other != o) {
-                    other.trials.onReports(now, o.name, carried(o.trials.localReports(now)));
-                    o.trials.onReports(now, other.name, carried(other.trials.localReports(now)));
+            for (ProbingManager manager : managers) {
+                manager.updateAndEvaluate();
+                ProbingManager other = managers.get(random.nextInt(managers.size()));
+                if (reportsDelivered && other != manager) {
+                    other.coordinator.onReports(now, manager.name, encodeAndDecode(manager.coordinator.localReports(now)));
+                    manager.coordinator.onReports(now, other.name, encodeAndDecode(other.coordinator.localReports(now)));
                 }
             }
         }
     }
 
-    private void closes(long engine, int count) {
+    private void eject(long engine, int count) {
         for (int m = 0; m < count; m++) {
-            all.get(m).closed.add(engine);
-            all.get(m).triedAt = now;
+            managers.get(m).ejected.add(engine);
+            managers.get(m).lastAttemptAt = now;
         }
     }
 
-    private long free(long engine) {
-        return all.stream().filter(o -> !o.withheld.contains(engine)).count();
+    private long countNotWithheld(long engine) {
+        return managers.stream().filter(manager -> !manager.withheld.contains(engine)).count();
     }
 
     @Test
-    void evaluate_manyEjectedIt_oneOwnerProbes() {
-        fleet(12, ProbeCoordinator.InjectedDefect.NONE);
-        closes(3, 6);
-        pass(5 * SECOND);
-        assertThat(free(3)).isOne();
+    void evaluate_ejectedByMany_oneOwnerProbes() {
+        createFleet(12, ProbeCoordinator.InjectedDefect.NONE);
+        eject(3, 6);
+        advance(5 * SECOND);
+        assertThat(countNotWithheld(3)).isOne();
         assertThat(
-                        all.stream()
-                                .filter(o -> !o.withheld.contains(3L))
+                        managers.stream()
+                                .filter(manager -> !manager.withheld.contains(3L))
                                 .findFirst()
                                 .orElseThrow()
-                                .closed)
+                                .ejected)
                 .contains(3L);
-        assertThat(free(4)).isEqualTo(12);
+        assertThat(countNotWithheld(4)).isEqualTo(12);
     }
 
     @Test
     void evaluate_defectAllOwn_allProbe() {
-        fleet(12, ProbeCoordinator.InjectedDefect.ALL_OWN);
-        closes(3, 12);
-        pass(5 * SECOND);
-        assertThat(free(3)).isGreaterThan(1);
+        createFleet(12, ProbeCoordinator.InjectedDefect.ALL_OWN);
+        eject(3, 12);
+        advance(5 * SECOND);
+        assertThat(countNotWithheld(3)).isGreaterThan(1);
     }
 
     @Test
-    void evaluate_oneEjectedIt_othersUnaffected() {
-        fleet(12, ProbeCoordinator.InjectedDefect.NONE);
-        closes(3, 1);
-        pass(10 * SECOND);
-        assertThat(free(3)).isEqualTo(12);
-        all.clear();
-        fleet(12, ProbeCoordinator.InjectedDefect.ALONE_IS_SHARED);
-        closes(3, 1);
-        pass(10 * SECOND);
-        assertThat(free(3)).isLessThan(12);
+    void evaluate_ejectedByOne_othersUnaffected() {
+        createFleet(12, ProbeCoordinator.InjectedDefect.NONE);
+        eject(3, 1);
+        advance(10 * SECOND);
+        assertThat(countNotWithheld(3)).isEqualTo(12);
+        managers.clear();
+        createFleet(12, ProbeCoordinator.InjectedDefect.ALONE_IS_SHARED);
+        eject(3, 1);
+        advance(10 * SECOND);
+        assertThat(countNotWithheld(3)).isLessThan(12);
     }
 
     @Test
     void evaluate_reportsStop_eachDecidesAlone() {
-        for (ProbeCoordinator.InjectedDefect fault :
+        for (ProbeCoordinator.InjectedDefect defect :
                 List.of(
                         ProbeCoordinator.InjectedDefect.NONE,
                         ProbeCoordinator.InjectedDefect.WORDS_NEVER_END)) {
-            all.clear();
-            told = true;
-            fleet(8, fault);
-            closes(3, 5);
-            pass(5 * SECOND);
-            told = false;
-            pass(10 * SECOND);
-            assertThat(free(3) == 8).isEqualTo(fault == ProbeCoordinator.InjectedDefect.NONE);
+            managers.clear();
+            reportsDelivered = true;
+            createFleet(8, defect);
+            eject(3, 5);
+            advance(5 * SECOND);
+            reportsDelivered = false;
+            advance(10 * SECOND);
+            assertThat(countNotWithheld(3) == 8).isEqualTo(defect == ProbeCoordinator.InjectedDefect.NONE);
         }
     }
 
     @Test
     void evaluate_engineReadmitted_allReturnInSteps() {
-        int[] most = new int[2];
+        int[] maxReturns = new int[2];
         for (int i = 0; i < 2; i++) {
-            all.clear();
-            fleet(
+            managers.clear();
+            createFleet(
                     32,
                     i == 0
                             ? ProbeCoordinator.InjectedDefect.NONE
                             : ProbeCoordinator.InjectedDefect.ALL_AT_ONCE);
-            closes(3, 20);
-            pass(8 * SECOND);
+            eject(3, 20);
+            advance(8 * SECOND);
             ProbingManager owner =
-                    all.stream().filter(o -> !o.withheld.contains(3L)).findFirst().orElseThrow();
-            owner.closed.remove(3L);
-            all.forEach(o -> o.led = 0);
-            int before = 0;
+                    managers.stream().filter(manager -> !manager.withheld.contains(3L)).findFirst().orElseThrow();
+            owner.ejected.remove(3L);
+            managers.forEach(manager -> manager.probesDue = 0);
+            int returnedBefore = 0;
             for (int step = 0; step < 100; step++) {
-                pass(PERIOD / 2);
-                int led = all.stream().mapToInt(o -> Math.min(1, o.led)).sum();
-                most[i] = Math.max(most[i], led - before);
-                before = led;
+                advance(PERIOD / 2);
+                int returned = managers.stream().mapToInt(manager -> Math.min(1, manager.probesDue)).sum();
+                maxReturns[i] = Math.max(maxReturns[i], returned - returnedBefore);
+                returnedBefore = returned;
             }
-            assertThat(before).isGreaterThan(25);
+            assertThat(returnedBefore).isGreaterThan(25);
         }
-        assertThat(most[0]).isLessThan(most[1]);
+        assertThat(maxReturns[0]).isLessThan(maxReturns[1]);
     }
 
     @Test
     void evaluate_falseReports_healthyEnginesKept() {
-        fleet(9, ProbeCoordinator.InjectedDefect.NONE);
-        for (long e = 0; e < ENGINES; e++) {
-            closes(e, 1);
+        createFleet(9, ProbeCoordinator.InjectedDefect.NONE);
+        for (long engine = 0; engine < ENGINES; engine++) {
+            eject(engine, 1);
         }
-        pass(10 * SECOND);
-        assertThat(all.subList(1, 9)).allMatch(o -> o.withheld.isEmpty());
-        for (long e = 0; e < ENGINES; e++) {
-            closes(e, 5);
+        advance(10 * SECOND);
+        assertThat(managers.subList(1, 9)).allMatch(manager -> manager.withheld.isEmpty());
+        for (long engine = 0; engine < ENGINES; engine++) {
+            eject(engine, 5);
         }
-        pass(10 * SECOND);
-        assertThat(all.subList(5, 9)).allMatch(o -> o.withheld.isEmpty());
+        advance(10 * SECOND);
+        assertThat(managers.subList(5, 9)).allMatch(manager -> manager.withheld.isEmpty());
     }
 
     @Test
     void decode_malformedDigest_empty() {
-        double[] came = new double[DemandHistogram.BANDS];
-        came[3] = 0.5;
-        came[31] = 4_000;
+        double[] arrivalRates = new double[DemandHistogram.BANDS];
+        arrivalRates[3] = 0.5;
+        arrivalRates[31] = 4_000;
         LoadRow row =
                 new LoadRow(
                         -7,
                         1 << 31,
-                        came,
+                        arrivalRates,
                         17.3,
                         0.002,
                         96,
                         2,
                         new int[] {0, 255, 60},
                         new int[] {1, 2, -9});
-        byte[] good =
+        byte[] encoded =
                 OverloadDigest.encode(
                         List.of(
                                 new OverloadDigest.EngineReport(7, true, 5),
                                 new OverloadDigest.EngineReport(1L << 40, false, 0)),
                         List.of(row, row));
-        assertThat(OverloadDigest.decode(good).reports()).hasSize(2);
-        LoadRow read = OverloadDigest.decode(good).rows().get(1);
+        assertThat(OverloadDigest.decode(encoded).reports()).hasSize(2);
+        LoadRow read = OverloadDigest.decode(encoded).rows().get(1);
         assertThat(read.managerHash()).isEqualTo(-7);
         assertThat(read.timestamp()).isEqualTo(1 << 31);
         assertThat(read.startRate()).isCloseTo(17.3, Percentage.withPercentage(5));
@@ -230,9 +230,9 @@
         assertThat(OverloadDigest.decode(new byte[0]).reports()).isEmpty();
         assertThat(OverloadDigest.encode(List.of(), List.of())).isEmpty();
         for (int i = 0; i < 20_000; i++) {
-            byte[] spoilt = good.clone();
-            spoilt[chance.nextInt(spoilt.length)] = (byte) chance.nextInt();
-            assertThat(OverloadDigest.decode(spoilt).reports().size())
+            byte[] corrupted = encoded.clone();
+            corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
+            assertThat(OverloadDigest.decode(corrupted).reports().size())
                     .isLessThanOrEqualTo(OverloadDigest.MAX_REPORTS);
         }
     }
