--- a/src/main/java/firstage/membership/FailureDetector.java
+++ b/src/main/java/firstage/membership/FailureDetector.java
@@ -122,12 +122,12 @@
     /** Probes many addresses at once, so that a starting fleet need not wait for probe rounds. */
     void start(long now) {
         lastResponseAt = now;
-        List<Integer> all = new ArrayList<>();
+        List<Integer> addresses = new ArrayList<>();
         for (int address = 0; address < table.addresses(); address++) {
-            all.add(address);
+            addresses.add(address);
         }
-        Collections.shuffle(all, new Random(random.nextLong()));
-        all.subList(0, Math.min(all.size(), STARTUP_PROBES))
+        Collections.shuffle(addresses, new Random(random.nextLong()));
+        addresses.subList(0, Math.min(addresses.size(), STARTUP_PROBES))
                 .forEach(address -> ping(now, null, address, null, 0));
     }
 
@@ -255,8 +255,8 @@
     }
 
     /**
-     * Returns the next peer in a shuffled order, or null if no peer is alive or suspect. Each peer is
-     * probed at least once in two rounds.
+     * Returns the next peer in a shuffled order, or null if no peer is alive or suspect. At most two
+     * rounds pass between two probes of a peer.
      */
     private Peer nextTarget() {
         for (int round = 0; round < 2; round++) {
--- a/src/main/java/firstage/membership/FailureDetectorActions.java
+++ b/src/main/java/firstage/membership/FailureDetectorActions.java
@@ -1,6 +1,9 @@
 package firstage.membership;
 
-/** Effects of the failure detector; no method calls back into it. */
+/**
+ * Effects of the failure detector. An implementation must not call the failure detector before it
+ * returns, except for {@link FailureDetector#startSuspicion}.
+ */
 interface FailureDetectorActions {
     /** Sends a probe; {@code target} is empty if no peer is known at the address. */
     void sendPing(long now, int address, long sequence, String target);
--- a/src/main/java/firstage/membership/GossipQueue.java
+++ b/src/main/java/firstage/membership/GossipQueue.java
@@ -11,7 +11,7 @@
  * number of messages that grows with the logarithm of the fleet size; the newest change goes first.
  */
 final class GossipQueue {
-    /** Factor on the logarithm of the fleet size in the number of sends of one change. */
+    /** Sends of one change as a multiple of the binary logarithm of the fleet size. */
     private static final int GOSSIP_FACTOR = 4;
 
     /** Limit of queued changes, so that forged member names can't exhaust the memory. */
--- a/src/main/java/firstage/membership/Member.java
+++ b/src/main/java/firstage/membership/Member.java
@@ -4,7 +4,7 @@
  * Record of a member, as it is sent in gossip. Of two records of a member the one with the higher
  * incarnation wins, and at equal incarnations the one with the later state.
  *
- * @param incarnation Unix time of its start in ms; only the member itself raises it, to refute a
+ * @param incarnation Unix time of the member's start in ms; only the member itself raises it, to refute a
  *     suspicion
  * @param weight the relative share of traffic that the member asks for; usually 1
  */
@@ -21,11 +21,11 @@
                 || incarnation == other.incarnation && state.compareTo(other.state) > 0;
     }
 
-    Member withState(MemberState next) {
-        return new Member(name, zone, incarnation, next, version, weight);
+    Member withState(MemberState newState) {
+        return new Member(name, zone, incarnation, newState, version, weight);
     }
 
-    Member withIncarnation(long next, MemberState state) {
-        return new Member(name, zone, next, state, version, weight);
+    Member withIncarnation(long newIncarnation, MemberState newState) {
+        return new Member(name, zone, newIncarnation, newState, version, weight);
     }
 }
--- a/src/main/java/firstage/membership/MemberTable.java
+++ b/src/main/java/firstage/membership/MemberTable.java
@@ -15,9 +15,9 @@
 
     private Member self;
 
-    MemberTable(Member self, int addresses) {
+    MemberTable(Member self, int addressCount) {
         this.self = self;
-        nameByAddress = new String[addresses];
+        nameByAddress = new String[addressCount];
     }
 
     Member self() {
@@ -71,7 +71,10 @@
         return all;
     }
 
-    /** Returns up to {@code count} random alive peers, never the one named {@code except}. */
+    /**
+     * Returns up to {@code count} random alive peers with known addresses, without the peer named
+     * {@code except}.
+     */
     List<Peer> randomAlive(RandomGenerator random, int count, String except) {
         List<Peer> candidates =
                 new ArrayList<>(
--- a/src/main/java/firstage/membership/MembershipActions.java
+++ b/src/main/java/firstage/membership/MembershipActions.java
@@ -1,6 +1,6 @@
 package firstage.membership;
 
-/** Effects of the membership protocol; no method calls back into it. */
+/** Effects of the membership protocol; an implementation must not call it before it returns. */
 public interface MembershipActions {
     /**
      * Sends a datagram to the peer address with this index.
--- a/src/main/java/firstage/membership/MembershipProtocol.java
+++ b/src/main/java/firstage/membership/MembershipProtocol.java
@@ -63,7 +63,7 @@
      *
      * @param fleet name of the fleet; messages of another fleet are rejected
      * @param self record of this manager, in state alive
-     * @param addresses number of configured peer addresses
+     * @param addressCount number of configured peer addresses
      * @param period interval between two probes, in ticks
      * @param maxDatagramBytes maximum size of a datagram
      * @param random chooses the peers to probe and to ask for indirect probes
@@ -72,7 +72,7 @@
     public MembershipProtocol(
             String fleet,
             Member self,
-            int addresses,
+            int addressCount,
             long period,
             int maxDatagramBytes,
             RandomGenerator random,
@@ -86,7 +86,7 @@
         this.actions = actions;
         this.defect = defect;
         codec = new MessageCodec(maxDatagramBytes);
-        table = new MemberTable(self, addresses);
+        table = new MemberTable(self, addressCount);
         views = new ViewAgreement(table, actions);
         sender = new MessageSender(fleet, table, views, leases, actions, codec);
         detector = new FailureDetector(table, period, random, new DetectorActions(), defect);
--- a/src/main/java/firstage/membership/MessageSender.java
+++ b/src/main/java/firstage/membership/MessageSender.java
@@ -57,8 +57,8 @@
         List<Member> all = table.members();
         int recordsPerMessage = codec.maxMembers(actions.outgoingDigest(now).length);
         for (int from = 0; from < all.size(); from += recordsPerMessage) {
-            List<Member> part = all.subList(from, Math.min(all.size(), from + recordsPerMessage));
-            send(to.address(), newMessage(now, to, kind, 0, "").withMembers(part));
+            List<Member> batch = all.subList(from, Math.min(all.size(), from + recordsPerMessage));
+            send(to.address(), newMessage(now, to, kind, 0, "").withMembers(batch));
         }
     }
 
--- a/src/main/java/firstage/membership/Peer.java
+++ b/src/main/java/firstage/membership/Peer.java
@@ -85,7 +85,10 @@
         indirectlyHeardAt = now;
     }
 
-    /** Excludes a pause of this process of {@code gap} ticks, in which it could receive nothing. */
+    /**
+     * Excludes a pause of this process, which lasted {@code gap} ticks, from the time since the peer
+     * was last heard.
+     */
     void onPause(long gap) {
         lastHeardAt += gap;
     }
--- a/src/main/java/firstage/overload/LoadSheddingLevel.java
+++ b/src/main/java/firstage/overload/LoadSheddingLevel.java
@@ -30,7 +30,7 @@
  * threshold. Times are in ticks, rates in seconds of expected work a second.
  */
 public final class LoadSheddingLevel {
-    /** Time constant of the smoothed rates: an overload shows within its first second. */
+    /** Time constant of the smoothed rates, in ticks: an overload shows within its first second. */
     private static final double SMOOTHING_TIME = 3_000;
 
     /**
--- a/src/main/java/firstage/overload/OverloadDigest.java
+++ b/src/main/java/firstage/overload/OverloadDigest.java
@@ -21,7 +21,7 @@
     /** Maximum number of engine reports in one digest; more are sent in turn. */
     public static final int MAX_REPORTS = 24;
 
-    /** Size of a digest in bytes; the rest of a datagram is left to the membership. */
+    /** Target size of a digest in bytes; the rest of a datagram is left to the membership. */
     private static final int MAX_BYTES = 560;
 
     private static final int REPORT_BYTES = 14;
--- a/src/main/java/firstage/overload/ProbeActions.java
+++ b/src/main/java/firstage/overload/ProbeActions.java
@@ -1,6 +1,6 @@
 package firstage.overload;
 
-/** Effects of the probe coordinator; no method calls back into it. */
+/** Effects of the probe coordinator; an implementation must not call it. */
 public interface ProbeActions {
     /**
      * Sets whether this manager leaves the probing of an engine to other managers.
--- a/src/main/java/firstage/overload/ProbeCoordinator.java
+++ b/src/main/java/firstage/overload/ProbeCoordinator.java
@@ -50,7 +50,7 @@
      */
     private static final double MAX_AVOIDED_FRACTION = 0.34;
 
-    /** Time without a probe after which an owner, which may lack requests to probe with, is skipped. */
+    /** Time after which an owner that had no request to probe with is skipped. */
     private static final long OWNER_IDLE_TIMEOUT = Ticks.ofSeconds(12);
 
     /** Interval between two steps of the return, longer than a short request takes. */
