--- a/src/main/java/firstage/overload/ProbeCoordinator.java
+++ b/src/main/java/firstage/overload/ProbeCoordinator.java
@@ -27,8 +27,8 @@
  */
 public final class ProbeCoordinator {
     /**
-     * Managers that must have ejected an engine before the engine counts as faulty; one or two managers
-     * may share a broken link.
+     * Managers that must have ejected an engine before the engine counts as faulty, since one or two
+     * managers may share a broken link; a small fleet needs fewer.
      */
     private static final int REPORTERS_NEEDED = 3;
 
@@ -250,9 +250,9 @@
         long ejectedByOthers =
                 suspects.stream()
                         .filter(
-                                e ->
-                                        !engines.get(e).ejected
-                                                && reporters(now, e).size() >= reportersNeeded())
+                                engine ->
+                                        !engines.get(engine).ejected
+                                                && reporters(now, engine).size() >= reportersNeeded())
                         .count();
         boolean tooManyEjected = ejectedByOthers > MAX_AVOIDED_FRACTION * engines.size();
         suspects.forEach(engine -> evaluate(now, engine, engines.get(engine), tooManyEjected));
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -239,8 +239,8 @@
     }
 
     /**
-     * Returns this manager's share of an engine's warm-up budget; 0 if the fleet has no cells, which
-     * stands for the share by the settings.
+     * Returns this manager's share of an engine's warm-up budget; 0 if the fleet has no cells, so that
+     * the share of the settings applies.
      */
     public double warmUpShare(DiscoveredEndpoint endpoint) {
         return cells == null ? 0 : cells.warmUpShare(endpoint.id(), zoneName(endpoint.zone()));
@@ -435,8 +435,8 @@
     }
 
     /**
-     * Writes the totals of the cells, and the names of those cells only that have a problem, since a
-     * status must fit into one datagram.
+     * Writes the totals of the cells and names only the cells with a problem, since a status must fit
+     * into one datagram.
      */
     private void writeCells(JsonGenerator out, long now) throws IOException {
         PeerConfig.CellPlacement placement = config.cellPlacement();
