--- a/src/main/java/firstage/failover/FleetCoordinator.java
+++ b/src/main/java/firstage/failover/FleetCoordinator.java
@@ -12,12 +12,12 @@
 import java.util.stream.Stream;
 
 /**
- * What one manager decides together with the others: who probes an unhealthy engine, the
- * load-shedding threshold, and the zones in use. The simulation runs the same class as {@code
- * serve}. Times are in ticks.
+ * Decisions that a manager takes together with the others: which manager probes an unhealthy
+ * engine, the load-shedding threshold, and the zones in use. The simulation and {@code serve} run
+ * the same class. Times are in ticks.
  */
 public final class FleetCoordinator {
-    /** Defects that tests put in, one for each part. */
+    /** Defects that tests inject, one for each part. */
     public record InjectedDefects(
             ProbeCoordinator.InjectedDefect probes,
             LoadSheddingLevel.InjectedDefect level,
@@ -29,11 +29,11 @@
                         ZoneFailover.InjectedDefect.NONE);
 
         /**
-         * By its name in lower case with dashes, of the first part that has it; null for an unknown
-         * name.
+         * Returns the defects for a name in lower case with dashes, from the first part that has a
+         * defect of this name; null for an unknown name.
          */
         public static InjectedDefects named(String name) {
-            Stream<InjectedDefects> all =
+            Stream<InjectedDefects> candidates =
                     Stream.of(
                                     Arrays.stream(ProbeCoordinator.InjectedDefect.values())
                                             .map(
@@ -57,14 +57,14 @@
                                                                     NONE.level,
                                                                     defects)))
                             .flatMap(part -> part);
-            String word = name.toUpperCase(Locale.ROOT).replace('-', '_');
-            return all.filter(
+            String constantName = name.toUpperCase(Locale.ROOT).replace('-', '_');
+            return candidates.filter(
                             defects ->
                                     List.of(
                                                     defects.probes.name(),
                                                     defects.level.name(),
                                                     defects.zones.name())
-                                            .contains(word))
+                                            .contains(constantName))
                     .findFirst()
                     .orElse(null);
         }
@@ -75,9 +75,10 @@
     private final ZoneFailover zones;
 
     /**
-     * {@code zone}: this manager's, of so many; {@code goal}: the shortest response goal; {@code
-     * warm}: how long engines take to warm up; {@code period} between two probes of the membership,
-     * which carries the digests.
+     * {@code zone}: this manager's zone, of {@code zoneCount}; {@code latencyObjective}: the
+     * shortest latency objective of the traffic classes; {@code warmUpDuration}: how long engines
+     * take to warm up; {@code probeInterval}: the time between two probes of the membership, which
+     * carries the digests.
      */
     public FleetCoordinator(
             String self,
@@ -85,16 +86,16 @@
             int zoneCount,
             long latencyObjective,
             long warmUpDuration,
-            long period,
+            long probeInterval,
             ZoneActions zoneActions,
             SheddingActions sheddingActions,
             InjectedDefects defects) {
         zones = new ZoneFailover(self, zone, zoneCount, warmUpDuration, zoneActions, defects.zones);
-        probes = new ProbeCoordinator(self, period, zones::setProbedByOthers, defects.probes);
+        probes = new ProbeCoordinator(self, probeInterval, zones::setProbedByOthers, defects.probes);
         level = new LoadSheddingLevel(self, latencyObjective, sheddingActions, defects.level);
     }
 
-    /** The alive managers. */
+    /** Records the names of the alive managers. */
     public void onViewChanged(List<String> names) {
         probes.onViewChanged(names);
         level.onViewChanged(names);
@@ -102,8 +103,8 @@
     }
 
     /**
-     * What this manager observes of an engine: whether it is ejected, when a request was last sent
-     * to it and when it last responded.
+     * Records what this manager observes of an engine: whether it is ejected, when a request was
+     * last sent to it and when it last responded.
      */
     public void updateEngine(
             long now,
@@ -116,15 +117,15 @@
         zones.updateEngine(zone, engine, ejected, lastAttemptAt, lastResponseAt);
     }
 
-    /** The engine is no longer in the endpoint list. */
+    /** Removes an engine that is no longer in the endpoint list. */
     public void removeEngine(long engine) {
         probes.removeEngine(engine);
         zones.removeEngine(engine);
     }
 
     /**
-     * Decides anew, to be called each 100 ms or so, from this manager's demand and what the others
-     * reported.
+     * Evaluates all decisions from this manager's demand and the reports of the others. To be
+     * called about every 100 ms.
      */
     public void evaluate(long now, DemandHistogram demand) {
         probes.evaluate(now);
@@ -135,41 +136,41 @@
         zones.evaluate(now, level.freshRows(now));
     }
 
-    /** What this manager sends with each membership message. */
+    /** Returns the digest that this manager sends with each membership message. */
     public byte[] encodeDigest(long now) {
         List<OverloadDigest.EngineReport> reports = probes.localReports(now);
         return OverloadDigest.encode(
                 reports, level.rowsToSend(now, OverloadDigest.rows(reports.size())));
     }
 
-    /** What another sent; bytes that can't be read are dropped. */
+    /** Applies the digest of another manager; a digest that can't be read is ignored. */
     public void onDigest(long now, String from, byte[] digest) {
         OverloadDigest.Contents contents = OverloadDigest.decode(digest);
         probes.onReports(now, from, contents.reports());
         level.onRows(now, contents.rows());
     }
 
-    /** An operator's order on a zone. */
+    /** Records an operator's order for a zone. */
     public void setZoneOrder(long now, int zone, ZoneFailover.Order order) {
         zones.setOrder(now, zone, order);
     }
 
-    /** By zone, what operators want. */
+    /** Returns the operators' orders in force, by zone. */
     public Map<Integer, ZoneFailover.Order> zoneOrders() {
         return zones.activeOrders();
     }
 
-    /** The zones that are evacuated or on the return. */
+    /** Returns the zones that are evacuated or returning. */
     public List<Integer> evacuatedZones() {
         return zones.evacuatedZones();
     }
 
-    /** How many engines are left to others to probe. */
+    /** Returns the number of engines whose probes are left to other managers. */
     public long withheldProbes() {
         return probes.withheldCount();
     }
 
-    /** The priority band below which all requests are refused; 0 for none. */
+    /** Returns the priority band below which all requests are refused; 0 for none. */
     public int sheddingThreshold() {
         return level.threshold();
     }
--- a/src/main/java/firstage/failover/ZoneActions.java
+++ b/src/main/java/firstage/failover/ZoneActions.java
@@ -1,10 +1,13 @@
 package firstage.failover;
 
-/** What zone failover decides; none of it calls back. */
+/** Actions that zone failover requests; no implementation calls back into it. */
 public interface ZoneActions {
-    /** Whether this manager avoids an engine; where {@code backoffOver}, it is to be probed now. */
+    /**
+     * Sets whether this manager avoids an engine. {@code backoffOver}: whether the engine is to be
+     * probed now.
+     */
     void setAvoided(long engine, boolean avoided, boolean backoffOver);
 
-    /** A zone changed its state: in-use, evacuated or returning. */
+    /** Logs the new state of a zone: in-use, evacuated or returning. */
     default void logZoneState(int zone, String state) {}
 }
--- a/src/main/java/firstage/failover/ZoneFailover.java
+++ b/src/main/java/firstage/failover/ZoneFailover.java
@@ -15,76 +15,100 @@
 /**
  * Decides which zones the fleet uses. Each manager reports, by zone, the percentage of the engines
  * it has observed lately that it has ejected. A zone that most observers of most other zones report
- * as failed is evacuated by all managers, including engines that they have not probed. Meanwhile
- * one probe owner for each engine goes on probing it. When most of them respond for a while,
- * managers return one after another over the time that engines take to warm up. A zone that fails
- * again stays evacuated for twice as long each time.
+ * as failed is evacuated by all managers, including the engines that they have not probed
+ * themselves. While a zone is evacuated, one probe owner for each of its engines keeps probing that
+ * engine. When most of the engines have responded for a while, managers return one after another
+ * over the time that engines take to warm up. A zone that fails again stays evacuated for twice as
+ * long each time.
  *
- * <p>States of a zone: IN_USE; EVACUATED (only probe owners send to it); RETURNING (managers come
- * back by rendezvous rank along a ramp). Invariants: a zone is never evacuated on the reports of
- * one other zone alone where there are more, since that is a broken link between the two; nor where
- * fewer than a third of all zones would stay in use. A manager that was paused reports nothing
- * until it has observed anew. Times are in ticks.
+ * <p>States of a zone: IN_USE; EVACUATED (only probe owners send to it); RETURNING (managers return
+ * in the order of their rendezvous rank, along a ramp). Invariants: where there are more than two
+ * zones, a zone is never evacuated on the reports of one other zone alone, since these indicate a
+ * broken link between the two; a zone is never evacuated if fewer than a third of all zones would
+ * stay in use. A manager that was paused reports nothing until it has new observations. Times are
+ * in ticks.
  */
 public final class ZoneFailover {
-    /** Report on a zone of which this manager has no observation. */
+    /** Reported value for a zone that this manager has not observed. */
     public static final int UNKNOWN = 255;
 
     /**
-     * Report on a zone that this manager has evacuated and does not probe itself: one whose own
-     * observations came late follows.
+     * Reported value for a zone that this manager has evacuated and does not probe itself. Managers
+     * that still use the zone count it as failed, so that a manager with late observations follows
+     * the others.
      */
-    private static final int EVACUATED = 250;
+    private static final int EVACUATED_MARK = 250;
 
     /**
-     * Report on a zone that this manager is returning to and has not reached yet: so all start
-     * together.
+     * Reported value for a zone that this manager is returning to but has not yet sent to. It
+     * counts as healthy, so that all managers start to return together.
      */
-    private static final int RETURNING = 240;
+    private static final int RETURNING_MARK = 240;
 
-    /** Reports above are one of the marks above. */
+    /** Largest reported percentage; a larger value is UNKNOWN or one of the marks above. */
     private static final int MAX_PERCENT = 100;
 
-    /** Of a zone's known engines ejected: a release or a rack is less. */
+    /**
+     * Minimum percentage of ejected engines for a zone to count as failed; a release or the loss of
+     * a rack ejects fewer.
+     */
     private static final int FAILED_PERCENT = 60;
 
-    /** Up to this: the engines still ejected are left to outlier detection. */
+    /**
+     * Maximum percentage of ejected engines for a zone to count as healthy; engines that are still
+     * ejected are left to outlier detection.
+     */
     private static final int HEALTHY_PERCENT = 50;
 
-    /** One engine alone says nothing of its zone. */
-    private static final int MIN_KNOWN_ENGINES = 2;
+    /**
+     * Minimum number of observed engines for a report: one engine alone says nothing about its
+     * zone.
+     */
+    private static final int MIN_OBSERVED_ENGINES = 2;
 
-    /** An engine's last response counts so long. */
-    private static final long RECENT = Ticks.ofSeconds(3);
+    /** Maximum age of an engine's last response for it to count as observed. */
+    private static final long MAX_OBSERVATION_AGE = Ticks.ofSeconds(3);
 
-    /** A usual request has returned by then; before, an attempt says nothing. */
+    /** Time within which a usual request returns; until then an attempt says nothing. */
     private static final long RESPONSE_TIME = Ticks.ofSeconds(2);
 
-    /** A failure is reported so long before the zone is evacuated. */
+    /** Time for which a failure must be reported before the zone is evacuated. */
     private static final long FAILURE_CONFIRMATION = Ticks.ofMillis(500);
 
-    /** A zone is healthy so long before managers return: longer than a short flap looks healthy. */
+    /**
+     * Time for which a zone must be healthy before managers return; longer than the healthy phases
+     * of a zone that flaps quickly.
+     */
     private static final long RECOVERY_CONFIRMATION = Ticks.ofSeconds(2);
 
-    /** Evacuated at least so long the first time; doubled with each failure. */
+    /**
+     * Minimum time that a zone stays evacuated after a first failure; doubles with each further
+     * failure.
+     */
     private static final long FIRST_HOLD_TIME = Ticks.ofSeconds(10);
 
-    /** The hold time grows up to this. */
+    /** Maximum hold time. */
     private static final long MAX_HOLD_TIME = Ticks.ofSeconds(60);
 
-    /** In use so long, and the next failure counts as the first. */
+    /** Time in use after which the next failure counts as the first. */
     private static final long FAILURE_MEMORY = Ticks.ofSeconds(60);
 
-    /** The return takes at least so long; else as long as engines take to warm up. */
+    /**
+     * Minimum duration of the return to a zone; the return takes as long as engines need to warm
+     * up, if that is longer.
+     */
     private static final long MIN_RAMP = Ticks.ofSeconds(2);
 
-    /** Between two probes of an engine by its owner. */
+    /** Interval between two probes of an engine by its probe owner. */
     private static final long PROBE_INTERVAL = Ticks.ofSeconds(2);
 
-    /** Of all zones stay in use at least. */
+    /** Minimum fraction of all zones that stay in use. */
     private static final double MIN_ZONES_IN_USE = 1 / 3.0;
 
-    /** Between two evaluations: after more, observations are out of date. */
+    /**
+     * Time between two evaluations above which this manager was paused and its observations are out
+     * of date.
+     */
     private static final long PAUSE_THRESHOLD = Ticks.ofSeconds(1);
 
     private enum State {
@@ -101,8 +125,9 @@
     }
 
     /**
-     * What an operator wants of a zone: NONE, decided by its health; LEAVE, evacuated whatever its
-     * health; HOLD, in use whatever its health. The ordinal is sent to other managers.
+     * Operator's order for a zone: NONE, the zone's health decides; LEAVE, evacuated regardless of
+     * its health; HOLD, kept in use regardless of its health. The ordinal is sent to other
+     * managers.
      */
     public enum Order {
         NONE,
@@ -121,19 +146,29 @@
         new Transition(State.RETURNING, Event.RAMP_COMPLETE, State.IN_USE),
     };
 
-    /** What is reported of a zone without observations, by its state. */
+    /** Reported value for a zone without observations, by its state. */
     private static final Map<State, Integer> REPORT_WITHOUT_OBSERVATION =
-            Map.of(State.IN_USE, UNKNOWN, State.EVACUATED, EVACUATED, State.RETURNING, RETURNING);
+            Map.of(
+                    State.IN_USE, UNKNOWN,
+                    State.EVACUATED, EVACUATED_MARK,
+                    State.RETURNING, RETURNING_MARK);
 
-    /** Defects that tests put in one at a time, to show that they are found. */
+    /** Defects that tests inject one at a time, to show that they are found. */
     public enum InjectedDefect {
         NONE,
+        /** One report of a failure is enough to evacuate a zone. */
         ONE_IS_ENOUGH,
+        /** All zones may be evacuated at the same time. */
         ALL_MAY_GO,
+        /** All managers return to a zone at once. */
         ALL_AT_ONCE,
+        /** A zone that failed is not held out for a minimum time. */
         NO_HOLD,
+        /** Observations from before a pause are reported. */
         STILL_COUNTS,
+        /** Nobody probes the engines of an evacuated zone. */
         NOBODY_TRIES,
+        /** Orders in the rows of managers are ignored. */
         ORDER_FORGOTTEN
     }
 
@@ -152,13 +187,16 @@
 
     private static final class ZoneState {
         private State state = State.IN_USE;
-        private long since;
+        private long enteredAt;
         private long failedSince = -1;
         private long healthySince = -1;
         private long holdTime = FIRST_HOLD_TIME;
         private Order order = Order.NONE;
 
-        /** When, by the clock of the manager that was asked, in steps of 10 ms; 0 for no order. */
+        /**
+         * Time of the order by the clock of the manager that received it, in steps of 10 ms; 0 for
+         * no order.
+         */
         private int orderedAt;
     }
 
@@ -180,7 +218,7 @@
     public ZoneFailover(
             String self,
             int ownZone,
-            int zones,
+            int zoneCount,
             long warmUpDuration,
             ZoneActions actions,
             InjectedDefect defect) {
@@ -189,18 +227,18 @@
         this.ramp = Math.max(MIN_RAMP, warmUpDuration);
         this.actions = actions;
         this.defect = defect;
-        this.zones = new ZoneState[zones];
+        this.zones = new ZoneState[zoneCount];
         Arrays.setAll(this.zones, z -> new ZoneState());
     }
 
-    /** The alive managers. */
+    /** Records the names of the alive managers. */
     public void onViewChanged(List<String> names) {
         view = List.copyOf(names);
     }
 
     /**
-     * What this manager observes of an engine: whether it is ejected, when a request was last sent
-     * to it and when it last responded.
+     * Records what this manager observes of an engine: whether it is ejected, when a request was
+     * last sent to it and when it last responded.
      */
     public void updateEngine(
             int zone, long engine, boolean ejected, long lastAttemptAt, long lastResponseAt) {
@@ -213,14 +251,15 @@
         }
     }
 
-    /** The engine is no longer in the endpoint list. */
+    /** Removes an engine that is no longer in the endpoint list. */
     public void removeEngine(long engine) {
         engines.remove(engine);
     }
 
     /**
-     * Whether others probe this engine on account of its own health ({@link
-     * firstage.overload.ProbeCoordinator}).
+     * Records whether other managers probe this engine because of its own health ({@link
+     * firstage.overload.ProbeCoordinator}). {@code backoffOver}: whether the engine is to be probed
+     * now.
      */
     public void setProbedByOthers(long engine, boolean probedByOthers, boolean backoffOver) {
         EngineObservation observation = engines.get(engine);
@@ -235,13 +274,13 @@
         }
     }
 
-    /** An operator's order to this manager; it is passed on to all. */
+    /** Records an operator's order to this manager; it is passed on to all managers. */
     public void setOrder(long now, int zone, Order order) {
         zones[zone].order = order;
         zones[zone].orderedAt = LoadSheddingLevel.timestamp(now);
     }
 
-    /** The known orders, to be sent with the load row: zone, order and time of each. */
+    /** Returns the known orders, to be sent with the load row: zone, order and time of each. */
     public int[] ordersToSend() {
         return IntStream.range(0, zones.length)
                 .filter(zone -> zones[zone].orderedAt != 0)
@@ -252,7 +291,10 @@
                 .toArray();
     }
 
-    /** The later order counts, so a manager that restarts learns its own order again. */
+    /**
+     * Applies the orders in the rows. The latest order wins, so that a manager that restarts learns
+     * its own order again.
+     */
     private void applyOrders(List<LoadRow> rows) {
         for (LoadRow row : rows) {
             for (int i = 0;
@@ -261,12 +303,12 @@
                 int zone = row.zoneOrders()[i];
                 int order = row.zoneOrders()[i + 1];
                 int orderedAt = row.zoneOrders()[i + 2];
-                boolean known =
+                boolean valid =
                         zone >= 0
                                 && zone < zones.length
                                 && order >= 0
                                 && order < Order.values().length;
-                if (known
+                if (valid
                         && (zones[zone].orderedAt == 0 || orderedAt - zones[zone].orderedAt > 0)) {
                     zones[zone].order = Order.values()[order];
                     zones[zone].orderedAt = orderedAt;
@@ -276,52 +318,55 @@
     }
 
     /**
-     * What this manager reports: by zone, the percentage of its known engines that are ejected, or
-     * a mark.
+     * Returns the values that this manager reports: by zone, the percentage of its observed engines
+     * that are ejected, or UNKNOWN or a mark.
      */
     public int[] reportedPercent(long now) {
         detectPause(now);
         int[] ejected = new int[zones.length];
-        int[] known = new int[zones.length];
-        int[] all = new int[zones.length];
+        int[] observed = new int[zones.length];
+        int[] total = new int[zones.length];
         engines.forEach(
                 (engine, observation) -> {
                     ZoneState zone = zones[observation.zone];
-                    // Of an evacuated zone only the engines that this manager probes count.
+                    // In an evacuated zone, only the engines that this manager probes count.
                     boolean counts = zone.state == State.IN_USE || !observation.avoided;
                     boolean respondedLately =
                             observation.lastResponseAt
-                                    > (zone.state == State.IN_USE ? now - RECENT : zone.since);
+                                    > (zone.state == State.IN_USE ? now - MAX_OBSERVATION_AGE : zone.enteredAt);
                     boolean isEjected =
                             observation.ejected
                                     && (zone.state != State.RETURNING
-                                            || observation.lastAttemptAt > zone.since
+                                            || observation.lastAttemptAt > zone.enteredAt
                                                     && now - observation.lastAttemptAt
                                                             > RESPONSE_TIME);
-                    all[observation.zone]++;
-                    known[observation.zone] += counts && (isEjected || respondedLately) ? 1 : 0;
+                    total[observation.zone]++;
+                    observed[observation.zone] += counts && (isEjected || respondedLately) ? 1 : 0;
                     ejected[observation.zone] += counts && isEjected ? 1 : 0;
                 });
         int[] percentByZone = new int[zones.length];
-        for (int z = 0; z < zones.length; z++) {
-            int minKnown =
-                    zones[z].state == State.EVACUATED ? 1 : Math.min(MIN_KNOWN_ENGINES, all[z]);
-            boolean nothingToReport =
-                    known[z] == 0 || known[z] < minKnown || now < observationsStaleUntil;
-            percentByZone[z] =
-                    !nothingToReport
-                            ? MAX_PERCENT * ejected[z] / known[z]
-                            : REPORT_WITHOUT_OBSERVATION.get(zones[z].state);
+        for (int zone = 0; zone < zones.length; zone++) {
+            int minObserved =
+                    zones[zone].state == State.EVACUATED ? 1 : Math.min(MIN_OBSERVED_ENGINES, total[zone]);
+            boolean insufficient =
+                    observed[zone] == 0 || observed[zone] < minObserved || now < observationsStaleUntil;
+            percentByZone[zone] =
+                    !insufficient
+                            ? MAX_PERCENT * ejected[zone] / observed[zone]
+                            : REPORT_WITHOUT_OBSERVATION.get(zones[zone].state);
         }
         return percentByZone;
     }
 
-    /** After a pause observations are out of date, and timeouts came due all at once. */
+    /**
+     * Detects a pause of this manager: after one, its observations are out of date, and many
+     * timeouts have expired at once.
+     */
     private void detectPause(long now) {
         if (evaluatedAt >= 0
                 && now - evaluatedAt > PAUSE_THRESHOLD
                 && defect != InjectedDefect.STILL_COUNTS) {
-            observationsStaleUntil = now + RECENT;
+            observationsStaleUntil = now + MAX_OBSERVATION_AGE;
         }
         evaluatedAt = now;
     }
@@ -332,7 +377,8 @@
     }
 
     /**
-     * Decides on all zones; to be called each 100 ms or so with all fresh rows, its own included.
+     * Decides on all zones. To be called about every 100 ms with all fresh rows, this manager's own
+     * included.
      */
     public void evaluate(long now, List<LoadRow> rows) {
         detectPause(now);
@@ -359,14 +405,15 @@
     }
 
     /**
-     * Whether most observers of most other zones, and of two where there are so many, report it as
-     * failed.
+     * Returns whether most observers of most other zones report the zone as failed, and at least
+     * two zones where there are as many.
      */
     private boolean failedByReports(int zone, List<LoadRow> rows) {
-        // Of an evacuated zone only observations count, not the mark of those who avoid it.
-        int countedMark = zones[zone].state == State.IN_USE ? EVACUATED : MAX_PERCENT;
+        // Once the zone is evacuated only observations count, not the mark of managers that avoid
+        // it.
+        int countedMark = zones[zone].state == State.IN_USE ? EVACUATED_MARK : MAX_PERCENT;
         int zonesReporting = 0;
-        int zonesSayingFailed = 0;
+        int zonesReportingFailure = 0;
         for (int observerZone = 0; observerZone < zones.length; observerZone++) {
             int observer = observerZone;
             if (observer != zone) {
@@ -376,20 +423,20 @@
                                 .mapToInt(row -> reportedPercent(row, zone))
                                 .filter(percent -> percent <= MAX_PERCENT || percent == countedMark)
                                 .toArray();
-                long sayingFailed =
+                long failureReports =
                         Arrays.stream(reports).filter(percent -> percent >= FAILED_PERCENT).count();
                 zonesReporting += reports.length > 0 ? 1 : 0;
-                zonesSayingFailed +=
-                        2 * sayingFailed > reports.length
+                zonesReportingFailure +=
+                        2 * failureReports > reports.length
                                         || defect == InjectedDefect.ONE_IS_ENOUGH
-                                                && sayingFailed > 0
+                                                && failureReports > 0
                                 ? 1
                                 : 0;
             }
         }
-        int needed = defect == InjectedDefect.ONE_IS_ENOUGH ? 1 : Math.min(2, zones.length - 1);
-        return zonesSayingFailed >= needed
-                && (2 * zonesSayingFailed > zonesReporting
+        int minZones = defect == InjectedDefect.ONE_IS_ENOUGH ? 1 : Math.min(2, zones.length - 1);
+        return zonesReportingFailure >= minZones
+                && (2 * zonesReportingFailure > zonesReporting
                         || defect == InjectedDefect.ONE_IS_ENOUGH);
     }
 
@@ -397,13 +444,15 @@
         return zone < row.ejectedPercent().length ? row.ejectedPercent()[zone] : UNKNOWN;
     }
 
-    /** Whether those that probe its engines find most of them healthy. */
+    /**
+     * Returns whether the managers that probe the engines of the zone find most of them healthy.
+     */
     private static boolean healthyByReports(int zone, List<LoadRow> rows) {
         int[] reports =
                 rows.stream()
                         .mapToInt(row -> reportedPercent(row, zone))
-                        .filter(percent -> percent <= MAX_PERCENT || percent == RETURNING)
-                        .map(percent -> percent == RETURNING ? 0 : percent)
+                        .filter(percent -> percent <= MAX_PERCENT || percent == RETURNING_MARK)
+                        .map(percent -> percent == RETURNING_MARK ? 0 : percent)
                         .toArray();
         return reports.length > 0
                 && Arrays.stream(reports).average().orElse(MAX_PERCENT) <= HEALTHY_PERCENT;
@@ -414,7 +463,7 @@
         boolean healthy = healthyByReports(zoneIndex, rows);
         zone.failedSince = !failed ? -1 : zone.failedSince < 0 ? now : zone.failedSince;
         zone.healthySince = !healthy ? -1 : zone.healthySince < 0 ? now : zone.healthySince;
-        boolean heldOut = now - zone.since < zone.holdTime && defect != InjectedDefect.NO_HOLD;
+        boolean inHoldTime = now - zone.enteredAt < zone.holdTime && defect != InjectedDefect.NO_HOLD;
         Event event =
                 zone.order == Order.LEAVE
                         ? Event.ORDERED
@@ -428,19 +477,20 @@
                                                         && healthy
                                                         && now - zone.healthySince
                                                                 >= RECOVERY_CONFIRMATION
-                                                        && !heldOut
+                                                        && !inHoldTime
                                                 ? Event.HEALTHY
                                                 : zone.state == State.RETURNING
-                                                                && now - zone.since >= ramp
+                                                                && now - zone.enteredAt >= ramp
                                                         ? Event.RAMP_COMPLETE
                                                         : null;
         for (Transition transition : TRANSITIONS) {
             if (transition.state == zone.state && transition.event == event) {
                 if (transition.next == State.EVACUATED) {
-                    // Failed while returning, or soon after: evacuated longer.
+                    // A zone that fails while managers return, or soon after, is evacuated for
+                    // longer.
                     boolean failedAgain =
                             transition.state == State.RETURNING
-                                    || zone.since > 0 && now - zone.since < FAILURE_MEMORY;
+                                    || zone.enteredAt > 0 && now - zone.enteredAt < FAILURE_MEMORY;
                     zone.holdTime =
                             event == Event.ORDERED
                                     ? 0
@@ -449,7 +499,7 @@
                                             : FIRST_HOLD_TIME;
                 }
                 zone.state = transition.next;
-                zone.since = now;
+                zone.enteredAt = now;
                 zone.failedSince = -1;
                 zone.healthySince = -1;
                 actions.logZoneState(
@@ -469,7 +519,7 @@
                     case EVACUATED -> !probeOwner;
                     case RETURNING ->
                             !probeOwner
-                                    && now < zone.since + rampPosition(observation.zone) * ramp
+                                    && now < zone.enteredAt + rampPosition(observation.zone) * ramp
                                     && defect != InjectedDefect.ALL_AT_ONCE;
                 };
         boolean probesNow =
@@ -483,12 +533,12 @@
         }
     }
 
-    /** This manager's position on the return to a zone, from 0 to 1. */
+    /** Returns this manager's position on the ramp of the return to a zone, from 0 to 1. */
     private double rampPosition(int zone) {
         return (double) RendezvousHash.countBefore(zone, view, self) / Math.max(1, view.size());
     }
 
-    /** By zone, what operators want. */
+    /** Returns the operators' orders in force, by zone. */
     public Map<Integer, Order> activeOrders() {
         Map<Integer, Order> orders = new TreeMap<>();
         for (int zone = 0; zone < zones.length; zone++) {
@@ -499,7 +549,7 @@
         return orders;
     }
 
-    /** The zones that are evacuated or on the return. */
+    /** Returns the zones that are evacuated or returning. */
     public List<Integer> evacuatedZones() {
         return IntStream.range(0, zones.length)
                 .filter(zone -> zones[zone].state != State.IN_USE)
@@ -507,7 +557,7 @@
                 .toList();
     }
 
-    /** This manager's own zone. */
+    /** Returns this manager's own zone. */
     public int ownZone() {
         return ownZone;
     }
--- a/src/main/java/firstage/failover/package-info.java
+++ b/src/main/java/firstage/failover/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Evacuation of a zone that fails, decided by the whole fleet, and {@link
- * firstage.failover.FleetCoordinator}, which runs all that managers decide together. Free of I/O;
- * uses the membership's view and digests. docs/failover.md gives the reasons.
+ * Fleet-wide decisions: the evacuation of a zone that fails, and {@link
+ * firstage.failover.FleetCoordinator}, which runs all decisions that managers take together. The
+ * package performs no I/O; it uses the view and the digests of the membership. docs/failover.md
+ * gives the reasons.
  */
 package firstage.failover;
