--- a/src/main/java/firstage/cells/BigEndianBytes.java
+++ b/src/main/java/firstage/cells/BigEndianBytes.java
@@ -1,32 +1,34 @@
 package firstage.cells;
 
-/** Reads or writes whole numbers, high byte first: the rows of fixed size that cells send. */
+/**
+ * Reader and writer of integers in big-endian order, for the rows of fixed size that cells send.
+ */
 final class BigEndianBytes {
     private final byte[] buffer;
     private int position;
 
-    /** To read these bytes, or to write as many. */
+    /** Reads the bytes of the buffer, or overwrites them. */
     BigEndianBytes(byte[] buffer) {
         this.buffer = buffer;
     }
 
-    BigEndianBytes put(int number, int bytes) {
-        for (int shift = Byte.SIZE * (bytes - 1); shift >= 0; shift -= Byte.SIZE) {
+    BigEndianBytes put(int number, int byteCount) {
+        for (int shift = Byte.SIZE * (byteCount - 1); shift >= 0; shift -= Byte.SIZE) {
             buffer[position++] = (byte) (number >>> shift);
         }
         return this;
     }
 
-    BigEndianBytes put(byte[] more) {
-        System.arraycopy(more, 0, buffer, position, more.length);
-        position += more.length;
+    BigEndianBytes put(byte[] source) {
+        System.arraycopy(source, 0, buffer, position, source.length);
+        position += source.length;
         return this;
     }
 
-    /** The next number of so many bytes; unsigned where there are fewer than four. */
-    int read(int bytes) {
+    /** Reads the next integer of so many bytes; unsigned if it has fewer than four. */
+    int read(int byteCount) {
         int number = 0;
-        for (int i = 0; i < bytes; i++) {
+        for (int i = 0; i < byteCount; i++) {
             number = number << Byte.SIZE | buffer[position++] & 0xFF;
         }
         return number;
--- a/src/main/java/firstage/cells/CellDirectory.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -11,68 +11,80 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What one manager knows of the other cells, and which engines it may use.
+ * Tracks what a manager knows of the other cells, and decides which engines it may use.
  *
- * <p><b>Rows.</b> A cell reports one row of fixed size of itself: a timestamp, the lowest plan
- * number that its managers hold, how many are alive, its load-shedding threshold. Its delegates,
- * the first three by rendezvous hashing over its view, renew it; each of them sends all rows it
- * knows to one random manager of one random other cell each second. Within a cell rows go with the
- * membership's messages, a few on each, new ones first, others by turns. So what a manager sends
- * and holds grows with the fleet by 12 bytes a cell only.
+ * <p><b>Rows.</b> Each cell publishes one row of fixed size about itself: a timestamp, the lowest
+ * plan number that its managers hold, the number of its alive managers and its load-shedding
+ * threshold. The delegates of the cell, the first three managers by rendezvous hashing over its
+ * view, renew the row; once a second each of them sends all rows that it knows to one random
+ * manager of one random other cell. Within a cell, rows travel with the membership messages, a few
+ * on each: new rows first, the others in turn. The data that a manager sends and holds therefore
+ * grows by only 12 bytes for each cell of the fleet.
  *
- * <p><b>Engines.</b> A manager holds one plan for its whole life, and the one before it while that
- * is being replaced. Of an engine that both plans give to its cell it uses its share; of one that
- * only the old plan gives, nothing; one that only the new plan gives it uses once all managers of
- * all cells that lose it hold the new plan, by their rows. Invariant: the shares of an engine never
- * exceed the whole, in whatever order managers restart and messages are lost, late or doubled,
- * since each manager released before it said so and never goes back. A cell that is not heard keeps
- * what it had.
+ * <p><b>Engines.</b> A manager holds one plan during its whole life, and the previous plan while
+ * that one is being replaced. It uses its share of an engine that both plans assign to its cell,
+ * and nothing of an engine that only the previous plan assigns to its cell. It uses an engine that
+ * only the new plan assigns to its cell once the rows show that all managers of all cells that lose
+ * the engine hold the new plan. Invariant: the shares of an engine never add up to more than the
+ * whole, in whatever order managers restart, and whichever messages are lost, delayed or
+ * duplicated, since each manager releases an engine before it reports the new plan, and never goes
+ * back to the old one. A cell that sends no rows keeps its engines.
  *
- * <p>States of another cell: UNKNOWN (no row yet), ACTIVE, SILENT (its row was not renewed for
- * long). Times are in ticks of a clock that only goes forward.
+ * <p>States of another cell: UNKNOWN (no row yet), ACTIVE, SILENT (its row was not renewed for a
+ * long time). Times are in ticks of a monotonic clock.
  */
 public final class CellDirectory {
-    /** Of a cell at once: two may die in one second, the next view has others. */
+    /**
+     * Number of delegates of a cell: two may fail within a second, and the next view has others.
+     */
     private static final int DELEGATES = 3;
 
-    /** Between two datagrams of a delegate, some 1 KB, whatever the fleet. */
+    /**
+     * Interval between two datagrams of a delegate; each has about 1 KB, whatever the fleet's size.
+     */
     private static final long SEND_INTERVAL = Ticks.ofSeconds(1);
 
-    /** Between renewals of a row that does not change. */
+    /** Interval between renewals of a row that does not change. */
     private static final long ROW_INTERVAL = Ticks.ofSeconds(5);
 
-    /** Of a row that is not renewed: five renewals, some on their way. */
+    /**
+     * Age of a row after which its cell counts as silent: five renewals, some of which may still be
+     * in transit.
+     */
     private static final long SILENT_AFTER = Ticks.ofSeconds(25);
 
-    /** Between renewals of a row while the view keeps changing. */
+    /** Interval between renewals of a row while the view keeps changing. */
     private static final long MIN_ROW_INTERVAL = Ticks.ofMillis(500);
 
-    /** Between two checks for rows that were not renewed. */
+    /** Interval between two checks for rows that were not renewed. */
     private static final long EXPIRY_CHECK_INTERVAL = Ticks.ofMillis(500);
 
-    /** 72 bytes on each message of the membership. */
+    /** Maximum number of rows on a membership message; they take 72 bytes. */
     private static final int MAX_ROWS_PER_MESSAGE = 6;
 
-    /** Messages of each manager on which a new row goes out first. */
+    /** Number of messages on which each manager sends a new row ahead of the others. */
     private static final int SENDS_PER_NEW_ROW = 2;
 
-    /** Rows by turns on a message, new or not, so that none stays unheard by chance. */
-    private static final int ROWS_BY_TURNS = 2;
+    /**
+     * Number of rows on a message that are taken in turn, new or not, so that none remains unknown
+     * to a manager by chance.
+     */
+    private static final int ROWS_IN_TURN = 2;
 
-    /** Under the least MTU of IPv6 with its headers. */
+    /** Maximum size of a datagram; with its headers it stays below the minimum MTU of IPv6. */
     private static final int MAX_DATAGRAM_BYTES = 1_200;
 
-    /** Version, fleet, the plan's number and fingerprint. */
+    /** Size of the header: version, fleet, number and fingerprint of the plan. */
     private static final int HEADER_BYTES = 1 + 3 * Integer.BYTES;
 
-    /** Cell, timestamp, plan number, alive managers, load-shedding threshold. */
+    /** Size of a row: cell, timestamp, plan number, alive managers, load-shedding threshold. */
     private static final int ROW_BYTES = Short.BYTES + 2 * Integer.BYTES + 2;
 
     private static final int VERSION = 1;
-    private static final int MAX_BYTE = 255;
+    private static final int MAX_UNSIGNED_BYTE = 255;
     private static final long NEVER = Long.MIN_VALUE / 4;
 
-    /** Defects that tests put in one at a time, to show that they are found. */
+    /** Defects that tests inject one at a time, to show that they are found. */
     public enum InjectedDefect {
         NONE,
         SENT_TO_ALL_CELLS,
@@ -84,7 +96,8 @@
     }
 
     /**
-     * What this manager knows of another cell: no row yet, a row renewed lately, a row not renewed.
+     * State of another cell: no row was received yet, its row was renewed lately, or its row was
+     * not renewed.
      */
     public enum CellState {
         UNKNOWN,
@@ -106,7 +119,7 @@
 
     private record Transition(CellState state, Event event, CellState next, Effect effect) {}
 
-    /** State, event, next state, effect; what is not in the table changes nothing. */
+    /** Transitions of a cell; an event that is not in the table for a state changes nothing. */
     private static final Transition[] TRANSITIONS = {
         new Transition(CellState.UNKNOWN, Event.NEWER_ROW, CellState.ACTIVE, Effect.FIRST_HEARD),
         new Transition(CellState.ACTIVE, Event.NEWER_ROW, CellState.ACTIVE, Effect.NONE),
@@ -115,8 +128,8 @@
     };
 
     /**
-     * A cell as it is known. {@code age}: ticks since a newer row came, -1 for never; {@code
-     * planNumber}: the lowest that its managers hold.
+     * Status of a cell as this manager knows it. {@code age}: ticks since a newer row was received,
+     * -1 for never; {@code planNumber}: the lowest number that the managers of the cell hold.
      */
     public record CellStatus(
             String name,
@@ -151,14 +164,14 @@
     private final InjectedDefect defect;
     private final CellRow[] rows;
 
-    /** By slot of this cell, the plan number that the manager there sent; 0 for none. */
+    /** Plan number that the manager of each slot of this cell has sent; 0 for none. */
     private final int[] planNumberBySlot;
 
     private final ArrayDeque<Integer> newRows = new ArrayDeque<>();
     private final Map<String, Long> rejectedMessages = new HashMap<>();
     private List<String> view;
 
-    /** The largest view so far, for an injected defect. */
+    /** Largest view so far; used by an injected defect only. */
     private List<String> largestView = List.of();
 
     private boolean viewChanged;
@@ -171,9 +184,10 @@
     private boolean planConflictLogged;
 
     /**
-     * {@code previousPlan}: the plan that this one replaces, or null; {@code ownCell}, {@code
-     * ownSlot}: this manager's cell and its slot there; {@code fleet}: the fleet's name; {@code
-     * startedAtUnixMs}: when this process started.
+     * {@code previousPlan}: the plan that {@code plan} replaces, or null; {@code ownCell}, {@code
+     * ownSlot}: this manager's cell and its slot there; {@code name}: this manager's name; {@code
+     * fleet}: the fleet's name; {@code startedAtUnixMs}: when this process started, in milliseconds
+     * of Unix time.
      */
     public CellDirectory(
             CellPlan plan,
@@ -204,7 +218,7 @@
         planNumberBySlot[ownSlot] = plan.number();
     }
 
-    /** Whether this manager may use its share of an engine now. */
+    /** Returns whether this manager may use its share of an engine now. */
     public boolean mayUse(long engine, String zone) {
         return plan.serves(ownCell, engine, zone)
                 && (previousPlan == null
@@ -213,7 +227,9 @@
                         || releasedByFormerCells(engine, zone));
     }
 
-    /** This manager's share of an engine's warm-up budget; {@link CellPlan#warmUpShare}. */
+    /**
+     * Returns this manager's share of an engine's warm-up budget; see {@link CellPlan#warmUpShare}.
+     */
     public double warmUpShare(long engine, String zone) {
         return plan.warmUpShare(
                 defect == InjectedDefect.GAINS_WARM_UP_SHARE ? null : previousPlan,
@@ -222,12 +238,18 @@
                 zone);
     }
 
-    /** Whether the new plan gives the engine, and others may not have released it yet. */
+    /**
+     * Returns whether the plan assigns the engine to this cell, but other cells may not have
+     * released it yet.
+     */
     public boolean awaits(long engine, String zone) {
         return plan.serves(ownCell, engine, zone) && !mayUse(engine, zone);
     }
 
-    /** Whether all managers of all cells that lose it are known to hold the new plan. */
+    /**
+     * Returns whether all managers of all cells that lose the engine are known to hold the new
+     * plan.
+     */
     private boolean releasedByFormerCells(long engine, String zone) {
         List<Integer> newCells = plan.servingCells(engine, zone);
         for (int cell : previousPlan.servingCells(engine, zone)) {
@@ -239,7 +261,7 @@
         return true;
     }
 
-    /** The cells that are not known to hold this plan in full. */
+    /** Returns the names of the cells in which not all managers are known to hold this plan. */
     public List<String> cellsBehindPlan() {
         List<String> names = new ArrayList<>();
         for (int cell = 0; cell < rows.length; cell++) {
@@ -250,13 +272,13 @@
         return names;
     }
 
-    /** What is known of each cell, in the plan's order. */
+    /** Returns the status of each cell, in the plan's order. */
     public List<CellStatus> cells(long now) {
-        List<CellStatus> all = new ArrayList<>();
+        List<CellStatus> statuses = new ArrayList<>();
         for (int cell = 0; cell < rows.length; cell++) {
             CellPlan.Cell planned = plan.cells().get(cell);
             CellRow row = rows[cell];
-            all.add(
+            statuses.add(
                     new CellStatus(
                             planned.name(),
                             planned.zone(),
@@ -267,22 +289,22 @@
                             planned.slots(),
                             row.sheddingThreshold));
         }
-        return all;
+        return statuses;
     }
 
-    /** Messages that changed nothing, by cause. */
+    /** Returns the number of messages that were ignored, by cause. */
     public Map<String, Long> rejectedMessages() {
         return rejectedMessages;
     }
 
-    /** The alive managers of this cell. */
+    /** Records the names of the alive managers of this cell. */
     public void onViewChanged(List<String> names) {
         view = names;
         largestView = names.size() > largestView.size() ? names : largestView;
         viewChanged = true;
     }
 
-    /** To be called each 20 ms or so. */
+    /** Expires, renews and sends the rows that are due. To be called about every 20 ms. */
     public void tick(long now) {
         if (startedAt == NEVER) {
             startedAt = now;
@@ -302,7 +324,8 @@
         if (now >= nextRowAt) {
             nextRowAt = now + MIN_ROW_INTERVAL;
             long rank = delegateRank();
-            // The second and the third delegate renew it only where those before them do not.
+            // The second and the third delegate renew the row only if those ranked before them do
+            // not.
             if (rank < DELEGATES
                     && (viewChanged
                             || now - rows[ownCell].receivedAt
@@ -319,16 +342,19 @@
         }
     }
 
-    /** This manager's rank among the alive ones of its cell; the first ones are its delegates. */
+    /**
+     * Returns this manager's rank among the alive managers of its cell; the first ones are its
+     * delegates.
+     */
     private long delegateRank() {
-        // With the defect: the first of the largest view, alive or not.
+        // With the defect, the delegates are the first of the largest view, alive or not.
         List<String> candidates = defect == InjectedDefect.FIXED_DELEGATES ? largestView : view;
         return RendezvousHash.countBefore(ownCell, candidates, name);
     }
 
     /**
-     * The lowest plan number in this cell. Only what each manager has sent itself counts: a silent
-     * one may hold the old plan and use it.
+     * Returns the lowest plan number in this cell. Only numbers that managers have sent themselves
+     * count: a manager that has sent none may hold the old plan and use its engines.
      */
     private int leastPlanNumber() {
         return Math.min(
@@ -344,11 +370,11 @@
 
     private void renewOwnRow(long now) {
         CellRow row = rows[ownCell];
-        int clock = (int) (startedAtUnixS + (now - startedAt) / SEND_INTERVAL);
+        int unixSeconds = (int) (startedAtUnixS + (now - startedAt) / SEND_INTERVAL);
         applyRow(
                 now,
                 ownCell,
-                row.receivedAt != NEVER && row.timestamp - clock >= 0 ? row.timestamp + 1 : clock,
+                row.receivedAt != NEVER && row.timestamp - unixSeconds >= 0 ? row.timestamp + 1 : unixSeconds,
                 leastPlanNumber(),
                 view.size(),
                 actions.sheddingThreshold());
@@ -365,8 +391,8 @@
             }
             return;
         }
-        int to = random.nextInt(rows.length - 1);
-        send(to >= ownCell ? to + 1 : to, datagram);
+        int target = random.nextInt(rows.length - 1);
+        send(target >= ownCell ? target + 1 : target, datagram);
     }
 
     private void send(int cell, byte[] datagram) {
@@ -397,7 +423,7 @@
         }
         row.sendsLeft = SENDS_PER_NEW_ROW;
         applyEvent(now, cell, Event.NEWER_ROW);
-        // A plan number never goes down: an old row, received again, takes nothing away.
+        // A plan number never goes down: an old row that is received again changes nothing.
         if (planNumber > row.planNumber) {
             row.planNumber = planNumber;
             if (previousPlan != null && planNumber >= plan.number()) {
@@ -405,7 +431,7 @@
                         now,
                         "follows",
                         plan.cells().get(cell).name(),
-                        "all of it hold plan " + plan.number());
+                        "all managers of the cell hold plan " + plan.number());
                 actions.enginesReleased(now);
             }
         } else if (defect == InjectedDefect.OLDER_ROW_WINS) {
@@ -423,19 +449,19 @@
                     case NONE -> {}
                     case FIRST_HEARD ->
                             actions.logCellEvent(
-                                    now, "met", cellName, row.aliveManagers + " of it are here");
+                                    now, "met", cellName, row.aliveManagers + " managers are alive");
                     case LOST ->
                             actions.logCellEvent(
                                     now,
                                     "silent",
                                     cellName,
-                                    "no row for " + SILENT_AFTER / SEND_INTERVAL + " s");
+                                    "no row received for " + SILENT_AFTER / SEND_INTERVAL + " s");
                     case HEARD_AGAIN ->
                             actions.logCellEvent(
                                     now,
                                     "heard again",
                                     cellName,
-                                    row.aliveManagers + " of it are here");
+                                    row.aliveManagers + " managers are alive");
                 }
                 return;
             }
@@ -455,31 +481,33 @@
         writer.put(cell, 2)
                 .put(row.timestamp, 4)
                 .put(row.planNumber, 4)
-                .put(Math.min(MAX_BYTE, row.aliveManagers), 1)
-                .put(Math.min(MAX_BYTE, row.sheddingThreshold), 1);
+                .put(Math.min(MAX_UNSIGNED_BYTE, row.aliveManagers), 1)
+                .put(Math.min(MAX_UNSIGNED_BYTE, row.sheddingThreshold), 1);
     }
 
-    /** All rows that are known, or as many as a datagram holds, by turns. */
+    /**
+     * Encodes all known rows, or, if there are more than a datagram holds, the next ones in turn.
+     */
     private byte[] encodeDatagram() {
         List<Integer> selected = new ArrayList<>();
-        int room = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / ROW_BYTES;
-        for (int i = 0; i < rows.length && selected.size() < room; i++) {
+        int maxRows = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / ROW_BYTES;
+        for (int i = 0; i < rows.length && selected.size() < maxRows; i++) {
             int cell = (nextDatagramRow + i) % rows.length;
             if (rows[cell].state == CellState.ACTIVE) {
                 selected.add(cell);
             }
         }
-        nextDatagramRow = (nextDatagramRow + room) % rows.length;
+        nextDatagramRow = (nextDatagramRow + maxRows) % rows.length;
         BigEndianBytes writer = newMessage(selected.size() * ROW_BYTES);
         selected.forEach(cell -> writeRow(writer, cell));
         return writer.bytes();
     }
 
     /**
-     * The rows for a message within the cell, followed by {@code rest}, the digest of the fleet
+     * Returns the rows for a message within the cell, followed by the digest of the fleet
      * coordinator.
      */
-    public byte[] encodeDigest(byte[] rest) {
+    public byte[] encodeDigest(byte[] coordinatorDigest) {
         List<Integer> selected = new ArrayList<>();
         for (int i = newRows.size(); i > 0 && selected.size() < MAX_ROWS_PER_MESSAGE; i--) {
             int cell = newRows.poll();
@@ -488,8 +516,8 @@
                 newRows.add(cell);
             }
         }
-        int most = Math.min(MAX_ROWS_PER_MESSAGE, selected.size() + ROWS_BY_TURNS);
-        for (int i = 0; i < rows.length && selected.size() < most; i++) {
+        int maxSelected = Math.min(MAX_ROWS_PER_MESSAGE, selected.size() + ROWS_IN_TURN);
+        for (int i = 0; i < rows.length && selected.size() < maxSelected; i++) {
             lastDigestRow = (lastDigestRow + 1) % rows.length;
             if (rows[lastDigestRow].state == CellState.ACTIVE
                     && !selected.contains(lastDigestRow)) {
@@ -497,14 +525,14 @@
             }
         }
         BigEndianBytes writer =
-                newMessage(1 + selected.size() * ROW_BYTES + rest.length).put(selected.size(), 1);
+                newMessage(1 + selected.size() * ROW_BYTES + coordinatorDigest.length).put(selected.size(), 1);
         selected.forEach(cell -> writeRow(writer, cell));
-        return writer.put(rest).bytes();
+        return writer.put(coordinatorDigest).bytes();
     }
 
     /**
-     * Takes the rows out of a digest from the manager of this slot of the cell, and returns the
-     * rest; empty where it can't be read.
+     * Applies the rows of a digest that the manager of this slot of the cell has sent, and returns
+     * the remaining bytes, the digest of its fleet coordinator; empty if the digest can't be read.
      */
     public byte[] onDigest(long now, int slot, byte[] bytes) {
         BigEndianBytes reader = new BigEndianBytes(bytes);
@@ -512,8 +540,8 @@
         if (number < 0 || reader.remaining() == 0) {
             return new byte[0];
         }
-        // A manager never goes back to an older plan: an old message, received again, takes
-        // nothing away.
+        // A manager never goes back to an older plan: an old message that is received again changes
+        // nothing.
         planNumberBySlot[slot] = Math.max(planNumberBySlot[slot], number);
         int count = reader.read(1);
         if (reader.remaining() < count * ROW_BYTES) {
@@ -526,7 +554,7 @@
         return reader.readRest();
     }
 
-    /** A datagram from a manager of another cell. */
+    /** Applies the rows of a datagram from a manager of another cell. */
     public void onDatagram(long now, byte[] datagram) {
         BigEndianBytes reader = new BigEndianBytes(datagram);
         if (readHeader(now, reader) < 0) {
@@ -541,7 +569,10 @@
         }
     }
 
-    /** The number of the sender's plan; -1 where it is of another fleet, form or plan. */
+    /**
+     * Reads the header and returns the number of the sender's plan; -1 if the sender has another
+     * fleet, another version, or another plan of the same number.
+     */
     private int readHeader(long now, BigEndianBytes reader) {
         if (reader.remaining() < HEADER_BYTES || reader.read(1) != VERSION) {
             reject("another form");
@@ -561,7 +592,7 @@
                         now,
                         "differs",
                         plan.cells().get(ownCell).name(),
-                        "two plans have the number "
+                        "two different plans have the number "
                                 + planNumber
                                 + "; give the later one a higher number");
             }
@@ -570,7 +601,10 @@
         return Math.max(0, planNumber);
     }
 
-    /** Cells keep their places from one plan to the next; new ones are added at the end. */
+    /**
+     * Reads a row and applies it. Cells keep their index from one plan to the next, and new cells
+     * are added at the end, so that a row of an unknown cell is of a later plan.
+     */
     private void readRow(long now, BigEndianBytes reader) {
         int cell = reader.read(2);
         int timestamp = reader.read(4);
@@ -582,7 +616,7 @@
         }
     }
 
-    private void reject(String why) {
-        rejectedMessages.merge(why, 1L, Long::sum);
+    private void reject(String cause) {
+        rejectedMessages.merge(cause, 1L, Long::sum);
     }
 }
--- a/src/main/java/firstage/cells/CellPlan.java
+++ b/src/main/java/firstage/cells/CellPlan.java
@@ -6,28 +6,30 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Which cells there are and which engines each serves, as all managers read it from their files. An
- * engine belongs to so many cells of its own zone ({@code spread}), the first by rendezvous hashing
- * of its id and the cells' names: who holds the same plan computes the same without a message, and
- * a cell that is added or removed moves no engine between two others.
+ * Plan of a fleet's cells and of the engines that each serves, as all managers read it from their
+ * files. An engine belongs to {@code spread} cells of its own zone, the first by rendezvous hashing
+ * of its id and the names of the cells. Managers that hold the same plan compute the same
+ * assignment without a message, and a cell that is added or removed moves no engine between two
+ * others.
  *
  * <p>{@code number}: a later plan has a higher one.
  */
 public record CellPlan(int number, int spread, List<Cell> cells) {
     /**
-     * Of the warm-up budget, for cells that gain an engine: that others released it is known by
-     * their messages alone.
+     * Fraction of the warm-up budget for cells that gain an engine: only messages tell them whether
+     * others have released it.
      */
     private static final double GAINING_CELLS_FRACTION = 0.125;
 
     /**
-     * {@code slots}: managers in it; {@code serves}: false for one whose engines are taken over by
-     * others.
+     * A cell of the plan. {@code slots}: the number of its managers; {@code serves}: false for a
+     * cell whose engines are taken over by others.
      */
     public record Cell(String name, String zone, int slots, boolean serves) {}
 
     /**
-     * Equal for equal plans; equal numbers with different fingerprints are an operator's mistake.
+     * Returns a hash that is equal for equal plans. Plans of the same number with different
+     * fingerprints are a mistake of an operator.
      */
     public int fingerprint() {
         StringBuilder text = new StringBuilder().append(number).append(' ').append(spread);
@@ -44,7 +46,7 @@
         return (int) LongHashFunction.xx3().hashChars(text);
     }
 
-    /** The index of a cell; -1 for an unknown name. */
+    /** Returns the index of a cell; -1 for an unknown name. */
     public int indexOf(String name) {
         return IntStream.range(0, cells.size())
                 .filter(cell -> cells.get(cell).name.equals(name))
@@ -53,19 +55,19 @@
     }
 
     /**
-     * The share of each engine that one manager of this cell has; over all that serve an engine the
-     * sum is one.
+     * Returns the share of each engine that one manager of this cell uses; for every engine the
+     * shares of all managers that serve it add up to one.
      */
     public double share(int cell) {
         return 1.0 / (spread * cells.get(cell).slots);
     }
 
     /**
-     * Of an engine's warm-up budget, the share of one manager of this cell, which serves it. It
-     * depends on the two plans alone, so that the rule on engines that are warming up depends on no
-     * message: cells that serve an engine by the previous plan divide seven eighths, also those
-     * that lose it and have not heard; cells that gain it, the rest. {@code previousPlan}: the plan
-     * that this one replaces, or null.
+     * Returns the share of an engine's warm-up budget for one manager of this cell, which serves
+     * the engine. The share depends on the two plans alone, so that the rule on engines that are
+     * warming up depends on no message: cells that serve the engine by the previous plan divide
+     * seven eighths, including those that lose it and do not know the new plan yet; cells that gain
+     * it divide the rest. {@code previousPlan}: the plan that this one replaces, or null.
      */
     public double warmUpShare(CellPlan previousPlan, int cell, long engine, String zone) {
         if (previousPlan == null) {
@@ -76,7 +78,9 @@
                 : share(cell) * GAINING_CELLS_FRACTION;
     }
 
-    /** The cells that serve an engine, by index; none where its zone has none. */
+    /**
+     * Returns the indices of the cells that serve an engine; empty if no cell of its zone serves.
+     */
     public List<Integer> servingCells(long engine, String zone) {
         return IntStream.range(0, cells.size())
                 .filter(cell -> serves(cell, engine, zone))
@@ -85,8 +89,8 @@
     }
 
     /**
-     * Whether this cell is among those that serve the engine: fewer than the spread of its zone
-     * come before it.
+     * Returns whether this cell is among those that serve the engine: fewer than {@code spread}
+     * serving cells of its zone rank before it.
      */
     public boolean serves(int cell, long engine, String zone) {
         Cell self = cells.get(cell);
@@ -94,17 +98,17 @@
             return false;
         }
         long rank = RendezvousHash.rank(engine, self.name);
-        int before = 0;
-        for (Cell c : cells) {
-            if (c != self && c.serves && c.zone.equals(zone)) {
-                long otherRank = RendezvousHash.rank(engine, c.name);
-                before +=
+        int rankedBefore = 0;
+        for (Cell other : cells) {
+            if (other != self && other.serves && other.zone.equals(zone)) {
+                long otherRank = RendezvousHash.rank(engine, other.name);
+                rankedBefore +=
                         Long.compareUnsigned(otherRank, rank) > 0
-                                        || otherRank == rank && c.name.compareTo(self.name) < 0
+                                        || otherRank == rank && other.name.compareTo(self.name) < 0
                                 ? 1
                                 : 0;
             }
         }
-        return before < spread;
+        return rankedBefore < spread;
     }
 }
--- a/src/main/java/firstage/cells/EngineSubset.java
+++ b/src/main/java/firstage/cells/EngineSubset.java
@@ -9,18 +9,22 @@
 import java.util.function.ToLongFunction;
 
 /**
- * The part of the endpoint list that this manager may use. What its cell gains and others may not
- * have released is kept until they have; what its cell does not serve is not kept at all, so that a
- * manager holds its cell's engines and no more.
+ * Part of the endpoint list that this manager may use. Entries of engines that its cell gains, but
+ * that other cells may not have released, are kept until they are released. Entries of engines that
+ * its cell does not serve are not kept at all, so that a manager holds the engines of its cell and
+ * no more.
  */
 public final class EngineSubset<T> {
     private final CellDirectory cells;
     private final ToLongFunction<T> id;
     private final Function<T, String> zone;
     private final Predicate<T> isGone;
-    private final Map<Long, T> awaitedCount = new LinkedHashMap<>();
+    private final Map<Long, T> awaitedEntries = new LinkedHashMap<>();
 
-    /** How an entry of the list gives its engine's id and zone, and whether the engine is gone. */
+    /**
+     * {@code id}, {@code zone}: return the id and the zone of the engine of an entry; {@code
+     * isGone}: returns whether the engine is gone.
+     */
     public EngineSubset(
             CellDirectory cells,
             ToLongFunction<T> id,
@@ -33,39 +37,39 @@
     }
 
     /**
-     * The entries that this manager may use; {@code replacesAll}: they take the place of all
-     * before.
+     * Returns those of the entries that this manager may use now. {@code replacesAll}: whether the
+     * entries replace all earlier ones.
      */
     public List<T> filter(boolean replacesAll, List<T> entries) {
         if (replacesAll) {
-            awaitedCount.clear();
+            awaitedEntries.clear();
         }
-        List<T> passed = new ArrayList<>();
+        List<T> usable = new ArrayList<>();
         for (T entry : entries) {
             long engine = id.applyAsLong(entry);
             if (cells.mayUse(engine, zone.apply(entry))) {
-                passed.add(entry);
+                usable.add(entry);
             } else if (!isGone.test(entry) && cells.awaits(engine, zone.apply(entry))) {
-                awaitedCount.put(engine, entry);
+                awaitedEntries.put(engine, entry);
             } else {
-                awaitedCount.remove(engine);
+                awaitedEntries.remove(engine);
             }
         }
-        return passed;
+        return usable;
     }
 
-    /** The kept entries that may be used now; they are not kept any longer. */
+    /** Returns the kept entries that may be used by now, and no longer keeps them. */
     public List<T> takeReleased() {
-        List<T> passed =
-                awaitedCount.values().stream()
+        List<T> usable =
+                awaitedEntries.values().stream()
                         .filter(entry -> cells.mayUse(id.applyAsLong(entry), zone.apply(entry)))
                         .toList();
-        passed.forEach(entry -> awaitedCount.remove(id.applyAsLong(entry)));
-        return passed;
+        usable.forEach(entry -> awaitedEntries.remove(id.applyAsLong(entry)));
+        return usable;
     }
 
-    /** How many engines are waited for. */
+    /** Returns the number of engines whose release is awaited. */
     public int awaitedCount() {
-        return awaitedCount.size();
+        return awaitedEntries.size();
     }
 }
