--- a/src/main/java/firstage/config/IdRegistry.java
+++ b/src/main/java/firstage/config/IdRegistry.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Maps the wire's ids to small indices and back, so that state can stand in arrays. An index that
- * was released is given to another id.
+ * Assigns small indices to the wire's ids and maps them back, so that state can be held in arrays.
+ * A released index is assigned to another id.
  *
  * @param <T> the type of the ids
  */
@@ -18,7 +18,7 @@
     private final List<T> idByIndex = new ArrayList<>();
     private final List<Integer> freeIndices = new ArrayList<>();
 
-    /** The index of an id, which gets one if it has none. */
+    /** Returns the index of an id, and assigns one if it has none. */
     public int indexFor(T id) {
         Integer known = indexById.get(id);
         if (known != null) {
@@ -37,22 +37,22 @@
         return index;
     }
 
-    /** The index of an id, or -1 if it has none. */
+    /** Returns the index of an id, or -1 if it has none. */
     public int findIndex(T id) {
         return indexById.getOrDefault(id, NO_INDEX);
     }
 
-    /** The id that has this index; null after its release. */
+    /** Returns the id that has this index; null after its release. */
     public T idOf(int index) {
         return idByIndex.get(index);
     }
 
-    /** How many ids have an index. */
+    /** Returns the number of ids that have an index. */
     public int size() {
         return indexById.size();
     }
 
-    /** Frees the index for another id. */
+    /** Releases an index, which may then be assigned to another id. */
     public void release(int index) {
         indexById.remove(idByIndex.get(index));
         idByIndex.set(index, null);
--- a/src/main/java/firstage/config/InvalidConfigException.java
+++ b/src/main/java/firstage/config/InvalidConfigException.java
@@ -1,11 +1,11 @@
 package firstage.config;
 
 /**
- * A file that an operator or the platform writes can't be used: a configuration or a peers file.
- * The message is one line: {@code FILE:LINE: FIELD: what is wrong; what would do}.
+ * Thrown if a file that an operator or the platform writes can't be used, such as a configuration
+ * or a peers file. The message is one line: {@code FILE:LINE: FIELD: what is wrong; what is valid}.
  */
 public final class InvalidConfigException extends RuntimeException {
-    /** The line where none is known. */
+    /** Line number of a problem whose line is not known. */
     public static final int NO_LINE = 0;
 
     private static final long serialVersionUID = 1;
@@ -14,11 +14,11 @@
     private final int line;
 
     /**
-     * Names the place and the problem.
+     * Creates an exception that names the place and the problem.
      *
      * @param file the file as the operator named it
      * @param line the line, from 1, or {@link #NO_LINE}
-     * @param problem the field and its value, what is wrong with it, and what would do
+     * @param problem the field and its value, what is wrong with it, and what is valid
      */
     public InvalidConfigException(String file, int line, String problem) {
         super(file + ":" + (line == NO_LINE ? "" : line + ":") + " " + problem);
@@ -26,12 +26,12 @@
         this.line = line;
     }
 
-    /** The file as the operator named it. */
+    /** Returns the file as the operator named it. */
     public String file() {
         return file;
     }
 
-    /** The line, from 1, or {@link #NO_LINE}. */
+    /** Returns the line, from 1, or {@link #NO_LINE}. */
     public int line() {
         return line;
     }
--- a/src/main/java/firstage/config/MalformedLineException.java
+++ b/src/main/java/firstage/config/MalformedLineException.java
@@ -1,14 +1,15 @@
 package firstage.config;
 
 /**
- * A line of the simulator's or a field of a message can't be read. The message names the field, its
- * value and what is wrong; who reads the line skips it and reports the message.
+ * Thrown if a line of the simulator, a field of a message or an option can't be read. The message
+ * names the field, its value and what is wrong; a reader of lines skips the line and reports the
+ * message.
  */
 public final class MalformedLineException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
     /**
-     * Names the problem.
+     * Creates an exception that names the problem.
      *
      * @param problem the field, its value, and what is wrong with it
      */
--- a/src/main/java/firstage/config/ManagerConfig.java
+++ b/src/main/java/firstage/config/ManagerConfig.java
@@ -7,14 +7,17 @@
 import java.util.Map;
 
 /**
- * A workload manager's configuration, which the platform writes before its start.
+ * Configuration of a workload manager, which the platform writes before the manager starts.
  *
- * @param name its name, for logs
- * @param listenAddress where clients reach it
- * @param coordinatorAddress where endpoint lists come from, or null where there is none
- * @param maxFileDescriptors the descriptors that it may hold; 0 where unlimited
- * @param memoryLimitMb the memory that it may use; 0 where unlimited
- * @param initialEndpoints the endpoint list known so far, as JSON maps and lists; empty if none
+ * @param name the manager's name, for logs
+ * @param listenAddress the address at which clients connect
+ * @param coordinatorAddress the coordinator, which publishes endpoint lists, or null if there is
+ *     none
+ * @param maxFileDescriptors the number of file descriptors that the manager may hold; 0 if
+ *     unlimited
+ * @param memoryLimitMb the memory in MB that the manager may use; 0 if unlimited
+ * @param initialEndpoints the endpoint list known at the start, as JSON maps and lists; empty if
+ *     none
  * @param settings the deployment's settings, with the manager's random seed
  * @param deployment the settings in the terms of the scheduling policy
  */
@@ -28,38 +31,51 @@
         WireFields settings,
         Deployment deployment) {
 
-    /** For what is no connection to an engine or a client: files, selectors, the coordinator. */
+    /**
+     * Number of file descriptors reserved for everything but connections to engines and clients:
+     * files, selectors, the coordinator.
+     */
     private static final int RESERVED_DESCRIPTORS = 40;
 
-    /** Connections beside the clients' third, to answer those that should not be there. */
+    /**
+     * Number of client connections beyond the clients' third of the descriptors; they serve only to
+     * answer clients in excess.
+     */
     private static final int EXCESS_CLIENT_CONNECTIONS = 16;
 
     private static final int CLIENT_DESCRIPTOR_DIVISOR = 3;
     private static final int CLIENT_MEMORY_DIVISOR = 8;
     private static final long BYTES_PER_MB = 1L << 20;
 
-    // Half, so that sums of two such limits stay in range.
+    // Half of the range, so that the sum of two such limits does not overflow.
     private static final int UNLIMITED_CONNECTIONS = Integer.MAX_VALUE / 2;
     private static final long UNLIMITED_BYTES = Long.MAX_VALUE / 2;
 
+    /** Maximum of a traffic class's timeout that counts towards the shutdown timeout. */
     private static final long MAX_COUNTED_TIMEOUT = Ticks.ofSeconds(3);
     private static final long SHUTDOWN_MARGIN = Ticks.ofMillis(700);
 
-    /** How many connections clients may hold: a third of the descriptors, and some in excess. */
+    /**
+     * Returns the maximum number of connections of clients: a third of the descriptors, and a few
+     * in excess.
+     */
     public int maxClientConnections() {
         return maxFileDescriptors > 0
                 ? maxFileDescriptors / CLIENT_DESCRIPTOR_DIVISOR + EXCESS_CLIENT_CONNECTIONS
                 : UNLIMITED_CONNECTIONS;
     }
 
-    /** How many bytes of statements and answers may be kept for clients. */
+    /** Returns the maximum number of bytes of statements and answers that are kept for clients. */
     public long maxClientBytes() {
         return memoryLimitMb > 0
                 ? memoryLimitMb * BYTES_PER_MB / CLIENT_MEMORY_DIVISOR
                 : UNLIMITED_BYTES;
     }
 
-    /** How many connections to engines may be held: what clients and the reserve leave. */
+    /**
+     * Returns the maximum number of connections to engines: the descriptors that clients and the
+     * reserve leave.
+     */
     public int maxEngineConnections() {
         return maxFileDescriptors > 0
                 ? Math.max(1, maxFileDescriptors - RESERVED_DESCRIPTORS - maxClientConnections())
@@ -67,8 +83,8 @@
     }
 
     /**
-     * The ticks after SIGTERM before which the platform does not kill it: the longest timeout of a
-     * traffic class, counted up to 3 s, and a margin.
+     * Returns the time in ticks after SIGTERM for which the platform does not kill the manager: the
+     * longest timeout of a traffic class, but no more than 3 s, and a margin.
      */
     public long shutdownTimeout() {
         long longestTimeout =
@@ -80,20 +96,21 @@
     }
 
     /**
-     * Parses host and port. The host is numeric: no name is looked up.
+     * Parses an address of the form HOST:PORT. The host has to be numeric, since names are not
+     * resolved.
      *
-     * @throws MalformedLineException where it is none; the message names it
+     * @throws MalformedLineException if the text is not such an address; the message names it
      */
     public static InetSocketAddress parseAddress(String hostPort) {
         int colon = hostPort.lastIndexOf(':');
         try {
             String host = hostPort.substring(0, colon);
             if (!host.matches("[0-9.]+|[0-9a-fA-F:\\[\\]]+")) {
-                throw new MalformedLineException("no address: " + hostPort);
+                throw new MalformedLineException("not an address HOST:PORT with a numeric host: " + hostPort);
             }
             return new InetSocketAddress(host, Integer.parseInt(hostPort.substring(colon + 1)));
         } catch (IndexOutOfBoundsException | IllegalArgumentException fault) {
-            throw new MalformedLineException("no address: " + hostPort);
+            throw new MalformedLineException("not an address HOST:PORT with a numeric host: " + hostPort);
         }
     }
 }
--- a/src/main/java/firstage/config/ManagerConfigReader.java
+++ b/src/main/java/firstage/config/ManagerConfigReader.java
@@ -22,7 +22,7 @@
     private static final String INITIAL_ENDPOINTS = "known";
     private static final String SETTINGS = "settings";
 
-    /** The manager's random seed, in hexadecimal digits. */
+    /** Random seed of the manager, in hexadecimal digits. */
     private static final String SEED = "seed";
 
     private static final int SEED_RADIX = 16;
@@ -32,14 +32,14 @@
     /**
      * Reads a configuration.
      *
-     * @throws InvalidConfigException where the file is whole and can't be used
-     * @throws IOException where the file is missing, empty or cut short, as it is while somebody
-     *     replaces it
+     * @throws InvalidConfigException if the file is complete but can't be used
+     * @throws IOException if the file is missing, empty or truncated, as it is while it is being
+     *     replaced
      */
     public static ManagerConfig read(Path file) throws IOException {
-        Map<?, ?> top = readObject(file);
+        Map<?, ?> root = readObject(file);
         try {
-            return config(top);
+            return config(root);
         } catch (MalformedLineException fault) {
             throw new InvalidConfigException(
                     file.toString(), InvalidConfigException.NO_LINE, fault.getMessage());
@@ -55,11 +55,11 @@
         }
     }
 
-    private static ManagerConfig config(Map<?, ?> top) {
-        if (!(top.get(SETTINGS) instanceof Map<?, ?> settingsObject)) {
-            throw new MalformedLineException("no settings");
+    private static ManagerConfig config(Map<?, ?> root) {
+        if (!(root.get(SETTINGS) instanceof Map<?, ?> settingsObject)) {
+            throw new MalformedLineException("settings are missing or not an object");
         }
-        WireFields fields = new WireFields(top);
+        WireFields fields = new WireFields(root);
         WireFields settings = settings(settingsObject, fields.getString(SEED, "0"));
         InetSocketAddress listenAddress = ManagerConfig.parseAddress(fields.require(LISTEN));
         InetSocketAddress coordinatorAddress =
@@ -72,7 +72,7 @@
                 coordinatorAddress,
                 fields.getInt(MAX_FILE_DESCRIPTORS, 0),
                 fields.getInt(MEMORY_LIMIT_MB, 0),
-                top.get(INITIAL_ENDPOINTS) instanceof Map<?, ?> known ? known : Map.of(),
+                root.get(INITIAL_ENDPOINTS) instanceof Map<?, ?> known ? known : Map.of(),
                 settings,
                 SettingsParser.parse(settings));
     }
@@ -91,7 +91,7 @@
         }
     }
 
-    /** What the parser stands at, as maps, lists and text; null for JSON's null. */
+    /** Returns the value at the parser's position as maps, lists and text; null for JSON's null. */
     private static Object value(JsonParser parser) throws IOException {
         if (parser.currentToken() == JsonToken.START_OBJECT) {
             return object(parser);
--- a/src/main/java/firstage/config/PeerConfig.java
+++ b/src/main/java/firstage/config/PeerConfig.java
@@ -6,19 +6,19 @@
 import java.util.List;
 
 /**
- * What a manager's peers file says of it and its peers.
+ * Identity of a manager among its peers, and the peers' addresses, as its peers file gives them.
  *
- * @param fleet the fleet's name; datagrams of another fleet are dropped
- * @param name its own name, unlike that of any peer
- * @param zone its zone's name
- * @param weight of the traffic that it wants, sent to the others
- * @param listenAddress where its datagrams come in
- * @param probeInterval the ticks between two probes
- * @param peerAddresses each address at which a peer may ever be; in a fleet of cells those of its
- *     own cell, one a slot, its own among them
+ * @param fleet the fleet's name; datagrams of another fleet are ignored
+ * @param name the manager's own name, unlike that of any peer
+ * @param zone the name of its zone
+ * @param weight the relative weight of the traffic that it wants, sent to its peers
+ * @param listenAddress the address at which it receives datagrams
+ * @param probeInterval the time between two probes, in ticks
+ * @param peerAddresses every address at which a peer may ever be; in a fleet of cells those of its
+ *     own cell, one for each slot, its own included
  * @param withdrawalMark the file beside the peers file that tells the next process that this one
- *     withdrew its word from a peer
- * @param cellPlacement its place in a fleet of cells, or null where the fleet is one
+ *     withdrew a grant from a peer
+ * @param cellPlacement its place in a fleet of cells, or null if the fleet has no cells
  */
 public record PeerConfig(
         String fleet,
@@ -31,10 +31,10 @@
         Path withdrawalMark,
         CellPlacement cellPlacement) {
     /**
-     * A manager's place in a fleet of cells.
+     * Place of a manager in a fleet of cells.
      *
-     * @param plan the cells
-     * @param previousPlan the plan that this one replaces, or null
+     * @param plan the plan of the cells
+     * @param previousPlan the plan that {@code plan} replaces, or null
      * @param cell the index of its own cell in the plan
      * @param slot the index of its own address in the cell
      * @param addressesByCell the managers' addresses by cell and slot
--- a/src/main/java/firstage/config/SettingsKeys.java
+++ b/src/main/java/firstage/config/SettingsKeys.java
@@ -1,11 +1,11 @@
 package firstage.config;
 
 /**
- * The names of the settings as the users' pages fix them: paths with dots under which {@link
- * WireFields} keeps a deployment's settings. No other class spells them out.
+ * Keys of the settings, as the users' documentation defines them: dotted paths under which {@link
+ * WireFields} holds a deployment's settings. No other class spells them out.
  */
 public final class SettingsKeys {
-    /** Appended to the path of a list of objects: how many it has. */
+    /** Suffix of the path under which the length of a list of objects is held. */
     public static final String COUNT_SUFFIX = ".count";
 
     // The manager itself.
@@ -14,13 +14,13 @@
     public static final String MANAGER_RANK = "rank";
     public static final String MANAGER_ZONE = "zone";
 
-    /** The zones' names, in the order by which numbers mean them. */
+    /** Names of the zones, in the order of the numbers that refer to them. */
     public static final String ZONE_NAMES = "areas";
 
-    /** The machine types' names, in the order by which numbers mean them. */
+    /** Names of the machine types, in the order of the numbers that refer to them. */
     public static final String MACHINE_TYPE_NAMES = "kinds";
 
-    /** How endpoint lists arrive: {@link #DISCOVERY_SUBSCRIBE} where a manager has to ask. */
+    /** How endpoint lists arrive: {@link #DISCOVERY_SUBSCRIBE} if a manager has to subscribe. */
     public static final String DISCOVERY = "discovery";
 
     public static final String DISCOVERY_SUBSCRIBE = "subscribe";
@@ -29,46 +29,46 @@
     public static final String CLASS_COUNT = "classes.count";
     public static final String CLASS_NAME = "name";
 
-    /** The latency objective, in seconds. */
+    /** Latency objective, in seconds. */
     public static final String CLASS_LATENCY_OBJECTIVE = "target";
 
-    /** Added to the latency objective: this many times a request's work over its threads. */
+    /** Added to the latency objective: this multiple of a request's work divided by its threads. */
     public static final String CLASS_LATENCY_OBJECTIVE_PER_WORK = "aim_stretch";
 
-    /** The time that a client waits over all its tries, in seconds. */
+    /** Time that a client waits over all its tries, in seconds. */
     public static final String CLASS_TIMEOUT = "deadline";
 
     public static final String CLASS_PRIORITY_WEIGHT = "worth";
 
-    /** The share of the priority weight that an answer past its latency objective still earns. */
+    /** Share of the priority weight that an answer after its latency objective still earns. */
     public static final String CLASS_LATE_VALUE_SHARE = "late_value";
 
     public static final String CLASS_EFFECT = "effect";
     public static final String CLASS_IDEMPOTENCY_SCOPE = "group";
 
-    /** How long repeats are discarded, in seconds. */
+    /** Time for which repeated requests are discarded, in seconds. */
     public static final String CLASS_IDEMPOTENCY_WINDOW = "window";
 
     public static final String CLASS_ORDERED = "by_arrival";
     public static final String CLASS_ZONES = "allowed_in";
     public static final String CLASS_MACHINE_TYPES = "served_on";
 
-    // Lists with one entry a traffic class.
+    // Lists with one entry for each traffic class.
     public static final String CLASS_THREADS = "family_info.dop";
     public static final String CLASS_TABLE_LOAD = "family_info.class_load";
     public static final String CLASS_BLOCKED_BY_TABLE_LOADS = "family_info.yields_to_loads";
 
-    // Lists with one entry a machine type.
+    // Lists with one entry for each machine type.
     public static final String MACHINE_CORES = "family_info.kind_cores";
     public static final String MACHINE_MEMORY_MB = "family_info.size_mb";
 
     // Engines.
     public static final String MAX_GRANT_SHARE = "family_info.largest_share";
 
-    /** The time between two progress reports, in seconds; 0: none come. */
+    /** Time between two progress reports, in seconds; 0 if engines send none. */
     public static final String PROGRESS_INTERVAL = "family_info.progress_pace";
 
-    /** What happens when grants pass an engine's memory: wait, shrink or page. */
+    /** Effect of grants that exceed an engine's memory: wait, shrink or page. */
     public static final String MEMORY_OVERCOMMIT = "family_info.out_of_memory";
 
     public static final String GRANTS_HEEDED = "family_info.takes_grants";
@@ -83,65 +83,67 @@
     public static final String TENANT_COUNT = "tenants.count";
     public static final String TENANT_NAME = "name";
 
-    /** Requests a second over all managers. */
+    /** Requests per second over all managers. */
     public static final String TENANT_RATE = "quota_per_s";
 
-    // What the deployment permits, and its limits.
+    // Permissions and limits of the deployment.
     public static final String MAY_CANCEL = "limits.may_cancel";
     public static final String MAY_HEDGE = "limits.second_copies";
     public static final String MAY_PROBE = "limits.probing";
     public static final String MAY_MESSAGE_PEERS = "limits.peers";
     public static final String CLIENTS_HEED_RETRY_AFTER = "limits.retry_after";
 
-    /** The longest advice that a client observes, in seconds. */
+    /** Longest retry-after time that a client observes, in seconds. */
     public static final String MAX_RETRY_AFTER = "limits.max_retry_after";
 
     public static final String MAX_ATTEMPTS = "limits.max_attempts";
 
-    /** Seconds after which a connection that is not established has failed. */
+    /** Time after which a connection that is not established has failed, in seconds. */
     public static final String CONNECT_TIMEOUT = "limits.connect_timeout";
 
-    /** Seconds after which an idle connection closes. */
+    /** Time after which an idle connection is closed, in seconds. */
     public static final String KEEPALIVE = "limits.keepalive";
 
-    // The deployment's rules.
+    // Rules of the deployment.
 
-    /** The share of its capacity that a started engine has at least. */
+    /** Minimum share of its capacity that a newly started engine has. */
     public static final String INITIAL_CAPACITY_SHARE = "rules.cold_from";
 
-    /** Seconds after which a started engine is warm at the latest. */
+    /** Time after which a started engine is warm at the latest, in seconds. */
     public static final String WARM_UP_DURATION = "rules.ramp_time";
 
-    /** An engine that warms up falls over when sent this many times its capacity. */
+    /** Load, as a multiple of its capacity, at which an engine that is warming up fails. */
     public static final String OVERLOAD_MULTIPLE = "rules.tip_multiple";
 
-    /** The seconds over which {@link #OVERLOAD_MULTIPLE} is counted. */
+    /** Time over which {@link #OVERLOAD_MULTIPLE} is counted, in seconds. */
     public static final String OVERLOAD_WINDOW = "rules.fall";
 
-    /** Seconds that an ordering key rests after an attempt that may still run. */
+    /**
+     * Time for which an ordering key is not used after an attempt that may still run, in seconds.
+     */
     public static final String KEY_QUIET_PERIOD = "rules.key_quiet";
 
-    /** Retries permitted for each request received. */
+    /** Number of retries permitted for each request received. */
     public static final String RETRY_RATIO = "rules.further_ratio";
 
-    /** Retries permitted beside {@link #RETRY_RATIO}, whatever the traffic. */
+    /** Number of retries permitted in addition to {@link #RETRY_RATIO}, whatever the traffic. */
     public static final String RETRY_ALLOWANCE = "rules.free_resends";
 
-    /** The seconds over which retries are counted. */
+    /** Time over which retries are counted, in seconds. */
     public static final String RETRY_WINDOW = "rules.ratio_span";
 
-    // What is taken off the score.
+    // Deductions from the score.
     public static final String CROSS_ZONE_COST = "deductions.cross_zone";
     public static final String PROBE_COST = "deductions.probe";
 
     private SettingsKeys() {}
 
-    /** The path of a field of the traffic class with this index, such as classes.2.name. */
+    /** Returns the path of a field of the traffic class with this index, such as classes.2.name. */
     public static String classField(int index, String field) {
         return "classes." + index + "." + field;
     }
 
-    /** The path of a field of the tenant with this index. */
+    /** Returns the path of a field of the tenant with this index. */
     public static String tenantField(int index, String field) {
         return "tenants." + index + "." + field;
     }
--- a/src/main/java/firstage/config/SettingsParser.java
+++ b/src/main/java/firstage/config/SettingsParser.java
@@ -10,8 +10,9 @@
 import java.util.TreeSet;
 
 /**
- * Turns a deployment's settings into the scheduling policy's view of it. The words of the users'
- * pages end here. Unknown keys are skipped; a key that is absent leaves its feature off.
+ * Translates a deployment's settings into the scheduling policy's {@link Deployment}. The terms of
+ * the users' documentation are not used beyond this class. Unknown keys are ignored; a key that is
+ * absent leaves its feature off.
  */
 public final class SettingsParser {
     private static final String REPORTS_OFF = "off";
@@ -31,8 +32,8 @@
     /**
      * Reads a deployment's settings.
      *
-     * @throws MalformedLineException where a value can't be read or two values contradict each
-     *     other; the message names the keys
+     * @throws MalformedLineException if a value can't be read or two values contradict each other;
+     *     the message names the keys
      */
     public static Deployment parse(WireFields settings) {
         return new SettingsParser(settings).deployment();
@@ -70,9 +71,11 @@
                 oneOf(SettingsKeys.LOAD_REPORT_CHANNEL, REPORT_CHANNEL_DEFAULT, REPORT_CHANNELS)
                         .equals(REPORTS_OFF);
         if (off && !settings.getString(SettingsKeys.LOAD_REPORT_FIELDS, "").isEmpty()) {
-            // Engines would be taken for unresponsive: values are named, and none ever comes.
+            // Engines would count as unresponsive: values are announced, but no report ever
+            // arrives.
             throw new MalformedLineException(
-                    "report.fields names values while report.via = off; set one of them");
+                    "report.fields names values, but report.via = off; leave report.fields empty or"
+                            + " set report.via to inline or on_probe");
         }
         return !off && !settings.getString(SettingsKeys.LOAD_REPORT_FIELDS, "waiting").isEmpty();
     }
@@ -123,7 +126,7 @@
         return machineTypes;
     }
 
-    /** Each tenant's rate in requests a tick. */
+    /** Returns each tenant's rate in requests per tick. */
     private List<Double> tenantRates() {
         List<Double> rates = new ArrayList<>();
         int count = settings.getInt(SettingsKeys.TENANT_COUNT, 0);
@@ -160,7 +163,7 @@
                 settings.getTicks(SettingsKeys.RETRY_WINDOW));
     }
 
-    /** A word from a known set. */
+    /** Returns the value of a key, which has to be one of the known values. */
     private String oneOf(String key, String defaultValue, Set<String> known) {
         String value = settings.getString(key, defaultValue);
         if (!known.contains(value)) {
@@ -170,16 +173,16 @@
         return value;
     }
 
-    private static TrafficClass.Effect effect(String word) {
-        return switch (word) {
+    private static TrafficClass.Effect effect(String text) {
+        return switch (text) {
             case "retryable" -> TrafficClass.Effect.IDEMPOTENT;
             case "dedup" -> TrafficClass.Effect.IDEMPOTENT_WITH_KEY;
             default -> TrafficClass.Effect.NON_IDEMPOTENT;
         };
     }
 
-    private static TrafficClass.Scope scope(String word) {
-        return switch (word) {
+    private static TrafficClass.Scope scope(String text) {
+        return switch (text) {
             case "all" -> TrafficClass.Scope.ALL;
             case "zone" -> TrafficClass.Scope.ZONE;
             default -> TrafficClass.Scope.CELL;
@@ -190,15 +193,15 @@
         return index < list.length && list[index].equals("true");
     }
 
-    private static int wholeNumber(String word) {
-        return (int) number(word);
+    private static int wholeNumber(String text) {
+        return (int) number(text);
     }
 
-    private static double number(String word) {
+    private static double number(String text) {
         try {
-            return Double.parseDouble(word);
+            return Double.parseDouble(text);
         } catch (NumberFormatException fault) {
-            throw new MalformedLineException("no number in the settings: " + word);
+            throw new MalformedLineException("not a number in the settings: " + text);
         }
     }
 
@@ -207,7 +210,10 @@
         return value.isEmpty() ? new String[0] : value.split(",");
     }
 
-    /** The entries of a list, given by number or by one of the names under {@code namesKey}. */
+    /**
+     * Returns the indices that a list gives, by number or by one of the names under {@code
+     * namesKey}.
+     */
     private Set<Integer> indices(String key, String namesKey) {
         Set<Integer> indices = new HashSet<>();
         List<String> names = Arrays.asList(list(namesKey));
--- a/src/main/java/firstage/config/WireFields.java
+++ b/src/main/java/firstage/config/WireFields.java
@@ -7,19 +7,22 @@
 import java.util.stream.Collectors;
 
 /**
- * The name=value fields of one line of the wire, or of a JSON object. Durations are seconds on the
- * wire and ticks here.
+ * Fields of one line of the wire, as name=value, or of a JSON object. Durations are in seconds on
+ * the wire and in ticks here.
  *
- * <p>Getters take what to return where the field is absent. All of them throw {@link
- * MalformedLineException}, which names the field, where its value can't be read.
+ * <p>Getters take the value to return if the field is absent. All of them throw {@link
+ * MalformedLineException}, whose message names the field, if its value can't be read.
  */
 public final class WireFields {
-    /** Seconds in binary fall short of whole ticks by less than this. */
-    private static final double ROUNDING = 1e-6;
+    /**
+     * Tolerance in ticks: whole ticks that are written as binary seconds fall short by less than
+     * this.
+     */
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     private final Map<String, String> values = new HashMap<>();
 
-    /** Reads the fields of {@code line} after its first word; the values hold no spaces. */
+    /** Reads the fields of {@code line} after its first word; values contain no spaces. */
     public WireFields(String line) {
         int space = line.indexOf(' ');
         while (space >= 0) {
@@ -37,14 +40,14 @@
     }
 
     /**
-     * Takes nested values, as JSON holds them, under their paths with dots. Lists of scalars are
-     * joined with commas; lists of objects tell their length under {@code .count}.
+     * Takes nested values, as JSON holds them, under their dotted paths. Lists of scalars are
+     * joined with commas; the length of a list of objects is held under {@code .count}.
      */
     public WireFields(Map<?, ?> nested) {
         put("", nested);
     }
 
-    /** A name as it stands in a list of the wire, which replaces commas in values. */
+    /** Returns a name as the wire writes it in a list, where commas within values are replaced. */
     public static String escapeCommas(String name) {
         return name.replace(',', '_');
     }
@@ -69,12 +72,12 @@
         }
     }
 
-    /** Whether there is such a field. */
+    /** Returns whether the field is present. */
     public boolean has(String name) {
         return values.containsKey(name);
     }
 
-    /** The text of a field that has to be there. */
+    /** Returns the text of a required field. */
     public String require(String name) {
         String value = values.get(name);
         if (value == null) {
@@ -83,61 +86,61 @@
         return value;
     }
 
-    /** The whole number of a field that has to be there. */
+    /** Returns the integer in a required field. */
     public long requireLong(String name) {
         try {
             return Long.parseLong(require(name));
         } catch (NumberFormatException fault) {
-            throw new MalformedLineException(name + " is no whole number");
+            throw new MalformedLineException(name + " is not a whole number");
         }
     }
 
-    /** The number of a field that has to be there. */
+    /** Returns the number in a required field. */
     public double requireDouble(String name) {
         try {
             return Double.parseDouble(require(name));
         } catch (NumberFormatException fault) {
-            throw new MalformedLineException(name + " is no number");
+            throw new MalformedLineException(name + " is not a number");
         }
     }
 
-    /** The text of a field. */
+    /** Returns the text of a field. */
     public String getString(String name, String defaultValue) {
         return values.getOrDefault(name, defaultValue);
     }
 
-    /** The whole number of a field. */
+    /** Returns the integer in a field. */
     public long getLong(String name, long defaultValue) {
         return has(name) ? requireLong(name) : defaultValue;
     }
 
-    /** The whole number of a field that holds small ones. */
+    /** Returns the integer in a field that holds values in the range of an int. */
     public int getInt(String name, int defaultValue) {
         return (int) getLong(name, defaultValue);
     }
 
-    /** The number of a field. */
+    /** Returns the number in a field. */
     public double getDouble(String name, double defaultValue) {
         return has(name) ? requireDouble(name) : defaultValue;
     }
 
-    /** Whether a field is 1 or true; false where it is absent. */
+    /** Returns whether a field is 1 or true; false if it is absent. */
     public boolean getBoolean(String name) {
         String value = values.get(name);
         return "1".equals(value) || "true".equals(value);
     }
 
-    /** The duration or clock time of a field in ticks; 0 where it is absent. */
+    /** Returns the duration or clock time in a field, in ticks; 0 if it is absent. */
     public long getTicks(String name) {
         return secondsToTicks(getDouble(name, 0));
     }
 
-    /** Seconds as whole ticks, rounded down. */
+    /** Converts seconds to whole ticks, rounded down. */
     public static long secondsToTicks(double seconds) {
-        return (long) Math.floor(seconds * Ticks.PER_SECOND + ROUNDING);
+        return (long) Math.floor(seconds * Ticks.PER_SECOND + ROUNDING_TOLERANCE);
     }
 
-    /** Ticks as the wire writes them: seconds with four decimals. */
+    /** Formats ticks as the wire writes them: seconds with four decimals. */
     public static String formatSeconds(long ticks) {
         long absolute = Math.abs(ticks);
         String fraction =
--- a/src/test/java/firstage/config/IdRegistryTest.java
+++ b/src/test/java/firstage/config/IdRegistryTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Ids get small indices, and a released one serves again. */
+/** Tests that ids get small indices and that a released index is assigned again. */
 class IdRegistryTest {
     private final IdRegistry<String> registry = new IdRegistry<>();
 
--- a/src/test/java/firstage/config/ManagerConfigReaderTest.java
+++ b/src/test/java/firstage/config/ManagerConfigReaderTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The platform's configuration, whole, broken, and while somebody replaces it. */
+/**
+ * Tests reading the platform's configuration: complete, invalid, and while the file is being
+ * replaced.
+ */
 class ManagerConfigReaderTest {
     private static final Path STORED =
             Path.of("src", "test", "resources", "stored", "manager-config.json");
@@ -70,7 +73,7 @@
         Path file = file("{\"listen\":\"somewhere:1\",\"settings\":{}}");
         assertThatThrownBy(() -> ManagerConfigReader.read(file))
                 .isInstanceOf(InvalidConfigException.class)
-                .hasMessage(file + ": no address: somewhere:1");
+                .hasMessage(file + ": not an address HOST:PORT with a numeric host: somewhere:1");
     }
 
     @Test
@@ -78,10 +81,13 @@
         Path file = file("{\"listen\":\"127.0.0.1:1\"}");
         assertThatThrownBy(() -> ManagerConfigReader.read(file))
                 .isInstanceOf(InvalidConfigException.class)
-                .hasMessage(file + ": no settings");
+                .hasMessage(file + ": settings are missing or not an object");
     }
 
-    /** These pass while a file is replaced, so that a start tries again. */
+    /**
+     * A file is in these states only while it is being replaced, so a start retries on these
+     * exceptions.
+     */
     @Test
     void read_missingEmptyOrCutFile_throwsWhatPasses() throws IOException {
         assertThatThrownBy(() -> ManagerConfigReader.read(folder.resolve("none")))
--- a/src/test/java/firstage/config/SettingsParserTest.java
+++ b/src/test/java/firstage/config/SettingsParserTest.java
@@ -8,7 +8,10 @@
 import firstage.policy.api.Deployment;
 import org.junit.jupiter.api.Test;
 
-/** Old shape and new are told apart by settings alone; a mix of them is refused, naming the key. */
+/**
+ * Tests that the settings alone tell the earlier from the newer report and memory modes, and that a
+ * contradictory mix of them is rejected with the name of the key.
+ */
 class SettingsParserTest {
     private static Deployment read(String settings) {
         return SettingsParser.parse(new WireFields("POWER_ON " + settings));
--- a/src/test/java/firstage/config/WireFieldsTest.java
+++ b/src/test/java/firstage/config/WireFieldsTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Fields of lines and of JSON objects, and the wire's seconds. */
+/** Tests fields of lines and of JSON objects, and the wire's seconds. */
 class WireFieldsTest {
     @Test
     void line_fieldsAfterTheFirstWord_areRead() {
@@ -44,10 +44,10 @@
                 .hasMessage("missing none");
         assertThatThrownBy(() -> fields.getLong("n", 0))
                 .isInstanceOf(MalformedLineException.class)
-                .hasMessage("n is no whole number");
+                .hasMessage("n is not a whole number");
         assertThatThrownBy(() -> fields.getTicks("t"))
                 .isInstanceOf(MalformedLineException.class)
-                .hasMessage("t is no number");
+                .hasMessage("t is not a number");
     }
 
     @Test
