--- a/src/main/java/firstage/bench/BenchActionWriter.java
+++ b/src/main/java/firstage/bench/BenchActionWriter.java
@@ -5,21 +5,21 @@
 import java.util.Base64;
 
 /**
- * Carries one manager's actions out: each becomes a line of the reply, in the order in which they
- * were called for. Releases free the simulator's ids.
+ * Writes the actions of one manager: each becomes a line of the reply, in the order of the calls.
+ * Releases free the indices of the simulator's ids.
  */
 final class BenchActionWriter implements PolicyActions {
     private final String manager;
     private final BenchIds ids;
     private final StringBuilder lines = new StringBuilder();
 
-    /** Writes the actions of the manager with this number on the wire. */
+    /** Creates a writer for the manager with this number on the wire. */
     BenchActionWriter(String manager, BenchIds ids) {
         this.manager = manager;
         this.ids = ids;
     }
 
-    /** The lines written since the last call. */
+    /** Returns the lines written since the last call. */
     String takeLines() {
         String taken = lines.toString();
         lines.setLength(0);
--- a/src/main/java/firstage/bench/BenchAdapter.java
+++ b/src/main/java/firstage/bench/BenchAdapter.java
@@ -18,9 +18,9 @@
 import java.util.Map;
 
 /**
- * Reads rounds of events from the simulator, hands them to their managers and writes one reply a
- * round. A line that can't be read is skipped and reported on standard error; a manager that fails
- * is reported in the reply.
+ * Reads rounds of events from the simulator, passes them to their managers and writes one reply for
+ * each round. A line that can't be read is skipped and reported on standard error; a manager that
+ * fails is reported in the reply.
  */
 public final class BenchAdapter {
     private static final int BUFFER_CHARS = 1 << 16;
@@ -31,12 +31,12 @@
     private final PrintStream err;
     private final Map<String, BenchManager> managers = new HashMap<>();
 
-    /** The managers with events in this round, in the order of their first event. */
+    /** Managers with events in this round, in the order of their first event. */
     private final Map<String, BenchManager> managersInRound = new LinkedHashMap<>();
 
     private final Map<Integer, List<WireFields>> endpointLists = new HashMap<>();
 
-    /** The endpoint list whose entries are being read; null before the first. */
+    /** Endpoint list whose entries are being read; null before the first list. */
     private List<WireFields> openList;
 
     private int openListSize;
@@ -45,7 +45,10 @@
     private long now;
     private String roundNumber;
 
-    /** Reads from {@code in}, replies on {@code out}, reports on {@code err}. */
+    /**
+     * Creates an adapter that reads from {@code in}, replies on {@code out} and reports on {@code
+     * err}.
+     */
     public BenchAdapter(InputStream in, PrintStream out, PrintStream err) {
         this.in =
                 new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_CHARS);
@@ -104,7 +107,7 @@
 
     private void addListEntry(WireFields entry) {
         if (openList == null || openList.size() == openListSize) {
-            throw new MalformedLineException("an entry outside its list");
+            throw new MalformedLineException("list entry without a list, or beyond the size of its list");
         }
         openList.add(entry);
     }
@@ -112,7 +115,7 @@
     private void onEvent(String kind, WireFields event) {
         String number = event.require(BenchWire.MANAGER);
         if (kind.equals(BenchWire.MANAGER_KILLED)) {
-            // Actions that a killed manager has not sent yet die with it.
+            // Actions that a killed manager has not sent yet are lost with it.
             managers.remove(number);
             managersInRound.remove(number);
             return;
@@ -123,7 +126,7 @@
             }
             BenchManager manager = managers.get(number);
             if (manager == null) {
-                throw new MalformedLineException("no manager runs as " + number);
+                throw new MalformedLineException("no manager is running with number " + number);
             }
             managersInRound.put(number, manager);
             if (!kind.equals(BenchWire.MANAGER_STARTED)) {
--- a/src/main/java/firstage/bench/BenchEventReader.java
+++ b/src/main/java/firstage/bench/BenchEventReader.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /**
- * Reads the fields of the simulator's events into the messages of the scheduling policy. A field
- * that can't be read throws {@link MalformedLineException}.
+ * Translates the fields of the simulator's events into the messages of the scheduling policy.
+ * Throws {@link MalformedLineException} if a field can't be read.
  */
 final class BenchEventReader {
     private static final Map<String, AttemptOutcome> OUTCOMES =
@@ -32,7 +32,8 @@
 
     private static final int ABSENT = -1;
 
-    // The actual cost is 4096 times the work in milliseconds, and the memory in steps of 4 MB.
+    // The actual cost is the sum of 4096 times the work in milliseconds and the memory in steps of
+    // 4 MB.
     private static final int COST_MEMORY_BITS = 12;
     private static final int COST_MEMORY_MASK = (1 << COST_MEMORY_BITS) - 1;
     private static final int COST_MEMORY_STEP_MB = 4;
@@ -48,7 +49,9 @@
         this.ids = ids;
     }
 
-    /** The index of the request that an event names, or -1 where it is closed already. */
+    /**
+     * Returns the index of the request that an event names, or -1 if the request is closed already.
+     */
     int openRequest(WireFields event) {
         return ids.requests().findIndex(event.require(BenchWire.REQUEST));
     }
@@ -88,7 +91,7 @@
                 0);
     }
 
-    /** The kind of progress that an event tells, or null for one that is unknown here. */
+    /** Returns the kind of progress that an event reports, or null for an unknown kind. */
     AttemptProgress.Kind progressKind(WireFields event) {
         return switch (event.getInt(BenchWire.PROGRESS_KIND, 0)) {
             case PROGRESS_FRACTION_DONE -> AttemptProgress.Kind.FRACTION_DONE;
@@ -110,7 +113,7 @@
                 event.getDouble(BenchWire.PROGRESS_AMOUNT, 0));
     }
 
-    /** An update with the entries of the list that the event refers to. */
+    /** Returns an update with the entries of the list that the event refers to. */
     EndpointUpdate endpointUpdate(WireFields event, Map<Integer, List<WireFields>> lists) {
         EndpointUpdate.Kind kind =
                 switch (event.require(BenchWire.UPDATE_KIND)) {
@@ -160,12 +163,13 @@
         return outcome;
     }
 
-    /** The load report that came with an event, or null where none did. */
+    /** Returns the load report of an event, or null if it has none. */
     LoadReport loadReport(WireFields event) {
         if (!event.has(BenchWire.LOAD_REPORT)) {
             return null;
         }
-        // Its name:value pairs stand behind commas; written as a line, they read as one.
+        // The report is a list of name:value pairs separated by commas; it is rewritten as the
+        // fields of a line.
         String pairs = event.require(BenchWire.LOAD_REPORT);
         WireFields report = new WireFields(" " + pairs.replace(':', '=').replace(',', ' '));
         return new LoadReport(
--- a/src/main/java/firstage/bench/BenchIds.java
+++ b/src/main/java/firstage/bench/BenchIds.java
@@ -2,7 +2,7 @@
 
 import firstage.config.IdRegistry;
 
-/** The small indices that one manager has for the simulator's ids. */
+/** Registries of the small indices that one manager assigns to the simulator's ids. */
 record BenchIds(
         IdRegistry<String> requests, IdRegistry<String> orderingKeys, IdRegistry<Long> engines) {
     BenchIds() {
--- a/src/main/java/firstage/bench/BenchManager.java
+++ b/src/main/java/firstage/bench/BenchManager.java
@@ -13,18 +13,18 @@
 import java.util.Map;
 
 /**
- * One workload manager of the simulator's: its policy, its ids and its pending reply lines. Shares
- * nothing with others.
+ * Workload manager in the simulator: its policy, its ids and its pending reply lines. Managers
+ * share no state.
  */
 final class BenchManager {
-    /** The token of the wake-up for load shedding; the policy uses others. */
+    /** Token of the wake-up for load shedding; the policy uses other tokens. */
     private static final long LOAD_SHEDDING_TOKEN = 1L << 20;
 
     private final BenchEventReader reader;
     private final BenchActionWriter actions;
     private final SchedulingPolicy policy;
 
-    /** Null where managers may not talk to each other. */
+    /** Load shedding with the peers; null if managers may not message each other. */
     private final BroadcastLoadShedding loadShedding;
 
     private boolean loadSheddingStarted;
@@ -32,7 +32,7 @@
     /**
      * Starts a manager.
      *
-     * @param number its number on the wire
+     * @param number the manager's number on the wire
      * @param settings the deployment's settings
      */
     BenchManager(String number, WireFields settings) {
@@ -51,12 +51,12 @@
     }
 
     /**
-     * Tells the manager of one event.
+     * Passes one event to the manager.
      *
      * @param now the clock of the round, in ticks
      * @param kind the kind of line
      * @param lists the endpoint lists declared so far, by number
-     * @throws MalformedLineException where the kind is unknown or a field can't be read
+     * @throws MalformedLineException if the kind is unknown or a field can't be read
      */
     void onEvent(long now, String kind, WireFields event, Map<Integer, List<WireFields>> lists) {
         switch (kind) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Ends a round: all its events have been told. */
+    /** Ends a round after all its events have been passed to the manager. */
     void runPendingActions(long now) {
         if (loadShedding != null && !loadSheddingStarted) {
             loadSheddingStarted = true;
@@ -88,7 +88,7 @@
         policy.runPendingActions(now);
     }
 
-    /** The reply lines gathered since the last call. */
+    /** Returns the reply lines written since the last call. */
     String takeReply() {
         return actions.takeLines();
     }
--- a/src/main/java/firstage/bench/BenchWire.java
+++ b/src/main/java/firstage/bench/BenchWire.java
@@ -1,11 +1,12 @@
 package firstage.bench;
 
 /**
- * The words of the users' simulator: kinds of lines, their fields and the values that mean
- * something. They are mapped to the program's terms in this package and stand nowhere else.
+ * Terms of the users' simulator: kinds of lines, their fields, and values with a fixed meaning.
+ * This package maps them to the program's terms; they are used nowhere else.
  */
 final class BenchWire {
-    // Rounds: one is read from the first to the second, and answered up to the third.
+    // Rounds: the input of a round lasts from ROUND_START to ROUND_END, its reply ends with
+    // REPLY_END.
     static final String ROUND_START = "SYNC";
     static final String ROUND_END = "COMMIT";
     static final String REPLY_END = "FINISHED";
@@ -18,7 +19,7 @@
     static final String LIST_NUMBER = "ref";
     static final String LIST_SIZE = "elements";
 
-    /** The manager that an event or an action is of. */
+    /** Number of the manager that an event or an action belongs to. */
     static final String MANAGER = "i";
 
     // Events.
@@ -64,7 +65,7 @@
     static final String OUTCOME = "how";
     static final String DURATION = "delay_seen";
 
-    /** Work and memory of a request that succeeded, as one number. */
+    /** Work and memory of a request that succeeded, packed into one number. */
     static final String ACTUAL_COST = "stats";
 
     static final String REQUEST_CLOSED = "terminal";
@@ -92,7 +93,7 @@
     static final String WEIGHT = "heft";
     static final String STARTED_AT = "since";
 
-    // Fields of the rest.
+    // Other fields.
     static final String TIMER_DELAY = "in";
     static final String TIMER_TOKEN = "nonce";
     static final String SENDER = "by";
--- a/src/main/java/firstage/bench/package-info.java
+++ b/src/main/java/firstage/bench/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The adapter to the users' simulator: its lines on one side, many workload managers on the other.
- * The simulator's words are mapped here. No decisions.
+ * Adapter to the users' simulator: translates between the simulator's lines and the scheduling
+ * policies of many workload managers. The simulator's terms are mapped here. The package makes no
+ * decisions.
  */
 package firstage.bench;
--- a/src/test/java/firstage/bench/BenchAdapterTest.java
+++ b/src/test/java/firstage/bench/BenchAdapterTest.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Lines of the simulator in, lines of replies out. */
+/** Tests the adapter as the simulator uses it: lines of events in, lines of replies out. */
 class BenchAdapterTest {
     private static final String START =
             """
