--- a/src/main/java/firstage/cli/CellsSectionReader.java
+++ b/src/main/java/firstage/cli/CellsSectionReader.java
@@ -24,7 +24,7 @@
     static final String CELLS = "cell";
     static final String PREVIOUS_PLAN = "before";
 
-    /** The keys that mean nothing where the fleet is one. */
+    /** Keys that have no meaning in a fleet without cells. */
     static final List<String> KEYS_WITH_CELLS_ONLY = List.of(PLAN_NUMBER, SPREAD, PREVIOUS_PLAN);
 
     private static final String CELL_NAME = "name";
@@ -42,7 +42,7 @@
     private static final int MAX_PLAN_NUMBER = 1_000_000_000;
     private static final int MAX_HOST_NUMBER = 255;
 
-    /** Four numbers, the last of them a range perhaps, and a port. */
+    /** Four numbers, the last of which may be a range, and a port. */
     private static final Pattern HOSTS =
             Pattern.compile("([0-9.]+\\.)([0-9]{1,3})(?:-([0-9]{1,3}))?(:[0-9]{1,5})");
 
@@ -56,15 +56,15 @@
     }
 
     /**
-     * The plan, and the place in it of the manager with this address.
+     * Returns the plan, and the place in it of the manager with this address.
      *
-     * @param listenKey the key that names its address in the file
+     * @param listenKey the key under which the file gives this address
      */
     PeerConfig.CellPlacement placement(String listenKey, InetSocketAddress listenAddress) {
         if (!(toml.value(CELLS) instanceof TomlArray sections) || sections.size() > MAX_CELLS) {
             throw toml.invalid(
                     CELLS,
-                    "is no list of sections, or one of over " + MAX_CELLS + "; write [[cell]]");
+                    "is not a list of sections, or has more than " + MAX_CELLS + "; write [[cell]]");
         }
         int number =
                 toml.wholeNumber(
@@ -97,7 +97,7 @@
         String name = toml.name(section, position, CELLS, CELL_NAME);
         if (cells.stream().anyMatch(cell -> cell.name().equals(name))) {
             throw toml.invalid(
-                    position, "cell.name: '" + name + "' stands twice; one section a cell");
+                    position, "cell.name: '" + name + "' is listed twice; write one section for each cell");
         }
         Object serves = section.get(List.of(CELL_SERVES));
         if (serves != null && !(serves instanceof Boolean)) {
@@ -112,7 +112,7 @@
                                 + host.getAddress().getHostAddress()
                                 + ":"
                                 + host.getPort()
-                                + " stands twice; one place an address");
+                                + " is listed twice; list each address once");
             }
         }
         addressesByCell.add(hosts);
@@ -127,7 +127,7 @@
     private List<InetSocketAddress> hosts(TomlTable section, TomlPosition position) {
         if (!(section.get(List.of(CELL_HOSTS)) instanceof TomlArray ranges) || ranges.isEmpty()) {
             throw toml.invalid(
-                    position, "cell.hosts: there are none; write hosts = [\"10.0.0.1-40:7946\"]");
+                    position, "cell.hosts: is absent or empty; write hosts = [\"10.0.0.1-40:7946\"]");
         }
         List<InetSocketAddress> hosts = new ArrayList<>();
         for (Object range : ranges.toList()) {
@@ -138,7 +138,7 @@
                     position,
                     "cell.hosts: "
                             + hosts.size()
-                            + " managers are too many for a cell; 30 to 60 would do");
+                            + " managers are too many for a cell; use 30 to 60");
         }
         return hosts;
     }
@@ -163,7 +163,10 @@
         }
     }
 
-    /** Fewer cells than the spread would leave a part of each engine to nobody. */
+    /**
+     * Checks that each zone has at least as many serving cells as the spread: with fewer, a part of
+     * each engine would be used by no cell.
+     */
     private void requireServingCells(CellPlan plan) {
         for (CellPlan.Cell cell : plan.cells()) {
             long serving =
@@ -184,13 +187,13 @@
         }
     }
 
-    /** The plan that this one replaces, or null where the file names none. */
+    /** Returns the plan that this one replaces, or null if the file names none. */
     private CellPlan previousPlan(CellPlan plan) {
         if (!toml.has(PREVIOUS_PLAN)) {
             return null;
         }
         if (!(toml.value(PREVIOUS_PLAN) instanceof TomlTable section)) {
-            throw toml.invalid(PREVIOUS_PLAN, "is no section; write [before] with plan and cells");
+            throw toml.invalid(PREVIOUS_PLAN, "is not a section; write [before] with plan and cells");
         }
         TomlPosition position = toml.position(PREVIOUS_PLAN);
         requireKnownKeys(section, PREVIOUS_PLAN, PREVIOUS_PLAN_KEYS);
@@ -204,11 +207,11 @@
             throw toml.invalid(
                     position, "before.plan: " + number + " is not before plan " + plan.number());
         }
-        List<String> served = previouslyServing(section, plan, position);
-        if (served.isEmpty()) {
+        List<String> servingCells = previouslyServing(section, plan, position);
+        if (servingCells.isEmpty()) {
             throw toml.invalid(
                     position,
-                    "before.cells: names none; write the cells that served by plan " + number);
+                    "before.cells: lists no cells; list those that served by plan " + number);
         }
         return new CellPlan(
                 number,
@@ -220,17 +223,17 @@
                                                 cell.name(),
                                                 cell.zone(),
                                                 cell.slots(),
-                                                served.contains(cell.name())))
+                                                servingCells.contains(cell.name())))
                         .toList());
     }
 
     private List<String> previouslyServing(
             TomlTable section, CellPlan plan, TomlPosition position) {
-        List<String> served = new ArrayList<>();
+        List<String> servingCells = new ArrayList<>();
         if (section.get(List.of(PREVIOUS_CELLS)) instanceof TomlArray names) {
-            names.toList().forEach(name -> served.add(String.valueOf(name)));
+            names.toList().forEach(name -> servingCells.add(String.valueOf(name)));
         }
-        for (String name : served) {
+        for (String name : servingCells) {
             if (plan.indexOf(name) < 0) {
                 throw toml.invalid(
                         position,
@@ -239,7 +242,7 @@
                                 + "' is no cell of this plan; keep it, with serves = false");
             }
         }
-        return served;
+        return servingCells;
     }
 
     private void requireKnownKeys(TomlTable section, String path, Set<String> known) {
--- a/src/main/java/firstage/cli/CommandRunner.java
+++ b/src/main/java/firstage/cli/CommandRunner.java
@@ -8,13 +8,16 @@
 import picocli.CommandLine;
 
 /**
- * Runs a sub-command of several words: one line on standard error and status 2 where something
- * can't be used.
+ * Runner of sub-commands that picocli parses: input that can't be used results in one line on
+ * standard error and status 2.
  */
 final class CommandRunner {
     private CommandRunner() {}
 
-    /** What a parser that stands in a JSON object finds there, as text, up to the object's end. */
+    /**
+     * Reads the fields of the JSON object at the parser's position as text, up to the end of the
+     * object.
+     */
     static Map<String, String> fields(JsonParser parser) throws IOException {
         Map<String, String> fields = new LinkedHashMap<>();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
@@ -25,7 +28,7 @@
         return fields;
     }
 
-    /** Runs a command by its arguments; the exit code. */
+    /** Runs a command with its arguments and returns the exit code. */
     static int run(Object command, String name, String[] args) {
         CommandLine commandLine = new CommandLine(command);
         commandLine.setExecutionExceptionHandler(
--- a/src/main/java/firstage/cli/ConfigReloader.java
+++ b/src/main/java/firstage/cli/ConfigReloader.java
@@ -11,61 +11,67 @@
 import java.util.logging.Logger;
 
 /**
- * Reads the configuration at a start and again at each SIGHUP. A file that can't be read, or that
- * is another manager's, changes nothing and is logged.
+ * Reads the configuration at the start and again on each SIGHUP. A file that can't be read, or that
+ * belongs to another manager, is logged and changes nothing.
  */
 final class ConfigReloader {
     private static final Logger LOG = Logger.getLogger(ConfigReloader.class.getName());
 
     /**
-     * A file is replaced in milliseconds; on a full machine a writer may lose the processor for a
-     * second.
+     * Time for which reading the file is retried. A file is replaced within milliseconds, but on a
+     * busy machine its writer may lose the processor for a second.
      */
-    private static final long FILE_PATIENCE_MS = 3_000;
+    private static final long FILE_RETRY_TIMEOUT_MS = 3_000;
 
-    /** Well under the least grace for drains. */
+    /** Interval between two checks of the file; far below the shortest grace period for drains. */
     private static final long WATCH_INTERVAL_MS = 100;
 
     private static final long NANOS_PER_MS = 1_000_000;
 
     private final Path file;
 
-    /** Reloads that were requested before there was a server, or while the file was read. */
+    /**
+     * Permits for reloads that were requested, including those requested before the server was
+     * started or while the file was being read.
+     */
     private final Semaphore requests = new Semaphore(0);
 
     ConfigReloader(Path file) {
         this.file = file;
     }
 
-    /** Reads the file, also one that is being replaced. */
+    /** Reads the file, and retries while it is being replaced. */
     ManagerConfig read() throws IOException {
         return ServeCommand.retryWhileTransient(
-                FILE_PATIENCE_MS, () -> ManagerConfigReader.read(file));
+                FILE_RETRY_TIMEOUT_MS, () -> ManagerConfigReader.read(file));
     }
 
-    /** Has the file read again; from any thread. */
+    /** Requests that the file be read again. May be called from any thread. */
     void requestReload() {
         requests.release();
     }
 
-    /** Serves requests on a thread of its own, since reading may wait for the file. */
+    /**
+     * Starts a thread that handles requests for reloads, separate because reading may wait for the
+     * file.
+     */
     void start(ManagerServer server, ManagerConfig current) {
         startDaemon("configuration", () -> reloadOnRequest(server, current));
     }
 
     /**
-     * Requests a reload whenever the file is another. A JVM that was started with SIGHUP ignored,
-     * as nohup and some scripts do, never gets the signal, and its manager would follow a
-     * coordinator that is no more.
+     * Starts a thread that requests a reload whenever the file changes. A JVM that was started with
+     * SIGHUP ignored, as by nohup and some scripts, never receives the signal, and its manager
+     * would continue to follow a coordinator that no longer exists.
      */
     void watchFile() {
         LOG.warning(
                 "started with SIGHUP ignored: "
                         + file
-                        + " is looked at each "
+                        + " is polled every "
                         + WATCH_INTERVAL_MS
                         + " ms instead");
-        startDaemon("configuration's file", this::requestReloadOnChange);
+        startDaemon("configuration file watch", this::requestReloadOnChange);
     }
 
     private static void startDaemon(String name, Runnable work) {
--- a/src/main/java/firstage/cli/FaultScheduleCommand.java
+++ b/src/main/java/firstage/cli/FaultScheduleCommand.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * {@code fault-schedule FIRST COUNT [DEFECT]}: plays seeded fault schedules, and says which broke
- * what.
+ * {@code fault-schedule FIRST COUNT [DEFECT]}: runs seeded fault schedules and prints which of them
+ * violated which rule.
  */
 final class FaultScheduleCommand {
     private static final int MAX_BROKEN_SHOWN = 10;
@@ -18,27 +18,27 @@
     private FaultScheduleCommand() {}
 
     /**
-     * Plays the schedules.
+     * Runs the schedules.
      *
      * @param arguments the first seed, the number of schedules, and the defect to inject, if any
-     * @return the exit code: 0 where all rules were kept, 1 where one broke, 2 where an argument
+     * @return the exit code: 0 if all rules were kept, 1 if one was violated, 2 if an argument
      *     can't be used
      */
     static int run(List<String> arguments) {
         try {
-            return play(arguments);
+            return runSchedules(arguments);
         } catch (IllegalArgumentException fault) {
             System.err.println("fault-schedule: " + Main.oneLine(fault));
             return Main.UNUSABLE_STATUS;
         }
     }
 
-    private static int play(List<String> arguments) {
+    private static int runSchedules(List<String> arguments) {
         long firstSeed = wholeNumber(arguments.get(0));
         long count = wholeNumber(arguments.get(1));
         if (count < 1) {
             throw new IllegalArgumentException(
-                    count + " schedules prove nothing; 1 or more would do");
+                    count + " is not a valid COUNT; use 1 or more");
         }
         InjectedDefect defect =
                 arguments.size() > 2 ? defect(arguments.get(2)) : InjectedDefect.NONE;
@@ -49,7 +49,7 @@
                 (seed, rules) ->
                         System.out.println("seed " + seed + ": " + String.join("; ", rules)));
         System.out.printf(
-                "%d schedules from seed %d in %.1f s, fault %s: %s%n",
+                "%d schedules from seed %d in %.1f s, defect %s: %s%n",
                 count,
                 firstSeed,
                 (System.nanoTime() - start) / NANOS_PER_SECOND,
@@ -63,7 +63,7 @@
             return Long.parseLong(text);
         } catch (NumberFormatException fault) {
             throw new IllegalArgumentException(
-                    text + " is no whole number; FIRST and COUNT are seeds and a count");
+                    text + " is not a whole number; FIRST is the first seed, COUNT the number of schedules");
         }
     }
 
@@ -75,7 +75,7 @@
                         () ->
                                 new IllegalArgumentException(
                                         text
-                                                + " is no fault; there are "
+                                                + " is not a defect; the defects are "
                                                 + Arrays.toString(InjectedDefect.values())));
     }
 }
--- a/src/main/java/firstage/cli/FaultTestCommand.java
+++ b/src/main/java/firstage/cli/FaultTestCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** {@code fault-test}: plays a plan on real processes of the program, and tells what happened. */
+/** {@code fault-test}: runs a plan on real processes of the program and evaluates the outcome. */
 @Command(
         name = "fault-test",
         mixinStandardHelpOptions = true,
@@ -14,16 +14,17 @@
             FaultTestListCommand.class
         },
         description =
-                "Starts many processes of the program beside stand-ins, breaks things between them,"
-                        + " and judges; docs/operators/fault-tests.md says how to read it.",
+                "Runs many processes of the program with emulated engines and clients, injects faults"
+                        + " between them and evaluates the outcome;"
+                        + " docs/operators/fault-tests.md explains the results.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:kept (or void: nothing proven)",
-            "1:a rule broke or an expectation was missed",
-            "2:a file or an order can't be used"
+            "0:kept (or void: the run proves nothing)",
+            "1:a rule was violated or an expectation was not met",
+            "2:a file or an option can't be used"
         })
 final class FaultTestCommand implements Callable<Integer> {
-    /** Runs it; the exit code tells the verdict. */
+    /** Runs the command and returns the exit code, which stands for the verdict. */
     static int run(String[] args) {
         return CommandRunner.run(new FaultTestCommand(), "fault-test", args);
     }
--- a/src/main/java/firstage/cli/FaultTestListCommand.java
+++ b/src/main/java/firstage/cli/FaultTestListCommand.java
@@ -10,18 +10,18 @@
 import java.util.stream.Stream;
 import picocli.CommandLine.Command;
 
-/** {@code fault-test list}. */
+/** {@code fault-test list}: lists the plans that come with the program. */
 @Command(
         name = "list",
         mixinStandardHelpOptions = true,
-        description = "Names the plans in deploy/fault-tests.")
+        description = "Lists the plans in deploy/fault-tests.")
 final class FaultTestListCommand implements Callable<Integer> {
     @Override
     public Integer call() throws IOException {
         Path folder = Path.of("deploy", "fault-tests");
         if (!Files.isDirectory(folder)) {
             throw new InvalidPlanException(
-                    folder + " does not exist; call it from the program's root");
+                    folder + " does not exist; run the command in the program's root folder");
         }
         List<Path> plans = new ArrayList<>();
         try (Stream<Path> files = Files.list(folder)) {
@@ -33,7 +33,7 @@
         return 0;
     }
 
-    /** The comment in its first line. */
+    /** Returns the comment in the first line of a plan. */
     private static String purpose(Path plan) throws IOException {
         String firstLine = Files.readAllLines(plan).stream().findFirst().orElse("");
         return firstLine.replaceFirst("^#\\s*", "");
--- a/src/main/java/firstage/cli/FaultTestRunCommand.java
+++ b/src/main/java/firstage/cli/FaultTestRunCommand.java
@@ -20,11 +20,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code fault-test run}. */
+/** {@code fault-test run}: runs a plan and prints the verdict. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
-        description = "Plays a plan and says what came of it.")
+        description = "Runs a plan and prints its verdict and figures.")
 final class FaultTestRunCommand implements Callable<Integer> {
     private static final String KEPT = "kept";
     private static final String VOID = "void";
@@ -34,40 +34,40 @@
     @Parameters(
             index = "0",
             paramLabel = "FILE",
-            description = "the plan; deploy/fault-tests has some")
+            description = "the plan; deploy/fault-tests contains some")
     private Path file;
 
     @Option(
             names = "--seed",
             defaultValue = "1",
-            description = "what chance draws (${DEFAULT-VALUE})")
+            description = "random seed (${DEFAULT-VALUE})")
     private long seed;
 
     @Option(
             names = "--managers",
             paramLabel = "N",
-            description = "another number of managers than the plan's")
+            description = "number of managers, in place of the plan's")
     private Integer managers;
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
-            description = "where the record goes (a new folder in target/fault-test)")
+            description = "folder for the records (a new folder in target/fault-test)")
     private Path out;
 
     @Option(
             names = "--jar",
             defaultValue = "target/firstage.jar",
-            description = "the program (${DEFAULT-VALUE})")
+            description = "jar of the program (${DEFAULT-VALUE})")
     private Path jar;
 
     @Option(
             names = "--against",
             paramLabel = "JAR",
-            description = "plays the same with this jar, too")
+            description = "runs the plan with this jar, too, for comparison")
     private Path against;
 
-    @Option(names = "--peers", description = "tells the managers of each other")
+    @Option(names = "--peers", description = "starts the managers with peers files, so that they form a membership")
     private boolean peers;
 
     @Override
@@ -98,24 +98,27 @@
     private FleetPlan plan() throws IOException {
         if (managers != null && (managers < 1 || managers > MAX_MANAGERS)) {
             throw new InvalidPlanException(
-                    "--managers " + managers + " is impossible; 1 to 100 would do");
+                    "--managers " + managers + " is out of range; use 1 to 100");
         }
         try {
             FleetPlan plan = FleetPlanReader.read(planText());
             FaultTestRun.check(plan);
             if (plan.cells() != null && !peers) {
                 throw new InvalidPlanException(
-                        " managers.cell: cells are told with the peers; --peers would do");
+                        " managers.cell: cells are configured in the peers files; add --peers");
             }
             return plan;
         } catch (NoSuchFileException fault) {
-            throw new InvalidPlanException(file + " does not exist; fault-test list names plans");
+            throw new InvalidPlanException(file + " does not exist; fault-test list prints the plans");
         } catch (InvalidPlanException fault) {
             throw fault.inFile(file.toString());
         }
     }
 
-    /** With the number of managers that are to be started: other numbers are checked against it. */
+    /**
+     * Returns the text of the plan with the number of managers that are to be started, so that the
+     * other numbers in it are checked against this one.
+     */
     private String planText() throws IOException {
         String text = Files.readString(file);
         return managers == null
--- a/src/main/java/firstage/cli/FaultTestShowCommand.java
+++ b/src/main/java/firstage/cli/FaultTestShowCommand.java
@@ -13,12 +13,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code fault-test show}. */
+/** {@code fault-test show}: prints selected events of a run. */
 @Command(
         name = "show",
         mixinStandardHelpOptions = true,
         description =
-                "Prints the events of a request, an engine, a manager or a moment over all"
+                "Prints the events of a request, an engine, a manager or a point in time, from all"
                         + " processes.")
 final class FaultTestShowCommand implements Callable<Integer> {
     // Fields of the timeline's events.
@@ -56,19 +56,22 @@
         int shown = 0;
         for (String line : Files.readAllLines(file)) {
             Map<String, String> event = event(line);
-            if (isWanted(event)) {
+            if (matchesOptions(event)) {
                 shown++;
                 print(event);
             }
         }
         if (shown == 0) {
-            throw new InvalidPlanException("nothing of that kind in " + file);
+            throw new InvalidPlanException("no event matches the options in " + file);
         }
         return 0;
     }
 
-    /** Without options all events but those of single requests are wanted. */
-    private boolean isWanted(Map<String, String> event) {
+    /**
+     * Returns whether an event matches the options. Without options, all events match but those of
+     * single requests.
+     */
+    private boolean matchesOptions(Map<String, String> event) {
         if (request == null && engine == null && manager == null && at == null) {
             return !event.containsKey(REQUEST);
         }
--- a/src/main/java/firstage/cli/FleetCompareCommand.java
+++ b/src/main/java/firstage/cli/FleetCompareCommand.java
@@ -12,13 +12,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code fleet compare}. */
+/** {@code fleet compare}: simulates two choices and compares them. */
 @Command(
         name = "compare",
         mixinStandardHelpOptions = true,
         description =
-                "Plays two choices on the same seeds and says which is better, or that nobody"
-                        + " can tell.")
+                "Simulates two choices with the same seeds and prints which is better, or that the"
+                        + " runs do not show it.")
 final class FleetCompareCommand extends FleetOptions implements Callable<Integer> {
     private static final int LEFT_BETTER_STATUS = 10;
     private static final int RIGHT_BETTER_STATUS = 11;
@@ -26,7 +26,7 @@
     @Option(names = "--left", required = true, description = "one choice")
     private String left;
 
-    @Option(names = "--right", required = true, description = "the other")
+    @Option(names = "--right", required = true, description = "the other choice")
     private String right;
 
     @Override
@@ -34,7 +34,7 @@
         FleetPlan plan = plan();
         if (seeds() < 2) {
             throw new InvalidPlanException(
-                    "--seeds " + seeds() + " is too few to compare; 2 or more would do");
+                    "--seeds " + seeds() + " is too few to compare; use 2 or more");
         }
         List<SimulationResult> results =
                 play(plan, List.of(PolicyUnderTest.of(left), PolicyUnderTest.of(right)));
--- a/src/main/java/firstage/cli/FleetFiles.java
+++ b/src/main/java/firstage/cli/FleetFiles.java
@@ -16,7 +16,7 @@
 import org.knowm.xchart.CategoryChart;
 import org.knowm.xchart.CategoryChartBuilder;
 
-/** What fleet runs came to, as files: a table for scripts, JSON, and a chart. */
+/** Writer of the results of fleet runs as files: a table for scripts, JSON, and a chart. */
 final class FleetFiles {
     private static final int CHART_WIDTH = 900;
     private static final int CHART_HEIGHT = 500;
@@ -26,7 +26,7 @@
     /**
      * Writes runs.csv, result.json and chart.png into a folder, which it creates.
      *
-     * @param origin what the figures were made of
+     * @param origin the plan, seeds and version that produced the figures
      */
     static void write(
             Path folder,
@@ -78,7 +78,7 @@
 
     private static void writeComparison(JsonGenerator out, PairedComparison comparison)
             throws IOException {
-        out.writeStringField("verdict", word(comparison.verdict()));
+        out.writeStringField("verdict", verdictName(comparison.verdict()));
         out.writeArrayFieldStart("rows");
         for (PairedComparison.Row row : comparison.rows()) {
             out.writeStartObject();
@@ -87,14 +87,14 @@
             out.writeNumberField("right", row.right());
             out.writeNumberField("difference", row.difference());
             out.writeNumberField("bar", row.halfInterval());
-            out.writeStringField("verdict", word(row.verdict()));
+            out.writeStringField("verdict", verdictName(row.verdict()));
             out.writeNumberField("runs needed", row.runsNeeded());
             out.writeEndObject();
         }
         out.writeEndArray();
     }
 
-    private static String word(PairedComparison.Verdict verdict) {
+    private static String verdictName(PairedComparison.Verdict verdict) {
         return verdict.name().toLowerCase(Locale.ROOT);
     }
 
--- a/src/main/java/firstage/cli/FleetOptions.java
+++ b/src/main/java/firstage/cli/FleetOptions.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The options that all of {@code fleet} take, and how runs are played by them. */
+/** Options common to the sub-commands of {@code fleet}, and the runs that they describe. */
 class FleetOptions {
     @Parameters(index = "0", paramLabel = "FILE", description = "the fleet file")
     private Path file;
@@ -25,7 +25,7 @@
     @Option(
             names = "--seeds",
             defaultValue = "8",
-            description = "how many runs of each choice (${DEFAULT-VALUE})")
+            description = "number of runs of each choice (${DEFAULT-VALUE})")
     private int seeds;
 
     @Option(names = "--seed", defaultValue = "1", description = "the first seed (${DEFAULT-VALUE})")
@@ -34,14 +34,14 @@
     @Option(
             names = "--out",
             paramLabel = "DIR",
-            description = "writes tables (CSV, JSON) and a chart there")
+            description = "folder for tables (CSV, JSON) and a chart")
     private Path out;
 
-    /** The plan that the file sets. */
+    /** Reads the plan from the file. */
     FleetPlan plan() throws IOException {
         if (seeds < 1) {
             throw new InvalidPlanException(
-                    "--seeds " + seeds + " is impossible; 1 or more would do");
+                    "--seeds " + seeds + " is out of range; use 1 or more");
         }
         try {
             return FleetPlanReader.read(Files.readString(file));
@@ -53,7 +53,8 @@
     }
 
     /**
-     * Plays each choice on each seed, on all cores; in the order of the seeds, choice by choice.
+     * Simulates each choice with each seed, on all cores. The results are in the order of the
+     * choices, and for each choice in the order of the seeds.
      */
     List<SimulationResult> play(FleetPlan plan, List<PolicyUnderTest> choices) {
         AtomicInteger finished = new AtomicInteger();
@@ -75,17 +76,17 @@
                 .toList();
     }
 
-    /** How many runs of each choice. */
+    /** Returns the number of runs of each choice. */
     int seeds() {
         return seeds;
     }
 
-    /** Where tables and a chart go, if anywhere. */
+    /** Returns the folder for tables and a chart, if any. */
     Optional<Path> out() {
         return Optional.ofNullable(out);
     }
 
-    /** What figures were made of: plan, seeds and version. */
+    /** Returns the plan, seeds and version that produced the figures. */
     String origin(FleetPlan plan) {
         return plan.name()
                 + ", "
--- a/src/main/java/firstage/cli/FleetRunCommand.java
+++ b/src/main/java/firstage/cli/FleetRunCommand.java
@@ -10,16 +10,16 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code fleet run}. */
+/** {@code fleet run}: simulates one choice. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
-        description = "Plays one choice and prints its figures.")
+        description = "Simulates one choice and prints its figures.")
 final class FleetRunCommand extends FleetOptions implements Callable<Integer> {
     @Option(
             names = "--choice",
             defaultValue = "scheduler",
-            description = "what decides (${DEFAULT-VALUE})")
+            description = "the policy that decides (${DEFAULT-VALUE})")
     private String choice;
 
     @Override
--- a/src/main/java/firstage/cli/FleetTables.java
+++ b/src/main/java/firstage/cli/FleetTables.java
@@ -7,11 +7,11 @@
 import java.util.Locale;
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
-/** What fleet runs came to, as text for people. */
+/** Printer of the results of fleet runs as text. */
 final class FleetTables {
     private FleetTables() {}
 
-    /** Prints each figure over all runs, and the rules that broke. */
+    /** Prints each figure over all runs, and the rules that were violated. */
     static void print(PrintStream out, List<SimulationResult> results) {
         out.printf("%-28s %10s %10s%n", "figure", "mean", "deviation");
         for (String name : results.get(0).figures().keySet()) {
@@ -35,7 +35,7 @@
                                                 + result.violations().get(0)));
     }
 
-    /** Prints each figure of both choices, and which is better. */
+    /** Prints each figure of both choices, and which choice is better. */
     static void print(PrintStream out, PairedComparison comparison) {
         out.printf(
                 "%-28s %10s %10s %12s %10s  %s%n",
--- a/src/main/java/firstage/cli/Main.java
+++ b/src/main/java/firstage/cli/Main.java
@@ -5,25 +5,29 @@
 import java.util.List;
 
 /**
- * The command line: the first argument names a sub-command, and each of them has a class. What
- * can't be used is told in one line on standard error, with status {@link #UNUSABLE_STATUS}.
+ * The command line: the first argument names a sub-command, and each sub-command has a class. Input
+ * that can't be used is reported in one line on standard error, with status {@link
+ * #UNUSABLE_STATUS}.
  */
 public final class Main {
-    /** The status where a file, an option or an argument can't be used. */
+    /** Exit status if a file, an option or an argument can't be used. */
     static final int UNUSABLE_STATUS = 2;
 
     private static final String USAGE =
             "usage: java -jar firstage.jar benchlink | serve [--peers FILE] | rehearse |"
-                    + " fault-schedule FIRST COUNT [FAULT] | fleet | fault-test | scale | peers"
+                    + " fault-schedule FIRST COUNT [DEFECT] | fleet | fault-test | scale | peers"
                     + " | zones";
 
     private Main() {}
 
-    /** Runs a sub-command. {@code serve} returns while its threads go on; tools end the program. */
+    /**
+     * Runs a sub-command. {@code serve} returns while its threads keep running; tools end the
+     * program.
+     */
     public static void main(String[] args) throws IOException {
         String command = args.length == 0 ? "" : args[0];
         String[] arguments = args.length == 0 ? args : Arrays.copyOfRange(args, 1, args.length);
-        // A switch, not a map of commands: a start loads the class of its own command only.
+        // A switch, not a map of commands, so that a start loads only the class of its own command.
         switch (command) {
             case "serve" -> ServeCommand.run(List.of(arguments));
             case "benchlink" -> {
@@ -53,12 +57,12 @@
         }
     }
 
-    /** The first line of an exception's message. */
+    /** Returns the first line of an exception's message. */
     static String oneLine(Exception fault) {
         return String.valueOf(fault.getMessage()).lines().findFirst().orElse("");
     }
 
-    /** Ends the program, with its reason on standard error. */
+    /** Prints the reason on standard error and ends the program with {@link #UNUSABLE_STATUS}. */
     static void exitUnusable(String reason) {
         System.err.println(reason);
         System.exit(UNUSABLE_STATUS);
--- a/src/main/java/firstage/cli/ManagerClient.java
+++ b/src/main/java/firstage/cli/ManagerClient.java
@@ -8,7 +8,7 @@
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 
-/** Asks a manager of this machine something, where its datagrams come in. */
+/** Client that sends requests to a manager on this machine, at the address of its datagrams. */
 final class ManagerClient {
     private static final int RESPONSE_TIMEOUT_MS = 400;
     private static final int MAX_ATTEMPTS = 5;
@@ -17,14 +17,14 @@
     private ManagerClient() {}
 
     /**
-     * Sends a request until a response comes.
+     * Sends a request until a response arrives.
      *
-     * @throws IOException where the manager is on another machine, or does not answer
+     * @throws IOException if the manager is on another machine, or does not respond
      */
     static String request(InetSocketAddress manager, String request) throws IOException {
         String host = manager.getAddress().getHostAddress();
         if (!manager.getAddress().isLoopbackAddress()) {
-            throw new IOException(host + " is not on this machine; ask there");
+            throw new IOException(host + " is not on this machine; run the command there");
         }
         byte[] bytes = request.getBytes(StandardCharsets.UTF_8);
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
@@ -37,7 +37,7 @@
                     socket.receive(response);
                     return new String(
                             response.getData(), 0, response.getLength(), StandardCharsets.UTF_8);
-                } catch (SocketTimeoutException again) {
+                } catch (SocketTimeoutException noResponse) {
                     // Datagrams may be lost, and a manager may be busy.
                 }
             }
@@ -47,6 +47,6 @@
                         + host
                         + ":"
                         + manager.getPort()
-                        + "; is it up, and started with --peers?");
+                        + "; check that the manager runs and was started with --peers");
     }
 }
--- a/src/main/java/firstage/cli/PeersCommand.java
+++ b/src/main/java/firstage/cli/PeersCommand.java
@@ -13,18 +13,18 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code peers}: asks a manager of this machine for its view of the others. */
+/** {@code peers}: asks a manager on this machine for its view of the others. */
 @Command(
         name = "peers",
         mixinStandardHelpOptions = true,
         description =
-                "Asks a running manager on loopback whom it holds for here;"
+                "Asks a running manager on loopback for its view of the members;"
                         + " docs/operators/membership.md.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:its view is agreed",
-            "1:it is not",
-            "2:it can't be reached, or the address can't be used"
+            "0:the manager's view is agreed",
+            "1:the view is not agreed",
+            "2:the manager can't be reached, or the address can't be used"
         })
 final class PeersCommand implements Callable<Integer> {
     private static final int NOT_AGREED_STATUS = 1;
@@ -32,13 +32,15 @@
     @Parameters(
             index = "0",
             paramLabel = "ADDRESS",
-            description = "where its datagrams come in: listen of its peers file")
+            description = "address of the manager's datagrams: listen in its peers file")
     private String address;
 
-    @Option(names = "--json", description = "the answer as it came")
+    @Option(names = "--json", description = "prints the response as JSON")
     private boolean json;
 
-    /** Runs it; the exit code tells whether the manager's view is agreed. */
+    /**
+     * Runs the command and returns the exit code, which tells whether the manager's view is agreed.
+     */
     static int run(String[] args) {
         return CommandRunner.run(new PeersCommand(), "peers", args);
     }
@@ -95,7 +97,7 @@
         System.out.printf("%-12s %-10s %-9s %-8s %-8s %-14s %s%n", (Object[]) columns);
     }
 
-    /** The term for a member's state, by the word of the status answer. */
+    /** Returns the usual term for a member's state, by the term that the status response uses. */
     private static String state(String standing) {
         return switch (standing) {
             case "here" -> "alive";
--- a/src/main/java/firstage/cli/PeersFileReader.java
+++ b/src/main/java/firstage/cli/PeersFileReader.java
@@ -16,11 +16,11 @@
 import org.tomlj.TomlTable;
 
 /**
- * Reads a peers file: who a manager is to its peers, and where they are. The keys of the file are
- * mapped here and in {@link CellsSectionReader}.
+ * Reads a peers file: a manager's identity among its peers, and their addresses. The keys of the
+ * file are mapped here and in {@link CellsSectionReader}.
  *
- * <p>What can't be used throws {@link firstage.config.InvalidConfigException} with file, line, key,
- * value and what would do.
+ * <p>A file that can't be used results in a {@link firstage.config.InvalidConfigException} that
+ * names file, line, key, value and what is valid.
  */
 final class PeersFileReader {
     private static final String FLEET = "fleet";
@@ -59,7 +59,10 @@
     private static final int MAX_PEERS = 2_000;
     private static final String NO_ZONE = "-";
 
-    /** The file beside the peers file that membership writes when it withdraws its word. */
+    /**
+     * Suffix of the file beside the peers file that the membership writes when it withdraws a
+     * grant.
+     */
     private static final String WITHDRAWAL_MARK_SUFFIX = ".withdrew";
 
     private final PeersToml toml;
@@ -71,7 +74,7 @@
     /**
      * Reads a peers file.
      *
-     * @param defaultName the manager's name by its configuration, where the file gives none
+     * @param defaultName the manager's name in its configuration, used if the file gives none
      */
     static PeerConfig read(Path file, String defaultName) throws IOException {
         return new PeersFileReader(PeersToml.read(file)).config(defaultName);
@@ -128,7 +131,7 @@
         if (!(value instanceof Number number
                 && number.doubleValue() > 0
                 && number.doubleValue() <= MAX_WEIGHT)) {
-            throw toml.invalid(WEIGHT, value + " is no number above 0, up to 100; 1.0 would do");
+            throw toml.invalid(WEIGHT, value + " is not a number above 0 and up to 100; 1.0 would do");
         }
         return number.doubleValue();
     }
@@ -140,7 +143,7 @@
                     throw toml.invalid(
                             key,
                             "is of a fleet in cells; write [[cell]] with name, zone and hosts, or"
-                                    + " leave it out");
+                                    + " remove this key");
                 }
             }
             return Optional.empty();
@@ -149,7 +152,7 @@
                 new CellsSectionReader(toml).placement(LISTEN, listenAddress);
         if (toml.has(PEERS)) {
             throw toml.invalid(
-                    PEERS, "the hosts of the cells name the peers already; leave [[peer]] out");
+                    PEERS, "the hosts of the cells list the peers already; remove [[peer]]");
         }
         return Optional.of(placement);
     }
@@ -173,7 +176,7 @@
                     toml.address(peers.inputPositionOf(i), PEERS + "." + PEER_ADDRESS, value))) {
                 throw toml.invalid(
                         peers.inputPositionOf(i),
-                        "peer.address: " + value + " stands twice; one peer an address");
+                        "peer.address: " + value + " is listed twice; write one [[peer]] for each address");
             }
         }
         return new ArrayList<>(addresses);
--- a/src/main/java/firstage/cli/PeersToml.java
+++ b/src/main/java/firstage/cli/PeersToml.java
@@ -19,12 +19,12 @@
 import org.tomlj.TomlTable;
 
 /**
- * The values of a peers file by type. What can't be used throws {@link InvalidConfigException} with
- * file, line, key, value and what would do.
+ * Typed access to the values of a peers file. A value that can't be used results in an {@link
+ * InvalidConfigException} that names file, line, key, value and what is valid.
  */
 final class PeersToml {
     private static final Pattern NAME = Pattern.compile("[!-~]{1,64}");
-    private static final String NO_NAME = "' is no name of 1 to 64 plain characters";
+    private static final String NOT_A_NAME = "' is not a name of 1 to 64 visible ASCII characters";
 
     private final Path file;
     private final TomlParseResult toml;
@@ -34,12 +34,16 @@
         this.toml = toml;
     }
 
-    /** Reads a file, whose syntax has to be right. */
+    /**
+     * Reads a file.
+     *
+     * @throws InvalidConfigException if the file does not exist or its syntax is wrong
+     */
     static PeersToml read(Path file) throws IOException {
         PeersToml peers;
         try {
             peers = new PeersToml(file, Toml.parse(Files.readString(file)));
-        } catch (NoSuchFileException missing) {
+        } catch (NoSuchFileException absent) {
             throw new InvalidConfigException(
                     file.toString(),
                     InvalidConfigException.NO_LINE,
@@ -53,28 +57,28 @@
         return peers;
     }
 
-    /** The file that was read. */
+    /** Returns the file that was read. */
     Path file() {
         return file;
     }
 
-    /** What is wrong at a place. */
+    /** Returns an exception for a problem at a position, which is null if it is unknown. */
     InvalidConfigException invalid(TomlPosition position, String problem) {
         int line = position == null ? InvalidConfigException.NO_LINE : position.line();
         return new InvalidConfigException(file.toString(), line, problem);
     }
 
-    /** What is wrong with a key of the file. */
+    /** Returns an exception for a problem with a key of the file. */
     InvalidConfigException invalid(String key, String problem) {
         return invalid(position(key), key + ": " + problem);
     }
 
-    /** Where a key of the file stands; null where it is absent. */
+    /** Returns the position of a key of the file; null if it is absent. */
     TomlPosition position(String key) {
         return toml.inputPositionOf(List.of(key));
     }
 
-    /** A key's value as it stands; null where it is absent. */
+    /** Returns the value of a key as parsed; null if it is absent. */
     Object value(String key) {
         return toml.get(List.of(key));
     }
@@ -83,7 +87,7 @@
         return value(key) != null;
     }
 
-    /** The file has no key but these; {@code shown} lists them for people. */
+    /** Checks that the file has no other keys than these; {@code shown} lists them for people. */
     void requireKnownKeys(Set<String> known, String shown) {
         for (String key : toml.keySet()) {
             if (!known.contains(key)) {
@@ -92,7 +96,7 @@
         }
     }
 
-    /** A section has no key but these; {@code shown} lists them for people. */
+    /** Checks that a section has no other keys than these; {@code shown} lists them for people. */
     void requireKnownKeys(TomlTable section, String path, Set<String> known, String shown) {
         for (String key : section.keySet()) {
             if (!known.contains(key)) {
@@ -103,7 +107,7 @@
         }
     }
 
-    /** A name that has to be there. */
+    /** Returns the name under a required key. */
     String name(String key) {
         return optionalName(key)
                 .orElseThrow(
@@ -113,20 +117,20 @@
                                         "has no " + key + "; write " + key + " = \"...\""));
     }
 
-    /** A name that may be absent. */
+    /** Returns the name under an optional key. */
     Optional<String> optionalName(String key) {
         Object value = value(key);
         if (value != null && !isName(value)) {
-            throw invalid(key, "'" + value + NO_NAME);
+            throw invalid(key, "'" + value + NOT_A_NAME);
         }
         return Optional.ofNullable((String) value);
     }
 
-    /** A name that has to be in a section, which starts at {@code position}. */
+    /** Returns the name under a required key of a section, which starts at {@code position}. */
     String name(TomlTable section, TomlPosition position, String path, String key) {
         Object value = section.get(List.of(key));
         if (!isName(value)) {
-            throw invalid(position, path + "." + key + ": '" + value + NO_NAME);
+            throw invalid(position, path + "." + key + ": '" + value + NOT_A_NAME);
         }
         return (String) value;
     }
@@ -135,7 +139,7 @@
         return value instanceof String text && NAME.matcher(text).matches();
     }
 
-    /** A whole number from 1 to {@code max}. */
+    /** Returns the value as an integer from 1 to {@code max}. */
     int wholeNumber(TomlPosition position, String key, Object value, int max) {
         if (!(value instanceof Long number) || number < 1 || number > max) {
             throw invalid(position, key + ": " + value + " is no whole number from 1 to " + max);
@@ -143,7 +147,7 @@
         return (int) (long) number;
     }
 
-    /** A numeric host and a port. */
+    /** Returns the value as an address of numeric host and port. */
     InetSocketAddress address(TomlPosition position, String key, Object value) {
         try {
             return ManagerConfig.parseAddress(String.valueOf(value));
@@ -153,10 +157,10 @@
         }
     }
 
-    /** One section of a list of them, such as the third [[peer]]. */
+    /** Returns one section of a list, such as the third [[peer]]. */
     TomlTable section(TomlArray sections, int index, String name) {
         if (!(sections.get(index) instanceof TomlTable section)) {
-            throw invalid(sections.inputPositionOf(index), "is no section; write [[" + name + "]]");
+            throw invalid(sections.inputPositionOf(index), "is not a section; write [[" + name + "]]");
         }
         return section;
     }
--- a/src/main/java/firstage/cli/PlanNumberFile.java
+++ b/src/main/java/firstage/cli/PlanNumberFile.java
@@ -13,9 +13,10 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The file beside a peers file that holds the number of the newest cell plan that this manager has
- * followed: {@code peers.toml.plan}, one line of digits. A manager that was started with an older
- * plan would use engines that others have taken over by its own word, so it refuses.
+ * File beside a peers file that holds the number of the newest cell plan that this manager has
+ * followed: {@code peers.toml.plan}, one line of digits. A manager that is given an older plan does
+ * not start, since it would use engines that other cells have taken over after it reported the
+ * newer plan.
  */
 final class PlanNumberFile {
     private static final String SUFFIX = ".plan";
@@ -24,10 +25,10 @@
     private PlanNumberFile() {}
 
     /**
-     * Stores the number of the manager's plan, on the disk before it tells anybody. Does nothing
-     * where the fleet has no cells.
+     * Stores the number of the manager's plan on the disk, before the manager reports it to
+     * anybody. Does nothing if the fleet has no cells.
      *
-     * @throws InvalidConfigException where a newer plan was followed before
+     * @throws InvalidConfigException if the manager has followed a newer plan
      */
     static void store(Path peersFile, PeerConfig peers) throws IOException {
         if (peers.cellPlacement() == null) {
@@ -51,7 +52,7 @@
         }
     }
 
-    /** The number in the file; 0 where there is none that can be read. */
+    /** Returns the number in the file; 0 if the file is absent or does not hold a number. */
     private static int read(Path file) throws IOException {
         if (!Files.exists(file)) {
             return 0;
@@ -60,12 +61,15 @@
         return text.matches("[0-9]{1,9}") ? Integer.parseInt(text) : 0;
     }
 
-    /** A kill leaves the number before or this one, never a part of it. */
+    /**
+     * Writes the number. A kill leaves the previous number or this one in the file, never a part of
+     * it.
+     */
     private static void write(Path file, int number) throws IOException {
-        Path written = file.resolveSibling(file.getFileName() + TEMPORARY_SUFFIX);
+        Path temporaryFile = file.resolveSibling(file.getFileName() + TEMPORARY_SUFFIX);
         try (FileChannel channel =
                 FileChannel.open(
-                        written,
+                        temporaryFile,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
@@ -75,7 +79,7 @@
             }
             channel.force(true);
         }
-        Files.move(written, file, StandardCopyOption.ATOMIC_MOVE);
+        Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE);
         try (FileChannel folder =
                 FileChannel.open(file.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
             folder.force(true);
--- a/src/main/java/firstage/cli/RehearseCommand.java
+++ b/src/main/java/firstage/cli/RehearseCommand.java
@@ -13,8 +13,8 @@
 import java.nio.file.Path;
 
 /**
- * {@code rehearse}: serves one request over loopback and plays its engine too, so that the build
- * can archive the classes that a start needs.
+ * {@code rehearse}: serves one request over loopback and acts as its engine, so that the build can
+ * archive the classes that a start needs.
  */
 final class RehearseCommand {
     private static final String CONFIG =
@@ -34,12 +34,12 @@
 
     private RehearseCommand() {}
 
-    /** Ends the program where it fails. */
+    /** Runs the rehearsal, and ends the program if it fails. */
     static void run() {
         try {
             rehearse();
         } catch (IOException | RuntimeException fault) {
-            Main.exitUnusable("no rehearsal: " + Main.oneLine(fault));
+            Main.exitUnusable("rehearsal failed: " + Main.oneLine(fault));
         }
     }
 
@@ -56,7 +56,7 @@
             client.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
             InputStream response = client.getInputStream();
             if (response.read() < 0) {
-                throw new IOException("no answer in the rehearsal");
+                throw new IOException("no response to the request");
             }
         }
         server.shutDown();
--- a/src/main/java/firstage/cli/ScaleChoicesCommand.java
+++ b/src/main/java/firstage/cli/ScaleChoicesCommand.java
@@ -7,11 +7,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code scale choices}. */
+/** {@code scale choices}: measures the cost of decisions. */
 @Command(
         name = "choices",
         mixinStandardHelpOptions = true,
-        description = "Tells what the decisions cost a batch by how many engines a manager knows.")
+        description = "Measures what the decisions on a batch cost, by the number of engines known.")
 final class ScaleChoicesCommand implements Callable<Integer> {
     private static final int MAX_COUNT = 10_000;
 
@@ -20,35 +20,35 @@
             split = ",",
             defaultValue = "43,264,430,4300",
             paramLabel = "N",
-            description = "engines known (${DEFAULT-VALUE})")
+            description = "numbers of engines that a manager knows (${DEFAULT-VALUE})")
     private List<Integer> engines;
 
     @Option(
             names = "--managers",
             defaultValue = "160",
             paramLabel = "N",
-            description = "over whom an engine is shared (${DEFAULT-VALUE})")
+            description = "number of managers that share an engine (${DEFAULT-VALUE})")
     private int managers;
 
     @Override
     public Integer call() {
         for (int engineCount : engines) {
-            if (isImpossible(engineCount) || isImpossible(managers)) {
+            if (isOutOfRange(engineCount) || isOutOfRange(managers)) {
                 throw new InvalidPlanException(
                         "--engines "
                                 + engineCount
                                 + ", --managers "
                                 + managers
-                                + ": one is impossible; 1 to "
+                                + ": one is out of range; use 1 to "
                                 + MAX_COUNT
-                                + " would do");
+                                + " for both");
             }
             System.out.println(DecisionCost.play(engineCount, managers));
         }
         return 0;
     }
 
-    private static boolean isImpossible(int count) {
+    private static boolean isOutOfRange(int count) {
         return count < 1 || count > MAX_COUNT;
     }
 }
--- a/src/main/java/firstage/cli/ScaleCommand.java
+++ b/src/main/java/firstage/cli/ScaleCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** {@code scale}: what control costs a manager of a large fleet. */
+/** {@code scale}: measures what control costs a manager of a large fleet. */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
@@ -18,17 +18,17 @@
             ScaleHollowCommand.class
         },
         description =
-                "Starts hollow managers beside real ones, or plays a fleet's control in virtual"
-                        + " time, and tells what it costs; docs/operators/scale.md says how to read"
-                        + " it.",
+                "Runs hollow managers beside real ones, or simulates a fleet's control in virtual"
+                        + " time, and reports what control costs; docs/operators/scale.md explains"
+                        + " the figures.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:played",
+            "0:the run was completed",
             "1:void: the machine was too busy",
-            "2:a file or an order can't be used, or the machine can't bear it"
+            "2:a file or an option can't be used, or the machine is too small"
         })
 final class ScaleCommand implements Callable<Integer> {
-    /** Runs it; the exit code tells what became of it. */
+    /** Runs the command and returns the exit code. */
     static int run(String[] args) {
         return CommandRunner.run(new ScaleCommand(), "scale", args);
     }
@@ -39,7 +39,7 @@
         return Main.UNUSABLE_STATUS;
     }
 
-    /** Reads a plan; the message of the exception names the file and the line. */
+    /** Reads a plan; the message of an exception names the file and the line. */
     static ScalePlan readPlan(Path file, String text) {
         try {
             return ScalePlan.read(text);
--- a/src/main/java/firstage/cli/ScaleFigures.java
+++ b/src/main/java/firstage/cli/ScaleFigures.java
@@ -8,11 +8,11 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Figures of a scale test by name, as files for other programs. */
+/** Writer of the figures of a scale test, by name, to files for other programs. */
 final class ScaleFigures {
     private ScaleFigures() {}
 
-    /** Writes one line a row under a line of names; a row may lack some. */
+    /** Writes a line of names and one line for each row; a row may lack some of the figures. */
     static void writeCsv(Path file, List<Map<String, Double>> rows) throws IOException {
         List<String> names =
                 rows.stream().flatMap(row -> row.keySet().stream()).distinct().toList();
--- a/src/main/java/firstage/cli/ScaleHollowCommand.java
+++ b/src/main/java/firstage/cli/ScaleHollowCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code scale hollow}: a process with hollow managers, which {@code scale run} starts. */
+/** {@code scale hollow}: hosts hollow managers in a process that {@code scale run} starts. */
 @Command(
         name = "hollow",
         hidden = true,
@@ -24,7 +24,7 @@
     @Parameters(index = "2")
     private int firstManager;
 
-    /** One past the last. */
+    /** End of the range of managers, exclusive. */
     @Parameters(index = "3")
     private int endManager;
 
--- a/src/main/java/firstage/cli/ScaleRunCommand.java
+++ b/src/main/java/firstage/cli/ScaleRunCommand.java
@@ -14,45 +14,45 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code scale run}. */
-@Command(name = "run", mixinStandardHelpOptions = true, description = "Plays a plan on processes.")
+/** {@code scale run}: runs a plan with hollow and real managers. */
+@Command(name = "run", mixinStandardHelpOptions = true, description = "Runs a plan on processes.")
 final class ScaleRunCommand implements Callable<Integer> {
     private static final int VOID_STATUS = 1;
 
-    @Parameters(index = "0", paramLabel = "FILE", description = "the plan; deploy/scale has some")
+    @Parameters(index = "0", paramLabel = "FILE", description = "the plan; deploy/scale contains some")
     private Path file;
 
-    @Option(names = "--hollow", paramLabel = "N", description = "another number of hollow managers")
+    @Option(names = "--hollow", paramLabel = "N", description = "number of hollow managers, if not the plan's")
     private Integer hollow;
 
-    @Option(names = "--real", paramLabel = "N", description = "another number of real ones")
+    @Option(names = "--real", paramLabel = "N", description = "number of real managers, if not the plan's")
     private Integer real;
 
     @Option(
             names = "--cell",
             paramLabel = "N",
-            description = "managers in a cell; 0: the fleet is one")
+            description = "managers in a cell; 0: a fleet without cells")
     private Integer cell;
 
-    @Option(names = "--engines", paramLabel = "N", description = "another number of engines")
+    @Option(names = "--engines", paramLabel = "N", description = "number of engines, if not the plan's")
     private Integer engines;
 
     @Option(
             names = "--seed",
             defaultValue = "1",
-            description = "what chance draws (${DEFAULT-VALUE})")
+            description = "random seed (${DEFAULT-VALUE})")
     private long seed;
 
     @Option(
             names = "--out",
             paramLabel = "DIR",
-            description = "where the figures go (a new folder in" + " target/scale)")
+            description = "folder for the figures (a new folder in" + " target/scale)")
     private Path out;
 
     @Option(
             names = "--jar",
             defaultValue = "target/firstage.jar",
-            description = "the program (${DEFAULT-VALUE})")
+            description = "jar of the program (${DEFAULT-VALUE})")
     private Path jar;
 
     @Override
@@ -67,23 +67,23 @@
         ScaleRun.Result result = play(plan, planInForce, folder, command);
         ScaleFigures.writeJson(folder.resolve("figures.json"), result.figures());
         ScaleFigures.writeCsv(folder.resolve("figures.csv"), List.of(result.figures()));
-        boolean played = result.isVoid() == null;
-        System.out.println(played ? "played" : "void: " + result.isVoid());
+        boolean completed = result.isVoid() == null;
+        System.out.println(completed ? "played" : "void: " + result.isVoid());
         result.figures()
                 .forEach(
                         (figure, value) ->
                                 System.out.printf(Locale.ROOT, "%-50s %12.3f%n", figure, value));
         System.out.println("figures: " + folder);
-        return played ? 0 : VOID_STATUS;
+        return completed ? 0 : VOID_STATUS;
     }
 
-    /** The plan with the numbers that the options give. */
+    /** Returns the text of the plan with the numbers that the options give. */
     private String planText() throws IOException {
         String text;
         try {
             text = Files.readString(file);
         } catch (NoSuchFileException fault) {
-            throw new InvalidPlanException(file + " does not exist; deploy/scale has plans");
+            throw new InvalidPlanException(file + " does not exist; deploy/scale contains plans");
         }
         text = withNumber(text, "managers", "hollow", hollow);
         text = withNumber(text, "managers", "real", real);
--- a/src/main/java/firstage/cli/ScaleSlopesCommand.java
+++ b/src/main/java/firstage/cli/ScaleSlopesCommand.java
@@ -17,13 +17,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code scale slopes}. */
+/** {@code scale slopes}: simulates several sizes of a fleet and fits the growth of the costs. */
 @Command(
         name = "slopes",
         mixinStandardHelpOptions = true,
         description =
-                "Plays a fleet's control in virtual time at several sizes, and fits what"
-                        + " grows.")
+                "Simulates a fleet's control in virtual time at several sizes, and fits how its costs"
+                        + " grow.")
 final class ScaleSlopesCommand implements Callable<Integer> {
     private static final int MIN_MANAGERS = 2;
     private static final int MAX_MANAGERS = 4_000;
@@ -37,49 +37,49 @@
             split = ",",
             defaultValue = "80,160,320",
             paramLabel = "N",
-            description = "managers, rising (${DEFAULT-VALUE})")
+            description = "numbers of managers, in rising order (${DEFAULT-VALUE})")
     private List<Integer> sizes;
 
     @Option(
             names = "--cell",
             defaultValue = "40",
-            description = "managers in a cell; 0: the fleet is one" + " (${DEFAULT-VALUE})")
+            description = "managers in a cell; 0: a fleet without cells" + " (${DEFAULT-VALUE})")
     private int cell;
 
     @Option(
             names = "--zones",
             defaultValue = "2",
-            description = "zones in which cells lie by turns" + " (${DEFAULT-VALUE})")
+            description = "number of zones, which cells take in turn" + " (${DEFAULT-VALUE})")
     private int zones;
 
     @Option(
             names = "--seed",
             defaultValue = "1",
-            description = "what chance draws (${DEFAULT-VALUE})")
+            description = "random seed (${DEFAULT-VALUE})")
     private long seed;
 
-    @Option(names = "--deep", description = "a mass restart and a day's restarts, too")
+    @Option(names = "--deep", description = "simulates a mass restart and a day's restarts, too")
     private boolean deep;
 
     @Option(
             names = "--bare",
-            description = "the membership alone, without the words of the rooms above")
+            description = "simulates the membership alone, without the digests of the fleet's decisions")
     private boolean bare;
 
     @Option(
             names = "--region",
             paramLabel = "MIN",
             description =
-                    "plays two regions that lose each other for so many minutes, and nothing"
-                            + " else")
+                    "simulates only two regions that are cut off from each other for this many"
+                            + " minutes")
     private Integer region;
 
     @Option(
             names = "--heap",
-            description = "what a manager's state takes of the heap, and nothing else")
+            description = "measures only the heap that the state of a manager takes")
     private boolean heap;
 
-    @Option(names = "--out", paramLabel = "DIR", description = "slopes.csv goes there")
+    @Option(names = "--out", paramLabel = "DIR", description = "folder for slopes.csv")
     private Path out;
 
     @Override
@@ -110,13 +110,13 @@
             throw new InvalidPlanException(
                     "--sizes: "
                             + size
-                            + " is impossible; up to 4000, whole cells of "
+                            + " is invalid; use 2 to 4000, in whole cells of "
                             + cell
-                            + ", would do");
+                            + " managers");
         }
         if (region != null && (region < 1 || region > MAX_REGION_MINUTES)) {
             throw new InvalidPlanException(
-                    "--region " + region + " is impossible; 1 to 1440 minutes would do");
+                    "--region " + region + " is out of range; use 1 to 1440 minutes");
         }
     }
 
@@ -146,7 +146,7 @@
     }
 
     private static void printSlopes(List<Map<String, Double>> rows) {
-        System.out.println("slopes, for a thousand managers more, and their standard error");
+        System.out.println("slopes for each further thousand managers, and their standard errors");
         rows.get(0).keySet().stream()
                 .skip(1)
                 .forEach(
--- a/src/main/java/firstage/cli/ServeCommand.java
+++ b/src/main/java/firstage/cli/ServeCommand.java
@@ -16,34 +16,40 @@
 import sun.misc.SignalHandler;
 
 /**
- * {@code serve}: one workload manager, until SIGTERM. What passes by itself does not fail a start
- * or a SIGHUP: a configuration that is cut or missing while it is replaced, an address that the
- * manager before still holds, a system that has no socket left for the moment. Each is logged once
- * and tried again for a stated time.
+ * {@code serve}: runs one workload manager until SIGTERM. Transient conditions do not fail a start
+ * or a reload on SIGHUP: a configuration that is truncated or missing while it is being replaced,
+ * an address that the previous manager still holds, a system that has no socket left for the
+ * moment. Each is logged once and retried for a fixed time.
  */
 final class ServeCommand {
     private static final Logger LOG = Logger.getLogger(ServeCommand.class.getName());
     private static final String CONFIG_FILE_VARIABLE = "ROUTER_CONFIG";
     private static final String PEERS_OPTION = "--peers";
 
-    /** A process that was killed under load holds its address until all it had is taken down. */
-    private static final long ADDRESS_PATIENCE_MS = 10_000;
+    /**
+     * Time for which binding the address is retried: a process that was killed under load holds its
+     * address until the system has released all its resources.
+     */
+    private static final long ADDRESS_RETRY_TIMEOUT_MS = 10_000;
 
-    private static final long DISK_PATIENCE_MS = 10_000;
+    private static final long DISK_RETRY_TIMEOUT_MS = 10_000;
     private static final long RETRY_DELAY_MS = 25;
     private static final long NANOS_PER_MS = 1_000_000;
 
-    /** A step of the start that may fail for a while. */
+    /** Step of the start that may fail for a while. */
     interface Step<T> {
         T run() throws IOException;
     }
 
     private final ConfigReloader reloader;
 
-    /** Null where none is named: then nothing of peers is read or loaded. */
+    /** Peers file; null if none is named, and then no classes and files for peers are loaded. */
     private final Path peersFile;
 
-    /** SIGTERM came; before it served, nothing was accepted and nothing is owed. */
+    /**
+     * Whether SIGTERM was received. Until the manager serves, it has accepted no request that it
+     * would have to answer.
+     */
     private volatile boolean terminated;
 
     private volatile boolean serving;
@@ -53,7 +59,7 @@
         this.peersFile = peersFile;
     }
 
-    /** Returns once it serves; ends the program where it can't. */
+    /** Returns once the manager serves; ends the program if it can't. */
     static void run(List<String> options) {
         try {
             ofOptions(options).start();
@@ -66,7 +72,7 @@
         boolean namesPeers = options.size() == 2 && options.get(0).equals(PEERS_OPTION);
         if (!options.isEmpty() && !namesPeers) {
             throw new MalformedLineException(
-                    "serve takes --peers FILE and nothing else, not " + String.join(" ", options));
+                    "serve takes only --peers FILE, not " + String.join(" ", options));
         }
         String configFile = System.getenv(CONFIG_FILE_VARIABLE);
         if (configFile == null) {
@@ -77,21 +83,22 @@
     }
 
     private void start() throws IOException {
-        // By itself a JVM ends on SIGHUP; one that ignores it once can't be told to listen again.
-        boolean hangUpIgnored =
+        // By default a JVM ends on SIGHUP; a JVM that was started with SIGHUP ignored can't be made
+        // to handle it.
+        boolean sigHupIgnored =
                 Signal.handle(new Signal("HUP"), signal -> reloader.requestReload())
                         == SignalHandler.SIG_IGN;
         ManagerConfig config = reloader.read();
         ManagerServer server = new ManagerServer(config, readPeers(config.name()));
         Signal.handle(new Signal("TERM"), signal -> onTerminate(server));
-        retryWhileTransient(ADDRESS_PATIENCE_MS, () -> startServer(server));
+        retryWhileTransient(ADDRESS_RETRY_TIMEOUT_MS, () -> startServer(server));
         serving = true;
         if (terminated) {
             server.shutDown();
         }
         Signal.handle(new Signal("USR2"), signal -> server.logCounters());
         reloader.start(server, config);
-        if (hangUpIgnored) {
+        if (sigHupIgnored) {
             reloader.watchFile();
         }
     }
@@ -101,9 +108,10 @@
             return null;
         }
         PeerConfig peers = PeersFileReader.read(peersFile, managerName);
-        // A disk that is full, or fails, for a while: the number must be there before it serves.
+        // A disk may be full or fail for a while, but the number must be stored before the manager
+        // serves.
         retry(
-                DISK_PATIENCE_MS,
+                DISK_RETRY_TIMEOUT_MS,
                 fault -> true,
                 () -> {
                     PlanNumberFile.store(peersFile, peers);
@@ -121,7 +129,8 @@
 
     private Void startServer(ManagerServer server) throws IOException {
         if (terminated) {
-            // A server that never listened has nothing to close, so the program would not end.
+            // A server that never listened has nothing to close, so that shutDown() would not end
+            // the program.
             LOG.info("asked to end before it served");
             System.exit(0);
         }
@@ -129,24 +138,27 @@
         return null;
     }
 
-    /** Runs a step, and again where it failed in a way that passes, for so many milliseconds. */
-    static <T> T retryWhileTransient(long patienceMs, Step<T> step) throws IOException {
-        return retry(patienceMs, ServeCommand::isTransient, step);
+    /**
+     * Runs a step, and repeats it for up to {@code timeoutMs} while it fails for a transient
+     * reason.
+     */
+    static <T> T retryWhileTransient(long timeoutMs, Step<T> step) throws IOException {
+        return retry(timeoutMs, ServeCommand::isTransient, step);
     }
 
-    private static <T> T retry(long patienceMs, Predicate<IOException> passes, Step<T> step)
+    private static <T> T retry(long timeoutMs, Predicate<IOException> isRetryable, Step<T> step)
             throws IOException {
-        long until = System.nanoTime() + patienceMs * NANOS_PER_MS;
+        long deadline = System.nanoTime() + timeoutMs * NANOS_PER_MS;
         boolean logged = false;
         while (true) {
             try {
                 return step.run();
             } catch (IOException fault) {
-                if (!passes.test(fault) || System.nanoTime() > until) {
+                if (!isRetryable.test(fault) || System.nanoTime() > deadline) {
                     throw fault;
                 }
                 if (!logged) {
-                    LOG.warning("tried again for " + patienceMs + " ms: " + Main.oneLine(fault));
+                    LOG.warning("tried again for " + timeoutMs + " ms: " + Main.oneLine(fault));
                     logged = true;
                 }
                 sleep(RETRY_DELAY_MS);
--- a/src/main/java/firstage/cli/ServeCommandLine.java
+++ b/src/main/java/firstage/cli/ServeCommandLine.java
@@ -6,7 +6,9 @@
 import java.nio.file.Path;
 import org.tomlj.Toml;
 
-/** How tools start managers: by the deploy file's {@code run}, else by a command of their own. */
+/**
+ * Command line with which tools start managers: {@code run} in the deploy file, or else a default.
+ */
 final class ServeCommandLine {
     private static final String DEFAULT_COMMAND =
             "java -Xmx64m -Xss512k -XX:+UseSerialGC -XX:TieredStopAtLevel=1"
@@ -15,14 +17,14 @@
     private ServeCommandLine() {}
 
     /**
-     * The command that starts a manager.
+     * Returns the command that starts a manager.
      *
-     * @param jar the program, which has to be there
+     * @param jar the program, which has to exist
      */
     static String of(Path jar) throws IOException {
         if (!Files.exists(jar)) {
             throw new InvalidPlanException(
-                    jar + " does not exist; mvn -q -DskipTests package makes it");
+                    jar + " does not exist; build it with mvn -q -DskipTests package");
         }
         Path deployFile = Path.of("deploy", "balancer.toml");
         return Files.exists(deployFile)
--- a/src/main/java/firstage/cli/ZonesCommand.java
+++ b/src/main/java/firstage/cli/ZonesCommand.java
@@ -8,25 +8,25 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * {@code zones}: an operator's order on a zone, sent to one manager of this machine and by it to
- * all.
+ * {@code zones}: sends an operator's order for a zone to one manager on this machine, which passes
+ * it on to all.
  */
 @Command(
         name = "zones",
         mixinStandardHelpOptions = true,
         description =
-                "Has the fleet leave a zone, hold it in whatever its health, or go by its health"
-                        + " again; docs/operators/zones.md.",
+                "Orders the fleet to leave a zone, to hold it in use regardless of its health, or to"
+                        + " decide by its health again; docs/operators/zones.md.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:the manager took it and tells the others",
-            "2:it can't be reached, or knows no such zone"
+            "0:the manager accepted the order and passes it on",
+            "2:the manager can't be reached, or knows no such zone"
         })
 final class ZonesCommand implements Callable<Integer> {
-    /** The order that takes an earlier one back. */
+    /** Order that revokes an earlier one. */
     private static final String NO_ORDER = "none";
 
-    /** What an operator may order, as it is typed. */
+    /** Orders as an operator types them. */
     private enum ZoneOrder {
         leave,
         hold,
@@ -36,26 +36,29 @@
     @Parameters(
             index = "0",
             paramLabel = "ADDRESS",
-            description = "where a manager's datagrams come in: listen of its peers file")
+            description = "address of a manager's datagrams: listen in its peers file")
     private String address;
 
     @Parameters(
             index = "1",
             paramLabel = "leave|hold|health",
-            description = "what is wanted: ${COMPLETION-CANDIDATES}")
-    private ZoneOrder wanted;
+            description = "the order: ${COMPLETION-CANDIDATES}")
+    private ZoneOrder requestedOrder;
 
-    @Parameters(index = "2", paramLabel = "ZONE", description = "its name in the settings")
+    @Parameters(index = "2", paramLabel = "ZONE", description = "name of the zone in the settings")
     private String zone;
 
-    /** Runs it; the exit code tells whether the manager took the order. */
+    /**
+     * Runs the command and returns the exit code, which tells whether the manager accepted the
+     * order.
+     */
     static int run(String[] args) {
         return CommandRunner.run(new ZonesCommand(), "zones", args);
     }
 
     @Override
     public Integer call() throws IOException {
-        String order = wanted == ZoneOrder.health ? NO_ORDER : wanted.name();
+        String order = requestedOrder == ZoneOrder.health ? NO_ORDER : requestedOrder.name();
         String response =
                 ManagerClient.request(
                         ManagerConfig.parseAddress(address),
