--- a/src/test/java/firstage/bench/BenchAdapterTest.java
+++ b/src/test/java/firstage/bench/BenchAdapterTest.java
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void unreadableLine_isSkippedAndReported_roundGoesOn() throws IOException {
+    void unreadableLine_isSkippedAndReported_roundContinues() throws IOException {
         String events = START.formatted("3", "false") + "INBOUND i=3 tier_class=0\nNEWS i=3\n";
         assertThat(replies(round(5, "1.0", events))).endsWith("FINISHED n=5\n");
         assertThat(errors.toString(StandardCharsets.UTF_8).lines())
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void failingManager_isToldInTheReply_withItsException() throws IOException {
+    void failingManager_isReportedInTheReply_withItsException() throws IOException {
         String events = START.formatted("3", "false") + REQUEST.replace("_class=0", "_class=9");
         assertThat(replies(round(6, "1.0", events)))
                 .contains("FATAL i=3 line=java.lang.IndexOutOfBoundsException")
--- a/src/test/java/firstage/cells/CellDirectoryTest.java
+++ b/src/test/java/firstage/cells/CellDirectoryTest.java
@@ -16,47 +16,50 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Who serves which engine, and how an engine goes from one cell to another: all orders of few
- * events.
+ * Tests which cell serves which engine, and how an engine moves from one cell to another, in all
+ * orders of a few events.
  */
 class CellDirectoryTest {
     private static final long SECOND = 10_000;
-    private static final CellPlan OLD = plan(1, true, true, false);
-    private static final CellPlan NEW = plan(2, false, true, true);
+    private static final CellPlan OLD_PLAN = plan(1, true, true, false);
+    private static final CellPlan NEW_PLAN = plan(2, false, true, true);
 
-    /** Three cells of one zone, the first of two managers. */
-    private static CellPlan plan(int number, boolean a, boolean b, boolean c) {
+    /** Returns a plan of three cells in one zone, the first of which has two managers. */
+    private static CellPlan plan(int number, boolean aServes, boolean bServes, boolean cServes) {
         return new CellPlan(
                 number,
                 1,
                 List.of(
-                        new Cell("a", "z", 2, a),
-                        new Cell("b", "z", 1, b),
-                        new Cell("c", "z", 1, c)));
+                        new Cell("a", "z", 2, aServes),
+                        new Cell("b", "z", 1, bServes),
+                        new Cell("c", "z", 1, cServes)));
     }
 
-    /** A manager without a membership: what it tells is kept, and heard by whom a test wants. */
+    /**
+     * A manager without a membership: the datagrams that it sends are kept, and a test delivers
+     * them to the managers that it chooses.
+     */
     private static final class Manager implements CellActions {
         private final String name;
         private final int cell;
         private final int slot;
-        private final InjectedDefect fault;
+        private final InjectedDefect defect;
         private CellDirectory cells;
-        private final List<byte[]> told = new ArrayList<>();
-        private int freed;
+        private final List<byte[]> sentDatagrams = new ArrayList<>();
+        private int releaseCalls;
 
-        private Manager(String name, int cell, int slot, InjectedDefect fault) {
+        private Manager(String name, int cell, int slot, InjectedDefect defect) {
             this.name = name;
             this.cell = cell;
             this.slot = slot;
-            this.fault = fault;
+            this.defect = defect;
         }
 
-        private void start(CellPlan plan, CellPlan before) {
+        private void start(CellPlan plan, CellPlan previousPlan) {
             cells =
                     new CellDirectory(
                             plan,
-                            before,
+                            previousPlan,
                             cell,
                             slot,
                             name,
@@ -64,23 +67,23 @@
                             1_000_000,
                             RandomGeneratorFactory.of("L64X128MixRandom").create(name.hashCode()),
                             this,
-                            fault);
+                            defect);
             cells.onViewChanged(cell == 0 ? List.of("a0", "a1") : List.of(name));
         }
 
         @Override
         public void send(int toCell, int toSlot, byte[] datagram) {
-            told.add(datagram);
+            sentDatagrams.add(datagram);
         }
 
         @Override
         public void enginesReleased(long now) {
-            freed++;
+            releaseCalls++;
         }
 
         @Override
-        public void logCellEvent(long now, String what, String of, String why) {
-            // Not looked at.
+        public void logCellEvent(long now, String event, String cellName, String reason) {
+            // Not checked by these tests.
         }
 
         @Override
@@ -89,96 +92,97 @@
         }
     }
 
-    private static final class Group {
-        private final List<Manager> all;
+    private static final class Fleet {
+        private final List<Manager> managers;
         private long now = 100 * SECOND;
 
-        private Group(InjectedDefect fault) {
-            all =
+        private Fleet(InjectedDefect defect) {
+            managers =
                     List.of(
-                            new Manager("a0", 0, 0, fault),
-                            new Manager("a1", 0, 1, fault),
-                            new Manager("b0", 1, 0, fault),
-                            new Manager("c0", 2, 0, fault));
-            all.forEach(m -> m.start(OLD, null));
-            pass();
+                            new Manager("a0", 0, 0, defect),
+                            new Manager("a1", 0, 1, defect),
+                            new Manager("b0", 1, 0, defect),
+                            new Manager("c0", 2, 0, defect));
+            managers.forEach(m -> m.start(OLD_PLAN, null));
+            advance();
         }
 
-        private void pass() {
+        private void advance() {
             for (int i = 0; i < 8; i++) {
                 now += SECOND;
-                all.forEach(m -> m.cells.tick(now));
+                managers.forEach(m -> m.cells.tick(now));
             }
         }
 
-        private void within(int from, int to) {
-            all.get(to)
+        private void deliverDigest(int from, int to) {
+            managers.get(to)
                     .cells
                     .onDigest(
-                            now, all.get(from).slot, all.get(from).cells.encodeDigest(new byte[0]));
+                            now, managers.get(from).slot, managers.get(from).cells.encodeDigest(new byte[0]));
         }
 
-        /** All that this one ever told, or the last of it, comes now. */
-        private void across(int from, int to, boolean first) {
-            List<byte[]> told = all.get(from).told;
-            if (!told.isEmpty()) {
-                all.get(to).cells.onDatagram(now, told.get(first ? 0 : told.size() - 1));
+        /** Delivers the first or the last datagram that a manager has sent. */
+        private void deliverDatagram(int from, int to, boolean first) {
+            List<byte[]> sentDatagrams = managers.get(from).sentDatagrams;
+            if (!sentDatagrams.isEmpty()) {
+                managers.get(to).cells.onDatagram(now, sentDatagrams.get(first ? 0 : sentDatagrams.size() - 1));
             }
         }
 
+        /** Plays an event: 0 to 3 restart a manager with the new plan, 4 to 7 deliver messages. */
         private void play(int event) {
             switch (event) {
-                case 0, 1, 2, 3 -> all.get(event).start(NEW, OLD);
-                case 4 -> within(0, 1);
-                case 5 -> within(1, 0);
+                case 0, 1, 2, 3 -> managers.get(event).start(NEW_PLAN, OLD_PLAN);
+                case 4 -> deliverDigest(0, 1);
+                case 5 -> deliverDigest(1, 0);
                 case 6 -> {
-                    across(0, 3, false);
-                    across(0, 2, false);
+                    deliverDatagram(0, 3, false);
+                    deliverDatagram(0, 2, false);
                 }
                 default -> {
-                    across(1, 3, false);
-                    across(1, 2, true);
-                    across(0, 3, true);
-                    across(2, 3, false);
+                    deliverDatagram(1, 3, false);
+                    deliverDatagram(1, 2, true);
+                    deliverDatagram(0, 3, true);
+                    deliverDatagram(2, 3, false);
                 }
             }
-            pass();
+            advance();
         }
 
-        private double sum(long engine) {
+        private double shareSum(long engine) {
             double sum = 0;
-            for (Manager m : all) {
-                sum += m.cells.mayUse(engine, "z") ? OLD.share(m.cell) : 0;
+            for (Manager m : managers) {
+                sum += m.cells.mayUse(engine, "z") ? OLD_PLAN.share(m.cell) : 0;
             }
             return sum;
         }
     }
 
-    /** Some that move from the first cell to the third, and some that stay. */
+    /** Engines whose cell differs between the two plans. */
     private static final long[] ENGINES =
             LongStream.range(1, 40)
-                    .filter(e -> !OLD.servingCells(e, "z").equals(NEW.servingCells(e, "z")))
+                    .filter(e -> !OLD_PLAN.servingCells(e, "z").equals(NEW_PLAN.servingCells(e, "z")))
                     .limit(3)
                     .toArray();
 
-    private static double worst(int depth, InjectedDefect fault) {
+    private static double maxShareSum(int depth, InjectedDefect defect) {
         return IntStream.range(0, 1 << 3 * depth)
                 .parallel()
                 .mapToDouble(
                         order -> {
-                            Group g = new Group(fault);
-                            double worst = 0;
+                            Fleet fleet = new Fleet(defect);
+                            double maxShareSum = 0;
                             for (int i = 0; i < depth; i++) {
-                                g.play(order >> 3 * i & 7);
-                                worst =
+                                fleet.play(order >> 3 * i & 7);
+                                maxShareSum =
                                         Math.max(
-                                                worst,
+                                                maxShareSum,
                                                 Arrays.stream(ENGINES)
-                                                        .mapToDouble(g::sum)
+                                                        .mapToDouble(fleet::shareSum)
                                                         .max()
                                                         .orElse(0));
                             }
-                            return worst;
+                            return maxShareSum;
                         })
                 .max()
                 .orElse(0);
@@ -187,107 +191,108 @@
     @Test
     void mayUse_anyOrderOfFiveEvents_atMostTheWhole() {
         assertThat(ENGINES).hasSize(3);
-        assertThat(worst(Integer.getInteger("firstage.cells", 5), InjectedDefect.NONE))
+        assertThat(maxShareSum(Integer.getInteger("firstage.cells", 5), InjectedDefect.NONE))
                 .isLessThanOrEqualTo(1 + 1e-9);
     }
 
     @ParameterizedTest
     @CsvSource({"GAINS_BEFORE_RELEASE", "SILENT_MANAGERS_IGNORED"})
-    void mayUse_injectedDefect_exceedsTheWhole(InjectedDefect fault) {
-        assertThat(worst(4, fault)).isGreaterThan(1 + 1e-9);
+    void mayUse_injectedDefect_exceedsTheWhole(InjectedDefect defect) {
+        assertThat(maxShareSum(4, defect)).isGreaterThan(1 + 1e-9);
     }
 
     /**
-     * Each manager holds whichever plan it likes, and believes whatever it heard: the rule rests on
-     * nobody's word.
+     * Returns the sum of the warm-up shares of an engine where every manager takes the larger of
+     * its shares by the two plans: the limit has to hold whichever plan each manager holds, and
+     * whatever messages it has received.
      */
-    private static double coldParts(CellPlan was, CellPlan is, long engine, InjectedDefect fault) {
+    private static double warmUpShareSum(CellPlan previousPlan, CellPlan plan, long engine, InjectedDefect defect) {
         double sum = 0;
-        for (int c = 0; c < is.cells().size(); c++) {
-            double old = was.serves(c, engine, "n") ? was.warmUpShare(null, c, engine, "n") : 0;
-            double now = 0;
-            if (is.serves(c, engine, "n")) {
+        for (int cell = 0; cell < plan.cells().size(); cell++) {
+            double previousShare = previousPlan.serves(cell, engine, "n") ? previousPlan.warmUpShare(null, cell, engine, "n") : 0;
+            double newShare = 0;
+            if (plan.serves(cell, engine, "n")) {
                 CellDirectory cells =
                         new CellDirectory(
-                                is,
-                                was,
-                                c,
+                                plan,
+                                previousPlan,
+                                cell,
                                 0,
                                 "x",
                                 "f",
                                 1,
-                                RandomGeneratorFactory.of("L64X128MixRandom").create(c),
-                                new Manager("x", c, 0, fault),
-                                fault);
-                now = cells.warmUpShare(engine, "n");
+                                RandomGeneratorFactory.of("L64X128MixRandom").create(cell),
+                                new Manager("x", cell, 0, defect),
+                                defect);
+                newShare = cells.warmUpShare(engine, "n");
             }
-            sum += is.cells().get(c).slots() * Math.max(old, now);
+            sum += plan.cells().get(cell).slots() * Math.max(previousShare, newShare);
         }
         return sum;
     }
 
-    private static double worstColdParts(InjectedDefect fault) {
-        Random chance = new Random(11);
-        double worst = 0;
+    private static double maxWarmUpShareSum(InjectedDefect defect) {
+        Random random = new Random(11);
+        double maxShareSum = 0;
         for (int i = 0; i < 300; i++) {
-            int spread = 1 + chance.nextInt(4);
-            int count = spread + 1 + chance.nextInt(6);
-            List<Cell> was = new ArrayList<>();
-            List<Cell> is = new ArrayList<>();
+            int spread = 1 + random.nextInt(4);
+            int count = spread + 1 + random.nextInt(6);
+            List<Cell> previousCells = new ArrayList<>();
+            List<Cell> newCells = new ArrayList<>();
             for (int c = 0; c < count; c++) {
-                int slots = 1 + chance.nextInt(60);
-                was.add(new Cell("c" + c, "n", slots, c < spread || chance.nextInt(4) > 0));
-                is.add(new Cell("c" + c, "n", slots, c >= count - spread || chance.nextInt(4) > 0));
+                int slots = 1 + random.nextInt(60);
+                previousCells.add(new Cell("c" + c, "n", slots, c < spread || random.nextInt(4) > 0));
+                newCells.add(new Cell("c" + c, "n", slots, c >= count - spread || random.nextInt(4) > 0));
             }
-            int more = 1 + chance.nextInt(60);
-            was.add(new Cell("new", "n", more, false));
-            is.add(new Cell("new", "n", more, true));
-            for (long e = 1; e <= 20; e++) {
-                worst =
+            int addedSlots = 1 + random.nextInt(60);
+            previousCells.add(new Cell("new", "n", addedSlots, false));
+            newCells.add(new Cell("new", "n", addedSlots, true));
+            for (long engine = 1; engine <= 20; engine++) {
+                maxShareSum =
                         Math.max(
-                                worst,
-                                coldParts(
-                                        new CellPlan(1, spread, was),
-                                        new CellPlan(2, spread, is),
-                                        e,
-                                        fault));
+                                maxShareSum,
+                                warmUpShareSum(
+                                        new CellPlan(1, spread, previousCells),
+                                        new CellPlan(2, spread, newCells),
+                                        engine,
+                                        defect));
             }
         }
-        return worst;
+        return maxShareSum;
     }
 
     @Test
     void warmUpShare_anyPlansHeld_atMostTheWhole() {
-        assertThat(worstColdParts(InjectedDefect.NONE)).isBetween(0.99, 1 + 1e-9);
-        assertThat(worstColdParts(InjectedDefect.GAINS_WARM_UP_SHARE)).isGreaterThan(1.5);
+        assertThat(maxWarmUpShareSum(InjectedDefect.NONE)).isBetween(0.99, 1 + 1e-9);
+        assertThat(maxWarmUpShareSum(InjectedDefect.GAINS_WARM_UP_SHARE)).isGreaterThan(1.5);
     }
 
     @Test
     void mayUse_allFormerCellsReleased_takenOver() {
-        Group g = new Group(InjectedDefect.NONE);
-        long moves =
+        Fleet fleet = new Fleet(InjectedDefect.NONE);
+        long movedEngine =
                 LongStream.range(1, 100)
                         .filter(
                                 e ->
-                                        OLD.servingCells(e, "z").equals(List.of(0))
-                                                && NEW.servingCells(e, "z").equals(List.of(2)))
+                                        OLD_PLAN.servingCells(e, "z").equals(List.of(0))
+                                                && NEW_PLAN.servingCells(e, "z").equals(List.of(2)))
                         .findFirst()
                         .orElseThrow();
-        assertThat(g.all.get(0).cells.mayUse(moves, "z")).isTrue();
+        assertThat(fleet.managers.get(0).cells.mayUse(movedEngine, "z")).isTrue();
         for (int e = 0; e < 4; e++) {
-            g.play(e);
+            fleet.play(e);
         }
-        assertThat(g.all.get(3).cells.mayUse(moves, "z")).isFalse();
-        assertThat(g.all.get(3).cells.awaits(moves, "z")).isTrue();
+        assertThat(fleet.managers.get(3).cells.mayUse(movedEngine, "z")).isFalse();
+        assertThat(fleet.managers.get(3).cells.awaits(movedEngine, "z")).isTrue();
         for (int i = 0; i < 3; i++) {
-            g.play(4);
-            g.play(5);
-            g.play(6);
-            g.play(7);
+            fleet.play(4);
+            fleet.play(5);
+            fleet.play(6);
+            fleet.play(7);
         }
-        assertThat(g.all.get(3).cells.mayUse(moves, "z")).isTrue();
-        assertThat(g.all.get(3).freed).isPositive();
-        assertThat(g.sum(moves)).isEqualTo(1);
+        assertThat(fleet.managers.get(3).cells.mayUse(movedEngine, "z")).isTrue();
+        assertThat(fleet.managers.get(3).releaseCalls).isPositive();
+        assertThat(fleet.shareSum(movedEngine)).isEqualTo(1);
     }
 
     @Test
@@ -300,17 +305,18 @@
                                 .mapToObj(c -> new Cell("c" + c, c % 2 == 0 ? "n" : "s", 40, true))
                                 .toList());
         int[] served = new int[26];
-        for (long e = 1; e <= 1_720; e++) {
-            String zone = e % 2 == 0 ? "n" : "s";
-            List<Integer> by = plan.servingCells(e, zone);
-            assertThat(by).hasSize(4).allMatch(c -> plan.cells().get(c).zone().equals(zone));
+        for (long engine = 1; engine <= 1_720; engine++) {
+            String zone = engine % 2 == 0 ? "n" : "s";
+            List<Integer> serving = plan.servingCells(engine, zone);
+            assertThat(serving).hasSize(4).allMatch(c -> plan.cells().get(c).zone().equals(zone));
             for (int c = 0; c < 26; c++) {
-                assertThat(plan.serves(c, e, zone)).isEqualTo(by.contains(c));
-                served[c] += by.contains(c) ? 1 : 0;
+                assertThat(plan.serves(c, engine, zone)).isEqualTo(serving.contains(c));
+                served[c] += serving.contains(c) ? 1 : 0;
             }
-            assertThat(by.stream().mapToDouble(c -> 40 * plan.share(c)).sum()).isEqualTo(1);
+            assertThat(serving.stream().mapToDouble(c -> 40 * plan.share(c)).sum()).isEqualTo(1);
         }
-        // 860 engines a zone, four cells each, over 13: 265 on the mean.
+        // 860 engines in each zone, four cells for each engine, 13 cells in each zone: 265 on
+        // average.
         assertThat(Arrays.stream(served)).allMatch(n -> n > 215 && n < 315);
     }
 
@@ -319,12 +325,12 @@
         CellPlan before = new CellPlan(1, 2, cells(8));
         CellPlan after = new CellPlan(2, 2, cells(9));
         int moved = 0;
-        for (long e = 1; e <= 900; e++) {
-            List<Integer> was = before.servingCells(e, "n");
-            List<Integer> is = after.servingCells(e, "n");
-            if (!was.containsAll(is)) {
-                assertThat(is).contains(8);
-                assertThat(is.stream().filter(c -> c != 8)).allMatch(was::contains);
+        for (long engine = 1; engine <= 900; engine++) {
+            List<Integer> servingBefore = before.servingCells(engine, "n");
+            List<Integer> servingAfter = after.servingCells(engine, "n");
+            if (!servingBefore.containsAll(servingAfter)) {
+                assertThat(servingAfter).contains(8);
+                assertThat(servingAfter.stream().filter(c -> c != 8)).allMatch(servingBefore::contains);
                 moved++;
             }
         }
@@ -337,22 +343,22 @@
 
     @Test
     void onDatagram_malformedOrForeign_changesNothing() {
-        Group g = new Group(InjectedDefect.NONE);
-        CellDirectory a = g.all.get(0).cells;
-        byte[] good = g.all.get(2).told.get(0);
-        for (int length = 0; length < good.length; length++) {
-            a.onDatagram(g.now, Arrays.copyOf(good, length));
-            a.onDigest(g.now, 1, Arrays.copyOf(good, length));
+        Fleet fleet = new Fleet(InjectedDefect.NONE);
+        CellDirectory receiver = fleet.managers.get(0).cells;
+        byte[] valid = fleet.managers.get(2).sentDatagrams.get(0);
+        for (int length = 0; length < valid.length; length++) {
+            receiver.onDatagram(fleet.now, Arrays.copyOf(valid, length));
+            receiver.onDigest(fleet.now, 1, Arrays.copyOf(valid, length));
         }
-        Random chance = new Random(5);
+        Random random = new Random(5);
         for (int i = 0; i < 5_000; i++) {
-            byte[] bad = good.clone();
-            bad[chance.nextInt(13)] ^= (byte) (1 << chance.nextInt(8));
-            a.onDatagram(g.now, bad);
+            byte[] corrupted = valid.clone();
+            corrupted[random.nextInt(13)] ^= (byte) (1 << random.nextInt(8));
+            receiver.onDatagram(fleet.now, corrupted);
         }
-        assertThat(a.rejectedMessages())
+        assertThat(receiver.rejectedMessages())
                 .containsKeys("another form", "another fleet", "another plan of this number");
-        CellDirectory other =
+        CellDirectory holderOfOtherPlan =
                 new CellDirectory(
                         plan(1, true, true, true),
                         null,
@@ -362,35 +368,35 @@
                         "f",
                         1_000_000,
                         RandomGeneratorFactory.of("L64X128MixRandom").create(1),
-                        g.all.get(2),
+                        fleet.managers.get(2),
                         InjectedDefect.NONE);
-        assertThat(other.onDigest(g.now, 0, a.encodeDigest(new byte[] {7}))).isEmpty();
-        assertThat(a.onDigest(g.now, 1, g.all.get(1).cells.encodeDigest(new byte[] {7})))
+        assertThat(holderOfOtherPlan.onDigest(fleet.now, 0, receiver.encodeDigest(new byte[] {7}))).isEmpty();
+        assertThat(receiver.onDigest(fleet.now, 1, fleet.managers.get(1).cells.encodeDigest(new byte[] {7})))
                 .containsExactly(7);
     }
 
     @Test
     void filter_awaitedEngines_keptAndNothingElse() {
-        Group g = new Group(InjectedDefect.NONE);
-        Manager c = g.all.get(3);
-        c.start(NEW, OLD);
-        EngineSubset<Long> sieve = new EngineSubset<>(c.cells, e -> e, e -> "z", e -> false);
+        Fleet fleet = new Fleet(InjectedDefect.NONE);
+        Manager gainer = fleet.managers.get(3);
+        gainer.start(NEW_PLAN, OLD_PLAN);
+        EngineSubset<Long> subset = new EngineSubset<>(gainer.cells, e -> e, e -> "z", e -> false);
         List<Long> engines = LongStream.range(1, 200).boxed().toList();
-        List<Long> mine =
-                engines.stream().filter(e -> NEW.servingCells(e, "z").equals(List.of(2))).toList();
-        assertThat(sieve.filter(true, engines)).isEmpty();
-        assertThat(sieve.awaitedCount()).isEqualTo(mine.size()).isBetween(60, 140);
+        List<Long> ownEngines =
+                engines.stream().filter(e -> NEW_PLAN.servingCells(e, "z").equals(List.of(2))).toList();
+        assertThat(subset.filter(true, engines)).isEmpty();
+        assertThat(subset.awaitedCount()).isEqualTo(ownEngines.size()).isBetween(60, 140);
         for (int e = 0; e < 3; e++) {
-            g.play(e);
+            fleet.play(e);
         }
         for (int i = 0; i < 3; i++) {
-            g.play(4);
-            g.play(5);
-            g.play(6);
-            g.play(7);
+            fleet.play(4);
+            fleet.play(5);
+            fleet.play(6);
+            fleet.play(7);
         }
-        assertThat(sieve.takeReleased()).isEqualTo(mine);
-        assertThat(sieve.awaitedCount()).isZero();
-        assertThat(sieve.filter(false, engines)).isEqualTo(mine);
+        assertThat(subset.takeReleased()).isEqualTo(ownEngines);
+        assertThat(subset.awaitedCount()).isZero();
+        assertThat(subset.filter(false, engines)).isEqualTo(ownEngines);
     }
 }
--- a/src/test/java/firstage/cells/SimulatedCellsTest.java
+++ b/src/test/java/firstage/cells/SimulatedCellsTest.java
@@ -21,160 +21,166 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Cells in virtual time: deputies killed, cells dead and cut, a region alone, plans changed under
- * loss.
+ * Tests cells in virtual time: delegates killed, a cell dead or cut in two, a region cut off, plans
+ * changed while messages are lost.
  */
 class SimulatedCellsTest {
     private static final long SECOND = 10_000;
 
-    private static SimulatedCells field(int managers, int cell, InjectedDefect fault) {
-        SimulatedCells f = new SimulatedCells(new Shape(managers, cell, 2, 1, true, 400, fault), 7);
-        f.start(SECOND);
-        assertThat(f.timeUntilAgreed(20 * SECOND)).isNotNegative();
-        f.advance(30 * SECOND);
-        return f;
+    private static SimulatedCells startFleet(int managers, int cellSize, InjectedDefect defect) {
+        SimulatedCells fleet = new SimulatedCells(new Shape(managers, cellSize, 2, 1, true, 400, defect), 7);
+        fleet.start(SECOND);
+        assertThat(fleet.timeUntilAgreed(20 * SECOND)).isNotNegative();
+        fleet.advance(30 * SECOND);
+        return fleet;
     }
 
-    private static CellStatus known(SimulatedCells f, int by, int cell) {
-        return f.hosts().get(by).cellDirectory().cells(f.events().now()).get(cell);
+    private static CellStatus statusOf(SimulatedCells fleet, int observer, int cell) {
+        return fleet.hosts().get(observer).cellDirectory().cells(fleet.events().now()).get(cell);
     }
 
-    private static List<ManagerHost> of(SimulatedCells f, int cell) {
-        return f.hosts().stream().filter(p -> p.cell() == cell).toList();
+    private static List<ManagerHost> managersOf(SimulatedCells fleet, int cell) {
+        return fleet.hosts().stream().filter(manager -> manager.cell() == cell).toList();
     }
 
     @Test
     void cells_calmFleet_allKnownWithAliveManagers() {
-        SimulatedCells f = field(32, 8, InjectedDefect.NONE);
-        for (ManagerHost p : f.hosts()) {
-            assertThat(p.cellDirectory().cells(f.events().now()))
-                    .allMatch(k -> k.state() == CellState.ACTIVE && k.aliveManagers() == 8);
+        SimulatedCells fleet = startFleet(32, 8, InjectedDefect.NONE);
+        for (ManagerHost manager : fleet.hosts()) {
+            assertThat(manager.cellDirectory().cells(fleet.events().now()))
+                    .allMatch(status -> status.state() == CellState.ACTIVE && status.aliveManagers() == 8);
         }
     }
 
     /**
-     * The deputies by rendezvous, all killed at once: others take their place, and with the fault
-     * nobody does.
+     * All delegates of a cell are killed at once: other managers take their place. With the
+     * injected defect none does.
      */
     @ParameterizedTest
     @EnumSource(
             value = InjectedDefect.class,
             names = {"NONE", "FIXED_DELEGATES"})
-    void cells_allDelegatesKilled_cellStillHeard(InjectedDefect fault) {
-        SimulatedCells f = field(32, 8, fault);
-        List<String> names = of(f, 1).stream().map(p -> p.membership().name()).toList();
-        of(f, 1).stream()
+    void cells_allDelegatesKilled_cellStillHeard(InjectedDefect defect) {
+        SimulatedCells fleet = startFleet(32, 8, defect);
+        List<String> names = managersOf(fleet, 1).stream().map(manager -> manager.membership().name()).toList();
+        managersOf(fleet, 1).stream()
                 .sorted(
                         Comparator.comparing(
-                                p -> RendezvousHash.countBefore(1, names, p.membership().name())))
+                                manager -> RendezvousHash.countBefore(1, names, manager.membership().name())))
                 .limit(3)
                 .toList()
                 .forEach(ManagerHost::kill);
-        f.advance(45 * SECOND);
-        assertThat(known(f, 0, 1).state())
-                .isEqualTo(fault == InjectedDefect.NONE ? CellState.ACTIVE : CellState.SILENT);
-        if (fault == InjectedDefect.NONE) {
-            assertThat(known(f, 0, 1).aliveManagers()).isEqualTo(5);
+        fleet.advance(45 * SECOND);
+        assertThat(statusOf(fleet, 0, 1).state())
+                .isEqualTo(defect == InjectedDefect.NONE ? CellState.ACTIVE : CellState.SILENT);
+        if (defect == InjectedDefect.NONE) {
+            assertThat(statusOf(fleet, 0, 1).aliveManagers()).isEqualTo(5);
         }
     }
 
-    /** With the fault old rows, told on and on, keep a dead cell alive. */
+    /**
+     * With the injected defect, managers keep a dead cell alive by passing its old rows on again
+     * and again.
+     */
     @ParameterizedTest
     @EnumSource(
             value = InjectedDefect.class,
             names = {"NONE", "OLDER_ROW_WINS"})
-    void cells_wholeCellDies_silentThenHeardAgain(InjectedDefect fault) {
-        SimulatedCells f = field(32, 8, fault);
-        of(f, 1).forEach(ManagerHost::kill);
-        f.advance(60 * SECOND);
-        List<ManagerHost> others = f.hosts().stream().filter(ManagerHost::up).toList();
-        if (fault != InjectedDefect.NONE) {
+    void cells_wholeCellDies_silentThenHeardAgain(InjectedDefect defect) {
+        SimulatedCells fleet = startFleet(32, 8, defect);
+        managersOf(fleet, 1).forEach(ManagerHost::kill);
+        fleet.advance(60 * SECOND);
+        List<ManagerHost> others = fleet.hosts().stream().filter(ManagerHost::up).toList();
+        if (defect != InjectedDefect.NONE) {
             assertThat(others)
                     .anyMatch(
-                            p ->
-                                    p.cellDirectory().cells(f.events().now()).get(1).state()
+                            manager ->
+                                    manager.cellDirectory().cells(fleet.events().now()).get(1).state()
                                             == CellState.ACTIVE);
             return;
         }
         assertThat(others)
                 .allMatch(
-                        p ->
-                                p.cellDirectory().cells(f.events().now()).get(1).state()
+                        manager ->
+                                manager.cellDirectory().cells(fleet.events().now()).get(1).state()
                                         == CellState.SILENT);
-        of(f, 1).forEach(ManagerHost::start);
-        f.advance(20 * SECOND);
+        managersOf(fleet, 1).forEach(ManagerHost::start);
+        fleet.advance(20 * SECOND);
         assertThat(others)
                 .allMatch(
-                        p ->
-                                p.cellDirectory().cells(f.events().now()).get(1).state()
+                        manager ->
+                                manager.cellDirectory().cells(fleet.events().now()).get(1).state()
                                         == CellState.ACTIVE);
     }
 
-    /** No part takes what the other uses; healed, they are one again. */
+    /**
+     * Neither part takes the shares that the other uses; after the partition heals, the cell has
+     * one view again.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 4})
-    void shares_cellCutInTwo_atMostTheWhole(int apart) {
-        SimulatedCells f = field(24, 8, InjectedDefect.NONE);
-        f.setPartition(p -> p < apart, true);
+    void shares_cellCutInTwo_atMostTheWhole(int isolated) {
+        SimulatedCells fleet = startFleet(24, 8, InjectedDefect.NONE);
+        fleet.setPartition(manager -> manager < isolated, true);
         for (int i = 0; i < 120; i++) {
-            f.advance(SECOND / 2);
-            assertThat(of(f, 0).stream().mapToDouble(ManagerHost::share).sum())
+            fleet.advance(SECOND / 2);
+            assertThat(managersOf(fleet, 0).stream().mapToDouble(ManagerHost::share).sum())
                     .isLessThanOrEqualTo(1 + 1e-9);
         }
-        // Of eight, four are enough to keep all, fewer keep half, and five take of the other half
-        // what they may.
-        assertThat(of(f, 0).stream().mapToDouble(ManagerHost::share).sum()).isGreaterThan(0.9);
-        assertThat(of(f, 0).get(0).share()).isEqualTo(apart < 4 ? 0.0625 : 0.125);
-        assertThat(of(f, 1).stream().mapToDouble(ManagerHost::share).sum()).isEqualTo(1);
-        f.setPartition(p -> false, false);
-        assertThat(f.timeUntilAgreed(10 * SECOND)).isNotNegative();
-        f.advance(20 * SECOND);
-        assertThat(of(f, 0).stream().mapToDouble(ManagerHost::share).sum()).isGreaterThan(1 - 1e-9);
+        // Of eight managers, four are enough to keep their whole shares. Fewer keep half of theirs,
+        // and a majority of at least five takes what it may of the other half.
+        assertThat(managersOf(fleet, 0).stream().mapToDouble(ManagerHost::share).sum()).isGreaterThan(0.9);
+        assertThat(managersOf(fleet, 0).get(0).share()).isEqualTo(isolated < 4 ? 0.0625 : 0.125);
+        assertThat(managersOf(fleet, 1).stream().mapToDouble(ManagerHost::share).sum()).isEqualTo(1);
+        fleet.setPartition(manager -> false, false);
+        assertThat(fleet.timeUntilAgreed(10 * SECOND)).isNotNegative();
+        fleet.advance(20 * SECOND);
+        assertThat(managersOf(fleet, 0).stream().mapToDouble(ManagerHost::share).sum()).isGreaterThan(1 - 1e-9);
     }
 
     /**
-     * Majorities lie within cells, so a region that is alone keeps all of its slices; coming back
-     * costs no burst.
+     * Majorities are formed within cells, so a region that is cut off keeps all of its slices, and
+     * its return causes no burst of messages.
      */
     @Test
     void shares_regionCutOff_keptAndNoBurstAfter() {
-        SimulatedCells f = field(48, 8, InjectedDefect.NONE);
-        long usual = seconds(f, 10);
-        // Every other cell is of the one region, as the zones are.
-        f.setPartition(p -> p / 8 % 2 == 0, true);
-        f.advance(120 * SECOND);
-        assertThat(f.quotaInForce()).isEqualTo(1);
-        assertThat(known(f, 0, 1).state()).isEqualTo(CellState.SILENT);
-        assertThat(known(f, 0, 2).state()).isEqualTo(CellState.ACTIVE);
-        f.setPartition(p -> false, false);
-        assertThat(seconds(f, 10)).isLessThan(usual * 6 / 5);
-        f.advance(20 * SECOND);
-        assertThat(IntStream.range(0, 6)).allMatch(c -> known(f, 0, c).state() == CellState.ACTIVE);
+        SimulatedCells fleet = startFleet(48, 8, InjectedDefect.NONE);
+        long usualBytes = bytesInSeconds(fleet, 10);
+        // Cells alternate between the two regions, as they do between the zones.
+        fleet.setPartition(manager -> manager / 8 % 2 == 0, true);
+        fleet.advance(120 * SECOND);
+        assertThat(fleet.quotaInForce()).isEqualTo(1);
+        assertThat(statusOf(fleet, 0, 1).state()).isEqualTo(CellState.SILENT);
+        assertThat(statusOf(fleet, 0, 2).state()).isEqualTo(CellState.ACTIVE);
+        fleet.setPartition(manager -> false, false);
+        assertThat(bytesInSeconds(fleet, 10)).isLessThan(usualBytes * 6 / 5);
+        fleet.advance(20 * SECOND);
+        assertThat(IntStream.range(0, 6)).allMatch(c -> statusOf(fleet, 0, c).state() == CellState.ACTIVE);
     }
 
-    private static long seconds(SimulatedCells f, int count) {
-        long before = f.bytesByKind().values().stream().mapToLong(b -> b).sum();
-        f.advance(count * SECOND);
-        return f.bytesByKind().values().stream().mapToLong(b -> b).sum() - before;
+    private static long bytesInSeconds(SimulatedCells fleet, int seconds) {
+        long before = fleet.bytesByKind().values().stream().mapToLong(b -> b).sum();
+        fleet.advance(seconds * SECOND);
+        return fleet.bytesByKind().values().stream().mapToLong(b -> b).sum() - before;
     }
 
     /**
-     * Managers are killed and started anew with the next plan, under loss and cuts: parts by leases
-     * stay within.
+     * Managers are killed and restarted with the next plan while messages are lost and links are
+     * cut: the shares by leases never add up to more than the whole.
      */
     @ParameterizedTest
     @EnumSource(
             value = InjectedDefect.class,
             names = {"NONE", "GAINS_BEFORE_RELEASE"})
-    void shares_planChange_atMostTheWhole(InjectedDefect fault) {
-        double worst = 0;
-        double last = 0;
+    void shares_planChange_atMostTheWhole(InjectedDefect defect) {
+        double largestSum = 0;
+        double finalSum = 0;
         for (int seed = 0; seed < 4; seed++) {
-            SimulatedCells f = new SimulatedCells(new Shape(24, 4, 2, 2, false, 400, fault), seed);
-            f.start(SECOND);
-            f.advance(10 * SECOND);
-            f.setLossProbability(0.2);
-            // Six cells; the one before the last goes, so its engines are taken over.
+            SimulatedCells fleet = new SimulatedCells(new Shape(24, 4, 2, 2, false, 400, defect), seed);
+            fleet.start(SECOND);
+            fleet.advance(10 * SECOND);
+            fleet.setLossProbability(0.2);
+            // Six cells; the last but one stops serving, so that others take over its engines.
             CellPlan next =
                     new CellPlan(
                             2,
@@ -188,40 +194,40 @@
                                                             c.slots(),
                                                             !c.name().equals("c4")))
                                     .toList());
-            List<ManagerHost> order = new ArrayList<>(f.hosts());
+            List<ManagerHost> order = new ArrayList<>(fleet.hosts());
             Collections.shuffle(order, new Random(seed));
-            for (ManagerHost p : order) {
-                f.setPartition(q -> q % 7 == 3, f.random().nextInt(4) == 0);
-                p.kill();
-                f.advance(f.random().nextLong(SECOND));
-                p.start(next);
-                f.advance(f.random().nextLong(4 * SECOND));
-                worst = Math.max(worst, most(f));
+            for (ManagerHost manager : order) {
+                fleet.setPartition(other -> other % 7 == 3, fleet.random().nextInt(4) == 0);
+                manager.kill();
+                fleet.advance(fleet.random().nextLong(SECOND));
+                manager.start(next);
+                fleet.advance(fleet.random().nextLong(4 * SECOND));
+                largestSum = Math.max(largestSum, maxShareSum(fleet));
             }
-            f.setPartition(q -> false, false);
-            f.advance(90 * SECOND);
-            worst = Math.max(worst, most(f));
-            last = most(f);
-            assertThat(f.hosts()).allMatch(p -> p.cellDirectory().cellsBehindPlan().isEmpty());
+            fleet.setPartition(other -> false, false);
+            fleet.advance(90 * SECOND);
+            largestSum = Math.max(largestSum, maxShareSum(fleet));
+            finalSum = maxShareSum(fleet);
+            assertThat(fleet.hosts()).allMatch(manager -> manager.cellDirectory().cellsBehindPlan().isEmpty());
         }
-        if (fault == InjectedDefect.NONE) {
-            assertThat(worst).isLessThanOrEqualTo(1 + 1e-9);
-            assertThat(last).isGreaterThan(0.999);
+        if (defect == InjectedDefect.NONE) {
+            assertThat(largestSum).isLessThanOrEqualTo(1 + 1e-9);
+            assertThat(finalSum).isGreaterThan(0.999);
         } else {
-            assertThat(worst).isGreaterThan(1 + 1e-9);
+            assertThat(largestSum).isGreaterThan(1 + 1e-9);
         }
     }
 
-    private static double most(SimulatedCells f) {
-        double most = 0;
+    private static double maxShareSum(SimulatedCells fleet) {
+        double maxShareSum = 0;
         for (long engine = 1; engine <= 24; engine++) {
             String zone = "z" + engine % 2;
             double sum = 0;
-            for (ManagerHost p : f.hosts()) {
-                sum += p.up() && p.cellDirectory().mayUse(engine, zone) ? p.share() : 0;
+            for (ManagerHost manager : fleet.hosts()) {
+                sum += manager.up() && manager.cellDirectory().mayUse(engine, zone) ? manager.share() : 0;
             }
-            most = Math.max(most, sum);
+            maxShareSum = Math.max(maxShareSum, sum);
         }
-        return most;
+        return maxShareSum;
     }
 }
--- a/src/test/java/firstage/cli/PeersFileReaderTest.java
+++ b/src/test/java/firstage/cli/PeersFileReaderTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Peers files, and the number of the cell plan beside them, as earlier versions wrote them. */
+/**
+ * Tests that peers files, and the number of the cell plan beside them, are read as earlier versions
+ * wrote them.
+ */
 class PeersFileReaderTest {
     private static final Path STORED = Path.of("src", "test", "resources", "stored");
     private static final Path WITHOUT_CELLS = STORED.resolve("peers.toml");
@@ -24,7 +27,7 @@
 
     @TempDir private Path folder;
 
-    private static InetSocketAddress at(String host) {
+    private static InetSocketAddress address(String host) {
         return new InetSocketAddress(host, 7946);
     }
 
@@ -38,9 +41,9 @@
                                 "m0",
                                 "north",
                                 1.0,
-                                at("127.0.0.1"),
+                                address("127.0.0.1"),
                                 Ticks.ofMillis(200),
-                                List.of(at("127.0.0.2"), at("127.0.0.3")),
+                                List.of(address("127.0.0.2"), address("127.0.0.3")),
                                 STORED.resolve("peers.toml.withdrew"),
                                 null));
     }
@@ -59,13 +62,13 @@
         assertThat(peers.probeInterval()).isEqualTo(Ticks.ofSeconds(1));
         assertThat(peers.withdrawalMark()).isEqualTo(STORED.resolve("peers-cells.toml.withdrew"));
         assertThat(peers.peerAddresses())
-                .containsExactly(at("10.1.2.1"), at("10.1.2.2"), at("10.1.2.9"));
+                .containsExactly(address("10.1.2.1"), address("10.1.2.2"), address("10.1.2.9"));
         assertThat(peers.cellPlacement().cell()).isEqualTo(1);
         assertThat(peers.cellPlacement().slot()).isEqualTo(1);
         assertThat(peers.cellPlacement().addressesByCell())
                 .hasSize(3)
-                .startsWith(List.of(at("10.1.1.1"), at("10.1.1.2"), at("10.1.1.3")))
-                .endsWith(List.of(at("10.1.3.1")));
+                .startsWith(List.of(address("10.1.1.1"), address("10.1.1.2"), address("10.1.1.3")))
+                .endsWith(List.of(address("10.1.3.1")));
     }
 
     @Test
@@ -92,7 +95,9 @@
                                         new CellPlan.Cell("n-3", "north", 1, true))));
     }
 
-    /** A copy of the stored file with this plan's number, and beside it the stored number 3. */
+    /**
+     * Writes a copy of the stored file with this plan's number, and beside it the stored number 3.
+     */
     private Path peersFileOfPlan(int number) throws IOException {
         Path file = folder.resolve("peers-cells.toml");
         String text =
@@ -123,7 +128,8 @@
     }
 
     /**
-     * A kill or a full disk in the middle of the write left no number, and an older plan passed.
+     * A kill or a full disk during the write must not leave the file without a number: an older
+     * plan would then be accepted.
      */
     @Test
     void store_writeFails_keepsTheNumberBefore() throws IOException {
--- a/src/test/java/firstage/cli/StoredPlansTest.java
+++ b/src/test/java/firstage/cli/StoredPlansTest.java
@@ -15,7 +15,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Plans for simulation, fault tests and scale tests, as people wrote them for earlier versions. */
+/**
+ * Tests that plans for simulation, fault tests and scale tests are read as people wrote them for
+ * earlier versions.
+ */
 class StoredPlansTest {
     private static String stored(String name) throws IOException {
         return Files.readString(Path.of("src", "test", "resources", "stored", name));
--- a/src/test/java/firstage/config/ManagerConfigReaderTest.java
+++ b/src/test/java/firstage/config/ManagerConfigReaderTest.java
@@ -89,14 +89,14 @@
      * exceptions.
      */
     @Test
-    void read_missingEmptyOrCutFile_throwsWhatPasses() throws IOException {
+    void read_missingEmptyOrTruncatedFile_throwsTransientException() throws IOException {
         assertThatThrownBy(() -> ManagerConfigReader.read(folder.resolve("none")))
                 .isInstanceOf(FileNotFoundException.class);
         Path empty = file("");
         assertThatThrownBy(() -> ManagerConfigReader.read(empty))
                 .isInstanceOf(JsonProcessingException.class);
-        Path cut = file("{\"listen\":\"127.0.0.1:1\",\"settings\":{\"rank\"");
-        assertThatThrownBy(() -> ManagerConfigReader.read(cut))
+        Path truncated = file("{\"listen\":\"127.0.0.1:1\",\"settings\":{\"rank\"");
+        assertThatThrownBy(() -> ManagerConfigReader.read(truncated))
                 .isInstanceOf(JsonProcessingException.class);
     }
 }
--- a/src/test/java/firstage/config/SettingsParserTest.java
+++ b/src/test/java/firstage/config/SettingsParserTest.java
@@ -34,20 +34,20 @@
 
     @Test
     void parse_mixOfShapes_isRefusedNamingTheKey() {
-        MalformedLineException fault =
+        MalformedLineException exception =
                 assertThrows(
                         MalformedLineException.class,
                         () -> read("report.via=off report.fields=waiting"));
-        assertTrue(fault.getMessage().startsWith("report.fields"));
+        assertTrue(exception.getMessage().startsWith("report.fields"));
     }
 
     @Test
     void parse_unknownWord_isRefusedNamingTheKey() {
-        MalformedLineException fault =
+        MalformedLineException exception =
                 assertThrows(
                         MalformedLineException.class, () -> read("family_info.out_of_memory=swap"));
         assertEquals(
                 "family_info.out_of_memory = swap is none of [page, shrink, wait]",
-                fault.getMessage());
+                exception.getMessage());
     }
 }
--- a/src/test/java/firstage/failover/ZoneFailoverTest.java
+++ b/src/test/java/firstage/failover/ZoneFailoverTest.java
@@ -17,155 +17,157 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Three zones with managers and engines, ways between them that break: who leaves which, and who
- * comes back when.
+ * Tests zone failover with three zones of managers and engines and links that fail between them:
+ * which managers evacuate which zone, and when they return.
  */
 class ZoneFailoverTest {
     private static final long SECOND = 10_000;
     private static final long STEP = 1_000;
     private static final int ZONES = 3;
     private static final int ENGINES = 12;
-    private static final long WARM = 5 * SECOND;
+    private static final long WARM_UP = 5 * SECOND;
 
-    /** After which a manager by itself closes an engine that does not answer. */
-    private static final long NOTICES = SECOND;
+    /** Time after which a manager ejects an engine that does not respond. */
+    private static final long EJECTION_DELAY = SECOND;
 
-    private final RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(3);
-    private final List<ObservingManager> all = new ArrayList<>();
+    private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(3);
+    private final List<ObservingManager> managers = new ArrayList<>();
 
-    /** From a manager's zone to an engine's; and between managers. */
-    private final boolean[][] bears = new boolean[ZONES][ZONES];
+    /** Whether managers of a zone (first index) reach the engines of another. */
+    private final boolean[][] reachesEngines = new boolean[ZONES][ZONES];
+
+    /** Whether managers of two zones reach each other. */
+    private final boolean[][] reachesManagers = new boolean[ZONES][ZONES];
 
-    private final boolean[][] talks = new boolean[ZONES][ZONES];
     private long now = 100 * SECOND;
 
     private final class ObservingManager {
         private final String name;
         private final int zone;
-        private final LoadSheddingLevel level;
-        private final ZoneFailover zones;
-        private final Map<Long, Boolean> away = new HashMap<>();
-        private final long[] triedAt = new long[ENGINES];
-        private final long[] heardAt = new long[ENGINES];
-        private final long[] failsSince = new long[ENGINES];
-        private final boolean[] closed = new boolean[ENGINES];
-        private final List<String> turns = new ArrayList<>();
-        private final Map<Integer, Long> turnedAt = new HashMap<>();
-        private boolean runs = true;
+        private final LoadSheddingLevel sheddingLevel;
+        private final ZoneFailover zoneFailover;
+        private final Map<Long, Boolean> avoidedEngines = new HashMap<>();
+        private final long[] lastAttemptAt = new long[ENGINES];
+        private final long[] lastResponseAt = new long[ENGINES];
+        private final long[] failingSince = new long[ENGINES];
+        private final boolean[] ejected = new boolean[ENGINES];
+        private final List<String> transitions = new ArrayList<>();
+        private final Map<Integer, Long> lastTransitionAt = new HashMap<>();
+        private boolean running = true;
 
-        private ObservingManager(int number, ZoneFailover.InjectedDefect fault) {
+        private ObservingManager(int number, ZoneFailover.InjectedDefect defect) {
             name = "m" + number;
             zone = number % ZONES;
-            level =
+            sheddingLevel =
                     new LoadSheddingLevel(
                             name,
                             SECOND,
                             (at, band, part) -> {},
                             LoadSheddingLevel.InjectedDefect.NONE);
-            zones =
+            zoneFailover =
                     new ZoneFailover(
                             name,
                             zone,
                             ZONES,
-                            WARM,
+                            WARM_UP,
                             new ZoneActions() {
                                 @Override
                                 public void setAvoided(
-                                        long engine, boolean keepsAway, boolean restIsOver) {
-                                    away.put(engine, keepsAway);
-                                    if (restIsOver) {
-                                        use((int) engine);
+                                        long engine, boolean avoided, boolean backoffOver) {
+                                    avoidedEngines.put(engine, avoided);
+                                    if (backoffOver) {
+                                        sendRequest((int) engine);
                                     }
                                 }
 
                                 @Override
-                                public void logZoneState(int which, String state) {
-                                    turns.add(which + " " + state);
-                                    turnedAt.put(which, now);
+                                public void logZoneState(int changedZone, String state) {
+                                    transitions.add(changedZone + " " + state);
+                                    lastTransitionAt.put(changedZone, now);
                                 }
                             },
-                            fault);
+                            defect);
         }
 
-        private boolean isAway(int engine) {
-            return away.getOrDefault((long) engine, false);
+        private boolean isAvoided(int engine) {
+            return avoidedEngines.getOrDefault((long) engine, false);
         }
 
-        private void use(int engine) {
-            triedAt[engine] = now;
-            if (bears[zone][engine % ZONES]) {
-                heardAt[engine] = now;
-                failsSince[engine] = 0;
-                closed[engine] = false;
+        private void sendRequest(int engine) {
+            lastAttemptAt[engine] = now;
+            if (reachesEngines[zone][engine % ZONES]) {
+                lastResponseAt[engine] = now;
+                failingSince[engine] = 0;
+                ejected[engine] = false;
             } else {
-                failsSince[engine] = failsSince[engine] == 0 ? now : failsSince[engine];
-                closed[engine] |= now - failsSince[engine] >= NOTICES;
+                failingSince[engine] = failingSince[engine] == 0 ? now : failingSince[engine];
+                ejected[engine] |= now - failingSince[engine] >= EJECTION_DELAY;
             }
         }
 
         private void step() {
-            for (int e = 0; e < ENGINES; e++) {
-                // One that it holds closed it tries now and then, as long as nobody keeps it away.
-                if (!isAway(e) && (!closed[e] || now - triedAt[e] >= 2 * SECOND)) {
-                    use(e);
+            for (int engine = 0; engine < ENGINES; engine++) {
+                // An ejected engine that this manager does not avoid is probed every two seconds.
+                if (!isAvoided(engine) && (!ejected[engine] || now - lastAttemptAt[engine] >= 2 * SECOND)) {
+                    sendRequest(engine);
                 }
-                zones.updateEngine(e % ZONES, e, closed[e], triedAt[e], heardAt[e]);
+                zoneFailover.updateEngine(engine % ZONES, engine, ejected[engine], lastAttemptAt[engine], lastResponseAt[engine]);
             }
-            level.setZoneObservations(zone, zones.reportedPercent(now), zones.ordersToSend());
-            zones.evaluate(now, level.freshRows(now));
+            sheddingLevel.setZoneObservations(zone, zoneFailover.reportedPercent(now), zoneFailover.ordersToSend());
+            zoneFailover.evaluate(now, sheddingLevel.freshRows(now));
         }
 
-        private int used(int which) {
-            int n = 0;
-            for (int e = 0; e < ENGINES; e++) {
-                n += e % ZONES == which && !isAway(e) ? 1 : 0;
+        private int usableEngines(int targetZone) {
+            int count = 0;
+            for (int engine = 0; engine < ENGINES; engine++) {
+                count += engine % ZONES == targetZone && !isAvoided(engine) ? 1 : 0;
             }
-            return n;
+            return count;
         }
     }
 
-    private void fleet(int managers, ZoneFailover.InjectedDefect fault) {
-        for (int m = 0; m < managers; m++) {
-            all.add(new ObservingManager(m, fault));
+    private void startFleet(int managerCount, ZoneFailover.InjectedDefect defect) {
+        for (int number = 0; number < managerCount; number++) {
+            managers.add(new ObservingManager(number, defect));
         }
-        List<String> names = all.stream().map(o -> o.name).toList();
-        all.forEach(
-                o -> {
-                    o.level.onViewChanged(names);
-                    o.zones.onViewChanged(names);
+        List<String> names = managers.stream().map(manager -> manager.name).toList();
+        managers.forEach(
+                manager -> {
+                    manager.sheddingLevel.onViewChanged(names);
+                    manager.zoneFailover.onViewChanged(names);
                 });
         for (int from = 0; from < ZONES; from++) {
             for (int to = 0; to < ZONES; to++) {
-                bears[from][to] = true;
-                talks[from][to] = true;
+                reachesEngines[from][to] = true;
+                reachesManagers[from][to] = true;
             }
         }
     }
 
-    private void engines(int zone, boolean well) {
+    private void setEnginesHealthy(int zone, boolean healthy) {
         for (int from = 0; from < ZONES; from++) {
-            bears[from][zone] = well;
+            reachesEngines[from][zone] = healthy;
         }
     }
 
-    private void pass(double seconds) {
+    private void advance(double seconds) {
         for (long until = now + (long) (seconds * SECOND); now < until; now += STEP) {
-            all.stream().filter(o -> o.runs).forEach(ObservingManager::step);
+            managers.stream().filter(manager -> manager.running).forEach(ObservingManager::step);
             if (now / STEP % 2 == 0) {
-                for (ObservingManager o : all) {
-                    ObservingManager other = all.get(chance.nextInt(all.size()));
-                    if (other != o && o.runs && other.runs && talks[o.zone][other.zone]) {
-                        other.level.onRows(
+                for (ObservingManager manager : managers) {
+                    ObservingManager peer = managers.get(random.nextInt(managers.size()));
+                    if (peer != manager && manager.running && peer.running && reachesManagers[manager.zone][peer.zone]) {
+                        peer.sheddingLevel.onRows(
                                 now,
                                 OverloadDigest.decode(
                                                 OverloadDigest.encode(
-                                                        List.of(), o.level.rowsToSend(now, 20)))
+                                                        List.of(), manager.sheddingLevel.rowsToSend(now, 20)))
                                         .rows());
-                        o.level.onRows(
+                        manager.sheddingLevel.onRows(
                                 now,
                                 OverloadDigest.decode(
                                                 OverloadDigest.encode(
-                                                        List.of(), other.level.rowsToSend(now, 20)))
+                                                        List.of(), peer.sheddingLevel.rowsToSend(now, 20)))
                                         .rows());
                     }
                 }
@@ -173,190 +175,202 @@
         }
     }
 
-    private long leavings() {
-        return all.stream()
-                .mapToLong(o -> o.turns.stream().filter(t -> t.endsWith(" evacuated")).count())
+    private long maxEvacuations() {
+        return managers.stream()
+                .mapToLong(manager -> manager.transitions.stream().filter(t -> t.endsWith(" evacuated")).count())
                 .max()
                 .orElse(0);
     }
 
-    /** Soon, by all in nearly the same moment, with a manager that goes on trying each engine. */
+    /**
+     * All managers evacuate the zone soon and at nearly the same time, and one manager keeps
+     * probing each engine.
+     */
     @Test
     void evaluate_zoneDies_evacuatedThenReturnInSteps() {
-        fleet(24, ZoneFailover.InjectedDefect.NONE);
-        pass(10);
-        engines(1, false);
-        long died = now;
-        pass(5);
-        assertThat(all).allMatch(o -> o.zones.evacuatedZones().equals(List.of(1)));
-        assertThat(all.stream().mapToLong(o -> o.turnedAt.get(1) - died))
+        startFleet(24, ZoneFailover.InjectedDefect.NONE);
+        advance(10);
+        setEnginesHealthy(1, false);
+        long failedAt = now;
+        advance(5);
+        assertThat(managers).allMatch(manager -> manager.zoneFailover.evacuatedZones().equals(List.of(1)));
+        assertThat(managers.stream().mapToLong(manager -> manager.lastTransitionAt.get(1) - failedAt))
                 .allMatch(t -> t <= 2.5 * SECOND);
-        long first = all.stream().mapToLong(o -> o.turnedAt.get(1)).min().orElse(0);
-        assertThat(all.stream().mapToLong(o -> o.turnedAt.get(1) - first))
+        long firstEvacuationAt = managers.stream().mapToLong(manager -> manager.lastTransitionAt.get(1)).min().orElse(0);
+        assertThat(managers.stream().mapToLong(manager -> manager.lastTransitionAt.get(1) - firstEvacuationAt))
                 .allMatch(t -> t <= 0.7 * SECOND);
-        assertThat(all.stream().mapToInt(o -> o.used(1)).sum()).isEqualTo(ENGINES / ZONES);
-        assertThat(all).allMatch(o -> o.used(0) + o.used(2) == 2 * ENGINES / ZONES);
-        pass(10);
-        engines(1, true);
-        // How many managers use all of it, second by second: it grows over the time that engines
-        // take to warm up.
-        Set<Integer> seen = new HashSet<>();
+        assertThat(managers.stream().mapToInt(manager -> manager.usableEngines(1)).sum()).isEqualTo(ENGINES / ZONES);
+        assertThat(managers).allMatch(manager -> manager.usableEngines(0) + manager.usableEngines(2) == 2 * ENGINES / ZONES);
+        advance(10);
+        setEnginesHealthy(1, true);
+        // The number of managers that use the whole zone, taken once a second, grows over the time
+        // that engines take to warm up.
+        Set<Integer> counts = new HashSet<>();
         for (int s = 0; s < 15; s++) {
-            pass(1);
-            seen.add((int) all.stream().filter(o -> o.used(1) == ENGINES / ZONES).count());
+            advance(1);
+            counts.add((int) managers.stream().filter(manager -> manager.usableEngines(1) == ENGINES / ZONES).count());
         }
-        assertThat(seen).hasSizeGreaterThan(4);
-        assertThat(all)
-                .allMatch(o -> o.zones.evacuatedZones().isEmpty() && o.used(1) == ENGINES / ZONES);
+        assertThat(counts).hasSizeGreaterThan(4);
+        assertThat(managers)
+                .allMatch(manager -> manager.zoneFailover.evacuatedZones().isEmpty() && manager.usableEngines(1) == ENGINES / ZONES);
     }
 
     @Test
     void evaluate_cutBetweenTwoZones_noEvacuation() {
-        fleet(12, ZoneFailover.InjectedDefect.NONE);
-        pass(5);
-        bears[0][2] = false;
-        talks[0][2] = false;
-        pass(3);
-        bears[2][0] = false;
-        talks[2][0] = false;
-        pass(20);
-        assertThat(all).allMatch(o -> o.turns.isEmpty());
+        startFleet(12, ZoneFailover.InjectedDefect.NONE);
+        advance(5);
+        reachesEngines[0][2] = false;
+        reachesManagers[0][2] = false;
+        advance(3);
+        reachesEngines[2][0] = false;
+        reachesManagers[2][0] = false;
+        advance(20);
+        assertThat(managers).allMatch(manager -> manager.transitions.isEmpty());
     }
 
-    /** Engines of it are alive inside: those outside leave, those inside go on. */
+    /**
+     * The engines of the zone respond within the zone: managers of other zones evacuate it, its own
+     * keep using it.
+     */
     @Test
     void evaluate_zoneCutOff_servesItself() {
-        fleet(12, ZoneFailover.InjectedDefect.NONE);
-        pass(5);
+        startFleet(12, ZoneFailover.InjectedDefect.NONE);
+        advance(5);
         for (int z = 0; z < 2; z++) {
-            bears[z][2] = false;
-            bears[2][z] = false;
-            talks[z][2] = false;
-            talks[2][z] = false;
+            reachesEngines[z][2] = false;
+            reachesEngines[2][z] = false;
+            reachesManagers[z][2] = false;
+            reachesManagers[2][z] = false;
         }
-        pass(10);
-        assertThat(all)
+        advance(10);
+        assertThat(managers)
                 .allMatch(
-                        o ->
-                                o.zone == 2
-                                        ? !o.zones.evacuatedZones().contains(2)
-                                        : o.zones.evacuatedZones().equals(List.of(2)));
+                        manager ->
+                                manager.zone == 2
+                                        ? !manager.zoneFailover.evacuatedZones().contains(2)
+                                        : manager.zoneFailover.evacuatedZones().equals(List.of(2)));
     }
 
     @Test
     void evaluate_allZonesFail_noEvacuation() {
-        fleet(12, ZoneFailover.InjectedDefect.NONE);
-        pass(5);
+        startFleet(12, ZoneFailover.InjectedDefect.NONE);
+        advance(5);
         for (int z = 0; z < ZONES; z++) {
-            engines(z, false);
+            setEnginesHealthy(z, false);
         }
-        pass(20);
-        assertThat(all).allMatch(o -> o.turns.isEmpty());
+        advance(20);
+        assertThat(managers).allMatch(manager -> manager.transitions.isEmpty());
     }
 
     @Test
     void evaluate_twoOfThreeZonesFail_lastStays() {
-        fleet(12, ZoneFailover.InjectedDefect.NONE);
-        pass(5);
-        engines(0, false);
-        engines(1, false);
-        pass(10);
-        assertThat(all)
+        startFleet(12, ZoneFailover.InjectedDefect.NONE);
+        advance(5);
+        setEnginesHealthy(0, false);
+        setEnginesHealthy(1, false);
+        advance(10);
+        assertThat(managers)
                 .allMatch(
-                        o ->
-                                o.zones.evacuatedZones().equals(List.of(0, 1))
-                                        && o.used(2) == ENGINES / ZONES);
-        engines(2, false);
-        pass(10);
-        assertThat(all).allMatch(o -> o.used(2) == ENGINES / ZONES);
+                        manager ->
+                                manager.zoneFailover.evacuatedZones().equals(List.of(0, 1))
+                                        && manager.usableEngines(2) == ENGINES / ZONES);
+        setEnginesHealthy(2, false);
+        advance(10);
+        assertThat(managers).allMatch(manager -> manager.usableEngines(2) == ENGINES / ZONES);
     }
 
     @Test
     void evaluate_zoneFlaps_heldOutLonger() {
-        fleet(12, ZoneFailover.InjectedDefect.NONE);
-        pass(5);
+        startFleet(12, ZoneFailover.InjectedDefect.NONE);
+        advance(5);
         for (int s = 0; s < 120; s += 3) {
-            engines(1, s / 3 % 2 == 1);
-            pass(3);
+            setEnginesHealthy(1, s / 3 % 2 == 1);
+            advance(3);
         }
-        assertThat(leavings()).isBetween(1L, 4L);
-        engines(1, true);
-        pass(90);
-        assertThat(all).allMatch(o -> o.zones.evacuatedZones().isEmpty());
+        assertThat(maxEvacuations()).isBetween(1L, 4L);
+        setEnginesHealthy(1, true);
+        advance(90);
+        assertThat(managers).allMatch(manager -> manager.zoneFailover.evacuatedZones().isEmpty());
     }
 
-    /** A release takes a third of its engines, a rack half: that is no zone. */
+    /**
+     * A release ejects a third of the engines of a zone, and the loss of a rack half of them;
+     * neither is a failure of the zone.
+     */
     @Test
     void evaluate_someEnginesFail_noEvacuation() {
-        fleet(12, ZoneFailover.InjectedDefect.NONE);
-        pass(5);
-        all.forEach(
-                o -> {
-                    o.closed[1] = true;
-                    o.closed[4] = true;
-                    o.triedAt[1] = now + 30 * SECOND;
-                    o.triedAt[4] = now + 30 * SECOND;
+        startFleet(12, ZoneFailover.InjectedDefect.NONE);
+        advance(5);
+        managers.forEach(
+                manager -> {
+                    manager.ejected[1] = true;
+                    manager.ejected[4] = true;
+                    manager.lastAttemptAt[1] = now + 30 * SECOND;
+                    manager.lastAttemptAt[4] = now + 30 * SECOND;
                 });
-        pass(20);
-        assertThat(all).allMatch(o -> o.turns.isEmpty());
+        advance(20);
+        assertThat(managers).allMatch(manager -> manager.transitions.isEmpty());
     }
 
     /**
-     * All managers of two zones stood still; on waking they hold all engines of the third for
-     * closed.
+     * Pauses all managers of two zones; when they resume, they have ejected all engines of the
+     * third.
      */
-    private void paused() {
-        pass(5);
-        List<ObservingManager> still = all.stream().filter(o -> o.zone != 2).toList();
-        still.forEach(o -> o.runs = false);
-        pass(3);
-        still.forEach(
-                o -> {
-                    o.runs = true;
-                    for (int e = 2; e < ENGINES; e += ZONES) {
-                        o.closed[e] = true;
-                        o.triedAt[e] = now - SECOND / 2;
+    private void pauseTwoZones() {
+        advance(5);
+        List<ObservingManager> pausedManagers = managers.stream().filter(manager -> manager.zone != 2).toList();
+        pausedManagers.forEach(manager -> manager.running = false);
+        advance(3);
+        pausedManagers.forEach(
+                manager -> {
+                    manager.running = true;
+                    for (int engine = 2; engine < ENGINES; engine += ZONES) {
+                        manager.ejected[engine] = true;
+                        manager.lastAttemptAt[engine] = now - SECOND / 2;
                     }
                 });
-        pass(1.4);
+        advance(1.4);
     }
 
     @Test
     void evaluate_pausedManager_reportsNothing() {
-        fleet(12, ZoneFailover.InjectedDefect.NONE);
-        paused();
-        assertThat(all).allMatch(o -> o.turns.isEmpty());
+        startFleet(12, ZoneFailover.InjectedDefect.NONE);
+        pauseTwoZones();
+        assertThat(managers).allMatch(manager -> manager.transitions.isEmpty());
     }
 
-    /** Told to one, known to all, also to the one when it starts anew; and taken back. */
+    /**
+     * An order that one manager received is followed by all, also by that manager after a restart,
+     * and can be revoked.
+     */
     @Test
     void setOrder_managerRestarts_orderKeptByAll() {
-        fleet(12, ZoneFailover.InjectedDefect.NONE);
-        pass(5);
-        all.get(4).zones.setOrder(now, 2, ZoneFailover.Order.LEAVE);
-        pass(3);
-        assertThat(all).allMatch(o -> o.zones.evacuatedZones().equals(List.of(2)));
+        startFleet(12, ZoneFailover.InjectedDefect.NONE);
+        advance(5);
+        managers.get(4).zoneFailover.setOrder(now, 2, ZoneFailover.Order.LEAVE);
+        advance(3);
+        assertThat(managers).allMatch(manager -> manager.zoneFailover.evacuatedZones().equals(List.of(2)));
         restart(4, ZoneFailover.InjectedDefect.NONE);
-        pass(3);
-        assertThat(all).allMatch(o -> o.zones.evacuatedZones().equals(List.of(2)));
-        pass(30);
-        assertThat(all).allMatch(o -> o.zones.evacuatedZones().equals(List.of(2)));
-        all.get(7).zones.setOrder(now, 2, ZoneFailover.Order.HOLD);
-        pass(15);
-        assertThat(all).allMatch(o -> o.zones.evacuatedZones().isEmpty());
-        engines(2, false);
-        pass(20);
-        assertThat(all).allMatch(o -> o.zones.evacuatedZones().isEmpty());
-        all.get(1).zones.setOrder(now, 2, ZoneFailover.Order.NONE);
-        pass(5);
-        assertThat(all).allMatch(o -> o.zones.evacuatedZones().equals(List.of(2)));
+        advance(3);
+        assertThat(managers).allMatch(manager -> manager.zoneFailover.evacuatedZones().equals(List.of(2)));
+        advance(30);
+        assertThat(managers).allMatch(manager -> manager.zoneFailover.evacuatedZones().equals(List.of(2)));
+        managers.get(7).zoneFailover.setOrder(now, 2, ZoneFailover.Order.HOLD);
+        advance(15);
+        assertThat(managers).allMatch(manager -> manager.zoneFailover.evacuatedZones().isEmpty());
+        setEnginesHealthy(2, false);
+        advance(20);
+        assertThat(managers).allMatch(manager -> manager.zoneFailover.evacuatedZones().isEmpty());
+        managers.get(1).zoneFailover.setOrder(now, 2, ZoneFailover.Order.NONE);
+        advance(5);
+        assertThat(managers).allMatch(manager -> manager.zoneFailover.evacuatedZones().equals(List.of(2)));
     }
 
-    private void restart(int number, ZoneFailover.InjectedDefect fault) {
-        all.set(number, new ObservingManager(number, fault));
-        List<String> names = all.stream().map(o -> o.name).toList();
-        all.get(number).level.onViewChanged(names);
-        all.get(number).zones.onViewChanged(names);
+    private void restart(int number, ZoneFailover.InjectedDefect defect) {
+        managers.set(number, new ObservingManager(number, defect));
+        List<String> names = managers.stream().map(manager -> manager.name).toList();
+        managers.get(number).sheddingLevel.onViewChanged(names);
+        managers.get(number).zoneFailover.onViewChanged(names);
     }
 
     @ParameterizedTest
@@ -364,58 +378,58 @@
             value = ZoneFailover.InjectedDefect.class,
             mode = EnumSource.Mode.EXCLUDE,
             names = "NONE")
-    void evaluate_injectedDefect_isFound(ZoneFailover.InjectedDefect fault) {
-        fleet(12, fault);
-        if (fault == ZoneFailover.InjectedDefect.STILL_COUNTS) {
-            paused();
-            assertThat(all).anyMatch(o -> !o.turns.isEmpty());
+    void evaluate_injectedDefect_isFound(ZoneFailover.InjectedDefect defect) {
+        startFleet(12, defect);
+        if (defect == ZoneFailover.InjectedDefect.STILL_COUNTS) {
+            pauseTwoZones();
+            assertThat(managers).anyMatch(manager -> !manager.transitions.isEmpty());
             return;
         }
-        pass(5);
-        switch (fault) {
+        advance(5);
+        switch (defect) {
             case ONE_IS_ENOUGH -> {
-                bears[0][2] = false;
-                pass(10);
-                assertThat(all).anyMatch(o -> !o.turns.isEmpty());
+                reachesEngines[0][2] = false;
+                advance(10);
+                assertThat(managers).anyMatch(manager -> !manager.transitions.isEmpty());
             }
             case ALL_MAY_GO -> {
                 for (int z = 0; z < ZONES; z++) {
-                    engines(z, false);
+                    setEnginesHealthy(z, false);
                 }
-                pass(10);
-                assertThat(all).anyMatch(o -> o.zones.evacuatedZones().size() == ZONES);
+                advance(10);
+                assertThat(managers).anyMatch(manager -> manager.zoneFailover.evacuatedZones().size() == ZONES);
             }
             case NO_HOLD -> {
                 for (int s = 0; s < 120; s += 3) {
-                    engines(1, s / 3 % 2 == 1);
-                    pass(3);
+                    setEnginesHealthy(1, s / 3 % 2 == 1);
+                    advance(3);
                 }
-                assertThat(leavings()).isGreaterThan(4);
+                assertThat(maxEvacuations()).isGreaterThan(4);
             }
             case ORDER_FORGOTTEN -> {
-                all.get(4).zones.setOrder(now, 2, ZoneFailover.Order.LEAVE);
-                pass(3);
-                restart(4, fault);
-                pass(3);
-                assertThat(all).anyMatch(o -> o.zones.evacuatedZones().isEmpty());
+                managers.get(4).zoneFailover.setOrder(now, 2, ZoneFailover.Order.LEAVE);
+                advance(3);
+                restart(4, defect);
+                advance(3);
+                assertThat(managers).anyMatch(manager -> manager.zoneFailover.evacuatedZones().isEmpty());
             }
             case NOBODY_TRIES -> {
-                engines(1, false);
-                pass(10);
-                engines(1, true);
-                pass(30);
-                assertThat(all).anyMatch(o -> !o.zones.evacuatedZones().isEmpty());
+                setEnginesHealthy(1, false);
+                advance(10);
+                setEnginesHealthy(1, true);
+                advance(30);
+                assertThat(managers).anyMatch(manager -> !manager.zoneFailover.evacuatedZones().isEmpty());
             }
             default -> {
-                engines(1, false);
-                pass(10);
-                engines(1, true);
-                Set<Integer> seen = new HashSet<>();
+                setEnginesHealthy(1, false);
+                advance(10);
+                setEnginesHealthy(1, true);
+                Set<Integer> counts = new HashSet<>();
                 for (int s = 0; s < 20; s++) {
-                    pass(1);
-                    seen.add((int) all.stream().filter(o -> o.used(1) == ENGINES / ZONES).count());
+                    advance(1);
+                    counts.add((int) managers.stream().filter(manager -> manager.usableEngines(1) == ENGINES / ZONES).count());
                 }
-                assertThat(seen).hasSizeLessThan(5);
+                assertThat(counts).hasSizeLessThan(5);
             }
         }
     }
