--- a/src/main/java/firstage/bench/BenchAdapter.java
+++ b/src/main/java/firstage/bench/BenchAdapter.java
@@ -66,18 +66,18 @@
             }
             try {
                 readLine(line);
-            } catch (MalformedLineException fault) {
-                reportSkipped(line, fault);
+            } catch (MalformedLineException exception) {
+                reportSkipped(line, exception);
             }
         }
     }
 
-    private void reportSkipped(String line, MalformedLineException fault) {
+    private void reportSkipped(String line, MalformedLineException exception) {
         String shown =
                 line.length() > MAX_REPORTED_CHARS
                         ? line.substring(0, MAX_REPORTED_CHARS) + "..."
                         : line;
-        err.println("skipped a line: " + fault.getMessage() + ": " + shown);
+        err.println("skipped a line: " + exception.getMessage() + ": " + shown);
     }
 
     private void readLine(String line) throws IOException {
@@ -132,8 +132,8 @@
             if (!kind.equals(BenchWire.MANAGER_STARTED)) {
                 manager.onEvent(now, kind, event, endpointLists);
             }
-        } catch (MalformedLineException fault) {
-            throw fault;
+        } catch (MalformedLineException exception) {
+            throw exception;
         } catch (RuntimeException failure) {
             addFailure(number, failure);
         }
--- a/src/main/java/firstage/cells/CellActions.java
+++ b/src/main/java/firstage/cells/CellActions.java
@@ -1,7 +1,8 @@
 package firstage.cells;
 
 /**
- * Actions that a cell directory requests; no implementation calls back into it before it returns.
+ * Actions that a {@link CellDirectory} requests. Implementations do not call back into it before
+ * they return.
  */
 public interface CellActions {
     /** Sends a datagram to the manager at this slot of that cell. */
--- a/src/main/java/firstage/cells/EngineSubset.java
+++ b/src/main/java/firstage/cells/EngineSubset.java
@@ -58,7 +58,7 @@
         return usable;
     }
 
-    /** Returns the kept entries that may be used by now, and no longer keeps them. */
+    /** Removes and returns the kept entries that may be used now. */
     public List<T> takeReleased() {
         List<T> usable =
                 awaitedEntries.values().stream()
--- a/src/main/java/firstage/cli/CommandRunner.java
+++ b/src/main/java/firstage/cli/CommandRunner.java
@@ -32,8 +32,8 @@
     static int run(Object command, String name, String[] args) {
         CommandLine commandLine = new CommandLine(command);
         commandLine.setExecutionExceptionHandler(
-                (fault, failed, parsed) -> {
-                    System.err.println(name + ": " + Main.oneLine(fault));
+                (exception, failedCommand, parseResult) -> {
+                    System.err.println(name + ": " + Main.oneLine(exception));
                     return Main.UNUSABLE_STATUS;
                 });
         return commandLine.execute(args);
--- a/src/main/java/firstage/cli/ConfigReloader.java
+++ b/src/main/java/firstage/cli/ConfigReloader.java
@@ -111,8 +111,8 @@
             requests.drainPermits();
             try {
                 reload(server, current);
-            } catch (IOException | RuntimeException fault) {
-                LOG.warning("the new configuration can't be read: " + Main.oneLine(fault));
+            } catch (IOException | RuntimeException exception) {
+                LOG.warning("the new configuration can't be read: " + Main.oneLine(exception));
             }
         }
     }
--- a/src/main/java/firstage/cli/FaultScheduleCommand.java
+++ b/src/main/java/firstage/cli/FaultScheduleCommand.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * {@code fault-schedule FIRST COUNT [DEFECT]}: runs seeded fault schedules and prints which of them
+ * {@code exception-schedule FIRST COUNT [DEFECT]}: runs seeded fault schedules and prints which of them
  * violated which rule.
  */
 final class FaultScheduleCommand {
@@ -27,8 +27,8 @@
     static int run(List<String> arguments) {
         try {
             return runSchedules(arguments);
-        } catch (IllegalArgumentException fault) {
-            System.err.println("fault-schedule: " + Main.oneLine(fault));
+        } catch (IllegalArgumentException exception) {
+            System.err.println("fault-schedule: " + Main.oneLine(exception));
             return Main.UNUSABLE_STATUS;
         }
     }
@@ -61,7 +61,7 @@
     private static long wholeNumber(String text) {
         try {
             return Long.parseLong(text);
-        } catch (NumberFormatException fault) {
+        } catch (NumberFormatException exception) {
             throw new IllegalArgumentException(
                     text + " is not a whole number; FIRST is the first seed, COUNT the number of schedules");
         }
--- a/src/main/java/firstage/cli/FaultTestRunCommand.java
+++ b/src/main/java/firstage/cli/FaultTestRunCommand.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code fault-test run}: runs a plan and prints the verdict. */
+/** {@code exception-test run}: runs a plan and prints the verdict. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
@@ -108,10 +108,10 @@
                         " managers.cell: cells are configured in the peers files; add --peers");
             }
             return plan;
-        } catch (NoSuchFileException fault) {
+        } catch (NoSuchFileException exception) {
             throw new InvalidPlanException(file + " does not exist; fault-test list prints the plans");
-        } catch (InvalidPlanException fault) {
-            throw fault.inFile(file.toString());
+        } catch (InvalidPlanException exception) {
+            throw exception.inFile(file.toString());
         }
     }
 
--- a/src/main/java/firstage/cli/FleetOptions.java
+++ b/src/main/java/firstage/cli/FleetOptions.java
@@ -45,10 +45,10 @@
         }
         try {
             return FleetPlanReader.read(Files.readString(file));
-        } catch (NoSuchFileException fault) {
+        } catch (NoSuchFileException exception) {
             throw new InvalidPlanException(file + " does not exist; name a fleet file");
-        } catch (InvalidPlanException fault) {
-            throw fault.inFile(file.toString());
+        } catch (InvalidPlanException exception) {
+            throw exception.inFile(file.toString());
         }
     }
 
--- a/src/main/java/firstage/cli/Main.java
+++ b/src/main/java/firstage/cli/Main.java
@@ -58,8 +58,8 @@
     }
 
     /** Returns the first line of an exception's message. */
-    static String oneLine(Exception fault) {
-        return String.valueOf(fault.getMessage()).lines().findFirst().orElse("");
+    static String oneLine(Exception exception) {
+        return String.valueOf(exception.getMessage()).lines().findFirst().orElse("");
     }
 
     /** Prints the reason on standard error and ends the program with {@link #UNUSABLE_STATUS}. */
--- a/src/main/java/firstage/cli/PeersToml.java
+++ b/src/main/java/firstage/cli/PeersToml.java
@@ -151,7 +151,7 @@
     InetSocketAddress address(TomlPosition position, String key, Object value) {
         try {
             return ManagerConfig.parseAddress(String.valueOf(value));
-        } catch (MalformedLineException fault) {
+        } catch (MalformedLineException exception) {
             throw invalid(
                     position, key + ": '" + value + "' is no address; \"127.0.0.1:7946\" would do");
         }
--- a/src/main/java/firstage/cli/RehearseCommand.java
+++ b/src/main/java/firstage/cli/RehearseCommand.java
@@ -38,8 +38,8 @@
     static void run() {
         try {
             rehearse();
-        } catch (IOException | RuntimeException fault) {
-            Main.exitUnusable("rehearsal failed: " + Main.oneLine(fault));
+        } catch (IOException | RuntimeException exception) {
+            Main.exitUnusable("rehearsal failed: " + Main.oneLine(exception));
         }
     }
 
--- a/src/main/java/firstage/cli/ScaleCommand.java
+++ b/src/main/java/firstage/cli/ScaleCommand.java
@@ -43,8 +43,8 @@
     static ScalePlan readPlan(Path file, String text) {
         try {
             return ScalePlan.read(text);
-        } catch (InvalidPlanException fault) {
-            throw fault.inFile(file.toString());
+        } catch (InvalidPlanException exception) {
+            throw exception.inFile(file.toString());
         }
     }
 }
--- a/src/main/java/firstage/cli/ScaleRunCommand.java
+++ b/src/main/java/firstage/cli/ScaleRunCommand.java
@@ -82,7 +82,7 @@
         String text;
         try {
             text = Files.readString(file);
-        } catch (NoSuchFileException fault) {
+        } catch (NoSuchFileException exception) {
             throw new InvalidPlanException(file + " does not exist; deploy/scale contains plans");
         }
         text = withNumber(text, "managers", "hollow", hollow);
--- a/src/main/java/firstage/cli/ServeCommand.java
+++ b/src/main/java/firstage/cli/ServeCommand.java
@@ -63,8 +63,8 @@
     static void run(List<String> options) {
         try {
             ofOptions(options).start();
-        } catch (IOException | RuntimeException fault) {
-            Main.exitUnusable("can't serve: " + Main.oneLine(fault));
+        } catch (IOException | RuntimeException exception) {
+            Main.exitUnusable("can't serve: " + Main.oneLine(exception));
         }
     }
 
@@ -112,7 +112,7 @@
         // serves.
         retry(
                 DISK_RETRY_TIMEOUT_MS,
-                fault -> true,
+                exception -> true,
                 () -> {
                     PlanNumberFile.store(peersFile, peers);
                     return null;
@@ -153,12 +153,12 @@
         while (true) {
             try {
                 return step.run();
-            } catch (IOException fault) {
-                if (!isRetryable.test(fault) || System.nanoTime() > deadline) {
-                    throw fault;
+            } catch (IOException exception) {
+                if (!isRetryable.test(exception) || System.nanoTime() > deadline) {
+                    throw exception;
                 }
                 if (!logged) {
-                    LOG.warning("tried again for " + timeoutMs + " ms: " + Main.oneLine(fault));
+                    LOG.warning("tried again for " + timeoutMs + " ms: " + Main.oneLine(exception));
                     logged = true;
                 }
                 sleep(RETRY_DELAY_MS);
@@ -166,16 +166,16 @@
         }
     }
 
-    private static boolean isTransient(IOException fault) {
-        return fault instanceof JsonProcessingException
-                || fault instanceof FileNotFoundException
-                || fault instanceof SocketException;
+    private static boolean isTransient(IOException exception) {
+        return exception instanceof JsonProcessingException
+                || exception instanceof FileNotFoundException
+                || exception instanceof SocketException;
     }
 
     static void sleep(long ms) {
         try {
             Thread.sleep(ms);
-        } catch (InterruptedException fault) {
+        } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         }
     }
--- a/src/main/java/firstage/config/IdRegistry.java
+++ b/src/main/java/firstage/config/IdRegistry.java
@@ -18,7 +18,7 @@
     private final List<T> idByIndex = new ArrayList<>();
     private final List<Integer> freeIndices = new ArrayList<>();
 
-    /** Returns the index of an id, and assigns one if it has none. */
+    /** Returns the index of an id, assigning one if it has none. */
     public int indexFor(T id) {
         Integer known = indexById.get(id);
         if (known != null) {
--- a/src/main/java/firstage/config/ManagerConfig.java
+++ b/src/main/java/firstage/config/ManagerConfig.java
@@ -53,6 +53,7 @@
 
     /** Maximum of a traffic class's timeout that counts towards the shutdown timeout. */
     private static final long MAX_COUNTED_TIMEOUT = Ticks.ofSeconds(3);
+
     private static final long SHUTDOWN_MARGIN = Ticks.ofMillis(700);
 
     /**
@@ -109,7 +110,7 @@
                 throw new MalformedLineException("not an address HOST:PORT with a numeric host: " + hostPort);
             }
             return new InetSocketAddress(host, Integer.parseInt(hostPort.substring(colon + 1)));
-        } catch (IndexOutOfBoundsException | IllegalArgumentException fault) {
+        } catch (IndexOutOfBoundsException | IllegalArgumentException exception) {
             throw new MalformedLineException("not an address HOST:PORT with a numeric host: " + hostPort);
         }
     }
--- a/src/main/java/firstage/config/ManagerConfigReader.java
+++ b/src/main/java/firstage/config/ManagerConfigReader.java
@@ -40,9 +40,9 @@
         Map<?, ?> root = readObject(file);
         try {
             return config(root);
-        } catch (MalformedLineException fault) {
+        } catch (MalformedLineException exception) {
             throw new InvalidConfigException(
-                    file.toString(), InvalidConfigException.NO_LINE, fault.getMessage());
+                    file.toString(), InvalidConfigException.NO_LINE, exception.getMessage());
         }
     }
 
--- a/src/main/java/firstage/config/PeerConfig.java
+++ b/src/main/java/firstage/config/PeerConfig.java
@@ -9,7 +9,7 @@
  * Identity of a manager among its peers, and the peers' addresses, as its peers file gives them.
  *
  * @param fleet the fleet's name; datagrams of another fleet are ignored
- * @param name the manager's own name, unlike that of any peer
+ * @param name the manager's own name, unique among its peers
  * @param zone the name of its zone
  * @param weight the relative weight of the traffic that it wants, sent to its peers
  * @param listenAddress the address at which it receives datagrams
--- a/src/main/java/firstage/config/SettingsKeys.java
+++ b/src/main/java/firstage/config/SettingsKeys.java
@@ -32,7 +32,9 @@
     /** Latency objective, in seconds. */
     public static final String CLASS_LATENCY_OBJECTIVE = "target";
 
-    /** Added to the latency objective: this multiple of a request's work divided by its threads. */
+    /**
+     * Multiple of a request's work, divided by its threads, that is added to the latency objective.
+     */
     public static final String CLASS_LATENCY_OBJECTIVE_PER_WORK = "aim_stretch";
 
     /** Time that a client waits over all its tries, in seconds. */
--- a/src/main/java/firstage/config/SettingsParser.java
+++ b/src/main/java/firstage/config/SettingsParser.java
@@ -200,7 +200,7 @@
     private static double number(String text) {
         try {
             return Double.parseDouble(text);
-        } catch (NumberFormatException fault) {
+        } catch (NumberFormatException exception) {
             throw new MalformedLineException("not a number in the settings: " + text);
         }
     }
--- a/src/main/java/firstage/config/WireFields.java
+++ b/src/main/java/firstage/config/WireFields.java
@@ -15,8 +15,7 @@
  */
 public final class WireFields {
     /**
-     * Tolerance in ticks: whole ticks that are written as binary seconds fall short by less than
-     * this.
+     * Tolerance in ticks: a whole number of ticks in binary seconds falls short by less than this.
      */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
@@ -90,7 +89,7 @@
     public long requireLong(String name) {
         try {
             return Long.parseLong(require(name));
-        } catch (NumberFormatException fault) {
+        } catch (NumberFormatException exception) {
             throw new MalformedLineException(name + " is not a whole number");
         }
     }
@@ -99,7 +98,7 @@
     public double requireDouble(String name) {
         try {
             return Double.parseDouble(require(name));
-        } catch (NumberFormatException fault) {
+        } catch (NumberFormatException exception) {
             throw new MalformedLineException(name + " is not a number");
         }
     }
--- a/src/main/java/firstage/failover/FleetCoordinator.java
+++ b/src/main/java/firstage/failover/FleetCoordinator.java
@@ -37,25 +37,25 @@
                     Stream.of(
                                     Arrays.stream(ProbeCoordinator.InjectedDefect.values())
                                             .map(
-                                                    defects ->
+                                                    defect ->
                                                             new InjectedDefects(
-                                                                    defects,
+                                                                    defect,
                                                                     NONE.level,
                                                                     NONE.zones)),
                                     Arrays.stream(LoadSheddingLevel.InjectedDefect.values())
                                             .map(
-                                                    defects ->
+                                                    defect ->
                                                             new InjectedDefects(
                                                                     NONE.probes,
-                                                                    defects,
+                                                                    defect,
                                                                     NONE.zones)),
                                     Arrays.stream(ZoneFailover.InjectedDefect.values())
                                             .map(
-                                                    defects ->
+                                                    defect ->
                                                             new InjectedDefects(
                                                                     NONE.probes,
                                                                     NONE.level,
-                                                                    defects)))
+                                                                    defect)))
                             .flatMap(part -> part);
             String constantName = name.toUpperCase(Locale.ROOT).replace('-', '_');
             return candidates.filter(
--- a/src/main/java/firstage/failover/ZoneActions.java
+++ b/src/main/java/firstage/failover/ZoneActions.java
@@ -1,6 +1,6 @@
 package firstage.failover;
 
-/** Actions that zone failover requests; no implementation calls back into it. */
+/** Actions that {@link ZoneFailover} requests. Implementations do not call back into it. */
 public interface ZoneActions {
     /**
      * Sets whether this manager avoids an engine. {@code backoffOver}: whether the engine is to be
--- a/src/main/java/firstage/failover/ZoneFailover.java
+++ b/src/main/java/firstage/failover/ZoneFailover.java
@@ -69,7 +69,10 @@
     /** Maximum age of an engine's last response for it to count as observed. */
     private static final long MAX_OBSERVATION_AGE = Ticks.ofSeconds(3);
 
-    /** Time within which a usual request returns; until then an attempt says nothing. */
+    /**
+     * Time within which a usual request returns; an attempt that is younger says nothing about its
+     * engine.
+     */
     private static final long RESPONSE_TIME = Ticks.ofSeconds(2);
 
     /** Time for which a failure must be reported before the zone is evacuated. */
@@ -94,8 +97,8 @@
     private static final long FAILURE_MEMORY = Ticks.ofSeconds(60);
 
     /**
-     * Minimum duration of the return to a zone; the return takes as long as engines need to warm
-     * up, if that is longer.
+     * Minimum duration of the return to a zone; the return takes longer if engines take longer to
+     * warm up.
      */
     private static final long MIN_RAMP = Ticks.ofSeconds(2);
 
@@ -319,7 +322,7 @@
 
     /**
      * Returns the values that this manager reports: by zone, the percentage of its observed engines
-     * that are ejected, or UNKNOWN or a mark.
+     * that are ejected, or UNKNOWN or a mark if it has not observed enough engines.
      */
     public int[] reportedPercent(long now) {
         detectPause(now);
--- a/src/test/java/firstage/cli/PeersFileReaderTest.java
+++ b/src/test/java/firstage/cli/PeersFileReaderTest.java
@@ -173,10 +173,10 @@
         assertThatThrownBy(() -> PeersFileReader.read(file, "unused"))
                 .isInstanceOfSatisfying(
                         InvalidConfigException.class,
-                        fault -> {
-                            assertThat(fault.file()).isEqualTo(file.toString());
-                            assertThat(fault.line()).isEqualTo(6);
-                            assertThat(fault)
+                        exception -> {
+                            assertThat(exception.file()).isEqualTo(file.toString());
+                            assertThat(exception.line()).isEqualTo(6);
+                            assertThat(exception)
                                     .hasMessage(
                                             file
                                                     + ":6: probe: '1 h' is no time from 50 ms to"
