--- a/src/main/java/firstage/cli/BenchCommand.java
+++ b/src/main/java/firstage/cli/BenchCommand.java
@@ -3,7 +3,7 @@
 import firstage.bench.BenchAdapter;
 import java.io.IOException;
 
-/** {@code benchlink}: the adapter to the users' simulator, over standard input and output. */
+/** {@code benchlink}: runs the adapter to the users' simulator over standard input and output. */
 final class BenchCommand {
     private BenchCommand() {}
 
--- a/src/main/java/firstage/cli/ManagerClient.java
+++ b/src/main/java/firstage/cli/ManagerClient.java
@@ -38,7 +38,7 @@
                     return new String(
                             response.getData(), 0, response.getLength(), StandardCharsets.UTF_8);
                 } catch (SocketTimeoutException noResponse) {
-                    // Datagrams may be lost, and a manager may be busy.
+                    // The request is sent again: datagrams may be lost, and a manager may be busy.
                 }
             }
         }
--- a/src/main/java/firstage/config/SettingsKeys.java
+++ b/src/main/java/firstage/config/SettingsKeys.java
@@ -20,7 +20,7 @@
     /** Names of the machine types, in the order of the numbers that refer to them. */
     public static final String MACHINE_TYPE_NAMES = "kinds";
 
-    /** How endpoint lists arrive: {@link #DISCOVERY_SUBSCRIBE} if a manager has to subscribe. */
+    /** Channel of endpoint lists: {@link #DISCOVERY_SUBSCRIBE} if a manager has to subscribe. */
     public static final String DISCOVERY = "discovery";
 
     public static final String DISCOVERY_SUBSCRIBE = "subscribe";
@@ -76,7 +76,7 @@
     public static final String GRANTS_HEEDED = "family_info.takes_grants";
     public static final String PRIORITIES_HEEDED = "family_info.lanes_count";
 
-    /** How load reports arrive: inline, on_probe or off. */
+    /** Channel of load reports: inline, on_probe or off. */
     public static final String LOAD_REPORT_CHANNEL = "report.via";
 
     public static final String LOAD_REPORT_FIELDS = "report.fields";
