--- a/src/main/java/firstage/cli/ConfigReloader.java
+++ b/src/main/java/firstage/cli/ConfigReloader.java
@@ -34,7 +34,7 @@
      * Permits for reloads that were requested, including those requested before the server was
      * started or while the file was being read.
      */
-    private final Semaphore requests = new Semaphore(0);
+    private final Semaphore reloadRequests = new Semaphore(0);
 
     ConfigReloader(Path file) {
         this.file = file;
@@ -48,7 +48,7 @@
 
     /** Requests that the file be read again. May be called from any thread. */
     void requestReload() {
-        requests.release();
+        reloadRequests.release();
     }
 
     /**
@@ -107,8 +107,8 @@
 
     private void reloadOnRequest(ManagerServer server, ManagerConfig current) {
         while (true) {
-            requests.acquireUninterruptibly();
-            requests.drainPermits();
+            reloadRequests.acquireUninterruptibly();
+            reloadRequests.drainPermits();
             try {
                 reload(server, current);
             } catch (IOException | RuntimeException exception) {
--- a/src/main/java/firstage/cli/FaultTestRunCommand.java
+++ b/src/main/java/firstage/cli/FaultTestRunCommand.java
@@ -72,18 +72,18 @@
 
     @Override
     public Integer call() throws IOException {
-        FleetPlan plan = plan();
+        FleetPlan plan = readPlan();
         OrphanedProcesses.endAll().forEach(line -> System.err.println("fault-test: " + line));
         Path folder = out != null ? out : newFolder(plan);
-        FaultTestResult result = play(plan, folder, jar);
+        FaultTestResult result = runPlan(plan, folder, jar);
         if (against == null) {
             print(result, Optional.empty());
             System.out.println("record: " + folder);
         } else {
             Path folderAgainst = folder.resolveSibling(folder.getFileName() + "-against");
-            print(result, Optional.of(play(plan, folderAgainst, against)));
+            print(result, Optional.of(runPlan(plan, folderAgainst, against)));
         }
-        return status(result);
+        return exitCode(result);
     }
 
     private Path newFolder(FleetPlan plan) {
@@ -91,11 +91,11 @@
         return Path.of("target", "fault-test", plan.name() + "-" + seed + "-" + process);
     }
 
-    private static int status(FaultTestResult result) {
+    private static int exitCode(FaultTestResult result) {
         return result.verdict().equals(KEPT) || result.verdict().equals(VOID) ? 0 : BROKEN_STATUS;
     }
 
-    private FleetPlan plan() throws IOException {
+    private FleetPlan readPlan() throws IOException {
         if (managers != null && (managers < 1 || managers > MAX_MANAGERS)) {
             throw new InvalidPlanException(
                     "--managers " + managers + " is out of range; use 1 to 100");
@@ -127,7 +127,7 @@
                         "(?m)(^\\[managers\\][^\\[]*?^count\\s*=\\s*)\\d+", "$1" + managers);
     }
 
-    private FaultTestResult play(FleetPlan plan, Path folder, Path program) throws IOException {
+    private FaultTestResult runPlan(FleetPlan plan, Path folder, Path program) throws IOException {
         String command = ServeCommandLine.of(program);
         boolean interactive = System.console() != null;
         Files.createDirectories(folder);
--- a/src/main/java/firstage/cli/FaultTestShowCommand.java
+++ b/src/main/java/firstage/cli/FaultTestShowCommand.java
@@ -44,7 +44,7 @@
             names = "--at",
             paramLabel = "S",
             description = "events within half a second of this second")
-    private Double at;
+    private Double atSecond;
 
     @Override
     public Integer call() throws IOException {
@@ -53,15 +53,15 @@
             throw new InvalidPlanException(
                     file + " does not exist; name the folder that fault-test run printed");
         }
-        int shown = 0;
+        int matchingEvents = 0;
         for (String line : Files.readAllLines(file)) {
-            Map<String, String> event = event(line);
+            Map<String, String> event = parseEvent(line);
             if (matchesOptions(event)) {
-                shown++;
+                matchingEvents++;
                 print(event);
             }
         }
-        if (shown == 0) {
+        if (matchingEvents == 0) {
             throw new InvalidPlanException("no event matches the options in " + file);
         }
         return 0;
@@ -72,13 +72,13 @@
      * single requests.
      */
     private boolean matchesOptions(Map<String, String> event) {
-        if (request == null && engine == null && manager == null && at == null) {
+        if (request == null && engine == null && manager == null && atSecond == null) {
             return !event.containsKey(REQUEST);
         }
         return (request == null || request.equals(event.get(REQUEST)))
                 && (engine == null || engine.equals(event.get("engine")))
                 && (manager == null || manager.equals(event.get("manager")))
-                && (at == null || Math.abs(timeMs(event) - at * 1_000) <= MAX_DISTANCE_MS);
+                && (atSecond == null || Math.abs(timeMs(event) - atSecond * 1_000) <= MAX_DISTANCE_MS);
     }
 
     private static double timeMs(Map<String, String> event) {
@@ -91,7 +91,7 @@
         System.out.printf(Locale.ROOT, "%10.1f ms  %-12s %s%n", timeMs, event.remove(KIND), event);
     }
 
-    private static Map<String, String> event(String line) throws IOException {
+    private static Map<String, String> parseEvent(String line) throws IOException {
         try (JsonParser parser = new JsonFactory().createParser(line)) {
             parser.nextToken();
             return CommandRunner.fields(parser);
--- a/src/main/java/firstage/cli/ScaleRunCommand.java
+++ b/src/main/java/firstage/cli/ScaleRunCommand.java
@@ -63,8 +63,8 @@
         String command = ServeCommandLine.of(jar);
         Path folder = folder(plan);
         Files.createDirectories(folder);
-        Path planInForce = Files.writeString(folder.resolve("plan.toml"), text);
-        ScaleRun.Result result = play(plan, planInForce, folder, command);
+        Path effectivePlan = Files.writeString(folder.resolve("plan.toml"), text);
+        ScaleRun.Result result = runPlan(plan, effectivePlan, folder, command);
         ScaleFigures.writeJson(folder.resolve("figures.json"), result.figures());
         ScaleFigures.writeCsv(folder.resolve("figures.csv"), List.of(result.figures()));
         boolean completed = result.isVoid() == null;
@@ -115,13 +115,13 @@
         return folder.toAbsolutePath();
     }
 
-    private ScaleRun.Result play(ScalePlan plan, Path planInForce, Path folder, String command)
+    private ScaleRun.Result runPlan(ScalePlan plan, Path effectivePlan, Path folder, String command)
             throws IOException {
         boolean interactive = System.console() != null;
         return ScaleRun.play(
                 new ScaleRun.Order(
                         plan,
-                        planInForce,
+                        effectivePlan,
                         seed,
                         folder,
                         jar.toAbsolutePath(),
--- a/src/main/java/firstage/cli/ScaleSlopesCommand.java
+++ b/src/main/java/firstage/cli/ScaleSlopesCommand.java
@@ -87,7 +87,7 @@
         List<Map<String, Double>> rows = new ArrayList<>();
         for (int size : sizes) {
             check(size);
-            Map<String, Double> row = play(size);
+            Map<String, Double> row = simulate(size);
             rows.add(row);
             System.out.println("simulated, " + size + " managers");
             row.forEach(
@@ -120,7 +120,7 @@
         }
     }
 
-    private Map<String, Double> play(int size) {
+    private Map<String, Double> simulate(int size) {
         Shape shape =
                 new Shape(
                         size,
--- a/src/main/java/firstage/cli/ServeCommand.java
+++ b/src/main/java/firstage/cli/ServeCommand.java
@@ -62,15 +62,15 @@
     /** Returns once the manager serves; ends the program if it can't. */
     static void run(List<String> options) {
         try {
-            ofOptions(options).start();
+            fromOptions(options).start();
         } catch (IOException | RuntimeException exception) {
             Main.exitUnusable("can't serve: " + Main.oneLine(exception));
         }
     }
 
-    private static ServeCommand ofOptions(List<String> options) {
-        boolean namesPeers = options.size() == 2 && options.get(0).equals(PEERS_OPTION);
-        if (!options.isEmpty() && !namesPeers) {
+    private static ServeCommand fromOptions(List<String> options) {
+        boolean hasPeersOption = options.size() == 2 && options.get(0).equals(PEERS_OPTION);
+        if (!options.isEmpty() && !hasPeersOption) {
             throw new MalformedLineException(
                     "serve takes only --peers FILE, not " + String.join(" ", options));
         }
@@ -79,7 +79,7 @@
             throw new MalformedLineException(
                     "no configuration: " + CONFIG_FILE_VARIABLE + " is not set");
         }
-        return new ServeCommand(Path.of(configFile), namesPeers ? Path.of(options.get(1)) : null);
+        return new ServeCommand(Path.of(configFile), hasPeersOption ? Path.of(options.get(1)) : null);
     }
 
     private void start() throws IOException {
--- a/src/test/java/firstage/cells/CellDirectoryTest.java
+++ b/src/test/java/firstage/cells/CellDirectoryTest.java
@@ -129,8 +129,10 @@
             }
         }
 
-        /** Plays an event: 0 to 3 restart a manager with the new plan, 4 to 7 deliver messages. */
-        private void play(int event) {
+        /**
+         * Applies an event: 0 to 3 restart a manager with the new plan, 4 to 7 deliver messages.
+         */
+        private void applyEvent(int event) {
             switch (event) {
                 case 0, 1, 2, 3 -> managers.get(event).start(NEW_PLAN, OLD_PLAN);
                 case 4 -> deliverDigest(0, 1);
@@ -173,7 +175,7 @@
                             Fleet fleet = new Fleet(defect);
                             double maxShareSum = 0;
                             for (int i = 0; i < depth; i++) {
-                                fleet.play(order >> 3 * i & 7);
+                                fleet.applyEvent(order >> 3 * i & 7);
                                 maxShareSum =
                                         Math.max(
                                                 maxShareSum,
@@ -280,15 +282,15 @@
                         .orElseThrow();
         assertThat(fleet.managers.get(0).cells.mayUse(movedEngine, "z")).isTrue();
         for (int e = 0; e < 4; e++) {
-            fleet.play(e);
+            fleet.applyEvent(e);
         }
         assertThat(fleet.managers.get(3).cells.mayUse(movedEngine, "z")).isFalse();
         assertThat(fleet.managers.get(3).cells.awaits(movedEngine, "z")).isTrue();
         for (int i = 0; i < 3; i++) {
-            fleet.play(4);
-            fleet.play(5);
-            fleet.play(6);
-            fleet.play(7);
+            fleet.applyEvent(4);
+            fleet.applyEvent(5);
+            fleet.applyEvent(6);
+            fleet.applyEvent(7);
         }
         assertThat(fleet.managers.get(3).cells.mayUse(movedEngine, "z")).isTrue();
         assertThat(fleet.managers.get(3).releaseCalls).isPositive();
@@ -387,13 +389,13 @@
         assertThat(subset.filter(true, engines)).isEmpty();
         assertThat(subset.awaitedCount()).isEqualTo(ownEngines.size()).isBetween(60, 140);
         for (int e = 0; e < 3; e++) {
-            fleet.play(e);
+            fleet.applyEvent(e);
         }
         for (int i = 0; i < 3; i++) {
-            fleet.play(4);
-            fleet.play(5);
-            fleet.play(6);
-            fleet.play(7);
+            fleet.applyEvent(4);
+            fleet.applyEvent(5);
+            fleet.applyEvent(6);
+            fleet.applyEvent(7);
         }
         assertThat(subset.takeReleased()).isEqualTo(ownEngines);
         assertThat(subset.awaitedCount()).isZero();
