--- a/src/test/java/firstage/config/SettingsParserTest.java
+++ b/src/test/java/firstage/config/SettingsParserTest.java
@@ -8,7 +8,10 @@
 import firstage.policy.api.Deployment;
 import org.junit.jupiter.api.Test;
 
-/** Old shape and new are told apart by settings alone; a mix of them is refused, naming the key. */
+/**
+ * Tests that the settings alone tell the earlier from the newer report and memory modes, and that a
+ * contradictory mix of them is rejected with the name of the key.
+ */
 class SettingsParserTest {
     private static Deployment read(String settings) {
         return SettingsParser.parse(new WireFields("POWER_ON " + settings));
@@ -31,20 +34,20 @@
 
     @Test
     void parse_mixOfShapes_isRefusedNamingTheKey() {
-        MalformedLineException fault =
+        MalformedLineException exception =
                 assertThrows(
                         MalformedLineException.class,
                         () -> read("report.via=off report.fields=waiting"));
-        assertTrue(fault.getMessage().startsWith("report.fields"));
+        assertTrue(exception.getMessage().startsWith("report.fields"));
     }
 
     @Test
     void parse_unknownWord_isRefusedNamingTheKey() {
-        MalformedLineException fault =
+        MalformedLineException exception =
                 assertThrows(
                         MalformedLineException.class, () -> read("family_info.out_of_memory=swap"));
         assertEquals(
                 "family_info.out_of_memory = swap is none of [page, shrink, wait]",
-                fault.getMessage());
+                exception.getMessage());
     }
 }
