--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -9,20 +9,30 @@
 import java.util.Map;
 
 /**
- * The rules, by what crosses between managers, engines and clients; it never asks what a manager
- * remembers. What it can see of each: 1 one answer for each try, in time; 2 non-idempotent requests
- * at engines once, rejected only while none may have run, those with an idempotency key within
- * their window; 3 nothing to an engine past the grace after its drain was told; 4 no cold engine
- * pushed over; 5 one at a time and in turn for each key and manager, with its rest. A fleet file
- * states neither places (6) nor a budget (7).
+ * Checks that managers keep the scheduling rules, from the messages between managers, engines and
+ * clients alone; it never reads the state of a manager. The rules as they are checked:
+ *
+ * <ol>
+ *   <li>Each try is answered once and in time.
+ *   <li>A non-idempotent request is sent to engines once, unless no earlier attempt can have run,
+ *       and is rejected only while no attempt can have run. A request with an idempotency key is
+ *       sent again only within its idempotency window.
+ *   <li>No statement goes to an engine after the grace period that follows the announcement of its
+ *       drain.
+ *   <li>No cold engine is overloaded.
+ *   <li>Requests of one ordering key at one manager run one at a time and in order, and pause for
+ *       the key's quiet period after an attempt that may still run.
+ * </ol>
+ *
+ * <p>Rules 6 (placement) and 7 (retry budget) are not checked: fleet files have no keys for them.
  */
 public final class RuleChecker {
     private static final long ANSWER_SLACK = 200;
 
-    /** An attempt may begin for so long after its client left. */
+    /** Tolerance for an attempt that starts after its client left. */
     private static final long DEPARTURE_SLACK = Ticks.ofMillis(100);
 
-    /** A deadline told to an engine may be so much later than its client's. */
+    /** Tolerance for a deadline, as sent to an engine, that is later than the client's. */
     private static final long DEADLINE_SLACK = Ticks.ofMillis(150);
 
     private static final int MAX_VIOLATIONS_KEPT = 20;
@@ -49,36 +59,43 @@
             this.deadline = deadline;
         }
 
-        /** Whether its manager's life ended, or it never came to one. */
+        /** Returns whether no answer is due: its manager was killed or never accepted it. */
         public boolean abandoned() {
             return abandoned;
         }
 
-        /** Its deadline counts from its last byte, not from before it was sent. */
+        /**
+         * Marks the deadline as exact: it counts from the request's last byte, rather than from
+         * some time before the request was sent. Only exact deadlines are compared with those that
+         * engines receive.
+         */
         public void setDeadlineExact() {
             deadlineExact = true;
         }
 
-        /** Its client closed its connection or cancelled, at this time at the latest. */
+        /**
+         * Records that the client closed its connection or cancelled, at {@code now} at the latest.
+         */
         public void leave(long now) {
             leftAt = leftAt < 0 ? now : leftAt;
         }
 
-        /** Whether its client left. */
+        /** Returns whether the client left. */
         public boolean hasLeft() {
             return leftAt >= 0;
         }
 
-        /** Whether an attempt of it was seen. */
+        /** Returns whether an attempt of this try reached an engine. */
         public boolean attempted() {
             return attempted;
         }
 
-        /** Its manager was stopped: so much later its answer may come. */
+        /** Allows the answer to be this many ticks later, because the manager was paused. */
         public void allowPause(long by) {
             pauseAllowance = Math.max(pauseAllowance, by);
         }
 
+        /** Returns whether the answer may be late because the manager was paused. */
         public boolean pauseAllowance() {
             return pauseAllowance > 0;
         }
@@ -102,9 +119,13 @@
     private final Map<Long, Integer> runsByRequest = new HashMap<>();
     private final List<Map<Integer, KeyState>> keysByManager = new ArrayList<>();
 
-    /** By manager and engine, when it was told of a drain or an end; absent while it is up. */
+    /**
+     * For each manager and engine, the time at which the manager was told that the engine drains or
+     * is gone; absent while the engine is active.
+     */
     private final List<Map<Integer, Long>> drainsByManager = new ArrayList<>();
 
+    /** For each manager and engine, the latest start of the engine that the manager knows of. */
     private final List<Map<Integer, Long>> startsByManager = new ArrayList<>();
 
     RuleChecker(FleetPlan plan) {
@@ -112,8 +133,11 @@
     }
 
     /**
-     * @param answerSlack ticks by which an answer may be late
-     * @param observationDelay ticks by which statements and answers may be seen late
+     * Creates a checker for observers outside the managers.
+     *
+     * @param answerSlack tolerance for late answers, in ticks
+     * @param observationDelay the time by which statements and answers may be observed late, in
+     *     ticks
      */
     public RuleChecker(FleetPlan plan, long answerSlack, long observationDelay) {
         this.plan = plan;
@@ -144,7 +168,7 @@
         }
     }
 
-    /** The list told this manager when an engine last started. */
+    /** Records that the endpoint list told this manager when an engine last started. */
     public void onEngineStartTold(int manager, int engine, long since) {
         startsByManager.get(manager).merge(engine, since, Math::max);
     }
@@ -153,7 +177,7 @@
         return startsByManager.get(manager).getOrDefault(engine, 0L) >= since;
     }
 
-    /** It never came to a manager, or to none that lives. */
+    /** Records that no running manager accepted the try, so that no answer is due. */
     public void onNeverAccepted(ClientTry clientTry) {
         clientTry.abandoned = true;
         KeyState keyState =
@@ -165,7 +189,7 @@
         }
     }
 
-    /** What it held is no duty of anybody's. */
+    /** Records that a manager was killed; its open tries need no answer any more. */
     public void onManagerKilled(int manager, Iterable<ClientTry> delayed) {
         delayed.forEach(clientTry -> clientTry.abandoned = true);
         keysByManager.get(manager).clear();
@@ -177,8 +201,10 @@
     }
 
     /**
-     * {@code delayed}: the way may have kept it back; when it was sent is not known, only that it
-     * came now.
+     * Records that an attempt arrived at an engine.
+     *
+     * @param delayed whether the network may have held the statement back: {@code now} is then the
+     *     time of its arrival, and the time at which it was sent is unknown
      */
     public void onAttemptSent(long now, ClientTry clientTry, int engine, boolean delayed) {
         Effect effect = plan.trafficClasses().get(clientTry.request.trafficClass).effect();
@@ -225,12 +251,15 @@
                         now,
                         5,
                         clientTry,
-                        "sent while batch " + keyState.running.request.id + " of its key is out");
+                        "sent while batch "
+                                + keyState.running.request.id
+                                + " of its key is out");
             } else if (observationDelay == 0
                     && (keyState.openTries.isEmpty() || keyState.openTries.get(0) != clientTry)) {
                 recordViolation(now, 5, clientTry, "sent out of turn");
             }
-            // Where answers are seen later than statements, one that is on its way is no break.
+            // Where answers are observed later than statements, the answer to an earlier try may
+            // still be under way: onAnswered reports the overtaking if that answer comes too late.
             keyState.openTries.stream()
                     .takeWhile(a -> a != clientTry)
                     .filter(a -> a.overtakenAt == 0)
@@ -245,8 +274,10 @@
     }
 
     /**
-     * When an attempt began at the earliest, and the deadline that its engine was told, where both
-     * are known.
+     * Checks the times of an attempt, where they are known.
+     *
+     * @param beganAt the earliest time at which the attempt can have started
+     * @param deadline the deadline that the engine received
      */
     public void onAttemptTimes(long beganAt, ClientTry clientTry, long deadline) {
         if (clientTry.leftAt >= 0 && beganAt > clientTry.leftAt + DEPARTURE_SLACK) {
@@ -304,7 +335,10 @@
         }
         if (now > clientTry.deadline + answerSlack + clientTry.pauseAllowance) {
             recordViolation(
-                    now, 1, clientTry, "answered " + (now - clientTry.deadline) / 10 + " ms late");
+                    now,
+                    1,
+                    clientTry,
+                    "answered " + (now - clientTry.deadline) / 10 + " ms late");
         }
         if (rejected
                 && plan.trafficClasses().get(clientTry.request.trafficClass).effect()
@@ -321,14 +355,14 @@
         }
     }
 
-    /** Its time is over and a little more; it must have its answer. */
+    /** Records that the deadline and the tolerance have passed; the answer must have come. */
     public void onDeadlinePassed(long now, ClientTry clientTry) {
         if (clientTry.answers == 0 && !clientTry.abandoned && clientTry.leftAt < 0) {
             recordViolation(now, 1, clientTry, "never answered");
         }
     }
 
-    /** A run begins at an engine. */
+    /** Records that an engine starts to run the request. */
     void onRunStarted(TrueRequest request, long now) {
         if (runsByRequest.merge(request.id, 1, Integer::sum) > 1
                 && plan.trafficClasses().get(request.trafficClass).effect()
@@ -337,7 +371,7 @@
         }
     }
 
-    /** A run ends there. */
+    /** Records that a run of the request ended. */
     public void onRunEnded(TrueRequest request) {
         if (plan.trafficClasses().get(request.trafficClass).effect() != Effect.NON_IDEMPOTENT) {
             runsByRequest.remove(request.id);
@@ -370,7 +404,7 @@
                         + how);
     }
 
-    /** Records a violation that the caller found itself. */
+    /** Records a violation that the caller found. */
     public void addViolation(String line) {
         violationCount++;
         keepViolation(line);
@@ -382,7 +416,7 @@
         }
     }
 
-    /** What broke: which rule, when, by whom; the first of them. */
+    /** Returns descriptions of the first violations: rule, time, request and manager. */
     public List<String> violations() {
         return violations;
     }
