--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -48,7 +48,7 @@
         private boolean mayHaveRun;
         private long firstSentAt = -1;
         private boolean attempted;
-        private long pauseAllowance;
+        private long extraAnswerSlack;
         private long overtakenAt;
         private long leftAt = -1;
         private boolean deadlineExact;
@@ -91,13 +91,13 @@
         }
 
         /** Allows the answer to be this many ticks later, because the manager was paused. */
-        public void allowPause(long by) {
-            pauseAllowance = Math.max(pauseAllowance, by);
+        public void allowPause(long delay) {
+            extraAnswerSlack = Math.max(extraAnswerSlack, delay);
         }
 
         /** Returns whether the answer may be late because the manager was paused. */
         public boolean pauseAllowance() {
-            return pauseAllowance > 0;
+            return extraAnswerSlack > 0;
         }
 
         public int answers() {
@@ -126,7 +126,7 @@
     private final List<Map<Integer, Long>> drainsByManager = new ArrayList<>();
 
     /** For each manager and engine, the latest start of the engine that the manager knows of. */
-    private final List<Map<Integer, Long>> startsByManager = new ArrayList<>();
+    private final List<Map<Integer, Long>> engineStartsByManager = new ArrayList<>();
 
     RuleChecker(FleetPlan plan) {
         this(plan, ANSWER_SLACK, 0);
@@ -146,7 +146,7 @@
         for (int m = 0; m < plan.managers().count(); m++) {
             keysByManager.add(new HashMap<>());
             drainsByManager.add(new HashMap<>());
-            startsByManager.add(new HashMap<>());
+            engineStartsByManager.add(new HashMap<>());
         }
     }
 
@@ -169,12 +169,12 @@
     }
 
     /** Records that the endpoint list told this manager when an engine last started. */
-    public void onEngineStartTold(int manager, int engine, long since) {
-        startsByManager.get(manager).merge(engine, since, Math::max);
+    public void onEngineStartTold(int manager, int engine, long startedAt) {
+        engineStartsByManager.get(manager).merge(engine, startedAt, Math::max);
     }
 
-    boolean knowsEngineStart(int manager, int engine, long since) {
-        return startsByManager.get(manager).getOrDefault(engine, 0L) >= since;
+    boolean knowsEngineStart(int manager, int engine, long startedAt) {
+        return engineStartsByManager.get(manager).getOrDefault(engine, 0L) >= startedAt;
     }
 
     /** Records that no running manager accepted the try, so that no answer is due. */
@@ -190,8 +190,8 @@
     }
 
     /** Records that a manager was killed; its open tries need no answer any more. */
-    public void onManagerKilled(int manager, Iterable<ClientTry> delayed) {
-        delayed.forEach(clientTry -> clientTry.abandoned = true);
+    public void onManagerKilled(int manager, Iterable<ClientTry> openTries) {
+        openTries.forEach(clientTry -> clientTry.abandoned = true);
         keysByManager.get(manager).clear();
         drainsByManager.get(manager).clear();
     }
@@ -333,7 +333,7 @@
                             + (now - clientTry.overtakenAt) / 10
                             + " ms after that");
         }
-        if (now > clientTry.deadline + answerSlack + clientTry.pauseAllowance) {
+        if (now > clientTry.deadline + answerSlack + clientTry.extraAnswerSlack) {
             recordViolation(
                     now,
                     1,
@@ -378,7 +378,7 @@
         }
     }
 
-    void onColdEngineOverloaded(int engine, long now, String how) {
+    void onColdEngineOverloaded(int engine, long now, String detail) {
         violationCount++;
         keepViolation(
                 "rule 4 at "
@@ -386,10 +386,10 @@
                         + " ms: cold engine "
                         + engine
                         + " was pushed over; "
-                        + how);
+                        + detail);
     }
 
-    private void recordViolation(long now, int rule, ClientTry clientTry, String how) {
+    private void recordViolation(long now, int rule, ClientTry clientTry, String detail) {
         violationCount++;
         keepViolation(
                 "rule "
@@ -401,18 +401,18 @@
                         + " at manager "
                         + clientTry.manager
                         + " "
-                        + how);
+                        + detail);
     }
 
     /** Records a violation that the caller found. */
-    public void addViolation(String line) {
+    public void addViolation(String description) {
         violationCount++;
-        keepViolation(line);
+        keepViolation(description);
     }
 
-    private void keepViolation(String line) {
+    private void keepViolation(String description) {
         if (violations.size() < MAX_VIOLATIONS_KEPT) {
-            violations.add(line);
+            violations.add(description);
         }
     }
 
