--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -209,11 +209,11 @@
     public void onAttemptSent(long now, ClientTry clientTry, int engine, boolean delayed) {
         Effect effect = plan.trafficClasses().get(clientTry.request.trafficClass).effect();
         if (clientTry.answers > 0 && !delayed) {
-            recordViolation(now, 1, clientTry, "sent after its answer");
+            recordViolation(now, 1, clientTry, "was sent after it was answered");
         }
         if (effect == Effect.NON_IDEMPOTENT
                 && (clientTry.mayHaveRun || clientTry.attemptsInFlight > 0)) {
-            recordViolation(now, 2, clientTry, "sent again, and may have run");
+            recordViolation(now, 2, clientTry, "was sent again although it may have run");
         }
         if (effect == Effect.IDEMPOTENT_WITH_KEY
                 && clientTry.firstSentAt >= 0
@@ -222,7 +222,7 @@
                                 + plan.trafficClasses()
                                         .get(clientTry.request.trafficClass)
                                         .idempotencyWindow()) {
-            recordViolation(now, 2, clientTry, "sent again past its window");
+            recordViolation(now, 2, clientTry, "was sent again after its idempotency window");
         }
         Long drain = drainsByManager.get(clientTry.manager).get(engine);
         if (drain != null
@@ -232,11 +232,11 @@
                     now,
                     3,
                     clientTry,
-                    "sent to engine "
+                    "was sent to engine "
                             + engine
-                            + ", whose drain was told "
+                            + ", whose drain was announced "
                             + (now - drain) / 10
-                            + " ms before");
+                            + " ms earlier");
         }
         clientTry.attemptsInFlight++;
         clientTry.attempted = true;
@@ -251,12 +251,12 @@
                         now,
                         5,
                         clientTry,
-                        "sent while batch "
+                        "was sent while batch "
                                 + keyState.running.request.id
-                                + " of its key is out");
+                                + " of its key is in flight");
             } else if (observationDelay == 0
                     && (keyState.openTries.isEmpty() || keyState.openTries.get(0) != clientTry)) {
-                recordViolation(now, 5, clientTry, "sent out of turn");
+                recordViolation(now, 5, clientTry, "was sent out of the order of its key");
             }
             // Where answers are observed later than statements, the answer to an earlier try may
             // still be under way: onAnswered reports the overtaking if that answer comes too late.
@@ -267,7 +267,7 @@
             if (keyState.running == null
                     && now < keyState.quietUntil
                     && clientTry.firstSentAt == now) {
-                recordViolation(now, 5, clientTry, "sent while its key rests");
+                recordViolation(now, 5, clientTry, "was sent in the quiet period of its key");
             }
             keyState.running = clientTry;
         }
@@ -285,14 +285,14 @@
                     beganAt,
                     1,
                     clientTry,
-                    "begun " + (beganAt - clientTry.leftAt) / 10 + " ms after its client left");
+                    "was started " + (beganAt - clientTry.leftAt) / 10 + " ms after its client left");
         }
         if (clientTry.deadlineExact && deadline > clientTry.deadline + DEADLINE_SLACK) {
             recordViolation(
                     beganAt,
                     1,
                     clientTry,
-                    "told a deadline "
+                    "was sent with a deadline "
                             + (deadline - clientTry.deadline) / 10
                             + " ms after its client's");
         }
@@ -320,7 +320,7 @@
 
     public void onAnswered(long now, ClientTry clientTry, boolean rejected) {
         if (++clientTry.answers > 1) {
-            recordViolation(now, 1, clientTry, "answered twice");
+            recordViolation(now, 1, clientTry, "was answered twice");
         }
         if (observationDelay > 0
                 && clientTry.overtakenAt > 0
@@ -329,7 +329,7 @@
                     now,
                     5,
                     clientTry,
-                    "overtaken by a later one of its key, and answered "
+                    "was overtaken by a later batch of its key and answered "
                             + (now - clientTry.overtakenAt) / 10
                             + " ms after that");
         }
@@ -338,13 +338,13 @@
                     now,
                     1,
                     clientTry,
-                    "answered " + (now - clientTry.deadline) / 10 + " ms late");
+                    "was answered " + (now - clientTry.deadline) / 10 + " ms late");
         }
         if (rejected
                 && plan.trafficClasses().get(clientTry.request.trafficClass).effect()
                         == Effect.NON_IDEMPOTENT
                 && (clientTry.mayHaveRun || clientTry.attemptsInFlight > 0)) {
-            recordViolation(now, 2, clientTry, "pushed back, and may have run");
+            recordViolation(now, 2, clientTry, "was rejected although it may have run");
         }
         KeyState keyState =
                 clientTry.request.orderingKey >= 0
@@ -358,7 +358,7 @@
     /** Records that the deadline and the tolerance have passed; the answer must have come. */
     public void onDeadlinePassed(long now, ClientTry clientTry) {
         if (clientTry.answers == 0 && !clientTry.abandoned && clientTry.leftAt < 0) {
-            recordViolation(now, 1, clientTry, "never answered");
+            recordViolation(now, 1, clientTry, "was never answered");
         }
     }
 
@@ -367,7 +367,7 @@
         if (runsByRequest.merge(request.id, 1, Integer::sum) > 1
                 && plan.trafficClasses().get(request.trafficClass).effect()
                         == Effect.NON_IDEMPOTENT) {
-            recordViolation(now, 2, new ClientTry(request, -1, 0), "runs twice");
+            recordViolation(now, 2, new ClientTry(request, -1, 0), "ran twice");
         }
     }
 
@@ -385,7 +385,7 @@
                         + now / 10
                         + " ms: cold engine "
                         + engine
-                        + " was pushed over; "
+                        + " was overloaded; "
                         + detail);
     }
 
--- a/src/test/java/firstage/simulation/FleetSimulationTest.java
+++ b/src/test/java/firstage/simulation/FleetSimulationTest.java
@@ -67,7 +67,7 @@
         assertThat(c.verdict()).isEqualTo(PairedComparison.Verdict.BROKEN);
         assertThat(c.violations())
                 .anySatisfy(
-                        what -> assertThat(what).contains("two-choices", "rule 4", "pushed over"));
+                        what -> assertThat(what).contains("two-choices", "rule 4", "was overloaded"));
     }
 
     /**
