--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -15,19 +15,20 @@
 import java.util.stream.IntStream;
 
 /**
- * One run of a fleet: the same plan, choice and seed give the same result, and two choices of one
- * seed meet the same traffic, engines and faults.
+ * A simulated run of a fleet. The same plan, policy and seed give the same result; two policies
+ * with the same seed get the same traffic, engines and faults.
  */
 public final class FleetSimulation implements ManagerModel.ClientActions {
+    /** Start of a run; above 0, which stands for "long ago" in the models. */
     private static final long START = 1_000_000;
 
-    /** After the last arrival a run goes on until all is answered. */
+    /** Time for which a run goes on after the last possible deadline, to answer all requests. */
     private static final long COOL_DOWN = 10_000;
 
     private static final long DRAIN_DURATION = 30_000;
     private static final long DOWN_DURATION = 20_000;
 
-    /** Silence is noticed so many times later than a death. */
+    /** How many times later the endpoint list reports a silent engine than a dead one. */
     private static final int SILENCE_DETECTION_FACTOR = 3;
 
     private final FleetPlan plan;
@@ -40,10 +41,10 @@
     private final List<EngineModel> engines = new ArrayList<>();
     private final List<ManagerModel> managers = new ArrayList<>();
 
-    /** The managers cell by cell; all of them, where there are no cells. */
+    /** Managers of each cell; a single list of all managers where the plan has no cells. */
     private final List<List<ManagerModel>> managersByCell;
 
-    /** By engine, how often the list changed its word on it. */
+    /** Number of announcements of the endpoint list about each engine. */
     private final int[] endpointVersions;
 
     private final List<Disturbance> expensiveWork = new ArrayList<>();
@@ -84,7 +85,7 @@
                                 .values());
     }
 
-    /** Plays the plan once with this policy and seed. */
+    /** Simulates the plan once with this policy and seed. */
     public static SimulationResult play(
             FleetPlan plan, PolicyUnderTest policyUnderTest, long seed) {
         return new FleetSimulation(plan, policyUnderTest, seed).play(policyUnderTest, seed);
@@ -132,8 +133,8 @@
     }
 
     /**
-     * Each tells one other of its cell by chance and hears it, as the membership's probes and their
-     * answers do.
+     * Exchanges digests between each manager and a random other manager of its cell, as the probes
+     * of the membership protocol and their answers do, and schedules the next exchange.
      */
     private void gossip(RandomGenerator random) {
         for (List<ManagerModel> cell : managersByCell) {
@@ -157,7 +158,8 @@
         sentToFaultyEngines++;
     }
 
-    // ---- Clients.
+    // Clients.
+
     private void onArrival() {
         long now = events.now();
         if (now >= START + plan.length()) {
@@ -215,7 +217,8 @@
         retryLater(request, 0, false);
     }
 
-    // ---- Faults.
+    // Faults.
+
     private List<Integer> drawAffected(int of, double part, RandomGenerator random) {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < of; i++) {
@@ -356,6 +359,10 @@
         }
     }
 
+    /**
+     * Puts an engine into this state for {@code length}, then starts it again, and announces both
+     * changes; the first one with {@code delayFactor} times the usual discovery delay.
+     */
     private void takeDown(
             int engine, EngineModel.State state, long length, int later, RandomGenerator random) {
         faultySeconds += length / 1e4;
@@ -369,7 +376,11 @@
                 });
     }
 
-    /** Each manager hears it when its own list comes round. */
+    /**
+     * Announces an engine's lifecycle to each manager after a discovery delay drawn for the manager
+     * and multiplied by {@code delayFactor}. With a factor above 1 an announcement is dropped where
+     * a newer one was made in the meantime.
+     */
     private void announce(
             int engine, Lifecycle standing, long since, int later, RandomGenerator random) {
         int said = ++endpointVersions[engine];
@@ -384,6 +395,7 @@
         }
     }
 
+    /** Drains and replaces the affected engines in groups, spread over the disturbance. */
     private void rollingReplace(Disturbance disturbance, RandomGenerator random) {
         List<Integer> all = drawAffected(engines.size(), disturbance.affectedShare(), random);
         int each = (int) Math.max(1, Math.round(engines.size() * disturbance.extra()));
