--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -50,7 +50,7 @@
     private final List<Disturbance> expensiveWork = new ArrayList<>();
     private double trafficFactor = 1;
     private long sentToFaultyEngines;
-    private double faultySeconds;
+    private double faultyEngineSeconds;
 
     private FleetSimulation(FleetPlan plan, PolicyUnderTest policyUnderTest, long seed) {
         this.plan = plan;
@@ -96,9 +96,9 @@
         if (policyUnderTest.peers() != null) {
             gossip(randomStreams.stream("gossip", 0));
         }
-        int number = 0;
+        int streamIndex = 0;
         for (Disturbance disturbance : plan.disturbances()) {
-            RandomGenerator random = randomStreams.stream("trouble", number++);
+            RandomGenerator random = randomStreams.stream("trouble", streamIndex++);
             events.schedule(disturbance.at(), () -> inject(disturbance, random));
         }
         for (FleetPlan.Fault fault : plan.faults()) {
@@ -109,27 +109,27 @@
                                 + fault.kind().name().toLowerCase(Locale.ROOT)
                                 + "; play this plan on processes (fault-test run)");
             }
-            RandomGenerator random = randomStreams.stream("fault", number++);
+            RandomGenerator random = randomStreams.stream("fault", streamIndex++);
             events.schedule(fault.at(), () -> inject(fault, random));
         }
         events.schedule(traffic.nextArrival(START, START, 1) - START, this::onArrival);
-        long longest =
+        long longestTimeout =
                 plan.trafficClasses().stream()
                         .mapToLong(FleetPlan.TrafficClassPlan::timeout)
                         .max()
                         .orElse(0);
-        long happened = events.runUntil(START + plan.length() + longest + COOL_DOWN);
+        long executedEvents = events.runUntil(START + plan.length() + longestTimeout + COOL_DOWN);
         Map<String, Double> figures = scoreboard.figures();
         figures.put(
                 "to a sick engine a s",
-                faultySeconds > 0 ? sentToFaultyEngines / faultySeconds : 0);
+                faultyEngineSeconds > 0 ? sentToFaultyEngines / faultyEngineSeconds : 0);
         return new SimulationResult(
                 policyUnderTest.name(),
                 seed,
                 figures,
                 rules.violations(),
                 scoreboard.requests(),
-                happened);
+                executedEvents);
     }
 
     /**
@@ -138,12 +138,12 @@
      */
     private void gossip(RandomGenerator random) {
         for (List<ManagerModel> cell : managersByCell) {
-            List<String> up =
+            List<String> upNames =
                     cell.stream().filter(ManagerModel::up).map(ManagerModel::name).toList();
             for (int m = 0; m < cell.size() && cell.size() > 1; m++) {
                 ManagerModel other =
                         cell.get((m + 1 + random.nextInt(cell.size() - 1)) % cell.size());
-                cell.get(m).onViewChanged(up);
+                cell.get(m).onViewChanged(upNames);
                 cell.get(m).sendDigest(other);
                 other.sendDigest(cell.get(m));
             }
@@ -174,26 +174,26 @@
     private void sendToManager(TrueRequest request) {
         long now = events.now();
         request.tries++;
-        ManagerModel to = managers.get(clients.managerFor(request));
-        long patience =
+        ManagerModel manager = managers.get(clients.managerFor(request));
+        long tryTimeout =
                 Math.round(
                         (request.deadline - request.firstRequestedAt)
                                 * plan.clients().deadlineShareOfTry());
-        if (!to.up()) {
+        if (!manager.up()) {
             retryLater(request, 0, true);
         } else {
-            to.onRequest(request, Math.min(request.deadline, now + Math.max(1, patience)));
+            manager.onRequest(request, Math.min(request.deadline, now + Math.max(1, tryTimeout)));
         }
     }
 
-    private void retryLater(TrueRequest request, long retryAfter, boolean harmless) {
-        boolean may =
-                harmless
+    private void retryLater(TrueRequest request, long retryAfter, boolean safeToRetry) {
+        boolean retryAllowed =
+                safeToRetry
                         || plan.trafficClasses().get(request.trafficClass).effect()
                                 != Effect.NON_IDEMPOTENT;
-        long wait = clients.retryDelay(request, events.now(), retryAfter, may);
-        if (wait >= 0) {
-            events.schedule(wait, () -> sendToManager(request));
+        long delay = clients.retryDelay(request, events.now(), retryAfter, retryAllowed);
+        if (delay >= 0) {
+            events.schedule(delay, () -> sendToManager(request));
         }
     }
 
@@ -219,13 +219,13 @@
 
     // Faults.
 
-    private List<Integer> drawAffected(int of, double part, RandomGenerator random) {
-        List<Integer> all = new ArrayList<>();
-        for (int i = 0; i < of; i++) {
-            all.add(i);
+    private List<Integer> drawAffected(int count, double share, RandomGenerator random) {
+        List<Integer> indices = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            indices.add(i);
         }
-        Collections.shuffle(all, new Random(random.nextLong()));
-        return all.subList(0, (int) Math.min(of, Math.max(1, Math.round(of * part))));
+        Collections.shuffle(indices, new Random(random.nextLong()));
+        return indices.subList(0, (int) Math.min(count, Math.max(1, Math.round(count * share))));
     }
 
     private void inject(Disturbance disturbance, RandomGenerator random) {
@@ -314,11 +314,11 @@
     }
 
     private void inject(FleetPlan.Fault fault, RandomGenerator random) {
-        List<Integer> struck =
+        List<Integer> targets =
                 fault.source() == null ? List.of() : fault.source().among(plan, random);
         switch (fault.kind()) {
             case DIE ->
-                    struck.forEach(
+                    targets.forEach(
                             engine ->
                                     takeDown(
                                             engine,
@@ -327,7 +327,7 @@
                                             1,
                                             random));
             case SILENCE ->
-                    struck.forEach(
+                    targets.forEach(
                             engine ->
                                     takeDown(
                                             engine,
@@ -336,16 +336,16 @@
                                             SILENCE_DETECTION_FACTOR,
                                             random));
             case HANG ->
-                    struck.forEach(
+                    targets.forEach(
                             engine -> {
-                                faultySeconds += fault.length() / 1e4;
+                                faultyEngineSeconds += fault.length() / 1e4;
                                 engines.get(engine).setState(EngineModel.State.HANGING);
                                 events.schedule(
                                         fault.length(),
                                         () -> engines.get(engine).setState(EngineModel.State.UP));
                             });
             case KILL ->
-                    struck.forEach(
+                    targets.forEach(
                             m -> {
                                 managers.get(m).kill();
                                 events.schedule(
@@ -364,10 +364,10 @@
      * changes; the first one with {@code delayFactor} times the usual discovery delay.
      */
     private void takeDown(
-            int engine, EngineModel.State state, long length, int later, RandomGenerator random) {
-        faultySeconds += length / 1e4;
+            int engine, EngineModel.State state, long length, int delayFactor, RandomGenerator random) {
+        faultyEngineSeconds += length / 1e4;
         engines.get(engine).setState(state);
-        announce(engine, Lifecycle.GONE, 0, later, random);
+        announce(engine, Lifecycle.GONE, 0, delayFactor, random);
         events.schedule(
                 length,
                 () -> {
@@ -382,14 +382,14 @@
      * a newer one was made in the meantime.
      */
     private void announce(
-            int engine, Lifecycle standing, long since, int later, RandomGenerator random) {
-        int said = ++endpointVersions[engine];
+            int engine, Lifecycle lifecycle, long startedAt, int delayFactor, RandomGenerator random) {
+        int version = ++endpointVersions[engine];
         for (ManagerModel manager : managers) {
             events.schedule(
-                    later * plan.managers().discoveryDelay().drawTime(random),
+                    delayFactor * plan.managers().discoveryDelay().drawTime(random),
                     () -> {
-                        if (endpointVersions[engine] == said || later == 1) {
-                            manager.onEndpointUpdate(engine, standing, since);
+                        if (endpointVersions[engine] == version || delayFactor == 1) {
+                            manager.onEndpointUpdate(engine, lifecycle, startedAt);
                         }
                     });
         }
@@ -397,13 +397,13 @@
 
     /** Drains and replaces the affected engines in groups, spread over the disturbance. */
     private void rollingReplace(Disturbance disturbance, RandomGenerator random) {
-        List<Integer> all = drawAffected(engines.size(), disturbance.affectedShare(), random);
-        int each = (int) Math.max(1, Math.round(engines.size() * disturbance.extra()));
-        int steps = (all.size() + each - 1) / each;
-        for (int i = 0; i < all.size(); i++) {
-            int engine = all.get(i);
+        List<Integer> affected = drawAffected(engines.size(), disturbance.affectedShare(), random);
+        int groupSize = (int) Math.max(1, Math.round(engines.size() * disturbance.extra()));
+        int groupCount = (affected.size() + groupSize - 1) / groupSize;
+        for (int i = 0; i < affected.size(); i++) {
+            int engine = affected.get(i);
             events.schedule(
-                    i / each * (disturbance.length() / Math.max(1, steps)),
+                    i / groupSize * (disturbance.length() / Math.max(1, groupCount)),
                     () -> {
                         engines.get(engine).setState(EngineModel.State.DRAINING);
                         announce(engine, Lifecycle.DRAINING, 0, 1, random);
