--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -105,9 +105,9 @@
             if (!fault.simulated()) {
                 throw new InvalidPlanException(
                         fault.line(),
-                        "fault: the fleet model has no "
+                        "fault: the simulation does not support "
                                 + fault.kind().name().toLowerCase(Locale.ROOT)
-                                + "; play this plan on processes (fault-test run)");
+                                + "; run this plan on processes with fault-test run");
             }
             RandomGenerator random = randomStreams.stream("fault", streamIndex++);
             events.schedule(fault.at(), () -> inject(fault, random));
