--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -23,21 +23,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One manager of the fleet: the decisions behind their door, and what carries them in virtual time.
- * It hands the decisions estimates and what is observed, never what a request truly costs.
+ * A simulated manager: runs a scheduling policy in virtual time and carries out its actions. The
+ * policy receives estimates and observations, never the true cost of a request.
  */
 final class ManagerModel implements PolicyActions {
     private static final long CONNECT_TIMEOUT = 2_500;
 
-    /**
-     * Between two probes of the membership that would carry the words, and between looks at what is
-     * sick.
-     */
+    /** Time between two probes of the membership protocol, which carry the digests. */
     static final long GOSSIP_PERIOD = 2_000;
 
+    /** Time between two evaluations by the fleet coordinator. */
     private static final long EVALUATION_INTERVAL = 1_000;
 
-    /** What becomes of a try, told to its client. */
+    /** Callbacks by which the clients learn the outcomes of their tries. */
     interface ClientActions {
         void onSucceeded(TrueRequest is);
 
@@ -45,7 +43,7 @@
 
         void onFailed(TrueRequest is);
 
-        /** An attempt goes to an engine that is down, silent or hangs. */
+        /** Counts an attempt sent to an engine that is down, silent or hanging. */
         void onSentToFaultyEngine();
     }
 
@@ -63,7 +61,7 @@
         }
     }
 
-    /** An attempt that is out, from here to its outcome. */
+    /** An attempt in flight, as the manager sees it. */
     private final class ModelledAttempt implements EngineModel.Listener {
         private final OpenRequest openRequest;
         private final EngineModel engine;
@@ -95,7 +93,8 @@
         }
 
         @Override
-        public void onProgress(RunningAttempt noted, AttemptProgress.Kind what, double amount) {
+        public void onProgress(
+                RunningAttempt noted, AttemptProgress.Kind what, double amount) {
             events.schedule(
                     drawDelay(),
                     () -> {
@@ -170,7 +169,7 @@
     private long loadReportDelay;
     private final Set<OpenRequest> openRequests = new LinkedHashSet<>();
 
-    /** The list as it last had it: by engine, standing and start. */
+    /** The last received entry of the endpoint list for each engine; kept across restarts. */
     private final Map<Integer, EndpointUpdate.Endpoint> endpoints = new HashMap<>();
 
     ManagerModel(
@@ -213,7 +212,7 @@
         return up;
     }
 
-    /** Starts with nothing but its last list. */
+    /** Starts a new incarnation, which knows nothing but the last endpoint list. */
     void start() {
         incarnation++;
         up = true;
@@ -279,7 +278,10 @@
         }
     }
 
-    /** Words of one are with the other after their way; nothing where either is down by then. */
+    /**
+     * Sends this manager's digest to another one, with a network delay. Nothing is sent while this
+     * manager is down, or received while the other one is.
+     */
     void sendDigest(ManagerModel other) {
         if (fleetCoordinator != null && up) {
             byte[] digest = fleetCoordinator.encodeDigest(events.now());
@@ -293,14 +295,14 @@
         }
     }
 
-    /** Who is up. */
+    /** Sets the names of the managers that are up. */
     void onViewChanged(List<String> names) {
         if (fleetCoordinator != null) {
             fleetCoordinator.onViewChanged(names);
         }
     }
 
-    /** Killed: its clients must ask again, what it had out goes on at the engines. */
+    /** Kills the manager: its clients have to ask again, its attempts go on at the engines. */
     void kill() {
         List<RuleChecker.ClientTry> held = new ArrayList<>();
         for (OpenRequest openRequest : openRequests) {
@@ -318,6 +320,7 @@
                 .forEach(openRequest -> clientActions.onFailed(openRequest.clientTry.request));
     }
 
+    /** Sets a delay of the load reports, in addition to that of the network. */
     void loadReportDelay(long delay) {
         loadReportDelay = delay;
     }
@@ -341,7 +344,7 @@
         }
     }
 
-    /** A client's try is here. */
+    /** Accepts a try of a request from its client. */
     void onRequest(TrueRequest request, long deadline) {
         OpenRequest openRequest =
                 new OpenRequest(new RuleChecker.ClientTry(request, number, deadline));
@@ -390,7 +393,7 @@
                 });
     }
 
-    /** What the list service says of an engine, as it comes here. */
+    /** Receives an update of the endpoint list for one engine. */
     void onEndpointUpdate(int engine, Lifecycle lifecycle, long startedAt) {
         if (!servesEngine(engine)) {
             return;
@@ -416,12 +419,13 @@
                 engine, stableHash(engine), 0, 0, 0, lifecycle, 1, startedAt, warmUpShare);
     }
 
-    /** The same at every manager, and tells nothing of the engine's number. */
+    /** Returns the engine's hash: the same at every manager, unrelated to the engine's number. */
     private static long stableHash(int engine) {
         return (engine + 1) * 2_654_435_761L & 0xFFFFFFFFL;
     }
 
-    // ---- What is decided.
+    // Actions of the policy.
+
     @Override
     public void setGrantAndPriority(int request, int grantMb, int priority) {
         OpenRequest openRequest = requestIds.idOf(request);
@@ -446,8 +450,8 @@
         openRequest.attemptsInFlight.add(attempt);
         boolean fresh = engineModel.state() == EngineModel.State.SILENT && random.nextBoolean();
         if (fresh) {
-            // A new connection to a machine that is gone never comes up; what goes out on an old
-            // one is lost.
+            // A new connection to a machine that is gone is never established; a statement sent
+            // on an existing connection is lost.
             events.schedule(CONNECT_TIMEOUT, () -> attempt.ended(AttemptOutcome.CONNECT_FAILED));
         } else {
             events.schedule(drawDelay(), () -> engineModel.start(attempt.job));
@@ -543,6 +547,6 @@
 
     @Override
     public void log(String line) {
-        // A model's managers have nobody on call.
+        // A simulated manager keeps no log.
     }
 }
