--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -37,11 +37,11 @@
 
     /** Callbacks by which the clients learn the outcomes of their tries. */
     interface ClientActions {
-        void onSucceeded(TrueRequest is);
+        void onSucceeded(TrueRequest request);
 
-        void onRejected(TrueRequest is, long comeBack);
+        void onRejected(TrueRequest request, long retryAfter);
 
-        void onFailed(TrueRequest is);
+        void onFailed(TrueRequest request);
 
         /** Counts an attempt sent to an engine that is down, silent or hanging. */
         void onSentToFaultyEngine();
@@ -49,9 +49,9 @@
 
     private static final class OpenRequest {
         private final RuleChecker.ClientTry clientTry;
-        private int index = -1;
+        private int requestId = -1;
         private boolean answered;
-        private int attempts;
+        private int attemptCount;
         private int grantMb;
         private int priority = 1;
         private final List<ModelledAttempt> attemptsInFlight = new ArrayList<>();
@@ -65,17 +65,17 @@
     private final class ModelledAttempt implements EngineModel.Listener {
         private final OpenRequest openRequest;
         private final EngineModel engine;
-        private final int number;
+        private final int attemptNumber;
         private final long sentAt = events.now();
         private final int ownIncarnation = incarnation;
-        private final RunningAttempt job;
+        private final RunningAttempt runningAttempt;
         private boolean ended;
 
-        private ModelledAttempt(OpenRequest openRequest, EngineModel engine, int number) {
+        private ModelledAttempt(OpenRequest openRequest, EngineModel engine, int attemptNumber) {
             this.openRequest = openRequest;
             this.engine = engine;
-            this.number = number;
-            job =
+            this.attemptNumber = attemptNumber;
+            runningAttempt =
                     new RunningAttempt(
                             openRequest.clientTry.request,
                             plan.trafficClasses().get(openRequest.clientTry.request.trafficClass),
@@ -88,13 +88,13 @@
         }
 
         @Override
-        public void onEnded(RunningAttempt ended, AttemptOutcome outcome) {
-            events.schedule(drawDelay(), () -> ended(outcome));
+        public void onEnded(RunningAttempt attempt, AttemptOutcome outcome) {
+            events.schedule(drawDelay(), () -> end(outcome));
         }
 
         @Override
         public void onProgress(
-                RunningAttempt noted, AttemptProgress.Kind what, double amount) {
+                RunningAttempt attempt, AttemptProgress.Kind kind, double amount) {
             events.schedule(
                     drawDelay(),
                     () -> {
@@ -102,10 +102,10 @@
                             policy.onAttemptProgress(
                                     events.now(),
                                     new AttemptProgress(
-                                            openRequest.index,
-                                            number,
+                                            openRequest.requestId,
+                                            attemptNumber,
                                             engine.number(),
-                                            what,
+                                            kind,
                                             amount));
                             scheduleActions();
                         }
@@ -117,7 +117,7 @@
             return ownIncarnation == incarnation;
         }
 
-        private void ended(AttemptOutcome outcome) {
+        private void end(AttemptOutcome outcome) {
             if (ended || ownIncarnation != incarnation) {
                 return;
             }
@@ -132,8 +132,8 @@
             policy.onAttemptResult(
                     events.now(),
                     new AttemptResult(
-                            openRequest.index,
-                            number,
+                            openRequest.requestId,
+                            attemptNumber,
                             engine.number(),
                             outcome,
                             events.now() - sentAt,
@@ -166,7 +166,7 @@
     private boolean up;
     private boolean actionsScheduled;
     private FleetCoordinator fleetCoordinator;
-    private long loadReportDelay;
+    private long extraReportDelay;
     private final Set<OpenRequest> openRequests = new LinkedHashSet<>();
 
     /** The last received entry of the endpoint list for each engine; kept across restarts. */
@@ -237,13 +237,13 @@
                             deployment.shortestLatencyObjective(),
                             deployment.rules().warmUpDuration(),
                             GOSSIP_PERIOD,
-                            (engine, away, restIsOver) -> {
+                            (engine, avoided, backoffOver) -> {
                                 policy.onProbeOwnership(
-                                        events.now(), (int) engine, away, restIsOver);
+                                        events.now(), (int) engine, avoided, backoffOver);
                                 scheduleActions();
                             },
-                            (now, band, part) -> {
-                                policy.onSheddingThreshold(now, band, part);
+                            (now, band, admittedShare) -> {
+                                policy.onSheddingThreshold(now, band, admittedShare);
                                 scheduleActions();
                             },
                             policyUnderTest.peers());
@@ -304,25 +304,25 @@
 
     /** Kills the manager: its clients have to ask again, its attempts go on at the engines. */
     void kill() {
-        List<RuleChecker.ClientTry> held = new ArrayList<>();
+        List<RuleChecker.ClientTry> unansweredTries = new ArrayList<>();
         for (OpenRequest openRequest : openRequests) {
             if (!openRequest.answered) {
-                held.add(openRequest.clientTry);
+                unansweredTries.add(openRequest.clientTry);
             }
         }
-        rules.onManagerKilled(number, held);
-        List<OpenRequest> lost = new ArrayList<>(openRequests);
+        rules.onManagerKilled(number, unansweredTries);
+        List<OpenRequest> droppedRequests = new ArrayList<>(openRequests);
         openRequests.clear();
         up = false;
         incarnation++;
-        lost.stream()
+        droppedRequests.stream()
                 .filter(openRequest -> !openRequest.answered)
                 .forEach(openRequest -> clientActions.onFailed(openRequest.clientTry.request));
     }
 
     /** Sets a delay of the load reports, in addition to that of the network. */
     void loadReportDelay(long delay) {
-        loadReportDelay = delay;
+        extraReportDelay = delay;
     }
 
     private long drawDelay() {
@@ -348,7 +348,7 @@
     void onRequest(TrueRequest request, long deadline) {
         OpenRequest openRequest =
                 new OpenRequest(new RuleChecker.ClientTry(request, number, deadline));
-        openRequest.index = requestIds.indexFor(openRequest);
+        openRequest.requestId = requestIds.indexFor(openRequest);
         openRequests.add(openRequest);
         rules.onAccepted(openRequest.clientTry);
         int ownIncarnation = incarnation;
@@ -359,7 +359,7 @@
         policy.onRequest(
                 events.now(),
                 new IncomingRequest(
-                        openRequest.index,
+                        openRequest.requestId,
                         request.trafficClass,
                         plan.tenants().size() > 1 ? request.tenant : 0,
                         request.orderingKey < 0 ? -1 : keyIds.indexFor(request.orderingKey),
@@ -378,16 +378,16 @@
         }
         for (ModelledAttempt attempt : List.copyOf(openRequest.attemptsInFlight)) {
             if (plan.managers().cancel()) {
-                attempt.engine.cancel(attempt.job);
+                attempt.engine.cancel(attempt.runningAttempt);
             }
-            attempt.ended(AttemptOutcome.TIMED_OUT);
+            attempt.end(AttemptOutcome.TIMED_OUT);
         }
         events.schedule(
                 100,
                 () -> {
                     if (ownIncarnation == incarnation && !openRequest.answered) {
-                        fail(openRequest.index);
-                        policy.onClientGone(events.now(), openRequest.index);
+                        fail(openRequest.requestId);
+                        policy.onClientGone(events.now(), openRequest.requestId);
                         scheduleActions();
                     }
                 });
@@ -427,18 +427,18 @@
     // Actions of the policy.
 
     @Override
-    public void setGrantAndPriority(int request, int grantMb, int priority) {
-        OpenRequest openRequest = requestIds.idOf(request);
+    public void setGrantAndPriority(int requestId, int grantMb, int priority) {
+        OpenRequest openRequest = requestIds.idOf(requestId);
         openRequest.grantMb = grantMb;
         openRequest.priority = priority;
         for (ModelledAttempt attempt : openRequest.attemptsInFlight) {
-            events.schedule(drawDelay(), () -> attempt.engine.setPriority(attempt.job, priority));
+            events.schedule(drawDelay(), () -> attempt.engine.setPriority(attempt.runningAttempt, priority));
         }
     }
 
     @Override
-    public void startAttempt(int request, int engine, long within) {
-        OpenRequest openRequest = requestIds.idOf(request);
+    public void startAttempt(int requestId, int engine, long timeout) {
+        OpenRequest openRequest = requestIds.idOf(requestId);
         EngineModel engineModel = engines.get(engine);
         rules.onAttemptSent(events.now(), openRequest.clientTry, engine);
         if (engineModel.state() != EngineModel.State.UP
@@ -446,31 +446,31 @@
             clientActions.onSentToFaultyEngine();
         }
         ModelledAttempt attempt =
-                new ModelledAttempt(openRequest, engineModel, openRequest.attempts++);
+                new ModelledAttempt(openRequest, engineModel, openRequest.attemptCount++);
         openRequest.attemptsInFlight.add(attempt);
-        boolean fresh = engineModel.state() == EngineModel.State.SILENT && random.nextBoolean();
-        if (fresh) {
+        boolean newConnection = engineModel.state() == EngineModel.State.SILENT && random.nextBoolean();
+        if (newConnection) {
             // A new connection to a machine that is gone is never established; a statement sent
             // on an existing connection is lost.
-            events.schedule(CONNECT_TIMEOUT, () -> attempt.ended(AttemptOutcome.CONNECT_FAILED));
+            events.schedule(CONNECT_TIMEOUT, () -> attempt.end(AttemptOutcome.CONNECT_FAILED));
         } else {
-            events.schedule(drawDelay(), () -> engineModel.start(attempt.job));
+            events.schedule(drawDelay(), () -> engineModel.start(attempt.runningAttempt));
         }
     }
 
     @Override
-    public void cancelAttempt(int request, int attemptNumber) {
-        for (ModelledAttempt attempt : List.copyOf(requestIds.idOf(request).attemptsInFlight)) {
-            if (attempt.number == attemptNumber) {
-                events.schedule(drawDelay(), () -> attempt.engine.cancel(attempt.job));
-                events.schedule(1, () -> attempt.ended(AttemptOutcome.CANCELLED));
+    public void cancelAttempt(int requestId, int attemptNumber) {
+        for (ModelledAttempt attempt : List.copyOf(requestIds.idOf(requestId).attemptsInFlight)) {
+            if (attempt.attemptNumber == attemptNumber) {
+                events.schedule(drawDelay(), () -> attempt.engine.cancel(attempt.runningAttempt));
+                events.schedule(1, () -> attempt.end(AttemptOutcome.CANCELLED));
             }
         }
     }
 
     @Override
-    public void reject(int request, long retryAfter) {
-        OpenRequest openRequest = requestIds.idOf(request);
+    public void reject(int requestId, long retryAfter) {
+        OpenRequest openRequest = requestIds.idOf(requestId);
         if (!openRequest.answered) {
             openRequest.answered = true;
             rules.onAnswered(events.now(), openRequest.clientTry, true);
@@ -479,8 +479,8 @@
     }
 
     @Override
-    public void fail(int request) {
-        OpenRequest openRequest = requestIds.idOf(request);
+    public void fail(int requestId) {
+        OpenRequest openRequest = requestIds.idOf(requestId);
         if (!openRequest.answered) {
             openRequest.answered = true;
             rules.onAnswered(events.now(), openRequest.clientTry, false);
@@ -489,9 +489,9 @@
     }
 
     @Override
-    public void releaseRequest(int request) {
-        openRequests.remove(requestIds.idOf(request));
-        requestIds.release(request);
+    public void releaseRequest(int requestId) {
+        openRequests.remove(requestIds.idOf(requestId));
+        requestIds.release(requestId);
     }
 
     @Override
@@ -508,7 +508,7 @@
     public void probeEngine(int engine) {
         EngineModel engineModel = engines.get(engine);
         int ownIncarnation = incarnation;
-        boolean answers =
+        boolean answering =
                 engineModel.state() == EngineModel.State.UP
                         || engineModel.state() == EngineModel.State.DRAINING;
         LoadReport report =
@@ -519,14 +519,14 @@
                         Double.NaN,
                         Double.NaN);
         events.schedule(
-                answers ? 2 * drawDelay() + loadReportDelay : CONNECT_TIMEOUT,
+                answering ? 2 * drawDelay() + extraReportDelay : CONNECT_TIMEOUT,
                 () -> {
                     if (ownIncarnation == incarnation) {
                         policy.onProbeResult(
                                 events.now(),
                                 engine,
-                                answers ? AttemptOutcome.SUCCEEDED : AttemptOutcome.TIMED_OUT,
-                                answers ? report : null);
+                                answering ? AttemptOutcome.SUCCEEDED : AttemptOutcome.TIMED_OUT,
+                                answering ? report : null);
                         scheduleActions();
                     }
                 });
