--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -12,26 +12,39 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A modelled engine: all that it is sent runs at once and shares cores, disks and memory. Less gets
- * done in total past a number of threads; what is short of memory spills; what passes the memory
- * waits in line; tables last read are warm; loads hold theirs; one that has started is cold, and
- * falls over when pushed.
+ * A simulated engine. The attempts that it runs share its cores, disks and memory:
+ *
+ * <ul>
+ *   <li>Beyond a number of threads per core, total throughput falls (thrashing).
+ *   <li>An attempt whose grant is below its need spills to disk, which costs further work.
+ *   <li>An attempt whose grant exceeds the free memory waits in a queue.
+ *   <li>Recently used table groups are warm and save I/O.
+ *   <li>A table load blocks other loads of its table group, and the attempts that yield to loads.
+ *   <li>A recently started engine is cold: it has a part of its capacity, and goes down when it is
+ *       overloaded.
+ * </ul>
  */
 public final class EngineModel {
+    /** Weights by which attempts share the cores, by priority. */
     private static final double[] PRIORITY_WEIGHTS = {1, 4, 8, 16};
+    /** Share of the time of all cores that counts as full capacity in the overload check. */
     private static final double BUSY_SHARE_AT_CAPACITY = 0.85;
 
-    /**
-     * Slack for chance on the cold budget, and the part of the work that must come from managers
-     * that were told.
-     */
+    /** Tolerance of the overload check for random variation of the work sent to a cold engine. */
     private static final double OVERLOAD_TOLERANCE = 1.1;
 
+    /**
+     * Minimum share of the work sent to an overloaded cold engine that has to come from managers
+     * that knew of the engine's start: with less, the overload does not break rule 4.
+     */
     private static final double MIN_SHARE_OF_INFORMED_MANAGERS = 2.0 / 3;
 
     private record Arrival(long at, RunningAttempt attempt, boolean managerKnewOfStart) {}
 
-    /** How it stands. */
+    /**
+     * Condition of an engine. {@code SILENT}: what it is sent is lost without a reply; {@code
+     * HANGING}: it accepts attempts and ends none.
+     */
     public enum State {
         UP,
         DRAINING,
@@ -40,17 +53,17 @@
         HANGING
     }
 
-    /** Told of a job that is out; the way back is the listener's. */
+    /** Callbacks about attempts; the listener adds the network delay on the way back. */
     public interface Listener {
         void onEnded(RunningAttempt job, AttemptOutcome how);
 
         void onProgress(RunningAttempt job, AttemptProgress.Kind kind, double amount);
 
-        /** Whether the manager that sent it still lives the life it sent it in. */
+        /** Returns whether the incarnation of the manager that sent the attempt still runs. */
         boolean isSenderAlive();
     }
 
-    /** An attempt that is here. */
+    /** An attempt at an engine. Work is in ticks of one thread on one core at speed 1. */
     public static final class RunningAttempt {
         public final TrueRequest request;
         final FleetPlan.TrafficClassPlan trafficClass;
@@ -60,7 +73,10 @@
         int priority;
         private double totalWork;
         private double remainingWork;
+
+        /** Work done per tick; negative while rates are computed: blocked by a table load. */
         private double rate;
+
         private boolean waitingForMemory;
         private boolean ended;
 
@@ -96,7 +112,7 @@
     private final Map<Integer, RunningAttempt> tableLoads = new LinkedHashMap<>();
     private final List<Integer> warmTableGroups = new ArrayList<>();
 
-    /** What was sent of late, within the fall window. */
+    /** Attempts that arrived within the overload window. */
     private final ArrayDeque<Arrival> recentArrivals = new ArrayDeque<>();
 
     private State state = State.UP;
@@ -134,12 +150,12 @@
         return state;
     }
 
-    /** When it last started; 0 for long ago. */
+    /** Returns the time of the last start in ticks; 0 stands for long ago. */
     public long startedAt() {
         return startedAt;
     }
 
-    /** Queries that wait for memory. */
+    /** Returns the number of attempts that wait for memory. */
     public int waitingForMemory() {
         return memoryQueue.size();
     }
@@ -148,6 +164,7 @@
         return running.size() + memoryQueue.size();
     }
 
+    /** Sets the factor by which all work takes longer; 1 is normal. */
     void slowdown(double times) {
         advance();
         slowdown = times;
@@ -155,8 +172,9 @@
     }
 
     /**
-     * Dies, goes silent, drains or is back; with a death all that it had ends, unseen where it went
-     * silent.
+     * Changes the state. An engine that goes down or silent loses all its attempts; only in the
+     * first case do their senders learn of it, by a lost connection. An engine that comes up again
+     * is cold, unless it only hung.
      */
     public void setState(State next) {
         advance();
@@ -186,7 +204,7 @@
         reschedule();
     }
 
-    /** Cold at this moment, with nothing else changed. */
+    /** Makes the engine cold as of now; its attempts go on. */
     void restartCold() {
         advance();
         startedAt = events.now();
@@ -195,7 +213,7 @@
         reschedule();
     }
 
-    /** The share of its capacity that it has. */
+    /** Returns the share of its full capacity that the engine has at its present age. */
     private double capacityShare() {
         long age = events.now() - startedAt;
         return startedAt == 0 || age >= warmUpDuration
@@ -204,7 +222,10 @@
                         + (1 - engineType.initialCapacityShare()) * age / warmUpDuration;
     }
 
-    /** An attempt comes in. */
+    /**
+     * Accepts an attempt, which runs at once or waits for memory; or ends it at once where the
+     * engine is down, draining or has no session left.
+     */
     public void start(RunningAttempt attempt) {
         recordArrival(attempt);
         if (state == State.SILENT || state == State.HANGING) {
@@ -234,8 +255,9 @@
     }
 
     /**
-     * All work that comes here counts, also what is refused; work that came before the start does
-     * not.
+     * Records the work of an arriving attempt, and takes a cold engine down if the work of the
+     * overload window is too much for it. Refused attempts count too; attempts from before the
+     * engine's start do not.
      */
     private void recordArrival(RunningAttempt attempt) {
         long now = events.now();
@@ -258,7 +280,8 @@
                             * rulesOfPlan.overloadWindow()
                             * OVERLOAD_TOLERANCE) {
                 if (told >= sent * MIN_SHARE_OF_INFORMED_MANAGERS) {
-                    // Who pushed it: what to look for in a report of this rule.
+                    // The report tells which managers sent the work: those killed in the meantime,
+                    // and those that knew of the start.
                     rules.onColdEngineOverloaded(
                             number,
                             now,
@@ -315,6 +338,7 @@
         }
     }
 
+    /** Returns whether the attempt has to wait while another one loads its table group. */
     private boolean isBlockedByTableLoad(RunningAttempt attempt) {
         if (!attempt.trafficClass.blockedByTableLoads() && !attempt.trafficClass.tableLoad()) {
             return false;
@@ -323,7 +347,7 @@
         return holder != null && holder != attempt;
     }
 
-    /** Lets what runs get on by the time since. */
+    /** Advances all running attempts to the present time at their current rates. */
     private void advance() {
         long passed = events.now() - advancedTo;
         advancedTo = events.now();
@@ -334,7 +358,10 @@
         }
     }
 
-    /** What came or went changes everybody's pace: works it out again and sets the next end. */
+    /**
+     * Ends finished attempts, recomputes the rates of all others and schedules the next end. Called
+     * after every change that affects the rates.
+     */
     private void reschedule() {
         endFinished();
         if (state == State.HANGING || state == State.SILENT || state == State.DOWN) {
@@ -380,7 +407,8 @@
         }
         int mine = ++schedule;
         if (first < Double.MAX_VALUE) {
-            // A cold engine gets faster by itself: it is looked at again before long.
+            // The capacity of a cold engine grows with its age, so its rates are recomputed at
+            // least every 500 ms.
             long due = (long) Math.ceil(capacityShare() < 1 ? Math.min(first, 5_000) : first);
             events.schedule(
                     Math.max(1, due),
@@ -393,7 +421,10 @@
         }
     }
 
-    /** By weight, each no more than its threads; what is left over goes round once more. */
+    /**
+     * Distributes the capacity to the unblocked attempts by weight, to each at most its number of
+     * threads. A second round distributes what attempts at their maximum could not use.
+     */
     private void distribute(double capacity, double weights) {
         double left = capacity;
         for (int round = 0; round < 2 && left > 1e-9 && weights > 0; round++) {
@@ -448,7 +479,10 @@
         tableLoads.remove(attempt.request.tableGroup, attempt);
     }
 
-    /** From the line, by priority and then in turn. */
+    /**
+     * Starts attempts that waited for memory while their grants fit, by priority and then in order
+     * of arrival. An idle engine starts the first one even if its grant exceeds the memory.
+     */
     private void admit() {
         while (!memoryQueue.isEmpty()) {
             RunningAttempt next = memoryQueue.get(0);
@@ -464,7 +498,7 @@
         }
     }
 
-    /** Sets a job's priority while it is here. */
+    /** Sets the priority of an attempt that has not ended. */
     public void setPriority(RunningAttempt attempt, int priority) {
         if (!attempt.ended && attempt.priority != priority) {
             advance();
@@ -473,7 +507,7 @@
         }
     }
 
-    /** Ends it, its work lost. */
+    /** Cancels an attempt; the work done for it is lost. */
     public void cancel(RunningAttempt attempt) {
         if (attempt.ended) {
             return;
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -419,7 +419,7 @@
                 engine, stableHash(engine), 0, 0, 0, lifecycle, 1, startedAt, warmUpShare);
     }
 
-    /** Returns the engine's hash: the same at every manager, unrelated to the engine's number. */
+    /** Returns the engine's hash: the same at every manager, and in no order of the numbers. */
     private static long stableHash(int engine) {
         return (engine + 1) * 2_654_435_761L & 0xFFFFFFFFL;
     }
