--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -55,9 +55,9 @@
 
     /** Callbacks about attempts; the listener adds the network delay on the way back. */
     public interface Listener {
-        void onEnded(RunningAttempt job, AttemptOutcome how);
+        void onEnded(RunningAttempt attempt, AttemptOutcome outcome);
 
-        void onProgress(RunningAttempt job, AttemptProgress.Kind kind, double amount);
+        void onProgress(RunningAttempt attempt, AttemptProgress.Kind kind, double amount);
 
         /** Returns whether the incarnation of the manager that sent the attempt still runs. */
         boolean isSenderAlive();
@@ -69,7 +69,7 @@
         final FleetPlan.TrafficClassPlan trafficClass;
         final Listener listener;
         final int manager;
-        final double grant;
+        final double grantMb;
         int priority;
         private double totalWork;
         private double remainingWork;
@@ -85,13 +85,13 @@
                 FleetPlan.TrafficClassPlan trafficClass,
                 Listener listener,
                 int manager,
-                double grant,
+                double grantMb,
                 int priority) {
             this.request = request;
             this.manager = manager;
             this.trafficClass = trafficClass;
             this.listener = listener;
-            this.grant = grant;
+            this.grantMb = grantMb;
             this.priority = priority;
         }
     }
@@ -101,7 +101,7 @@
     private final EventQueue events;
     private final RandomGenerator random;
     private final RuleChecker rules;
-    private final FleetPlan.Rules rulesOfPlan;
+    private final FleetPlan.Rules planRules;
     private final double speed;
     private final double threadsPerCoreKnee;
     private final double thrashing;
@@ -119,8 +119,8 @@
     private double reservedMb;
     private long advancedTo;
     private long startedAt;
-    private int schedule;
-    private double slowdown = 1;
+    private int scheduleVersion;
+    private double slowdownFactor = 1;
 
     public EngineModel(
             int number,
@@ -132,14 +132,14 @@
         this.engineType = plan.engines();
         this.events = events;
         this.rules = rules;
-        rulesOfPlan = plan.rules();
+        planRules = plan.rules();
         random = streams.stream("engine", number);
-        RandomGenerator nature = streams.stream("engine-nature", number);
-        speed = engineType.speed().draw(nature);
-        threadsPerCoreKnee = engineType.threadsPerCoreKnee().draw(nature);
-        thrashing = engineType.thrashing().draw(nature);
-        spillCost = engineType.spillCost().draw(nature);
-        warmUpDuration = engineType.warmUpDuration().drawTime(nature);
+        RandomGenerator traitRandom = streams.stream("engine-nature", number);
+        speed = engineType.speed().draw(traitRandom);
+        threadsPerCoreKnee = engineType.threadsPerCoreKnee().draw(traitRandom);
+        thrashing = engineType.thrashing().draw(traitRandom);
+        spillCost = engineType.spillCost().draw(traitRandom);
+        warmUpDuration = engineType.warmUpDuration().drawTime(traitRandom);
     }
 
     public int number() {
@@ -165,9 +165,9 @@
     }
 
     /** Sets the factor by which all work takes longer; 1 is normal. */
-    void slowdown(double times) {
+    void slowdown(double factor) {
         advance();
-        slowdown = times;
+        slowdownFactor = factor;
         reschedule();
     }
 
@@ -176,28 +176,28 @@
      * first case do their senders learn of it, by a lost connection. An engine that comes up again
      * is cold, unless it only hung.
      */
-    public void setState(State next) {
+    public void setState(State newState) {
         advance();
-        boolean dies = next == State.DOWN || next == State.SILENT;
-        boolean starts = next == State.UP && state != State.UP && state != State.HANGING;
-        state = next;
-        if (dies) {
-            List<RunningAttempt> all = new ArrayList<>(running);
-            all.addAll(memoryQueue);
+        boolean losesAttempts = newState == State.DOWN || newState == State.SILENT;
+        boolean restarts = newState == State.UP && state != State.UP && state != State.HANGING;
+        state = newState;
+        if (losesAttempts) {
+            List<RunningAttempt> lostAttempts = new ArrayList<>(running);
+            lostAttempts.addAll(memoryQueue);
             running.clear();
             memoryQueue.clear();
             tableLoads.clear();
             warmTableGroups.clear();
             reservedMb = 0;
-            for (RunningAttempt attempt : all) {
+            for (RunningAttempt attempt : lostAttempts) {
                 attempt.ended = true;
                 rules.onRunEnded(attempt.request);
-                if (next == State.DOWN) {
+                if (newState == State.DOWN) {
                     attempt.listener.onEnded(attempt, AttemptOutcome.CONNECTION_LOST);
                 }
             }
         }
-        if (starts) {
+        if (restarts) {
             startedAt = events.now();
             recentArrivals.clear();
         }
@@ -244,7 +244,7 @@
         }
         rules.onRunStarted(attempt.request, events.now());
         advance();
-        if (engineType.grants() && reservedMb + attempt.grant > engineType.memoryMb()) {
+        if (engineType.grants() && reservedMb + attempt.grantMb > engineType.memoryMb()) {
             attempt.waitingForMemory = true;
             memoryQueue.add(attempt);
         } else {
@@ -264,22 +264,22 @@
         recentArrivals.add(
                 new Arrival(
                         now, attempt, rules.knowsEngineStart(attempt.manager, number, startedAt)));
-        while (recentArrivals.peek().at < now - rulesOfPlan.overloadWindow()) {
+        while (recentArrivals.peek().at < now - planRules.overloadWindow()) {
             recentArrivals.poll();
         }
         double share = capacityShare();
-        if (share < 1 && rulesOfPlan.overloadMultiple() > 0 && state == State.UP) {
-            double sent = arrivedWork(p -> true);
-            double told = arrivedWork(Arrival::managerKnewOfStart);
-            if (sent
-                    > rulesOfPlan.overloadMultiple()
+        if (share < 1 && planRules.overloadMultiple() > 0 && state == State.UP) {
+            double sentWork = arrivedWork(p -> true);
+            double informedWork = arrivedWork(Arrival::managerKnewOfStart);
+            if (sentWork
+                    > planRules.overloadMultiple()
                             * share
                             * engineType.cores()
                             * speed
                             * BUSY_SHARE_AT_CAPACITY
-                            * rulesOfPlan.overloadWindow()
+                            * planRules.overloadWindow()
                             * OVERLOAD_TOLERANCE) {
-                if (told >= sent * MIN_SHARE_OF_INFORMED_MANAGERS) {
+                if (informedWork >= sentWork * MIN_SHARE_OF_INFORMED_MANAGERS) {
                     // The report tells which managers sent the work: those killed in the meantime,
                     // and those that knew of the start.
                     rules.onColdEngineOverloaded(
@@ -292,8 +292,8 @@
                                         + " %d ms before",
                                     100
                                             * arrivedWork(p -> !p.attempt.listener.isSenderAlive())
-                                            / sent,
-                                    100 * told / sent,
+                                            / sentWork,
+                                    100 * informedWork / sentWork,
                                     (now - startedAt) / 10));
                 }
                 setState(State.DOWN);
@@ -301,30 +301,30 @@
         }
     }
 
-    private double arrivedWork(Predicate<Arrival> which) {
+    private double arrivedWork(Predicate<Arrival> included) {
         return recentArrivals.stream()
-                .filter(which)
+                .filter(included)
                 .mapToDouble(p -> p.attempt.trafficClass.work())
                 .sum();
     }
 
     private void begin(RunningAttempt attempt) {
-        reservedMb += engineType.grants() ? attempt.grant : 0;
+        reservedMb += engineType.grants() ? attempt.grantMb : 0;
         boolean isWarm = warmTableGroups.remove((Integer) attempt.request.tableGroup);
         warmTableGroups.add(0, attempt.request.tableGroup);
         while (warmTableGroups.size() > engineType.warmTableGroups()) {
             warmTableGroups.remove(warmTableGroups.size() - 1);
         }
-        double missing =
-                engineType.grants() ? Math.max(0, 1 - attempt.grant / attempt.request.memoryMb) : 0;
-        double bad =
+        double missingMemoryShare =
+                engineType.grants() ? Math.max(0, 1 - attempt.grantMb / attempt.request.memoryMb) : 0;
+        double badPlanFactor =
                 random.nextDouble() < attempt.trafficClass.badPlanShare()
                         ? 8 + 17 * random.nextDouble()
                         : 1;
         attempt.totalWork =
                 attempt.request.work
-                        * bad
-                        * (1 + spillCost * missing)
+                        * badPlanFactor
+                        * (1 + spillCost * missingMemoryShare)
                         * (1
                                 - (isWarm
                                         ? attempt.trafficClass.ioShare()
@@ -332,9 +332,9 @@
                                         : 0));
         attempt.remainingWork = attempt.totalWork;
         running.add(attempt);
-        if (missing > 0) {
+        if (missingMemoryShare > 0) {
             attempt.listener.onProgress(
-                    attempt, AttemptProgress.Kind.SPILLING, missing * attempt.request.memoryMb);
+                    attempt, AttemptProgress.Kind.SPILLING, missingMemoryShare * attempt.request.memoryMb);
         }
     }
 
@@ -343,17 +343,17 @@
         if (!attempt.trafficClass.blockedByTableLoads() && !attempt.trafficClass.tableLoad()) {
             return false;
         }
-        RunningAttempt holder = tableLoads.get(attempt.request.tableGroup);
-        return holder != null && holder != attempt;
+        RunningAttempt load = tableLoads.get(attempt.request.tableGroup);
+        return load != null && load != attempt;
     }
 
     /** Advances all running attempts to the present time at their current rates. */
     private void advance() {
-        long passed = events.now() - advancedTo;
+        long elapsed = events.now() - advancedTo;
         advancedTo = events.now();
-        if (passed > 0) {
+        if (elapsed > 0) {
             for (RunningAttempt attempt : running) {
-                attempt.remainingWork -= attempt.rate * passed;
+                attempt.remainingWork -= attempt.rate * elapsed;
             }
         }
     }
@@ -365,7 +365,7 @@
     private void reschedule() {
         endFinished();
         if (state == State.HANGING || state == State.SILENT || state == State.DOWN) {
-            schedule++;
+            scheduleVersion++;
             return;
         }
         for (RunningAttempt attempt : running) {
@@ -374,24 +374,24 @@
             }
         }
         double threads = 0;
-        double weights = 0;
+        double totalWeight = 0;
         for (RunningAttempt attempt : running) {
-            boolean stands = isBlockedByTableLoad(attempt);
-            attempt.rate = stands ? -1 : 0;
-            threads += stands ? 0 : attempt.trafficClass.threads();
-            weights += stands ? 0 : weight(attempt) * attempt.trafficClass.threads();
+            boolean blocked = isBlockedByTableLoad(attempt);
+            attempt.rate = blocked ? -1 : 0;
+            threads += blocked ? 0 : attempt.trafficClass.threads();
+            totalWeight += blocked ? 0 : weight(attempt) * attempt.trafficClass.threads();
         }
-        double over = Math.max(0, threads / (engineType.cores() * threadsPerCoreKnee) - 1);
-        double left =
-                engineType.cores() * speed * capacityShare() / slowdown / (1 + thrashing * over);
-        distribute(left, weights);
-        double disks = engineType.disks() * engineType.cores() * capacityShare();
-        double reading = 0;
+        double excessThreads = Math.max(0, threads / (engineType.cores() * threadsPerCoreKnee) - 1);
+        double capacity =
+                engineType.cores() * speed * capacityShare() / slowdownFactor / (1 + thrashing * excessThreads);
+        distribute(capacity, totalWeight);
+        double ioCapacity = engineType.disks() * engineType.cores() * capacityShare();
+        double ioDemand = 0;
         for (RunningAttempt attempt : running) {
-            reading += attempt.rate > 0 ? attempt.rate * attempt.trafficClass.ioShare() : 0;
+            ioDemand += attempt.rate > 0 ? attempt.rate * attempt.trafficClass.ioShare() : 0;
         }
-        double wait = Math.max(1, reading / disks);
-        double first = Double.MAX_VALUE;
+        double ioSlowdown = Math.max(1, ioDemand / ioCapacity);
+        double ticksToNextEnd = Double.MAX_VALUE;
         for (RunningAttempt attempt : running) {
             attempt.rate =
                     attempt.rate <= 0
@@ -399,21 +399,21 @@
                             : attempt.rate
                                     / (1
                                             - attempt.trafficClass.ioShare()
-                                            + attempt.trafficClass.ioShare() * wait);
-            first =
+                                            + attempt.trafficClass.ioShare() * ioSlowdown);
+            ticksToNextEnd =
                     attempt.rate > 0
-                            ? Math.min(first, attempt.remainingWork / attempt.rate)
-                            : first;
+                            ? Math.min(ticksToNextEnd, attempt.remainingWork / attempt.rate)
+                            : ticksToNextEnd;
         }
-        int mine = ++schedule;
-        if (first < Double.MAX_VALUE) {
+        int ownVersion = ++scheduleVersion;
+        if (ticksToNextEnd < Double.MAX_VALUE) {
             // The capacity of a cold engine grows with its age, so its rates are recomputed at
             // least every 500 ms.
-            long due = (long) Math.ceil(capacityShare() < 1 ? Math.min(first, 5_000) : first);
+            long delay = (long) Math.ceil(capacityShare() < 1 ? Math.min(ticksToNextEnd, 5_000) : ticksToNextEnd);
             events.schedule(
-                    Math.max(1, due),
+                    Math.max(1, delay),
                     () -> {
-                        if (mine == schedule) {
+                        if (ownVersion == scheduleVersion) {
                             advance();
                             reschedule();
                         }
@@ -425,30 +425,30 @@
      * Distributes the capacity to the unblocked attempts by weight, to each at most its number of
      * threads. A second round distributes what attempts at their maximum could not use.
      */
-    private void distribute(double capacity, double weights) {
-        double left = capacity;
-        for (int round = 0; round < 2 && left > 1e-9 && weights > 0; round++) {
-            double given = 0;
-            double open = 0;
+    private void distribute(double capacity, double totalWeight) {
+        double remaining = capacity;
+        for (int round = 0; round < 2 && remaining > 1e-9 && totalWeight > 0; round++) {
+            double assigned = 0;
+            double openWeight = 0;
             for (RunningAttempt attempt : running) {
                 if (attempt.rate >= 0 && attempt.rate < attempt.trafficClass.threads()) {
-                    double part =
+                    double share =
                             Math.min(
                                     attempt.trafficClass.threads() - attempt.rate,
-                                    left
+                                    remaining
                                             * weight(attempt)
                                             * attempt.trafficClass.threads()
-                                            / weights);
-                    attempt.rate += part;
-                    given += part;
-                    open +=
+                                            / totalWeight);
+                    attempt.rate += share;
+                    assigned += share;
+                    openWeight +=
                             attempt.rate < attempt.trafficClass.threads()
                                     ? weight(attempt) * attempt.trafficClass.threads()
                                     : 0;
                 }
             }
-            left -= given;
-            weights = open;
+            remaining -= assigned;
+            totalWeight = openWeight;
         }
     }
 
@@ -475,7 +475,7 @@
 
     private void release(RunningAttempt attempt) {
         attempt.ended = true;
-        reservedMb = running.isEmpty() ? 0 : reservedMb - (engineType.grants() ? attempt.grant : 0);
+        reservedMb = running.isEmpty() ? 0 : reservedMb - (engineType.grants() ? attempt.grantMb : 0);
         tableLoads.remove(attempt.request.tableGroup, attempt);
     }
 
@@ -489,7 +489,7 @@
             for (RunningAttempt attempt : memoryQueue) {
                 next = attempt.priority > next.priority ? attempt : next;
             }
-            if (reservedMb + next.grant > engineType.memoryMb() && !running.isEmpty()) {
+            if (reservedMb + next.grantMb > engineType.memoryMb() && !running.isEmpty()) {
                 return;
             }
             memoryQueue.remove(next);
@@ -541,7 +541,7 @@
                             attempt.listener.onProgress(
                                     attempt, AttemptProgress.Kind.WAITING_FOR_TABLE_LOAD, 0);
                         } else {
-                            double share = 1 - attempt.remainingWork / attempt.totalWork;
+                            double doneShare = 1 - attempt.remainingWork / attempt.totalWork;
                             attempt.listener.onProgress(
                                     attempt,
                                     AttemptProgress.Kind.FRACTION_DONE,
@@ -549,7 +549,7 @@
                                             0,
                                             Math.min(
                                                     1,
-                                                    share * (0.85 + 0.3 * random.nextDouble()))));
+                                                    doneShare * (0.85 + 0.3 * random.nextDouble()))));
                         }
                         reschedule();
                     }
