--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -287,9 +287,9 @@
                             now,
                             String.format(
                                     Locale.ROOT,
-                                    "of the work in the window %.0f%% came from lives of managers"
-                                        + " that had ended, %.0f%% from managers told of its start,"
-                                        + " %d ms before",
+                                    "%.0f%% of the work in the window came from manager"
+                                        + " incarnations that had ended, %.0f%% from managers that"
+                                        + " knew of its start %d ms earlier",
                                     100
                                             * arrivedWork(p -> !p.attempt.listener.isSenderAlive())
                                             / sentWork,
