--- a/src/main/java/firstage/simulation/BaselinePolicy.java
+++ b/src/main/java/firstage/simulation/BaselinePolicy.java
@@ -20,12 +20,12 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Textbook policies behind the same door, as baselines: each request goes at once to an engine that
- * is up, requests of a key one at a time. None sends anything again, holds grants or watches
- * health.
+ * Textbook load-balancing policies, as baselines for the scheduler: each request goes at once to an
+ * active engine, requests of one ordering key one at a time. None of them retries, sets grants or
+ * watches the health of engines.
  */
 final class BaselinePolicy implements SchedulingPolicy {
-    /** How the engine is chosen. */
+    /** The way in which an engine is chosen. */
     enum Kind {
         RANDOM,
         ROUND_ROBIN,
@@ -136,7 +136,10 @@
         startNextOfKey(now, openRequest.request.orderingKey());
     }
 
-    /** The next of a key, once it has rested. */
+    /**
+     * Starts the next request of a key; within the key's quiet period, schedules a wake-up for its
+     * end instead.
+     */
     private void startNextOfKey(long now, int key) {
         ArrayDeque<OpenRequest> queue = queuesByKey.get(key);
         if (queue == null || queue.isEmpty() || queue.peek().engine >= 0) {
@@ -189,17 +192,17 @@
 
     @Override
     public void onAttemptProgress(long now, AttemptProgress progress) {
-        // None of these listens.
+        // Baselines ignore progress.
     }
 
     @Override
     public void onProbeResult(long now, int engine, AttemptOutcome outcome, LoadReport report) {
-        // None of these asks.
+        // Baselines send no probes.
     }
 
     @Override
     public void onShutdown(long now, long endsAt) {
-        // What is out is answered as it ends.
+        // Requests in flight are answered when their attempts end.
     }
 
     @Override
@@ -214,6 +217,6 @@
 
     @Override
     public void runPendingActions(long now) {
-        // Each acts at once.
+        // Baselines act at once.
     }
 }
--- a/src/main/java/firstage/simulation/ClientBehavior.java
+++ b/src/main/java/firstage/simulation/ClientBehavior.java
@@ -3,14 +3,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How clients spread over the managers and ask again: for the model's in virtual time and the fault
- * tests' on sockets.
+ * The clients' choice of a manager and their retries, for simulated clients in virtual time and for
+ * the load generator of the fault tests, which uses sockets.
  */
 public final class ClientBehavior {
     private final FleetPlan plan;
     private final RandomGenerator random;
+
+    /** Cumulative traffic weights of the managers: the upper bound of each manager's range. */
     private final double[] managerBounds;
 
+
     public ClientBehavior(FleetPlan plan, RandomGenerator random) {
         this.plan = plan;
         this.random = random;
@@ -23,7 +26,7 @@
         }
     }
 
-    /** The manager of a request; those of one key have one. */
+    /** Returns the manager that gets the request; requests of one ordering key share a manager. */
     public int managerFor(TrueRequest request) {
         double position =
                 request.orderingKey >= 0
@@ -39,8 +42,10 @@
     }
 
     /**
-     * After how long it is asked for again, told to come back after {@code comeBack}, 0 for
-     * nothing; -1 for never.
+     * Returns the delay in ticks after which the client sends a request again; -1 if it gives up.
+     *
+     * @param retryAfter the delay that the manager asked for; 0 for none
+     * @param safeToRetry whether a retry can do no harm
      */
     public long retryDelay(TrueRequest request, long now, long retryAfter, boolean harmless) {
         FleetPlan.Clients behavior = plan.clients();
--- a/src/main/java/firstage/simulation/DeploymentFactory.java
+++ b/src/main/java/firstage/simulation/DeploymentFactory.java
@@ -7,15 +7,20 @@
 import java.util.Set;
 
 /**
- * What a manager of the fleet is told of its deployment: what a fleet file states, nothing that a
- * run drew.
+ * Builds the deployment that a simulated manager is started with. It contains what the fleet file
+ * states, and nothing that a run draws at random.
  */
 final class DeploymentFactory {
     private static final double SECOND = 10_000;
 
     private DeploymentFactory() {}
 
-    /** {@code bounds}: engines are told to have so many times their cores and memory. */
+    /**
+     * Returns the deployment of one manager.
+     *
+     * @param rank the manager's number, from 0
+     * @param capacityFactor factor on the cores and memory of engines that the deployment states
+     */
     static Deployment of(FleetPlan plan, int rank, long seed, double capacityFactor) {
         List<TrafficClass> trafficClasses = new ArrayList<>();
         for (FleetPlan.TrafficClassPlan trafficClass : plan.trafficClasses()) {
@@ -38,7 +43,7 @@
         }
         FleetPlan.Engines engines = plan.engines();
         FleetPlan.Managers managers = plan.managers();
-        // Tenants' rates are of the whole fleet, of which so much is played.
+        // Tenant rates apply to the whole fleet, of which the plan simulates a part.
         double mean = plan.traffic().rate() * managers.fleetSize() / managers.count();
         double shares = plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).sum();
         List<Double> rates =
--- a/src/main/java/firstage/simulation/EventQueue.java
+++ b/src/main/java/firstage/simulation/EventQueue.java
@@ -5,13 +5,14 @@
 import java.util.List;
 
 /**
- * Virtual time in ticks: what is due first happens first; of two due at once, the one set first.
+ * A queue of events in virtual time, in ticks. Events run in the order of their due times; events
+ * with the same due time run in the order in which they were scheduled.
  *
- * <p>A wheel of three levels of 1,024 slots (a slot of the first is one tenth, of the second a
- * tenth of a second, of the third 105 s), with a bit for each slot that is filled, so that setting
- * costs the same however much is set, and empty time costs next to nothing. A fleet sets mostly
- * what is due within a few seconds, and most of that happens: there a heap pays the logarithm
- * twice. What is due beyond 30 hours waits in a list.
+ * <p>The queue is a timing wheel of three levels with 1,024 slots each (a slot spans a tick in the
+ * first level, a tenth of a second in the second, 105 s in the third) and a bit for each filled
+ * slot. Scheduling thus costs the same for any number of events, and empty time costs next to
+ * nothing. Most events of a fleet are due within a few seconds and are run, for which a heap would
+ * pay its logarithmic cost twice. Events that are due in more than 30 hours wait in a list.
  */
 public final class EventQueue {
     private static final int BITS = 10;
@@ -37,7 +38,7 @@
     private final long[][] filled = new long[LEVELS][SLOTS / Long.SIZE];
     private ScheduledEvent overflow;
 
-    /** All slots before this moment are empty. */
+    /** Time before which all slots are empty. */
     private long wheelPosition;
 
     private long now;
@@ -53,12 +54,12 @@
         return now;
     }
 
-    /** How much is set and has not happened. */
+    /** Returns the number of scheduled events that have not run. */
     public int size() {
         return size;
     }
 
-    /** Sets what is due after {@code delay}; a negative one counts as none. */
+    /** Schedules an action after {@code delay} ticks; a negative delay counts as 0. */
     public void schedule(long delay, Runnable action) {
         insert(new ScheduledEvent(now + Math.max(0, delay), order++, action));
         size++;
@@ -66,8 +67,7 @@
 
     private void insert(ScheduledEvent event) {
         event.next = null;
-        // The level whose slot holds it and no slot of now's turn before it: what differs from `at`
-        // decides.
+        // The highest bit in which the due time differs from the wheel position gives the level.
         long differs = event.due ^ wheelPosition;
         int level =
                 differs < SLOTS
@@ -96,7 +96,7 @@
         return all;
     }
 
-    /** The first filled slot from this one on, or -1. */
+    /** Returns the first filled slot at or after {@code from}, or -1. */
     private int nextFilledSlot(int level, int from) {
         for (int word = from / Long.SIZE; word < SLOTS / Long.SIZE; word++) {
             long bits = filled[level][word];
@@ -110,14 +110,17 @@
         return -1;
     }
 
-    /** Plays until this moment, or until nothing is due; returns how much happened. */
+    /**
+     * Runs all events that are due by {@code until}, then moves the time there; returns the number
+     * of events that ran.
+     */
     public long runUntil(long until) {
         long executed = 0;
         while (size > 0 && advance(until)) {
             int slot = (int) wheelPosition & MASK;
             now = wheelPosition;
-            // What is set for this very moment while it is played comes behind it, in the same
-            // slot.
+            // Events that are scheduled for the present moment while it runs go into the same slot
+            // and run after the others.
             while (first[0][slot] != null) {
                 ScheduledEvent event = inOrder(takeSlot(0, slot));
                 while (event != null) {
@@ -133,7 +136,10 @@
         return executed;
     }
 
-    /** Moves to the next filled slot of the first level; false where nothing is due by then. */
+    /**
+     * Moves the wheel to the next filled slot of the first level; returns false if no event is due
+     * by {@code until}.
+     */
     private boolean advance(long until) {
         while (true) {
             int slot = nextFilledSlot(0, (int) wheelPosition & MASK);
@@ -151,7 +157,10 @@
         }
     }
 
-    /** The first level is empty: its next turn is filled from the levels above. */
+    /**
+     * Refills the first level, which is empty, with the next events of the levels above or of the
+     * overflow list; returns false if none of those are due by {@code until}.
+     */
     private boolean refillFirstLevel(long until) {
         for (int level = 1; level < LEVELS; level++) {
             int currentSlot = (int) (wheelPosition >> level * BITS) & MASK;
@@ -193,7 +202,10 @@
         }
     }
 
-    /** What fell into one slot from two levels may stand out of order. */
+    /**
+     * Returns the events of a slot in the order in which they were scheduled: events that came from
+     * different levels can be out of order.
+     */
     private static ScheduledEvent inOrder(ScheduledEvent all) {
         boolean inOrder = true;
         for (ScheduledEvent event = all; event.next != null; event = event.next) {
--- a/src/main/java/firstage/simulation/FaultTarget.java
+++ b/src/main/java/firstage/simulation/FaultTarget.java
@@ -10,9 +10,9 @@
 import java.util.stream.IntStream;
 
 /**
- * Whom a fault strikes, as a plan writes it: {@code managers} or {@code engines}, then nothing
- * (all), numbers from 0 ({@code managers 1, 4}), a share drawn by the seed ({@code engines 25%}),
- * or a zone ({@code managers of north}).
+ * The managers or engines that a fault affects. Plans write {@code managers} or {@code engines},
+ * followed by nothing (all of them), numbers from 0 ({@code managers 1, 4}), a share that is drawn
+ * at random ({@code engines 25%}), or a zone ({@code managers of north}).
  */
 public final class FaultTarget {
     private static final Pattern FORM =
@@ -34,7 +34,12 @@
         this.numbers = numbers;
     }
 
-    /** Reads it; the exception's message says what is wrong and what would do. */
+    /**
+     * Parses a target.
+     *
+     * @throws IllegalArgumentException if the target is malformed or not part of the plan; the
+     *     message says what is wrong and gives valid values
+     */
     static FaultTarget of(String text, List<String> zones, int managers, int engineCount) {
         Matcher m = FORM.matcher(text.trim());
         if (!m.matches()) {
@@ -80,7 +85,7 @@
         return engines;
     }
 
-    /** Those it names, of so many; a share is drawn. */
+    /** Returns the numbers of the managers or engines of the plan; draws those of a share. */
     public List<Integer> among(FleetPlan plan, RandomGenerator chance) {
         int count = engines ? plan.engines().count() : plan.managers().count();
         List<Integer> all =
--- a/src/main/java/firstage/simulation/Range.java
+++ b/src/main/java/firstage/simulation/Range.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 
-/** A figure, or the range that a run draws it from. */
+/** The range from which a run draws a value; both bounds are equal for a fixed value. */
 public record Range(double low, double high) {
     public static Range of(double figure) {
         return new Range(figure, figure);
@@ -12,7 +12,7 @@
         return low + (high - low) * chance.nextDouble();
     }
 
-    /** For times. */
+    /** Draws a time, rounded to ticks. */
     public long drawTime(RandomGenerator chance) {
         return Math.round(draw(chance));
     }
--- a/src/main/java/firstage/simulation/SimulationResult.java
+++ b/src/main/java/firstage/simulation/SimulationResult.java
@@ -4,8 +4,12 @@
 import java.util.Map;
 
 /**
- * What one run came to: its figures by name, and which rules broke. {@code executedEvents}: events
- * of its calendar.
+ * The result of one run.
+ *
+ * @param figures the figures of the run by name
+ * @param violations descriptions of the first rule violations
+ * @param requests the number of requests, each counted once for all its tries
+ * @param executedEvents the number of events of the simulation
  */
 public record SimulationResult(
         String policyName,
--- a/src/main/java/firstage/simulation/package-info.java
+++ b/src/main/java/firstage/simulation/package-info.java
@@ -1,6 +1,7 @@
 /**
- * A fleet in virtual time: clients, managers round the real decisions, engines, faults, and what it
- * is all worth. Free of sockets, files, threads and clocks; the same file and seed give the same
- * bytes. {@code serve} loads none of it.
+ * Simulation of a fleet in virtual time: clients, managers that run the real scheduling policy,
+ * engines, faults, and the score of the service. Uses no sockets, files, threads or clocks: the
+ * same plan and seed give the same result, byte by byte. {@code serve} loads no class of this
+ * package.
  */
 package firstage.simulation;
