--- a/src/main/java/firstage/simulation/ClientBehavior.java
+++ b/src/main/java/firstage/simulation/ClientBehavior.java
@@ -47,17 +47,17 @@
      * @param retryAfter the delay that the manager asked for; 0 for none
      * @param safeToRetry whether a retry can do no harm
      */
-    public long retryDelay(TrueRequest request, long now, long retryAfter, boolean harmless) {
-        FleetPlan.Clients behavior = plan.clients();
-        long wait = behavior.retryPause().drawTime(random);
-        if (retryAfter > 0 && random.nextDouble() < behavior.retryAfterHonouredShare()) {
-            wait = Math.max(wait, retryAfter);
+    public long retryDelay(TrueRequest request, long now, long retryAfter, boolean safeToRetry) {
+        FleetPlan.Clients clients = plan.clients();
+        long delay = clients.retryPause().drawTime(random);
+        if (retryAfter > 0 && random.nextDouble() < clients.retryAfterHonouredShare()) {
+            delay = Math.max(delay, retryAfter);
         }
         return !request.succeeded
-                        && harmless
-                        && request.tries <= behavior.retries()
-                        && now + wait < request.deadline
-                ? wait
+                        && safeToRetry
+                        && request.tries <= clients.retries()
+                        && now + delay < request.deadline
+                ? delay
                 : -1;
     }
 }
--- a/src/main/java/firstage/simulation/DeploymentFactory.java
+++ b/src/main/java/firstage/simulation/DeploymentFactory.java
@@ -11,7 +11,7 @@
  * states, and nothing that a run draws at random.
  */
 final class DeploymentFactory {
-    private static final double SECOND = 10_000;
+    private static final double TICKS_PER_SECOND = 10_000;
 
     private DeploymentFactory() {}
 
@@ -44,13 +44,13 @@
         FleetPlan.Engines engines = plan.engines();
         FleetPlan.Managers managers = plan.managers();
         // Tenant rates apply to the whole fleet, of which the plan simulates a part.
-        double mean = plan.traffic().rate() * managers.fleetSize() / managers.count();
-        double shares = plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).sum();
+        double fleetRate = plan.traffic().rate() * managers.fleetSize() / managers.count();
+        double totalShare = plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).sum();
         List<Double> rates =
                 plan.tenants().size() < 2
                         ? List.of()
                         : plan.tenants().stream()
-                                .map(c -> mean / SECOND * c.share() / shares)
+                                .map(c -> fleetRate / TICKS_PER_SECOND * c.share() / totalShare)
                                 .toList();
         return new Deployment(
                 seed,
@@ -70,7 +70,7 @@
                         engines.grants(),
                         engines.priorities(),
                         managers.maxAttempts(),
-                        2 * (long) SECOND),
+                        2 * (long) TICKS_PER_SECOND),
                 new Deployment.Rules(
                         engines.initialCapacityShare(),
                         Math.round(engines.warmUpDuration().high()),
@@ -79,7 +79,7 @@
                         plan.rules().keyQuietPeriod(),
                         -1,
                         0,
-                        (long) SECOND),
+                        (long) TICKS_PER_SECOND),
                 0.4,
                 engines.progressInterval(),
                 false,
--- a/src/main/java/firstage/simulation/EventQueue.java
+++ b/src/main/java/firstage/simulation/EventQueue.java
@@ -15,9 +15,9 @@
  * pay its logarithmic cost twice. Events that are due in more than 30 hours wait in a list.
  */
 public final class EventQueue {
-    private static final int BITS = 10;
-    private static final int SLOTS = 1 << BITS;
-    private static final int MASK = SLOTS - 1;
+    private static final int SLOT_BITS = 10;
+    private static final int SLOTS = 1 << SLOT_BITS;
+    private static final int SLOT_MASK = SLOTS - 1;
     private static final int LEVELS = 3;
 
     private static final class ScheduledEvent {
@@ -33,9 +33,9 @@
         }
     }
 
-    private final ScheduledEvent[][] first = new ScheduledEvent[LEVELS][SLOTS];
-    private final ScheduledEvent[][] last = new ScheduledEvent[LEVELS][SLOTS];
-    private final long[][] filled = new long[LEVELS][SLOTS / Long.SIZE];
+    private final ScheduledEvent[][] slotHeads = new ScheduledEvent[LEVELS][SLOTS];
+    private final ScheduledEvent[][] slotTails = new ScheduledEvent[LEVELS][SLOTS];
+    private final long[][] filledSlots = new long[LEVELS][SLOTS / Long.SIZE];
     private ScheduledEvent overflow;
 
     /** Time before which all slots are empty. */
@@ -68,38 +68,38 @@
     private void insert(ScheduledEvent event) {
         event.next = null;
         // The highest bit in which the due time differs from the wheel position gives the level.
-        long differs = event.due ^ wheelPosition;
+        long differingBits = event.due ^ wheelPosition;
         int level =
-                differs < SLOTS
+                differingBits < SLOTS
                         ? 0
-                        : differs < 1L << 2 * BITS ? 1 : differs < 1L << 3 * BITS ? 2 : LEVELS;
+                        : differingBits < 1L << 2 * SLOT_BITS ? 1 : differingBits < 1L << 3 * SLOT_BITS ? 2 : LEVELS;
         if (level == LEVELS) {
             event.next = overflow;
             overflow = event;
             return;
         }
-        int slot = (int) (event.due >> level * BITS) & MASK;
-        if (first[level][slot] == null) {
-            first[level][slot] = event;
-            filled[level][slot / Long.SIZE] |= 1L << slot;
+        int slot = (int) (event.due >> level * SLOT_BITS) & SLOT_MASK;
+        if (slotHeads[level][slot] == null) {
+            slotHeads[level][slot] = event;
+            filledSlots[level][slot / Long.SIZE] |= 1L << slot;
         } else {
-            last[level][slot].next = event;
+            slotTails[level][slot].next = event;
         }
-        last[level][slot] = event;
+        slotTails[level][slot] = event;
     }
 
     private ScheduledEvent takeSlot(int level, int slot) {
-        ScheduledEvent all = first[level][slot];
-        first[level][slot] = null;
-        last[level][slot] = null;
-        filled[level][slot / Long.SIZE] &= ~(1L << slot);
-        return all;
+        ScheduledEvent head = slotHeads[level][slot];
+        slotHeads[level][slot] = null;
+        slotTails[level][slot] = null;
+        filledSlots[level][slot / Long.SIZE] &= ~(1L << slot);
+        return head;
     }
 
     /** Returns the first filled slot at or after {@code from}, or -1. */
     private int nextFilledSlot(int level, int from) {
         for (int word = from / Long.SIZE; word < SLOTS / Long.SIZE; word++) {
-            long bits = filled[level][word];
+            long bits = filledSlots[level][word];
             if (word == from / Long.SIZE) {
                 bits &= -1L << from;
             }
@@ -117,18 +117,18 @@
     public long runUntil(long until) {
         long executed = 0;
         while (size > 0 && advance(until)) {
-            int slot = (int) wheelPosition & MASK;
+            int slot = (int) wheelPosition & SLOT_MASK;
             now = wheelPosition;
             // Events that are scheduled for the present moment while it runs go into the same slot
             // and run after the others.
-            while (first[0][slot] != null) {
-                ScheduledEvent event = inOrder(takeSlot(0, slot));
+            while (slotHeads[0][slot] != null) {
+                ScheduledEvent event = inSchedulingOrder(takeSlot(0, slot));
                 while (event != null) {
-                    ScheduledEvent after = event.next;
+                    ScheduledEvent next = event.next;
                     size--;
                     executed++;
                     event.action.run();
-                    event = after;
+                    event = next;
                 }
             }
         }
@@ -142,9 +142,9 @@
      */
     private boolean advance(long until) {
         while (true) {
-            int slot = nextFilledSlot(0, (int) wheelPosition & MASK);
+            int slot = nextFilledSlot(0, (int) wheelPosition & SLOT_MASK);
             if (slot >= 0) {
-                long due = wheelPosition & ~(long) MASK | slot;
+                long due = wheelPosition & ~(long) SLOT_MASK | slot;
                 if (due > until) {
                     return false;
                 }
@@ -163,16 +163,16 @@
      */
     private boolean refillFirstLevel(long until) {
         for (int level = 1; level < LEVELS; level++) {
-            int currentSlot = (int) (wheelPosition >> level * BITS) & MASK;
+            int currentSlot = (int) (wheelPosition >> level * SLOT_BITS) & SLOT_MASK;
             int slot = nextFilledSlot(level, currentSlot);
             if (slot >= 0) {
-                long begins =
-                        wheelPosition >> (level + 1) * BITS << (level + 1) * BITS
-                                | (long) slot << level * BITS;
-                if (begins > until) {
+                long slotStart =
+                        wheelPosition >> (level + 1) * SLOT_BITS << (level + 1) * SLOT_BITS
+                                | (long) slot << level * SLOT_BITS;
+                if (slotStart > until) {
                     return false;
                 }
-                wheelPosition = Math.max(wheelPosition, begins);
+                wheelPosition = Math.max(wheelPosition, slotStart);
                 insertAll(takeSlot(level, slot));
                 return true;
             }
@@ -188,17 +188,17 @@
             return false;
         }
         wheelPosition = earliest;
-        ScheduledEvent all = overflow;
+        ScheduledEvent head = overflow;
         overflow = null;
-        insertAll(all);
+        insertAll(head);
         return true;
     }
 
-    private void insertAll(ScheduledEvent all) {
-        for (ScheduledEvent event = all; event != null; ) {
-            ScheduledEvent after = event.next;
+    private void insertAll(ScheduledEvent head) {
+        for (ScheduledEvent event = head; event != null; ) {
+            ScheduledEvent next = event.next;
             insert(event);
-            event = after;
+            event = next;
         }
     }
 
@@ -206,16 +206,16 @@
      * Returns the events of a slot in the order in which they were scheduled: events that came from
      * different levels can be out of order.
      */
-    private static ScheduledEvent inOrder(ScheduledEvent all) {
-        boolean inOrder = true;
-        for (ScheduledEvent event = all; event.next != null; event = event.next) {
-            inOrder &= event.order < event.next.order;
+    private static ScheduledEvent inSchedulingOrder(ScheduledEvent head) {
+        boolean sorted = true;
+        for (ScheduledEvent event = head; event.next != null; event = event.next) {
+            sorted &= event.order < event.next.order;
         }
-        if (inOrder) {
-            return all;
+        if (sorted) {
+            return head;
         }
         List<ScheduledEvent> list = new ArrayList<>();
-        for (ScheduledEvent event = all; event != null; event = event.next) {
+        for (ScheduledEvent event = head; event != null; event = event.next) {
             list.add(event);
         }
         list.sort(Comparator.comparingLong(event -> event.order));
--- a/src/main/java/firstage/simulation/FaultTarget.java
+++ b/src/main/java/firstage/simulation/FaultTarget.java
@@ -15,7 +15,7 @@
  * at random ({@code engines 25%}), or a zone ({@code managers of north}).
  */
 public final class FaultTarget {
-    private static final Pattern FORM =
+    private static final Pattern SYNTAX =
             Pattern.compile(
                     "(managers|engines)\\s*"
                             + "(?:of\\s+(\\S+)|(\\d+(?:\\.\\d+)?)%|(\\d+(?:\\s*,\\s*\\d+)*))?");
@@ -41,8 +41,8 @@
      *     message says what is wrong and gives valid values
      */
     static FaultTarget of(String text, List<String> zones, int managers, int engineCount) {
-        Matcher m = FORM.matcher(text.trim());
-        if (!m.matches()) {
+        Matcher matcher = SYNTAX.matcher(text.trim());
+        if (!matcher.matches()) {
             throw new IllegalArgumentException(
                     "'"
                             + text
@@ -51,17 +51,17 @@
                             + zones.get(0)
                             + "\" or \"engines\" would do");
         }
-        boolean engines = m.group(1).equals("engines");
-        int zone = m.group(2) == null ? -1 : zones.indexOf(m.group(2));
-        if (m.group(2) != null && zone < 0) {
+        boolean engines = matcher.group(1).equals("engines");
+        int zone = matcher.group(2) == null ? -1 : zones.indexOf(matcher.group(2));
+        if (matcher.group(2) != null && zone < 0) {
             throw new IllegalArgumentException(
-                    "zone '" + m.group(2) + "' is unknown; zones are " + String.join(", ", zones));
+                    "zone '" + matcher.group(2) + "' is unknown; zones are " + String.join(", ", zones));
         }
         List<Integer> numbers =
-                m.group(4) == null
+                matcher.group(4) == null
                         ? null
                         : Pattern.compile(",")
-                                .splitAsStream(m.group(4))
+                                .splitAsStream(matcher.group(4))
                                 .map(n -> Integer.valueOf(n.trim()))
                                 .toList();
         int count = engines ? engineCount : managers;
@@ -77,7 +77,7 @@
                 text.trim(),
                 engines,
                 zone,
-                m.group(3) == null ? -1 : Double.parseDouble(m.group(3)) / 100,
+                matcher.group(3) == null ? -1 : Double.parseDouble(matcher.group(3)) / 100,
                 numbers);
     }
 
@@ -86,9 +86,9 @@
     }
 
     /** Returns the numbers of the managers or engines of the plan; draws those of a share. */
-    public List<Integer> among(FleetPlan plan, RandomGenerator chance) {
+    public List<Integer> among(FleetPlan plan, RandomGenerator random) {
         int count = engines ? plan.engines().count() : plan.managers().count();
-        List<Integer> all =
+        List<Integer> candidates =
                 new ArrayList<>(
                         IntStream.range(0, count)
                                 .filter(n -> zone < 0 || plan.zoneOf(n) == zone)
@@ -98,11 +98,11 @@
             return numbers.stream().filter(n -> n < count).toList();
         }
         if (share >= 0) {
-            Collections.shuffle(all, new Random(chance.nextLong()));
+            Collections.shuffle(candidates, new Random(random.nextLong()));
             return List.copyOf(
-                    all.subList(0, (int) Math.min(count, Math.max(1, Math.round(count * share)))));
+                    candidates.subList(0, (int) Math.min(count, Math.max(1, Math.round(count * share)))));
         }
-        return all;
+        return candidates;
     }
 
     @Override
--- a/src/main/java/firstage/simulation/RandomStreams.java
+++ b/src/main/java/firstage/simulation/RandomStreams.java
@@ -9,7 +9,7 @@
  * traffic and the same faults (common random numbers).
  */
 public final class RandomStreams {
-    private static final RandomGeneratorFactory<RandomGenerator> KIND =
+    private static final RandomGeneratorFactory<RandomGenerator> ALGORITHM =
             RandomGeneratorFactory.of("L64X128MixRandom");
     private final long seed;
 
@@ -19,7 +19,7 @@
 
     /** Returns a new generator at the start of this actor's stream. */
     public RandomGenerator stream(String kind, long number) {
-        return KIND.create(mix(mix(seed) ^ kind.hashCode()) ^ mix(number + 0x9E3779B97F4A7C15L));
+        return ALGORITHM.create(mix(mix(seed) ^ kind.hashCode()) ^ mix(number + 0x9E3779B97F4A7C15L));
     }
 
     /** Returns a seed drawn from the stream of this actor. */
