--- a/src/main/java/firstage/simulation/FaultTarget.java
+++ b/src/main/java/firstage/simulation/FaultTarget.java
@@ -46,10 +46,10 @@
             throw new IllegalArgumentException(
                     "'"
                             + text
-                            + "' names nobody; \"managers 1, 4\", \"engines 25%\", "
+                            + "' is no target of a fault; write \"managers 1, 4\", \"engines 25%\", "
                             + "\"managers of "
                             + zones.get(0)
-                            + "\" or \"engines\" would do");
+                            + "\" or \"engines\"");
         }
         boolean engines = matcher.group(1).equals("engines");
         int zone = matcher.group(2) == null ? -1 : zones.indexOf(matcher.group(2));
