--- a/src/main/java/firstage/simulation/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** What a fleet file sets. Times are ticks, memory MB, work the time of one thread on one core. */
+/**
+ * The contents of a fleet file. Times are in ticks, memory in MB, work in ticks of one thread on
+ * one core at speed 1.
+ */
 public record FleetPlan(
         String name,
         long length,
@@ -24,15 +27,22 @@
         List<Fault> faults,
         List<Expectation> expectations) {
 
-    /** Managers and engines are dealt round the zones. */
+    /** Returns the zone of a manager or engine; both are assigned to the zones in turn. */
     public int zoneOf(int number) {
         return number % zones.size();
     }
 
     /**
-     * What is broken between processes: {@code source} it strikes, for cuts, loss and delay on the
-     * ways from {@code source} to {@code target}, both ways unless {@code oneWay}. {@code interval}
-     * above 0: again each so long, the struck ones in turn.
+     * A fault of a fault test.
+     *
+     * @param line the line of the plan
+     * @param source the affected managers or engines, null for {@link Kind#TRAFFIC}; for cuts, loss
+     *     and delay, one end of the affected links
+     * @param target for cuts, loss and delay, the other end of the links, else null
+     * @param oneWay whether only the direction from {@code source} to {@code target} is affected
+     * @param size of the unit that the kind states
+     * @param interval if above 0, the fault repeats at this interval until the end of the plan: on
+     *     links as before, else on the next one of the affected managers or engines
      */
     public record Fault(
             int line,
@@ -44,38 +54,38 @@
             boolean oneWay,
             double size,
             long interval) {
-        /** What a plan may call for. */
+        /** The kind of a fault. */
         public enum Kind {
-            /** Managers are killed outright, and started again after the managers' restart time. */
+            /** Managers are killed (SIGKILL), and started again after their restart time. */
             KILL,
-            /** Managers are told to end (SIGTERM), and started again. */
+            /** Managers are shut down (SIGTERM), and started again. */
             STOP,
-            /** Managers are stopped and go on after {@code length}, without having noticed. */
+            /** Managers are suspended, and resume after {@code length} unaware of the pause. */
             PAUSE,
-            /** Managers are told to read their configuration anew (SIGHUP). */
+            /** Managers reload their configuration (SIGHUP). */
             RELOAD,
-            /** Engines die, their connections reset, and come back cold after {@code length}. */
+            /** Engines die, which resets connections; they are back, cold, after {@code length}. */
             DIE,
-            /** Engines say nothing, new connections never come up; they come back cold. */
+            /** Engines send nothing and accept no connections; they come back cold. */
             SILENCE,
-            /** Engines take requests and end none. */
+            /** Engines accept requests and complete none. */
             HANG,
-            /** Engines drain for {@code length}, die, and come back cold. */
+            /** Engines drain for {@code length}, die and come back cold. */
             DRAIN,
-            /** Nothing passes; what was written comes when the cut heals. */
+            /** Links carry nothing; data that was written arrives when the cut ends. */
             CUT,
             /**
-             * Datagrams are lost with this chance; connections stand still for 200 ms with a tenth
-             * of it.
+             * Datagrams are lost with probability {@code size}; connections stall for 200 ms with a
+             * tenth of that probability.
              */
             LOSS,
-            /** Everything comes {@code size} ms later, and up to as much again. */
+            /** Data arrives {@code size} ms later, plus a random time of up to as much. */
             DELAY,
-            /** Traffic times {@code size}. */
+            /** Traffic is multiplied by {@code size}. */
             TRAFFIC
         }
 
-        /** Whether the fleet model has it, too. */
+        /** Returns whether the simulation supports this kind of fault. */
         public boolean simulated() {
             return kind == Kind.KILL
                     || kind == Kind.DIE
@@ -85,14 +95,19 @@
         }
     }
 
-    /** A figure and its bounds. */
+    /** Bounds for a figure of the result. */
     public record Expectation(int line, String figure, double min, double max) {}
 
     /**
-     * {@code trafficSkew}: how far managers' parts of the traffic differ: 0 is not at all. {@code
-     * fleetSize}: the managers of the whole fleet, as the settings tell it, of which this is a
-     * part. {@code cellSize}: managers in a cell, 0 where all use all engines; {@code workSpread}:
-     * cells that serve an engine.
+     * The managers.
+     *
+     * @param count the managers that run
+     * @param fleetSize the managers of the whole fleet by the settings, of which these are a part
+     * @param cellSize managers in a cell; 0 where all managers use all engines
+     * @param spread the number of cells that serve an engine
+     * @param trafficSkew how far the managers' shares of the traffic differ; 0: not at all
+     * @param discoveryDelay time after which a change of the endpoint list reaches a manager
+     * @param cancel whether managers may cancel attempts
      */
     public record Managers(
             int count,
@@ -108,7 +123,8 @@
             Range restartTime) {}
 
     /**
-     * Which cell serves what; null where all managers use all engines. Cells lie in zones by turns.
+     * Returns the cells, which are assigned to the zones in turn; null where all managers use all
+     * engines.
      */
     public CellPlan cells() {
         int cells = managers.cellSize == 0 ? 0 : managers.count / managers.cellSize;
@@ -128,16 +144,28 @@
                                 .toList());
     }
 
-    /** The cell of a manager: those of a zone fill its cells one after the other. */
+    /**
+     * Returns the cell of a manager. The managers of a zone fill the zone's cells one after
+     * another.
+     */
     public int cellOf(int manager) {
         return manager / zones.size() / managers.cellSize * zones.size() + zoneOf(manager);
     }
 
     /**
-     * One kind of engine. {@code threadsPerCoreKnee}: threads a core up to which all work; {@code
-     * thrashing}: of the work that each further thread a core costs; {@code spillCost}: further
-     * work of a request with no memory at all; {@code warmTableGain}: of the reading that warm
-     * tables save; {@code initialCapacityShare}: of its capacity at a start.
+     * The engines, all of one kind.
+     *
+     * @param threadsPerCoreKnee threads per core beyond which throughput falls
+     * @param thrashing loss of throughput by further threads, which is divided by 1 + thrashing *
+     *     (threads / threads at the knee - 1)
+     * @param disks I/O capacity per core: ticks of I/O in a tick
+     * @param spillCost additional work of a request that gets no memory, as a multiple of its work
+     * @param sessions attempts that an engine accepts at a time
+     * @param warmTableGroups table groups that stay warm, the most recently used ones
+     * @param warmTableGain share of the I/O that warm tables save
+     * @param initialCapacityShare share of its capacity that an engine has when it starts
+     * @param progressInterval time between progress reports; 0 for none
+     * @param failureRate share of attempts that fail at their end
      */
     public record Engines(
             int count,
@@ -158,25 +186,45 @@
             long progressInterval,
             double failureRate) {}
 
-    /** One way, and the spread of it. */
+    /** The network between managers and engines. */
     public record Network(Range oneWayDelay) {}
 
+    /**
+     * The clients.
+     *
+     * @param retryPause time between two tries of a request
+     * @param deadlineShareOfTry timeout of a try, as a share of the request's whole time
+     * @param retryAfterHonouredShare share of retries that wait as long as the manager asked for
+     */
     public record Clients(
             int retries,
             Range retryPause,
             double deadlineShareOfTry,
             double retryAfterHonouredShare) {}
 
+    /** The figures of the rules on drains, cold engines and ordering keys. */
     public record Rules(
             long drainGrace, double overloadMultiple, long overloadWindow, long keyQuietPeriod) {}
 
-    /** Weights of the whole run, its worst 10 s, its worst-served group and tenant. */
+    /**
+     * Weights in the score: of the whole run, of its worst 10 s, and of the traffic class and the
+     * tenant that are served worst.
+     */
     public record ScoreWeights(
             double wholeRun, double worstSpan, double worstTrafficClass, double worstTenant) {}
 
     /**
-     * {@code estimateFactor}: estimates are drawn round this times the truth, {@code
-     * estimateScatter} wide (of a logarithm).
+     * A traffic class.
+     *
+     * @param share its share of all requests
+     * @param work the mean work of a request
+     * @param workSpread standard deviation of the logarithm of the work
+     * @param ioShare share of the work that is I/O
+     * @param blockedByTableLoads whether requests wait while their table group is loaded
+     * @param badPlanShare share of requests that run with a bad execution plan, at a multiple of
+     *     their work
+     * @param estimateFactor the median of the ratio of estimated to true work
+     * @param estimateScatter standard deviation of the logarithm of the estimates
      */
     public record TrafficClassPlan(
             String name,
@@ -203,7 +251,15 @@
 
     public record TenantPlan(String name, double share) {}
 
-    /** Batches a second over all; {@code shape} names the shape over the run. */
+    /**
+     * The traffic over all managers.
+     *
+     * @param shape the name of the {@link TrafficShape}
+     * @param rate mean requests per second
+     * @param swing how strongly the shape varies the rate
+     * @param keySkew exponent of the Zipf distribution of ordering keys
+     * @param tableGroupSkew exponent of the Zipf distribution of table groups
+     */
     public record Traffic(
             String shape,
             double rate,
@@ -214,8 +270,13 @@
             double tableGroupSkew) {}
 
     /**
-     * {@code affectedShare} of those it strikes, from {@code at} for {@code length}; {@code size}
-     * as each kind says.
+     * A disturbance of a simulated run, from {@code at} for {@code length}.
+     *
+     * @param affectedShare share of the engines or managers that are affected
+     * @param size of the unit that the kind states
+     * @param extra the share of requests that cost more; for {@link Kind#RELEASE}, the share of all
+     *     engines that are replaced at a time
+     * @param trafficClass the index of the traffic class whose requests cost more
      */
     public record Disturbance(
             Kind kind,
@@ -225,29 +286,32 @@
             double size,
             double extra,
             int trafficClass) {
-        /** What a fleet file may call for. */
+        /** The kind of a disturbance. */
         public enum Kind {
             /** Engines die and come back cold. */
             CRASH,
-            /** Engines say nothing, and come back cold. */
+            /** Engines stop responding and come back cold. */
             SILENCE,
-            /** Engines take requests and end none. */
+            /** Engines accept requests and complete none. */
             HANG,
-            /** Engines drain, a request of them at a time, and are replaced by cold ones. */
+            /** Engines drain and are replaced by cold ones, some at a time. */
             RELEASE,
-            /** Managers are killed and come back with nothing. */
+            /** Managers are killed and come back without their state. */
             RESTART,
-            /** Traffic times {@code size}. */
+            /** Traffic is multiplied by {@code size}. */
             BURST,
-            /** {@code extra} of one group's requests cost {@code size} times; estimates show it. */
+            /**
+             * The share {@code extra} of one traffic class's requests costs {@code size} times as
+             * much, and estimates show it.
+             */
             EXPENSIVE,
-            /** The same, and estimates do not. */
+            /** Like {@link #EXPENSIVE}, but estimates do not show it. */
             EXPENSIVE_UNSEEN,
-            /** Everything takes {@code size} times as long. */
+            /** All engines take {@code size} times as long. */
             SLOW,
-            /** Reports come {@code size} later. */
+            /** Load reports arrive {@code size} seconds later. */
             LATE_REPORTS,
-            /** All engines are cold at that moment. */
+            /** Engines become cold at once, and go on running. */
             COLD
         }
     }
--- a/src/main/java/firstage/simulation/FleetPlanReader.java
+++ b/src/main/java/firstage/simulation/FleetPlanReader.java
@@ -12,13 +12,17 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * Reads a fleet file: TOML, every figure that has a unit with its unit. What can't be used is told
- * with its line and what would do; nothing is guessed, and no key is skipped.
+ * Reads a fleet file: TOML, in which durations and sizes are written with their units. Unusable
+ * values and unknown keys are refused with their line and a valid value; nothing is guessed.
  */
 public final class FleetPlanReader {
     private FleetPlanReader() {}
 
-    /** The plan that this text sets; {@link InvalidPlanException} names line and cure. */
+    /**
+     * Parses the text of a fleet file.
+     *
+     * @throws InvalidPlanException if the plan can't be used
+     */
     public static FleetPlan read(String text) {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
@@ -87,8 +91,11 @@
                             .contains(kind);
             boolean nobody = kind == FleetPlan.Fault.Kind.TRAFFIC;
             FaultTarget who =
-                    nobody ? null : who(s, way ? "from" : "who", zones, managers, engines);
-            FaultTarget to = way ? who(s, "to", zones, managers, engines) : null;
+                    nobody
+                            ? null
+                            : who(s, way ? "from" : "who", zones, managers, engines);
+            FaultTarget to =
+                    way ? who(s, "to", zones, managers, engines) : null;
             boolean toEngines =
                     kind == FleetPlan.Fault.Kind.DIE
                             || kind == FleetPlan.Fault.Kind.SILENCE
--- a/src/main/java/firstage/simulation/PairedComparison.java
+++ b/src/main/java/firstage/simulation/PairedComparison.java
@@ -6,16 +6,19 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * Two choices on the same seeds. For each figure the difference is taken seed by seed, and its
- * interval is Student's at 95%, widened for the many figures shown (Bonferroni): all the bars of a
- * table hold together. A verdict is given where the bar does not touch zero; else nobody can tell,
- * and it is said how many runs would be likely to.
+ * A comparison of two policies on the same seeds. The difference of each figure is taken seed by
+ * seed, with a confidence interval by Student's t distribution at 95%, widened for the number of
+ * figures (Bonferroni): all intervals of a table hold together. A figure has a verdict where the
+ * interval excludes zero; otherwise the comparison estimates how many runs would be needed.
  */
 public final class PairedComparison {
     private static final double CONFIDENCE = 0.95;
     private static final int MAX_RUNS = 100_000;
 
-    /** Who is better by a figure. */
+    /**
+     * The side that is better by a figure. {@code NONE}: the difference is not significant; {@code
+     * BROKEN}: a run broke a rule.
+     */
     public enum Verdict {
         LEFT,
         RIGHT,
@@ -24,8 +27,14 @@
     }
 
     /**
-     * {@code halfInterval}: half the width of the interval round {@code difference} (right less
-     * left).
+     * The comparison by one figure.
+     *
+     * @param left the mean of the left side
+     * @param right the mean of the right side
+     * @param difference the mean of right minus left
+     * @param halfInterval half the width of the confidence interval around {@code difference}
+     * @param runsNeeded the runs that would probably be needed for a verdict; with a verdict, the
+     *     runs made
      */
     public record Row(
             String figure,
@@ -40,7 +49,7 @@
     private final List<String> violations = new ArrayList<>();
     private final int runs;
 
-    /** Both sides in the order of the same seeds, at least two. */
+    /** Compares two or more runs of each side, in the same order of seeds. */
     public PairedComparison(List<SimulationResult> left, List<SimulationResult> right) {
         if (left.size() != right.size() || left.size() < 2) {
             throw new IllegalArgumentException("two runs or more of each, on the same seeds");
@@ -116,8 +125,8 @@
     }
 
     /**
-     * Shares of priority weight, of which more is better; of latencies, rejections, errors and late
-     * answers less is.
+     * Returns whether higher values of a figure are better, as for shares of priority weight; lower
+     * ones are for latencies, rejections, errors, late answers and attempts sent to faulty engines.
      */
     public static boolean moreIsBetter(String name) {
         return !name.contains(" ms ")
@@ -131,7 +140,10 @@
         return rows;
     }
 
-    /** The first that broke in each run that broke one: such a comparison has no verdict. */
+    /**
+     * Returns the first violation of each run that broke a rule. A comparison with violations has
+     * no verdict.
+     */
     public List<String> violations() {
         return violations;
     }
@@ -140,7 +152,7 @@
         return runs;
     }
 
-    /** By the first figure, service as a whole. */
+    /** Returns the verdict by the first figure, the service as a whole. */
     public Verdict verdict() {
         return violations.isEmpty() ? rows.get(0).verdict() : Verdict.BROKEN;
     }
--- a/src/main/java/firstage/simulation/PolicyUnderTest.java
+++ b/src/main/java/firstage/simulation/PolicyUnderTest.java
@@ -9,16 +9,16 @@
 import java.util.Locale;
 
 /**
- * The policy that decides in a simulation: the scheduler, or a textbook baseline.
+ * The policy that managers run in a simulation: the scheduler, or a textbook baseline.
  *
- * @param name as it was chosen
+ * @param name the name by which it was chosen
  * @param baseline the baseline, or null for the scheduler
- * @param capacityFactor the scheduler is told that each engine has so many times its cores and
- *     memory, which opens its limits as a wrong setting would
+ * @param capacityFactor the factor by which the scheduler's settings overstate the cores and memory
+ *     of engines, which loosens its limits as a wrong setting would
  * @param peers null where managers do not know each other; else the defects to inject into their
  *     coordination, which runs over links with the plan's delay
- * @param warmUpBySettings in cells, engines are warmed up by the share of the settings, rather than
- *     by that of the cells
+ * @param warmUpBySettings whether cold engines are warmed up by the share of the settings, rather
+ *     than by that of the cells
  */
 public record PolicyUnderTest(
         String name,
@@ -28,7 +28,7 @@
         boolean warmUpBySettings) {
     private static final String SCHEDULER = "scheduler";
 
-    /** The word of earlier versions for {@link #SCHEDULER}, still understood. */
+    /** Name of {@link #SCHEDULER} in earlier versions, still accepted. */
     private static final String SCHEDULER_ALIAS = "brain";
 
     private static final String COLD_BY_SETTINGS = ":cold=settings";
@@ -37,10 +37,10 @@
     private static final double MAX_BOUNDS = 1_000;
 
     /**
-     * Reads a choice such as {@code scheduler}, {@code scheduler:bounds=4}, {@code random} or
+     * Parses a choice such as {@code scheduler}, {@code scheduler:bounds=4}, {@code random} or
      * {@code round-robin}.
      *
-     * @throws InvalidPlanException where there is no such choice; the message names what would do
+     * @throws InvalidPlanException if there is no such choice; the message lists the valid ones
      */
     public static PolicyUnderTest of(String text) {
         for (String scheduler : List.of(SCHEDULER, SCHEDULER_ALIAS)) {
@@ -91,7 +91,7 @@
                 return bounds;
             }
         } catch (NumberFormatException fault) {
-            // Told below.
+            // Reported below.
         }
         throw new InvalidPlanException(
                 "'" + text + "': bounds takes a number above 0, such as scheduler:bounds=4");
@@ -102,7 +102,7 @@
                 "'" + text + "' is no choice; there are " + String.join(", ", names()));
     }
 
-    /** The choices that {@link #of} knows. */
+    /** Returns the choices that {@link #of} accepts. */
     public static List<String> names() {
         return List.of(
                 SCHEDULER,
--- a/src/main/java/firstage/simulation/Scoreboard.java
+++ b/src/main/java/firstage/simulation/Scoreboard.java
@@ -7,21 +7,33 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Service as the brief counts it: the priority weight answered within each latency objective over
- * the priority weight asked for, a client's retries with its first try, a late answer at its
- * group's late value; over the whole run, its worst 10 s, the worst-served group and tenant, and
- * all of them by the goal's weights.
+ * Measures the service of a run: the priority weight earned by answers, over the priority weight of
+ * all requests. An answer within the latency objective earns the whole weight of its request, a
+ * late one the late value of the traffic class; a request counts once, with all its tries. The
+ * share is computed for the whole run, its worst 10 s, and the traffic class and the tenant that
+ * are served worst; the service as a whole is their weighted mean.
  */
 public final class Scoreboard {
     private static final long INTERVAL = 100_000;
+
+    /** The highest latency that the histograms tell apart: 1 hour. */
     private static final long MAX_LATENCY = 36_000_000;
 
     private final FleetPlan plan;
     private final long start;
+
+    /** Priority weight of the requests of each interval. */
     private final double[] onRequested;
+
+    /** Priority weight earned by the requests of each interval. */
     private final double[] served;
+
+    /** For each traffic class, its requested and its earned weight. */
     private final double[][] byTrafficClass;
+
+    /** For each tenant, its requested and its earned weight. */
     private final double[][] byTenant;
+
     private final List<Histogram> latency = new ArrayList<>();
     private long requests;
     private long onSucceeded;
@@ -87,7 +99,7 @@
         return whole > 0 ? part / whole : 1;
     }
 
-    /** The run's figures by name, in a stated order. */
+    /** Returns the figures of the run by name; the service as a whole comes first. */
     public Map<String, Double> figures() {
         double requestedWeight = 0;
         double servedWeight = 0;
@@ -95,7 +107,7 @@
         for (int i = 0; i < onRequested.length; i++) {
             requestedWeight += onRequested[i];
             servedWeight += served[i];
-            // A last piece of a span has too few requests to be anybody's worst.
+            // A last interval of less than half the length has too few requests to be the worst.
             worst =
                     i == onRequested.length - 1 && plan.length() % INTERVAL < INTERVAL / 2
                             ? worst
--- a/src/main/java/firstage/simulation/TomlSection.java
+++ b/src/main/java/firstage/simulation/TomlSection.java
@@ -10,7 +10,10 @@
 import org.tomlj.TomlArray;
 import org.tomlj.TomlTable;
 
-/** One table of the file, and which of its keys were asked for. */
+/**
+ * A table of a TOML file with typed access to its values. It remembers the keys that were read, so
+ * that unknown keys can be refused.
+ */
 public final class TomlSection {
     private static final Pattern FIGURE =
             Pattern.compile("\\s*([0-9]+(?:\\.[0-9]+)?)\\s*([a-zA-Z%]*)\\s*");
@@ -49,6 +52,7 @@
         return value == null ? defaultValue : value;
     }
 
+    /** Returns an exception for the value of a key, with the line of that key. */
     public InvalidPlanException invalid(String key, String what) {
         int at =
                 table == null || table.inputPositionOf(List.of(key)) == null
@@ -111,7 +115,7 @@
         return figure;
     }
 
-    /** From 0 to 1, or as "12%". */
+    /** Returns a share from 0 to 1, which may be written as a percentage ("12%"). */
     double share(String key, Double defaultValue) {
         Object value = value(key, defaultValue, "\"10%\"");
         double share;
@@ -211,7 +215,7 @@
         return all;
     }
 
-    /** All that was written must have been asked for. */
+    /** Refuses the section if it contains a key that was never read. */
     public void rejectUnknownKeys() {
         if (table == null) {
             return;
--- a/src/main/java/firstage/simulation/TrafficShape.java
+++ b/src/main/java/firstage/simulation/TrafficShape.java
@@ -3,19 +3,16 @@
 import java.util.Arrays;
 import java.util.List;
 
-/**
- * How traffic rises and falls over a run: a factor on the mean rate, by the share of the run that
- * is over.
- */
+/** Variation of the traffic over a run: a factor on the mean rate for each point of the run. */
 enum TrafficShape {
-    /** The same all the time. */
+    /** Constant traffic. */
     STEADY("steady") {
         @Override
         double factor(double at, double swing) {
             return 1;
         }
     },
-    /** One wave up and down. */
+    /** One sine wave over the run. */
     WAVE("wave") {
         @Override
         double factor(double at, double swing) {
@@ -23,8 +20,8 @@
         }
     },
     /**
-     * Seven nights that peak before dawn and after sunset, days that sag between: a week pressed
-     * into the run.
+     * Seven days compressed into the run, with peaks before dawn and after sunset and a low around
+     * noon.
      */
     RAMADAN_WEEK("ramadan-week") {
         @Override
@@ -36,14 +33,14 @@
             return Math.max(0.1, 1 + swing * (2.2 * beforeDawn + 2.6 * afterSunset - 0.9 * noon));
         }
     },
-    /** Reports pile up over the run and peak in its last tenth. */
+    /** Traffic that rises over the run, as reports do over a month, and peaks in the last tenth. */
     MONTH_END("month-end") {
         @Override
         double factor(double at, double swing) {
             return 1 - swing / 2 + swing * at + (at > 0.9 ? 2 * swing * (at - 0.9) / 0.1 : 0);
         }
     },
-    /** Quiet, then a sale: a steep rise at a third, a slow fall. */
+    /** Low traffic until a sale starts at a third of the run: a steep rise, then a slow fall. */
     SALES("sales") {
         @Override
         double factor(double at, double swing) {
@@ -62,6 +59,12 @@
         return values()[NAMES.indexOf(word)];
     }
 
+    /**
+     * Returns the factor on the mean rate.
+     *
+     * @param at the share of the run that has passed, from 0 to 1
+     * @param swing how strongly the factor varies
+     */
     abstract double factor(double at, double swing);
 
     private static double bell(double hour, double middle, double wide) {
--- a/src/main/java/firstage/simulation/TrafficSource.java
+++ b/src/main/java/firstage/simulation/TrafficSource.java
@@ -4,18 +4,24 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Draws what clients ask for: unequal tenants, keys and tables of unequal heat, work and estimates
- * that scatter.
+ * Draws the requests of the clients at random: their arrival, traffic class, tenant, ordering key,
+ * table group, work and estimates. Ordering keys and table groups follow Zipf distributions.
  */
 public final class TrafficSource {
     private final FleetPlan plan;
     private final TrafficShape shape;
     private final RandomGenerator random;
+
+    /** Cumulative shares, from which an index is drawn; likewise below. */
     private final double[] trafficClassBounds;
+
     private final double[] tenantBounds;
     private final double[] keyBounds;
     private final double[] tableGroupBounds;
+
+    /** Upper bound of the shape's factor on the mean rate. */
     private final double peakFactor;
+
     private long nextId;
 
     public TrafficSource(FleetPlan plan, RandomStreams streams) {
@@ -74,7 +80,10 @@
         return low;
     }
 
-    /** When the next request comes after {@code now}, by thinning a stream of the highest rate. */
+    /**
+     * Returns the time of the next request after {@code now}, by thinning a Poisson process of the
+     * highest rate.
+     */
     public long nextArrival(long now, long start, double trafficFactor) {
         double meanInterval = 10_000 / (plan.traffic().rate() * peakFactor * trafficFactor);
         long arrival = now;
@@ -87,7 +96,11 @@
         return arrival;
     }
 
-    /** {@code dear}: spells that are on, by their group. */
+    /**
+     * Draws a request that arrives at {@code now}.
+     *
+     * @param activeDisturbances the present disturbances that make requests more expensive
+     */
     public TrueRequest draw(long now, List<FleetPlan.Disturbance> activeDisturbances) {
         int classIndex = drawIndex(trafficClassBounds);
         FleetPlan.TrafficClassPlan trafficClass = plan.trafficClasses().get(classIndex);
--- a/src/main/java/firstage/simulation/TrueRequest.java
+++ b/src/main/java/firstage/simulation/TrueRequest.java
@@ -1,9 +1,8 @@
 package firstage.simulation;
 
 /**
- * A request as it truly is: what its client wants, and what it costs. Only estimates and what is
- * observed ever pass to the decisions ({@link ManagerModel} hands those on). Indices are -1 where
- * there is none; times ticks.
+ * A request with its true cost, which scheduling policies never see: {@link ManagerModel} passes
+ * them estimates and observations only. Indices are -1 where there is none; times are in ticks.
  */
 public final class TrueRequest {
     public final long id;
@@ -12,25 +11,32 @@
     public final int orderingKey;
     public final int tableGroup;
 
-    /** First asked for, and when its client gives up for good. */
+    /** Time of the first try. */
     public final long firstRequestedAt;
 
+    /** Time at which the client gives up for good. */
     public final long deadline;
 
-    /** Truly needed: the time of one thread on one core at speed 1, and MB. */
+    /** True work: the time of one thread on one core at speed 1. */
     public final double work;
 
+    /** True memory need. */
     public final double memoryMb;
 
-    /** As told. */
+    /** Estimate of the work, as the client sends it. */
     public final long estimatedWork;
 
+    /** Estimate of the memory need, as the client sends it. */
     public final int estimatedMemoryMb;
+
+    /** Number of tries so far, the first one included. */
     public int tries;
+
     public boolean succeeded;
 
     /**
-     * Times are ticks; {@code estimatedWork} and {@code estimatedMemoryMb} are what clients tell.
+     * Creates a request. Times are in ticks; {@code estimatedWork} and {@code estimatedMemoryMb} are
+     * what the client sends.
      */
     public TrueRequest(
             long id,
--- a/src/test/java/firstage/simulation/EventQueueTest.java
+++ b/src/test/java/firstage/simulation/EventQueueTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The wheel against a plain heap, over delays from none to days. */
+/** Compares the order of events with that of a priority queue, over delays from 0 to days. */
 class EventQueueTest {
     private record Due(long due, int order) {}
 
--- a/src/test/java/firstage/simulation/FleetSimulationTest.java
+++ b/src/test/java/firstage/simulation/FleetSimulationTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Fleets of seconds: the same bytes for the same seed, choices told apart or not, rules watched,
- * files refused.
+ * Runs simulations of some seconds: the same seed gives the same result, comparisons find the
+ * better policy or none, rule violations are found, and unusable plans are refused.
  */
 class FleetSimulationTest {
     private static String shop() {
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Without the mass restart: beside a cold engine it breaks rule 4 in some runs, see
-     * docs/simulation.md.
+     * Returns the plan without its mass restart, which in some runs breaks rule 4 at a cold engine
+     * (see docs/simulation.md).
      */
     private static String crashes() {
         return shop().replaceAll("(?s)\\[\\[trouble\\]\\]\nkind = \"restart\".*", "");
@@ -67,12 +67,14 @@
         assertThat(c.verdict()).isEqualTo(PairedComparison.Verdict.BROKEN);
         assertThat(c.violations())
                 .anySatisfy(
-                        what -> assertThat(what).contains("two-choices", "rule 4", "was overloaded"));
+                        what ->
+                                assertThat(what)
+                                        .contains("two-choices", "rule 4", "was overloaded"));
     }
 
     /**
-     * The same choice on other seeds, paired as if it were another: told apart in no more than one
-     * of twenty.
+     * Compares runs of one policy on different seeds as if they were of two policies. At a
+     * confidence of 95% one comparison of twenty finds a difference by chance.
      */
     @Test
     void aChoiceIsNotToldFromItself() {
@@ -135,7 +137,10 @@
         assertThat(result.requests()).isGreaterThan(3_000);
     }
 
-    /** Two cells of two serve each engine; of the fleet's 2,600 managers only those know it. */
+    /**
+     * Returns a plan in which two cells of two managers serve each engine: of the fleet's 2,600
+     * managers, only these four use the engine.
+     */
     private static String cells() {
         return shop().replace("count = 3\n", "count = 16\nof = 2600\ncell = 2\nspread = 2\n")
                 .replace("name = \"shop\"", "name = \"shop\"\nzones = \"n, s\"")
@@ -157,8 +162,9 @@
     }
 
     /**
-     * With all of its engines cold a zone of a large fleet serves on by the cells' parts, and by
-     * the settings' not.
+     * All engines of a zone of a large fleet are cold. The zone serves on if engines are warmed up
+     * by the shares of the cells, and hardly by the share of the settings, which is one manager's
+     * of the whole fleet.
      */
     @Test
     void aZoneOfALargeFleetIsWarmedByItsCells() throws IOException {
--- a/src/test/java/firstage/simulation/PolicyUnderTestTest.java
+++ b/src/test/java/firstage/simulation/PolicyUnderTestTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The names by which operators choose what decides in a simulation. */
+/** Tests the names by which operators choose the policy of a simulation. */
 class PolicyUnderTestTest {
     @ParameterizedTest
     @ValueSource(strings = {"", ":cold=settings", ":peers", ":peers=no-peers", ":bounds=4"})
