--- a/src/main/java/firstage/simulation/FleetPlanReader.java
+++ b/src/main/java/firstage/simulation/FleetPlanReader.java
@@ -39,17 +39,17 @@
                         top.duration("length", null),
                         managers,
                         engines,
-                        net(top.table("net")),
+                        network(top.table("net")),
                         clients(top.table("clients")),
                         rules(top.table("rules")),
-                        goal(top.table("goal")),
-                        groups(top.tables("group")),
-                        customers(top.tables("customer")),
+                        scoreWeights(top.table("goal")),
+                        trafficClasses(top.tables("group")),
+                        tenants(top.tables("customer")),
                         traffic(top.table("traffic")),
-                        troubles(top),
+                        disturbances(top),
                         zones,
                         faults(top, zones, managers.count(), engines.count()),
-                        expects(top));
+                        expectations(top));
         top.rejectUnknownKeys();
         return plan;
     }
@@ -79,274 +79,274 @@
                 Arrays.stream(FleetPlan.Fault.Kind.values())
                         .map(k -> k.name().toLowerCase(Locale.ROOT))
                         .toList();
-        for (TomlSection s : top.tables("fault")) {
+        for (TomlSection section : top.tables("fault")) {
             FleetPlan.Fault.Kind kind =
                     FleetPlan.Fault.Kind.valueOf(
-                            s.oneOf("kind", null, kinds).toUpperCase(Locale.ROOT));
-            boolean way =
+                            section.oneOf("kind", null, kinds).toUpperCase(Locale.ROOT));
+            boolean onLinks =
                     List.of(
                                     FleetPlan.Fault.Kind.CUT,
                                     FleetPlan.Fault.Kind.LOSS,
                                     FleetPlan.Fault.Kind.DELAY)
                             .contains(kind);
-            boolean nobody = kind == FleetPlan.Fault.Kind.TRAFFIC;
-            FaultTarget who =
-                    nobody
+            boolean hasNoTarget = kind == FleetPlan.Fault.Kind.TRAFFIC;
+            FaultTarget source =
+                    hasNoTarget
                             ? null
-                            : who(s, way ? "from" : "who", zones, managers, engines);
-            FaultTarget to =
-                    way ? who(s, "to", zones, managers, engines) : null;
-            boolean toEngines =
+                            : target(section, onLinks ? "from" : "who", zones, managers, engines);
+            FaultTarget target =
+                    onLinks ? target(section, "to", zones, managers, engines) : null;
+            boolean affectsEngines =
                     kind == FleetPlan.Fault.Kind.DIE
                             || kind == FleetPlan.Fault.Kind.SILENCE
                             || kind == FleetPlan.Fault.Kind.HANG
                             || kind == FleetPlan.Fault.Kind.DRAIN;
-            if (who != null && !way && who.isEngines() != toEngines) {
-                throw s.invalid(
+            if (source != null && !onLinks && source.isEngines() != affectsEngines) {
+                throw section.invalid(
                         "who",
                         "a "
                                 + kind.name().toLowerCase(Locale.ROOT)
                                 + " strikes "
-                                + (toEngines
+                                + (affectsEngines
                                         ? "engines; \"engines 25%\" would do"
                                         : "managers; \"managers 25%\" would do"));
             }
             faults.add(
                     new FleetPlan.Fault(
-                            s.line(),
+                            section.line(),
                             kind,
-                            s.duration("at", null),
-                            s.duration("length", "0 s"),
-                            who,
-                            to,
-                            s.flag("one_way", false),
-                            s.number("size", 0, 100_000, 1.0),
-                            s.duration("every", "0 s")));
-            s.rejectUnknownKeys();
+                            section.duration("at", null),
+                            section.duration("length", "0 s"),
+                            source,
+                            target,
+                            section.flag("one_way", false),
+                            section.number("size", 0, 100_000, 1.0),
+                            section.duration("every", "0 s")));
+            section.rejectUnknownKeys();
         }
         return faults;
     }
 
-    private static FaultTarget who(
-            TomlSection s, String key, List<String> zones, int managers, int engines) {
+    private static FaultTarget target(
+            TomlSection section, String key, List<String> zones, int managers, int engines) {
         try {
-            return FaultTarget.of(s.text(key, null), zones, managers, engines);
-        } catch (IllegalArgumentException fault) {
-            throw s.invalid(key, fault.getMessage());
+            return FaultTarget.of(section.text(key, null), zones, managers, engines);
+        } catch (IllegalArgumentException exception) {
+            throw section.invalid(key, exception.getMessage());
         }
     }
 
-    private static List<FleetPlan.Expectation> expects(TomlSection top) {
-        List<FleetPlan.Expectation> expects = new ArrayList<>();
-        for (TomlSection s : top.tables("expect")) {
-            expects.add(
+    private static List<FleetPlan.Expectation> expectations(TomlSection top) {
+        List<FleetPlan.Expectation> expectations = new ArrayList<>();
+        for (TomlSection section : top.tables("expect")) {
+            expectations.add(
                     new FleetPlan.Expectation(
-                            s.line(),
-                            s.text("figure", null),
-                            s.number("least", -1e9, 1e9, -1e9),
-                            s.number("most", -1e9, 1e9, 1e9)));
-            s.rejectUnknownKeys();
+                            section.line(),
+                            section.text("figure", null),
+                            section.number("least", -1e9, 1e9, -1e9),
+                            section.number("most", -1e9, 1e9, 1e9)));
+            section.rejectUnknownKeys();
         }
-        return expects;
+        return expectations;
     }
 
-    private static FleetPlan.Managers managers(TomlSection s, int zones) {
-        int count = s.integer("count", 1, 4_000, null);
-        int of = s.integer("of", 1, 10_000, count);
-        int cell = s.integer("cell", 0, 4_000, 0);
-        int spread = s.integer("spread", 1, 100, 1);
-        if (of < count) {
-            throw s.invalid("of", of + " is under count; " + count + " and more would do");
+    private static FleetPlan.Managers managers(TomlSection section, int zones) {
+        int count = section.integer("count", 1, 4_000, null);
+        int fleetSize = section.integer("of", 1, 10_000, count);
+        int cellSize = section.integer("cell", 0, 4_000, 0);
+        int spread = section.integer("spread", 1, 100, 1);
+        if (fleetSize < count) {
+            throw section.invalid("of", fleetSize + " is under count; " + count + " and more would do");
         }
-        if (cell > 0 && (count % (cell * zones) != 0 || spread > count / cell / zones)) {
-            throw s.invalid(
-                    count % (cell * zones) != 0 ? "cell" : "spread",
+        if (cellSize > 0 && (count % (cellSize * zones) != 0 || spread > count / cellSize / zones)) {
+            throw section.invalid(
+                    count % (cellSize * zones) != 0 ? "cell" : "spread",
                     count
                             + " managers are not "
                             + spread
                             + " or more whole cells of "
-                            + cell
+                            + cellSize
                             + " in each zone; count = "
-                            + spread * cell * zones
+                            + spread * cellSize * zones
                             + " would do");
         }
-        FleetPlan.Managers m =
+        FleetPlan.Managers managers =
                 new FleetPlan.Managers(
                         count,
-                        of,
-                        cell,
+                        fleetSize,
+                        cellSize,
                         spread,
-                        s.share("unequal", 0.0),
-                        s.durationRange("list_delay", "1 s to 3 s"),
-                        s.flag("probes", false),
-                        s.flag("second_copies", false),
-                        s.flag("call_off", false),
-                        s.integer("dispatches", 1, 100, 6),
-                        s.durationRange("restart", "500 ms to 1500 ms"));
-        s.rejectUnknownKeys();
-        return m;
+                        section.share("unequal", 0.0),
+                        section.durationRange("list_delay", "1 s to 3 s"),
+                        section.flag("probes", false),
+                        section.flag("second_copies", false),
+                        section.flag("call_off", false),
+                        section.integer("dispatches", 1, 100, 6),
+                        section.durationRange("restart", "500 ms to 1500 ms"));
+        section.rejectUnknownKeys();
+        return managers;
     }
 
-    private static FleetPlan.Engines engines(TomlSection s) {
-        FleetPlan.Engines e =
+    private static FleetPlan.Engines engines(TomlSection section) {
+        FleetPlan.Engines engines =
                 new FleetPlan.Engines(
-                        s.integer("count", 1, 10_000, null),
-                        s.integer("cores", 1, 1_024, null),
-                        s.sizeMb("memory", null),
-                        s.numberRange("speed", 0.01, 100, "1"),
-                        s.numberRange("knee", 0.1, 100, "1.3 to 2.2"),
-                        s.numberRange("thrash", 0, 10, "0.3 to 0.6"),
-                        s.number("disks", 0.1, 1_000, 0.5),
-                        s.numberRange("spill", 0, 100, "1.5 to 3"),
-                        s.integer("sessions", 1, 10_000, 64),
-                        s.integer("warm_tables", 0, 1_000, 4),
-                        s.share("warm_gain", 0.5),
-                        s.share("cold_from", 0.3),
-                        s.durationRange("warm_after", "13 s"),
-                        s.flag("grants", true),
-                        s.flag("priorities", true),
-                        s.duration("notes", "500 ms"),
-                        s.share("errs", 0.0));
-        s.rejectUnknownKeys();
-        return e;
+                        section.integer("count", 1, 10_000, null),
+                        section.integer("cores", 1, 1_024, null),
+                        section.sizeMb("memory", null),
+                        section.numberRange("speed", 0.01, 100, "1"),
+                        section.numberRange("knee", 0.1, 100, "1.3 to 2.2"),
+                        section.numberRange("thrash", 0, 10, "0.3 to 0.6"),
+                        section.number("disks", 0.1, 1_000, 0.5),
+                        section.numberRange("spill", 0, 100, "1.5 to 3"),
+                        section.integer("sessions", 1, 10_000, 64),
+                        section.integer("warm_tables", 0, 1_000, 4),
+                        section.share("warm_gain", 0.5),
+                        section.share("cold_from", 0.3),
+                        section.durationRange("warm_after", "13 s"),
+                        section.flag("grants", true),
+                        section.flag("priorities", true),
+                        section.duration("notes", "500 ms"),
+                        section.share("errs", 0.0));
+        section.rejectUnknownKeys();
+        return engines;
     }
 
-    private static FleetPlan.Network net(TomlSection s) {
-        FleetPlan.Network n = new FleetPlan.Network(s.durationRange("way", "0.2 ms to 1 ms"));
-        s.rejectUnknownKeys();
-        return n;
+    private static FleetPlan.Network network(TomlSection section) {
+        FleetPlan.Network network = new FleetPlan.Network(section.durationRange("way", "0.2 ms to 1 ms"));
+        section.rejectUnknownKeys();
+        return network;
     }
 
-    private static FleetPlan.Clients clients(TomlSection s) {
-        FleetPlan.Clients c =
+    private static FleetPlan.Clients clients(TomlSection section) {
+        FleetPlan.Clients clients =
                 new FleetPlan.Clients(
-                        s.integer("retries", 0, 100, 1),
-                        s.durationRange("wait", "100 ms to 500 ms"),
-                        s.share("try_share", 1.0),
-                        s.share("honour", 0.7));
-        s.rejectUnknownKeys();
-        return c;
+                        section.integer("retries", 0, 100, 1),
+                        section.durationRange("wait", "100 ms to 500 ms"),
+                        section.share("try_share", 1.0),
+                        section.share("honour", 0.7));
+        section.rejectUnknownKeys();
+        return clients;
     }
 
-    private static FleetPlan.Rules rules(TomlSection s) {
-        FleetPlan.Rules r =
+    private static FleetPlan.Rules rules(TomlSection section) {
+        FleetPlan.Rules rules =
                 new FleetPlan.Rules(
-                        s.duration("drain_grace", "500 ms"),
-                        s.number("tip_multiple", 0, 100, 2.0),
-                        s.duration("fall", "2 s"),
-                        s.duration("key_rest", "0 s"));
-        s.rejectUnknownKeys();
-        return r;
+                        section.duration("drain_grace", "500 ms"),
+                        section.number("tip_multiple", 0, 100, 2.0),
+                        section.duration("fall", "2 s"),
+                        section.duration("key_rest", "0 s"));
+        section.rejectUnknownKeys();
+        return rules;
     }
 
-    private static FleetPlan.ScoreWeights goal(TomlSection s) {
-        FleetPlan.ScoreWeights g =
+    private static FleetPlan.ScoreWeights scoreWeights(TomlSection section) {
+        FleetPlan.ScoreWeights scoreWeights =
                 new FleetPlan.ScoreWeights(
-                        s.share("whole", 0.5),
-                        s.share("worst_span", 0.2),
-                        s.share("worst_group", 0.2),
-                        s.share("worst_customer", 0.1));
-        s.rejectUnknownKeys();
-        return g;
+                        section.share("whole", 0.5),
+                        section.share("worst_span", 0.2),
+                        section.share("worst_group", 0.2),
+                        section.share("worst_customer", 0.1));
+        section.rejectUnknownKeys();
+        return scoreWeights;
     }
 
-    private static FleetPlan.Traffic traffic(TomlSection s) {
-        FleetPlan.Traffic t =
+    private static FleetPlan.Traffic traffic(TomlSection section) {
+        FleetPlan.Traffic traffic =
                 new FleetPlan.Traffic(
-                        s.oneOf("kind", "steady", TrafficShape.NAMES),
-                        s.number("rate", 0.001, 1e6, null),
-                        s.share("swing", 0.2),
-                        s.integer("keys", 0, 1_000_000, 0),
-                        s.number("key_heat", 0, 3, 0.8),
-                        s.integer("tables", 1, 100_000, 20),
-                        s.number("table_heat", 0, 3, 0.7));
-        s.rejectUnknownKeys();
-        return t;
+                        section.oneOf("kind", "steady", TrafficShape.NAMES),
+                        section.number("rate", 0.001, 1e6, null),
+                        section.share("swing", 0.2),
+                        section.integer("keys", 0, 1_000_000, 0),
+                        section.number("key_heat", 0, 3, 0.8),
+                        section.integer("tables", 1, 100_000, 20),
+                        section.number("table_heat", 0, 3, 0.7));
+        section.rejectUnknownKeys();
+        return traffic;
     }
 
-    private static List<FleetPlan.TrafficClassPlan> groups(List<TomlSection> all) {
-        List<FleetPlan.TrafficClassPlan> groups = new ArrayList<>();
-        for (TomlSection s : all) {
-            groups.add(
+    private static List<FleetPlan.TrafficClassPlan> trafficClasses(List<TomlSection> sections) {
+        List<FleetPlan.TrafficClassPlan> trafficClasses = new ArrayList<>();
+        for (TomlSection section : sections) {
+            trafficClasses.add(
                     new FleetPlan.TrafficClassPlan(
-                            s.text("name", null),
-                            s.share("share", null),
-                            s.duration("work", null),
-                            s.number("spread", 0, 5, 0.8),
-                            s.share("io", 0.3),
-                            s.integer("threads", 1, 256, 1),
-                            s.sizeMb("memory", null),
-                            s.duration("goal", null),
-                            s.number("stretch", 0, 100, 0.0),
-                            s.duration("limit", null),
-                            s.number("utility", 0, 1e6, 1.0),
-                            s.share("late_value", 0.0),
+                            section.text("name", null),
+                            section.share("share", null),
+                            section.duration("work", null),
+                            section.number("spread", 0, 5, 0.8),
+                            section.share("io", 0.3),
+                            section.integer("threads", 1, 256, 1),
+                            section.sizeMb("memory", null),
+                            section.duration("goal", null),
+                            section.number("stretch", 0, 100, 0.0),
+                            section.duration("limit", null),
+                            section.number("utility", 0, 1e6, 1.0),
+                            section.share("late_value", 0.0),
                             effect(
-                                    s.oneOf(
+                                    section.oneOf(
                                             "effect",
                                             null,
                                             List.of("repeatable", "referenced", "once-only"))),
                             Scope.valueOf(
-                                    s.oneOf("scope", "all", List.of("all", "zone", "cell"))
+                                    section.oneOf("scope", "all", List.of("all", "zone", "cell"))
                                             .toUpperCase(Locale.ROOT)),
-                            s.duration("window", "5 s"),
-                            s.flag("ordered", false),
-                            s.flag("load", false),
-                            s.flag("yields", false),
-                            s.share("bad_plans", 0.0),
-                            s.number("estimate_low", 0.01, 100, 1.0),
-                            s.number("estimate_scatter", 0, 5, 0.4)));
-            s.rejectUnknownKeys();
+                            section.duration("window", "5 s"),
+                            section.flag("ordered", false),
+                            section.flag("load", false),
+                            section.flag("yields", false),
+                            section.share("bad_plans", 0.0),
+                            section.number("estimate_low", 0.01, 100, 1.0),
+                            section.number("estimate_scatter", 0, 5, 0.4)));
+            section.rejectUnknownKeys();
         }
-        if (groups.isEmpty()) {
+        if (trafficClasses.isEmpty()) {
             throw new InvalidPlanException(
                     0,
                     "no service group; write [[group]] with name, share, work, memory, goal, limit,"
                             + " effect");
         }
-        return groups;
+        return trafficClasses;
     }
 
-    private static Effect effect(String word) {
-        return switch (word) {
+    private static Effect effect(String text) {
+        return switch (text) {
             case "repeatable" -> Effect.IDEMPOTENT;
             case "referenced" -> Effect.IDEMPOTENT_WITH_KEY;
             default -> Effect.NON_IDEMPOTENT;
         };
     }
 
-    private static List<FleetPlan.TenantPlan> customers(List<TomlSection> all) {
-        List<FleetPlan.TenantPlan> customers = new ArrayList<>();
-        for (TomlSection s : all) {
-            customers.add(new FleetPlan.TenantPlan(s.text("name", null), s.share("share", null)));
-            s.rejectUnknownKeys();
+    private static List<FleetPlan.TenantPlan> tenants(List<TomlSection> sections) {
+        List<FleetPlan.TenantPlan> tenants = new ArrayList<>();
+        for (TomlSection section : sections) {
+            tenants.add(new FleetPlan.TenantPlan(section.text("name", null), section.share("share", null)));
+            section.rejectUnknownKeys();
         }
-        return customers.isEmpty() ? List.of(new FleetPlan.TenantPlan("all", 1)) : customers;
+        return tenants.isEmpty() ? List.of(new FleetPlan.TenantPlan("all", 1)) : tenants;
     }
 
-    private static List<FleetPlan.Disturbance> troubles(TomlSection top) {
-        List<FleetPlan.Disturbance> troubles = new ArrayList<>();
+    private static List<FleetPlan.Disturbance> disturbances(TomlSection top) {
+        List<FleetPlan.Disturbance> disturbances = new ArrayList<>();
         List<String> kinds =
                 Arrays.stream(FleetPlan.Disturbance.Kind.values())
                         .map(k -> k.name().toLowerCase(Locale.ROOT).replace('_', '-'))
                         .toList();
-        for (TomlSection s : top.tables("trouble")) {
+        for (TomlSection section : top.tables("trouble")) {
             FleetPlan.Disturbance.Kind kind =
                     FleetPlan.Disturbance.Kind.valueOf(
-                            s.oneOf("kind", null, kinds)
+                            section.oneOf("kind", null, kinds)
                                     .toUpperCase(Locale.ROOT)
                                     .replace('-', '_'));
-            troubles.add(
+            disturbances.add(
                     new FleetPlan.Disturbance(
                             kind,
-                            s.duration("at", null),
-                            s.duration("length", "0 s"),
-                            s.share("part", 1.0),
-                            s.number("size", 0, 1_000, 1.0),
-                            s.share("extra", 0.01),
-                            s.integer("group", 0, 1_000, 0)));
-            s.rejectUnknownKeys();
+                            section.duration("at", null),
+                            section.duration("length", "0 s"),
+                            section.share("part", 1.0),
+                            section.number("size", 0, 1_000, 1.0),
+                            section.share("extra", 0.01),
+                            section.integer("group", 0, 1_000, 0)));
+            section.rejectUnknownKeys();
         }
-        return troubles;
+        return disturbances;
     }
 }
--- a/src/main/java/firstage/simulation/PairedComparison.java
+++ b/src/main/java/firstage/simulation/PairedComparison.java
@@ -59,8 +59,8 @@
             if (left.get(i).seed() != right.get(i).seed()) {
                 throw new IllegalArgumentException("pairs are of one seed");
             }
-            add(left.get(i));
-            add(right.get(i));
+            addViolation(left.get(i));
+            addViolation(right.get(i));
         }
         List<String> names = List.copyOf(left.get(0).figures().keySet());
         double quantile =
@@ -71,17 +71,17 @@
         }
     }
 
-    private void add(SimulationResult result) {
+    private void addViolation(SimulationResult result) {
         result.violations().stream()
                 .limit(1)
                 .forEach(
-                        what ->
+                        violation ->
                                 violations.add(
                                         result.policyName()
                                                 + ", seed "
                                                 + result.seed()
                                                 + ": "
-                                                + what));
+                                                + violation));
     }
 
     private Row row(
@@ -89,15 +89,15 @@
             List<SimulationResult> left,
             List<SimulationResult> right,
             double quantile) {
-        SummaryStatistics lefts = new SummaryStatistics();
-        SummaryStatistics rights = new SummaryStatistics();
+        SummaryStatistics leftStatistics = new SummaryStatistics();
+        SummaryStatistics rightStatistics = new SummaryStatistics();
         SummaryStatistics differences = new SummaryStatistics();
         for (int i = 0; i < runs; i++) {
-            double l = left.get(i).figures().get(name);
-            double r = right.get(i).figures().get(name);
-            lefts.addValue(l);
-            rights.addValue(r);
-            differences.addValue(r - l);
+            double leftValue = left.get(i).figures().get(name);
+            double rightValue = right.get(i).figures().get(name);
+            leftStatistics.addValue(leftValue);
+            rightStatistics.addValue(rightValue);
+            differences.addValue(rightValue - leftValue);
         }
         double mean = differences.getMean();
         double halfInterval = quantile * differences.getStandardDeviation() / Math.sqrt(runs);
@@ -108,20 +108,20 @@
                         : !significant
                                 ? Verdict.NONE
                                 : mean > 0 == moreIsBetter(name) ? Verdict.RIGHT : Verdict.LEFT;
-        double needed =
+        double runsNeeded =
                 mean == 0
                         ? MAX_RUNS
                         : Math.pow(quantile * differences.getStandardDeviation() / mean, 2);
         return new Row(
                 name,
-                lefts.getMean(),
-                rights.getMean(),
+                leftStatistics.getMean(),
+                rightStatistics.getMean(),
                 mean,
                 halfInterval,
                 verdict,
                 significant
                         ? runs
-                        : (int) Math.min(MAX_RUNS, Math.max(runs + 1, Math.ceil(needed))));
+                        : (int) Math.min(MAX_RUNS, Math.max(runs + 1, Math.ceil(runsNeeded))));
     }
 
     /**
--- a/src/main/java/firstage/simulation/PolicyUnderTest.java
+++ b/src/main/java/firstage/simulation/PolicyUnderTest.java
@@ -34,7 +34,7 @@
     private static final String COLD_BY_SETTINGS = ":cold=settings";
     private static final String PEERS = ":peers";
     private static final String BOUNDS = ":bounds=";
-    private static final double MAX_BOUNDS = 1_000;
+    private static final double MAX_CAPACITY_FACTOR = 1_000;
 
     /**
      * Parses a choice such as {@code scheduler}, {@code scheduler:bounds=4}, {@code random} or
@@ -84,13 +84,13 @@
         throw unknown(text);
     }
 
-    private static double capacityFactor(String text, String number) {
+    private static double capacityFactor(String text, String factorText) {
         try {
-            double bounds = Double.parseDouble(number);
-            if (bounds > 0 && bounds <= MAX_BOUNDS) {
-                return bounds;
+            double factor = Double.parseDouble(factorText);
+            if (factor > 0 && factor <= MAX_CAPACITY_FACTOR) {
+                return factor;
             }
-        } catch (NumberFormatException fault) {
+        } catch (NumberFormatException exception) {
             // Reported below.
         }
         throw new InvalidPlanException(
--- a/src/main/java/firstage/simulation/Scoreboard.java
+++ b/src/main/java/firstage/simulation/Scoreboard.java
@@ -23,46 +23,46 @@
     private final long start;
 
     /** Priority weight of the requests of each interval. */
-    private final double[] onRequested;
+    private final double[] requestedByInterval;
 
     /** Priority weight earned by the requests of each interval. */
-    private final double[] served;
+    private final double[] earnedByInterval;
 
     /** For each traffic class, its requested and its earned weight. */
-    private final double[][] byTrafficClass;
+    private final double[][] weightsByTrafficClass;
 
     /** For each tenant, its requested and its earned weight. */
-    private final double[][] byTenant;
+    private final double[][] weightsByTenant;
 
     private final List<Histogram> latency = new ArrayList<>();
-    private long requests;
-    private long onSucceeded;
-    private long late;
-    private long onRejected;
-    private long onFailed;
+    private long requestCount;
+    private long successCount;
+    private long lateCount;
+    private long rejectionCount;
+    private long failureCount;
 
     public Scoreboard(FleetPlan plan, long start) {
         this.plan = plan;
         this.start = start;
-        int spans = (int) (plan.length() / INTERVAL) + 1;
-        onRequested = new double[spans];
-        served = new double[spans];
-        byTrafficClass = new double[plan.trafficClasses().size()][2];
-        byTenant = new double[plan.tenants().size()][2];
+        int intervals = (int) (plan.length() / INTERVAL) + 1;
+        requestedByInterval = new double[intervals];
+        earnedByInterval = new double[intervals];
+        weightsByTrafficClass = new double[plan.trafficClasses().size()][2];
+        weightsByTenant = new double[plan.tenants().size()][2];
         plan.trafficClasses().forEach(g -> latency.add(new Histogram(MAX_LATENCY, 2)));
     }
 
     private int interval(TrueRequest request) {
         return (int)
-                Math.min(onRequested.length - 1, (request.firstRequestedAt - start) / INTERVAL);
+                Math.min(requestedByInterval.length - 1, (request.firstRequestedAt - start) / INTERVAL);
     }
 
     public void onRequested(TrueRequest request) {
         double weight = plan.trafficClasses().get(request.trafficClass).priorityWeight();
-        requests++;
-        onRequested[interval(request)] += weight;
-        byTrafficClass[request.trafficClass][0] += weight;
-        byTenant[request.tenant][0] += weight;
+        requestCount++;
+        requestedByInterval[interval(request)] += weight;
+        weightsByTrafficClass[request.trafficClass][0] += weight;
+        weightsByTenant[request.tenant][0] += weight;
     }
 
     public void onSucceeded(long now, TrueRequest request) {
@@ -79,20 +79,20 @@
                         ? 0
                         : trafficClass.priorityWeight()
                                 * (inTime ? 1 : trafficClass.lateValueShare());
-        onSucceeded++;
-        late += inTime ? 0 : 1;
-        served[interval(request)] += earned;
-        byTrafficClass[request.trafficClass][1] += earned;
-        byTenant[request.tenant][1] += earned;
+        successCount++;
+        lateCount += inTime ? 0 : 1;
+        earnedByInterval[interval(request)] += earned;
+        weightsByTrafficClass[request.trafficClass][1] += earned;
+        weightsByTenant[request.tenant][1] += earned;
         latency.get(request.trafficClass).recordValue(Math.min(latencyTicks, MAX_LATENCY));
     }
 
     public void onRejected() {
-        onRejected++;
+        rejectionCount++;
     }
 
     public void onFailed() {
-        onFailed++;
+        failureCount++;
     }
 
     private static double share(double part, double whole) {
@@ -103,27 +103,27 @@
     public Map<String, Double> figures() {
         double requestedWeight = 0;
         double servedWeight = 0;
-        double worst = 1;
-        for (int i = 0; i < onRequested.length; i++) {
-            requestedWeight += onRequested[i];
-            servedWeight += served[i];
+        double worstInterval = 1;
+        for (int i = 0; i < requestedByInterval.length; i++) {
+            requestedWeight += requestedByInterval[i];
+            servedWeight += earnedByInterval[i];
             // A last interval of less than half the length has too few requests to be the worst.
-            worst =
-                    i == onRequested.length - 1 && plan.length() % INTERVAL < INTERVAL / 2
-                            ? worst
-                            : Math.min(worst, share(served[i], onRequested[i]));
+            worstInterval =
+                    i == requestedByInterval.length - 1 && plan.length() % INTERVAL < INTERVAL / 2
+                            ? worstInterval
+                            : Math.min(worstInterval, share(earnedByInterval[i], requestedByInterval[i]));
         }
         Map<String, Double> figures = new LinkedHashMap<>();
         double worstTrafficClass = 1;
         double worstTenant = 1;
-        for (double[] g : byTrafficClass) {
-            worstTrafficClass = Math.min(worstTrafficClass, share(g[1], g[0]));
+        for (double[] weights : weightsByTrafficClass) {
+            worstTrafficClass = Math.min(worstTrafficClass, share(weights[1], weights[0]));
         }
-        for (double[] c : byTenant) {
-            worstTenant = Math.min(worstTenant, share(c[1], c[0]));
+        for (double[] weights : weightsByTenant) {
+            worstTenant = Math.min(worstTenant, share(weights[1], weights[0]));
         }
         FleetPlan.ScoreWeights scoreWeights = plan.scoreWeights();
-        double weights =
+        double totalWeight =
                 scoreWeights.wholeRun()
                         + scoreWeights.worstSpan()
                         + scoreWeights.worstTrafficClass()
@@ -131,36 +131,36 @@
         figures.put(
                 "service",
                 (scoreWeights.wholeRun() * share(servedWeight, requestedWeight)
-                                + scoreWeights.worstSpan() * worst
+                                + scoreWeights.worstSpan() * worstInterval
                                 + scoreWeights.worstTrafficClass() * worstTrafficClass
                                 + scoreWeights.worstTenant() * worstTenant)
-                        / weights);
+                        / totalWeight);
         figures.put("whole run", share(servedWeight, requestedWeight));
-        figures.put("worst 10 s", worst);
+        figures.put("worst 10 s", worstInterval);
         figures.put("worst group", worstTrafficClass);
         figures.put("worst customer", worstTenant);
-        for (int g = 0; g < byTrafficClass.length; g++) {
+        for (int i = 0; i < weightsByTrafficClass.length; i++) {
             figures.put(
-                    "group " + plan.trafficClasses().get(g).name(),
-                    share(byTrafficClass[g][1], byTrafficClass[g][0]));
+                    "group " + plan.trafficClasses().get(i).name(),
+                    share(weightsByTrafficClass[i][1], weightsByTrafficClass[i][0]));
         }
-        for (int c = 0; c < byTenant.length; c++) {
+        for (int i = 0; i < weightsByTenant.length; i++) {
             figures.put(
-                    "customer " + plan.tenants().get(c).name(),
-                    share(byTenant[c][1], byTenant[c][0]));
+                    "customer " + plan.tenants().get(i).name(),
+                    share(weightsByTenant[i][1], weightsByTenant[i][0]));
         }
-        for (int g = 0; g < byTrafficClass.length; g++) {
-            String name = plan.trafficClasses().get(g).name();
-            figures.put("median ms " + name, latency.get(g).getValueAtPercentile(50) / 10.0);
-            figures.put("99th ms " + name, latency.get(g).getValueAtPercentile(99) / 10.0);
+        for (int i = 0; i < weightsByTrafficClass.length; i++) {
+            String name = plan.trafficClasses().get(i).name();
+            figures.put("median ms " + name, latency.get(i).getValueAtPercentile(50) / 10.0);
+            figures.put("99th ms " + name, latency.get(i).getValueAtPercentile(99) / 10.0);
         }
-        figures.put("pushed back a batch", share(onRejected, Math.max(1, requests)));
-        figures.put("errored a batch", share(onFailed, Math.max(1, requests)));
-        figures.put("late of returned", share(late, Math.max(1, onSucceeded)));
+        figures.put("pushed back a batch", share(rejectionCount, Math.max(1, requestCount)));
+        figures.put("errored a batch", share(failureCount, Math.max(1, requestCount)));
+        figures.put("late of returned", share(lateCount, Math.max(1, successCount)));
         return figures;
     }
 
     long requests() {
-        return requests;
+        return requestCount;
     }
 }
--- a/src/main/java/firstage/simulation/TomlSection.java
+++ b/src/main/java/firstage/simulation/TomlSection.java
@@ -15,11 +15,11 @@
  * that unknown keys can be refused.
  */
 public final class TomlSection {
-    private static final Pattern FIGURE =
+    private static final Pattern VALUE_WITH_UNIT =
             Pattern.compile("\\s*([0-9]+(?:\\.[0-9]+)?)\\s*([a-zA-Z%]*)\\s*");
-    private static final Map<String, Double> TIMES =
+    private static final Map<String, Double> TICKS_BY_UNIT =
             Map.of("ms", 10.0, "s", 10_000.0, "min", 600_000.0, "h", 3.6e7);
-    private static final Map<String, Double> SIZES = Map.of("MB", 1.0, "GB", 1_024.0);
+    private static final Map<String, Double> MB_BY_UNIT = Map.of("MB", 1.0, "GB", 1_024.0);
     private final TomlTable table;
     private final String path;
     private final int line;
@@ -35,7 +35,7 @@
         return line;
     }
 
-    private Object value(String key, Object defaultValue, String unit) {
+    private Object value(String key, Object defaultValue, String example) {
         knownKeys.add(key);
         Object value = table == null ? null : table.get(List.of(key));
         if (value == null && defaultValue == null) {
@@ -47,18 +47,18 @@
                             + "; write "
                             + key
                             + " = "
-                            + unit);
+                            + example);
         }
         return value == null ? defaultValue : value;
     }
 
     /** Returns an exception for the value of a key, with the line of that key. */
-    public InvalidPlanException invalid(String key, String what) {
-        int at =
+    public InvalidPlanException invalid(String key, String problem) {
+        int errorLine =
                 table == null || table.inputPositionOf(List.of(key)) == null
                         ? line
                         : table.inputPositionOf(List.of(key)).line();
-        return new InvalidPlanException(at, (path.isEmpty() ? "" : path + ".") + key + ": " + what);
+        return new InvalidPlanException(errorLine, (path.isEmpty() ? "" : path + ".") + key + ": " + problem);
     }
 
     public String text(String key, String defaultValue) {
@@ -69,10 +69,10 @@
         throw invalid(key, value + " is no text; write " + key + " = \"" + value + "\"");
     }
 
-    public String oneOf(String key, String defaultValue, List<String> words) {
+    public String oneOf(String key, String defaultValue, List<String> allowed) {
         String text = text(key, defaultValue);
-        if (!words.contains(text)) {
-            throw invalid(key, "'" + text + "' is none of " + String.join(", ", words));
+        if (!allowed.contains(text)) {
+            throw invalid(key, "'" + text + "' is none of " + String.join(", ", allowed));
         }
         return text;
     }
@@ -91,13 +91,13 @@
                         key,
                         defaultValue == null ? null : (Object) Long.valueOf(defaultValue),
                         String.valueOf(min));
-        if (!(value instanceof Long whole)) {
+        if (!(value instanceof Long number)) {
             throw invalid(key, value + " is no whole number");
         }
-        if (whole < min || whole > max) {
-            throw invalid(key, whole + " is impossible; " + min + " to " + max + " would do");
+        if (number < min || number > max) {
+            throw invalid(key, number + " is impossible; " + min + " to " + max + " would do");
         }
-        return (int) (long) whole;
+        return (int) (long) number;
     }
 
     public double number(String key, double min, double max, Double defaultValue) {
@@ -108,11 +108,11 @@
         return bounded(key, number.doubleValue(), min, max);
     }
 
-    private double bounded(String key, double figure, double min, double max) {
-        if (!(figure >= min && figure <= max)) {
-            throw invalid(key, figure + " is impossible; " + min + " to " + max + " would do");
+    private double bounded(String key, double value, double min, double max) {
+        if (!(value >= min && value <= max)) {
+            throw invalid(key, value + " is impossible; " + min + " to " + max + " would do");
         }
-        return figure;
+        return value;
     }
 
     /** Returns a share from 0 to 1, which may be written as a percentage ("12%"). */
@@ -141,15 +141,15 @@
 
     public long duration(String key, String defaultValue) {
         Object value = value(key, defaultValue, "\"5 s\"");
-        return Math.round(number(key, value, TIMES, "\"5 s\", \"200 ms\", \"2 min\" or \"1 h\""));
+        return Math.round(number(key, value, TICKS_BY_UNIT, "\"5 s\", \"200 ms\", \"2 min\" or \"1 h\""));
     }
 
     Range durationRange(String key, String defaultValue) {
-        return range(key, value(key, defaultValue, "\"1 s to 3 s\""), TIMES, "\"1 s to 3 s\"");
+        return range(key, value(key, defaultValue, "\"1 s to 3 s\""), TICKS_BY_UNIT, "\"1 s to 3 s\"");
     }
 
     double sizeMb(String key, String defaultValue) {
-        return number(key, value(key, defaultValue, "\"16 GB\""), SIZES, "\"512 MB\" or \"16 GB\"");
+        return number(key, value(key, defaultValue, "\"16 GB\""), MB_BY_UNIT, "\"512 MB\" or \"16 GB\"");
     }
 
     private Range range(String key, Object value, Map<String, Double> units, String example) {
@@ -163,23 +163,23 @@
     }
 
     private double number(String key, Object value, Map<String, Double> units, String example) {
-        Matcher m = FIGURE.matcher(String.valueOf(value));
-        if (!m.matches()) {
+        Matcher matcher = VALUE_WITH_UNIT.matcher(String.valueOf(value));
+        if (!matcher.matches()) {
             throw invalid(key, "'" + value + "' is no figure; " + example + " would do");
         }
-        Double unit = units.get(m.group(2));
-        if (unit == null) {
+        Double factor = units.get(matcher.group(2));
+        if (factor == null) {
             throw invalid(
                     key,
                     "'"
                             + value
                             + "' "
-                            + (m.group(2).isEmpty() ? "has no unit" : "has an unknown unit")
+                            + (matcher.group(2).isEmpty() ? "has no unit" : "has an unknown unit")
                             + "; "
                             + example
                             + " would do");
         }
-        return Double.parseDouble(m.group(1)) * unit;
+        return Double.parseDouble(matcher.group(1)) * factor;
     }
 
     public TomlSection table(String key) {
@@ -204,15 +204,15 @@
                 || !array.toList().stream().allMatch(TomlTable.class::isInstance)) {
             throw invalid(key, "is no list of sections; write [[" + key + "]]");
         }
-        List<TomlSection> all = new ArrayList<>();
+        List<TomlSection> sections = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
-            all.add(
+            sections.add(
                     new TomlSection(
                             array.getTable(i),
                             key + " " + (i + 1),
                             array.inputPositionOf(i).line()));
         }
-        return all;
+        return sections;
     }
 
     /** Refuses the section if it contains a key that was never read. */
--- a/src/main/java/firstage/simulation/TrafficShape.java
+++ b/src/main/java/firstage/simulation/TrafficShape.java
@@ -48,15 +48,15 @@
         }
     };
 
-    static final List<String> NAMES = Arrays.stream(values()).map(s -> s.word).toList();
-    private final String word;
+    static final List<String> NAMES = Arrays.stream(values()).map(s -> s.planName).toList();
+    private final String planName;
 
-    TrafficShape(String word) {
-        this.word = word;
+    TrafficShape(String planName) {
+        this.planName = planName;
     }
 
-    static TrafficShape of(String word) {
-        return values()[NAMES.indexOf(word)];
+    static TrafficShape of(String planName) {
+        return values()[NAMES.indexOf(planName)];
     }
 
     /**
@@ -67,8 +67,8 @@
      */
     abstract double factor(double at, double swing);
 
-    private static double bell(double hour, double middle, double wide) {
-        double off = Math.min(Math.abs(hour - middle), 24 - Math.abs(hour - middle)) / wide;
-        return Math.exp(-off * off / 2);
+    private static double bell(double hour, double center, double width) {
+        double distance = Math.min(Math.abs(hour - center), 24 - Math.abs(hour - center)) / width;
+        return Math.exp(-distance * distance / 2);
     }
 }
--- a/src/main/java/firstage/simulation/TrafficSource.java
+++ b/src/main/java/firstage/simulation/TrafficSource.java
@@ -40,29 +40,29 @@
         tableGroupBounds =
                 cumulate(
                         zipfWeights(plan.traffic().tableGroups(), plan.traffic().tableGroupSkew()));
-        double high = 0;
+        double highestFactor = 0;
         for (int i = 0; i <= 2_000; i++) {
-            high = Math.max(high, shape.factor(i / 2_000.0, plan.traffic().swing()));
+            highestFactor = Math.max(highestFactor, shape.factor(i / 2_000.0, plan.traffic().swing()));
         }
-        peakFactor = high * 1.1;
+        peakFactor = highestFactor * 1.1;
     }
 
     private static double[] zipfWeights(int count, double skew) {
-        double[] shares = new double[count];
+        double[] weights = new double[count];
         for (int i = 0; i < count; i++) {
-            shares[i] = Math.pow(i + 1, -skew);
+            weights[i] = Math.pow(i + 1, -skew);
         }
-        return shares;
+        return weights;
     }
 
-    private static double[] cumulate(double[] shares) {
-        double[] ends = new double[shares.length];
+    private static double[] cumulate(double[] weights) {
+        double[] cumulative = new double[weights.length];
         double sum = 0;
-        for (int i = 0; i < shares.length; i++) {
-            sum += shares[i];
-            ends[i] = sum;
+        for (int i = 0; i < weights.length; i++) {
+            sum += weights[i];
+            cumulative[i] = sum;
         }
-        return ends;
+        return cumulative;
     }
 
     private int drawIndex(double[] bounds) {
--- a/src/test/java/firstage/simulation/EventQueueTest.java
+++ b/src/test/java/firstage/simulation/EventQueueTest.java
@@ -13,58 +13,58 @@
 
 /** Compares the order of events with that of a priority queue, over delays from 0 to days. */
 class EventQueueTest {
-    private record Due(long due, int order) {}
+    private record DueEvent(long due, int order) {}
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void happensInTheOrderOfAHeap(long seed) {
-        RandomGenerator chance = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        long start = chance.nextLong(1L << 40);
-        EventQueue calendar = new EventQueue(start);
-        PriorityQueue<Due> heap =
+    void eventsRunInTheOrderOfAPriorityQueue(long seed) {
+        RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
+        long start = random.nextLong(1L << 40);
+        EventQueue events = new EventQueue(start);
+        PriorityQueue<DueEvent> expectedQueue =
                 new PriorityQueue<>(
-                        Comparator.comparingLong(Due::due).thenComparingInt(Due::order));
-        List<Due> happened = new ArrayList<>();
-        int[] order = {0};
-        class Setter {
-            void set() {
+                        Comparator.comparingLong(DueEvent::due).thenComparingInt(DueEvent::order));
+        List<DueEvent> executed = new ArrayList<>();
+        int[] nextOrder = {0};
+        class Scheduler {
+            void scheduleOne() {
                 long delay =
-                        switch (chance.nextInt(6)) {
+                        switch (random.nextInt(6)) {
                             case 0 -> 0;
-                            case 1 -> chance.nextLong(20);
-                            case 2 -> chance.nextLong(2_000);
-                            case 3 -> chance.nextLong(3_000_000);
-                            case 4 -> chance.nextLong(1L << 31);
-                            default -> chance.nextLong(1L << 33);
+                            case 1 -> random.nextLong(20);
+                            case 2 -> random.nextLong(2_000);
+                            case 3 -> random.nextLong(3_000_000);
+                            case 4 -> random.nextLong(1L << 31);
+                            default -> random.nextLong(1L << 33);
                         };
-                Due due = new Due(calendar.now() + delay, order[0]++);
-                heap.add(due);
-                calendar.schedule(
+                DueEvent due = new DueEvent(events.now() + delay, nextOrder[0]++);
+                expectedQueue.add(due);
+                events.schedule(
                         delay,
                         () -> {
-                            assertThat(calendar.now()).isEqualTo(due.due);
-                            happened.add(due);
-                            if (order[0] < 5_000) {
-                                set();
-                                if (chance.nextBoolean()) {
-                                    set();
+                            assertThat(events.now()).isEqualTo(due.due);
+                            executed.add(due);
+                            if (nextOrder[0] < 5_000) {
+                                scheduleOne();
+                                if (random.nextBoolean()) {
+                                    scheduleOne();
                                 }
                             }
                         });
             }
         }
-        Setter setter = new Setter();
+        Scheduler scheduler = new Scheduler();
         for (int i = 0; i < 50; i++) {
-            setter.set();
+            scheduler.scheduleOne();
         }
-        for (long until = start; calendar.size() > 0; until += chance.nextLong(1L << 31)) {
-            calendar.runUntil(until);
-            assertThat(calendar.now()).isGreaterThanOrEqualTo(until);
+        for (long until = start; events.size() > 0; until += random.nextLong(1L << 31)) {
+            events.runUntil(until);
+            assertThat(events.now()).isGreaterThanOrEqualTo(until);
         }
-        List<Due> expected = new ArrayList<>();
-        while (!heap.isEmpty()) {
-            expected.add(heap.poll());
+        List<DueEvent> expected = new ArrayList<>();
+        while (!expectedQueue.isEmpty()) {
+            expected.add(expectedQueue.poll());
         }
-        assertThat(happened).isEqualTo(expected);
+        assertThat(executed).isEqualTo(expected);
     }
 }
--- a/src/test/java/firstage/simulation/FleetSimulationTest.java
+++ b/src/test/java/firstage/simulation/FleetSimulationTest.java
@@ -24,16 +24,16 @@
                     .replace("length = \"60 s\"", "length = \"20 s\"")
                     .replace("at = \"15 s\"", "at = \"4 s\"")
                     .replace("at = \"35 s\"", "at = \"10 s\"");
-        } catch (IOException fault) {
-            throw new IllegalStateException(fault);
+        } catch (IOException exception) {
+            throw new IllegalStateException(exception);
         }
     }
 
-    private static List<SimulationResult> play(String file, String choice, int runs, int from) {
-        FleetPlan plan = FleetPlanReader.read(file);
+    private static List<SimulationResult> play(String planText, String choice, int runs, int firstSeed) {
+        FleetPlan plan = FleetPlanReader.read(planText);
         return IntStream.range(0, runs)
                 .parallel()
-                .mapToObj(i -> FleetSimulation.play(plan, PolicyUnderTest.of(choice), from + i))
+                .mapToObj(i -> FleetSimulation.play(plan, PolicyUnderTest.of(choice), firstSeed + i))
                 .toList();
     }
 
@@ -53,22 +53,22 @@
     }
 
     @Test
-    void theRealDecisionsKeepTheRulesThroughCrashes() {
+    void theSchedulerKeepsTheRulesThroughCrashes() {
         assertThat(crashes()).contains("crash").doesNotContain("restart");
         assertThat(play(crashes(), "scheduler", 8, 1))
                 .allSatisfy(r -> assertThat(r.violations()).isEmpty());
     }
 
     @Test
-    void aPolicyThatPushesColdEnginesOverHasNoVerdict() {
-        PairedComparison c =
+    void aPolicyThatOverloadsColdEnginesHasNoVerdict() {
+        PairedComparison comparison =
                 new PairedComparison(
                         play(shop(), "scheduler", 4, 1), play(shop(), "two-choices", 4, 1));
-        assertThat(c.verdict()).isEqualTo(PairedComparison.Verdict.BROKEN);
-        assertThat(c.violations())
+        assertThat(comparison.verdict()).isEqualTo(PairedComparison.Verdict.BROKEN);
+        assertThat(comparison.violations())
                 .anySatisfy(
-                        what ->
-                                assertThat(what)
+                        violation ->
+                                assertThat(violation)
                                         .contains("two-choices", "rule 4", "was overloaded"));
     }
 
@@ -77,9 +77,9 @@
      * confidence of 95% one comparison of twenty finds a difference by chance.
      */
     @Test
-    void aChoiceIsNotToldFromItself() {
+    void aPolicyIsNotFoundBetterThanItself() {
         List<SimulationResult> all = play(crashes(), "scheduler", 80, 100);
-        int told = 0;
+        int differences = 0;
         for (int i = 0; i < 10; i++) {
             List<SimulationResult> left = all.subList(8 * i, 8 * i + 4);
             List<SimulationResult> right = new ArrayList<>();
@@ -94,27 +94,27 @@
                                 r.requests(),
                                 0));
             }
-            told +=
+            differences +=
                     new PairedComparison(left, right).verdict() == PairedComparison.Verdict.NONE
                             ? 0
                             : 1;
         }
-        assertThat(told).isLessThanOrEqualTo(1);
+        assertThat(differences).isLessThanOrEqualTo(1);
     }
 
     @Test
-    void aPolicyThatTakesNoHeedOfLoadIsFoundOutUnderOverload() {
+    void aPolicyThatIgnoresLoadIsFoundWorseUnderOverload() {
         String overload =
                 shop().replace("rate = 57.0", "rate = 90.0")
                         .replaceAll("(?s)\\[\\[trouble\\]\\].*", "");
-        PairedComparison c =
+        PairedComparison comparison =
                 new PairedComparison(
                         play(overload, "scheduler", 6, 1), play(overload, "random", 6, 1));
-        assertThat(c.verdict()).isEqualTo(PairedComparison.Verdict.LEFT);
+        assertThat(comparison.verdict()).isEqualTo(PairedComparison.Verdict.LEFT);
     }
 
     @Test
-    void aMassRestartOfTwoHundredManagersBesideColdEnginesPushesNoneOver() {
+    void aMassRestartOfTwoHundredManagersOverloadsNoColdEngine() {
         String mass =
                 shop().replace("count = 3\n", "count = 200\n")
                                 .replace("count = 7\n", "count = 40\n")
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void aFleetInCellsIsPlayedAndKeepsTheRules() {
+    void aFleetInCellsKeepsTheRules() {
         FleetPlan plan = FleetPlanReader.read(cells());
         assertThat(plan.cells().cells()).hasSize(8).allMatch(c -> c.slots() == 2);
         for (int m = 0; m < 16; m++) {
@@ -167,15 +167,15 @@
      * of the whole fleet.
      */
     @Test
-    void aZoneOfALargeFleetIsWarmedByItsCells() throws IOException {
+    void aColdZoneOfALargeFleetIsWarmedUpByItsCells() throws IOException {
         String zone =
                 Files.readString(Path.of("deploy", "fleet", "cold-zone.toml"))
                         .replace("length = \"24 s\"", "length = \"9 s\"")
                         .replace("at = \"6 s\"", "at = \"2 s\"");
-        SimulationResult byPlan = play(zone, "scheduler", 1, 1).get(0);
+        SimulationResult byCells = play(zone, "scheduler", 1, 1).get(0);
         SimulationResult bySettings = play(zone, "scheduler:cold=settings", 1, 1).get(0);
-        assertThat(byPlan.violations()).isEmpty();
-        assertThat(byPlan.figures().get("service")).isGreaterThan(0.9);
+        assertThat(byCells.violations()).isEmpty();
+        assertThat(byCells.figures().get("service")).isGreaterThan(0.9);
         assertThat(bySettings.figures().get("service")).isLessThan(0.6);
     }
 
@@ -199,13 +199,13 @@
                 "kind = \"crash\" | kind = \"quake\" | trouble 1.kind: 'quake' is none of crash",
                 "share = \"79%\" | share = \"179%\" | group 1.share: 1.79 is impossible",
             })
-    void whatCannotBeUsedIsToldWithLineAndCure(String good, String bad, String told)
+    void unusableValuesAreRefusedWithLineAndCure(String original, String replacement, String expectedMessage)
             throws IOException {
         String text = Files.readString(Path.of("deploy", "fleet", "shop.toml"));
-        assertThat(text).contains(good);
-        assertThatThrownBy(() -> FleetPlanReader.read(text.replace(good, bad)))
+        assertThat(text).contains(original);
+        assertThatThrownBy(() -> FleetPlanReader.read(text.replace(original, replacement)))
                 .isInstanceOf(InvalidPlanException.class)
-                .hasMessageContaining(told)
+                .hasMessageContaining(expectedMessage)
                 .hasMessageMatching("[0-9]+: .*");
     }
 }
--- a/src/test/java/firstage/simulation/PolicyUnderTestTest.java
+++ b/src/test/java/firstage/simulation/PolicyUnderTestTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void of_variants_areRead() {
+    void of_variants_areParsed() {
         assertThat(PolicyUnderTest.of("scheduler:bounds=4").capacityFactor()).isEqualTo(4);
         assertThat(PolicyUnderTest.of("scheduler:cold=settings").warmUpBySettings()).isTrue();
         assertThat(PolicyUnderTest.of("scheduler:peers").peers())
@@ -33,7 +33,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"brains", "scheduler:peers=no-such", "scheduler:bound=4", "best"})
-    void of_unknownChoice_isRefusedNamingAll(String text) {
+    void of_unknownChoice_isRefusedWithAllChoices(String text) {
         assertThatThrownBy(() -> PolicyUnderTest.of(text))
                 .isInstanceOf(InvalidPlanException.class)
                 .hasMessageContaining("'" + text + "' is no choice; there are scheduler, ");
@@ -41,7 +41,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"scheduler:bounds=0", "brain:bounds=1001", "scheduler:bounds=many"})
-    void of_impossibleBounds_isRefusedWithACure(String text) {
+    void of_invalidBounds_isRefusedWithAnExample(String text) {
         assertThatThrownBy(() -> PolicyUnderTest.of(text))
                 .isInstanceOf(InvalidPlanException.class)
                 .hasMessageContaining("such as scheduler:bounds=4");
