--- a/src/main/java/firstage/simulation/FleetPlanReader.java
+++ b/src/main/java/firstage/simulation/FleetPlanReader.java
@@ -66,8 +66,8 @@
                     "zones",
                     "'"
                             + String.join(", ", zones)
-                            + "' has an empty or doubled name; "
-                            + "\"north, south\" would do");
+                            + "' has an empty or repeated name; "
+                            + "write \"north, south\"");
         }
         return zones;
     }
@@ -104,12 +104,12 @@
             if (source != null && !onLinks && source.isEngines() != affectsEngines) {
                 throw section.invalid(
                         "who",
-                        "a "
+                        "the "
                                 + kind.name().toLowerCase(Locale.ROOT)
-                                + " strikes "
+                                + " fault affects "
                                 + (affectsEngines
-                                        ? "engines; \"engines 25%\" would do"
-                                        : "managers; \"managers 25%\" would do"));
+                                        ? "engines; write \"engines 25%\""
+                                        : "managers; write \"managers 25%\""));
             }
             faults.add(
                     new FleetPlan.Fault(
@@ -156,19 +156,19 @@
         int cellSize = section.integer("cell", 0, 4_000, 0);
         int spread = section.integer("spread", 1, 100, 1);
         if (fleetSize < count) {
-            throw section.invalid("of", fleetSize + " is under count; " + count + " and more would do");
+            throw section.invalid("of", fleetSize + " is less than count; write " + count + " or more");
         }
         if (cellSize > 0 && (count % (cellSize * zones) != 0 || spread > count / cellSize / zones)) {
             throw section.invalid(
                     count % (cellSize * zones) != 0 ? "cell" : "spread",
                     count
-                            + " managers are not "
+                            + " managers do not fill "
                             + spread
                             + " or more whole cells of "
                             + cellSize
-                            + " in each zone; count = "
+                            + " in each zone; write count = "
                             + spread * cellSize * zones
-                            + " would do");
+                            + " or a multiple");
         }
         FleetPlan.Managers managers =
                 new FleetPlan.Managers(
@@ -301,7 +301,7 @@
         if (trafficClasses.isEmpty()) {
             throw new InvalidPlanException(
                     0,
-                    "no service group; write [[group]] with name, share, work, memory, goal, limit,"
+                    "no traffic class; write [[group]] with name, share, work, memory, goal, limit,"
                             + " effect");
         }
         return trafficClasses;
--- a/src/main/java/firstage/simulation/PairedComparison.java
+++ b/src/main/java/firstage/simulation/PairedComparison.java
@@ -52,12 +52,12 @@
     /** Compares two or more runs of each side, in the same order of seeds. */
     public PairedComparison(List<SimulationResult> left, List<SimulationResult> right) {
         if (left.size() != right.size() || left.size() < 2) {
-            throw new IllegalArgumentException("two runs or more of each, on the same seeds");
+            throw new IllegalArgumentException("both sides need two or more runs, on the same seeds");
         }
         runs = left.size();
         for (int i = 0; i < runs; i++) {
             if (left.get(i).seed() != right.get(i).seed()) {
-                throw new IllegalArgumentException("pairs are of one seed");
+                throw new IllegalArgumentException("both runs of a pair need the same seed");
             }
             addViolation(left.get(i));
             addViolation(right.get(i));
--- a/src/main/java/firstage/simulation/PolicyUnderTest.java
+++ b/src/main/java/firstage/simulation/PolicyUnderTest.java
@@ -99,7 +99,7 @@
 
     private static InvalidPlanException unknown(String text) {
         return new InvalidPlanException(
-                "'" + text + "' is no choice; there are " + String.join(", ", names()));
+                "'" + text + "' is not a choice; choices are " + String.join(", ", names()));
     }
 
     /** Returns the choices that {@link #of} accepts. */
--- a/src/main/java/firstage/simulation/TomlSection.java
+++ b/src/main/java/firstage/simulation/TomlSection.java
@@ -66,7 +66,7 @@
         if (value instanceof String text) {
             return text;
         }
-        throw invalid(key, value + " is no text; write " + key + " = \"" + value + "\"");
+        throw invalid(key, value + " is not a string; write " + key + " = \"" + value + "\"");
     }
 
     public String oneOf(String key, String defaultValue, List<String> allowed) {
@@ -92,10 +92,10 @@
                         defaultValue == null ? null : (Object) Long.valueOf(defaultValue),
                         String.valueOf(min));
         if (!(value instanceof Long number)) {
-            throw invalid(key, value + " is no whole number");
+            throw invalid(key, value + " is not a whole number");
         }
         if (number < min || number > max) {
-            throw invalid(key, number + " is impossible; " + min + " to " + max + " would do");
+            throw invalid(key, number + " is out of range; " + min + " to " + max + " would be valid");
         }
         return (int) (long) number;
     }
@@ -103,14 +103,14 @@
     public double number(String key, double min, double max, Double defaultValue) {
         Object value = value(key, defaultValue, "a number");
         if (!(value instanceof Number number)) {
-            throw invalid(key, value + " is no number");
+            throw invalid(key, value + " is not a number");
         }
         return bounded(key, number.doubleValue(), min, max);
     }
 
     private double bounded(String key, double value, double min, double max) {
         if (!(value >= min && value <= max)) {
-            throw invalid(key, value + " is impossible; " + min + " to " + max + " would do");
+            throw invalid(key, value + " is out of range; " + min + " to " + max + " would be valid");
         }
         return value;
     }
@@ -124,7 +124,7 @@
         } else if (value instanceof Number number) {
             share = number.doubleValue();
         } else {
-            throw invalid(key, "'" + value + "' is no share; write 0.12 or \"12%\"");
+            throw invalid(key, "'" + value + "' is not a share; write 0.12 or \"12%\"");
         }
         return bounded(key, share, 0, 1);
     }
@@ -157,7 +157,7 @@
         double low = number(key, parts[0], units, example);
         double high = parts.length > 1 ? number(key, parts[1], units, example) : low;
         if (high < low) {
-            throw invalid(key, "'" + value + "' runs backwards; the lesser figure comes first");
+            throw invalid(key, "'" + value + "' is reversed; write the lower value first");
         }
         return new Range(low, high);
     }
@@ -165,7 +165,7 @@
     private double number(String key, Object value, Map<String, Double> units, String example) {
         Matcher matcher = VALUE_WITH_UNIT.matcher(String.valueOf(value));
         if (!matcher.matches()) {
-            throw invalid(key, "'" + value + "' is no figure; " + example + " would do");
+            throw invalid(key, "'" + value + "' is not a valid value; " + example + " would be valid");
         }
         Double factor = units.get(matcher.group(2));
         if (factor == null) {
@@ -177,7 +177,7 @@
                             + (matcher.group(2).isEmpty() ? "has no unit" : "has an unknown unit")
                             + "; "
                             + example
-                            + " would do");
+                            + " would be valid");
         }
         return Double.parseDouble(matcher.group(1)) * factor;
     }
@@ -186,7 +186,7 @@
         knownKeys.add(key);
         Object value = table.get(List.of(key));
         if (value != null && !(value instanceof TomlTable)) {
-            throw invalid(key, "is no section; write [" + key + "]");
+            throw invalid(key, "is not a section; write [" + key + "]");
         }
         return new TomlSection(
                 (TomlTable) value,
@@ -202,7 +202,7 @@
         }
         if (!(value instanceof TomlArray array)
                 || !array.toList().stream().allMatch(TomlTable.class::isInstance)) {
-            throw invalid(key, "is no list of sections; write [[" + key + "]]");
+            throw invalid(key, "is not a list of sections; write [[" + key + "]]");
         }
         List<TomlSection> sections = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
@@ -222,7 +222,7 @@
         }
         for (String key : table.keySet()) {
             if (!knownKeys.contains(key)) {
-                throw invalid(key, "is unknown; known here: " + String.join(", ", knownKeys));
+                throw invalid(key, "is unknown; known keys: " + String.join(", ", knownKeys));
             }
         }
     }
--- a/src/test/java/firstage/simulation/FleetSimulationTest.java
+++ b/src/test/java/firstage/simulation/FleetSimulationTest.java
@@ -184,20 +184,20 @@
             delimiter = '|',
             value = {
                 "count = 3 | 'count = 3\n"
-                    + "cell = 2' | managers.cell: 3 managers are not 1 or more whole cells of 2",
+                    + "cell = 2' | managers.cell: 3 managers do not fill 1 or more whole cells of 2",
                 "count = 3 | 'count = 3\n"
-                        + "of = 2' | managers.of: 2 is under count; 3 and more would do",
+                        + "of = 2' | managers.of: 2 is less than count; write 3 or more",
                 "memory = \"16 GB\" | memory = \"16\" | 13: engines.memory: '16' has no unit",
-                "part = \"15%\" | parts = \"15%\" | trouble 1.parts: is unknown; known here: kind,"
+                "part = \"15%\" | parts = \"15%\" | trouble 1.parts: is unknown; known keys: kind,"
                         + " at",
-                "count = 7 | count = 0 | engines.count: 0 is impossible; 1 to 10000 would do",
+                "count = 7 | count = 0 | engines.count: 0 is out of range; 1 to 10000 would be valid",
                 "effect = \"once-only\" | effect = \"never\" | group 3.effect: 'never' is none of"
                         + " repeatable",
                 "length = \"60 s\" | length = \"60 parsecs\" | 3: length: '60 parsecs' has an"
                         + " unknown unit",
-                "rate = 57.0 | rate = \"many\" | traffic.rate: many is no number",
+                "rate = 57.0 | rate = \"many\" | traffic.rate: many is not a number",
                 "kind = \"crash\" | kind = \"quake\" | trouble 1.kind: 'quake' is none of crash",
-                "share = \"79%\" | share = \"179%\" | group 1.share: 1.79 is impossible",
+                "share = \"79%\" | share = \"179%\" | group 1.share: 1.79 is out of range",
             })
     void unusableValuesAreRefusedWithLineAndCure(String original, String replacement, String expectedMessage)
             throws IOException {
--- a/src/test/java/firstage/simulation/PolicyUnderTestTest.java
+++ b/src/test/java/firstage/simulation/PolicyUnderTestTest.java
@@ -36,7 +36,7 @@
     void of_unknownChoice_isRefusedWithAllChoices(String text) {
         assertThatThrownBy(() -> PolicyUnderTest.of(text))
                 .isInstanceOf(InvalidPlanException.class)
-                .hasMessageContaining("'" + text + "' is no choice; there are scheduler, ");
+                .hasMessageContaining("'" + text + "' is not a choice; choices are scheduler, ");
     }
 
     @ParameterizedTest
