--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -27,6 +27,7 @@
 public final class EngineModel {
     /** Weights by which attempts share the cores, by priority. */
     private static final double[] PRIORITY_WEIGHTS = {1, 4, 8, 16};
+
     /** Share of the time of all cores that counts as full capacity in the overload check. */
     private static final double BUSY_SHARE_AT_CAPACITY = 0.85;
 
@@ -42,8 +43,8 @@
     private record Arrival(long at, RunningAttempt attempt, boolean managerKnewOfStart) {}
 
     /**
-     * Condition of an engine. {@code SILENT}: what it is sent is lost without a reply; {@code
-     * HANGING}: it accepts attempts and ends none.
+     * Condition of an engine. {@code SILENT}: attempts are lost without a reply; {@code HANGING}:
+     * attempts are accepted and never end.
      */
     public enum State {
         UP,
@@ -74,7 +75,7 @@
         private double totalWork;
         private double remainingWork;
 
-        /** Work done per tick; negative while rates are computed: blocked by a table load. */
+        /** Work done per tick; below 0 marks blocked attempts while the rates are computed. */
         private double rate;
 
         private boolean waitingForMemory;
@@ -223,8 +224,8 @@
     }
 
     /**
-     * Accepts an attempt, which runs at once or waits for memory; or ends it at once where the
-     * engine is down, draining or has no session left.
+     * Accepts an attempt, which runs at once or waits for memory. An engine that is down, draining
+     * or out of sessions ends the attempt at once; a silent or hanging one never reports on it.
      */
     public void start(RunningAttempt attempt) {
         recordArrival(attempt);
--- a/src/main/java/firstage/simulation/EventQueue.java
+++ b/src/main/java/firstage/simulation/EventQueue.java
@@ -119,8 +119,8 @@
         while (size > 0 && advance(until)) {
             int slot = (int) wheelPosition & SLOT_MASK;
             now = wheelPosition;
-            // Events that are scheduled for the present moment while it runs go into the same slot
-            // and run after the others.
+            // Events that the running ones schedule for the same tick go into the same slot and run
+            // after them.
             while (slotHeads[0][slot] != null) {
                 ScheduledEvent event = inSchedulingOrder(takeSlot(0, slot));
                 while (event != null) {
--- a/src/main/java/firstage/simulation/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -33,14 +33,14 @@
     }
 
     /**
-     * A fault of a fault test.
+     * A fault of managers, engines or the links between them, from {@code at} for {@code length}.
      *
      * @param line the line of the plan
      * @param source the affected managers or engines, null for {@link Kind#TRAFFIC}; for cuts, loss
      *     and delay, one end of the affected links
      * @param target for cuts, loss and delay, the other end of the links, else null
      * @param oneWay whether only the direction from {@code source} to {@code target} is affected
-     * @param size of the unit that the kind states
+     * @param size the strength, as the kind defines it
      * @param interval if above 0, the fault repeats at this interval until the end of the plan: on
      *     links as before, else on the next one of the affected managers or engines
      */
@@ -101,8 +101,9 @@
     /**
      * The managers.
      *
-     * @param count the managers that run
-     * @param fleetSize the managers of the whole fleet by the settings, of which these are a part
+     * @param count the number of managers that the plan runs
+     * @param fleetSize the number of managers of the whole fleet by the settings, at least {@code
+     *     count}
      * @param cellSize managers in a cell; 0 where all managers use all engines
      * @param spread the number of cells that serve an engine
      * @param trafficSkew how far the managers' shares of the traffic differ; 0: not at all
@@ -156,7 +157,7 @@
      * The engines, all of one kind.
      *
      * @param threadsPerCoreKnee threads per core beyond which throughput falls
-     * @param thrashing loss of throughput by further threads, which is divided by 1 + thrashing *
+     * @param thrashing the cost of further threads: throughput is divided by 1 + thrashing *
      *     (threads / threads at the knee - 1)
      * @param disks I/O capacity per core: ticks of I/O in a tick
      * @param spillCost additional work of a request that gets no memory, as a multiple of its work
@@ -273,7 +274,7 @@
      * A disturbance of a simulated run, from {@code at} for {@code length}.
      *
      * @param affectedShare share of the engines or managers that are affected
-     * @param size of the unit that the kind states
+     * @param size the strength, as the kind defines it
      * @param extra the share of requests that cost more; for {@link Kind#RELEASE}, the share of all
      *     engines that are replaced at a time
      * @param trafficClass the index of the traffic class whose requests cost more
--- a/src/main/java/firstage/simulation/FleetPlanReader.java
+++ b/src/main/java/firstage/simulation/FleetPlanReader.java
@@ -12,7 +12,7 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * Reads a fleet file: TOML, in which durations and sizes are written with their units. Unusable
+ * Reader of fleet files: TOML, in which durations and sizes are written with their units. Unusable
  * values and unknown keys are refused with their line and a valid value; nothing is guessed.
  */
 public final class FleetPlanReader {
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -35,7 +35,7 @@
     /** Time between two evaluations by the fleet coordinator. */
     private static final long EVALUATION_INTERVAL = 1_000;
 
-    /** Callbacks by which the clients learn the outcomes of their tries. */
+    /** Callbacks with the outcomes of tries, for the clients. */
     interface ClientActions {
         void onSucceeded(TrueRequest request);
 
@@ -419,7 +419,10 @@
                 engine, stableHash(engine), 0, 0, 0, lifecycle, 1, startedAt, warmUpShare);
     }
 
-    /** Returns the engine's hash: the same at every manager, and in no order of the numbers. */
+    /**
+     * Returns a hash of the engine that is the same at every manager and does not reveal the
+     * engine's number.
+     */
     private static long stableHash(int engine) {
         return (engine + 1) * 2_654_435_761L & 0xFFFFFFFFL;
     }
--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -9,14 +9,13 @@
 import java.util.Map;
 
 /**
- * Checks that managers keep the scheduling rules, from the messages between managers, engines and
- * clients alone; it never reads the state of a manager. The rules as they are checked:
+ * Checker of the scheduling rules that managers have to keep. It observes only the messages between
+ * managers, engines and clients, and never reads the state of a manager. The rules that it checks:
  *
  * <ol>
  *   <li>Each try is answered once and in time.
- *   <li>A non-idempotent request is sent to engines once, unless no earlier attempt can have run,
- *       and is rejected only while no attempt can have run. A request with an idempotency key is
- *       sent again only within its idempotency window.
+ *   <li>A non-idempotent request is sent again, or rejected, only if no earlier attempt can have
+ *       run. A request with an idempotency key is sent again only within its idempotency window.
  *   <li>No statement goes to an engine after the grace period that follows the announcement of its
  *       drain.
  *   <li>No cold engine is overloaded.
@@ -27,6 +26,7 @@
  * <p>Rules 6 (placement) and 7 (retry budget) are not checked: fleet files have no keys for them.
  */
 public final class RuleChecker {
+    /** Tolerance for late answers of simulated managers. */
     private static final long ANSWER_SLACK = 200;
 
     /** Tolerance for an attempt that starts after its client left. */
@@ -59,7 +59,7 @@
             this.deadline = deadline;
         }
 
-        /** Returns whether no answer is due: its manager was killed or never accepted it. */
+        /** Returns whether no answer is due: the manager was killed or never accepted the try. */
         public boolean abandoned() {
             return abandoned;
         }
@@ -355,7 +355,7 @@
         }
     }
 
-    /** Records that the deadline and the tolerance have passed; the answer must have come. */
+    /** Checks that the try was answered, after its deadline and the tolerance have passed. */
     public void onDeadlinePassed(long now, ClientTry clientTry) {
         if (clientTry.answers == 0 && !clientTry.abandoned && clientTry.leftAt < 0) {
             recordViolation(now, 1, clientTry, "was never answered");
--- a/src/main/java/firstage/simulation/Scoreboard.java
+++ b/src/main/java/firstage/simulation/Scoreboard.java
@@ -7,7 +7,7 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures the service of a run: the priority weight earned by answers, over the priority weight of
+ * The service of a run so far: the priority weight earned by answers, over the priority weight of
  * all requests. An answer within the latency objective earns the whole weight of its request, a
  * late one the late value of the traffic class; a request counts once, with all its tries. The
  * share is computed for the whole run, its worst 10 s, and the traffic class and the tenant that
--- a/src/main/java/firstage/simulation/TrafficSource.java
+++ b/src/main/java/firstage/simulation/TrafficSource.java
@@ -4,8 +4,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Draws the requests of the clients at random: their arrival, traffic class, tenant, ordering key,
- * table group, work and estimates. Ordering keys and table groups follow Zipf distributions.
+ * Random source of the clients' requests: their arrival, traffic class, tenant, ordering key, table
+ * group, work and estimates. Ordering keys and table groups follow Zipf distributions.
  */
 public final class TrafficSource {
     private final FleetPlan plan;
