--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -127,7 +127,7 @@
             if (outcome == AttemptOutcome.SUCCEEDED && !openRequest.answered) {
                 openRequest.answered = true;
                 rules.onAnswered(events.now(), openRequest.clientTry, false);
-                clientActions.onSucceeded(openRequest.clientTry.request);
+                clientListener.onSucceeded(openRequest.clientTry.request);
             }
             policy.onAttemptResult(
                     events.now(),
@@ -153,7 +153,7 @@
     private final RandomStreams randomStreams;
     private final RuleChecker rules;
     private final List<EngineModel> engines;
-    private final ClientActions clientActions;
+    private final ClientActions clientListener;
     private final RandomGenerator random;
 
     /** Null where all managers use all engines. */
@@ -180,7 +180,7 @@
             RandomStreams randomStreams,
             RuleChecker rules,
             List<EngineModel> engines,
-            ClientActions clientActions) {
+            ClientActions clientListener) {
         this.number = number;
         this.plan = plan;
         this.policyUnderTest = policyUnderTest;
@@ -188,7 +188,7 @@
         this.randomStreams = randomStreams;
         this.rules = rules;
         this.engines = engines;
-        this.clientActions = clientActions;
+        this.clientListener = clientListener;
         random = randomStreams.stream("manager", number);
         cells = plan.cells();
         for (EngineModel engineModel : engines) {
@@ -317,7 +317,7 @@
         incarnation++;
         droppedRequests.stream()
                 .filter(openRequest -> !openRequest.answered)
-                .forEach(openRequest -> clientActions.onFailed(openRequest.clientTry.request));
+                .forEach(openRequest -> clientListener.onFailed(openRequest.clientTry.request));
     }
 
     /** Sets a delay of the load reports, in addition to that of the network. */
@@ -446,7 +446,7 @@
         rules.onAttemptSent(events.now(), openRequest.clientTry, engine);
         if (engineModel.state() != EngineModel.State.UP
                 && engineModel.state() != EngineModel.State.DRAINING) {
-            clientActions.onSentToFaultyEngine();
+            clientListener.onSentToFaultyEngine();
         }
         ModelledAttempt attempt =
                 new ModelledAttempt(openRequest, engineModel, openRequest.attemptCount++);
@@ -477,7 +477,7 @@
         if (!openRequest.answered) {
             openRequest.answered = true;
             rules.onAnswered(events.now(), openRequest.clientTry, true);
-            clientActions.onRejected(openRequest.clientTry.request, retryAfter);
+            clientListener.onRejected(openRequest.clientTry.request, retryAfter);
         }
     }
 
@@ -487,7 +487,7 @@
         if (!openRequest.answered) {
             openRequest.answered = true;
             rules.onAnswered(events.now(), openRequest.clientTry, false);
-            clientActions.onFailed(openRequest.clientTry.request);
+            clientListener.onFailed(openRequest.clientTry.request);
         }
     }
 
