--- a/src/main/java/firstage/simulation/DeploymentFactory.java
+++ b/src/main/java/firstage/simulation/DeploymentFactory.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * Factory of the deployment that a simulated manager is started with. A deployment contains what the
- * fleet file states, and nothing that a run draws at random.
+ * Factory of the deployment that a simulated manager is started with. A deployment contains what
+ * the fleet file states, and nothing that a run draws at random.
  */
 final class DeploymentFactory {
     private static final double TICKS_PER_SECOND = 10_000;
--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -120,8 +120,8 @@
     private final List<Map<Integer, KeyState>> keysByManager = new ArrayList<>();
 
     /**
-     * For each manager and engine, the time at which the manager was told that the engine drains or
-     * is gone; absent while the engine is active.
+     * For each manager and engine, the time at which the endpoint list reported to the manager that
+     * the engine drains or is gone; absent while the engine is active.
      */
     private final List<Map<Integer, Long>> drainsByManager = new ArrayList<>();
 
@@ -168,7 +168,7 @@
         }
     }
 
-    /** Records that the endpoint list told this manager when an engine last started. */
+    /** Records that the endpoint list reported the last start of an engine to this manager. */
     public void onEngineStartTold(int manager, int engine, long startedAt) {
         engineStartsByManager.get(manager).merge(engine, startedAt, Math::max);
     }
--- a/src/main/java/firstage/simulation/TrafficShape.java
+++ b/src/main/java/firstage/simulation/TrafficShape.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Variation of the traffic over a run: a factor on the mean rate for each point of the run. */
+/** The course of the traffic over a run, as a factor on the mean rate at each point of the run. */
 enum TrafficShape {
     /** Constant traffic. */
     STEADY("steady") {
--- a/src/main/java/firstage/simulation/TrueRequest.java
+++ b/src/main/java/firstage/simulation/TrueRequest.java
@@ -35,8 +35,8 @@
     public boolean succeeded;
 
     /**
-     * Creates a request. Times are in ticks; {@code estimatedWork} and {@code estimatedMemoryMb} are
-     * what the client sends.
+     * Creates a request. Times are in ticks; {@code estimatedWork} and {@code estimatedMemoryMb}
+     * are what the client sends.
      */
     public TrueRequest(
             long id,
