--- a/src/main/java/firstage/simulation/EventQueue.java
+++ b/src/main/java/firstage/simulation/EventQueue.java
@@ -8,9 +8,9 @@
  * A queue of events in virtual time, in ticks. Events run in the order of their due times; events
  * with the same due time run in the order in which they were scheduled.
  *
- * <p>The queue is a timing wheel of three levels with 1,024 slots each (a slot spans a tick in the
- * first level, a tenth of a second in the second, 105 s in the third) and a bit for each filled
- * slot. Scheduling thus costs the same for any number of events, and empty time costs next to
+ * <p>The queue is a timing wheel of three levels with 1,024 slots each (a slot spans one tick in
+ * the first level, 0.1 s in the second and 105 s in the third) and a bit for each filled slot.
+ * Scheduling thus costs the same for any number of events, and empty time costs next to
  * nothing. Most events of a fleet are due within a few seconds and are run, for which a heap would
  * pay its logarithmic cost twice. Events that are due in more than 30 hours wait in a list.
  */
--- a/src/main/java/firstage/simulation/Scoreboard.java
+++ b/src/main/java/firstage/simulation/Scoreboard.java
@@ -16,7 +16,7 @@
 public final class Scoreboard {
     private static final long INTERVAL = 100_000;
 
-    /** The highest latency that the histograms tell apart: 1 hour. */
+    /** Highest latency that the histograms record, 1 hour; higher ones are recorded as this one. */
     private static final long MAX_LATENCY = 36_000_000;
 
     private final FleetPlan plan;
