--- a/src/main/java/firstage/simulation/DeploymentFactory.java
+++ b/src/main/java/firstage/simulation/DeploymentFactory.java
@@ -50,7 +50,7 @@
                 plan.tenants().size() < 2
                         ? List.of()
                         : plan.tenants().stream()
-                                .map(c -> fleetRate / TICKS_PER_SECOND * c.share() / totalShare)
+                                .map(tenant -> fleetRate / TICKS_PER_SECOND * tenant.share() / totalShare)
                                 .toList();
         return new Deployment(
                 seed,
--- a/src/main/java/firstage/simulation/Scoreboard.java
+++ b/src/main/java/firstage/simulation/Scoreboard.java
@@ -34,7 +34,7 @@
     /** For each tenant, its requested and its earned weight. */
     private final double[][] weightsByTenant;
 
-    private final List<Histogram> latency = new ArrayList<>();
+    private final List<Histogram> latencies = new ArrayList<>();
     private long requestCount;
     private long successCount;
     private long lateCount;
@@ -49,7 +49,7 @@
         earnedByInterval = new double[intervals];
         weightsByTrafficClass = new double[plan.trafficClasses().size()][2];
         weightsByTenant = new double[plan.tenants().size()][2];
-        plan.trafficClasses().forEach(g -> latency.add(new Histogram(MAX_LATENCY, 2)));
+        plan.trafficClasses().forEach(trafficClass -> latencies.add(new Histogram(MAX_LATENCY, 2)));
     }
 
     private int interval(TrueRequest request) {
@@ -84,7 +84,7 @@
         earnedByInterval[interval(request)] += earned;
         weightsByTrafficClass[request.trafficClass][1] += earned;
         weightsByTenant[request.tenant][1] += earned;
-        latency.get(request.trafficClass).recordValue(Math.min(latencyTicks, MAX_LATENCY));
+        latencies.get(request.trafficClass).recordValue(Math.min(latencyTicks, MAX_LATENCY));
     }
 
     public void onRejected() {
@@ -151,8 +151,8 @@
         }
         for (int i = 0; i < weightsByTrafficClass.length; i++) {
             String name = plan.trafficClasses().get(i).name();
-            figures.put("median ms " + name, latency.get(i).getValueAtPercentile(50) / 10.0);
-            figures.put("99th ms " + name, latency.get(i).getValueAtPercentile(99) / 10.0);
+            figures.put("median ms " + name, latencies.get(i).getValueAtPercentile(50) / 10.0);
+            figures.put("99th ms " + name, latencies.get(i).getValueAtPercentile(99) / 10.0);
         }
         figures.put("pushed back a batch", share(rejectionCount, Math.max(1, requestCount)));
         figures.put("errored a batch", share(failureCount, Math.max(1, requestCount)));
