--- a/src/main/java/firstage/simulation/ClientBehavior.java
+++ b/src/main/java/firstage/simulation/ClientBehavior.java
@@ -45,7 +45,7 @@
      * Returns the delay in ticks after which the client sends a request again; -1 if it gives up.
      *
      * @param retryAfter the delay that the manager asked for; 0 for none
-     * @param safeToRetry whether the request may run a second time, or can not have run
+     * @param safeToRetry whether the request may run twice, or cannot have run yet
      */
     public long retryDelay(TrueRequest request, long now, long retryAfter, boolean safeToRetry) {
         FleetPlan.Clients clients = plan.clients();
