--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -15,19 +15,20 @@
 import java.util.stream.IntStream;
 
 /**
- * One run of a fleet: the same plan, choice and seed give the same result, and two choices of one
- * seed meet the same traffic, engines and faults.
+ * A simulated run of a fleet. The same plan, policy and seed give the same result; two policies
+ * with the same seed get the same traffic, engines and faults.
  */
 public final class FleetSimulation implements ManagerModel.ClientActions {
+    /** Start of a run; above 0, which stands for "long ago" in the models. */
     private static final long START = 1_000_000;
 
-    /** After the last arrival a run goes on until all is answered. */
+    /** Time for which a run goes on after the last possible deadline, to answer all requests. */
     private static final long COOL_DOWN = 10_000;
 
     private static final long DRAIN_DURATION = 30_000;
     private static final long DOWN_DURATION = 20_000;
 
-    /** Silence is noticed so many times later than a death. */
+    /** How many times later the endpoint list reports a silent engine than a dead one. */
     private static final int SILENCE_DETECTION_FACTOR = 3;
 
     private final FleetPlan plan;
@@ -40,16 +41,16 @@
     private final List<EngineModel> engines = new ArrayList<>();
     private final List<ManagerModel> managers = new ArrayList<>();
 
-    /** The managers cell by cell; all of them, where there are no cells. */
+    /** Managers of each cell; a single list of all managers where the plan has no cells. */
     private final List<List<ManagerModel>> managersByCell;
 
-    /** By engine, how often the list changed its word on it. */
+    /** Number of announcements of the endpoint list about each engine. */
     private final int[] endpointVersions;
 
     private final List<Disturbance> expensiveWork = new ArrayList<>();
     private double trafficFactor = 1;
     private long sentToFaultyEngines;
-    private double faultySeconds;
+    private double faultyEngineSeconds;
 
     private FleetSimulation(FleetPlan plan, PolicyUnderTest policyUnderTest, long seed) {
         this.plan = plan;
@@ -84,7 +85,7 @@
                                 .values());
     }
 
-    /** Plays the plan once with this policy and seed. */
+    /** Simulates the plan once with this policy and seed. */
     public static SimulationResult play(
             FleetPlan plan, PolicyUnderTest policyUnderTest, long seed) {
         return new FleetSimulation(plan, policyUnderTest, seed).play(policyUnderTest, seed);
@@ -95,54 +96,54 @@
         if (policyUnderTest.peers() != null) {
             gossip(randomStreams.stream("gossip", 0));
         }
-        int number = 0;
+        int streamIndex = 0;
         for (Disturbance disturbance : plan.disturbances()) {
-            RandomGenerator random = randomStreams.stream("trouble", number++);
+            RandomGenerator random = randomStreams.stream("trouble", streamIndex++);
             events.schedule(disturbance.at(), () -> inject(disturbance, random));
         }
         for (FleetPlan.Fault fault : plan.faults()) {
             if (!fault.simulated()) {
                 throw new InvalidPlanException(
                         fault.line(),
-                        "fault: the fleet model has no "
+                        "fault: the simulation does not support "
                                 + fault.kind().name().toLowerCase(Locale.ROOT)
-                                + "; play this plan on processes (fault-test run)");
+                                + "; run this plan on processes with fault-test run");
             }
-            RandomGenerator random = randomStreams.stream("fault", number++);
+            RandomGenerator random = randomStreams.stream("fault", streamIndex++);
             events.schedule(fault.at(), () -> inject(fault, random));
         }
         events.schedule(traffic.nextArrival(START, START, 1) - START, this::onArrival);
-        long longest =
+        long longestTimeout =
                 plan.trafficClasses().stream()
                         .mapToLong(FleetPlan.TrafficClassPlan::timeout)
                         .max()
                         .orElse(0);
-        long happened = events.runUntil(START + plan.length() + longest + COOL_DOWN);
+        long executedEvents = events.runUntil(START + plan.length() + longestTimeout + COOL_DOWN);
         Map<String, Double> figures = scoreboard.figures();
         figures.put(
                 "to a sick engine a s",
-                faultySeconds > 0 ? sentToFaultyEngines / faultySeconds : 0);
+                faultyEngineSeconds > 0 ? sentToFaultyEngines / faultyEngineSeconds : 0);
         return new SimulationResult(
                 policyUnderTest.name(),
                 seed,
                 figures,
                 rules.violations(),
                 scoreboard.requests(),
-                happened);
+                executedEvents);
     }
 
     /**
-     * Each tells one other of its cell by chance and hears it, as the membership's probes and their
-     * answers do.
+     * Exchanges digests between each manager and a random other manager of its cell, as the probes
+     * of the membership protocol and their answers do, and schedules the next exchange.
      */
     private void gossip(RandomGenerator random) {
         for (List<ManagerModel> cell : managersByCell) {
-            List<String> up =
+            List<String> upNames =
                     cell.stream().filter(ManagerModel::up).map(ManagerModel::name).toList();
             for (int m = 0; m < cell.size() && cell.size() > 1; m++) {
                 ManagerModel other =
                         cell.get((m + 1 + random.nextInt(cell.size() - 1)) % cell.size());
-                cell.get(m).onViewChanged(up);
+                cell.get(m).onViewChanged(upNames);
                 cell.get(m).sendDigest(other);
                 other.sendDigest(cell.get(m));
             }
@@ -157,7 +158,8 @@
         sentToFaultyEngines++;
     }
 
-    // ---- Clients.
+    // Clients.
+
     private void onArrival() {
         long now = events.now();
         if (now >= START + plan.length()) {
@@ -172,26 +174,26 @@
     private void sendToManager(TrueRequest request) {
         long now = events.now();
         request.tries++;
-        ManagerModel to = managers.get(clients.managerFor(request));
-        long patience =
+        ManagerModel manager = managers.get(clients.managerFor(request));
+        long tryTimeout =
                 Math.round(
                         (request.deadline - request.firstRequestedAt)
                                 * plan.clients().deadlineShareOfTry());
-        if (!to.up()) {
+        if (!manager.up()) {
             retryLater(request, 0, true);
         } else {
-            to.onRequest(request, Math.min(request.deadline, now + Math.max(1, patience)));
+            manager.onRequest(request, Math.min(request.deadline, now + Math.max(1, tryTimeout)));
         }
     }
 
-    private void retryLater(TrueRequest request, long retryAfter, boolean harmless) {
-        boolean may =
-                harmless
+    private void retryLater(TrueRequest request, long retryAfter, boolean safeToRetry) {
+        boolean retryAllowed =
+                safeToRetry
                         || plan.trafficClasses().get(request.trafficClass).effect()
                                 != Effect.NON_IDEMPOTENT;
-        long wait = clients.retryDelay(request, events.now(), retryAfter, may);
-        if (wait >= 0) {
-            events.schedule(wait, () -> sendToManager(request));
+        long delay = clients.retryDelay(request, events.now(), retryAfter, retryAllowed);
+        if (delay >= 0) {
+            events.schedule(delay, () -> sendToManager(request));
         }
     }
 
@@ -215,14 +217,15 @@
         retryLater(request, 0, false);
     }
 
-    // ---- Faults.
-    private List<Integer> drawAffected(int of, double part, RandomGenerator random) {
-        List<Integer> all = new ArrayList<>();
-        for (int i = 0; i < of; i++) {
-            all.add(i);
+    // Faults.
+
+    private List<Integer> drawAffected(int count, double share, RandomGenerator random) {
+        List<Integer> indices = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            indices.add(i);
         }
-        Collections.shuffle(all, new Random(random.nextLong()));
-        return all.subList(0, (int) Math.min(of, Math.max(1, Math.round(of * part))));
+        Collections.shuffle(indices, new Random(random.nextLong()));
+        return indices.subList(0, (int) Math.min(count, Math.max(1, Math.round(count * share))));
     }
 
     private void inject(Disturbance disturbance, RandomGenerator random) {
@@ -311,11 +314,11 @@
     }
 
     private void inject(FleetPlan.Fault fault, RandomGenerator random) {
-        List<Integer> struck =
+        List<Integer> targets =
                 fault.source() == null ? List.of() : fault.source().among(plan, random);
         switch (fault.kind()) {
             case DIE ->
-                    struck.forEach(
+                    targets.forEach(
                             engine ->
                                     takeDown(
                                             engine,
@@ -324,7 +327,7 @@
                                             1,
                                             random));
             case SILENCE ->
-                    struck.forEach(
+                    targets.forEach(
                             engine ->
                                     takeDown(
                                             engine,
@@ -333,16 +336,16 @@
                                             SILENCE_DETECTION_FACTOR,
                                             random));
             case HANG ->
-                    struck.forEach(
+                    targets.forEach(
                             engine -> {
-                                faultySeconds += fault.length() / 1e4;
+                                faultyEngineSeconds += fault.length() / 1e4;
                                 engines.get(engine).setState(EngineModel.State.HANGING);
                                 events.schedule(
                                         fault.length(),
                                         () -> engines.get(engine).setState(EngineModel.State.UP));
                             });
             case KILL ->
-                    struck.forEach(
+                    targets.forEach(
                             m -> {
                                 managers.get(m).kill();
                                 events.schedule(
@@ -356,11 +359,15 @@
         }
     }
 
+    /**
+     * Puts an engine into this state for {@code length}, then starts it again, and announces both
+     * changes; the first one with {@code delayFactor} times the usual discovery delay.
+     */
     private void takeDown(
-            int engine, EngineModel.State state, long length, int later, RandomGenerator random) {
-        faultySeconds += length / 1e4;
+            int engine, EngineModel.State state, long length, int delayFactor, RandomGenerator random) {
+        faultyEngineSeconds += length / 1e4;
         engines.get(engine).setState(state);
-        announce(engine, Lifecycle.GONE, 0, later, random);
+        announce(engine, Lifecycle.GONE, 0, delayFactor, random);
         events.schedule(
                 length,
                 () -> {
@@ -369,29 +376,34 @@
                 });
     }
 
-    /** Each manager hears it when its own list comes round. */
+    /**
+     * Announces an engine's lifecycle to each manager after a discovery delay drawn for the manager
+     * and multiplied by {@code delayFactor}. With a factor above 1 an announcement is dropped where
+     * a newer one was made in the meantime.
+     */
     private void announce(
-            int engine, Lifecycle standing, long since, int later, RandomGenerator random) {
-        int said = ++endpointVersions[engine];
+            int engine, Lifecycle lifecycle, long startedAt, int delayFactor, RandomGenerator random) {
+        int version = ++endpointVersions[engine];
         for (ManagerModel manager : managers) {
             events.schedule(
-                    later * plan.managers().discoveryDelay().drawTime(random),
+                    delayFactor * plan.managers().discoveryDelay().drawTime(random),
                     () -> {
-                        if (endpointVersions[engine] == said || later == 1) {
-                            manager.onEndpointUpdate(engine, standing, since);
+                        if (endpointVersions[engine] == version || delayFactor == 1) {
+                            manager.onEndpointUpdate(engine, lifecycle, startedAt);
                         }
                     });
         }
     }
 
+    /** Drains and replaces the affected engines in groups, spread over the disturbance. */
     private void rollingReplace(Disturbance disturbance, RandomGenerator random) {
-        List<Integer> all = drawAffected(engines.size(), disturbance.affectedShare(), random);
-        int each = (int) Math.max(1, Math.round(engines.size() * disturbance.extra()));
-        int steps = (all.size() + each - 1) / each;
-        for (int i = 0; i < all.size(); i++) {
-            int engine = all.get(i);
+        List<Integer> affected = drawAffected(engines.size(), disturbance.affectedShare(), random);
+        int groupSize = (int) Math.max(1, Math.round(engines.size() * disturbance.extra()));
+        int groupCount = (affected.size() + groupSize - 1) / groupSize;
+        for (int i = 0; i < affected.size(); i++) {
+            int engine = affected.get(i);
             events.schedule(
-                    i / each * (disturbance.length() / Math.max(1, steps)),
+                    i / groupSize * (disturbance.length() / Math.max(1, groupCount)),
                     () -> {
                         engines.get(engine).setState(EngineModel.State.DRAINING);
                         announce(engine, Lifecycle.DRAINING, 0, 1, random);
--- a/src/main/java/firstage/simulation/Range.java
+++ b/src/main/java/firstage/simulation/Range.java
@@ -2,18 +2,18 @@
 
 import java.util.random.RandomGenerator;
 
-/** A figure, or the range that a run draws it from. */
+/** The range from which a run draws a value; both bounds are equal for a fixed value. */
 public record Range(double low, double high) {
-    public static Range of(double figure) {
-        return new Range(figure, figure);
+    public static Range of(double value) {
+        return new Range(value, value);
     }
 
-    public double draw(RandomGenerator chance) {
-        return low + (high - low) * chance.nextDouble();
+    public double draw(RandomGenerator random) {
+        return low + (high - low) * random.nextDouble();
     }
 
-    /** For times. */
-    public long drawTime(RandomGenerator chance) {
-        return Math.round(draw(chance));
+    /** Draws a time, rounded to ticks. */
+    public long drawTime(RandomGenerator random) {
+        return Math.round(draw(random));
     }
 }
--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -9,20 +9,30 @@
 import java.util.Map;
 
 /**
- * The rules, by what crosses between managers, engines and clients; it never asks what a manager
- * remembers. What it can see of each: 1 one answer for each try, in time; 2 non-idempotent requests
- * at engines once, rejected only while none may have run, those with an idempotency key within
- * their window; 3 nothing to an engine past the grace after its drain was told; 4 no cold engine
- * pushed over; 5 one at a time and in turn for each key and manager, with its rest. A fleet file
- * states neither places (6) nor a budget (7).
+ * Checker of the scheduling rules that managers have to keep. It observes only the messages between
+ * managers, engines and clients, and never reads the state of a manager. The rules that it checks:
+ *
+ * <ol>
+ *   <li>Each try is answered once and in time.
+ *   <li>A non-idempotent request is sent again, or rejected, only if no earlier attempt can have
+ *       run. A request with an idempotency key is sent again only within its idempotency window.
+ *   <li>No statement goes to an engine after the grace period that follows the announcement of its
+ *       drain.
+ *   <li>No cold engine is overloaded.
+ *   <li>Requests of one ordering key at one manager run one at a time and in order, and pause for
+ *       the key's quiet period after an attempt that may still run.
+ * </ol>
+ *
+ * <p>Rules 6 (placement) and 7 (retry budget) are not checked: fleet files have no keys for them.
  */
 public final class RuleChecker {
+    /** Tolerance for late answers of simulated managers. */
     private static final long ANSWER_SLACK = 200;
 
-    /** An attempt may begin for so long after its client left. */
+    /** Tolerance for an attempt that starts after its client left. */
     private static final long DEPARTURE_SLACK = Ticks.ofMillis(100);
 
-    /** A deadline told to an engine may be so much later than its client's. */
+    /** Tolerance for a deadline, as sent to an engine, that is later than the client's. */
     private static final long DEADLINE_SLACK = Ticks.ofMillis(150);
 
     private static final int MAX_VIOLATIONS_KEPT = 20;
@@ -38,7 +48,7 @@
         private boolean mayHaveRun;
         private long firstSentAt = -1;
         private boolean attempted;
-        private long pauseAllowance;
+        private long extraAnswerSlack;
         private long overtakenAt;
         private long leftAt = -1;
         private boolean deadlineExact;
@@ -49,38 +59,45 @@
             this.deadline = deadline;
         }
 
-        /** Whether its manager's life ended, or it never came to one. */
+        /** Returns whether no answer is due: the manager was killed or never accepted the try. */
         public boolean abandoned() {
             return abandoned;
         }
 
-        /** Its deadline counts from its last byte, not from before it was sent. */
+        /**
+         * Marks the deadline as exact: it counts from the request's last byte, rather than from
+         * some time before the request was sent. Only exact deadlines are compared with those that
+         * engines receive.
+         */
         public void setDeadlineExact() {
             deadlineExact = true;
         }
 
-        /** Its client closed its connection or cancelled, at this time at the latest. */
+        /**
+         * Records that the client closed its connection or cancelled, at {@code now} at the latest.
+         */
         public void leave(long now) {
             leftAt = leftAt < 0 ? now : leftAt;
         }
 
-        /** Whether its client left. */
+        /** Returns whether the client left. */
         public boolean hasLeft() {
             return leftAt >= 0;
         }
 
-        /** Whether an attempt of it was seen. */
+        /** Returns whether an attempt of this try reached an engine. */
         public boolean attempted() {
             return attempted;
         }
 
-        /** Its manager was stopped: so much later its answer may come. */
-        public void allowPause(long by) {
-            pauseAllowance = Math.max(pauseAllowance, by);
+        /** Allows the answer to be this many ticks later, because the manager was paused. */
+        public void allowPause(long delay) {
+            extraAnswerSlack = Math.max(extraAnswerSlack, delay);
         }
 
+        /** Returns whether the answer may be late because the manager was paused. */
         public boolean pauseAllowance() {
-            return pauseAllowance > 0;
+            return extraAnswerSlack > 0;
         }
 
         public int answers() {
@@ -102,18 +119,25 @@
     private final Map<Long, Integer> runsByRequest = new HashMap<>();
     private final List<Map<Integer, KeyState>> keysByManager = new ArrayList<>();
 
-    /** By manager and engine, when it was told of a drain or an end; absent while it is up. */
+    /**
+     * For each manager and engine, the time at which the endpoint list reported to the manager that
+     * the engine drains or is gone; absent while the engine is active.
+     */
     private final List<Map<Integer, Long>> drainsByManager = new ArrayList<>();
 
-    private final List<Map<Integer, Long>> startsByManager = new ArrayList<>();
+    /** For each manager and engine, the latest start of the engine that the manager knows of. */
+    private final List<Map<Integer, Long>> engineStartsByManager = new ArrayList<>();
 
     RuleChecker(FleetPlan plan) {
         this(plan, ANSWER_SLACK, 0);
     }
 
     /**
-     * @param answerSlack ticks by which an answer may be late
-     * @param observationDelay ticks by which statements and answers may be seen late
+     * Creates a checker for observers outside the managers.
+     *
+     * @param answerSlack tolerance for late answers, in ticks
+     * @param observationDelay the time by which statements and answers may be observed late, in
+     *     ticks
      */
     public RuleChecker(FleetPlan plan, long answerSlack, long observationDelay) {
         this.plan = plan;
@@ -122,7 +146,7 @@
         for (int m = 0; m < plan.managers().count(); m++) {
             keysByManager.add(new HashMap<>());
             drainsByManager.add(new HashMap<>());
-            startsByManager.add(new HashMap<>());
+            engineStartsByManager.add(new HashMap<>());
         }
     }
 
@@ -144,16 +168,16 @@
         }
     }
 
-    /** The list told this manager when an engine last started. */
-    public void onEngineStartTold(int manager, int engine, long since) {
-        startsByManager.get(manager).merge(engine, since, Math::max);
+    /** Records that the endpoint list reported the last start of an engine to this manager. */
+    public void onEngineStartTold(int manager, int engine, long startedAt) {
+        engineStartsByManager.get(manager).merge(engine, startedAt, Math::max);
     }
 
-    boolean knowsEngineStart(int manager, int engine, long since) {
-        return startsByManager.get(manager).getOrDefault(engine, 0L) >= since;
+    boolean knowsEngineStart(int manager, int engine, long startedAt) {
+        return engineStartsByManager.get(manager).getOrDefault(engine, 0L) >= startedAt;
     }
 
-    /** It never came to a manager, or to none that lives. */
+    /** Records that no running manager accepted the try, so that no answer is due. */
     public void onNeverAccepted(ClientTry clientTry) {
         clientTry.abandoned = true;
         KeyState keyState =
@@ -165,9 +189,9 @@
         }
     }
 
-    /** What it held is no duty of anybody's. */
-    public void onManagerKilled(int manager, Iterable<ClientTry> delayed) {
-        delayed.forEach(clientTry -> clientTry.abandoned = true);
+    /** Records that a manager was killed; its open tries need no answer any more. */
+    public void onManagerKilled(int manager, Iterable<ClientTry> openTries) {
+        openTries.forEach(clientTry -> clientTry.abandoned = true);
         keysByManager.get(manager).clear();
         drainsByManager.get(manager).clear();
     }
@@ -177,17 +201,19 @@
     }
 
     /**
-     * {@code delayed}: the way may have kept it back; when it was sent is not known, only that it
-     * came now.
+     * Records that an attempt arrived at an engine.
+     *
+     * @param delayed whether the network may have held the statement back: {@code now} is then the
+     *     time of its arrival, and the time at which it was sent is unknown
      */
     public void onAttemptSent(long now, ClientTry clientTry, int engine, boolean delayed) {
         Effect effect = plan.trafficClasses().get(clientTry.request.trafficClass).effect();
         if (clientTry.answers > 0 && !delayed) {
-            recordViolation(now, 1, clientTry, "sent after its answer");
+            recordViolation(now, 1, clientTry, "was sent after it was answered");
         }
         if (effect == Effect.NON_IDEMPOTENT
                 && (clientTry.mayHaveRun || clientTry.attemptsInFlight > 0)) {
-            recordViolation(now, 2, clientTry, "sent again, and may have run");
+            recordViolation(now, 2, clientTry, "was sent again although it may have run");
         }
         if (effect == Effect.IDEMPOTENT_WITH_KEY
                 && clientTry.firstSentAt >= 0
@@ -196,7 +222,7 @@
                                 + plan.trafficClasses()
                                         .get(clientTry.request.trafficClass)
                                         .idempotencyWindow()) {
-            recordViolation(now, 2, clientTry, "sent again past its window");
+            recordViolation(now, 2, clientTry, "was sent again after its idempotency window");
         }
         Long drain = drainsByManager.get(clientTry.manager).get(engine);
         if (drain != null
@@ -206,11 +232,11 @@
                     now,
                     3,
                     clientTry,
-                    "sent to engine "
+                    "was sent to engine "
                             + engine
-                            + ", whose drain was told "
+                            + ", whose drain was announced "
                             + (now - drain) / 10
-                            + " ms before");
+                            + " ms earlier");
         }
         clientTry.attemptsInFlight++;
         clientTry.attempted = true;
@@ -225,12 +251,15 @@
                         now,
                         5,
                         clientTry,
-                        "sent while batch " + keyState.running.request.id + " of its key is out");
+                        "was sent while batch "
+                                + keyState.running.request.id
+                                + " of its key is in flight");
             } else if (observationDelay == 0
                     && (keyState.openTries.isEmpty() || keyState.openTries.get(0) != clientTry)) {
-                recordViolation(now, 5, clientTry, "sent out of turn");
+                recordViolation(now, 5, clientTry, "was sent out of the order of its key");
             }
-            // Where answers are seen later than statements, one that is on its way is no break.
+            // Where answers are observed later than statements, the answer to an earlier try may
+            // still be under way: onAnswered reports the overtaking if that answer comes too late.
             keyState.openTries.stream()
                     .takeWhile(a -> a != clientTry)
                     .filter(a -> a.overtakenAt == 0)
@@ -238,15 +267,17 @@
             if (keyState.running == null
                     && now < keyState.quietUntil
                     && clientTry.firstSentAt == now) {
-                recordViolation(now, 5, clientTry, "sent while its key rests");
+                recordViolation(now, 5, clientTry, "was sent in the quiet period of its key");
             }
             keyState.running = clientTry;
         }
     }
 
     /**
-     * When an attempt began at the earliest, and the deadline that its engine was told, where both
-     * are known.
+     * Checks the times of an attempt, where they are known.
+     *
+     * @param beganAt the earliest time at which the attempt can have started
+     * @param deadline the deadline that the engine received
      */
     public void onAttemptTimes(long beganAt, ClientTry clientTry, long deadline) {
         if (clientTry.leftAt >= 0 && beganAt > clientTry.leftAt + DEPARTURE_SLACK) {
@@ -254,14 +285,14 @@
                     beganAt,
                     1,
                     clientTry,
-                    "begun " + (beganAt - clientTry.leftAt) / 10 + " ms after its client left");
+                    "was started " + (beganAt - clientTry.leftAt) / 10 + " ms after its client left");
         }
         if (clientTry.deadlineExact && deadline > clientTry.deadline + DEADLINE_SLACK) {
             recordViolation(
                     beganAt,
                     1,
                     clientTry,
-                    "told a deadline "
+                    "was sent with a deadline "
                             + (deadline - clientTry.deadline) / 10
                             + " ms after its client's");
         }
@@ -289,7 +320,7 @@
 
     public void onAnswered(long now, ClientTry clientTry, boolean rejected) {
         if (++clientTry.answers > 1) {
-            recordViolation(now, 1, clientTry, "answered twice");
+            recordViolation(now, 1, clientTry, "was answered twice");
         }
         if (observationDelay > 0
                 && clientTry.overtakenAt > 0
@@ -298,19 +329,22 @@
                     now,
                     5,
                     clientTry,
-                    "overtaken by a later one of its key, and answered "
+                    "was overtaken by a later batch of its key and answered "
                             + (now - clientTry.overtakenAt) / 10
                             + " ms after that");
         }
-        if (now > clientTry.deadline + answerSlack + clientTry.pauseAllowance) {
+        if (now > clientTry.deadline + answerSlack + clientTry.extraAnswerSlack) {
             recordViolation(
-                    now, 1, clientTry, "answered " + (now - clientTry.deadline) / 10 + " ms late");
+                    now,
+                    1,
+                    clientTry,
+                    "was answered " + (now - clientTry.deadline) / 10 + " ms late");
         }
         if (rejected
                 && plan.trafficClasses().get(clientTry.request.trafficClass).effect()
                         == Effect.NON_IDEMPOTENT
                 && (clientTry.mayHaveRun || clientTry.attemptsInFlight > 0)) {
-            recordViolation(now, 2, clientTry, "pushed back, and may have run");
+            recordViolation(now, 2, clientTry, "was rejected although it may have run");
         }
         KeyState keyState =
                 clientTry.request.orderingKey >= 0
@@ -321,41 +355,41 @@
         }
     }
 
-    /** Its time is over and a little more; it must have its answer. */
+    /** Checks that the try was answered, after its deadline and the tolerance have passed. */
     public void onDeadlinePassed(long now, ClientTry clientTry) {
         if (clientTry.answers == 0 && !clientTry.abandoned && clientTry.leftAt < 0) {
-            recordViolation(now, 1, clientTry, "never answered");
+            recordViolation(now, 1, clientTry, "was never answered");
         }
     }
 
-    /** A run begins at an engine. */
+    /** Records that an engine starts to run the request. */
     void onRunStarted(TrueRequest request, long now) {
         if (runsByRequest.merge(request.id, 1, Integer::sum) > 1
                 && plan.trafficClasses().get(request.trafficClass).effect()
                         == Effect.NON_IDEMPOTENT) {
-            recordViolation(now, 2, new ClientTry(request, -1, 0), "runs twice");
+            recordViolation(now, 2, new ClientTry(request, -1, 0), "ran twice");
         }
     }
 
-    /** A run ends there. */
+    /** Records that a run of the request ended. */
     public void onRunEnded(TrueRequest request) {
         if (plan.trafficClasses().get(request.trafficClass).effect() != Effect.NON_IDEMPOTENT) {
             runsByRequest.remove(request.id);
         }
     }
 
-    void onColdEngineOverloaded(int engine, long now, String how) {
+    void onColdEngineOverloaded(int engine, long now, String detail) {
         violationCount++;
         keepViolation(
                 "rule 4 at "
                         + now / 10
                         + " ms: cold engine "
                         + engine
-                        + " was pushed over; "
-                        + how);
+                        + " was overloaded; "
+                        + detail);
     }
 
-    private void recordViolation(long now, int rule, ClientTry clientTry, String how) {
+    private void recordViolation(long now, int rule, ClientTry clientTry, String detail) {
         violationCount++;
         keepViolation(
                 "rule "
@@ -367,22 +401,22 @@
                         + " at manager "
                         + clientTry.manager
                         + " "
-                        + how);
+                        + detail);
     }
 
-    /** Records a violation that the caller found itself. */
-    public void addViolation(String line) {
+    /** Records a violation that the caller found. */
+    public void addViolation(String description) {
         violationCount++;
-        keepViolation(line);
+        keepViolation(description);
     }
 
-    private void keepViolation(String line) {
+    private void keepViolation(String description) {
         if (violations.size() < MAX_VIOLATIONS_KEPT) {
-            violations.add(line);
+            violations.add(description);
         }
     }
 
-    /** What broke: which rule, when, by whom; the first of them. */
+    /** Returns descriptions of the first violations: rule, time, request and manager. */
     public List<String> violations() {
         return violations;
     }
--- a/src/main/java/firstage/simulation/TrafficSource.java
+++ b/src/main/java/firstage/simulation/TrafficSource.java
@@ -4,18 +4,24 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Draws what clients ask for: unequal tenants, keys and tables of unequal heat, work and estimates
- * that scatter.
+ * Random source of the clients' requests: their arrival, traffic class, tenant, ordering key, table
+ * group, work and estimates. Ordering keys and table groups follow Zipf distributions.
  */
 public final class TrafficSource {
     private final FleetPlan plan;
     private final TrafficShape shape;
     private final RandomGenerator random;
+
+    /** Cumulative shares, from which an index is drawn; likewise below. */
     private final double[] trafficClassBounds;
+
     private final double[] tenantBounds;
     private final double[] keyBounds;
     private final double[] tableGroupBounds;
+
+    /** Upper bound of the shape's factor on the mean rate. */
     private final double peakFactor;
+
     private long nextId;
 
     public TrafficSource(FleetPlan plan, RandomStreams streams) {
@@ -34,29 +40,29 @@
         tableGroupBounds =
                 cumulate(
                         zipfWeights(plan.traffic().tableGroups(), plan.traffic().tableGroupSkew()));
-        double high = 0;
+        double highestFactor = 0;
         for (int i = 0; i <= 2_000; i++) {
-            high = Math.max(high, shape.factor(i / 2_000.0, plan.traffic().swing()));
+            highestFactor = Math.max(highestFactor, shape.factor(i / 2_000.0, plan.traffic().swing()));
         }
-        peakFactor = high * 1.1;
+        peakFactor = highestFactor * 1.1;
     }
 
     private static double[] zipfWeights(int count, double skew) {
-        double[] shares = new double[count];
+        double[] weights = new double[count];
         for (int i = 0; i < count; i++) {
-            shares[i] = Math.pow(i + 1, -skew);
+            weights[i] = Math.pow(i + 1, -skew);
         }
-        return shares;
+        return weights;
     }
 
-    private static double[] cumulate(double[] shares) {
-        double[] ends = new double[shares.length];
+    private static double[] cumulate(double[] weights) {
+        double[] cumulative = new double[weights.length];
         double sum = 0;
-        for (int i = 0; i < shares.length; i++) {
-            sum += shares[i];
-            ends[i] = sum;
+        for (int i = 0; i < weights.length; i++) {
+            sum += weights[i];
+            cumulative[i] = sum;
         }
-        return ends;
+        return cumulative;
     }
 
     private int drawIndex(double[] bounds) {
@@ -74,7 +80,10 @@
         return low;
     }
 
-    /** When the next request comes after {@code now}, by thinning a stream of the highest rate. */
+    /**
+     * Returns the time of the next request after {@code now}, by thinning a Poisson process of the
+     * highest rate.
+     */
     public long nextArrival(long now, long start, double trafficFactor) {
         double meanInterval = 10_000 / (plan.traffic().rate() * peakFactor * trafficFactor);
         long arrival = now;
@@ -87,7 +96,11 @@
         return arrival;
     }
 
-    /** {@code dear}: spells that are on, by their group. */
+    /**
+     * Draws a request that arrives at {@code now}.
+     *
+     * @param activeDisturbances the present disturbances that make requests more expensive
+     */
     public TrueRequest draw(long now, List<FleetPlan.Disturbance> activeDisturbances) {
         int classIndex = drawIndex(trafficClassBounds);
         FleetPlan.TrafficClassPlan trafficClass = plan.trafficClasses().get(classIndex);
