--- a/src/main/java/firstage/faulttest/EngineFaults.java
+++ b/src/main/java/firstage/faulttest/EngineFaults.java
@@ -13,17 +13,24 @@
 import java.util.Locale;
 import java.util.random.RandomGenerator;
 
-/** Fails, drains and revives emulated engines, and announces it through the coordinators. */
+/**
+ * Takes emulated engines down, drains and restores them, and announces each change through the
+ * coordinators.
+ */
 final class EngineFaults {
-    /** How long a drained engine is down. */
+    /** Time that an engine is down after its drain. */
     private static final long DOWN_AFTER_DRAIN = Ticks.ofSeconds(1);
 
-    /** An unresponsive engine leaves the endpoint list this many times later than a dead one. */
+    /**
+     * Factor by which the removal of an unresponsive engine from the endpoint list takes longer than
+     * that of an engine whose process died.
+     */
     private static final int SILENCE_DETECTION_FACTOR = 3;
 
+    /** Longest silence of a coordinator: the longest delay allowed for endpoint updates. */
     private static final long MAX_SILENCE = Ticks.ofSeconds(7);
 
-    /** Until when the coordinator of each manager says nothing. */
+    /** Time until which each manager's coordinator sends nothing, by manager. */
     private final long[] silentUntil;
 
     private final FleetPlan plan;
@@ -59,13 +66,16 @@
     }
 
     /**
-     * A manager's coordinator says nothing for so many ticks.
+     * Makes a manager's coordinator send nothing for {@code ticks}.
      *
-     * @throws IllegalArgumentException where that is longer than what it has to tell may be late
+     * @throws IllegalArgumentException if that is longer than an endpoint update may be delayed
      */
     void silenceCoordinator(int manager, long ticks) {
         if (ticks > MAX_SILENCE) {
-            throw new IllegalArgumentException("silent for " + ticks + " ticks");
+            throw new IllegalArgumentException(
+                    "a coordinator can't be silent for "
+                            + ticks
+                            + " ticks: endpoint updates may be delayed by 7 s at most");
         }
         coordinators.get(manager).setSilent(true);
         silentUntil[manager] = Math.max(silentUntil[manager], loop.events().now() + ticks);
@@ -79,23 +89,23 @@
                         });
     }
 
-    /** The process dies: connections break, new ones are refused. */
+    /** Ends an engine's process: its connections are reset and new ones are refused. */
     void die(int engine, long ticks, RandomGenerator random) {
         takeDown(engine, EngineModel.State.DOWN, ticks, 1, random);
     }
 
-    /** The machine is gone without a word: nothing is answered, nothing is reset. */
+    /** Takes an engine's machine away: nothing is answered and no connection is reset. */
     void silence(int engine, long ticks, RandomGenerator random) {
         takeDown(engine, EngineModel.State.SILENT, ticks, SILENCE_DETECTION_FACTOR, random);
     }
 
-    /** The process accepts statements and makes no progress. */
+    /** Makes an engine accept statements without making progress. */
     void hang(int engine, long ticks) {
         engines.get(engine).setState(EngineModel.State.HANGING);
         loop.events().schedule(ticks, () -> engines.get(engine).setState(EngineModel.State.UP));
     }
 
-    /** Drains for {@code ticks}, then is down for a second. */
+    /** Drains an engine for {@code ticks}, then takes it down for a second. */
     void drain(int engine, long ticks, RandomGenerator random) {
         engines.get(engine).setState(EngineModel.State.DRAINING);
         links.setEngineMode(engine, EndpointMode.REFUSING, false);
@@ -140,7 +150,7 @@
         announce(engine, Lifecycle.ACTIVE, loop.events().now(), 1, random);
     }
 
-    /** Tells each manager after a discovery delay of its own. */
+    /** Announces a change to every manager, each after a discovery delay of its own. */
     private void announce(
             int engine,
             Lifecycle lifecycle,
@@ -163,7 +173,7 @@
         if (stale) {
             return;
         }
-        // What a coordinator has to tell counts as told when it tells it, 7 s later at the latest.
+        // An update counts as sent once its coordinator is no longer silent, at most 7 s later.
         loop.events()
                 .schedule(
                         Math.max(0, silentUntil[manager] - loop.events().now()),
--- a/src/main/java/firstage/faulttest/FaultInjector.java
+++ b/src/main/java/firstage/faulttest/FaultInjector.java
@@ -12,7 +12,7 @@
 import java.util.function.IntConsumer;
 import java.util.random.RandomGenerator;
 
-/** Plays the faults of a plan at their times; on the loop's thread. */
+/** Injects the faults of a plan at their times. Runs on the loop's thread. */
 final class FaultInjector {
     private final FleetPlan plan;
     private final RealTimeLoop loop;
@@ -42,7 +42,7 @@
         this.generator = generator;
     }
 
-    /** Schedules all faults; each draws from a random stream of its own. */
+    /** Schedules all faults, each with a random number generator of its own. */
     void scheduleAll(RandomStreams randomStreams) {
         int number = 0;
         for (Fault fault : plan.faults()) {
@@ -97,7 +97,10 @@
         return fault.kind().name().toLowerCase(Locale.ROOT);
     }
 
-    /** All at once; with an interval one after another, round and round until the plan's end. */
+    /**
+     * Applies an action to all affected managers at once; for a fault with an interval, to the next
+     * one at each interval, in turn until the plan's end.
+     */
     private void repeat(Fault fault, List<Integer> affected, IntConsumer action) {
         if (fault.interval() <= 0) {
             affected.forEach(action::accept);
@@ -117,7 +120,10 @@
         }
     }
 
-    /** Sets a fault on links, repairs it after its length, and repeats it at its interval. */
+    /**
+     * Sets a fault on links, clears it after its length, and sets it again after its interval, if
+     * there is one.
+     */
     private void onLinks(
             Fault fault, RandomGenerator random, BiConsumer<LinkFaults, Boolean> setActive) {
         List<Integer> from = fault.source().among(plan, random);
--- a/src/main/java/firstage/faulttest/FaultTestExtension.java
+++ b/src/main/java/firstage/faulttest/FaultTestExtension.java
@@ -9,16 +9,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** Clients, faults and settings of processes that a fault test has beside its plan's. */
+/** Clients, faults and process settings that a fault test has in addition to its plan's. */
 public interface FaultTestExtension {
-    /** Nothing beside the plan. */
+    /** An extension that adds nothing to the plan. */
     FaultTestExtension NONE = new FaultTestExtension() {};
 
-    /** What a running test gives to its extension; called on the loop's thread. */
+    /** The running test as its extension sees it; called on the loop's thread. */
     interface RunningTest {
         FleetPlan plan();
 
-        /** Seeds the extension's own draws. */
+        /** Returns the seed for the extension's own random draws. */
         long seed();
 
         Path folder();
@@ -27,7 +27,7 @@
 
         RuleChecker rules();
 
-        /** Ticks since the run began; from any thread. */
+        /** Returns the ticks since traffic began; may be called from any thread. */
         long elapsed();
 
         InetSocketAddress managerAddress(int manager);
@@ -35,45 +35,49 @@
         /** Sends a signal to a manager's process. */
         void signal(int manager, String name);
 
-        /** Stops a manager's process for so many ticks. */
+        /** Stops a manager's process by SIGSTOP and continues it after {@code ticks}. */
         void pause(int manager, long ticks);
 
         /** Resets all connections between managers and an engine. */
         void resetConnections(int engine);
 
-        /** Makes a manager's coordinator silent for so many ticks. */
+        /** Makes a manager's coordinator send nothing for {@code ticks}. */
         void silenceCoordinator(int manager, long ticks);
 
-        /** Writes a line to the record of the run; keys and values in turn. */
+        /** Writes an event to the record of the run; {@code fields} are keys and values in turn. */
         void record(String event, Object... fields);
     }
 
-    /** Variables of a manager's process. */
+    /** Returns additional environment variables of a manager's process. */
     default Map<String, String> environment(int manager) {
         return Map.of();
     }
 
-    /** The run begins: on the loop's thread. */
+    /** Called on the loop's thread when traffic begins. */
     default void begin(RunningTest test) {}
 
-    /** The extension's try with this id; null where it has none. On the loop's thread. */
+    /** Returns the client try with this id, or null if the extension has none; loop's thread. */
     default ClientTry tryById(String id) {
         return null;
     }
 
-    /** A manager's process stands still until then; on the loop's thread. */
+    /** Called on the loop's thread when a manager's process is paused until {@code until}. */
     default void onManagerPaused(int manager, long until) {}
 
-    /** A manager's process was killed, or is told to end. */
+    /**
+     * Called on the loop's thread when a manager ends.
+     *
+     * @param killed whether its process is killed or ended unexpectedly, rather than by SIGTERM
+     */
     default void onManagerEnding(int manager, boolean killed) {}
 
-    /** A manager's process serves again. */
+    /** Called on the loop's thread when a restarted manager serves again. */
     default void onManagerUp(int manager) {}
 
-    /** Waits for its clients; from another thread than the loop's. */
+    /** Waits until the extension's clients have finished; not called on the loop's thread. */
     default void awaitEnd() {}
 
-    /** What broke beside the checker's rules. */
+    /** Returns violations other than those that the rule checker found. */
     default List<String> violations() {
         return List.of();
     }
--- a/src/main/java/firstage/faulttest/FaultTestResult.java
+++ b/src/main/java/firstage/faulttest/FaultTestResult.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 
 /**
- * What a run showed.
+ * Result of a fault test.
  *
- * @param figures by name, in the order in which they are printed
+ * @param figures values by name, in the order in which they are printed
  * @param violations broken rules and processes that ended unexpectedly
  * @param missedExpectations figures outside the plan's bounds
- * @param voidReason why the run proves nothing; empty if it counts
+ * @param voidReason reason why the run is void; empty if it is valid
  */
 public record FaultTestResult(
         Map<String, Double> figures,
@@ -18,8 +18,8 @@
         List<String> missedExpectations,
         Optional<String> voidReason) {
     /**
-     * {@code void}, {@code broken}, {@code missed} or {@code kept}. A void run counts as nothing
-     * else: a machine without time can't prove that all rules were kept.
+     * Returns {@code void}, {@code broken}, {@code missed} or {@code kept}. {@code void} overrides
+     * the others: a run on an overloaded machine does not show whether all rules are kept.
      */
     public String verdict() {
         if (voidReason.isPresent()) {
--- a/src/main/java/firstage/faulttest/FaultTestRun.java
+++ b/src/main/java/firstage/faulttest/FaultTestRun.java
@@ -25,17 +25,20 @@
 import java.util.stream.IntStream;
 
 /**
- * One run of a fault test: sets up emulators, proxy and manager processes, plays the plan's traffic
- * and faults, and returns the result.
+ * One run of a fault test: sets up emulators, proxy and manager processes, generates the plan's
+ * traffic, injects its faults and returns the result.
  */
 public final class FaultTestRun implements AutoCloseable {
-    /** The protocol's 50 ms for an answer, and what the emulators' threads may be late. */
+    /**
+     * Time by which an answer may be seen after its deadline: the 50 ms that the protocol allows,
+     * and the lateness of the emulators' threads.
+     */
     private static final long ANSWER_SLACK = Ticks.ofMillis(150);
 
-    /** A statement and an answer are seen up to this later than they were sent. */
+    /** Longest time from the sending of a statement or an answer until an emulator sees it. */
     private static final long OBSERVATION_DELAY = Ticks.ofMillis(100);
 
-    /** The clients may end the run early from this time after the last request. */
+    /** Time after the end of the traffic from which the run may end, once no client is active. */
     private static final long EARLIEST_END = Ticks.ofSeconds(1);
 
     private static final int STARTED_TOGETHER = 8;
@@ -93,26 +96,26 @@
     }
 
     /**
-     * Refuses a plan that can't be run as a fault test.
+     * Checks that a plan can be run as a fault test.
      *
-     * @throws InvalidPlanException naming line and cure
+     * @throws InvalidPlanException if not; its message names the line and the cure
      */
     public static void check(FleetPlan plan) {
         if (!plan.disturbances().isEmpty()) {
             throw new InvalidPlanException(
                     0,
-                    "[[trouble]] is for the fleet model; write [[fault]] for what a fault test"
-                            + " plays");
+                    "[[trouble]] applies to the fleet model only; write [[fault]] for the faults"
+                            + " of a fault test");
         }
         ResultEvaluator.checkExpectations(plan);
     }
 
-    /** Plays it to its end; all processes that it started have ended when it returns. */
+    /** Runs a plan to its end; all processes that it started have ended on return. */
     public static FaultTestResult play(FaultTestSpec spec) throws IOException {
         return play(spec, FaultTestExtension.NONE);
     }
 
-    /** The same, with clients and faults beside the plan's. */
+    /** Runs a plan to its end, with the extension's clients and faults in addition to the plan's. */
     public static FaultTestResult play(FaultTestSpec spec, FaultTestExtension extension)
             throws IOException {
         try (FaultTestRun run = new FaultTestRun(spec, extension)) {
@@ -205,7 +208,7 @@
         }
     }
 
-    /** Starts traffic and schedules the faults; returns when the run ends at the latest. */
+    /** Starts traffic, schedules the faults and returns the latest time of the run's end. */
     private long begin() {
         scoreboard = new Scoreboard(plan, loop.events().now());
         generator =
@@ -246,7 +249,7 @@
         return clock.startedAt() + plan.length() + longestTimeout + ANSWER_SLACK;
     }
 
-    /** What the extension sees of this run. */
+    /** This run as its extension sees it. */
     private final class ExtendedTest implements FaultTestExtension.RunningTest {
         private final EngineFaults engineFaults;
 
@@ -341,7 +344,7 @@
         return result;
     }
 
-    /** When a fault is shown in the charts: at least for a second. */
+    /** Returns the interval during which the charts show a fault, at least a second. */
     private RunRecorder.FaultInterval interval(FleetPlan.Fault fault) {
         long end =
                 fault.interval() > 0
--- a/src/main/java/firstage/faulttest/FaultTestSpec.java
+++ b/src/main/java/firstage/faulttest/FaultTestSpec.java
@@ -5,15 +5,15 @@
 import java.util.function.Consumer;
 
 /**
- * What is to be run.
+ * Specification of a fault test.
  *
  * @param plan the fleet, its traffic and the faults
- * @param seed of all random draws
- * @param folder where the record of the run is written
- * @param jar of the program under test
+ * @param seed seed of all random draws
+ * @param folder folder to which the record of the run is written
+ * @param jar jar of the program under test
  * @param serveCommand the deployment's command line that starts one manager
  * @param withPeers whether each manager gets a peers file
- * @param progress receives a line of text now and then
+ * @param progress receives lines of text on the progress of the run
  */
 public record FaultTestSpec(
         FleetPlan plan,
--- a/src/main/java/firstage/faulttest/LoopbackAddresses.java
+++ b/src/main/java/firstage/faulttest/LoopbackAddresses.java
@@ -5,24 +5,25 @@
 import java.net.ServerSocket;
 
 /**
- * The loopback addresses of a run, all on one port, so that concurrent runs differ by port only.
- * All addresses at which one manager reaches others share their second number.
+ * Loopback addresses of a run, all on one port, so that concurrent runs differ by port only. All
+ * addresses at which one manager reaches engines and peers share their second octet.
  */
 public record LoopbackAddresses(int port) {
     private static final int FIRST_PORT = 21_000;
     private static final int PORT_STEP = 3;
     private static final int MAX_TRIES = 2_000;
 
-    /** A run holds its port by listening here. */
+    /** Address on which a run listens to keep its port reserved. */
     private static final String LOCK_ADDRESS = "127.1.9.1";
 
+    /** Second octet of the proxy's addresses for manager 0; each further manager has the next. */
     private static final int FIRST_PROXIED_NETWORK = 10;
 
     /**
-     * Reserves a port that no other run holds; the search starts at one derived from the process
+     * Reserves a port that no other run holds. The search starts at a port derived from the process
      * id.
      *
-     * @throws IOException if none is free
+     * @throws IOException if no port is free
      */
     public static ServerSocket reservePort() throws IOException {
         IOException lastFailure = null;
@@ -45,12 +46,12 @@
         return new InetSocketAddress("127." + second + "." + third + "." + fourth, port);
     }
 
-    /** Where a manager listens for clients. */
+    /** Returns the address on which a manager listens for clients. */
     InetSocketAddress manager(int manager) {
         return address(1, 0, manager + 1);
     }
 
-    /** Where a manager receives gossip datagrams. */
+    /** Returns the address on which a manager receives gossip datagrams. */
     InetSocketAddress gossip(int manager) {
         return address(1, 2, manager + 1);
     }
@@ -59,17 +60,17 @@
         return address(1, 1, manager + 1);
     }
 
-    /** Where an engine listens, behind the proxy. */
+    /** Returns the address on which an engine listens, behind the proxy. */
     InetSocketAddress engine(int engine) {
         return address(2, 1 + engine / 250, 1 + engine % 250);
     }
 
-    /** Where a manager reaches an engine, through the proxy. */
+    /** Returns the proxy's address at which a manager reaches an engine. */
     InetSocketAddress engineSeenBy(int manager, int engine) {
         return address(FIRST_PROXIED_NETWORK + manager, 1 + engine / 250, 1 + engine % 250);
     }
 
-    /** Where a manager reaches another, through the proxy. */
+    /** Returns the proxy's address at which a manager reaches another. */
     InetSocketAddress peerSeenBy(int manager, int peer) {
         return address(FIRST_PROXIED_NETWORK + manager, 9, 1 + peer);
     }
--- a/src/main/java/firstage/faulttest/ManagerConfigWriter.java
+++ b/src/main/java/firstage/faulttest/ManagerConfigWriter.java
@@ -43,8 +43,8 @@
     }
 
     /**
-     * What distinguishes a manager: its name, listening address, coordinator (null for none),
-     * number, zone index, and the address at which it reaches each engine.
+     * Settings in which managers differ: name, listening address, coordinator (null for none),
+     * rank, zone index, and the address at which the manager reaches each engine.
      */
     public record ManagerPlace(
             String name,
@@ -54,13 +54,13 @@
             int zone,
             IntFunction<InetSocketAddress> engineAddress) {}
 
-    /** Writes the configuration of the manager at this place. */
+    /** Writes a manager's configuration, with a limit of 1,024 open sockets. */
     public static void writeConfig(Path file, FleetPlan plan, ManagerPlace place, long seed)
             throws IOException {
         writeConfig(file, plan, place, seed, 1_024);
     }
 
-    /** The same with a limit of open sockets. */
+    /** Writes a manager's configuration, with the given limit of open sockets. */
     public static void writeConfig(
             Path file, FleetPlan plan, ManagerPlace place, long seed, int sockets)
             throws IOException {
@@ -241,7 +241,7 @@
         out.writeEndObject();
     }
 
-    /** Writes the peers file, each peer with the address at which this manager reaches it. */
+    /** Writes the peers file with the address at which this manager reaches each peer. */
     static void writePeers(Path file, FleetPlan plan, LoopbackAddresses addresses, int manager)
             throws IOException {
         List<String> lines = new ArrayList<>();
@@ -285,7 +285,7 @@
         Files.write(file, lines);
     }
 
-    /** The managers of a cell, each with the address at which this one reaches it. */
+    /** Returns the addresses at which a manager reaches those of a cell, quoted, with commas. */
     private static String hostList(
             FleetPlan plan, LoopbackAddresses addresses, int manager, int cell) {
         return IntStream.range(0, plan.managers().count())
--- a/src/main/java/firstage/faulttest/ManagerController.java
+++ b/src/main/java/firstage/faulttest/ManagerController.java
@@ -12,8 +12,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Kills, stops, pauses, restarts and ends the managers' processes, and keeps apart the ends that
- * were ordered from those that were not.
+ * Kills, stops, pauses, restarts and shuts down the managers' processes, and
+ * distinguishes ends that the test caused from unexpected ones.
  */
 final class ManagerController {
     private static final long SHUTDOWN_TIMEOUT_MS = 8_000;
@@ -21,7 +21,7 @@
 
     private static final long RESTART_CHECK_MS = 20;
 
-    /** From SIGTERM until the clients' load balancer begins to notice that the manager leaves. */
+    /** Time from SIGTERM until the clients' load balancer begins to notice the shutdown. */
     private static final long STOP_ANNOUNCED_AFTER = Ticks.ofMillis(300);
 
     private final FleetPlan plan;
@@ -38,7 +38,11 @@
     private final AtomicInteger restartsPending = new AtomicInteger();
     private final List<String> unexpectedEnds = new ArrayList<>();
 
-    /** {@code blockingTasks} runs what waits for a process. */
+    /**
+     * Creates a controller of processes that run already.
+     *
+     * @param blockingTasks runs tasks that wait for a process
+     */
     ManagerController(
             FaultTestSpec spec,
             LoopbackAddresses addresses,
@@ -62,7 +66,7 @@
         endExpected = new boolean[plan.managers().count()];
     }
 
-    /** Notices processes that ended without an order. */
+    /** Records processes that ended unexpectedly. */
     void checkProcesses() {
         for (int m = 0; m < endExpected.length; m++) {
             if (!processes.isAlive(m) && !endExpected[m]) {
@@ -70,9 +74,9 @@
                 unexpectedEnds.add(
                         "manager "
                                 + m
-                                + " ended by itself at "
+                                + " ended unexpectedly at "
                                 + clock.elapsed() / 10
-                                + " ms with "
+                                + " ms with status "
                                 + processes.exitStatus(m));
                 int manager = m;
                 loop.execute(
@@ -91,11 +95,16 @@
             recorder.writeEvent(clock.elapsed(), "signal", "manager", manager, "name", name);
         } catch (IOException failure) {
             unexpectedEnds.add(
-                    "no signal " + name + " for manager " + manager + ": " + failure.getMessage());
+                    "can't send "
+                            + name
+                            + " to manager "
+                            + manager
+                            + ": "
+                            + failure.getMessage());
         }
     }
 
-    /** Stops a manager's process for {@code ticks} without ending it. */
+    /** Stops a manager's process by SIGSTOP and continues it after {@code ticks}. */
     void pause(int manager, long ticks) {
         signal(manager, "STOP");
         generator.onManagerPaused(manager, loop.events().now() + ticks);
@@ -105,10 +114,10 @@
 
     /** Kills a manager and restarts it after the plan's restart time. */
     void kill(int manager, RandomGenerator random) {
-        // One that ends by order is started again once.
+        // A manager that is already ending is restarted only once.
         if (processes.isAlive(manager) && !endExpected[manager]) {
             endExpected[manager] = true;
-            // Told first: its connections end before this thread goes on.
+            // Reported before the kill: its connections may break before this thread continues.
             generator.onManagerKilled(manager);
             extension.onManagerEnding(manager, true);
             processes.kill(manager);
@@ -140,10 +149,10 @@
             unexpectedEnds.add(
                     "manager "
                             + manager
-                            + " did not end well after SIGTERM: "
+                            + " did not shut down properly after SIGTERM: "
                             + (ended
                                     ? "status " + processes.exitStatus(manager)
-                                    : "still there after 30 s"));
+                                    : "still running after 30 s"));
         }
         recorder.writeEvent(clock.elapsed(), "ended", "manager", manager);
         restartLater(manager, random);
@@ -182,7 +191,7 @@
                 processes.incarnation(manager));
     }
 
-    /** Ends all managers by SIGTERM and returns the processor time that they used, s. */
+    /** Shuts all managers down by SIGTERM; returns the processor seconds that they used. */
     double shutDownAll() throws IOException {
         awaitRestarts();
         double processorSeconds = 0;
@@ -206,7 +215,7 @@
                 unexpectedEnds.add(
                         "manager "
                                 + m
-                                + " ended with "
+                                + " ended with status "
                                 + processes.exitStatus(m)
                                 + " after SIGTERM");
             }
@@ -214,7 +223,7 @@
         return processorSeconds;
     }
 
-    /** A process that starts can't take a signal yet. */
+    /** Waits for pending restarts, as a process that is starting can't handle signals yet. */
     private void awaitRestarts() {
         long deadlineNs = System.nanoTime() + GRACEFUL_STOP_TIMEOUT_MS * 1_000_000;
         while (restartsPending.get() > 0 && System.nanoTime() < deadlineNs) {
@@ -227,7 +236,7 @@
         }
     }
 
-    /** Processes that ended otherwise than ordered, and orders that failed. */
+    /** Returns descriptions of unexpected ends of processes and of actions that failed. */
     List<String> unexpectedEnds() {
         return unexpectedEnds;
     }
--- a/src/main/java/firstage/faulttest/ManagerProcesses.java
+++ b/src/main/java/firstage/faulttest/ManagerProcesses.java
@@ -16,8 +16,8 @@
 import java.util.function.IntFunction;
 
 /**
- * The managers' processes: starts, signals and ends them by id, also when the tool itself is
- * interrupted.
+ * The managers' processes: starts, signals and ends them by process id. A shutdown hook ends them
+ * when the tool itself is interrupted.
  */
 public final class ManagerProcesses implements AutoCloseable {
     private static final int READY_TIMEOUT_MS = 20_000;
@@ -28,14 +28,23 @@
     private final Path processListFile;
     private final List<String> command;
     private final IntFunction<Map<String, String>> environment;
-    private final Thread shutdownHook = new Thread(this::endAll, "end of the fault test");
+    private final Thread shutdownHook = new Thread(this::endAll, "fault-test shutdown");
 
-    /** {@code command}: starts a manager; the environment names its configuration file. */
+    /**
+     * Creates {@code count} managers without starting them.
+     *
+     * @param command command line that starts a manager; the environment variable {@code
+     *     ROUTER_CONFIG} names the manager's configuration file
+     */
     public ManagerProcesses(Path folder, Path processListFile, List<String> command, int count) {
         this(folder, processListFile, command, count, manager -> Map.of());
     }
 
-    /** The same; {@code environment}: more variables, by manager. */
+    /**
+     * Creates {@code count} managers without starting them.
+     *
+     * @param environment returns additional environment variables by manager
+     */
     ManagerProcesses(
             Path folder,
             Path processListFile,
@@ -54,8 +63,8 @@
     }
 
     /**
-     * The words of the deployment's command with another jar, and without {@code exec}, as no shell
-     * runs it.
+     * Returns the words of the deployment's command line with another jar, and without {@code exec},
+     * as no shell runs it.
      */
     public static List<String> command(String run, Path jar) {
         List<String> words =
@@ -79,7 +88,7 @@
         return folder.resolve("m" + manager + ".peers.toml");
     }
 
-    /** Where runs list the processes that they started. */
+    /** Returns the folder where runs list the processes that they started. */
     public static Path processListFolder() {
         return Path.of(System.getProperty("java.io.tmpdir"), "firstage-yards");
     }
@@ -102,7 +111,7 @@
         writeProcessList();
     }
 
-    /** Lists the live processes, for a later run to end if this one is killed. */
+    /** Lists the live processes, so that a later run can end them if this run is killed. */
     private synchronized void writeProcessList() throws IOException {
         List<String> lines = new ArrayList<>();
         lines.add(
@@ -123,8 +132,8 @@
     }
 
     /**
-     * Ends the processes of killed runs and returns a line for each; a reused process id is left
-     * alone.
+     * Ends the processes of killed runs and returns a line for each. Processes are identified by id
+     * and start time, so that another process with a reused id is left alone.
      */
     static List<String> endOrphans(Path processListFolder) throws IOException {
         List<String> ended = new ArrayList<>();
@@ -170,7 +179,7 @@
     /**
      * Waits until a manager serves.
      *
-     * @throws IOException with its last log lines if it ends or does not serve in time
+     * @throws IOException with the manager's last log lines if it ends or does not serve in time
      */
     public void awaitReady(int manager, InetSocketAddress address) throws IOException {
         long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
@@ -179,7 +188,7 @@
                 throw new IOException(
                         "manager "
                                 + manager
-                                + " ended at its start with "
+                                + " ended at its start with status "
                                 + processes.get(manager).exitValue()
                                 + ": "
                                 + lastLogLines(manager));
@@ -221,7 +230,7 @@
         List<String> lines =
                 Files.exists(logFile(manager)) ? Files.readAllLines(logFile(manager)) : List.of();
         return lines.isEmpty()
-                ? "it said nothing"
+                ? "its log is empty"
                 : String.join(
                         " | ",
                         lines.subList(Math.max(0, lines.size() - LOG_LINES_SHOWN), lines.size()));
@@ -239,7 +248,7 @@
         return processes.get(manager) != null && processes.get(manager).isAlive();
     }
 
-    /** How often a manager was started. */
+    /** Returns how often a manager was started. */
     int incarnation(int manager) {
         return incarnations.get(manager);
     }
@@ -256,7 +265,7 @@
         }
     }
 
-    /** Waits for a manager's end; false if it did not end in time. */
+    /** Waits at most {@code ms} for a manager's process to end; returns whether it ended. */
     public boolean awaitExit(int manager, long ms) {
         try {
             return processes.get(manager).waitFor(ms, TimeUnit.MILLISECONDS);
@@ -270,17 +279,17 @@
         return processes.get(manager).exitValue();
     }
 
-    /** A manager's present process. */
+    /** Returns a manager's current process. */
     public ProcessHandle handle(int manager) {
         return processes.get(manager).toHandle();
     }
 
-    /** The file of a manager's standard output and error. */
+    /** Returns the file of a manager's standard output and error. */
     public Path logFile(int manager) {
         return folder.resolve("logs").resolve("m" + manager + ".log");
     }
 
-    /** Processor time of a manager's present process, s; 0 if unknown. */
+    /** Returns the processor seconds of a manager's current process; 0 if unknown. */
     double processorSeconds(int manager) {
         return isAlive(manager)
                 ? processes
@@ -298,7 +307,7 @@
         try {
             Files.deleteIfExists(processListFile);
         } catch (IOException ignored) {
-            // The next run finds no live process in it.
+            // A later run finds no live process in the file, and deletes it.
         }
     }
 
--- a/src/main/java/firstage/faulttest/NetworkLinks.java
+++ b/src/main/java/firstage/faulttest/NetworkLinks.java
@@ -30,7 +30,11 @@
         toPeer = new LinkFaults[managers][managers];
     }
 
-    /** Creates all links, those between peers with {@code withPeers}; before the proxy starts. */
+    /**
+     * Creates all links; must be called before the proxy starts.
+     *
+     * @param withPeers whether datagrams between managers are forwarded
+     */
     void open(boolean withPeers) throws IOException {
         int managers = plan.managers().count();
         for (int manager = 0; manager < managers; manager++) {
@@ -66,7 +70,7 @@
         endpoints[manager][engine].setMode(FaultInjectingProxy.EndpointMode.OPEN, false);
     }
 
-    /** How an engine's address answers to all managers from now on. */
+    /** Sets how the proxy's addresses of an engine respond to the managers. */
     void setEngineMode(
             int engine, FaultInjectingProxy.EndpointMode mode, boolean resetConnections) {
         for (FaultInjectingProxy.Endpoint[] ofManager : endpoints) {
@@ -81,17 +85,20 @@
         }
     }
 
-    /** How late the proxy passed data on at most in the last quarter of a second, in ticks. */
+    /** Returns the proxy's longest delay within the last quarter of a second, in ticks. */
     long recentLateness() {
         return proxy.recentLateness();
     }
 
-    /** Whether the link to the engine is or was faulty within the last {@code ticks}. */
+    /** Returns whether the link to the engine is faulty or was within the last {@code ticks}. */
     boolean toEngineFaultyWithin(int manager, int engine, long ticks) {
         return toEngine[manager][engine].faultyWithin(ticks);
     }
 
-    /** Applies the action to each link from one of {@code from} to one of {@code to}. */
+    /**
+     * Applies an action to each link from one of {@code from} to one of {@code to}, and to the
+     * reverse links unless the fault is one-way.
+     */
     void forEach(Fault fault, List<Integer> from, List<Integer> to, Consumer<LinkFaults> action) {
         boolean fromEngines = fault.source().isEngines();
         boolean toEngines = fault.target().isEngines();
--- a/src/main/java/firstage/faulttest/ResultEvaluator.java
+++ b/src/main/java/firstage/faulttest/ResultEvaluator.java
@@ -13,18 +13,18 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Computes a run's figures, compares them with the plan's expectations and gives the verdict. */
+/** Computes a run's figures, compares them with the plan's expectations and builds the result. */
 final class ResultEvaluator {
-    /** A run whose loop was later than this (99th percentile) is void. */
+    /** Longest valid lateness of the loop (99th percentile); a run with more is void. */
     private static final double MAX_LATENESS_99TH_MS = 25;
 
-    /** Share of the offered weight that a recovered second earns at least. */
+    /** Least share of the requested priority weight that a recovered second earns. */
     private static final double RECOVERED_SHARE = 0.9;
 
     private static final int RECOVERED_SECONDS = 3;
     private static final int TICKS_PER_SECOND = 10_000;
 
-    /** The names by which plans set expectations on the figures computed here. */
+    /** Names of the figures computed here, as plans write them in expectations. */
     private static final List<String> FIGURES =
             List.of(
                     "further a first",
@@ -57,9 +57,9 @@
     }
 
     /**
-     * Refuses a plan that expects a figure which a fault test does not have.
+     * Checks that a plan has expectations only on figures that a fault test computes.
      *
-     * @throws InvalidPlanException naming the line and the known figures
+     * @throws InvalidPlanException if not; its message names the line and the known figures
      */
     static void checkExpectations(FleetPlan plan) {
         List<String> known = new ArrayList<>(new Scoreboard(plan, 0).figures().keySet());
@@ -77,7 +77,11 @@
         }
     }
 
-    /** The result; {@code processorSeconds}: used by all managers together. */
+    /**
+     * Returns the result of the run.
+     *
+     * @param processorSeconds processor time that all managers used together
+     */
     FaultTestResult evaluate(double processorSeconds, List<String> violations) {
         Map<String, Double> figures = figures(processorSeconds);
         return new FaultTestResult(figures, violations, missedExpectations(figures), voidReason());
@@ -116,7 +120,7 @@
                 missed.add(
                         String.format(
                                 Locale.ROOT,
-                                "%s is %.4f, wanted %s",
+                                "%s is %.4f, expected %s",
                                 expectation.figure(),
                                 value,
                                 value < expectation.min()
@@ -137,8 +141,9 @@
                 : Optional.of(
                         String.format(
                                 Locale.ROOT,
-                                "the emulators came %.0f ms late (99th); %.0f would do:"
-                                        + " fewer managers, or a machine with more time",
+                                "the emulators were %.0f ms late (99th percentile), at most %.0f"
+                                        + " are allowed: run fewer managers, or use a machine with"
+                                        + " more free processor time",
                                 lateness,
                                 MAX_LATENESS_99TH_MS));
     }
@@ -148,8 +153,8 @@
     }
 
     /**
-     * Seconds from the last fault's end until three seconds in a row earn nine tenths; -1 if they
-     * never do.
+     * Returns the seconds from the last fault's end until three seconds in a row each earn nine
+     * tenths of their requested weight; -1 if they never do, 0 if fewer than three seconds remain.
      */
     private double recoverySeconds() {
         long lastFaultEnd = 0;
--- a/src/main/java/firstage/faulttest/RunClock.java
+++ b/src/main/java/firstage/faulttest/RunClock.java
@@ -2,7 +2,7 @@
 
 import firstage.emulator.RealTimeLoop;
 
-/** Time since a run's traffic began, in ticks; far below zero before that. */
+/** Measures the time since a run's traffic began, in ticks; far below zero before that. */
 final class RunClock {
     private final RealTimeLoop loop;
     private long startedAt = Long.MAX_VALUE / 2;
@@ -11,7 +11,7 @@
         this.loop = loop;
     }
 
-    /** Traffic begins at this time of the loop. */
+    /** Sets the time of the loop at which traffic begins. */
     void start(long time) {
         startedAt = time;
     }
--- a/src/main/java/firstage/faulttest/RunObserver.java
+++ b/src/main/java/firstage/faulttest/RunObserver.java
@@ -8,9 +8,12 @@
 import firstage.simulation.TrueRequest;
 import firstage.util.Ticks;
 
-/** Records what clients and engines see: events, and sums by second. On the loop's thread. */
+/**
+ * Records what clients and engines observe, as events and as sums by second. Runs on the loop's
+ * thread.
+ */
 final class RunObserver implements LoadGenerator.Observer, EmulatedEngine.Observer {
-    /** Data that a faulty link kept back arrives within this after the link is repaired. */
+    /** Longest time after a link's repair until data that the fault held back has arrived. */
     private static final long DELAYED_BY_LINK = Ticks.ofSeconds(2);
 
     private final FleetPlan plan;
@@ -80,7 +83,7 @@
         }
     }
 
-    /** Counts in the second of the request's arrival: the share of its weight that it earned. */
+    /** Adds the earned share of a request's weight to the second in which the request arrived. */
     private void addEarned(ClientTry clientTry) {
         FleetPlan.TrafficClassPlan trafficClass =
                 plan.trafficClasses().get(clientTry.request.trafficClass);
--- a/src/main/java/firstage/faulttest/RunRecorder.java
+++ b/src/main/java/firstage/faulttest/RunRecorder.java
@@ -17,9 +17,12 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Records a run in files: a line of JSON per event, a row per second, charts. For one thread. */
+/**
+ * Records a run in files: a line of JSON for each event, a table with a row for each second, and
+ * charts. Not thread-safe.
+ */
 final class RunRecorder implements AutoCloseable {
-    /** When a fault lasted, in seconds since traffic began. */
+    /** The interval of a fault, in seconds since traffic began. */
     record FaultInterval(double start, double end) {
         boolean contains(int second) {
             return second >= start && second < end;
@@ -32,7 +35,7 @@
     private final Writer timeline;
     private final JsonFactory json = new JsonFactory();
 
-    /** Index: second; key: name of the column. */
+    /** Values by column name, one map for each second. */
     private final List<Map<String, Double>> valuesBySecond = new ArrayList<>();
 
     private final Map<String, Integer> columnNames = new TreeMap<>();
@@ -45,8 +48,10 @@
     }
 
     /**
-     * Writes an event; {@code time} in ticks since traffic began; {@code pairs}: name, value, name
-     * ...
+     * Writes an event.
+     *
+     * @param time ticks since traffic began
+     * @param pairs names and values of the event's fields in turn
      */
     void writeEvent(long time, String name, Object... pairs) {
         try (JsonGenerator out = json.createGenerator(timeline)) {
@@ -73,7 +78,7 @@
         }
     }
 
-    /** Adds to the value of a second and to the sum over the run. */
+    /** Adds to a column's value in the second of {@code time} and to its sum over the run. */
     void add(long time, String name, double amount) {
         int second = (int) Math.max(0, time / 10_000);
         while (valuesBySecond.size() <= second) {
@@ -94,7 +99,7 @@
                 : 0;
     }
 
-    /** Writes the table of seconds and the charts, in which faults are a series of their own. */
+    /** Writes the table of seconds and the charts; one chart shows the faults as a series. */
     void writeTables(String title, List<FaultInterval> faults, List<String> zones)
             throws IOException {
         List<String> rows =
--- a/src/test/java/firstage/faulttest/FaultTestIT.java
+++ b/src/test/java/firstage/faulttest/FaultTestIT.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Several processes of the packaged program with injected faults. Checks rules, crashes and what
- * the members log about each other; no figure that depends on the machine's load. A run whose
- * emulators came too late is void: it passes and says so.
+ * Runs several processes of the packaged program with injected faults. Checks the rules, unexpected
+ * ends of processes and what members log about each other, but no figure that depends on the
+ * machine's load. For a void run, whose emulators were too late, the reason is printed as well.
  */
 @Timeout(120)
 class FaultTestIT {
@@ -90,7 +90,7 @@
 who = "managers 3"
 """));
         assertThat(logLines(0, "member {\"is\":\"suspect\",\"name\":\"m3\"")).isNotEmpty();
-        // Restarted under a new incarnation, it rejoins.
+        // The restarted manager rejoins under a new incarnation.
         List<String> views = logLines(0, "view {");
         assertThat(views).anyMatch(line -> line.contains("\"m0 m1 m2\""));
         assertThat(views.subList(2, views.size())).anyMatch(line -> line.contains("m0 m1 m2 m3"));
@@ -98,8 +98,8 @@
     }
 
     /**
-     * Twelve processes in four cells: engines restart, a cell is cut off from another, managers are
-     * killed.
+     * Runs twelve managers in four cells while engines restart, a cell is cut off from another and
+     * managers are killed.
      */
     @Test
     void play_cellsWithFaults_noViolationAndAttemptsStayInTheirZone() throws IOException {
