--- a/src/main/java/firstage/faulttest/EngineFaults.java
+++ b/src/main/java/firstage/faulttest/EngineFaults.java
@@ -167,10 +167,10 @@
     }
 
     private void announceTo(int manager, int engine, Lifecycle lifecycle, long startedAt) {
-        boolean stale =
+        boolean restoredMeanwhile =
                 lifecycle == Lifecycle.GONE
                         && engines.get(engine).model().state() == EngineModel.State.UP;
-        if (stale) {
+        if (restoredMeanwhile) {
             return;
         }
         // An update counts as sent once its coordinator is no longer silent, at most 7 s later.
--- a/src/main/java/firstage/faulttest/FaultInjector.java
+++ b/src/main/java/firstage/faulttest/FaultInjector.java
@@ -44,9 +44,9 @@
 
     /** Schedules all faults, each with a random number generator of its own. */
     void scheduleAll(RandomStreams randomStreams) {
-        int number = 0;
+        int index = 0;
         for (Fault fault : plan.faults()) {
-            RandomGenerator random = randomStreams.stream("fault", number++);
+            RandomGenerator random = randomStreams.stream("fault", index++);
             loop.events().schedule(fault.at(), () -> inject(fault, random));
         }
     }
@@ -66,22 +66,22 @@
                 "length_ms",
                 fault.length() / 10);
         switch (fault.kind()) {
-            case KILL -> repeat(fault, affected, m -> managers.kill(m, random));
-            case STOP -> repeat(fault, affected, m -> managers.stop(m, random));
-            case PAUSE -> repeat(fault, affected, m -> managers.pause(m, fault.length()));
-            case RELOAD -> repeat(fault, affected, m -> managers.signal(m, "HUP"));
+            case KILL -> applyToManagers(fault, affected, m -> managers.kill(m, random));
+            case STOP -> applyToManagers(fault, affected, m -> managers.stop(m, random));
+            case PAUSE -> applyToManagers(fault, affected, m -> managers.pause(m, fault.length()));
+            case RELOAD -> applyToManagers(fault, affected, m -> managers.signal(m, "HUP"));
             case DIE -> affected.forEach(e -> engines.die(e, fault.length(), random));
             case SILENCE -> affected.forEach(e -> engines.silence(e, fault.length(), random));
             case HANG -> affected.forEach(e -> engines.hang(e, fault.length()));
             case DRAIN -> affected.forEach(e -> engines.drain(e, fault.length(), random));
-            case CUT -> onLinks(fault, random, (link, active) -> link.setCut(active));
+            case CUT -> applyToLinks(fault, random, (link, active) -> link.setCut(active));
             case LOSS ->
-                    onLinks(
+                    applyToLinks(
                             fault,
                             random,
                             (link, active) -> link.setLoss(active ? fault.size() : 0));
             case DELAY ->
-                    onLinks(
+                    applyToLinks(
                             fault,
                             random,
                             (link, active) ->
@@ -101,7 +101,7 @@
      * Applies an action to all affected managers at once; for a fault with an interval, to the next
      * one at each interval, in turn until the plan's end.
      */
-    private void repeat(Fault fault, List<Integer> affected, IntConsumer action) {
+    private void applyToManagers(Fault fault, List<Integer> affected, IntConsumer action) {
         if (fault.interval() <= 0) {
             affected.forEach(action::accept);
         } else {
@@ -124,7 +124,7 @@
      * Sets a fault on links, clears it after its length, and sets it again after its interval, if
      * there is one.
      */
-    private void onLinks(
+    private void applyToLinks(
             Fault fault, RandomGenerator random, BiConsumer<LinkFaults, Boolean> setActive) {
         List<Integer> from = fault.source().among(plan, random);
         List<Integer> to = fault.target().among(plan, random);
@@ -141,7 +141,7 @@
                                 loop.events()
                                         .schedule(
                                                 fault.interval(),
-                                                () -> onLinks(fault, random, setActive));
+                                                () -> applyToLinks(fault, random, setActive));
                             }
                         });
     }
--- a/src/main/java/firstage/faulttest/FaultTestRun.java
+++ b/src/main/java/firstage/faulttest/FaultTestRun.java
@@ -41,7 +41,7 @@
     /** Time after the end of the traffic from which the run may end, once no client is active. */
     private static final long EARLIEST_END = Ticks.ofSeconds(1);
 
-    private static final int STARTED_TOGETHER = 8;
+    private static final int START_BATCH_SIZE = 8;
     private static final int CHECK_INTERVAL_MS = 500;
 
     private final FaultTestSpec spec;
@@ -197,8 +197,8 @@
 
     private void startManagers() throws IOException {
         int count = plan.managers().count();
-        for (int from = 0; from < count; from += STARTED_TOGETHER) {
-            int to = Math.min(count, from + STARTED_TOGETHER);
+        for (int from = 0; from < count; from += START_BATCH_SIZE) {
+            int to = Math.min(count, from + START_BATCH_SIZE);
             for (int m = from; m < to; m++) {
                 processes.start(m, spec.withPeers());
             }
--- a/src/main/java/firstage/faulttest/ManagerConfigWriter.java
+++ b/src/main/java/firstage/faulttest/ManagerConfigWriter.java
@@ -167,7 +167,7 @@
 
     private static void writeTenants(JsonGenerator out, FleetPlan plan) throws IOException {
         out.writeArrayFieldStart("tenants");
-        double shares = plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).sum();
+        double totalShare = plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).sum();
         for (FleetPlan.TenantPlan tenant : plan.tenants()) {
             out.writeStartObject();
             out.writeStringField("name", tenant.name());
@@ -179,7 +179,7 @@
                                     * plan.managers().fleetSize()
                                     / plan.managers().count()
                                     * tenant.share()
-                                    / shares);
+                                    / totalShare);
             out.writeEndObject();
         }
         out.writeEndArray();
--- a/src/main/java/firstage/faulttest/ManagerProcesses.java
+++ b/src/main/java/firstage/faulttest/ManagerProcesses.java
@@ -66,9 +66,11 @@
      * Returns the words of the deployment's command line with another jar, and without {@code exec},
      * as no shell runs it.
      */
-    public static List<String> command(String run, Path jar) {
+    public static List<String> command(String commandLine, Path jar) {
         List<String> words =
-                new ArrayList<>(Arrays.asList(run.replaceFirst("^exec ", "").trim().split("\\s+")));
+                new ArrayList<>(
+                        Arrays.asList(
+                                commandLine.replaceFirst("^exec ", "").trim().split("\\s+")));
         for (int i = 0; i < words.size(); i++) {
             if (words.get(i).equals("target/firstage.jar")) {
                 words.set(i, jar.toString());
@@ -239,7 +241,7 @@
     private static void pause(long ms) {
         try {
             Thread.sleep(ms);
-        } catch (InterruptedException fault) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
@@ -269,7 +271,7 @@
     public boolean awaitExit(int manager, long ms) {
         try {
             return processes.get(manager).waitFor(ms, TimeUnit.MILLISECONDS);
-        } catch (InterruptedException fault) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             return false;
         }
--- a/src/main/java/firstage/faulttest/NetworkLinks.java
+++ b/src/main/java/firstage/faulttest/NetworkLinks.java
@@ -73,15 +73,15 @@
     /** Sets how the proxy's addresses of an engine respond to the managers. */
     void setEngineMode(
             int engine, FaultInjectingProxy.EndpointMode mode, boolean resetConnections) {
-        for (FaultInjectingProxy.Endpoint[] ofManager : endpoints) {
-            ofManager[engine].setMode(mode, resetConnections);
+        for (FaultInjectingProxy.Endpoint[] managerEndpoints : endpoints) {
+            managerEndpoints[engine].setMode(mode, resetConnections);
         }
     }
 
     /** Resets the connections of all managers to an engine. */
     void resetConnections(int engine) {
-        for (FaultInjectingProxy.Endpoint[] ofManager : endpoints) {
-            ofManager[engine].resetConnections();
+        for (FaultInjectingProxy.Endpoint[] managerEndpoints : endpoints) {
+            managerEndpoints[engine].resetConnections();
         }
     }
 
@@ -135,11 +135,11 @@
             int engine,
             boolean fromEngineFirst,
             Consumer<LinkFaults> action) {
-        LinkFaults there = toEngine[manager][engine];
-        LinkFaults back = fromEngine[manager][engine];
-        action.accept(fromEngineFirst ? back : there);
+        LinkFaults managerToEngine = toEngine[manager][engine];
+        LinkFaults engineToManager = fromEngine[manager][engine];
+        action.accept(fromEngineFirst ? engineToManager : managerToEngine);
         if (!fault.oneWay()) {
-            action.accept(fromEngineFirst ? there : back);
+            action.accept(fromEngineFirst ? managerToEngine : engineToManager);
         }
         endpoints[manager][engine].onLinkChanged();
     }
--- a/src/test/java/firstage/faulttest/FaultTestIT.java
+++ b/src/test/java/firstage/faulttest/FaultTestIT.java
@@ -28,22 +28,23 @@
                     + " -jar target/firstage.jar serve";
     @TempDir private Path folder;
 
-    private static String text(String plan) throws IOException {
-        return Files.readString(Path.of("deploy", "fault-tests", plan + ".toml"))
+    private static String planText(String planName) throws IOException {
+        return Files.readString(Path.of("deploy", "fault-tests", planName + ".toml"))
                 .replaceFirst("(?s)\\[\\[expect.*", "")
                 .replace("rate = 50.0", "rate = 25.0");
     }
 
-    private FaultTestResult play(String plan, boolean peers, String more) throws IOException {
-        return playText(text(plan) + more, peers);
+    private FaultTestResult play(String planName, boolean peers, String additionalFaults)
+            throws IOException {
+        return playText(planText(planName) + additionalFaults, peers);
     }
 
-    private FaultTestResult playText(String plan, boolean peers) throws IOException {
-        FleetPlan read = FleetPlanReader.read(plan);
-        FaultTestRun.check(read);
+    private FaultTestResult playText(String planText, boolean peers) throws IOException {
+        FleetPlan plan = FleetPlanReader.read(planText);
+        FaultTestRun.check(plan);
         return FaultTestRun.play(
                 new FaultTestSpec(
-                        read,
+                        plan,
                         1,
                         folder,
                         Path.of("target", "firstage.jar").toAbsolutePath(),
@@ -57,9 +58,9 @@
         assertThat(result.violations()).isEmpty();
     }
 
-    private List<String> logLines(int manager, String what) throws IOException {
+    private List<String> logLines(int manager, String text) throws IOException {
         return Files.readAllLines(folder.resolve("logs").resolve("m" + manager + ".log")).stream()
-                .filter(line -> line.contains(what))
+                .filter(line -> line.contains(text))
                 .toList();
     }
 
@@ -105,7 +106,7 @@
     void play_cellsWithFaults_noViolationAndAttemptsStayInTheirZone() throws IOException {
         assertNoViolation(
                 playText(
-                        text("cells")
+                        planText("cells")
                                 .replace("length = \"26 s\"", "length = \"14 s\"")
                                 .replace("at = \"5 s\"", "at = \"3 s\"")
                                 .replace("at = \"13 s\"", "at = \"7 s\"")
