--- a/src/test/java/firstage/soak/ClientScript.java
+++ b/src/test/java/firstage/soak/ClientScript.java
@@ -3,17 +3,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What one client of a soak does, drawn before the run.
+ * Script of one client of a soak, drawn before the run.
  *
- * @param startMs when it connects
- * @param trafficClass an index of the plan
- * @param timeoutMs how long it waits for its answer
- * @param workMs of its request
- * @param departure how it leaves, if it does
- * @param leaveAfterMs after its request was sent
- * @param bodyDelayMs between the head and the end of its request; 0 for one piece
- * @param repeats how many more requests it sends on the connection, where that stays open
- * @param restMs before each of these
+ * @param startMs time at which the client connects
+ * @param trafficClass index of the traffic class in the plan
+ * @param timeoutMs time that the client allows for each answer
+ * @param workMs work of each request
+ * @param departure way in which the client leaves its first request, if it does
+ * @param leaveAfterMs time from the sending of the first request until the client leaves
+ * @param bodyDelayMs pause between head and body of the first request; 0 to send it in one piece
+ * @param repeats number of further requests on the connection, while it stays open
+ * @param restMs pause before each further request
  */
 record ClientScript(
         int number,
@@ -27,32 +27,37 @@
         long bodyDelayMs,
         int repeats,
         long restMs) {
-    /** How a client leaves. */
+    /** Ways in which a client leaves. */
     enum Departure {
-        /** It stays until it has its answer. */
+        /** Stays until it has its answer. */
         STAYS,
-        /** It closes its connection, whatever it waits for. */
+        /** Closes its connection, whatever response it is waiting for. */
         CLOSES,
-        /** It resets its connection. */
+        /** Resets its connection. */
         RESETS,
-        /** It ends its own side of the connection only. */
+        /** Shuts down only the sending side of its connection. */
         HALF_CLOSES,
-        /** It polls, and cancels on another connection; its poll stays open. */
+        /** Polls, and cancels on another connection while the poll stays open. */
         DELETES_ON_NEW_CONNECTION,
-        /** The same, and it closes the connection of its poll first. */
+        /** Polls, closes the connection of the poll and cancels on another one. */
         CLOSES_AND_DELETES,
-        /** It is given a path, does not poll and cancels on the same connection. */
+        /** Gets a path to poll, does not poll and cancels on the same connection. */
         DELETES_ON_SAME_CONNECTION,
-        /** It is given a path and closes without a poll. */
+        /** Gets a path to poll and closes its connection without polling. */
         CLOSES_WITH_PATH,
-        /** It neither reads nor polls any more, and leaves its connection open. */
+        /** Stops reading and polling, and leaves its connection open for a while. */
         VANISHES
     }
 
     private static final long[] TIMEOUTS_MS = {50, 200, 600, 1_500, 3_000, 6_000, 10_000};
     private static final int MAX_LEAVE_AFTER_MS = 1_500;
 
-    /** {@code leaveAfterMs}: below 0 to draw it, too. */
+    /**
+     * Draws a script.
+     *
+     * @param leaveAfterMs time from the sending of the request until the client leaves; below 0 to
+     *     draw the time and whether the client leaves at all
+     */
     static ClientScript draw(
             RandomGenerator random, int number, int manager, long startMs, long leaveAfterMs) {
         Departure[] departures = Departure.values();
--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -29,22 +29,26 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
 
-/** Plays the soak of one seed: its clients and faults beside a fault test, and its oracle. */
+/**
+ * Runs the soak of one seed: adds its clients and faults to a fault test, and checks how the
+ * requests end.
+ */
 final class FaultSoak implements FaultTestExtension, SoakClient.Environment {
     private static final String SERVE_COMMAND =
             "java -Xmx64m -Xss512k -XX:+UseSerialGC -XX:TieredStopAtLevel=1"
                     + " -Djava.util.logging.config.file=src/test/resources/trace-logging.properties"
                     + " -jar target/firstage.jar serve";
 
-    /** New connections come for so long after a SIGTERM. */
+    /** Time after SIGTERM during which the front still opens connections to a manager. */
     private static final long FRONT_STOPS_AFTER = Ticks.ofMillis(400);
 
     private static final long FIRST_REQUEST_ID = 1_000_000_000L;
     private static final int CLIENT_PATIENCE_MS = 25_000;
+    /** The time between repeated pauses is the length of a pause divided by this. */
     private static final long PAUSE_GAP_FACTOR = 2;
     private static final int MB = 200;
 
-    /** What a seed showed. */
+    /** Result of the soak of a seed. */
     record Report(
             long seed,
             FaultTestResult result,
@@ -80,15 +84,15 @@
         this.serveCommand = serveCommand;
     }
 
-    /** Plays a seed with the packaged program. */
+    /** Runs the soak of a seed with the packaged program. */
     static Report play(long seed, int managers, Path folder) throws IOException {
         return play(seed, managers, folder, SERVE_COMMAND);
     }
 
     /**
-     * Plays a seed.
+     * Runs the soak of a seed.
      *
-     * @param serveCommand starts a manager; the packaged program, or one with a defect
+     * @param serveCommand command that starts a manager: the packaged program, or one with a defect
      */
     static Report play(long seed, int managers, Path folder, String serveCommand)
             throws IOException {
@@ -229,7 +233,7 @@
             }
             Thread.sleep(fault.lengthMs());
         } catch (IOException refused) {
-            // The manager ends.
+            // The manager is shutting down.
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
@@ -257,11 +261,11 @@
                                 .start());
             }
         } catch (IOException missing) {
-            // Without them the machine is as busy as it is.
+            // Without the command, the soak runs without the additional load.
         }
     }
 
-    // ---- What the fault test tells.
+    // ---- Callbacks of the fault test.
 
     @Override
     public ClientTry tryById(String id) {
@@ -316,7 +320,7 @@
                         });
     }
 
-    // ---- What clients ask for; from their threads.
+    // ---- Environment of the clients; called on their threads.
 
     @Override
     public long now() {
@@ -327,7 +331,7 @@
     public Socket connect(int manager, int timeoutMs, boolean anew) throws IOException {
         Long ending = endingSince.get(manager);
         if (anew && ending != null && now() - ending > FRONT_STOPS_AFTER) {
-            throw new ConnectException("the front sends it nothing more");
+            throw new ConnectException("the front sends no new requests to a manager that is shutting down");
         }
         Socket socket = new Socket();
         socket.setTcpNoDelay(true);
@@ -389,7 +393,8 @@
         test.loop()
                 .execute(
                         () -> {
-                            // Half a second late an answer earns nothing, and is no break.
+                            // An answer that is up to half a second late earns nothing, but is no
+                            // violation.
                             clientTry.allowPause(allowed + Ticks.ofMillis(500));
                             test.rules().onAnswered(at, clientTry, rejected);
                         });
@@ -425,11 +430,11 @@
 
     @Override
     public boolean endedSince(int manager, long since) {
-        // A process that is killed accepts connections until its last moment.
+        // A process that is being killed accepts connections until it has ended.
         return killedAt.getOrDefault(manager, -1L) >= since || dying.contains(manager);
     }
 
-    // ---- What is reported.
+    // ---- Report.
 
     private Report report(FaultTestResult result) throws IOException {
         List<String> violations = new ArrayList<>(result.violations());
--- a/src/test/java/firstage/soak/FaultSoakIT.java
+++ b/src/test/java/firstage/soak/FaultSoakIT.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 
 /**
- * Many managers under faults that overlap, seeded: nothing is sent for a client that left, and
- * every other request has one final answer. By hand, more of it: {@code mvn -B verify
- * -Dit.test=FaultSoakIT -Dsoak.first=1 -Dsoak.count=50 -Dsoak.managers=16}.
+ * Runs many managers under overlapping faults drawn from seeds: nothing may be sent for a client
+ * that left, and every other request must get one final answer. A longer soak is run by hand:
+ * {@code mvn -B verify -Dit.test=FaultSoakIT -Dsoak.first=1 -Dsoak.count=50 -Dsoak.managers=16}.
  */
 class FaultSoakIT {
     private static final long FIRST_SEED = Long.getLong("soak.first", 1);
@@ -23,7 +23,8 @@
     private static final Path RECORDS = Path.of("target", "soak");
 
     /**
-     * Requests sent on after their clients left, closed over or never answered, under any fault.
+     * Guards against requests that are sent to engines after their clients left, whose connections
+     * are closed without an answer, or that are never answered, under any fault.
      */
     @Test
     @DisabledIfSystemProperty(named = "soak.defect", matches = ".+")
@@ -54,7 +55,8 @@
     }
 
     /**
-     * A soak that finds no known defect proves nothing; by hand: {@code -Dsoak.defect=GUARD_OFF}.
+     * Verifies that the soak finds a known defect, without which a passing soak would prove nothing;
+     * run by hand with {@code -Dsoak.defect=GUARD_OFF}.
      */
     @Test
     @EnabledIfSystemProperty(named = "soak.defect", matches = ".+")
--- a/src/test/java/firstage/soak/SeededDefect.java
+++ b/src/test/java/firstage/soak/SeededDefect.java
@@ -10,30 +10,33 @@
 import javax.tools.ToolProvider;
 
 /**
- * A fault of the program that the soak must find: one source file with one line changed, compiled
- * to a folder that stands before the packaged program on the class path.
+ * A defect of the program that the soak must find: one source file with one line changed, compiled
+ * to a folder that precedes the packaged program on the class path.
  */
 enum SeededDefect {
-    /** Statements are sent whatever is known of their clients. */
+    /** Statements are sent whatever is known about their clients. */
     GUARD_OFF(
             "lifecycle/SendGuard.java",
             "        if (knowledge.clientSettled) {",
             "        if (true) {\n            return Verdict.SEND;\n        }\n"
                     + "        if (knowledge.clientSettled) {"),
-    /** What the program knows may be one selector pass old: new connections are not read. */
+    /** The read barrier waits for one selector pass only, so that new connections are not read. */
     KNOWLEDGE_ONE_PASS_OLD(
             "server/ReadBarrier.java", "SELECTOR_PASSES = 2;", "SELECTOR_PASSES = 1;"),
-    /** A client with a path that does not poll, and what is known, count for twice as long. */
+    /**
+     * Statements are sent on knowledge of twice the permitted age; a client that got its path and
+     * does not poll also counts as present for twice as long.
+     */
     GRACE_DOUBLED(
             "lifecycle/SendGuard.java",
             "MAX_KNOWLEDGE_AGE = Ticks.ofMillis(50)",
             "MAX_KNOWLEDGE_AGE = Ticks.ofMillis(2 * 50)"),
-    /** What gives up for lack of input does so before what came in a pause is read. */
+    /** Time-outs for lack of input expire before input that arrived during a pause is read. */
     TIMERS_BEFORE_READS(
             "server/ActionGuard.java",
             "            barrier.runAfterPendingReads(\n                    () -> {",
             "            io.execute(\n                    () -> {"),
-    /** What lay unread in a pause counts from when it is read. */
+    /** Input that arrived during a pause counts from the time at which it is read. */
     PAUSES_UNSEEN(
             "lifecycle/PauseDetector.java",
             "return isCatchingUp(now) ? pausedSince : now;",
@@ -55,7 +58,7 @@
     String serveCommand(Path folder) throws IOException {
         String source = Files.readString(SOURCES.resolve(file));
         if (!source.contains(original)) {
-            throw new IOException(this + ": " + file + " has no such line any more");
+            throw new IOException(this + ": " + file + " no longer contains the line that the defect replaces");
         }
         Path changed = folder.resolve("source").resolve(Path.of(file).getFileName());
         Path classes = folder.resolve("classes");
@@ -72,7 +75,7 @@
                         classes.toString(),
                         changed.toString());
         if (compiler.run(null, null, null, arguments.toArray(String[]::new)) != 0) {
-            throw new IOException(this + " does not compile");
+            throw new IOException(this + ": the changed source does not compile");
         }
         return FaultSoak.serveCommand()
                 .replace(
@@ -82,7 +85,7 @@
                                 + ":target/firstage.jar:target/lib/* firstage.cli.Main");
     }
 
-    /** The compiler, called from a program, expands no wildcard. */
+    /** Returns the compiler's class path; the compiler API does not expand wildcards. */
     private static String classPath() throws IOException {
         try (Stream<Path> libraries = Files.list(Path.of("target", "lib"))) {
             return Path.of("target", "classes")
--- a/src/test/java/firstage/soak/SoakClient.java
+++ b/src/test/java/firstage/soak/SoakClient.java
@@ -12,45 +12,56 @@
 import java.util.Locale;
 
 /**
- * Plays one script on sockets of its own. What it notes are its own times: when its request's last
- * byte was written, and when it had left at the latest.
+ * Runs one client script on sockets of its own. The times that it reports are those of the client:
+ * when the last byte of its request was written, and the latest time at which it had left.
  */
 final class SoakClient implements Runnable {
     private static final int CONNECT_TIMEOUT_MS = 2_000;
 
-    /** After its time an answer earns nothing, and after this more it is lost. */
+    /** Time after its deadline from which a missing answer counts as lost; until then it is late. */
     private static final long LOST_AFTER_MS = 500;
 
-    /** A request that crosses the close of its resting connection this soon is sent again. */
+    /**
+     * Time after the sending of a request on an idle connection within which the manager may close
+     * the connection because it has not seen the request yet; the client then sends it again.
+     */
     private static final long CROSSING_MS = 50;
 
     private static final int MAX_POLLS_AGAIN = 3;
+    /** Time for which a client that vanished keeps its connection open. */
     private static final long VANISHED_FOR_MS = 3_000;
 
-    /** What a soak gives its clients. */
+    /** The soak as its clients see it. */
     interface Environment {
         long now();
 
-        /** Connects; {@code anew}: for a request, which no manager that ends is sent. */
+        /**
+         * Connects to a manager.
+         *
+         * @param anew whether the connection is for a new request, which the front does not send to a
+         *     manager that is shutting down
+         */
         Socket connect(int manager, int timeoutMs, boolean anew) throws IOException;
 
         /** Registers a request just before its last byte is sent. */
         ClientTry open(ClientScript script, String id, long deadline);
 
+        /** Reports that a client left a request, at this time at the latest. */
         void left(ClientTry clientTry, Departure departure, long at);
 
-        /** It has its final answer. */
+        /** Reports the final answer to a request. */
         void answered(ClientTry clientTry, HttpMessage answer);
 
-        /** Its request never came to a manager that lives. */
+        /** Reports a request that its manager did not accept, or whose manager ended. */
         void notAccepted(ClientTry clientTry);
 
+        /** Reports a violation that the client detected. */
         void violation(ClientTry clientTry, String how);
 
-        /** Until when the manager stands still, in ticks; past or present. */
+        /** Returns the end of the manager's latest pause, in ticks; 0 if it was never paused. */
         long pausedUntil(int manager);
 
-        /** Whether the manager was killed, or ended, since then. */
+        /** Returns whether the manager was killed, or ended unexpectedly, since {@code since}. */
         boolean endedSince(int manager, long since);
     }
 
@@ -63,10 +74,10 @@
     private String path;
     private long sentAt;
 
-    /** When its connection was made at the earliest. */
+    /** Earliest time at which the connection was established. */
     private long connectedAt;
 
-    /** Ticks. */
+    /** Deadline of the current request, in ticks. */
     private long deadline;
 
     SoakClient(Environment environment, ClientScript script, String idPrefix) {
@@ -94,7 +105,7 @@
         }
     }
 
-    /** Sends a request and follows it; whether its connection can be used again. */
+    /** Sends a request and follows it; returns whether its connection can be used again. */
     private boolean request(Departure departure, boolean rested) {
         path = null;
         clientTry = null;
@@ -113,7 +124,7 @@
         }
     }
 
-    /** Its time counts from its last byte. */
+    /** Writes a request; its deadline counts from its last byte. */
     private void write() throws IOException {
         String id =
                 String.format(
@@ -157,7 +168,7 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Reads the next response, at most until then (ticks); null where none came by then. */
+    /** Reads the next response; returns null if none comes by {@code until}, in ticks. */
     private HttpMessage readUntil(long until) throws IOException {
         long leftMs = Ticks.toMillis(until - environment.now());
         if (leftMs <= 0) {
@@ -171,7 +182,7 @@
         }
     }
 
-    /** When an answer that has not come is lost, by what is known now. */
+    /** Returns the time at which a missing answer counts as lost, given the pauses so far. */
     private long lostAt() {
         return Math.max(deadline, environment.pausedUntil(script.manager()))
                 + Ticks.ofMillis(LOST_AFTER_MS);
@@ -265,13 +276,13 @@
                 sleep(VANISHED_FOR_MS);
                 socket.close();
             }
-            case STAYS -> throw new IllegalStateException("it stays");
+            case STAYS -> throw new IllegalStateException("a client that stays does not leave");
         }
         environment.left(clientTry, departure, environment.now());
         if (departure == Departure.DELETES_ON_NEW_CONNECTION
                 || departure == Departure.DELETES_ON_SAME_CONNECTION
                 || departure == Departure.HALF_CLOSES) {
-            // It stays connected for a while, so that nothing but its word tells that it left.
+            // Stays connected, so that only the DELETE or the half-close shows that it left.
             sleep(VANISHED_FOR_MS / 2);
         }
     }
@@ -299,20 +310,23 @@
         try {
             HttpMessage.read(other.getInputStream());
         } catch (IOException noAnswer) {
-            // It was cancelled when it was written.
+            // The cancellation counts from when the DELETE was written.
         } finally {
             closeQuietly(other);
         }
     }
 
-    /** The connection ended with no answer: never right over a request that was read. */
+    /**
+     * Handles a connection that ended without an answer. That is a violation unless the manager
+     * ended, the client had left or has a path to poll, or the close crossed the request.
+     */
     private boolean onBroken(boolean rested, IOException fault) {
         boolean crossed =
                 rested && Ticks.toMillis(environment.now() - sentAt) <= CROSSING_MS && path == null;
         if (environment.endedSince(script.manager(), connectedAt)) {
             environment.notAccepted(clientTry);
         } else if (clientTry.hasLeft() || path != null || crossed) {
-            // It goes, or sends its request again elsewhere: this one must not run.
+            // The client leaves or sends its request again elsewhere: this try must not run.
             environment.left(clientTry, script.departure(), environment.now());
         } else {
             environment.violation(clientTry, "closed without an answer: " + fault);
--- a/src/test/java/firstage/soak/SoakPlan.java
+++ b/src/test/java/firstage/soak/SoakPlan.java
@@ -10,18 +10,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All that a seed draws: the fleet and its faults as a plan of the fault tests, and beside them
- * clients, failing system calls, signals in series and silent coordinators.
+ * Everything that is drawn from a seed: the fleet and its faults as a plan of the fault tests, and
+ * in addition clients, failing system calls, series of signals and silent coordinators.
  *
- * @param text of the plan
- * @param extraFaults beside the plan's
+ * @param text text of the plan
+ * @param extraFaults faults in addition to the plan's
  */
 record SoakPlan(
         String text, FleetPlan plan, List<ClientScript> clients, List<ExtraFault> extraFaults) {
-    /** The traffic classes of the plan. */
+    /** Names of the plan's traffic classes, by index. */
     static final List<String> TRAFFIC_CLASSES = List.of("lookup", "report", "log-load");
 
-    /** Length of a run, without its start and end. */
+    /** Length of a run, without its startup and shutdown. */
     private static final int LENGTH_MS = 12_000;
 
     private static final int FIRST_FAULT_MS = 800;
@@ -31,11 +31,12 @@
     private static final int HOUR_S = 3_600;
 
     /**
-     * A fault that a plan has no word for.
+     * A fault that the plans of fault tests don't support.
      *
-     * @param subject the manager or engine
-     * @param systemCall what fails, for {@link ExtraKind#SYSTEM_CALLS}
-     * @param value its rate, seconds of a clock step, or how often
+     * @param subject index of the manager or engine
+     * @param systemCall kind of system call that fails, for {@link ExtraKind#SYSTEM_CALLS}
+     * @param value failures in a thousand calls, seconds of a clock step, or number of repetitions,
+     *     connections or processes
      */
     record ExtraFault(
             ExtraKind kind,
@@ -45,21 +46,21 @@
             SystemCallFaults.Kind systemCall,
             int value) {}
 
-    /** What a plan of the fault tests has no word for. */
+    /** Kinds of faults that the plans of fault tests don't support. */
     enum ExtraKind {
         /** System calls of a manager fail for a while, or its wall clock is stepped. */
         SYSTEM_CALLS,
         /** All connections to an engine are reset. */
         RESET_ENGINE_CONNECTIONS,
-        /** A manager's coordinator says nothing for a while. */
+        /** A manager's coordinator sends nothing for a while. */
         SILENT_COORDINATOR,
-        /** SIGHUP several times in a row. */
+        /** A manager gets SIGHUP several times in a row. */
         RELOADS,
-        /** A manager is stopped for a short time, several times in a row. */
+        /** A manager is paused for a short time, several times in a row. */
         PAUSES,
-        /** Many idle connections to a manager. */
+        /** Many idle connections to a manager are opened. */
         IDLE_CROWD,
-        /** Processes that use up the machine beside it. */
+        /** Other processes compete with the managers for processor time. */
         BUSY_PROCESSES
     }
 
@@ -67,6 +68,7 @@
     static SoakPlan draw(long seed, int managers) {
         RandomGenerator random = new RandomStreams(seed).stream("soak", 0);
         StringBuilder text = new StringBuilder(fleet(managers));
+        // Manager, start in ms and length in ms of each pause.
         List<long[]> pauses = new ArrayList<>();
         int faults = MAX_FAULTS / 2 + random.nextInt(MAX_FAULTS / 2);
         for (int i = 0; i < faults; i++) {
@@ -84,7 +86,7 @@
                 text.toString(), FleetPlanReader.read(text.toString()), clients, extras);
     }
 
-    /** One in two leaves in the middle of a pause of its manager, the others at any time. */
+    /** Draws a client: half of them leave during a pause of their manager, the others any time. */
     private static ClientScript client(
             RandomGenerator random, int number, int managers, List<long[]> pauses) {
         if (pauses.isEmpty() || random.nextBoolean()) {
