--- a/src/test/java/firstage/soak/ClientScript.java
+++ b/src/test/java/firstage/soak/ClientScript.java
@@ -68,7 +68,7 @@
                 stays
                         ? TIMEOUTS_MS[random.nextInt(TIMEOUTS_MS.length)]
                         : 3_000 + random.nextInt(7_000);
-        long drawnLeaveAfter =
+        long drawnLeaveAfterMs =
                 random.nextBoolean() ? random.nextInt(400) : random.nextInt(MAX_LEAVE_AFTER_MS);
         return new ClientScript(
                 number,
@@ -78,7 +78,7 @@
                 timeoutMs,
                 100 + random.nextInt(1_000),
                 departure,
-                leaveAfterMs < 0 ? drawnLeaveAfter : leaveAfterMs,
+                leaveAfterMs < 0 ? drawnLeaveAfterMs : leaveAfterMs,
                 random.nextInt(8) == 0 ? 200 + random.nextInt(1_200) : 0,
                 stays ? random.nextInt(4) : 0,
                 random.nextInt(1_500));
--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -40,13 +40,13 @@
                     + " -jar target/firstage.jar serve";
 
     /** Time after SIGTERM during which the front still opens connections to a manager. */
-    private static final long FRONT_STOPS_AFTER = Ticks.ofMillis(400);
+    private static final long FRONT_SHUTDOWN_DELAY = Ticks.ofMillis(400);
 
     private static final long FIRST_REQUEST_ID = 1_000_000_000L;
-    private static final int CLIENT_PATIENCE_MS = 25_000;
+    private static final int CLIENT_TIMEOUT_MS = 25_000;
     /** The time between repeated pauses is the length of a pause divided by this. */
-    private static final long PAUSE_GAP_FACTOR = 2;
-    private static final int MB = 200;
+    private static final long PAUSE_GAP_DIVISOR = 2;
+    private static final int REQUEST_MEMORY_MB = 200;
 
     /** Result of the soak of a seed. */
     record Report(
@@ -63,7 +63,7 @@
     private final long seed;
     private final Path folder;
     private final String serveCommand;
-    private final Map<Integer, SystemCallFaults> systemCalls = new TreeMap<>();
+    private final Map<Integer, SystemCallFaults> systemCallFaults = new TreeMap<>();
     private final Map<String, ClientTry> triesById = new ConcurrentHashMap<>();
     private final Map<String, Integer> faultCounts = new ConcurrentHashMap<>();
     private final List<Thread> threads = new ArrayList<>();
@@ -72,7 +72,7 @@
     private final AtomicInteger departures = new AtomicInteger();
     private final Map<Integer, Long> pausedUntil = new ConcurrentHashMap<>();
     private final Map<Integer, Long> killedAt = new ConcurrentHashMap<>();
-    private final Set<Integer> dying = ConcurrentHashMap.newKeySet();
+    private final Set<Integer> killedManagers = ConcurrentHashMap.newKeySet();
     private final Map<Integer, Long> endingSince = new ConcurrentHashMap<>();
     private final List<ClientTry> openTries = new ArrayList<>();
     private RunningTest test;
@@ -133,7 +133,7 @@
     private void createSystemCallFaults() throws IOException {
         if (SystemCallFaults.available()) {
             for (int m = 0; m < plan.plan().managers().count(); m++) {
-                systemCalls.put(
+                systemCallFaults.put(
                         m,
                         SystemCallFaults.create(
                                 folder, "m" + m, folder.resolve("lasting"), seed * 1_000 + m));
@@ -143,7 +143,9 @@
 
     @Override
     public Map<String, String> environment(int manager) {
-        return systemCalls.containsKey(manager) ? systemCalls.get(manager).environment() : Map.of();
+        return systemCallFaults.containsKey(manager)
+                ? systemCallFaults.get(manager).environment()
+                : Map.of();
     }
 
     @Override
@@ -194,15 +196,15 @@
                     test.signal(fault.subject(), "HUP");
                 }
             }
-            case PAUSES -> pauseAgain(fault, fault.value());
-            case IDLE_CROWD -> start(() -> crowd(fault));
+            case PAUSES -> pauseRepeatedly(fault, fault.value());
+            case IDLE_CROWD -> start(() -> openIdleConnections(fault));
             case BUSY_PROCESSES -> startBusyProcesses(fault);
         }
         faultCounts.merge(fault.kind().name(), 1, Integer::sum);
     }
 
     private void failSystemCalls(ExtraFault fault) {
-        SystemCallFaults faults = systemCalls.get(fault.subject());
+        SystemCallFaults faults = systemCallFaults.get(fault.subject());
         if (faults != null) {
             faults.set(fault.systemCall(), fault.value());
             test.loop()
@@ -213,23 +215,23 @@
         }
     }
 
-    private void pauseAgain(ExtraFault fault, int times) {
+    private void pauseRepeatedly(ExtraFault fault, int times) {
         long length = Ticks.ofMillis(fault.lengthMs());
         test.pause(fault.subject(), length);
         if (times > 1) {
             test.loop()
                     .events()
                     .schedule(
-                            length + length / PAUSE_GAP_FACTOR + 1,
-                            () -> pauseAgain(fault, times - 1));
+                            length + length / PAUSE_GAP_DIVISOR + 1,
+                            () -> pauseRepeatedly(fault, times - 1));
         }
     }
 
-    private void crowd(ExtraFault fault) {
+    private void openIdleConnections(ExtraFault fault) {
         List<Socket> idle = new ArrayList<>();
         try {
             for (int i = 0; i < fault.value(); i++) {
-                idle.add(connect(fault.subject(), CLIENT_PATIENCE_MS, true));
+                idle.add(connect(fault.subject(), CLIENT_TIMEOUT_MS, true));
             }
             Thread.sleep(fault.lengthMs());
         } catch (IOException refused) {
@@ -282,11 +284,11 @@
         long now = test.loop().now();
         endingSince.put(manager, now);
         if (killed) {
-            dying.add(manager);
+            killedManagers.add(manager);
             killedAt.put(manager, now);
             synchronized (openTries) {
                 openTries.stream()
-                        .filter(open -> open.manager == manager && open.answers() == 0)
+                        .filter(openTry -> openTry.manager == manager && openTry.answers() == 0)
                         .forEach(test.rules()::onNeverAccepted);
             }
         }
@@ -295,12 +297,12 @@
     @Override
     public void onManagerUp(int manager) {
         endingSince.remove(manager);
-        dying.remove(manager);
+        killedManagers.remove(manager);
     }
 
     @Override
     public void awaitEnd() {
-        long until = System.nanoTime() + CLIENT_PATIENCE_MS * 1_000_000L;
+        long until = System.nanoTime() + CLIENT_TIMEOUT_MS * 1_000_000L;
         for (Thread thread : List.copyOf(threads)) {
             try {
                 thread.join(Math.max(1, (until - System.nanoTime()) / 1_000_000));
@@ -309,7 +311,7 @@
             }
         }
         busyProcesses.forEach(Process::destroy);
-        systemCalls
+        systemCallFaults
                 .values()
                 .forEach(
                         faults -> {
@@ -328,9 +330,9 @@
     }
 
     @Override
-    public Socket connect(int manager, int timeoutMs, boolean anew) throws IOException {
-        Long ending = endingSince.get(manager);
-        if (anew && ending != null && now() - ending > FRONT_STOPS_AFTER) {
+    public Socket connect(int manager, int timeoutMs, boolean forRequest) throws IOException {
+        Long shutdownAt = endingSince.get(manager);
+        if (forRequest && shutdownAt != null && now() - shutdownAt > FRONT_SHUTDOWN_DELAY) {
             throw new ConnectException("the front sends no new requests to a manager that is shutting down");
         }
         Socket socket = new Socket();
@@ -353,9 +355,9 @@
                         now(),
                         deadline,
                         Ticks.ofMillis(script.workMs()),
-                        MB,
+                        REQUEST_MEMORY_MB,
                         Ticks.ofMillis(script.workMs()),
-                        MB);
+                        REQUEST_MEMORY_MB);
         ClientTry clientTry = new ClientTry(request, script.manager(), deadline);
         clientTry.setDeadlineExact();
         triesById.put(id, clientTry);
@@ -389,13 +391,13 @@
     public void answered(ClientTry clientTry, HttpMessage answer) {
         boolean rejected = answer.status() == 503 || answer.status() == 429;
         long at = now();
-        long allowed = Math.max(0, pausedUntil(clientTry.manager) - clientTry.deadline);
+        long pausedFor = Math.max(0, pausedUntil(clientTry.manager) - clientTry.deadline);
         test.loop()
                 .execute(
                         () -> {
                             // An answer that is up to half a second late earns nothing, but is no
                             // violation.
-                            clientTry.allowPause(allowed + Ticks.ofMillis(500));
+                            clientTry.allowPause(pausedFor + Ticks.ofMillis(500));
                             test.rules().onAnswered(at, clientTry, rejected);
                         });
     }
@@ -406,7 +408,7 @@
     }
 
     @Override
-    public void violation(ClientTry clientTry, String how) {
+    public void violation(ClientTry clientTry, String description) {
         long at = test.elapsed();
         test.loop()
                 .execute(
@@ -420,7 +422,7 @@
                                                         + " at manager "
                                                         + clientTry.manager
                                                         + " "
-                                                        + how));
+                                                        + description));
     }
 
     @Override
@@ -431,15 +433,15 @@
     @Override
     public boolean endedSince(int manager, long since) {
         // A process that is being killed accepts connections until it has ended.
-        return killedAt.getOrDefault(manager, -1L) >= since || dying.contains(manager);
+        return killedAt.getOrDefault(manager, -1L) >= since || killedManagers.contains(manager);
     }
 
     // ---- Report.
 
     private Report report(FaultTestResult result) throws IOException {
         List<String> violations = new ArrayList<>(result.violations());
-        int refused = 0;
-        int stale = 0;
+        int refusedSends = 0;
+        int staleSends = 0;
         try (Stream<Path> logs = Files.list(folder.resolve("logs"))) {
             for (Path log : logs.sorted().toList()) {
                 for (String line : Files.readAllLines(log)) {
@@ -448,8 +450,8 @@
                             || line.contains("unexpected exception")) {
                         violations.add(log.getFileName() + ": " + line);
                     }
-                    refused += line.contains(" SEND_REFUSED ") ? 1 : 0;
-                    stale += line.contains("statements sent on stale knowledge") ? 1 : 0;
+                    refusedSends += line.contains(" SEND_REFUSED ") ? 1 : 0;
+                    staleSends += line.contains("statements sent on stale knowledge") ? 1 : 0;
                 }
             }
         }
@@ -463,7 +465,7 @@
                 new TreeMap<>(faultCounts),
                 requests.get(),
                 departures.get(),
-                refused,
-                stale);
+                refusedSends,
+                staleSends);
     }
 }
--- a/src/test/java/firstage/soak/SoakClient.java
+++ b/src/test/java/firstage/soak/SoakClient.java
@@ -27,7 +27,7 @@
      */
     private static final long CROSSING_MS = 50;
 
-    private static final int MAX_POLLS_AGAIN = 3;
+    private static final int MAX_POLL_RECONNECTS = 3;
     /** Time for which a client that vanished keeps its connection open. */
     private static final long VANISHED_FOR_MS = 3_000;
 
@@ -38,10 +38,10 @@
         /**
          * Connects to a manager.
          *
-         * @param anew whether the connection is for a new request, which the front does not send to a
+         * @param forRequest whether the connection is for a new request, which the front does not send to a
          *     manager that is shutting down
          */
-        Socket connect(int manager, int timeoutMs, boolean anew) throws IOException;
+        Socket connect(int manager, int timeoutMs, boolean forRequest) throws IOException;
 
         /** Registers a request just before its last byte is sent. */
         ClientTry open(ClientScript script, String id, long deadline);
@@ -56,7 +56,7 @@
         void notAccepted(ClientTry clientTry);
 
         /** Reports a violation that the client detected. */
-        void violation(ClientTry clientTry, String how);
+        void violation(ClientTry clientTry, String description);
 
         /** Returns the end of the manager's latest pause, in ticks; 0 if it was never paused. */
         long pausedUntil(int manager);
@@ -68,7 +68,7 @@
     private final Environment environment;
     private final ClientScript script;
     private final String idPrefix;
-    private int requests;
+    private int requestCount;
     private Socket socket;
     private ClientTry clientTry;
     private String path;
@@ -95,10 +95,10 @@
             return;
         }
         try {
-            boolean goesOn = request(script.departure(), false);
-            for (int i = 0; i < script.repeats() && goesOn; i++) {
+            boolean connectionUsable = runRequest(script.departure(), false);
+            for (int i = 0; i < script.repeats() && connectionUsable; i++) {
                 sleep(script.restMs());
-                goesOn = request(Departure.STAYS, true);
+                connectionUsable = runRequest(Departure.STAYS, true);
             }
         } finally {
             closeQuietly(socket);
@@ -106,11 +106,11 @@
     }
 
     /** Sends a request and follows it; returns whether its connection can be used again. */
-    private boolean request(Departure departure, boolean rested) {
+    private boolean runRequest(Departure departure, boolean connectionReused) {
         path = null;
         clientTry = null;
         try {
-            write();
+            sendRequest();
         } catch (IOException closed) {
             if (clientTry != null) {
                 environment.notAccepted(clientTry);
@@ -118,17 +118,17 @@
             return false;
         }
         try {
-            return departure == Departure.STAYS ? stay(rested) : leave(departure);
+            return departure == Departure.STAYS ? awaitAnswer(connectionReused) : pollUntilLeaving(departure);
         } catch (IOException fault) {
-            return onBroken(rested, fault);
+            return onBroken(connectionReused, fault);
         }
     }
 
     /** Writes a request; its deadline counts from its last byte. */
-    private void write() throws IOException {
+    private void sendRequest() throws IOException {
         String id =
                 String.format(
-                        Locale.ROOT, "%s%06x%02x", idPrefix, script.number(), requests++ & 0xFF);
+                        Locale.ROOT, "%s%06x%02x", idPrefix, script.number(), requestCount++ & 0xFF);
         String statement = "SELECT a FROM sales_1.orders";
         String head =
                 "POST "
@@ -149,7 +149,7 @@
                         + ".0\r\nX-Memory: 200\r\nContent-Length: "
                         + statement.length()
                         + "\r\n\r\n";
-        boolean inPieces = script.bodyDelayMs() > 0 && requests == 1;
+        boolean inPieces = script.bodyDelayMs() > 0 && requestCount == 1;
         if (inPieces) {
             send(head);
             sleep(script.bodyDelayMs());
@@ -169,13 +169,13 @@
     }
 
     /** Reads the next response; returns null if none comes by {@code until}, in ticks. */
-    private HttpMessage readUntil(long until) throws IOException {
-        long leftMs = Ticks.toMillis(until - environment.now());
-        if (leftMs <= 0) {
+    private HttpMessage readResponse(long until) throws IOException {
+        long remainingMs = Ticks.toMillis(until - environment.now());
+        if (remainingMs <= 0) {
             return null;
         }
         try {
-            socket.setSoTimeout((int) leftMs);
+            socket.setSoTimeout((int) remainingMs);
             return HttpMessage.read(socket.getInputStream());
         } catch (SocketTimeoutException nothing) {
             return null;
@@ -188,14 +188,14 @@
                 + Ticks.ofMillis(LOST_AFTER_MS);
     }
 
-    private boolean stay(boolean rested) throws IOException {
-        int pollsAgain = 0;
+    private boolean awaitAnswer(boolean connectionReused) throws IOException {
+        int reconnects = 0;
         while (true) {
             HttpMessage response;
             try {
-                response = readUntil(lostAt());
+                response = readResponse(lostAt());
             } catch (IOException broken) {
-                if (path == null || ++pollsAgain > MAX_POLLS_AGAIN) {
+                if (path == null || ++reconnects > MAX_POLL_RECONNECTS) {
                     throw broken;
                 }
                 pollOnNewConnection();
@@ -225,7 +225,7 @@
         send("GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n");
     }
 
-    private boolean leave(Departure departure) throws IOException {
+    private boolean pollUntilLeaving(Departure departure) throws IOException {
         long leavesAt = sentAt + Ticks.ofMillis(script.leaveAfterMs());
         boolean needsPath =
                 departure == Departure.DELETES_ON_NEW_CONNECTION
@@ -236,9 +236,9 @@
                 departure != Departure.DELETES_ON_SAME_CONNECTION
                         && departure != Departure.CLOSES_WITH_PATH;
         while (true) {
-            HttpMessage response = readUntil(needsPath && path == null ? lostAt() : leavesAt);
+            HttpMessage response = readResponse(needsPath && path == null ? lostAt() : leavesAt);
             if (response == null && needsPath && path == null) {
-                return stay(false);
+                return awaitAnswer(false);
             }
             if (response == null) {
                 break;
@@ -287,12 +287,12 @@
         }
     }
 
-    private void sendDelete(Socket to) throws IOException {
+    private void sendDelete(Socket target) throws IOException {
         if (path == null) {
-            to.close();
+            target.close();
             return;
         }
-        to.getOutputStream()
+        target.getOutputStream()
                 .write(
                         ("DELETE " + path + " HTTP/1.1\r\nHost: h\r\n\r\n")
                                 .getBytes(StandardCharsets.ISO_8859_1));
@@ -303,16 +303,16 @@
             socket.close();
             return;
         }
-        Socket other = environment.connect(script.manager(), CONNECT_TIMEOUT_MS, false);
-        sendDelete(other);
+        Socket cancelSocket = environment.connect(script.manager(), CONNECT_TIMEOUT_MS, false);
+        sendDelete(cancelSocket);
         environment.left(clientTry, script.departure(), environment.now());
-        other.setSoTimeout(CONNECT_TIMEOUT_MS);
+        cancelSocket.setSoTimeout(CONNECT_TIMEOUT_MS);
         try {
-            HttpMessage.read(other.getInputStream());
+            HttpMessage.read(cancelSocket.getInputStream());
         } catch (IOException noAnswer) {
             // The cancellation counts from when the DELETE was written.
         } finally {
-            closeQuietly(other);
+            closeQuietly(cancelSocket);
         }
     }
 
@@ -320,9 +320,9 @@
      * Handles a connection that ended without an answer. That is a violation unless the manager
      * ended, the client had left or has a path to poll, or the close crossed the request.
      */
-    private boolean onBroken(boolean rested, IOException fault) {
+    private boolean onBroken(boolean connectionReused, IOException fault) {
         boolean crossed =
-                rested && Ticks.toMillis(environment.now() - sentAt) <= CROSSING_MS && path == null;
+                connectionReused && Ticks.toMillis(environment.now() - sentAt) <= CROSSING_MS && path == null;
         if (environment.endedSince(script.manager(), connectedAt)) {
             environment.notAccepted(clientTry);
         } else if (clientTry.hasLeft() || path != null || crossed) {
--- a/src/test/java/firstage/soak/SoakPlan.java
+++ b/src/test/java/firstage/soak/SoakPlan.java
@@ -26,9 +26,9 @@
 
     private static final int FIRST_FAULT_MS = 800;
     private static final int ENGINES = 4;
-    private static final int CLIENTS_OF_A_MANAGER = 22;
+    private static final int CLIENTS_PER_MANAGER = 22;
     private static final int MAX_FAULTS = 22;
-    private static final int HOUR_S = 3_600;
+    private static final int SECONDS_PER_HOUR = 3_600;
 
     /**
      * A fault that the plans of fault tests don't support.
@@ -74,16 +74,16 @@
         for (int i = 0; i < faults; i++) {
             text.append(fault(random, managers, pauses));
         }
-        List<ExtraFault> extras = new ArrayList<>();
+        List<ExtraFault> extraFaults = new ArrayList<>();
         for (int i = 0; i < faults; i++) {
-            extras.add(extraFault(random, managers, pauses));
+            extraFaults.add(extraFault(random, managers, pauses));
         }
         List<ClientScript> clients = new ArrayList<>();
-        for (int i = 0; i < managers * CLIENTS_OF_A_MANAGER; i++) {
+        for (int i = 0; i < managers * CLIENTS_PER_MANAGER; i++) {
             clients.add(client(random, i, managers, pauses));
         }
         return new SoakPlan(
-                text.toString(), FleetPlanReader.read(text.toString()), clients, extras);
+                text.toString(), FleetPlanReader.read(text.toString()), clients, extraFaults);
     }
 
     /** Draws a client: half of them leave during a pause of their manager, the others any time. */
@@ -99,19 +99,19 @@
         }
         long[] pause = pauses.get(random.nextInt(pauses.size()));
         long leavesAt = pause[1] + random.nextLong(pause[2] + 20);
-        long before = random.nextLong(700);
+        long leaveAfterMs = random.nextLong(700);
         return ClientScript.draw(
-                random, number, (int) pause[0], Math.max(0, leavesAt - before), before);
+                random, number, (int) pause[0], Math.max(0, leavesAt - leaveAfterMs), leaveAfterMs);
     }
 
-    private static int at(RandomGenerator random) {
+    private static int drawTime(RandomGenerator random) {
         return FIRST_FAULT_MS + random.nextInt(LENGTH_MS - 2 * FIRST_FAULT_MS);
     }
 
     private static String fault(RandomGenerator random, int managers, List<long[]> pauses) {
         int manager = random.nextInt(managers);
         int engine = random.nextInt(ENGINES);
-        int at = at(random);
+        int at = drawTime(random);
         switch (random.nextInt(12)) {
             case 0, 1, 2, 3 -> {
                 int length =
@@ -162,21 +162,22 @@
         }
     }
 
-    private static String entry(String kind, int at, int length, String who, String more) {
+    private static String entry(
+            String kind, int at, int length, String affected, String additionalLines) {
         return String.format(
                 Locale.ROOT,
                 "%n[[fault]]%nkind = \"%s\"%nat = \"%d ms\"%n%s = \"%s\"%n%s%s",
                 kind,
                 at,
-                more.isEmpty() ? "who" : "from",
-                who,
+                additionalLines.isEmpty() ? "who" : "from",
+                affected,
                 length > 0 ? "length = \"" + length + " ms\"\n" : "",
-                more);
+                additionalLines);
     }
 
     private static ExtraFault extraFault(
             RandomGenerator random, int managers, List<long[]> pauses) {
-        int at = at(random);
+        int at = drawTime(random);
         int manager = random.nextInt(managers);
         int length = 200 + random.nextInt(3_000);
         ExtraKind[] kinds = ExtraKind.values();
@@ -188,9 +189,9 @@
                     new ExtraFault(kind, at, 0, random.nextInt(ENGINES), null, 0);
             case PAUSES -> {
                 int times = 2 + random.nextInt(4);
-                int each = 20 + random.nextInt(200);
-                pauses.add(new long[] {manager, at, 2L * times * each});
-                yield new ExtraFault(kind, at, each, manager, null, times);
+                int pauseLength = 20 + random.nextInt(200);
+                pauses.add(new long[] {manager, at, 2L * times * pauseLength});
+                yield new ExtraFault(kind, at, pauseLength, manager, null, times);
             }
             case RELOADS -> new ExtraFault(kind, at, 0, manager, null, 2 + random.nextInt(3));
             case IDLE_CROWD -> new ExtraFault(kind, at, length, manager, null, 100);
@@ -206,7 +207,7 @@
                 switch (call) {
                     case CLOCK_STEP ->
                             (random.nextBoolean() ? 1 : -1)
-                                    * (random.nextBoolean() ? HOUR_S : 1 + random.nextInt(30));
+                                    * (random.nextBoolean() ? SECONDS_PER_HOUR : 1 + random.nextInt(30));
                     case BREAK -> 5 + random.nextInt(40);
                     default -> 10 + random.nextInt(300);
                 };
