--- a/src/main/java/firstage/faulttest/EngineFaults.java
+++ b/src/main/java/firstage/faulttest/EngineFaults.java
@@ -30,7 +30,7 @@
     /** Longest silence of a coordinator: the longest delay allowed for endpoint updates. */
     private static final long MAX_SILENCE = Ticks.ofSeconds(7);
 
-    /** Time until which each manager's coordinator sends nothing, by manager. */
+    /** Time until which a manager's coordinator sends nothing, by manager. */
     private final long[] silentUntil;
 
     private final FleetPlan plan;
@@ -94,7 +94,7 @@
         takeDown(engine, EngineModel.State.DOWN, ticks, 1, random);
     }
 
-    /** Takes an engine's machine away: nothing is answered and no connection is reset. */
+    /** Makes an engine's machine unreachable: nothing is answered and no connection is reset. */
     void silence(int engine, long ticks, RandomGenerator random) {
         takeDown(engine, EngineModel.State.SILENT, ticks, SILENCE_DETECTION_FACTOR, random);
     }
--- a/src/main/java/firstage/faulttest/FaultInjector.java
+++ b/src/main/java/firstage/faulttest/FaultInjector.java
@@ -98,8 +98,8 @@
     }
 
     /**
-     * Applies an action to all affected managers at once; for a fault with an interval, to the next
-     * one at each interval, in turn until the plan's end.
+     * Applies an action to all affected managers at once or, if the fault has an interval, to one
+     * after another in turn until the plan's end.
      */
     private void applyToManagers(Fault fault, List<Integer> affected, IntConsumer action) {
         if (fault.interval() <= 0) {
--- a/src/main/java/firstage/faulttest/ResultEvaluator.java
+++ b/src/main/java/firstage/faulttest/ResultEvaluator.java
@@ -15,10 +15,10 @@
 
 /** Computes a run's figures, compares them with the plan's expectations and builds the result. */
 final class ResultEvaluator {
-    /** Longest valid lateness of the loop (99th percentile); a run with more is void. */
+    /** Limit of the loop's lateness (99th percentile); a run that exceeds it is void. */
     private static final double MAX_LATENESS_99TH_MS = 25;
 
-    /** Least share of the requested priority weight that a recovered second earns. */
+    /** Share of its requested priority weight that a second earns to count as recovered. */
     private static final double RECOVERED_SHARE = 0.9;
 
     private static final int RECOVERED_SECONDS = 3;
--- a/src/test/java/firstage/soak/ClientScript.java
+++ b/src/test/java/firstage/soak/ClientScript.java
@@ -9,7 +9,7 @@
  * @param trafficClass index of the traffic class in the plan
  * @param timeoutMs time that the client allows for each answer
  * @param workMs work of each request
- * @param departure way in which the client leaves its first request, if it does
+ * @param departure way in which the client leaves during its first request, if it does
  * @param leaveAfterMs time from the sending of the first request until the client leaves
  * @param bodyDelayMs pause between head and body of the first request; 0 to send it in one piece
  * @param repeats number of further requests on the connection, while it stays open
--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -246,7 +246,7 @@
         try {
             socket.close();
         } catch (IOException closed) {
-            // Closed either way.
+            // The socket is closed either way.
         }
     }
 
--- a/src/test/java/firstage/soak/SeededDefect.java
+++ b/src/test/java/firstage/soak/SeededDefect.java
@@ -54,7 +54,7 @@
         this.replacement = replacement;
     }
 
-    /** The command that starts a manager with this defect; compiles it into the folder. */
+    /** Compiles the defect into a folder; returns the command that starts a manager with it. */
     String serveCommand(Path folder) throws IOException {
         String source = Files.readString(SOURCES.resolve(file));
         if (!source.contains(original)) {
--- a/src/test/java/firstage/soak/SoakClient.java
+++ b/src/test/java/firstage/soak/SoakClient.java
@@ -12,8 +12,8 @@
 import java.util.Locale;
 
 /**
- * Runs one client script on sockets of its own. The times that it reports are those of the client:
- * when the last byte of its request was written, and the latest time at which it had left.
+ * Runs one client script on sockets of its own. The client reports times that it took itself: when
+ * the last byte of its request was written, and a time by which it had left.
  */
 final class SoakClient implements Runnable {
     private static final int CONNECT_TIMEOUT_MS = 2_000;
@@ -46,7 +46,7 @@
         /** Registers a request just before its last byte is sent. */
         ClientTry open(ClientScript script, String id, long deadline);
 
-        /** Reports that a client left a request, at this time at the latest. */
+        /** Reports that a client left, at the time {@code at} or before. */
         void left(ClientTry clientTry, Departure departure, long at);
 
         /** Reports the final answer to a request. */
@@ -346,7 +346,7 @@
         try {
             socket.close();
         } catch (IOException closed) {
-            // Closed either way.
+            // The socket is closed either way.
         }
     }
 }
