--- a/src/main/java/firstage/faulttest/ManagerConfigWriter.java
+++ b/src/main/java/firstage/faulttest/ManagerConfigWriter.java
@@ -55,30 +55,30 @@
             IntFunction<InetSocketAddress> engineAddress) {}
 
     /** Writes a manager's configuration, with a limit of 1,024 open sockets. */
-    public static void writeConfig(Path file, FleetPlan plan, ManagerPlace place, long seed)
+    public static void writeConfig(Path file, FleetPlan plan, ManagerPlace spec, long seed)
             throws IOException {
-        writeConfig(file, plan, place, seed, 1_024);
+        writeConfig(file, plan, spec, seed, 1_024);
     }
 
     /** Writes a manager's configuration, with the given limit of open sockets. */
     public static void writeConfig(
-            Path file, FleetPlan plan, ManagerPlace place, long seed, int sockets)
+            Path file, FleetPlan plan, ManagerPlace spec, long seed, int sockets)
             throws IOException {
         try (JsonGenerator out = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
             out.writeStartObject();
-            out.writeStringField("name", place.name);
-            out.writeStringField("listen", LoopbackAddresses.hostPort(place.listenAddress));
+            out.writeStringField("name", spec.name);
+            out.writeStringField("listen", LoopbackAddresses.hostPort(spec.listenAddress));
             out.writeStringField("seed", Long.toHexString(seed));
             out.writeObjectFieldStart("limits");
             out.writeNumberField("memory_mb", 192);
             out.writeNumberField("sockets", sockets);
             out.writeEndObject();
-            if (place.coordinatorAddress != null) {
+            if (spec.coordinatorAddress != null) {
                 out.writeStringField(
-                        "coordinator", LoopbackAddresses.hostPort(place.coordinatorAddress));
+                        "coordinator", LoopbackAddresses.hostPort(spec.coordinatorAddress));
             }
-            writeEndpoints(out, plan, place.engineAddress);
-            writeSettings(out, plan, place.rank, place.zone);
+            writeEndpoints(out, plan, spec.engineAddress);
+            writeSettings(out, plan, spec.rank, spec.zone);
             out.writeEndObject();
         }
     }
