--- a/src/main/java/firstage/faulttest/EngineFaults.java
+++ b/src/main/java/firstage/faulttest/EngineFaults.java
@@ -22,8 +22,8 @@
     private static final long DOWN_AFTER_DRAIN = Ticks.ofSeconds(1);
 
     /**
-     * Factor by which the removal of an unresponsive engine from the endpoint list takes longer than
-     * that of an engine whose process died.
+     * Factor by which the removal of an unresponsive engine from the endpoint list takes longer
+     * than that of an engine whose process died.
      */
     private static final int SILENCE_DETECTION_FACTOR = 3;
 
@@ -89,17 +89,20 @@
                         });
     }
 
-    /** Ends an engine's process: its connections are reset and new ones are refused. */
+    /** Ends an engine's process for {@code ticks}: its connections are reset and new ones are refused. */
     void die(int engine, long ticks, RandomGenerator random) {
         takeDown(engine, EngineModel.State.DOWN, ticks, 1, random);
     }
 
-    /** Makes an engine's machine unreachable: nothing is answered and no connection is reset. */
+    /**
+     * Makes an engine's machine unreachable for {@code ticks}: nothing is answered and no connection
+     * is reset.
+     */
     void silence(int engine, long ticks, RandomGenerator random) {
         takeDown(engine, EngineModel.State.SILENT, ticks, SILENCE_DETECTION_FACTOR, random);
     }
 
-    /** Makes an engine accept statements without making progress. */
+    /** Makes an engine accept statements without making progress for {@code ticks}. */
     void hang(int engine, long ticks) {
         engines.get(engine).setState(EngineModel.State.HANGING);
         loop.events().schedule(ticks, () -> engines.get(engine).setState(EngineModel.State.UP));
@@ -140,10 +143,10 @@
         links.setEngineMode(
                 engine, silent ? EndpointMode.UNRESPONSIVE : EndpointMode.REFUSING, !silent);
         announce(engine, Lifecycle.GONE, 0, detectionFactor, random);
-        loop.events().schedule(ticks, () -> revive(engine, silent, random));
+        loop.events().schedule(ticks, () -> restore(engine, silent, random));
     }
 
-    private void revive(int engine, boolean wasSilent, RandomGenerator random) {
+    private void restore(int engine, boolean wasSilent, RandomGenerator random) {
         engines.get(engine).setState(EngineModel.State.UP);
         recorder.writeEvent(clock.elapsed(), "engine", "engine", engine, "is", "up");
         links.setEngineMode(engine, EndpointMode.OPEN, wasSilent);
--- a/src/main/java/firstage/faulttest/FaultTestRun.java
+++ b/src/main/java/firstage/faulttest/FaultTestRun.java
@@ -115,7 +115,7 @@
         return play(spec, FaultTestExtension.NONE);
     }
 
-    /** Runs a plan to its end, with the extension's clients and faults in addition to the plan's. */
+    /** Runs a plan to its end, with the extension's clients and faults added to the plan's. */
     public static FaultTestResult play(FaultTestSpec spec, FaultTestExtension extension)
             throws IOException {
         try (FaultTestRun run = new FaultTestRun(spec, extension)) {
--- a/src/main/java/firstage/faulttest/ManagerController.java
+++ b/src/main/java/firstage/faulttest/ManagerController.java
@@ -12,8 +12,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Kills, stops, pauses, restarts and shuts down the managers' processes, and distinguishes ends that
- * the test caused from unexpected ones.
+ * Kills, stops, pauses, restarts and shuts down the managers' processes, and distinguishes ends
+ * that the test caused from unexpected ones.
  */
 final class ManagerController {
     private static final long SHUTDOWN_TIMEOUT_MS = 8_000;
--- a/src/main/java/firstage/faulttest/ManagerProcesses.java
+++ b/src/main/java/firstage/faulttest/ManagerProcesses.java
@@ -63,8 +63,8 @@
     }
 
     /**
-     * Returns the words of the deployment's command line with another jar, and without {@code exec},
-     * as no shell runs it.
+     * Returns the words of the deployment's command line with another jar, and without {@code
+     * exec}, as no shell runs it.
      */
     public static List<String> command(String commandLine, Path jar) {
         List<String> words =
@@ -143,12 +143,12 @@
             return ended;
         }
         List<Path> listFiles;
-        try (var listed = Files.list(processListFolder)) {
+        try (var files = Files.list(processListFolder)) {
             listFiles =
-                    listed.filter(file -> file.getFileName().toString().endsWith(".held")).toList();
+                    files.filter(file -> file.getFileName().toString().endsWith(".held")).toList();
         }
         for (Path listFile : listFiles) {
-            List<ProcessHandle> alive =
+            List<ProcessHandle> liveProcesses =
                     Files.readAllLines(listFile).stream()
                             .map(ManagerProcesses::findLive)
                             .flatMap(Optional::stream)
@@ -157,7 +157,7 @@
             if (!lines.isEmpty() && findLive(lines.get(0)).isPresent()) {
                 continue;
             }
-            for (ProcessHandle process : alive) {
+            for (ProcessHandle process : liveProcesses) {
                 ended.add(
                         "ended process "
                                 + process.pid()
--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -333,7 +333,8 @@
     public Socket connect(int manager, int timeoutMs, boolean forRequest) throws IOException {
         Long shutdownAt = endingSince.get(manager);
         if (forRequest && shutdownAt != null && now() - shutdownAt > FRONT_SHUTDOWN_DELAY) {
-            throw new ConnectException("the front sends no new requests to a manager that is shutting down");
+            throw new ConnectException(
+                    "the front sends no new requests to a manager that is shutting down");
         }
         Socket socket = new Socket();
         socket.setTcpNoDelay(true);
@@ -391,13 +392,13 @@
     public void answered(ClientTry clientTry, HttpMessage answer) {
         boolean rejected = answer.status() == 503 || answer.status() == 429;
         long at = now();
-        long pausedFor = Math.max(0, pausedUntil(clientTry.manager) - clientTry.deadline);
+        long pauseAfterDeadline = Math.max(0, pausedUntil(clientTry.manager) - clientTry.deadline);
         test.loop()
                 .execute(
                         () -> {
                             // An answer that is up to half a second late earns nothing, but is no
                             // violation.
-                            clientTry.allowPause(pausedFor + Ticks.ofMillis(500));
+                            clientTry.allowPause(pauseAfterDeadline + Ticks.ofMillis(500));
                             test.rules().onAnswered(at, clientTry, rejected);
                         });
     }
--- a/src/test/java/firstage/soak/FaultSoakIT.java
+++ b/src/test/java/firstage/soak/FaultSoakIT.java
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Verifies that the soak finds a known defect, without which a passing soak would prove nothing;
-     * run by hand with {@code -Dsoak.defect=GUARD_OFF}.
+     * Verifies that the soak finds a known defect, without which a passing soak would prove
+     * nothing; run by hand with {@code -Dsoak.defect=GUARD_OFF}.
      */
     @Test
     @EnabledIfSystemProperty(named = "soak.defect", matches = ".+")
--- a/src/test/java/firstage/soak/SeededDefect.java
+++ b/src/test/java/firstage/soak/SeededDefect.java
@@ -58,7 +58,8 @@
     String serveCommand(Path folder) throws IOException {
         String source = Files.readString(SOURCES.resolve(file));
         if (!source.contains(original)) {
-            throw new IOException(this + ": " + file + " no longer contains the line that the defect replaces");
+            throw new IOException(
+                    this + ": " + file + " no longer contains the line that the defect replaces");
         }
         Path changed = folder.resolve("source").resolve(Path.of(file).getFileName());
         Path classes = folder.resolve("classes");
--- a/src/test/java/firstage/soak/SoakClient.java
+++ b/src/test/java/firstage/soak/SoakClient.java
@@ -18,7 +18,7 @@
 final class SoakClient implements Runnable {
     private static final int CONNECT_TIMEOUT_MS = 2_000;
 
-    /** Time after its deadline from which a missing answer counts as lost; until then it is late. */
+    /** Time after its deadline from which a missing answer counts as lost, rather than as late. */
     private static final long LOST_AFTER_MS = 500;
 
     /**
@@ -28,6 +28,7 @@
     private static final long CROSSING_MS = 50;
 
     private static final int MAX_POLL_RECONNECTS = 3;
+
     /** Time for which a client that vanished keeps its connection open. */
     private static final long VANISHED_FOR_MS = 3_000;
 
@@ -38,8 +39,8 @@
         /**
          * Connects to a manager.
          *
-         * @param forRequest whether the connection is for a new request, which the front does not send to a
-         *     manager that is shutting down
+         * @param forRequest whether the connection is for a new request, which the front does not
+         *     send to a manager that is shutting down
          */
         Socket connect(int manager, int timeoutMs, boolean forRequest) throws IOException;
 
@@ -74,7 +75,7 @@
     private String path;
     private long sentAt;
 
-    /** Earliest time at which the connection was established. */
+    /** Time just before the first connection was opened. */
     private long connectedAt;
 
     /** Deadline of the current request, in ticks. */
@@ -118,7 +119,9 @@
             return false;
         }
         try {
-            return departure == Departure.STAYS ? awaitAnswer(connectionReused) : pollUntilLeaving(departure);
+            return departure == Departure.STAYS
+                    ? awaitAnswer(connectionReused)
+                    : pollUntilLeaving(departure);
         } catch (IOException fault) {
             return onBroken(connectionReused, fault);
         }
@@ -128,7 +131,11 @@
     private void sendRequest() throws IOException {
         String id =
                 String.format(
-                        Locale.ROOT, "%s%06x%02x", idPrefix, script.number(), requestCount++ & 0xFF);
+                        Locale.ROOT,
+                        "%s%06x%02x",
+                        idPrefix,
+                        script.number(),
+                        requestCount++ & 0xFF);
         String statement = "SELECT a FROM sales_1.orders";
         String head =
                 "POST "
@@ -322,7 +329,9 @@
      */
     private boolean onBroken(boolean connectionReused, IOException fault) {
         boolean crossed =
-                connectionReused && Ticks.toMillis(environment.now() - sentAt) <= CROSSING_MS && path == null;
+                connectionReused
+                        && Ticks.toMillis(environment.now() - sentAt) <= CROSSING_MS
+                        && path == null;
         if (environment.endedSince(script.manager(), connectedAt)) {
             environment.notAccepted(clientTry);
         } else if (clientTry.hasLeft() || path != null || crossed) {
--- a/src/test/java/firstage/soak/SoakPlan.java
+++ b/src/test/java/firstage/soak/SoakPlan.java
@@ -207,7 +207,9 @@
                 switch (call) {
                     case CLOCK_STEP ->
                             (random.nextBoolean() ? 1 : -1)
-                                    * (random.nextBoolean() ? SECONDS_PER_HOUR : 1 + random.nextInt(30));
+                                    * (random.nextBoolean()
+                                            ? SECONDS_PER_HOUR
+                                            : 1 + random.nextInt(30));
                     case BREAK -> 5 + random.nextInt(40);
                     default -> 10 + random.nextInt(300);
                 };
