--- a/src/main/java/firstage/faulttest/EngineFaults.java
+++ b/src/main/java/firstage/faulttest/EngineFaults.java
@@ -89,14 +89,14 @@
                         });
     }
 
-    /** Ends an engine's process for {@code ticks}: its connections are reset and new ones are refused. */
+    /** Ends an engine's process for {@code ticks}: connections are reset, new ones refused. */
     void die(int engine, long ticks, RandomGenerator random) {
         takeDown(engine, EngineModel.State.DOWN, ticks, 1, random);
     }
 
     /**
-     * Makes an engine's machine unreachable for {@code ticks}: nothing is answered and no connection
-     * is reset.
+     * Makes an engine's machine unreachable for {@code ticks}: nothing is answered and no
+     * connection is reset.
      */
     void silence(int engine, long ticks, RandomGenerator random) {
         takeDown(engine, EngineModel.State.SILENT, ticks, SILENCE_DETECTION_FACTOR, random);
--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -44,8 +44,10 @@
 
     private static final long FIRST_REQUEST_ID = 1_000_000_000L;
     private static final int CLIENT_TIMEOUT_MS = 25_000;
-    /** The time between repeated pauses is the length of a pause divided by this. */
+
+    /** Divisor of a pause's length that gives the time between repeated pauses. */
     private static final long PAUSE_GAP_DIVISOR = 2;
+
     private static final int REQUEST_MEMORY_MB = 200;
 
     /** Result of the soak of a seed. */
