--- a/src/test/java/firstage/soak/SoakPlan.java
+++ b/src/test/java/firstage/soak/SoakPlan.java
@@ -10,32 +10,33 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All that a seed draws: the fleet and its faults as a plan of the fault tests, and beside them
- * clients, failing system calls, signals in series and silent coordinators.
+ * Everything that is drawn from a seed: the fleet and its faults as a plan of the fault tests, and
+ * in addition clients, failing system calls, series of signals and silent coordinators.
  *
- * @param text of the plan
- * @param extraFaults beside the plan's
+ * @param text text of the plan
+ * @param extraFaults faults in addition to the plan's
  */
 record SoakPlan(
         String text, FleetPlan plan, List<ClientScript> clients, List<ExtraFault> extraFaults) {
-    /** The traffic classes of the plan. */
+    /** Names of the plan's traffic classes, by index. */
     static final List<String> TRAFFIC_CLASSES = List.of("lookup", "report", "log-load");
 
-    /** Length of a run, without its start and end. */
+    /** Length of a run, without its startup and shutdown. */
     private static final int LENGTH_MS = 12_000;
 
     private static final int FIRST_FAULT_MS = 800;
     private static final int ENGINES = 4;
-    private static final int CLIENTS_OF_A_MANAGER = 22;
+    private static final int CLIENTS_PER_MANAGER = 22;
     private static final int MAX_FAULTS = 22;
-    private static final int HOUR_S = 3_600;
+    private static final int SECONDS_PER_HOUR = 3_600;
 
     /**
-     * A fault that a plan has no word for.
+     * A fault that the plans of fault tests don't support.
      *
-     * @param subject the manager or engine
-     * @param systemCall what fails, for {@link ExtraKind#SYSTEM_CALLS}
-     * @param value its rate, seconds of a clock step, or how often
+     * @param subject index of the manager or engine
+     * @param systemCall kind of system call that fails, for {@link ExtraKind#SYSTEM_CALLS}
+     * @param value failures in a thousand calls, seconds of a clock step, or number of repetitions,
+     *     connections or processes
      */
     record ExtraFault(
             ExtraKind kind,
@@ -45,21 +46,21 @@
             SystemCallFaults.Kind systemCall,
             int value) {}
 
-    /** What a plan of the fault tests has no word for. */
+    /** Kinds of faults that the plans of fault tests don't support. */
     enum ExtraKind {
         /** System calls of a manager fail for a while, or its wall clock is stepped. */
         SYSTEM_CALLS,
         /** All connections to an engine are reset. */
         RESET_ENGINE_CONNECTIONS,
-        /** A manager's coordinator says nothing for a while. */
+        /** A manager's coordinator sends nothing for a while. */
         SILENT_COORDINATOR,
-        /** SIGHUP several times in a row. */
+        /** A manager gets SIGHUP several times in a row. */
         RELOADS,
-        /** A manager is stopped for a short time, several times in a row. */
+        /** A manager is paused for a short time, several times in a row. */
         PAUSES,
-        /** Many idle connections to a manager. */
+        /** Many idle connections to a manager are opened. */
         IDLE_CROWD,
-        /** Processes that use up the machine beside it. */
+        /** Other processes compete with the managers for processor time. */
         BUSY_PROCESSES
     }
 
@@ -67,24 +68,25 @@
     static SoakPlan draw(long seed, int managers) {
         RandomGenerator random = new RandomStreams(seed).stream("soak", 0);
         StringBuilder text = new StringBuilder(fleet(managers));
+        // Manager, start in ms and length in ms of each pause.
         List<long[]> pauses = new ArrayList<>();
         int faults = MAX_FAULTS / 2 + random.nextInt(MAX_FAULTS / 2);
         for (int i = 0; i < faults; i++) {
             text.append(fault(random, managers, pauses));
         }
-        List<ExtraFault> extras = new ArrayList<>();
+        List<ExtraFault> extraFaults = new ArrayList<>();
         for (int i = 0; i < faults; i++) {
-            extras.add(extraFault(random, managers, pauses));
+            extraFaults.add(extraFault(random, managers, pauses));
         }
         List<ClientScript> clients = new ArrayList<>();
-        for (int i = 0; i < managers * CLIENTS_OF_A_MANAGER; i++) {
+        for (int i = 0; i < managers * CLIENTS_PER_MANAGER; i++) {
             clients.add(client(random, i, managers, pauses));
         }
         return new SoakPlan(
-                text.toString(), FleetPlanReader.read(text.toString()), clients, extras);
+                text.toString(), FleetPlanReader.read(text.toString()), clients, extraFaults);
     }
 
-    /** One in two leaves in the middle of a pause of its manager, the others at any time. */
+    /** Draws a client: half of them leave during a pause of their manager, the others any time. */
     private static ClientScript client(
             RandomGenerator random, int number, int managers, List<long[]> pauses) {
         if (pauses.isEmpty() || random.nextBoolean()) {
@@ -97,19 +99,19 @@
         }
         long[] pause = pauses.get(random.nextInt(pauses.size()));
         long leavesAt = pause[1] + random.nextLong(pause[2] + 20);
-        long before = random.nextLong(700);
+        long leaveAfterMs = random.nextLong(700);
         return ClientScript.draw(
-                random, number, (int) pause[0], Math.max(0, leavesAt - before), before);
+                random, number, (int) pause[0], Math.max(0, leavesAt - leaveAfterMs), leaveAfterMs);
     }
 
-    private static int at(RandomGenerator random) {
+    private static int drawTime(RandomGenerator random) {
         return FIRST_FAULT_MS + random.nextInt(LENGTH_MS - 2 * FIRST_FAULT_MS);
     }
 
     private static String fault(RandomGenerator random, int managers, List<long[]> pauses) {
         int manager = random.nextInt(managers);
         int engine = random.nextInt(ENGINES);
-        int at = at(random);
+        int at = drawTime(random);
         switch (random.nextInt(12)) {
             case 0, 1, 2, 3 -> {
                 int length =
@@ -160,21 +162,22 @@
         }
     }
 
-    private static String entry(String kind, int at, int length, String who, String more) {
+    private static String entry(
+            String kind, int at, int length, String affected, String additionalLines) {
         return String.format(
                 Locale.ROOT,
                 "%n[[fault]]%nkind = \"%s\"%nat = \"%d ms\"%n%s = \"%s\"%n%s%s",
                 kind,
                 at,
-                more.isEmpty() ? "who" : "from",
-                who,
+                additionalLines.isEmpty() ? "who" : "from",
+                affected,
                 length > 0 ? "length = \"" + length + " ms\"\n" : "",
-                more);
+                additionalLines);
     }
 
     private static ExtraFault extraFault(
             RandomGenerator random, int managers, List<long[]> pauses) {
-        int at = at(random);
+        int at = drawTime(random);
         int manager = random.nextInt(managers);
         int length = 200 + random.nextInt(3_000);
         ExtraKind[] kinds = ExtraKind.values();
@@ -186,9 +189,9 @@
                     new ExtraFault(kind, at, 0, random.nextInt(ENGINES), null, 0);
             case PAUSES -> {
                 int times = 2 + random.nextInt(4);
-                int each = 20 + random.nextInt(200);
-                pauses.add(new long[] {manager, at, 2L * times * each});
-                yield new ExtraFault(kind, at, each, manager, null, times);
+                int pauseLength = 20 + random.nextInt(200);
+                pauses.add(new long[] {manager, at, 2L * times * pauseLength});
+                yield new ExtraFault(kind, at, pauseLength, manager, null, times);
             }
             case RELOADS -> new ExtraFault(kind, at, 0, manager, null, 2 + random.nextInt(3));
             case IDLE_CROWD -> new ExtraFault(kind, at, length, manager, null, 100);
@@ -204,7 +207,9 @@
                 switch (call) {
                     case CLOCK_STEP ->
                             (random.nextBoolean() ? 1 : -1)
-                                    * (random.nextBoolean() ? HOUR_S : 1 + random.nextInt(30));
+                                    * (random.nextBoolean()
+                                            ? SECONDS_PER_HOUR
+                                            : 1 + random.nextInt(30));
                     case BREAK -> 5 + random.nextInt(40);
                     default -> 10 + random.nextInt(300);
                 };
