--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -12,9 +12,18 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * A run of many managers: TOML, read as fleet and fault-test plans are; what can't be used is told
- * with its line and what would do. {@code cell} 0 is a fleet that is one; {@code period} and times
- * in ticks.
+ * The plan of a scale run, read from TOML in the same way as fleet and fault-test plans. All times
+ * are ticks.
+ *
+ * @param settle time from the start of the managers to the first measurement
+ * @param length time after the loads until the end of the run; the events happen in it
+ * @param hollow number of hollow managers
+ * @param real number of real managers
+ * @param cell managers in a cell; 0 for a fleet without cells
+ * @param spread number of cells that share an engine
+ * @param engines number of engines
+ * @param inAProcess managers in each hollow process
+ * @param period probe period of the membership protocol
  */
 public record ScalePlan(
         String name,
@@ -31,38 +40,53 @@
         List<Load> loads,
         List<Event> events) {
     /**
-     * Clients of the first real manager for so long: connections that stay open, statements a
-     * second over all. {@code counted}: goes into the slopes; a first one that only warms the
-     * program does not.
+     * A load on the first real manager from clients that keep their connections open.
+     *
+     * @param rate statements a second over all connections
+     * @param length ticks for which the load is measured
+     * @param counted whether the load goes into the slopes; false for a load that only warms up the
+     *     program
      */
     public record Load(int connections, double rate, long length, boolean counted) {}
 
-    /** What happens, and how long after all have settled. */
-    public record Event(Kind kind, long at, int line) {}
-
     /**
-     * Of hollow managers: one killed; one leaves and comes back; a zone's, seven in ten killed; a
-     * word of the list.
+     * An event of the run.
+     *
+     * @param at ticks from the end of the loads
+     * @param line line of the plan, for error messages
      */
+    public record Event(Kind kind, long at, int line) {}
+
+    /** Kinds of events. They affect hollow managers only; the lower-case name stands in a plan. */
     public enum Kind {
+        /** Kills one manager. */
         KILL,
+        /** Lets one manager leave and start again. */
         RESTART,
+        /** Publishes a change of one engine in the endpoint list. */
         LIST,
+        /** Kills all managers of the last zone. */
         ZONE,
+        /** Kills seven in ten managers and starts them again. */
         MASS
     }
 
-    private static final int MOST_MANAGERS = 4_000;
-    private static final int MOST_REAL = 40;
-    private static final int MOST_ENGINES = 10_000;
-    private static final int MOST_A_PROCESS = 400;
-    private static final int MOST_CELL = 200;
-    private static final long MOST_LENGTH = 6_000_000;
-    private static final long LEAST_LOAD = 20_000;
-    private static final int MOST_CONNECTIONS = 10_000;
-    private static final double MOST_RATE = 10_000;
-
-    /** The plan that this text sets; {@link InvalidPlanException} names line and cure. */
+    private static final int MAX_HOLLOW_MANAGERS = 4_000;
+    private static final int MAX_REAL_MANAGERS = 40;
+    private static final int MAX_ENGINES = 10_000;
+    private static final int MAX_MANAGERS_PER_PROCESS = 400;
+    private static final int MAX_CELL_SIZE = 200;
+    private static final long MAX_LENGTH = 6_000_000;
+    private static final long MIN_LOAD_LENGTH = 20_000;
+    private static final int MAX_CONNECTIONS = 10_000;
+    private static final double MAX_RATE = 10_000;
+
+    /**
+     * Returns the plan in the text.
+     *
+     * @throws InvalidPlanException if the plan is not valid; the message names the line, the fault
+     *     and a valid value
+     */
     public static ScalePlan read(String text) {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
@@ -70,118 +94,129 @@
                     toml.errors().get(0).position().line(),
                     toml.errors().get(0).getMessage().lines().findFirst().orElse(""));
         }
-        TomlSection top = new TomlSection(toml, "", 1);
+        TomlSection root = new TomlSection(toml, "", 1);
         List<String> zones =
-                Arrays.stream(top.text("zones", "a").split(",")).map(String::trim).toList();
-        TomlSection managers = top.table("managers");
-        TomlSection engines = top.table("engines");
+                Arrays.stream(root.text("zones", "a").split(",")).map(String::trim).toList();
+        TomlSection managers = root.table("managers");
+        TomlSection engines = root.table("engines");
         List<Event> events = new ArrayList<>();
         List<String> kinds =
                 Arrays.stream(Kind.values()).map(k -> k.name().toLowerCase(Locale.ROOT)).toList();
-        for (TomlSection s : top.tables("event")) {
+        for (TomlSection section : root.tables("event")) {
             events.add(
                     new Event(
-                            Kind.valueOf(s.oneOf("kind", null, kinds).toUpperCase(Locale.ROOT)),
-                            s.duration("at", null),
-                            s.line()));
-            s.rejectUnknownKeys();
+                            Kind.valueOf(section.oneOf("kind", null, kinds).toUpperCase(Locale.ROOT)),
+                            section.duration("at", null),
+                            section.line()));
+            section.rejectUnknownKeys();
         }
         List<Load> loads = new ArrayList<>();
-        for (TomlSection s : top.tables("load")) {
-            loads.add(load(s));
+        for (TomlSection s : root.tables("load")) {
+            loads.add(readLoad(s));
         }
         ScalePlan plan =
                 new ScalePlan(
-                        top.text("name", "scale"),
-                        top.duration("settle", "12 s"),
-                        top.duration("length", null),
+                        root.text("name", "scale"),
+                        root.duration("settle", "12 s"),
+                        root.duration("length", null),
                         zones,
-                        managers.integer("hollow", 1, MOST_MANAGERS, null),
-                        managers.integer("real", 0, MOST_REAL, 0),
-                        managers.integer("cell", 0, MOST_CELL, 0),
+                        managers.integer("hollow", 1, MAX_HOLLOW_MANAGERS, null),
+                        managers.integer("real", 0, MAX_REAL_MANAGERS, 0),
+                        managers.integer("cell", 0, MAX_CELL_SIZE, 0),
                         managers.integer("spread", 1, 64, 1),
-                        engines.integer("count", 1, MOST_ENGINES, null),
-                        managers.integer("in_a_process", 1, MOST_A_PROCESS, 200),
-                        top.duration("probe", "200 ms"),
+                        engines.integer("count", 1, MAX_ENGINES, null),
+                        managers.integer("in_a_process", 1, MAX_MANAGERS_PER_PROCESS, 200),
+                        root.duration("probe", "200 ms"),
                         loads,
                         events);
-        top.rejectUnknownKeys();
+        root.rejectUnknownKeys();
         managers.rejectUnknownKeys();
         engines.rejectUnknownKeys();
-        plan.check(managers, top);
+        plan.check(managers, root);
         return plan;
     }
 
-    private static Load load(TomlSection s) {
+    private static Load readLoad(TomlSection section) {
         Load load =
                 new Load(
-                        s.integer("connections", 1, MOST_CONNECTIONS, null),
-                        s.number("rate", 0.1, MOST_RATE, null),
-                        s.duration("length", "10 s"),
-                        s.flag("counted", true));
+                        section.integer("connections", 1, MAX_CONNECTIONS, null),
+                        section.number("rate", 0.1, MAX_RATE, null),
+                        section.duration("length", "10 s"),
+                        section.flag("counted", true));
         if (load.connections > load.rate * LoadClients.MOST_REST_S) {
-            throw s.invalid(
+            throw section.invalid(
                     "rate",
                     String.format(
                             Locale.ROOT,
-                            "%d connections at %.1f statements a second rest over"
-                                    + " %.0f s, and clients close such; %.1f would do",
+                            "%d connections at %.1f statements a second are idle for"
+                                    + " more than %.0f s between calls, and clients close"
+                                    + " such connections; use a rate of at least %.1f",
                             load.connections,
                             load.rate,
                             LoadClients.MOST_REST_S,
                             load.connections / LoadClients.MOST_REST_S));
         }
-        if (load.length < LEAST_LOAD || load.length > MOST_LENGTH) {
-            throw s.invalid(
+        if (load.length < MIN_LOAD_LENGTH || load.length > MAX_LENGTH) {
+            throw section.invalid(
                     "length",
-                    "impossible; "
-                            + LEAST_LOAD / 10_000
+                    "out of range; use "
+                            + MIN_LOAD_LENGTH / 10_000
                             + " s to "
-                            + MOST_LENGTH / 600_000
-                            + " min would do");
+                            + MAX_LENGTH / 600_000
+                            + " min");
         }
-        s.rejectUnknownKeys();
+        section.rejectUnknownKeys();
         return load;
     }
 
-    private void check(TomlSection managers, TomlSection top) {
+    private void check(TomlSection managers, TomlSection root) {
         if (!loads.isEmpty() && real == 0) {
-            throw managers.invalid("real", "a load wants a real manager; 1 would do");
+            throw managers.invalid("real", "a load needs a real manager; use at least 1");
         }
         if (cell > 0 && managers() % cell != 0) {
             throw managers.invalid(
                     "hollow",
                     managers()
-                            + " managers are no whole number of cells of "
+                            + " managers do not fill whole cells of "
                             + cell
-                            + "; "
+                            + "; use "
                             + (managers() / cell + 1) * cell
-                            + " would do");
+                            + " managers in all");
         }
-        long fewest = IntStream.range(0, zones.size()).map(z -> cells(z)).min().orElse(0);
-        if (cell > 0 && spread > fewest) {
+        long minCellsPerZone = IntStream.range(0, zones.size()).map(zone -> cells(zone)).min().orElse(0);
+        if (cell > 0 && spread > minCellsPerZone) {
             throw managers.invalid(
                     "spread",
-                    "a zone has " + fewest + " cells; up to " + Math.max(1, fewest) + " would do");
+                    "a zone has only "
+                            + minCellsPerZone
+                            + " cells; use a spread of "
+                            + Math.max(1, minCellsPerZone)
+                            + " or less");
         }
-        if (length > MOST_LENGTH || settle > MOST_LENGTH) {
-            throw top.invalid("length", "over " + MOST_LENGTH / 600_000 + " min; a run is bounded");
+        if (length > MAX_LENGTH || settle > MAX_LENGTH) {
+            throw root.invalid(
+                    "length",
+                    "length or settle is over "
+                            + MAX_LENGTH / 600_000
+                            + " min, the limit for each; shorten it");
         }
-        for (Event e : events) {
-            if (e.at >= length) {
+        for (Event event : events) {
+            if (event.at >= length) {
                 throw new InvalidPlanException(
-                        e.line,
-                        "event.at: after the end; under " + length / 10_000 + " s would do");
+                        event.line,
+                        "event.at: not before the end of the run; use less than "
+                                + length / 10_000
+                                + " s");
             }
         }
     }
 
-    /** All managers, the real ones among them. */
+    /** Returns the number of managers, hollow and real. */
     public int managers() {
         return hollow + real;
     }
 
-    /** How many cells there are; one where the fleet is one. */
+    /** Returns the number of cells; 1 for a fleet without cells. */
     public int cells() {
         return cell == 0 ? 1 : managers() / cell;
     }
@@ -190,20 +225,25 @@
         return cells() / zones.size() + (zone < cells() % zones.size() ? 1 : 0);
     }
 
-    /** Managers that know each other in full. */
+    /** Returns the number of managers in one membership: a cell, or the fleet without cells. */
     public int together() {
         return cell == 0 ? managers() : cell;
     }
 
+    /** Returns the index of the manager's cell; 0 for a fleet without cells. */
     public int cellOf(int manager) {
         return manager / together();
     }
 
+    /** Returns the manager's index in its cell, or in a fleet without cells. */
     public int slotOf(int manager) {
         return manager % together();
     }
 
-    /** The real managers stand at the first places of the first cells, by turns. */
+    /**
+     * Returns whether the manager is a real one. The real managers fill slot 0 of each cell in
+     * turn, then slot 1, and so on.
+     */
     public boolean isReal(int manager) {
         return slotOf(manager) * cells() + cellOf(manager) < real;
     }
@@ -214,7 +254,7 @@
                 : zones.get(cellOf(manager) % zones.size());
     }
 
-    /** Null where the fleet is one. */
+    /** Returns the plan of the cells, or null for a fleet without cells. */
     public CellPlan cellPlan() {
         return cell == 0
                 ? null
@@ -232,7 +272,7 @@
                                 .toList());
     }
 
-    /** The part of a slice that is a manager's own. */
+    /** Returns the share of each engine that belongs to one manager. */
     public double part() {
         return cell == 0 ? 1.0 / managers() : 1.0 / (spread * cell);
     }
--- a/src/main/java/firstage/scale/package-info.java
+++ b/src/main/java/firstage/scale/package-info.java
@@ -1,6 +1,7 @@
 /**
- * How a fleet far larger than a machine behaves: hollow managers (the real modules of the
- * membership and of what stands on it, real datagrams, nothing behind them) beside real ones,
- * slopes in virtual time, figures for docs/CAPACITY.md.
+ * Scale tests: measure how the cost of control grows in a fleet far larger than one machine can
+ * host. A scale run starts hollow managers beside real ones; a hollow manager runs the real modules
+ * of the membership and of everything built on it over real datagrams, without clients and
+ * engines. Other measurements run in virtual time. docs/CAPACITY.md holds the figures.
  */
 package firstage.scale;
--- a/src/test/java/firstage/scale/ScaleIT.java
+++ b/src/test/java/firstage/scale/ScaleIT.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** 96 hollow managers and four real ones in four cells: one kill, one change of the list. */
+/**
+ * Scale runs with 96 hollow and four real managers in four cells, and with clients of one real
+ * manager; plans that are refused.
+ */
 @Timeout(120)
 class ScaleIT {
     private static final String RUN =
@@ -34,26 +37,27 @@
                                         RUN,
                                         line -> {}))
                         .figures();
-        // Each hollow manager's view is whole only with the real one of its cell in it.
+        // A hollow manager's view is complete only with the real manager of its cell in it.
         assertThat(figures).containsEntry("watches", 100.0);
-        assertThat(of(figures, "one view: by managers")).isEqualTo(96);
-        assertThat(of(figures, "a change of the list: by managers")).isEqualTo(96);
-        assertThat(of(figures, "a kill: by managers")).isEqualTo(23);
-        assertThat(of(figures, "steady: fewest cells heard")).isEqualTo(4);
-        assertThat(of(figures, "steady: engines held")).isEqualTo(215);
-        assertThat(of(figures, "a kill: last, s")).isLessThan(5);
-        assertThat(of(figures, "a change of the list: last, s")).isLessThan(4);
-        assertThat(of(figures, "steady: bytes out a s")).isLessThan(4_000);
-        assertThat(of(figures, "start: slices in force")).isEqualTo(1);
-        assertThat(of(figures, "a real one: datagrams' bytes in all")).isGreaterThan(10_000);
+        assertThat(figure(figures, "one view: by managers")).isEqualTo(96);
+        assertThat(figure(figures, "a change of the list: by managers")).isEqualTo(96);
+        assertThat(figure(figures, "a kill: by managers")).isEqualTo(23);
+        assertThat(figure(figures, "steady: fewest cells heard")).isEqualTo(4);
+        assertThat(figure(figures, "steady: engines held")).isEqualTo(215);
+        assertThat(figure(figures, "a kill: last, s")).isLessThan(5);
+        assertThat(figure(figures, "a change of the list: last, s")).isLessThan(4);
+        assertThat(figure(figures, "steady: bytes out a s")).isLessThan(4_000);
+        assertThat(figure(figures, "start: slices in force")).isEqualTo(1);
+        assertThat(figure(figures, "a real one: datagrams' bytes in all")).isGreaterThan(10_000);
         assertThat(Files.readAllLines(folder.resolve("seconds.csv")).size()).isGreaterThan(15);
         assertThat(folder.resolve("bytes.png")).exists();
     }
 
     /**
-     * A busy machine makes a phase void; what it counts and the wide bounds here hold all the same.
+     * Returns a figure, also one of a void phase: on a busy machine a phase becomes void, but the
+     * counts and the wide bounds in these tests hold there, too.
      */
-    private static double of(Map<String, Double> figures, String name) {
+    private static double figure(Map<String, Double> figures, String name) {
         assertThat(figures.containsKey(name) || figures.containsKey("(void) " + name))
                 .as(name)
                 .isTrue();
@@ -61,8 +65,8 @@
     }
 
     /**
-     * A real manager of a cell under clients whose connections stay open: what they ask for is
-     * served, and counted.
+     * Guards against a load that is not served or not measured: the clients of a real manager keep
+     * their connections open, and their statements are counted.
      */
     @Test
     void aRealManagerIsMeasuredUnderItsClients() throws IOException {
@@ -97,11 +101,11 @@
                                         RUN,
                                         line -> {}))
                         .figures();
-        assertThat(of(figures, "load 1: statements a s")).isBetween(20.0, 40.0);
-        assertThat(of(figures, "load 1: returned, part")).isGreaterThan(0.95);
-        assertThat(of(figures, "load 1: dispatches a s")).isGreaterThan(20);
-        assertThat(of(figures, "load 1: connections opened a s")).isLessThan(2);
-        assertThat(of(figures, "load 1: median, ms")).isGreaterThanOrEqualTo(19);
+        assertThat(figure(figures, "load 1: statements a s")).isBetween(20.0, 40.0);
+        assertThat(figure(figures, "load 1: returned, part")).isGreaterThan(0.95);
+        assertThat(figure(figures, "load 1: dispatches a s")).isGreaterThan(20);
+        assertThat(figure(figures, "load 1: connections opened a s")).isLessThan(2);
+        assertThat(figure(figures, "load 1: median, ms")).isGreaterThanOrEqualTo(19);
     }
 
     @Test
@@ -110,14 +114,15 @@
         assertThat(ScalePlan.read(clients).loads()).hasSizeGreaterThan(4);
         assertThatThrownBy(() -> ScalePlan.read(clients.replace("rate = 610.0", "rate = 462.0")))
                 .hasMessageContaining(
-                        "load 8.rate: 2423 connections at 462.0 statements a second rest over 4 s,"
-                                + " and clients close such; 605.8 would do");
+                        "load 8.rate: 2423 connections at 462.0 statements a second are idle for"
+                                + " more than 4 s between calls, and clients close such"
+                                + " connections; use a rate of at least 605.8");
         assertThatThrownBy(
                         () ->
                                 ScalePlan.read(
                                         clients.replace("real = 1", "real = 0")
                                                 .replace("hollow = 159", "hollow = 160")))
-                .hasMessageContaining("managers.real: a load wants a real manager; 1 would do");
+                .hasMessageContaining("managers.real: a load needs a real manager; use at least 1");
     }
 
     @Test
@@ -148,12 +153,12 @@
                                                 large.events())))
                 .hasMessageContaining("over half of this machine's");
         assertThatThrownBy(() -> ScalePlan.read(small.replace("real = 4", "real = 5")))
-                .hasMessageContaining("no whole number of cells of 25; 125 would do");
+                .hasMessageContaining("101 managers do not fill whole cells of 25; use 125 managers in all");
         assertThatThrownBy(() -> ScalePlan.read(small.replace("spread = 2", "spread = 3")))
-                .hasMessageContaining("a zone has 2 cells; up to 2 would do");
+                .hasMessageContaining("a zone has only 2 cells; use a spread of 2 or less");
         assertThatThrownBy(() -> ScalePlan.read(small.replace("\"kill\"", "\"kil\"")))
                 .hasMessageContaining("'kil' is none of kill, restart, list, zone, mass");
         assertThatThrownBy(() -> ScalePlan.read(small.replace("at = \"1 s\"", "at = \"9 s\"")))
-                .hasMessageContaining("after the end; under 6 s would do");
+                .hasMessageContaining("not before the end of the run; use less than 6 s");
     }
 }
