--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -10,8 +10,8 @@
 import java.lang.management.ManagementFactory;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
-import java.nio.file.Files;
-import java.nio.file.Path;
+import java.nio.planFile.Files;
+import java.nio.planFile.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -31,52 +31,64 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * One run: hollow processes, real managers and the coordinator started, the plan's events played,
- * figures taken.
+ * A scale run on this machine: starts the hollow processes, the real managers and the emulated
+ * coordinator and engines, plays the plan's loads and events, and records the figures.
  */
 public final class ScaleRun implements AutoCloseable {
-    /** Of the machine's memory, and processes: what a run may take. */
-    private static final double MOST_MEMORY = 0.5;
+    /** Largest share of the machine's memory that a run may take. */
+    private static final double MAX_MEMORY_SHARE = 0.5;
 
-    private static final int MOST_PROCESSES = 300;
+    private static final int MAX_PROCESSES = 300;
 
-    /**
-     * A hollow process: what a JVM takes, and what a manager does by who it knows; a real one.
-     * Rough, upwards.
-     */
-    private static final double JVM_MB = 90;
+    /** Memory of a hollow process without its managers; like the other sizes, an upper estimate. */
+    private static final double HOLLOW_PROCESS_MB = 90;
+
+    private static final double HOLLOW_MANAGER_MB = 0.5;
+
+    /** Memory that a hollow manager takes for each manager in its membership. */
+    private static final double KNOWN_MANAGER_MB = 0.001;
 
-    private static final double MANAGER_MB = 0.5;
-    private static final double KNOWN_MB = 0.001;
-    private static final double REAL_MB = 110;
+    private static final double REAL_MANAGER_MB = 110;
 
     /**
-     * A hollow process that is later proves nothing of the managers in it: the membership takes 400
-     * ms for a stop.
+     * 99th percentile of the tick delay of hollow managers above which a phase is void. The
+     * membership regards a manager that pauses for 400 ms as stopped.
      */
-    private static final double VOID_99TH_MS = 100;
+    private static final double MAX_TICK_DELAY_MS = 100;
+
+    private static final int START_TIMEOUT_S = 60;
+    private static final int STEADY_MEASUREMENT_S = 6;
+
+    /** Number of pauses of 100 ms between the end of the plan and the final figures. */
+    private static final int FINAL_PAUSES = 12;
+
+    /** Share of the hollow managers that a mass restart kills. */
+    private static final double MASS_RESTART_SHARE = 0.7;
 
-    private static final int START_S = 60;
-    private static final int STEADY_S = 6;
-    private static final int AFTER_S = 12;
-    private static final double RESTARTED = 0.7;
-    private static final int BACK_MS = 3_000;
-    private static final int AWAY_MS = 2_000;
-    private static final double PERCENT = 99;
+    /** Time within which the managers of a mass restart start again. */
+    private static final int MASS_RESTART_WINDOW_MS = 3_000;
+
+    /** Time between the leave and the start of a manager that is restarted. */
+    private static final int RESTART_DOWNTIME_MS = 2_000;
+
+    private static final double HIGH_PERCENTILE = 99;
 
     /**
-     * What a statement takes at a hollow engine: under what 279 a second leave it on eight cores.
+     * Service time of a statement at a hollow engine. It is below the 28.7 ms that each statement
+     * has on an engine with eight cores at 279 statements a second.
      */
     private static final long STATEMENT_MS = 20;
 
-    private static final long RAMP_MS = 4_000;
+    private static final long LOAD_RAMP_MS = 4_000;
 
-    /** Loads from which a processor's two slopes can be told with an error. */
-    private static final int FEWEST_LOADS = 4;
+    /** Fewest loads that give the two slopes of the processor time with their standard errors. */
+    private static final int MIN_LOADS_FOR_SLOPES = 4;
 
-    private static final int SOCKETS = 1_024;
-    private static final String CUSTOMER = "one";
-    private static final Map<String, List<String>> OF_PHASE =
+    private static final int BASE_SOCKETS = 1_024;
+    private static final String TENANT = "one";
+
+    /** Prefixes of the figures that depend on an event, by the kind of the event. */
+    private static final Map<String, List<String>> FIGURE_PREFIXES =
             Map.of(
                     "kill",
                     List.of("a kill"),
@@ -88,310 +100,333 @@
                     List.of("a dead cell"),
                     "mass",
                     List.of("whole after", "events: worst"));
-    private static final Pattern DATAGRAMS = Pattern.compile("datagrams' bytes out=(\\d+)");
+
+    private static final Pattern DATAGRAM_BYTES = Pattern.compile("datagrams' bytes out=(\\d+)");
 
     /**
-     * What is to be played; {@code run}: of the deploy file; {@code file}: of the plan in force.
+     * The parameters of a run.
+     *
+     * @param planFile file that holds the plan, read by the hollow processes
+     * @param seed seed of the random choices
+     * @param folder folder for charts, logs and configurations
+     * @param jar program that the processes run
+     * @param serveCommand command of the deployment file that starts a manager
+     * @param progress receives a line for each step of the run
      */
     public record Order(
             ScalePlan plan,
-            Path file,
+            Path planFile,
             long seed,
             Path folder,
             Path jar,
-            String run,
+            String serveCommand,
             Consumer<String> progress) {}
 
-    /** What came of it; {@code isVoid}: why it proves nothing, or null. */
+    /**
+     * The outcome of a run.
+     *
+     * @param isVoid why some figures are void, or null if all count
+     */
     public record Result(Map<String, Double> figures, String isVoid) {}
 
-    private final Order order;
+    private final Order parameters;
     private final ScalePlan plan;
-    private final ServerSocket lock;
-    private final ScaleAddresses at;
+    private final ServerSocket portReservation;
+    private final ScaleAddresses addresses;
     private final EmulatedWatches watches;
     private final HollowEngines engines;
-    private final ManagerProcesses real;
-    private final List<HollowWorkerProcess> hollow = new ArrayList<>();
+    private final ManagerProcesses realManagers;
+    private final List<HollowWorkerProcess> hollowProcesses = new ArrayList<>();
     private final Map<String, Double> figures = new LinkedHashMap<>();
 
     /**
-     * What was going on from which second on, in order: each proves nothing where its managers came
-     * late.
+     * Index of the first report line of each phase, by the phase's name and in order. The figures
+     * of a phase are void if its hollow managers ticked too late.
      */
     private final Map<String, Integer> phases = new LinkedHashMap<>();
 
-    private final Random chance;
-    private final Thread hook =
-            new Thread(() -> hollow.forEach(HollowWorkerProcess::close), "end of the scale run");
-
-    private ScaleRun(Order order) throws IOException {
-        this.order = order;
-        plan = order.plan;
-        chance = new Random(order.seed);
-        Files.createDirectories(order.folder.resolve("logs"));
-        lock = LoopbackAddresses.reservePort();
-        at = new ScaleAddresses(lock.getLocalPort());
-        watches = new EmulatedWatches(at.coordinator());
-        engines = new HollowEngines(at.engine(), STATEMENT_MS);
-        real =
+    private final Random random;
+    private final Thread shutdownHook =
+            new Thread(() -> hollowProcesses.forEach(HollowWorkerProcess::close), "end of the scale run");
+
+    private ScaleRun(Order parameters) throws IOException {
+        this.parameters = parameters;
+        plan = parameters.plan;
+        random = new Random(parameters.seed);
+        Files.createDirectories(parameters.folder.resolve("logs"));
+        portReservation = LoopbackAddresses.reservePort();
+        addresses = new ScaleAddresses(portReservation.getLocalPort());
+        watches = new EmulatedWatches(addresses.coordinator());
+        engines = new HollowEngines(addresses.engine(), STATEMENT_MS);
+        realManagers =
                 new ManagerProcesses(
-                        order.folder,
+                        parameters.folder,
                         ManagerProcesses.processListFolder()
-                                .resolve("scale-" + at.port() + ".held"),
-                        ManagerProcesses.command(order.run, order.jar),
+                                .resolve("scale-" + addresses.port() + ".held"),
+                        ManagerProcesses.command(parameters.serveCommand, parameters.jar),
                         Math.max(1, plan.real()));
-        Runtime.getRuntime().addShutdownHook(hook);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
-    /** Memory in MB that such a run may take at most. */
-    public static double memory(ScalePlan plan) {
-        int processes = processes(plan);
-        return processes * JVM_MB
-                + plan.hollow() * (MANAGER_MB + KNOWN_MB * plan.together())
-                + plan.real() * REAL_MB;
+    /** Returns an upper estimate of the memory that a run of the plan takes, in MB. */
+    public static double estimatedMemoryMb(ScalePlan plan) {
+        int processCount = processCount(plan);
+        return processCount * HOLLOW_PROCESS_MB
+                + plan.hollow() * (HOLLOW_MANAGER_MB + KNOWN_MANAGER_MB * plan.together())
+                + plan.real() * REAL_MANAGER_MB;
     }
 
-    private static int processes(ScalePlan plan) {
+    /** Returns the number of hollow processes. */
+    private static int processCount(ScalePlan plan) {
         return (plan.managers() + plan.inAProcess() - 1) / plan.inAProcess();
     }
 
-    /** What this machine can't bear; the message says what would do. */
+    /**
+     * Checks that this machine can host a run of the plan.
+     *
+     * @throws InvalidPlanException if the run needs too much memory or too many processes; the
+     *     message says what to change
+     */
     public static void check(ScalePlan plan) {
-        double whole =
+        double machineMb =
                 ((com.sun.management.OperatingSystemMXBean)
                                         ManagementFactory.getOperatingSystemMXBean())
                                 .getTotalMemorySize()
                         / 1048576.0;
-        if (memory(plan) > whole * MOST_MEMORY) {
+        if (estimatedMemoryMb(plan) > machineMb * MAX_MEMORY_SHARE) {
             throw new InvalidPlanException(
                     0,
                     String.format(
                             Locale.ROOT,
-                            "%d managers that know %d each may take %.0f MB, over"
-                                    + " half of this machine's %.0f; fewer, or in cells, would do",
+                            "%d managers that know %d managers each may take %.0f MB,"
+                                    + " over half of this machine's %.0f MB; use fewer managers"
+                                    + " or divide them into cells",
                             plan.managers(),
                             plan.together(),
-                            memory(plan),
-                            whole));
+                            estimatedMemoryMb(plan),
+                            machineMb));
         }
-        if (processes(plan) + plan.real() > MOST_PROCESSES) {
+        if (processCount(plan) + plan.real() > MAX_PROCESSES) {
             throw new InvalidPlanException(
                     0,
-                    processes(plan)
+                    processCount(plan)
                             + plan.real()
-                            + " processes are over "
-                            + MOST_PROCESSES
-                            + "; more managers in_a_process would do");
+                            + " processes are over the limit of "
+                            + MAX_PROCESSES
+                            + "; raise managers.in_a_process");
         }
     }
 
-    /** Plays it to its end; all that it started has ended when it returns. */
-    public static Result play(Order order) throws IOException {
-        check(order.plan);
-        try (ScaleRun run = new ScaleRun(order)) {
+    /** Plays a run to its end. All processes that it started have ended when it returns. */
+    public static Result play(Order parameters) throws IOException {
+        check(parameters.plan);
+        try (ScaleRun run = new ScaleRun(parameters)) {
             return run.play();
         }
     }
 
     private Result play() throws IOException {
-        startHollow();
-        startReal();
-        long go = System.currentTimeMillis();
-        all("go " + go);
-        phases.put("start", fewestLines());
-        long settled = go + plan.settle() / 10;
-        while (System.currentTimeMillis() < settled) {
-            rest();
+        startHollowProcesses();
+        startRealManagers();
+        long startedAt = System.currentTimeMillis();
+        sendToAll("go " + startedAt);
+        phases.put("start", completeSeconds());
+        long settledAt = startedAt + plan.settle() / 10;
+        while (System.currentTimeMillis() < settledAt) {
+            pause();
         }
-        figure("managers", plan.managers());
-        figure("real", plan.real());
-        figure("cell", plan.cell());
-        figure("engines", plan.engines());
-        figure("start: whole views, part of managers", sum("whole views") / Math.max(1, sum("up")));
-        figure("start: slices in force", sum("in force") / Math.max(1, sum("up")));
-        figure("start: worst second, bytes a manager", worstSecond("bytes out", 0));
-        figure("watches", watches.open());
-        phases.put("steady", fewestLines());
-        steady();
-        loads();
-        int mark = fewestLines();
-        events();
-        for (int s = 0; s < AFTER_S; s++) {
-            rest();
+        putFigure("managers", plan.managers());
+        putFigure("real", plan.real());
+        putFigure("cell", plan.cell());
+        putFigure("engines", plan.engines());
+        putFigure("start: whole views, part of managers", sumOfLast("whole views") / Math.max(1, sumOfLast("up")));
+        putFigure("start: slices in force", sumOfLast("in force") / Math.max(1, sumOfLast("up")));
+        putFigure("start: worst second, bytes a manager", worstSecondPerManager("bytes out", 0));
+        putFigure("watches", watches.open());
+        phases.put("steady", completeSeconds());
+        measureSteadyState();
+        playLoads();
+        int firstEventSecond = completeSeconds();
+        playEvents();
+        for (int i = 0; i < FINAL_PAUSES; i++) {
+            pause();
         }
-        conclude(mark);
-        return new Result(figures, judge());
-    }
-
-    /** What came late proves nothing: its figures say so. */
-    private String judge() {
-        List<String> late = new ArrayList<>();
-        List<Map.Entry<String, Integer>> all = new ArrayList<>(phases.entrySet());
-        for (int i = 0; i < all.size(); i++) {
-            String phase = all.get(i).getKey();
-            double ms =
-                    late(
-                            all.get(i).getValue(),
-                            i + 1 < all.size() ? all.get(i + 1).getValue() : fewestLines());
-            figure("late in " + phase + ", 99th, ms", ms);
-            if (ms > VOID_99TH_MS) {
-                late.add(String.format(Locale.ROOT, "%s (%.0f ms)", phase, ms));
-                List<String> of =
-                        OF_PHASE.getOrDefault(phase.replaceAll(" \\d+$", ""), List.of(phase + ":"));
+        recordFinalFigures(firstEventSecond);
+        return new Result(figures, voidLatePhases());
+    }
+
+    /**
+     * Records the tick delay of each phase and marks the figures of late phases as void. Returns
+     * which phases were late, or null if none was.
+     */
+    private String voidLatePhases() {
+        List<String> latePhases = new ArrayList<>();
+        List<Map.Entry<String, Integer>> phaseStarts = new ArrayList<>(phases.entrySet());
+        for (int i = 0; i < phaseStarts.size(); i++) {
+            String phase = phaseStarts.get(i).getKey();
+            double delayMs =
+                    tickDelayMs(
+                            phaseStarts.get(i).getValue(),
+                            i + 1 < phaseStarts.size() ? phaseStarts.get(i + 1).getValue() : completeSeconds());
+            putFigure("late in " + phase + ", 99th, ms", delayMs);
+            if (delayMs > MAX_TICK_DELAY_MS) {
+                latePhases.add(String.format(Locale.ROOT, "%s (%.0f ms)", phase, delayMs));
+                List<String> prefixes =
+                        FIGURE_PREFIXES.getOrDefault(phase.replaceAll(" \\d+$", ""), List.of(phase + ":"));
                 for (String name : List.copyOf(figures.keySet())) {
-                    if (of.stream().anyMatch(name::startsWith)) {
+                    if (prefixes.stream().anyMatch(name::startsWith)) {
                         figures.put("(void) " + name, figures.remove(name));
                     }
                 }
             }
         }
-        return late.isEmpty()
+        return latePhases.isEmpty()
                 ? null
-                : "hollow managers came late (99th) in "
-                        + String.join(", ", late)
-                        + "; the machine is too small or too busy for that";
+                : "hollow managers ticked too late (99th percentile) in "
+                        + String.join(", ", latePhases)
+                        + "; the machine is too small or too busy for this plan";
     }
 
-    // ---- Starting.
-    private void startHollow() throws IOException {
-        double mb = JVM_MB + plan.inAProcess() * (MANAGER_MB + KNOWN_MB * plan.together());
-        for (int from = 0; from < plan.managers(); from += plan.inAProcess()) {
-            int to = Math.min(plan.managers(), from + plan.inAProcess());
+    private void startHollowProcesses() throws IOException {
+        double heapMb = HOLLOW_PROCESS_MB + plan.inAProcess() * (HOLLOW_MANAGER_MB + KNOWN_MANAGER_MB * plan.together());
+        for (int firstManager = 0; firstManager < plan.managers(); firstManager += plan.inAProcess()) {
+            int endManager = Math.min(plan.managers(), firstManager + plan.inAProcess());
             List<String> command =
                     List.of(
                             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                            "-Xmx" + (int) mb + "m",
+                            "-Xmx" + (int) heapMb + "m",
                             "-Xss512k",
                             "-XX:+UseSerialGC",
                             "-XX:TieredStopAtLevel=1",
                             "-jar",
-                            order.jar.toString(),
+                            parameters.jar.toString(),
                             "scale",
                             "hollow",
-                            order.file.toString(),
-                            String.valueOf(at.port()),
-                            String.valueOf(from),
-                            String.valueOf(to));
-            hollow.add(
+                            parameters.planFile.toString(),
+                            String.valueOf(addresses.port()),
+                            String.valueOf(firstManager),
+                            String.valueOf(endManager));
+            hollowProcesses.add(
                     new HollowWorkerProcess(
                             command,
-                            from,
-                            to,
-                            order.folder.resolve("logs").resolve("hollow-" + from + ".log")));
+                            firstManager,
+                            endManager,
+                            parameters.folder.resolve("logs").resolve("hollow-" + firstManager + ".log")));
         }
-        long until = System.currentTimeMillis() + START_S * 1_000;
-        while (hollow.stream().anyMatch(h -> h.told() == 0)) {
-            for (HollowWorkerProcess h : hollow) {
-                if (!h.lives() || System.currentTimeMillis() > until) {
+        long deadline = System.currentTimeMillis() + START_TIMEOUT_S * 1_000;
+        while (hollowProcesses.stream().anyMatch(h -> h.told() == 0)) {
+            for (HollowWorkerProcess process : hollowProcesses) {
+                if (!process.lives() || System.currentTimeMillis() > deadline) {
                     throw new IOException(
                             "hollow managers from "
-                                    + h.from
+                                    + process.from
                                     + " did not start: "
-                                    + h.lastWords()
+                                    + process.lastWords()
                                     + Files.readString(
-                                                    order.folder
+                                                    parameters.folder
                                                             .resolve("logs")
-                                                            .resolve("hollow-" + h.from + ".log"))
+                                                            .resolve("hollow-" + process.from + ".log"))
                                             .lines()
                                             .findFirst()
                                             .orElse(""));
                 }
             }
-            rest();
+            pause();
         }
-        order.progress.accept(hollow.size() + " hollow processes");
+        parameters.progress.accept(hollowProcesses.size() + " hollow processes");
     }
 
-    private void startReal() throws IOException {
-        FleetPlan like =
+    private void startRealManagers() throws IOException {
+        FleetPlan deployment =
                 FleetPlanReader.read(
-                        REAL_PLAN
+                        REAL_DEPLOYMENT
                                 .replace("ZONES", String.join(", ", plan.zones()))
                                 .replace("MANAGERS", String.valueOf(plan.managers()))
                                 .replace("ENGINES", String.valueOf(plan.engines())));
         int started = 0;
-        for (int m = 0; m < plan.managers(); m++) {
-            if (plan.isReal(m)) {
-                ManagerConfigWriter.ManagerPlace of =
+        for (int manager = 0; manager < plan.managers(); manager++) {
+            if (plan.isReal(manager)) {
+                ManagerConfigWriter.ManagerPlace place =
                         new ManagerConfigWriter.ManagerPlace(
-                                "m" + m,
-                                at.manager(started),
-                                at.coordinator(),
-                                m,
-                                plan.zones().indexOf(plan.zoneOf(m)),
-                                e -> at.engine());
+                                "m" + manager,
+                                addresses.manager(started),
+                                addresses.coordinator(),
+                                manager,
+                                plan.zones().indexOf(plan.zoneOf(manager)),
+                                engine -> addresses.engine());
                 ManagerConfigWriter.writeConfig(
-                        ManagerProcesses.configFile(order.folder, started),
-                        like,
-                        of,
-                        order.seed * 1_009 + m,
-                        sockets());
-                Files.write(ManagerProcesses.peersFile(order.folder, started), peers(m));
-                real.start(started, true);
+                        ManagerProcesses.configFile(parameters.folder, started),
+                        deployment,
+                        place,
+                        parameters.seed * 1_009 + manager,
+                        socketLimit());
+                Files.write(ManagerProcesses.peersFile(parameters.folder, started), peersFileLines(manager));
+                realManagers.start(started, true);
                 started++;
             }
         }
-        for (int r = 0; r < started; r++) {
-            real.awaitReady(r, at.manager(r));
+        for (int i = 0; i < started; i++) {
+            realManagers.awaitReady(i, addresses.manager(i));
         }
     }
 
-    /** Clients hold a third of the descriptors at most; each engine known may hold some. */
-    private int sockets() {
+    /**
+     * Returns the socket limit of a real manager: clients may hold a third of it, and connections to
+     * engines need the rest.
+     */
+    private int socketLimit() {
         return Math.max(
-                SOCKETS,
-                plan.loads().stream().mapToInt(l -> 3 * l.connections() + SOCKETS).max().orElse(0));
+                BASE_SOCKETS,
+                plan.loads().stream().mapToInt(l -> 3 * l.connections() + BASE_SOCKETS).max().orElse(0));
     }
 
-    private List<String> peers(int m) {
+    private List<String> peersFileLines(int manager) {
         List<String> lines =
                 new ArrayList<>(
                         List.of(
                                 "fleet = \"" + plan.name() + "\"",
-                                "name = \"m" + m + "\"",
-                                "zone = \"" + plan.zoneOf(m) + "\"",
-                                "listen = \"" + LoopbackAddresses.hostPort(at.mail(plan, m)) + "\"",
+                                "name = \"m" + manager + "\"",
+                                "zone = \"" + plan.zoneOf(manager) + "\"",
+                                "listen = \"" + LoopbackAddresses.hostPort(addresses.mail(plan, manager)) + "\"",
                                 "probe = \"" + plan.period() / 10 + " ms\""));
         if (plan.cell() == 0) {
-            for (int p = 0; p < plan.managers(); p++) {
-                if (p != m) {
+            for (int peer = 0; peer < plan.managers(); peer++) {
+                if (peer != manager) {
                     lines.addAll(
                             List.of(
                                     "[[peer]]",
                                     "address = \""
-                                            + LoopbackAddresses.hostPort(at.mail(plan, p))
+                                            + LoopbackAddresses.hostPort(addresses.mail(plan, peer))
                                             + "\""));
                 }
             }
             return lines;
         }
         lines.addAll(List.of("plan = 1", "spread = " + plan.spread()));
-        for (int c = 0; c < plan.cells(); c++) {
-            InetSocketAddress first = at.mail(plan, c * plan.cell());
-            String host = first.getAddress().getHostAddress();
+        for (int cell = 0; cell < plan.cells(); cell++) {
+            InetSocketAddress firstSlot = addresses.mail(plan, cell * plan.cell());
+            String host = firstSlot.getAddress().getHostAddress();
             lines.addAll(
                     List.of(
                             "[[cell]]",
-                            "name = \"c" + c + "\"",
-                            "zone = \"" + plan.zones().get(c % plan.zones().size()) + "\"",
+                            "name = \"c" + cell + "\"",
+                            "zone = \"" + plan.zones().get(cell % plan.zones().size()) + "\"",
                             "hosts = [\""
                                     + host
                                     + "-"
                                     + plan.cell()
                                     + ":"
-                                    + first.getPort()
+                                    + firstSlot.getPort()
                                     + "\"]"));
         }
         return lines;
     }
 
-    // ---- Playing.
-    private void all(String line) {
-        hollow.forEach(h -> h.order(line));
+    private void sendToAll(String line) {
+        hollowProcesses.forEach(h -> h.order(line));
     }
 
-    private static void rest() {
+    private static void pause() {
         try {
             Thread.sleep(100);
         } catch (InterruptedException fault) {
@@ -399,90 +434,94 @@
         }
     }
 
-    private void rest(long ms) {
-        long until = System.currentTimeMillis() + ms;
+    /** Pauses for a time in ms, in steps of 100 ms. */
+    private void pause(long durationMs) {
+        long until = System.currentTimeMillis() + durationMs;
         while (System.currentTimeMillis() < until) {
-            rest();
+            pause();
         }
     }
 
-    private void steady() {
+    private void measureSteadyState() {
         Map<HollowWorkerProcess, HollowWorkerProcess.Line> before =
-                hollow.stream().collect(Collectors.toMap(h -> h, HollowWorkerProcess::last));
+                hollowProcesses.stream().collect(Collectors.toMap(h -> h, HollowWorkerProcess::last));
         double[] cpu = new double[plan.real()];
-        for (int r = 0; r < plan.real(); r++) {
-            cpu[r] = cpuMs(r);
+        for (int i = 0; i < plan.real(); i++) {
+            cpu[i] = cpuMs(i);
         }
-        long since = System.currentTimeMillis();
-        long list = watches.bytes();
-        rest(STEADY_S * 1_000);
-        double up = sum("up");
+        long startMs = System.currentTimeMillis();
+        long listBytesBefore = watches.bytes();
+        pause(STEADY_MEASUREMENT_S * 1_000);
+        double managersUp = sumOfLast("up");
         for (String name : before.values().iterator().next().figures().keySet()) {
             if (name.startsWith("bytes ")
                     || name.startsWith("datagrams")
                     || name.startsWith("list bytes")
                     || name.equals("cpu ms")) {
-                double rate = 0;
-                for (HollowWorkerProcess h : hollow) {
-                    HollowWorkerProcess.Line last = h.last();
-                    double seconds = (last.figure("at") - before.get(h).figure("at")) / 1e3;
-                    rate += (last.figure(name) - before.get(h).figure(name)) / seconds;
+                double sumOfRates = 0;
+                for (HollowWorkerProcess process : hollowProcesses) {
+                    HollowWorkerProcess.Line last = process.last();
+                    double seconds = (last.figure("at") - before.get(process).figure("at")) / 1e3;
+                    sumOfRates += (last.figure(name) - before.get(process).figure(name)) / seconds;
                 }
-                figure(
+                putFigure(
                         "steady: " + (name.equals("cpu ms") ? "processor, ms a s" : name + " a s"),
-                        rate / up);
+                        sumOfRates / managersUp);
             }
         }
-        double took = (System.currentTimeMillis() - since) / 1e3;
-        figure("steady: coordinator's bytes a s", (watches.bytes() - list) / took);
-        for (int r = 0; r < plan.real(); r++) {
-            cpu[r] = (cpuMs(r) - cpu[r]) / took;
+        double elapsedS = (System.currentTimeMillis() - startMs) / 1e3;
+        putFigure("steady: coordinator's bytes a s", (watches.bytes() - listBytesBefore) / elapsedS);
+        for (int i = 0; i < plan.real(); i++) {
+            cpu[i] = (cpuMs(i) - cpu[i]) / elapsedS;
         }
-        figure("steady: processor of a real one, ms a s", Arrays.stream(cpu).average().orElse(0));
-        figure(
+        putFigure("steady: processor of a real one, ms a s", Arrays.stream(cpu).average().orElse(0));
+        putFigure(
                 "steady: resident MB of a real one",
                 IntStream.range(0, plan.real()).mapToDouble(this::residentMb).average().orElse(0));
-        figure("steady: engines held", sum("engines held") / up);
-        figure(
+        putFigure("steady: engines held", sumOfLast("engines held") / managersUp);
+        putFigure(
                 "steady: fewest cells heard",
-                hollow.stream()
+                hollowProcesses.stream()
                         .mapToDouble(h -> h.last().figure("fewest cells heard"))
                         .min()
                         .orElse(0));
     }
 
     /**
-     * The first real manager under its clients, load by load; then what a statement and a
+     * Plays the loads on the first real manager one after another, then fits what a statement and a
      * connection cost it.
      */
-    private void loads() throws IOException {
+    private void playLoads() throws IOException {
         if (plan.loads().isEmpty()) {
             return;
         }
         List<double[]> measured = new ArrayList<>();
-        try (LoadClients clients = new LoadClients(at.manager(0), CUSTOMER)) {
+        try (LoadClients clients = new LoadClients(addresses.manager(0), TENANT)) {
             int number = 0;
-            for (ScalePlan.Load l : plan.loads()) {
+            for (ScalePlan.Load load : plan.loads()) {
                 String name = "load " + ++number;
-                order.progress.accept(name);
-                clients.play(l.connections(), l.rate());
-                rest((long) (RAMP_MS + l.connections() / l.rate() * 1_000));
-                phases.put(name, fewestLines());
-                double[] row = load(name + ": ", clients, l);
-                if (l.counted()) {
-                    measured.add(row);
+                parameters.progress.accept(name);
+                clients.play(load.connections(), load.rate());
+                pause((long) (LOAD_RAMP_MS + load.connections() / load.rate() * 1_000));
+                phases.put(name, completeSeconds());
+                double[] measurement = measureLoad(name + ": ", clients, load);
+                if (load.counted()) {
+                    measured.add(measurement);
                 }
-                phases.put("after " + name, fewestLines());
+                phases.put("after " + name, completeSeconds());
             }
         }
-        rest(RAMP_MS);
-        if (measured.size() >= FEWEST_LOADS) {
-            slopes(measured);
+        pause(LOAD_RAMP_MS);
+        if (measured.size() >= MIN_LOADS_FOR_SLOPES) {
+            fitSlopes(measured);
         }
     }
 
-    /** What it came to: statements a second, connections, processor in ms a second, resident MB. */
-    private double[] load(String name, LoadClients clients, ScalePlan.Load l) {
+    /**
+     * Measures a load that is being played. Returns statements a second, connections, processor time
+     * in ms a second and resident MB, in this order.
+     */
+    private double[] measureLoad(String prefix, LoadClients clients, ScalePlan.Load load) {
         long[] before = {
             clients.returned(),
             clients.pushedBack(),
@@ -492,271 +531,275 @@
             engines.probes()
         };
         double cpu = cpuMs(0);
-        long since = System.nanoTime();
+        long startNs = System.nanoTime();
         clients.latency().reset();
         clients.late().reset();
-        rest(l.length() / 10);
-        double took = (System.nanoTime() - since) / 1e9;
-        cpu = (cpuMs(0) - cpu) / took;
-        double returned = (clients.returned() - before[0]) / took;
-        double pushedBack = (clients.pushedBack() - before[1]) / took;
-        double failed = (clients.failed() - before[2]) / took;
-        figure(name + "connections", l.connections());
-        figure(name + "statements a s", returned + pushedBack + failed);
-        figure(name + "returned, part", returned / Math.max(1e-9, returned + pushedBack + failed));
-        figure(name + "failed a s", failed);
-        figure(name + "connections opened a s", (clients.opened() - before[3]) / took);
-        figure(name + "dispatches a s", (engines.taken() - before[4]) / took);
-        figure(name + "probes a s", (engines.probes() - before[5]) / took);
-        figure(name + "median, ms", clients.latency().getValueAtPercentile(50) / 1e3);
-        figure(name + "99th, ms", clients.latency().getValueAtPercentile(PERCENT) / 1e3);
-        figure(name + "clients late, 99th, ms", clients.late().getValueAtPercentile(PERCENT) / 1e3);
-        figure(name + "processor, ms a s", cpu);
-        figure(name + "resident MB", residentMb(0));
-        return new double[] {returned + pushedBack + failed, l.connections(), cpu, residentMb(0)};
+        pause(load.length() / 10);
+        double elapsedS = (System.nanoTime() - startNs) / 1e9;
+        cpu = (cpuMs(0) - cpu) / elapsedS;
+        double returned = (clients.returned() - before[0]) / elapsedS;
+        double pushedBack = (clients.pushedBack() - before[1]) / elapsedS;
+        double failed = (clients.failed() - before[2]) / elapsedS;
+        putFigure(prefix + "connections", load.connections());
+        putFigure(prefix + "statements a s", returned + pushedBack + failed);
+        putFigure(prefix + "returned, part", returned / Math.max(1e-9, returned + pushedBack + failed));
+        putFigure(prefix + "failed a s", failed);
+        putFigure(prefix + "connections opened a s", (clients.opened() - before[3]) / elapsedS);
+        putFigure(prefix + "dispatches a s", (engines.taken() - before[4]) / elapsedS);
+        putFigure(prefix + "probes a s", (engines.probes() - before[5]) / elapsedS);
+        putFigure(prefix + "median, ms", clients.latency().getValueAtPercentile(50) / 1e3);
+        putFigure(prefix + "99th, ms", clients.latency().getValueAtPercentile(HIGH_PERCENTILE) / 1e3);
+        putFigure(prefix + "clients late, 99th, ms", clients.late().getValueAtPercentile(HIGH_PERCENTILE) / 1e3);
+        putFigure(prefix + "processor, ms a s", cpu);
+        putFigure(prefix + "resident MB", residentMb(0));
+        return new double[] {returned + pushedBack + failed, load.connections(), cpu, residentMb(0)};
     }
 
     /**
-     * Least squares over the loads, with standard errors; memory by connections alone, as it does
-     * not shrink.
+     * Fits processor time to statements and connections, and memory to connections alone, by least
+     * squares with standard errors. Memory is not fitted to statements, as it does not shrink when
+     * their rate falls.
      */
-    private void slopes(List<double[]> measured) {
-        OLSMultipleLinearRegression fit = new OLSMultipleLinearRegression();
-        fit.newSampleData(
-                measured.stream().mapToDouble(m -> m[2]).toArray(),
-                measured.stream().map(m -> new double[] {m[0], m[1]}).toArray(double[][]::new));
-        double[] slope = fit.estimateRegressionParameters();
-        double[] error = fit.estimateRegressionParametersStandardErrors();
-        figure("slope: us of processor a statement", slope[1] * 1e3);
-        figure("slope: us of processor a statement, error", error[1] * 1e3);
-        figure("slope: us a second and connection", slope[2] * 1e3);
-        figure("slope: us a second and connection, error", error[2] * 1e3);
-        SimpleRegression memory = new SimpleRegression();
-        measured.forEach(m -> memory.addData(m[1], m[3] * 1_024));
-        figure("slope: resident KB a connection", memory.getSlope());
-        figure("slope: resident KB a connection, error", memory.getSlopeStdErr());
-    }
-
-    private double cpuMs(int r) {
-        return real.handle(r).info().totalCpuDuration().map(d -> (double) d.toMillis()).orElse(0.0);
-    }
-
-    private double residentMb(int r) {
+    private void fitSlopes(List<double[]> measured) {
+        OLSMultipleLinearRegression cpuFit = new OLSMultipleLinearRegression();
+        cpuFit.newSampleData(
+                measured.stream().mapToDouble(row -> row[2]).toArray(),
+                measured.stream().map(row -> new double[] {row[0], row[1]}).toArray(double[][]::new));
+        double[] slopes = cpuFit.estimateRegressionParameters();
+        double[] errors = cpuFit.estimateRegressionParametersStandardErrors();
+        putFigure("slope: us of processor a statement", slopes[1] * 1e3);
+        putFigure("slope: us of processor a statement, error", errors[1] * 1e3);
+        putFigure("slope: us a second and connection", slopes[2] * 1e3);
+        putFigure("slope: us a second and connection, error", errors[2] * 1e3);
+        SimpleRegression memoryFit = new SimpleRegression();
+        measured.forEach(row -> memoryFit.addData(row[1], row[3] * 1_024));
+        putFigure("slope: resident KB a connection", memoryFit.getSlope());
+        putFigure("slope: resident KB a connection, error", memoryFit.getSlopeStdErr());
+    }
+
+    private double cpuMs(int realManager) {
+        return realManagers.handle(realManager).info().totalCpuDuration().map(d -> (double) d.toMillis()).orElse(0.0);
+    }
+
+    private double residentMb(int realManager) {
         try {
             return Files.readAllLines(
-                            Path.of("/proc", String.valueOf(real.handle(r).pid()), "status"))
+                            Path.of("/proc", String.valueOf(realManagers.handle(realManager).pid()), "status"))
                     .stream()
-                    .filter(l -> l.startsWith("VmRSS"))
-                    .mapToDouble(l -> Double.parseDouble(l.replaceAll("[^0-9]", "")) / 1_024)
+                    .filter(line -> line.startsWith("VmRSS"))
+                    .mapToDouble(line -> Double.parseDouble(line.replaceAll("[^0-9]", "")) / 1_024)
                     .findFirst()
                     .orElse(0);
-        } catch (IOException gone) {
+        } catch (IOException processEnded) {
             return 0;
         }
     }
 
-    private void events() {
-        long begin = System.currentTimeMillis();
+    private void playEvents() {
+        long startMs = System.currentTimeMillis();
         List<ScalePlan.Event> events =
                 plan.events().stream()
                         .sorted(Comparator.comparingLong(ScalePlan.Event::at))
                         .toList();
         int number = 0;
-        for (ScalePlan.Event e : events) {
-            rest(begin + e.at() / 10 - System.currentTimeMillis());
-            order.progress.accept(e.kind().name().toLowerCase(Locale.ROOT));
-            phases.put(e.kind().name().toLowerCase(Locale.ROOT) + " " + ++number, fewestLines());
-            strike(e.kind(), number);
+        for (ScalePlan.Event event : events) {
+            pause(startMs + event.at() / 10 - System.currentTimeMillis());
+            parameters.progress.accept(event.kind().name().toLowerCase(Locale.ROOT));
+            phases.put(event.kind().name().toLowerCase(Locale.ROOT) + " " + ++number, completeSeconds());
+            playEvent(event.kind(), number);
         }
-        rest(begin + plan.length() / 10 - System.currentTimeMillis());
+        pause(startMs + plan.length() / 10 - System.currentTimeMillis());
     }
 
-    private int somebody() {
-        int m = chance.nextInt(plan.managers());
-        while (plan.isReal(m)) {
-            m = chance.nextInt(plan.managers());
+    private int randomHollowManager() {
+        int manager = random.nextInt(plan.managers());
+        while (plan.isReal(manager)) {
+            manager = random.nextInt(plan.managers());
         }
-        return m;
+        return manager;
     }
 
-    private void strike(ScalePlan.Kind kind, int number) {
+    private void playEvent(ScalePlan.Kind kind, int number) {
         long now = System.currentTimeMillis();
         switch (kind) {
             case KILL -> {
-                int m = somebody();
-                all("kill " + m);
-                all("gone a_kill " + plan.cellOf(m) + " m" + m + " " + now);
+                int manager = randomHollowManager();
+                sendToAll("kill " + manager);
+                sendToAll("gone a_kill " + plan.cellOf(manager) + " m" + manager + " " + now);
             }
             case RESTART -> {
-                int m = somebody();
-                all("leave " + m);
-                all("start " + m + " " + AWAY_MS);
-                all("gone a_leave " + plan.cellOf(m) + " m" + m + " " + now);
-                rest(AWAY_MS);
-                all(
+                int manager = randomHollowManager();
+                sendToAll("leave " + manager);
+                sendToAll("start " + manager + " " + RESTART_DOWNTIME_MS);
+                sendToAll("gone a_leave " + plan.cellOf(manager) + " m" + manager + " " + now);
+                pause(RESTART_DOWNTIME_MS);
+                sendToAll(
                         "back a_return "
-                                + plan.cellOf(m)
+                                + plan.cellOf(manager)
                                 + " m"
-                                + m
+                                + manager
                                 + " "
                                 + System.currentTimeMillis());
             }
             case LIST -> watches.tell(100_000 + number, number % plan.zones().size());
             case ZONE -> {
                 String zone = plan.zones().get(plan.zones().size() - 1);
-                List<String> of = new ArrayList<>();
-                for (int m = 0; m < plan.managers(); m++) {
-                    if (!plan.isReal(m) && plan.zoneOf(m).equals(zone)) {
-                        of.add(String.valueOf(m));
+                List<String> zoneManagers = new ArrayList<>();
+                for (int manager = 0; manager < plan.managers(); manager++) {
+                    if (!plan.isReal(manager) && plan.zoneOf(manager).equals(zone)) {
+                        zoneManagers.add(String.valueOf(manager));
                     }
                 }
-                all("silent " + now);
-                all("kill " + String.join(",", of));
+                sendToAll("silent " + now);
+                sendToAll("kill " + String.join(",", zoneManagers));
             }
             default -> {
                 StringBuilder killed = new StringBuilder();
                 StringBuilder starts = new StringBuilder();
-                for (int m = 0; m < plan.managers(); m++) {
-                    if (!plan.isReal(m) && chance.nextDouble() < RESTARTED) {
-                        killed.append(killed.length() == 0 ? "" : ",").append(m);
+                for (int manager = 0; manager < plan.managers(); manager++) {
+                    if (!plan.isReal(manager) && random.nextDouble() < MASS_RESTART_SHARE) {
+                        killed.append(killed.length() == 0 ? "" : ",").append(manager);
                         starts.append("start ")
-                                .append(m)
+                                .append(manager)
                                 .append(' ')
-                                .append(chance.nextInt(BACK_MS) + 500)
+                                .append(random.nextInt(MASS_RESTART_WINDOW_MS) + 500)
                                 .append('\n');
                     }
                 }
-                all("kill " + killed);
-                all(starts.toString().trim());
-                rest(BACK_MS + 500L);
-                all("whole whole_after_a_mass_restart " + now);
+                sendToAll("kill " + killed);
+                sendToAll(starts.toString().trim());
+                pause(MASS_RESTART_WINDOW_MS + 500L);
+                sendToAll("whole whole_after_a_mass_restart " + now);
             }
         }
     }
 
-    // ---- Figures.
-    private void figure(String name, double value) {
+    private void putFigure(String name, double value) {
         figures.put(name, value);
     }
 
-    private double sum(String name) {
-        return hollow.stream().mapToDouble(h -> h.last().figure(name)).sum();
+    /** Returns the sum of a figure over the last report lines of all hollow processes. */
+    private double sumOfLast(String name) {
+        return hollowProcesses.stream().mapToDouble(h -> h.last().figure(name)).sum();
     }
 
-    private int fewestLines() {
-        return hollow.stream().mapToInt(HollowWorkerProcess::told).min().orElse(0);
+    /** Returns the number of seconds that all hollow processes have reported. */
+    private int completeSeconds() {
+        return hollowProcesses.stream().mapToInt(HollowWorkerProcess::told).min().orElse(0);
     }
 
-    private double worstSecond(String name, int from) {
+    /** Returns the largest increase of a counter in one second, as a mean over hollow managers. */
+    private double worstSecondPerManager(String name, int firstSecond) {
         double worst = 0;
-        for (int s = Math.max(1, from); s < fewestLines(); s++) {
-            double sum = 0;
-            for (HollowWorkerProcess h : hollow) {
-                sum += h.lines().get(s).figure(name) - h.lines().get(s - 1).figure(name);
+        for (int second = Math.max(1, firstSecond); second < completeSeconds(); second++) {
+            double increase = 0;
+            for (HollowWorkerProcess process : hollowProcesses) {
+                increase += process.lines().get(second).figure(name) - process.lines().get(second - 1).figure(name);
             }
-            worst = Math.max(worst, sum / plan.hollow());
+            worst = Math.max(worst, increase / plan.hollow());
         }
         return worst;
     }
 
-    private double late(int from, int to) {
-        return hollow.stream()
-                .flatMap(h -> h.lines().stream().skip(from).limit(Math.max(1, to - from)))
-                .mapToDouble(l -> l.figure("late 99th tenths") / 10)
+    /**
+     * Returns the largest tick delay of a hollow process in ms: the 99th percentile of each second
+     * from {@code firstSecond} until before {@code endSecond}, at least of one second.
+     */
+    private double tickDelayMs(int firstSecond, int endSecond) {
+        return hollowProcesses.stream()
+                .flatMap(process -> process.lines().stream().skip(firstSecond).limit(Math.max(1, endSecond - firstSecond)))
+                .mapToDouble(line -> line.figure("late 99th tenths") / 10)
                 .max()
                 .orElse(0);
     }
 
-    private static void collect(
-            Map<String, DescriptiveStatistics> reached, String label, List<Double> all) {
-        DescriptiveStatistics of =
-                reached.computeIfAbsent(label.replace('_', ' '), k -> new DescriptiveStatistics());
-        all.forEach(of::addValue);
+    private static void addDelays(
+            Map<String, DescriptiveStatistics> delaysByLabel, String label, List<Double> delaysMs) {
+        DescriptiveStatistics statistics =
+                delaysByLabel.computeIfAbsent(label.replace('_', ' '), key -> new DescriptiveStatistics());
+        delaysMs.forEach(statistics::addValue);
     }
 
-    private void conclude(int mark) throws IOException {
-        figure("events: worst second, bytes a manager", worstSecond("bytes out", mark));
-        Map<String, DescriptiveStatistics> reached = new LinkedHashMap<>();
-        for (HollowWorkerProcess h : hollow) {
-            h.lines()
+    private void recordFinalFigures(int firstEventSecond) throws IOException {
+        putFigure("events: worst second, bytes a manager", worstSecondPerManager("bytes out", firstEventSecond));
+        Map<String, DescriptiveStatistics> delaysByLabel = new LinkedHashMap<>();
+        for (HollowWorkerProcess process : hollowProcesses) {
+            process.lines()
                     .forEach(
-                            l -> l.reached().forEach((label, all) -> collect(reached, label, all)));
+                            line -> line.reached().forEach((label, delaysMs) -> addDelays(delaysByLabel, label, delaysMs)));
         }
-        reached.forEach(
-                (label, ms) -> {
-                    figure(label + ": by managers", ms.getN());
-                    figure(label + ": median, s", ms.getPercentile(50) / 1e3);
-                    figure(label + ": 99th, s", ms.getPercentile(PERCENT) / 1e3);
-                    figure(label + ": last, s", ms.getMax() / 1e3);
+        delaysByLabel.forEach(
+                (label, delays) -> {
+                    putFigure(label + ": by managers", delays.getN());
+                    putFigure(label + ": median, s", delays.getPercentile(50) / 1e3);
+                    putFigure(label + ": 99th, s", delays.getPercentile(HIGH_PERCENTILE) / 1e3);
+                    putFigure(label + ": last, s", delays.getMax() / 1e3);
                 });
-        figure("end: slices in force", sum("in force") / Math.max(1, sum("up")));
-        figure("end: whole views, part of managers", sum("whole views") / Math.max(1, sum("up")));
-        all("heap");
-        rest(2_000);
-        figure(
+        putFigure("end: slices in force", sumOfLast("in force") / Math.max(1, sumOfLast("up")));
+        putFigure("end: whole views, part of managers", sumOfLast("whole views") / Math.max(1, sumOfLast("up")));
+        sendToAll("heap");
+        pause(2_000);
+        putFigure(
                 "heap of a manager, KB",
-                hollow.stream().mapToDouble(h -> h.last().figure("heap bytes")).sum()
+                hollowProcesses.stream().mapToDouble(h -> h.last().figure("heap bytes")).sum()
                         / 1_024
                         / plan.hollow());
-        figure(
+        putFigure(
                 "heap of a process, MB",
-                hollow.stream().mapToDouble(h -> h.last().figure("heap bytes")).average().orElse(0)
+                hollowProcesses.stream().mapToDouble(h -> h.last().figure("heap bytes")).average().orElse(0)
                         / 1048576);
-        double bytes = 0;
-        for (int r = 0; r < plan.real(); r++) {
-            real.signal(r, "TERM");
+        double datagramBytes = 0;
+        for (int i = 0; i < plan.real(); i++) {
+            realManagers.signal(i, "TERM");
         }
-        for (int r = 0; r < plan.real(); r++) {
-            real.awaitExit(r, 10_000);
-            Matcher m = DATAGRAMS.matcher(Files.readString(real.logFile(r)));
-            bytes += m.find() ? Double.parseDouble(m.group(1)) : 0;
+        for (int i = 0; i < plan.real(); i++) {
+            realManagers.awaitExit(i, 10_000);
+            Matcher matcher = DATAGRAM_BYTES.matcher(Files.readString(realManagers.logFile(i)));
+            datagramBytes += matcher.find() ? Double.parseDouble(matcher.group(1)) : 0;
         }
-        figure("a real one: datagrams' bytes in all", plan.real() == 0 ? 0 : bytes / plan.real());
-        seconds();
+        putFigure("a real one: datagrams' bytes in all", plan.real() == 0 ? 0 : datagramBytes / plan.real());
+        writeSeconds();
     }
 
-    /** The table of seconds and a chart of it. */
-    private void seconds() throws IOException {
+    /** Writes the table of seconds, summed over the hollow managers, and its chart. */
+    private void writeSeconds() throws IOException {
         Map<String, ToDoubleFunction<HollowWorkerProcess.Line>> columns = new LinkedHashMap<>();
         for (String name :
                 List.of("up", "bytes out", "datagrams out", "cpu ms", "whole views", "in force")) {
-            columns.put(name, l -> l.figure(name));
+            columns.put(name, line -> line.figure(name));
         }
         List<String> rows =
                 new ArrayList<>(List.of("second," + String.join(",", columns.keySet())));
-        for (int s = 0; s < fewestLines(); s++) {
-            StringBuilder row = new StringBuilder(String.valueOf(s));
-            for (ToDoubleFunction<HollowWorkerProcess.Line> of : columns.values()) {
+        for (int second = 0; second < completeSeconds(); second++) {
+            StringBuilder row = new StringBuilder(String.valueOf(second));
+            for (ToDoubleFunction<HollowWorkerProcess.Line> column : columns.values()) {
                 double sum = 0;
-                for (HollowWorkerProcess h : hollow) {
-                    sum += of.applyAsDouble(h.lines().get(s));
+                for (HollowWorkerProcess process : hollowProcesses) {
+                    sum += column.applyAsDouble(process.lines().get(second));
                 }
                 row.append(',').append(String.format(Locale.ROOT, "%.1f", sum));
             }
             rows.add(row.toString());
         }
-        Files.write(order.folder.resolve("seconds.csv"), rows);
+        Files.write(parameters.folder.resolve("seconds.csv"), rows);
         TrafficChart.draw(
-                order.folder.resolve("bytes.png"),
+                parameters.folder.resolve("bytes.png"),
                 plan.name() + ", " + plan.managers() + " managers",
                 rows);
     }
 
     @Override
     public void close() throws IOException {
-        hollow.forEach(HollowWorkerProcess::close);
-        real.close();
+        hollowProcesses.forEach(HollowWorkerProcess::close);
+        realManagers.close();
         watches.close();
         engines.close();
-        lock.close();
-        Runtime.getRuntime().removeShutdownHook(hook);
+        portReservation.close();
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
     }
 
-    /**
-     * What real managers are told beside their place: a deployment of one group, as small as the
-     * reader takes it.
-     */
-    private static final String REAL_PLAN =
+    /** Deployment of the real managers: one traffic class, with no more keys than are required. */
+    private static final String REAL_DEPLOYMENT =
             """
             name = "scale"
             length = "10 s"
