--- a/src/main/java/firstage/scale/HollowEngines.java
+++ b/src/main/java/firstage/scale/HollowEngines.java
@@ -12,118 +12,126 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * All engines of a scale run behind one listener: each statement takes the time its head tells and
- * returns one row, whatever else runs. They answer probes, and hold a call for news as the protocol
- * page has it.
+ * Emulates all engines of a scale run behind one listener. Each statement takes the same time and
+ * returns one row, whatever else runs. The engines answer probes, and hold a poll for the result of
+ * a statement until the statement ends or the hold time is over.
  */
 final class HollowEngines implements AutoCloseable {
-    private static final long HOLDS_MS = 250;
-    private static final long FORGETS_MS = 2_000;
+    /** Longest time for which a poll is held. */
+    private static final long MAX_HOLD_MS = 250;
+
+    /** Time for which the result of a statement can be read after the end of the statement. */
+    private static final long RESULT_RETENTION_MS = 2_000;
+
     private static final HttpString TICKET = new HttpString("X-Ticket");
     private static final HttpString PAGE_COUNT = new HttpString("Page-Count");
-    private static final HttpString METER = new HttpString("X-Meter");
+    private static final HttpString LOAD_REPORT = new HttpString("X-Meter");
 
-    /** By id, when each is over, in ms; on the listener's one thread. */
-    private final Map<String, Long> statements = new HashMap<>();
+    /** Times in ms at which the statements end, by id; only used on the listener's one thread. */
+    private final Map<String, Long> endTimes = new HashMap<>();
 
     private final AtomicLong taken = new AtomicLong();
     private final AtomicLong probes = new AtomicLong();
     private final long workMs;
     private final Undertow server;
 
-    /** {@code workMs}: of each statement. */
-    HollowEngines(InetSocketAddress at, long workMs) {
+    /**
+     * Starts the listener.
+     *
+     * @param workMs time in ms that each statement takes
+     */
+    HollowEngines(InetSocketAddress address, long workMs) {
         this.workMs = workMs;
         server =
                 Undertow.builder()
-                        .addHttpListener(at.getPort(), at.getAddress().getHostAddress())
+                        .addHttpListener(address.getPort(), address.getAddress().getHostAddress())
                         .setIoThreads(1)
                         .setWorkerThreads(1)
                         .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
-                        .setHandler(this::call)
+                        .setHandler(this::handle)
                         .build();
         server.start();
     }
 
-    private static long now() {
+    private static long nowMs() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
-    /** Statements that came so far; any thread. */
+    /** Returns the number of statements received so far. Any thread may call it. */
     long taken() {
         return taken.get();
     }
 
-    /** Probes that came so far; any thread. */
+    /** Returns the number of probes received so far. Any thread may call it. */
     long probes() {
         return probes.get();
     }
 
-    private void call(HttpServerExchange x) {
-        String method = x.getRequestMethod().toString();
-        String[] path = x.getRequestPath().split("/");
+    private void handle(HttpServerExchange exchange) {
+        String method = exchange.getRequestMethod().toString();
+        String[] path = exchange.getRequestPath().split("/");
         if (method.equals("POST")) {
-            x.getRequestReceiver()
+            exchange.getRequestReceiver()
                     .receiveFullBytes(
-                            (whole, body) -> {
-                                String id = whole.getRequestHeaders().getFirst(TICKET);
-                                statements.put(id, now() + workMs);
+                            (received, body) -> {
+                                String id = received.getRequestHeaders().getFirst(TICKET);
+                                endTimes.put(id, nowMs() + workMs);
                                 taken.incrementAndGet();
-                                whole.getIoThread()
+                                received.getIoThread()
                                         .executeAfter(
-                                                () -> statements.remove(id),
-                                                workMs + FORGETS_MS,
+                                                () -> endTimes.remove(id),
+                                                workMs + RESULT_RETENTION_MS,
                                                 TimeUnit.MILLISECONDS);
-                                news(whole, statements.get(id));
+                                answerPoll(received, endTimes.get(id));
                             });
         } else if (method.equals("GET") && path.length == 4) {
-            news(x, statements.get(path[2]));
+            answerPoll(exchange, endTimes.get(path[2]));
         } else if (method.equals("GET")) {
             probes.incrementAndGet();
-            x.getResponseHeaders().put(METER, "waiting:0");
-            answer(x, 200);
+            exchange.getResponseHeaders().put(LOAD_REPORT, "waiting:0");
+            sendStatus(exchange, 200);
         } else if (method.equals("DELETE") && path.length > 2) {
-            statements.remove(path[2]);
-            answer(x, 204);
+            endTimes.remove(path[2]);
+            sendStatus(exchange, 204);
         } else {
-            answer(x, 204);
+            sendStatus(exchange, 204);
         }
     }
 
-    private static void news(HttpServerExchange x, Long due) {
-        long left = due == null ? 0 : due - now();
-        if (due == null) {
-            answer(x, 500);
-        } else if (left <= 0) {
-            row(x);
+    private static void answerPoll(HttpServerExchange exchange, Long endMs) {
+        long remainingMs = endMs == null ? 0 : endMs - nowMs();
+        if (endMs == null) {
+            sendStatus(exchange, 500);
+        } else if (remainingMs <= 0) {
+            sendRow(exchange);
         } else {
-            boolean ends = left <= HOLDS_MS;
-            x.dispatch(
+            boolean endsWithinHold = remainingMs <= MAX_HOLD_MS;
+            exchange.dispatch(
                     SameThreadExecutor.INSTANCE,
                     () ->
-                            x.getIoThread()
+                            exchange.getIoThread()
                                     .executeAfter(
                                             () -> {
-                                                if (ends) {
-                                                    row(x);
+                                                if (endsWithinHold) {
+                                                    sendRow(exchange);
                                                 } else {
-                                                    answer(x, 202);
+                                                    sendStatus(exchange, 202);
                                                 }
                                             },
-                                            ends ? left : HOLDS_MS,
+                                            endsWithinHold ? remainingMs : MAX_HOLD_MS,
                                             TimeUnit.MILLISECONDS));
         }
     }
 
-    private static void row(HttpServerExchange x) {
-        x.getResponseHeaders().put(PAGE_COUNT, "1");
-        x.setStatusCode(200);
-        x.getResponseSender().send("a\tb\tc\n");
+    private static void sendRow(HttpServerExchange exchange) {
+        exchange.getResponseHeaders().put(PAGE_COUNT, "1");
+        exchange.setStatusCode(200);
+        exchange.getResponseSender().send("a\tb\tc\n");
     }
 
-    private static void answer(HttpServerExchange x, int status) {
-        x.setStatusCode(status);
-        x.endExchange();
+    private static void sendStatus(HttpServerExchange exchange, int status) {
+        exchange.setStatusCode(status);
+        exchange.endExchange();
     }
 
     @Override
--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -32,68 +32,87 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * One hollow manager: the modules of the membership and of what stands on it as {@code serve
- * --peers} carries them, its own address, real datagrams and a real watch of the list; no clients
- * and no engines. On its process's one thread.
+ * A hollow manager: the membership and the modules built on it, as {@code serve --peers} runs them,
+ * without clients and engines. It has its own address, exchanges real datagrams with its peers and
+ * watches the coordinator's endpoint list. All methods run on the one thread of its process.
  */
 final class HollowManager implements MembershipActions, CellActions {
-    private static final int MOST = 1_200;
-    private static final long GOAL = 10_000;
-    private static final long WARM = 130_000;
-    private static final int BANDS = 4;
-    private static final double WORK = 460;
-    private static final int LOOK = 1_000;
-    private static final int RECORD = 27;
-    private static final int ZONE_AT = 11;
-    private static final int STARTED_AT = 19;
-
-    /** What it tells of itself while it runs. */
-    interface Witness {
-        /** Its view is another. */
-        void viewed(HollowManager who, MembershipView view);
+    private static final int MAX_DATAGRAM_BYTES = 1_200;
+    private static final long LATENCY_OBJECTIVE = 10_000;
+    private static final long WARM_UP = 130_000;
+
+    /** Number of priority bands over which the simulated demand is spread. */
+    private static final int PRIORITY_BANDS = 4;
+
+    /** Work that arrives and starts in each tick, in ticks on one thread. */
+    private static final double WORK_PER_TICK = 460;
+
+    private static final int EVALUATION_INTERVAL = 1_000;
+
+    /** Size of an engine's record in an event of the endpoint list, and offsets of its fields. */
+    private static final int RECORD_BYTES = 27;
 
-        /** An event of the list came; {@code toldAt}: Unix ms at which it was told. */
-        void listed(HollowManager who, long toldAt);
+    private static final int ZONE_OFFSET = 11;
+    private static final int STARTED_AT_OFFSET = 19;
 
-        /** A cell is silent, or heard again. */
-        void noted(HollowManager who, String what, String cell);
+    /** Receives the events of a hollow manager while it runs. */
+    interface Witness {
+        /** Called when the manager has a new view. */
+        void viewed(HollowManager manager, MembershipView view);
+
+        /**
+         * Called when the manager receives a change of the endpoint list.
+         *
+         * @param sentAt Unix time in ms at which the coordinator sent the change
+         */
+        void listed(HollowManager manager, long sentAt);
+
+        /** Called when a cell becomes silent or is heard again. */
+        void noted(HollowManager manager, String event, String cell);
     }
 
-    /** An engine as a record of the list has it. */
-    private record Listed(long id, String zone) {}
+    /** An engine of the endpoint list. */
+    private record ListedEngine(long id, String zone) {}
 
     final int number;
     private final ScalePlan plan;
-    private final ScaleAddresses at;
+    private final ScaleAddresses addresses;
     private final Selector selector;
     private final Clock clock;
     private final Witness witness;
-    private final Map<InetSocketAddress, Integer> seats = new HashMap<>();
-    private final Map<Integer, InetSocketAddress> addresses = new HashMap<>();
+    private final Map<InetSocketAddress, Integer> slotsByAddress = new HashMap<>();
+    private final Map<Integer, InetSocketAddress> addressesBySlot = new HashMap<>();
     private final DemandHistogram demand = new DemandHistogram();
     private final ByteBuffer buffer = ByteBuffer.allocateDirect(16 * 1024);
-    private DatagramChannel mail;
-    private SocketChannel watch;
-    private FrameDecoder frames;
-    private MembershipProtocol members;
+    private DatagramChannel datagramChannel;
+    private SocketChannel coordinatorChannel;
+    private FrameDecoder frameDecoder;
+    private MembershipProtocol membership;
     private QuotaLeases leases;
-    private CellDirectory cells;
-    private EngineSubset<Listed> sieve;
-    private FleetCoordinator together;
-    private Set<Long> engines = new HashSet<>();
-    private boolean lentBefore;
-    private int life;
-    private int reading;
-    private long lookAt;
-    private boolean retries;
-    private long startedMs;
+    private CellDirectory cellDirectory;
+    private EngineSubset<ListedEngine> engineSubset;
+    private FleetCoordinator fleetCoordinator;
+    private Set<Long> usableEngines = new HashSet<>();
+
+    /** Whether an earlier incarnation may have withdrawn quota from an unreachable manager. */
+    private boolean mayHaveWithdrawnBefore;
+
+    private int incarnation;
+    private int lastSenderSlot;
+    private long nextEvaluation;
+    private boolean reconnectDue;
+    private long incarnationStartMs;
+
+    /** Time in ticks at which {@link #tick} is to be called next. */
     long tickAt;
+
+    /** Bytes sent, by the ordinal of the message's kind; the last entry is for datagrams of cells. */
     final long[] bytesOut = new long[MembershipMessage.Kind.values().length + 1];
     long datagramsOut;
     long bytesIn;
     long listBytes;
 
-    /** Ticks of one clock for the process. */
+    /** Clock of the process, in ticks. */
     interface Clock {
         long now();
     }
@@ -101,20 +120,20 @@
     HollowManager(
             int number,
             ScalePlan plan,
-            ScaleAddresses at,
+            ScaleAddresses addresses,
             Selector selector,
             Clock clock,
             Witness witness) {
         this.number = number;
         this.plan = plan;
-        this.at = at;
+        this.addresses = addresses;
         this.selector = selector;
         this.clock = clock;
         this.witness = witness;
-        int first = plan.cellOf(number) * plan.together();
-        for (int seat = 0; seat < plan.together(); seat++) {
-            seats.put(at.mail(plan, first + seat), seat);
-            addresses.put(seat, at.mail(plan, first + seat));
+        int firstManager = plan.cellOf(number) * plan.together();
+        for (int slot = 0; slot < plan.together(); slot++) {
+            slotsByAddress.put(addresses.mail(plan, firstManager + slot), slot);
+            addressesBySlot.put(slot, addresses.mail(plan, firstManager + slot));
         }
     }
 
@@ -123,89 +142,93 @@
     }
 
     boolean up() {
-        return mail != null;
+        return datagramChannel != null;
     }
 
+    /** Returns the number of managers in the view. */
     int views() {
-        return members == null ? 0 : members.view().memberNames().size();
+        return membership == null ? 0 : membership.view().memberNames().size();
     }
 
+    /** Returns the names of the managers in the view. */
     List<String> view() {
-        return members == null ? List.of() : members.view().memberNames();
+        return membership == null ? List.of() : membership.view().memberNames();
     }
 
-    /** Of its own slice the part in force. */
+    /** Returns the share of the manager's own slice that is in force, from 0 to 1. */
     double inForce() {
         return up() ? leases.share(clock.now()) / plan.part() : 0;
     }
 
+    /** Returns the number of active cells; 0 in a fleet without cells. */
     int cellsHeard() {
-        return cells == null
+        return cellDirectory == null
                 ? 0
                 : (int)
-                        cells.cells(clock.now()).stream()
-                                .filter(k -> k.state() == CellDirectory.CellState.ACTIVE)
+                        cellDirectory.cells(clock.now()).stream()
+                                .filter(cell -> cell.state() == CellDirectory.CellState.ACTIVE)
                                 .count();
     }
 
     int enginesHeld() {
-        return engines.size();
+        return usableEngines.size();
     }
 
+    /** Starts a new incarnation. */
     void start() throws IOException {
-        int mine = ++life;
+        int startedIncarnation = ++incarnation;
         CellPlan cellPlan = plan.cellPlan();
         int cell = plan.cellOf(number);
-        RandomGeneratorFactory<RandomGenerator> chances =
+        RandomGeneratorFactory<RandomGenerator> randomFactory =
                 RandomGeneratorFactory.of("L64X128MixRandom");
-        long seed = number * 1_000_003L + mine;
+        long seed = number * 1_000_003L + startedIncarnation;
         leases =
                 new QuotaLeases(
                         plan.together(),
                         plan.part(),
                         plan.period(),
-                        lentBefore,
+                        mayHaveWithdrawnBefore,
                         () -> {
-                            lentBefore = true;
+                            mayHaveWithdrawnBefore = true;
                             leases.onWithdrawalMarkStored();
                         },
                         QuotaLeases.InjectedDefect.NONE);
-        long started = System.currentTimeMillis();
-        startedMs = started;
+        long startedAtMs = System.currentTimeMillis();
+        incarnationStartMs = startedAtMs;
         int zone = plan.zones().indexOf(plan.zoneOf(number));
-        together =
+        fleetCoordinator =
                 new FleetCoordinator(
                         name(),
                         zone,
                         plan.zones().size(),
-                        GOAL,
-                        WARM,
+                        LATENCY_OBJECTIVE,
+                        WARM_UP,
                         plan.period(),
                         new ZoneActions() {
                             @Override
-                            public void setAvoided(long engine, boolean away, boolean restIsOver) {
-                                // No engines stand behind it.
+                            public void setAvoided(long engine, boolean avoided, boolean backoffOver) {
+                                // A hollow manager calls no engines.
                             }
 
                             @Override
-                            public void logZoneState(int turned, String state) {
-                                // The same.
+                            public void logZoneState(int changedZone, String state) {
+                                // Nothing is measured about zones.
                             }
                         },
                         (now, band, part) -> {},
                         FleetCoordinator.InjectedDefects.NONE);
-        members =
+        membership =
                 new MembershipProtocol(
                         plan.name(),
-                        new Member(name(), plan.zoneOf(number), started, MemberState.ALIVE, "", 1),
+                        new Member(name(), plan.zoneOf(number), startedAtMs, MemberState.ALIVE, "", 1),
                         plan.together(),
                         plan.period(),
-                        MOST,
-                        chances.create(seed),
+                        MAX_DATAGRAM_BYTES,
+                        randomFactory.create(seed),
                         leases,
                         this,
                         MembershipProtocol.InjectedDefect.NONE);
-        cells =
+        cellDirectory =
                 cellPlan == null
                         ? null
                         : new CellDirectory(
@@ -215,211 +238,214 @@
                                 plan.slotOf(number),
                                 name(),
                                 plan.name(),
-                                started,
-                                chances.create(~seed),
+                                startedAtMs,
+                                randomFactory.create(~seed),
                                 this,
                                 CellDirectory.InjectedDefect.NONE);
-        sieve =
-                cells == null
+        engineSubset =
+                cellDirectory == null
                         ? null
-                        : new EngineSubset<>(cells, Listed::id, Listed::zone, e -> false);
-        mail = DatagramChannel.open();
-        mail.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        mail.bind(at.mail(plan, number));
-        mail.configureBlocking(false);
-        mail.register(selector, SelectionKey.OP_READ, this);
-        follow();
-        learn();
+                        : new EngineSubset<>(cellDirectory, ListedEngine::id, ListedEngine::zone, e -> false);
+        datagramChannel = DatagramChannel.open();
+        datagramChannel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+        datagramChannel.bind(addresses.mail(plan, number));
+        datagramChannel.configureBlocking(false);
+        datagramChannel.register(selector, SelectionKey.OP_READ, this);
+        connectToCoordinator();
+        loadConfiguredEngines();
         tickAt = clock.now();
-        lookAt = tickAt;
+        nextEvaluation = tickAt;
     }
 
-    /** The engines that its configuration names; ids and zones as the run gives them. */
-    private void learn() {
-        engines = new HashSet<>();
-        for (int e = 0; e < plan.engines(); e++) {
-            took(List.of(new Listed(e + 1L, plan.zones().get(e % plan.zones().size()))));
+    /** Sets the engines that a configuration file would name, with the run's ids and zones. */
+    private void loadConfiguredEngines() {
+        usableEngines = new HashSet<>();
+        for (int i = 0; i < plan.engines(); i++) {
+            addUsable(List.of(new ListedEngine(i + 1L, plan.zones().get(i % plan.zones().size()))));
         }
     }
 
-    private void took(List<Listed> entries) {
-        (sieve == null ? entries : sieve.filter(false, entries)).forEach(e -> engines.add(e.id));
+    /** Adds the engines that this manager's cell may use. */
+    private void addUsable(List<ListedEngine> entries) {
+        (engineSubset == null ? entries : engineSubset.filter(false, entries)).forEach(engine -> usableEngines.add(engine.id));
     }
 
-    private void follow() throws IOException {
-        frames = new FrameDecoder();
-        watch = SocketChannel.open();
-        watch.configureBlocking(false);
-        watch.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        watch.connect(at.coordinator());
-        watch.register(selector, SelectionKey.OP_CONNECT, this);
+    private void connectToCoordinator() throws IOException {
+        frameDecoder = new FrameDecoder();
+        coordinatorChannel = SocketChannel.open();
+        coordinatorChannel.configureBlocking(false);
+        coordinatorChannel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+        coordinatorChannel.connect(addresses.coordinator());
+        coordinatorChannel.register(selector, SelectionKey.OP_CONNECT, this);
     }
 
-    /** As a process that is killed: its sockets are closed, nobody is told. */
+    /** Stops as a killed process does: closes the sockets and informs no peer. */
     void kill() throws IOException {
-        life++;
-        if (mail != null) {
-            mail.close();
-            watch.close();
+        incarnation++;
+        if (datagramChannel != null) {
+            datagramChannel.close();
+            coordinatorChannel.close();
         }
-        mail = null;
+        datagramChannel = null;
     }
 
+    /** Leaves the membership and stops. */
     void leave() throws IOException {
-        members.leave(clock.now());
+        membership.leave(clock.now());
         kill();
     }
 
+    /** Runs all work that is due at a time in ticks. */
     void tick(long now) throws IOException {
-        members.tick(now);
-        if (cells != null) {
-            cells.tick(now);
+        membership.tick(now);
+        if (cellDirectory != null) {
+            cellDirectory.tick(now);
         }
-        if (now >= lookAt) {
-            lookAt = now + LOOK;
-            for (int b = 0; b < BANDS; b++) {
-                demand.arrivedWork(DemandHistogram.BANDS / 2 + 2 * b, WORK * LOOK / BANDS);
+        if (now >= nextEvaluation) {
+            nextEvaluation = now + EVALUATION_INTERVAL;
+            for (int band = 0; band < PRIORITY_BANDS; band++) {
+                demand.arrivedWork(DemandHistogram.BANDS / 2 + 2 * band, WORK_PER_TICK * EVALUATION_INTERVAL / PRIORITY_BANDS);
             }
-            demand.startedWork(WORK * LOOK);
-            together.evaluate(now, demand);
-            if (retries) {
-                retries = false;
-                follow();
+            demand.startedWork(WORK_PER_TICK * EVALUATION_INTERVAL);
+            fleetCoordinator.evaluate(now, demand);
+            if (reconnectDue) {
+                reconnectDue = false;
+                connectToCoordinator();
             }
         }
     }
 
-    /** One of its sockets is ready. */
+    /** Handles a socket of this manager that is ready. */
     void ready(SelectionKey key) throws IOException {
-        if (key.channel() == mail) {
+        if (key.channel() == datagramChannel) {
             receive();
-        } else if (key.channel() == watch && key.isConnectable()) {
+        } else if (key.channel() == coordinatorChannel && key.isConnectable()) {
             try {
-                watch.finishConnect();
-                watch.write(ByteBuffer.allocate(Long.BYTES).putLong(0, 1));
+                coordinatorChannel.finishConnect();
+                coordinatorChannel.write(ByteBuffer.allocate(Long.BYTES).putLong(0, 1));
                 key.interestOps(SelectionKey.OP_READ);
-            } catch (IOException away) {
-                lost();
+            } catch (IOException connectFailed) {
+                onCoordinatorLost();
             }
-        } else if (key.channel() == watch) {
+        } else if (key.channel() == coordinatorChannel) {
             try {
                 buffer.clear();
-                int n = watch.read(buffer);
-                if (n < 0) {
-                    lost();
+                int bytesRead = coordinatorChannel.read(buffer);
+                if (bytesRead < 0) {
+                    onCoordinatorLost();
                     return;
                 }
-                listBytes += n;
-                frames.decode(buffer.flip()).stream()
-                        .filter(f -> f.type() != 0)
-                        .forEach(f -> listed(f.payload()));
-            } catch (IOException gone) {
-                lost();
+                listBytes += bytesRead;
+                frameDecoder.decode(buffer.flip()).stream()
+                        .filter(frame -> frame.type() != 0)
+                        .forEach(frame -> onEndpointChange(frame.payload()));
+            } catch (IOException connectionLost) {
+                onCoordinatorLost();
             }
         }
     }
 
-    private void lost() throws IOException {
-        watch.close();
-        retries = true;
+    private void onCoordinatorLost() throws IOException {
+        coordinatorChannel.close();
+        reconnectDue = true;
     }
 
-    private void listed(ByteBuffer payload) {
-        for (int record = 0; record + RECORD <= payload.remaining(); record += RECORD) {
-            took(
+    private void onEndpointChange(ByteBuffer payload) {
+        for (int record = 0; record + RECORD_BYTES <= payload.remaining(); record += RECORD_BYTES) {
+            addUsable(
                     List.of(
-                            new Listed(
+                            new ListedEngine(
                                     payload.getInt(record) & 0xFFFFFFFFL,
-                                    plan.zones().get(payload.get(record + ZONE_AT)))));
-            // What was told before this life began comes with its start, and says nothing of how
-            // soon news comes.
-            if (payload.getLong(record + STARTED_AT) >= startedMs) {
-                witness.listed(this, payload.getLong(record + STARTED_AT));
+                                    plan.zones().get(payload.get(record + ZONE_OFFSET)))));
+            // Changes from before the start of this incarnation arrive when it connects; they say
+            // nothing of the delay of a change.
+            if (payload.getLong(record + STARTED_AT_OFFSET) >= incarnationStartMs) {
+                witness.listed(this, payload.getLong(record + STARTED_AT_OFFSET));
             }
         }
     }
 
     private void receive() throws IOException {
-        for (int i = 0; i < 64 && mail != null; i++) {
+        for (int i = 0; i < 64 && datagramChannel != null; i++) {
             buffer.clear();
-            InetSocketAddress from = (InetSocketAddress) mail.receive(buffer);
-            if (from == null) {
+            InetSocketAddress sender = (InetSocketAddress) datagramChannel.receive(buffer);
+            if (sender == null) {
                 return;
             }
             byte[] bytes = new byte[buffer.flip().remaining()];
             buffer.get(bytes);
             bytesIn += bytes.length;
-            Integer seat = seats.get(from);
-            if (seat != null) {
-                reading = seat;
-                members.onDatagram(clock.now(), seat, bytes);
-            } else if (cells != null) {
-                cells.onDatagram(clock.now(), bytes);
+            Integer slot = slotsByAddress.get(sender);
+            if (slot != null) {
+                lastSenderSlot = slot;
+                membership.onDatagram(clock.now(), slot, bytes);
+            } else if (cellDirectory != null) {
+                cellDirectory.onDatagram(clock.now(), bytes);
             }
         }
     }
 
-    private void post(InetSocketAddress to, int kind, byte[] datagram) {
+    private void sendDatagram(InetSocketAddress to, int kind, byte[] datagram) {
         bytesOut[kind] += datagram.length;
         datagramsOut++;
         try {
-            mail.send(ByteBuffer.wrap(datagram), to);
-        } catch (IOException nobody) {
-            // As in service: what can't be sent is lost.
+            datagramChannel.send(ByteBuffer.wrap(datagram), to);
+        } catch (IOException sendFailed) {
+            // As in service, a datagram that cannot be sent is lost.
         }
     }
 
     @Override
-    public void send(int seed, MembershipMessage.Kind kind, byte[] datagram) {
-        if (seed != plan.slotOf(number)) {
-            post(addresses.get(seed), kind.ordinal(), datagram);
+    public void send(int slot, MembershipMessage.Kind kind, byte[] datagram) {
+        if (slot != plan.slotOf(number)) {
+            sendDatagram(addressesBySlot.get(slot), kind.ordinal(), datagram);
         }
     }
 
     @Override
     public void send(int cell, int slot, byte[] datagram) {
-        post(at.mail(plan, cell * plan.together() + slot), bytesOut.length - 1, datagram);
+        sendDatagram(addresses.mail(plan, cell * plan.together() + slot), bytesOut.length - 1, datagram);
     }
 
     @Override
     public void viewChanged(long now, MembershipView view) {
-        together.onViewChanged(view.memberNames());
-        if (cells != null) {
-            cells.onViewChanged(view.memberNames());
+        fleetCoordinator.onViewChanged(view.memberNames());
+        if (cellDirectory != null) {
+            cellDirectory.onViewChanged(view.memberNames());
         }
         witness.viewed(this, view);
     }
 
     @Override
-    public void logMemberEvent(long now, String what, String who, String why) {
-        // Its views say what is asked of it.
+    public void logMemberEvent(long now, String event, String member, String reason) {
+        // The views are observed instead.
     }
 
     @Override
-    public void logCellEvent(long now, String what, String who, String why) {
-        if (what.equals("silent") || what.equals("heard again")) {
-            witness.noted(this, what, who);
+    public void logCellEvent(long now, String event, String cell, String reason) {
+        if (event.equals("silent") || event.equals("heard again")) {
+            witness.noted(this, event, cell);
         }
     }
 
     @Override
     public byte[] outgoingDigest(long now) {
-        byte[] rest = together.encodeDigest(now);
-        return cells == null ? rest : cells.encodeDigest(rest);
+        byte[] fleetDigest = fleetCoordinator.encodeDigest(now);
+        return cellDirectory == null ? fleetDigest : cellDirectory.encodeDigest(fleetDigest);
     }
 
     @Override
-    public void digestReceived(long now, String from, byte[] digest) {
-        together.onDigest(now, from, cells == null ? digest : cells.onDigest(now, reading, digest));
+    public void digestReceived(long now, String sender, byte[] digest) {
+        fleetCoordinator.onDigest(now, sender, cellDirectory == null ? digest : cellDirectory.onDigest(now, lastSenderSlot, digest));
     }
 
     @Override
     public void enginesReleased(long now) {
-        sieve.takeReleased().forEach(e -> engines.add(e.id));
+        engineSubset.takeReleased().forEach(engine -> usableEngines.add(engine.id));
     }
 
     @Override
     public int sheddingThreshold() {
-        return together.sheddingThreshold();
+        return fleetCoordinator.sheddingThreshold();
     }
 }
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -26,77 +26,99 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * One process of a few hundred hollow managers, all on one thread. Orders come in lines on standard
- * input, a line of JSON goes out each second; where standard input ends, so does the process.
+ * Runs a few hundred hollow managers in one process, all on one thread. The worker reads orders from
+ * standard input, one a line, and writes a line of JSON with its figures to standard output each
+ * second. It ends when standard input ends.
  */
 public final class HollowWorker implements HollowManager.Witness {
-    private static final long TICK = 200;
-    private static final long SPREAD = 10_000;
-    private static final long TELL_MS = 1_000;
-    private static final long MOST_LATE = 600_000;
+    private static final long TICK_INTERVAL = 200;
 
-    /** A moment that each of some managers comes to, once; {@code since}: Unix ms. */
-    private static final class Awaited {
+    /** Time within which all managers start, in ticks. */
+    private static final long START_WINDOW = 10_000;
+
+    private static final long REPORT_INTERVAL_MS = 1_000;
+
+    /** Largest tick delay that is recorded, in ticks. */
+    private static final long MAX_TICK_DELAY = 600_000;
+
+    /**
+     * A condition on the members of a view, with the managers whose views have not met it yet. The
+     * delay of each manager counts from {@code sinceMs}, a Unix time.
+     */
+    private static final class Milestone {
         private final String label;
-        private final long since;
-        private final Predicate<List<String>> reached;
-        private final Map<Integer, HollowManager> waiting = new TreeMap<>();
+        private final long sinceMs;
+        private final Predicate<List<String>> condition;
+        private final Map<Integer, HollowManager> waitingManagers = new TreeMap<>();
 
-        private Awaited(String label, long since, Predicate<List<String>> reached) {
+        private Milestone(String label, long sinceMs, Predicate<List<String>> condition) {
             this.label = label;
-            this.since = since;
-            this.reached = reached;
+            this.sinceMs = sinceMs;
+            this.condition = condition;
         }
     }
 
     private final ScalePlan plan;
     private final Selector selector = Selector.open();
     private final Map<Integer, HollowManager> managers = new LinkedHashMap<>();
-    private final Map<HollowManager, Long> starts = new LinkedHashMap<>();
-    private final List<Awaited> awaited = new ArrayList<>();
-    private final Map<String, List<Long>> reached = new TreeMap<>();
+    private final Map<HollowManager, Long> startTimes = new LinkedHashMap<>();
+    private final List<Milestone> milestones = new ArrayList<>();
+
+    /** Delays since the last report, in ms and by label. */
+    private final Map<String, List<Long>> delaysByLabel = new TreeMap<>();
+
     private final Queue<String> orders = new ConcurrentLinkedQueue<>();
-    private final Histogram late = new Histogram(MOST_LATE, 2);
+
+    /** Delays of ticks since the last report, in ticks. */
+    private final Histogram tickDelays = new Histogram(MAX_TICK_DELAY, 2);
     private final PrintStream out;
     private final long startNs = System.nanoTime();
-    private long silentSince = Long.MAX_VALUE;
-    private volatile boolean over;
 
-    private HollowWorker(ScalePlan plan, ScaleAddresses at, int from, int to, PrintStream out)
+    /** Unix time in ms at which a zone was silenced; events of cells are recorded from then on. */
+    private long silentSinceMs = Long.MAX_VALUE;
+    private volatile boolean stopped;
+
+    private HollowWorker(ScalePlan plan, ScaleAddresses addresses, int firstManager, int endManager, PrintStream out)
             throws IOException {
         this.plan = plan;
         this.out = out;
-        for (int m = from; m < to; m++) {
-            if (!plan.isReal(m)) {
-                managers.put(m, new HollowManager(m, plan, at, selector, this::now, this));
+        for (int manager = firstManager; manager < endManager; manager++) {
+            if (!plan.isReal(manager)) {
+                managers.put(manager, new HollowManager(manager, plan, addresses, selector, this::now, this));
             }
         }
     }
 
     /**
-     * Hosts the hollow ones of these managers until it is told to end, or nobody is there to tell.
+     * Hosts the hollow managers of a range until an order or the end of standard input stops the
+     * process. Real managers in the range are left out.
+     *
+     * @param port port of all addresses of the run
+     * @param firstManager number of the first manager
+     * @param endManager one past the last manager
      */
-    public static void run(ScalePlan plan, int port, int from, int to) throws IOException {
+    public static void run(ScalePlan plan, int port, int firstManager, int endManager) throws IOException {
         new HollowWorker(
                         plan,
                         new ScaleAddresses(port),
-                        from,
-                        to,
+                        firstManager,
+                        endManager,
                         new PrintStream(System.out, true, StandardCharsets.UTF_8))
-                .play();
+                .runLoop();
     }
 
+    /** Returns the time in ticks; the process starts at 1,000 s. */
     private long now() {
         return 10_000_000 + (System.nanoTime() - startNs) / 100_000;
     }
 
-    private void play() throws IOException {
-        Thread reader = new Thread(this::read, "orders");
+    private void runLoop() throws IOException {
+        Thread reader = new Thread(this::readOrders, "orders");
         reader.setDaemon(true);
         reader.start();
-        tell();
-        long tellAt = System.currentTimeMillis() + TELL_MS;
-        while (!over) {
+        writeReport();
+        long nextReportMs = System.currentTimeMillis() + REPORT_INTERVAL_MS;
+        while (!stopped) {
             selector.select(2);
             for (SelectionKey key : selector.selectedKeys()) {
                 if (key.isValid()) {
@@ -105,218 +127,227 @@
             }
             selector.selectedKeys().clear();
             for (String order = orders.poll(); order != null; order = orders.poll()) {
-                obey(order.split(" "));
+                execute(order.split(" "));
             }
-            begin();
-            tick();
-            if (System.currentTimeMillis() >= tellAt) {
-                tellAt += TELL_MS;
-                tell();
+            startDueManagers();
+            tickManagers();
+            if (System.currentTimeMillis() >= nextReportMs) {
+                nextReportMs += REPORT_INTERVAL_MS;
+                writeReport();
             }
         }
     }
 
-    private void read() {
+    private void readOrders() {
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 orders.add(line);
                 selector.wakeup();
             }
-        } catch (IOException gone) {
-            // The same as its end.
+        } catch (IOException inputFailed) {
+            // Handled like the end of the input.
         }
-        over = true;
+        stopped = true;
         selector.wakeup();
     }
 
-    private void begin() throws IOException {
+    private void startDueManagers() throws IOException {
         long now = now();
         List<HollowManager> due =
-                starts.entrySet().stream()
+                startTimes.entrySet().stream()
                         .filter(e -> e.getValue() <= now)
                         .map(Map.Entry::getKey)
                         .toList();
-        for (HollowManager m : due) {
-            starts.remove(m);
-            if (!m.up()) {
-                m.start();
+        for (HollowManager manager : due) {
+            startTimes.remove(manager);
+            if (!manager.up()) {
+                manager.start();
             }
         }
     }
 
-    private void tick() throws IOException {
-        for (HollowManager m : managers.values()) {
+    private void tickManagers() throws IOException {
+        for (HollowManager manager : managers.values()) {
             long now = now();
-            if (m.up() && now >= m.tickAt) {
-                late.recordValue(Math.min(MOST_LATE, now - m.tickAt));
-                m.tickAt = Math.max(m.tickAt + TICK, now + TICK / 2);
-                m.tick(now);
+            if (manager.up() && now >= manager.tickAt) {
+                tickDelays.recordValue(Math.min(MAX_TICK_DELAY, now - manager.tickAt));
+                manager.tickAt = Math.max(manager.tickAt + TICK_INTERVAL, now + TICK_INTERVAL / 2);
+                manager.tick(now);
             }
         }
     }
 
-    private void obey(String[] words) throws IOException {
-        switch (words[0]) {
+    /** Executes an order of the scale run; an unknown order stops the process. */
+    private void execute(String[] order) throws IOException {
+        switch (order[0]) {
             case "go" -> {
-                Random chance = new Random(managers.keySet().iterator().next());
+                Random random = new Random(managers.keySet().iterator().next());
                 managers.values()
-                        .forEach(m -> starts.put(m, now() + (long) (chance.nextDouble() * SPREAD)));
+                        .forEach(m -> startTimes.put(m, now() + (long) (random.nextDouble() * START_WINDOW)));
                 await(
                         "one view",
-                        Long.parseLong(words[1]),
+                        Long.parseLong(order[1]),
                         -1,
                         names -> names.size() == plan.together());
             }
-            case "kill" -> with(words[1], HollowManager::kill);
-            case "leave" -> with(words[1], HollowManager::leave);
+            case "kill" -> forEach(order[1], HollowManager::kill);
+            case "leave" -> forEach(order[1], HollowManager::leave);
             case "start" ->
-                    with(words[1], m -> starts.put(m, now() + Long.parseLong(words[2]) * 10));
+                    forEach(order[1], m -> startTimes.put(m, now() + Long.parseLong(order[2]) * 10));
             case "gone" ->
                     await(
-                            words[1],
-                            Long.parseLong(words[4]),
-                            Integer.parseInt(words[2]),
-                            names -> !names.contains(words[3]));
+                            order[1],
+                            Long.parseLong(order[4]),
+                            Integer.parseInt(order[2]),
+                            names -> !names.contains(order[3]));
             case "back" ->
                     await(
-                            words[1],
-                            Long.parseLong(words[4]),
-                            Integer.parseInt(words[2]),
-                            names -> names.contains(words[3]));
+                            order[1],
+                            Long.parseLong(order[4]),
+                            Integer.parseInt(order[2]),
+                            names -> names.contains(order[3]));
             case "whole" ->
                     await(
-                            words[1],
-                            Long.parseLong(words[2]),
+                            order[1],
+                            Long.parseLong(order[2]),
                             -1,
                             names -> names.size() == plan.together());
-            case "silent" -> silentSince = Long.parseLong(words[1]);
+            case "silent" -> silentSinceMs = Long.parseLong(order[1]);
             case "heap" -> {
                 System.gc();
-                tell();
+                writeReport();
             }
-            default -> over = true;
+            default -> stopped = true;
         }
     }
 
-    private interface Act {
-        void on(HollowManager m) throws IOException;
+    private interface ManagerAction {
+        void apply(HollowManager manager) throws IOException;
     }
 
-    private void with(String numbers, Act act) throws IOException {
+    /** Applies an action to the managers of a comma-separated list that this process hosts. */
+    private void forEach(String numbers, ManagerAction action) throws IOException {
         for (String number : numbers.split(",")) {
-            HollowManager m = managers.get(Integer.parseInt(number));
-            if (m != null) {
-                act.on(m);
+            HollowManager manager = managers.get(Integer.parseInt(number));
+            if (manager != null) {
+                action.apply(manager);
             }
         }
     }
 
-    private void await(String label, long since, int cell, Predicate<List<String>> is) {
-        Awaited a = new Awaited(label, since, is);
+    /**
+     * Records for each manager how long it takes to meet a condition.
+     *
+     * @param sinceMs Unix time from which the delays count
+     * @param cell the cell whose managers are observed; -1 for all managers
+     */
+    private void await(String label, long sinceMs, int cell, Predicate<List<String>> condition) {
+        Milestone milestone = new Milestone(label, sinceMs, condition);
         managers.values().stream()
                 .filter(m -> cell < 0 || plan.cellOf(m.number) == cell)
-                .forEach(m -> a.waiting.put(m.number, m));
-        awaited.add(a);
-        List.copyOf(a.waiting.values()).forEach(m -> look(a, m, m.view()));
+                .forEach(m -> milestone.waitingManagers.put(m.number, m));
+        milestones.add(milestone);
+        List.copyOf(milestone.waitingManagers.values()).forEach(m -> checkMilestone(milestone, m, m.view()));
     }
 
-    private void look(Awaited a, HollowManager m, List<String> names) {
-        if (m.up() && a.waiting.containsKey(m.number) && a.reached.test(names)) {
-            a.waiting.remove(m.number);
-            reached(a.label, System.currentTimeMillis() - a.since);
+    private void checkMilestone(Milestone milestone, HollowManager manager, List<String> names) {
+        if (manager.up() && milestone.waitingManagers.containsKey(manager.number) && milestone.condition.test(names)) {
+            milestone.waitingManagers.remove(manager.number);
+            recordDelay(milestone.label, System.currentTimeMillis() - milestone.sinceMs);
         }
     }
 
-    private void reached(String label, long ms) {
-        reached.computeIfAbsent(label, l -> new ArrayList<>()).add(Math.max(0, ms));
+    private void recordDelay(String label, long ms) {
+        delaysByLabel.computeIfAbsent(label, l -> new ArrayList<>()).add(Math.max(0, ms));
     }
 
     @Override
-    public void viewed(HollowManager who, MembershipView view) {
-        awaited.forEach(a -> look(a, who, view.memberNames()));
-        awaited.removeIf(a -> a.waiting.isEmpty());
+    public void viewed(HollowManager manager, MembershipView view) {
+        milestones.forEach(milestone -> checkMilestone(milestone, manager, view.memberNames()));
+        milestones.removeIf(milestone -> milestone.waitingManagers.isEmpty());
     }
 
     @Override
-    public void listed(HollowManager who, long toldAt) {
-        reached("a change of the list", System.currentTimeMillis() - toldAt);
+    public void listed(HollowManager manager, long sentAt) {
+        recordDelay("a change of the list", System.currentTimeMillis() - sentAt);
     }
 
     @Override
-    public void noted(HollowManager who, String what, String cell) {
-        if (System.currentTimeMillis() >= silentSince) {
-            reached("a dead cell " + what, System.currentTimeMillis() - silentSince);
+    public void noted(HollowManager manager, String event, String cell) {
+        if (System.currentTimeMillis() >= silentSinceMs) {
+            recordDelay("a dead cell " + event, System.currentTimeMillis() - silentSinceMs);
         }
     }
 
-    private void tell() throws IOException {
+    /** Writes a line of figures and starts the next period of delays. */
+    private void writeReport() throws IOException {
         StringWriter line = new StringWriter();
-        var system =
+        var operatingSystem =
                 (com.sun.management.OperatingSystemMXBean)
                         ManagementFactory.getOperatingSystemMXBean();
         List<HollowManager> up = managers.values().stream().filter(HollowManager::up).toList();
-        try (JsonGenerator g = new JsonFactory().createGenerator(line)) {
-            g.writeStartObject();
-            figure(g, "at", System.currentTimeMillis());
-            figure(g, "managers", managers.size());
-            figure(g, "up", up.size());
-            figure(g, "cpu ms", system.getProcessCpuTime() / 1_000_000);
-            figure(
-                    g,
+        try (JsonGenerator json = new JsonFactory().createGenerator(line)) {
+            json.writeStartObject();
+            writeFigure(json, "at", System.currentTimeMillis());
+            writeFigure(json, "managers", managers.size());
+            writeFigure(json, "up", up.size());
+            writeFigure(json, "cpu ms", operatingSystem.getProcessCpuTime() / 1_000_000);
+            writeFigure(
+                    json,
                     "heap bytes",
                     ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
-            long all = 0;
-            for (int k = 0; k <= MembershipMessage.Kind.values().length; k++) {
-                int kind = k;
-                long sum = managers.values().stream().mapToLong(m -> m.bytesOut[kind]).sum();
-                all += sum;
-                figure(
-                        g,
+            long totalBytes = 0;
+            for (int ordinal = 0; ordinal <= MembershipMessage.Kind.values().length; ordinal++) {
+                int kindOrdinal = ordinal;
+                long sum = managers.values().stream().mapToLong(m -> m.bytesOut[kindOrdinal]).sum();
+                totalBytes += sum;
+                writeFigure(
+                        json,
                         "bytes "
-                                + (k < MembershipMessage.Kind.values().length
-                                        ? MembershipMessage.Kind.values()[k]
+                                + (ordinal < MembershipMessage.Kind.values().length
+                                        ? MembershipMessage.Kind.values()[ordinal]
                                                 .name()
                                                 .toLowerCase(Locale.ROOT)
                                         : "rows"),
                         sum);
             }
-            figure(g, "bytes out", all);
-            figure(g, "bytes in", managers.values().stream().mapToLong(m -> m.bytesIn).sum());
-            figure(
-                    g,
+            writeFigure(json, "bytes out", totalBytes);
+            writeFigure(json, "bytes in", managers.values().stream().mapToLong(m -> m.bytesIn).sum());
+            writeFigure(
+                    json,
                     "datagrams out",
                     managers.values().stream().mapToLong(m -> m.datagramsOut).sum());
-            figure(
-                    g,
+            writeFigure(
+                    json,
                     "list bytes in",
                     managers.values().stream().mapToLong(m -> m.listBytes).sum());
-            figure(g, "late 99th tenths", late.getValueAtPercentile(99));
-            figure(g, "late most tenths", late.getMaxValue());
-            figure(g, "whole views", up.stream().filter(m -> m.views() == plan.together()).count());
-            g.writeNumberField("in force", up.stream().mapToDouble(HollowManager::inForce).sum());
-            figure(
-                    g,
+            writeFigure(json, "late 99th tenths", tickDelays.getValueAtPercentile(99));
+            writeFigure(json, "late most tenths", tickDelays.getMaxValue());
+            writeFigure(json, "whole views", up.stream().filter(m -> m.views() == plan.together()).count());
+            json.writeNumberField("in force", up.stream().mapToDouble(HollowManager::inForce).sum());
+            writeFigure(
+                    json,
                     "fewest cells heard",
                     up.stream().mapToInt(HollowManager::cellsHeard).min().orElse(0));
-            figure(g, "engines held", up.stream().mapToInt(HollowManager::enginesHeld).sum());
-            g.writeObjectFieldStart("reached");
-            for (Map.Entry<String, List<Long>> e : reached.entrySet()) {
-                g.writeArrayFieldStart(e.getKey());
-                for (long ms : e.getValue()) {
-                    g.writeNumber(ms);
+            writeFigure(json, "engines held", up.stream().mapToInt(HollowManager::enginesHeld).sum());
+            json.writeObjectFieldStart("reached");
+            for (Map.Entry<String, List<Long>> entry : delaysByLabel.entrySet()) {
+                json.writeArrayFieldStart(entry.getKey());
+                for (long ms : entry.getValue()) {
+                    json.writeNumber(ms);
                 }
-                g.writeEndArray();
+                json.writeEndArray();
             }
-            g.writeEndObject();
-            g.writeEndObject();
+            json.writeEndObject();
+            json.writeEndObject();
         }
-        reached.clear();
-        late.reset();
+        delaysByLabel.clear();
+        tickDelays.reset();
         out.println(line);
     }
 
-    private static void figure(JsonGenerator g, String name, long value) throws IOException {
-        g.writeNumberField(name, value);
+    private static void writeFigure(JsonGenerator json, String name, long value) throws IOException {
+        json.writeNumberField(name, value);
     }
 }
--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -16,13 +16,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process of hollow managers as the run sees it: orders go in, a line of figures comes out each
- * second.
+ * A process of hollow managers, seen from the scale run: writes orders to the process and reads the
+ * line of figures that the process reports each second.
  */
 final class HollowWorkerProcess implements AutoCloseable {
     /**
-     * One line: figures by name, and by label how long each manager took to come to a moment, in
-     * ms.
+     * A line that the process reported.
+     *
+     * @param figures figures by name
+     * @param reached delays in ms of the managers that met a condition, by the condition's label
      */
     record Line(Map<String, Double> figures, Map<String, List<Double>> reached) {
         double figure(String name) {
@@ -41,11 +43,11 @@
                         continue;
                     }
                     while (in.nextToken() == JsonToken.FIELD_NAME) {
-                        List<Double> all =
+                        List<Double> delays =
                                 reached.computeIfAbsent(in.currentName(), l -> new ArrayList<>());
                         in.nextToken();
                         while (in.nextToken() != JsonToken.END_ARRAY) {
-                            all.add(in.getDoubleValue());
+                            delays.add(in.getDoubleValue());
                         }
                     }
                 }
@@ -59,19 +61,21 @@
     private final Process process;
     private final PrintStream orders;
     private final List<Line> lines = new ArrayList<>();
-    private String words = "";
+
+    /** Last line that is not a report, or the message of a failed read. */
+    private String lastMessage = "";
 
     HollowWorkerProcess(List<String> command, int from, int to, Path log) throws IOException {
         this.from = from;
         this.to = to;
         process = new ProcessBuilder(command).redirectError(log.toFile()).start();
         orders = new PrintStream(process.getOutputStream(), true, StandardCharsets.UTF_8);
-        Thread reader = new Thread(this::read, "hollow " + from);
+        Thread reader = new Thread(this::readOutput, "hollow " + from);
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void read() {
+    private void readOutput() {
         try (BufferedReader in =
                 new BufferedReader(
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
@@ -81,11 +85,11 @@
                         lines.add(Line.read(line));
                     }
                 } else {
-                    words = line;
+                    lastMessage = line;
                 }
             }
-        } catch (IOException over) {
-            words = String.valueOf(over.getMessage());
+        } catch (IOException readFailed) {
+            lastMessage = String.valueOf(readFailed.getMessage());
         }
     }
 
@@ -93,16 +97,17 @@
         orders.println(line);
     }
 
+    /** Returns the number of reports so far. */
     synchronized int told() {
         return lines.size();
     }
 
-    /** The last line so far. */
+    /** Returns the last report; there must be one. */
     synchronized Line last() {
         return lines.get(lines.size() - 1);
     }
 
-    /** All lines so far, one a second. */
+    /** Returns all reports so far: one a second, and one for each {@code heap} order. */
     synchronized List<Line> lines() {
         return List.copyOf(lines);
     }
@@ -111,8 +116,9 @@
         return process.isAlive();
     }
 
+    /** Returns the last line that is not a report; empty if there is none. */
     String lastWords() {
-        return words;
+        return lastMessage;
     }
 
     @Override
@@ -122,7 +128,7 @@
             if (!process.waitFor(3, TimeUnit.SECONDS)) {
                 process.destroyForcibly().waitFor();
             }
-        } catch (InterruptedException fault) {
+        } catch (InterruptedException interrupted) {
             process.destroyForcibly();
             Thread.currentThread().interrupt();
         }
