--- a/src/main/java/firstage/scale/DecisionCost.java
+++ b/src/main/java/firstage/scale/DecisionCost.java
@@ -20,26 +20,30 @@
 import java.util.Set;
 
 /**
- * What the decisions cost a request in processor time by how many engines a manager knows: the real
- * ones, all news by calls, engines that return each request after its work. Measured by this
- * machine's clock, one thread.
+ * Measures the processor time that the scheduling policy takes for a request, by the number of
+ * engines that a manager knows. The real scheduler runs on one thread and receives every event by a
+ * direct call; the simulated engines end each request after its work. Times are ticks, but the cost
+ * is measured by the clock of this machine.
  */
 public final class DecisionCost implements PolicyActions {
     private static final long SECOND = 10_000;
 
-    /** By the size of two years on: 462 requests a second at one manager. */
-    private static final long BETWEEN = SECOND / 462;
+    /** Time between requests: 462 a second, the load of one manager expected in two years. */
+    private static final long REQUEST_INTERVAL = SECOND / 462;
 
     private static final long WORK = 2_000;
-    private static final int WARM = 6_000;
-    private static final int MEASURED = 6_000;
+    private static final int WARM_UP_REQUESTS = 6_000;
+    private static final int MEASURED_REQUESTS = 6_000;
     private static final int CORES = 8;
     private static final double MEMORY_MB = 16_000;
-    private final WorkloadScheduler brain;
+    private final WorkloadScheduler scheduler;
+
+    /** Running attempts: end time, request id and engine id of each, by end time. */
     private final ArrayDeque<long[]> running = new ArrayDeque<>();
+
     private long now = 100 * SECOND;
-    private int dispatched;
-    private int pushedBack;
+    private int attemptsStarted;
+    private int rejectedOrFailed;
 
     private DecisionCost(int engines, int managers) {
         TrafficClass lookup =
@@ -58,7 +62,7 @@
                         true,
                         Set.of(),
                         Set.of());
-        brain =
+        scheduler =
                 new WorkloadScheduler(
                         new Deployment(
                                 7,
@@ -80,24 +84,25 @@
                                 false,
                                 false),
                         this);
-        List<Endpoint> entries = new ArrayList<>();
-        for (int e = 0; e < engines; e++) {
-            entries.add(new Endpoint(e, e + 1L, 0, 0, e, Lifecycle.ACTIVE, 1, 0));
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (int engine = 0; engine < engines; engine++) {
+            endpoints.add(new Endpoint(engine, engine + 1L, 0, 0, engine, Lifecycle.ACTIVE, 1, 0));
         }
-        brain.onEndpointsUpdated(now, new EndpointUpdate(EndpointUpdate.Kind.INITIAL, entries));
-        brain.runPendingActions(now);
+        scheduler.onEndpointsUpdated(now, new EndpointUpdate(EndpointUpdate.Kind.INITIAL, endpoints));
+        scheduler.runPendingActions(now);
     }
 
-    private void batch(int number) {
-        now += BETWEEN;
+    /** Advances the time to the next request, ends the attempts that are due and adds the request. */
+    private void addRequest(int requestId) {
+        now += REQUEST_INTERVAL;
         while (!running.isEmpty() && running.peek()[0] <= now) {
-            long[] over = running.poll();
-            brain.onAttemptResult(
+            long[] ended = running.poll();
+            scheduler.onAttemptResult(
                     now,
                     new AttemptResult(
-                            (int) over[1],
+                            (int) ended[1],
                             0,
-                            (int) over[2],
+                            (int) ended[2],
                             AttemptOutcome.SUCCEEDED,
                             WORK,
                             0,
@@ -105,89 +110,92 @@
                             true,
                             null,
                             0));
-            brain.runPendingActions(now);
+            scheduler.runPendingActions(now);
         }
-        brain.onRequest(
+        scheduler.onRequest(
                 now,
                 new IncomingRequest(
-                        number, 0, -1, -1, now + 5 * SECOND, WORK, 100, number % 20, false, false));
-        brain.runPendingActions(now);
+                        requestId, 0, -1, -1, now + 5 * SECOND, WORK, 100, requestId % 20, false, false));
+        scheduler.runPendingActions(now);
     }
 
-    /** Microseconds a request, and the shares sent and rejected; by name. */
+    /**
+     * Measures the cost for a number of engines and returns the figures by name: microseconds,
+     * attempts, and rejections or failures a request.
+     */
     public static Map<String, Double> play(int engines, int managers) {
-        DecisionCost c = new DecisionCost(engines, managers);
-        for (int b = 0; b < WARM; b++) {
-            c.batch(b);
+        DecisionCost run = new DecisionCost(engines, managers);
+        for (int requestId = 0; requestId < WARM_UP_REQUESTS; requestId++) {
+            run.addRequest(requestId);
         }
-        c.dispatched = 0;
-        c.pushedBack = 0;
-        long from = System.nanoTime();
-        for (int b = WARM; b < WARM + MEASURED; b++) {
-            c.batch(b);
+        run.attemptsStarted = 0;
+        run.rejectedOrFailed = 0;
+        long startNs = System.nanoTime();
+        for (int requestId = WARM_UP_REQUESTS; requestId < WARM_UP_REQUESTS + MEASURED_REQUESTS; requestId++) {
+            run.addRequest(requestId);
         }
-        Map<String, Double> row = new LinkedHashMap<>();
-        row.put("engines", (double) engines);
-        row.put("managers", (double) managers);
-        row.put("us a batch", (System.nanoTime() - from) / 1e3 / MEASURED);
-        row.put("dispatches a batch", (double) c.dispatched / MEASURED);
-        row.put("pushed back a batch", (double) c.pushedBack / MEASURED);
-        return row;
+        Map<String, Double> figures = new LinkedHashMap<>();
+        figures.put("engines", (double) engines);
+        figures.put("managers", (double) managers);
+        figures.put("us a batch", (System.nanoTime() - startNs) / 1e3 / MEASURED_REQUESTS);
+        figures.put("dispatches a batch", (double) run.attemptsStarted / MEASURED_REQUESTS);
+        figures.put("pushed back a batch", (double) run.rejectedOrFailed / MEASURED_REQUESTS);
+        return figures;
     }
 
     @Override
-    public void setGrantAndPriority(int batch, int grantMb, int priority) {
-        // Its engine runs it with whatever it is granted.
+    public void setGrantAndPriority(int requestId, int grantMb, int priority) {
+        // The duration of an attempt does not depend on its grant.
     }
 
     @Override
-    public void startAttempt(int batch, int engine, long within) {
-        dispatched++;
-        running.add(new long[] {now + WORK, batch, engine});
+    public void startAttempt(int requestId, int engineId, long timeout) {
+        attemptsStarted++;
+        running.add(new long[] {now + WORK, requestId, engineId});
     }
 
     @Override
-    public void cancelAttempt(int batch, int dispatch) {
-        // It may not.
+    public void cancelAttempt(int requestId, int attemptNumber) {
+        // The deployment forbids cancelling.
     }
 
     @Override
-    public void reject(int batch, long comeBack) {
-        pushedBack++;
+    public void reject(int requestId, long retryAfter) {
+        rejectedOrFailed++;
     }
 
     @Override
-    public void fail(int batch) {
-        pushedBack++;
+    public void fail(int requestId) {
+        rejectedOrFailed++;
     }
 
     @Override
-    public void releaseRequest(int batch) {
-        // Numbers are not used again.
+    public void releaseRequest(int requestId) {
+        // Request ids are not reused.
     }
 
     @Override
     public void releaseKey(int key) {
-        // There are none.
+        // No request has an ordering key.
     }
 
     @Override
-    public void releaseEngine(int engine) {
-        // None leaves.
+    public void releaseEngine(int engineId) {
+        // No engine leaves.
     }
 
     @Override
-    public void probeEngine(int engine) {
-        // It may not.
+    public void probeEngine(int engineId) {
+        // The deployment forbids probes.
     }
 
     @Override
     public void scheduleWakeUp(long delay, long token) {
-        // Each request is news enough.
+        // Requests follow each other so closely that no wake-up is needed.
     }
 
     @Override
     public void log(String line) {
-        // Nobody reads it.
+        // The log is not read.
     }
 }
--- a/src/main/java/firstage/scale/EmulatedWatches.java
+++ b/src/main/java/firstage/scale/EmulatedWatches.java
@@ -16,33 +16,42 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * The coordinator for a whole fleet: thousands of watches on one thread. Numbered events from 2 on
- * (the first is in each manager's configuration), an empty frame each second.
+ * Emulates the coordinator for a whole fleet: serves thousands of watches of the endpoint list on
+ * one thread. Events are numbered from 2, as event 1 is the list in each manager's configuration.
+ * An idle watch receives a heartbeat each second.
  */
 final class EmulatedWatches implements AutoCloseable {
-    private static final int RECORD = 27;
-    private static final int HEAD = 9;
-    private static final long BEAT_MS = 1_000;
-    private static final int LINE = 4_096;
+    private static final int RECORD_BYTES = 27;
 
+    /** Size of the event number and the type of a frame, after its length of 4 bytes. */
+    private static final int HEADER_BYTES = 9;
+
+    private static final long HEARTBEAT_INTERVAL_MS = 1_000;
+    private static final int ACCEPT_BACKLOG = 4_096;
+
+    /** A manager's connection. */
     private static final class Watch {
-        private final ByteBuffer hello = ByteBuffer.allocate(Long.BYTES);
-        private final Queue<ByteBuffer> out = new ArrayDeque<>();
-        private int next = -1;
+        /** Subscription that the manager sends first: the number of the last event that it knows. */
+        private final ByteBuffer subscription = ByteBuffer.allocate(Long.BYTES);
+
+        private final Queue<ByteBuffer> unsent = new ArrayDeque<>();
+
+        /** Index of the next event to send; -1 until the subscription is complete. */
+        private int nextEvent = -1;
     }
 
     private final Selector selector = Selector.open();
     private final ServerSocketChannel server = ServerSocketChannel.open();
     private final List<byte[]> events = new ArrayList<>();
-    private final Queue<byte[]> told = new ConcurrentLinkedQueue<>();
+    private final Queue<byte[]> newEvents = new ConcurrentLinkedQueue<>();
     private final Thread thread;
     private volatile boolean closed;
-    private volatile int open;
-    private volatile long bytes;
+    private volatile int openWatches;
+    private volatile long bytesWritten;
 
-    EmulatedWatches(InetSocketAddress at) throws IOException {
+    EmulatedWatches(InetSocketAddress address) throws IOException {
         server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        server.bind(at, LINE);
+        server.bind(address, ACCEPT_BACKLOG);
         server.configureBlocking(false);
         server.register(selector, SelectionKey.OP_ACCEPT);
         thread = new Thread(this::run, "watches");
@@ -50,23 +59,23 @@
         thread.start();
     }
 
-    /** How many watches are open. */
+    /** Returns the number of open watches. */
     int open() {
-        return open;
+        return openWatches;
     }
 
-    /** Bytes written so far. */
+    /** Returns the number of bytes written so far. */
     long bytes() {
-        return bytes;
+        return bytesWritten;
     }
 
     /**
-     * Tells that an engine changed; its start is the moment of the telling, so that who hears it
-     * knows how late.
+     * Sends a change of an engine to all watches. The start time of the engine is the current time,
+     * from which a receiver computes the delay of the event.
      */
     void tell(int id, int zone) {
-        ByteBuffer frame = ByteBuffer.allocate(4 + HEAD + RECORD);
-        frame.putInt(HEAD + RECORD).putLong(0).put((byte) 2);
+        ByteBuffer frame = ByteBuffer.allocate(4 + HEADER_BYTES + RECORD_BYTES);
+        frame.putInt(HEADER_BYTES + RECORD_BYTES).putLong(0).put((byte) 2);
         frame.putInt(id)
                 .putInt(0x7F3E0001)
                 .putShort((short) 1)
@@ -76,28 +85,28 @@
                 .putShort((short) 0)
                 .putInt(1_000)
                 .putLong(System.currentTimeMillis());
-        told.add(frame.array());
+        newEvents.add(frame.array());
         selector.wakeup();
     }
 
     private void run() {
-        long beat = System.currentTimeMillis() + BEAT_MS;
+        long nextHeartbeatMs = System.currentTimeMillis() + HEARTBEAT_INTERVAL_MS;
         try {
             while (!closed) {
-                selector.select(Math.max(1, beat - System.currentTimeMillis()));
+                selector.select(Math.max(1, nextHeartbeatMs - System.currentTimeMillis()));
                 for (SelectionKey key : selector.selectedKeys()) {
-                    serve(key);
+                    onReady(key);
                 }
                 selector.selectedKeys().clear();
-                for (byte[] frame = told.poll(); frame != null; frame = told.poll()) {
+                for (byte[] frame = newEvents.poll(); frame != null; frame = newEvents.poll()) {
                     ByteBuffer.wrap(frame).putLong(4, events.size() + 2L);
                     events.add(frame);
                 }
-                boolean due = System.currentTimeMillis() >= beat;
-                beat = due ? System.currentTimeMillis() + BEAT_MS : beat;
+                boolean heartbeatDue = System.currentTimeMillis() >= nextHeartbeatMs;
+                nextHeartbeatMs = heartbeatDue ? System.currentTimeMillis() + HEARTBEAT_INTERVAL_MS : nextHeartbeatMs;
                 for (SelectionKey key : selector.keys()) {
-                    if (key.attachment() instanceof Watch w && key.isValid()) {
-                        follow(key, w, due);
+                    if (key.attachment() instanceof Watch watch && key.isValid()) {
+                        sendEvents(key, watch, heartbeatDue);
                     }
                 }
             }
@@ -109,8 +118,9 @@
     }
 
     /**
-     * On the selector's own thread. A channel that is registered is released by the system only
-     * once its selector has deregistered it, which closing the selector does.
+     * Closes all channels and the selector, on the selector's thread. The operating system releases
+     * a registered channel only after its selector has deregistered it, which closing the selector
+     * does.
      */
     private void closeChannels() {
         try {
@@ -123,61 +133,61 @@
         }
     }
 
-    private void serve(SelectionKey key) throws IOException {
+    private void onReady(SelectionKey key) throws IOException {
         if (key.isAcceptable()) {
-            for (SocketChannel c = server.accept(); c != null; c = server.accept()) {
-                c.configureBlocking(false);
-                c.setOption(StandardSocketOptions.TCP_NODELAY, true);
-                c.register(selector, SelectionKey.OP_READ, new Watch());
-                open++;
+            for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
+                channel.configureBlocking(false);
+                channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+                channel.register(selector, SelectionKey.OP_READ, new Watch());
+                openWatches++;
             }
         } else if (key.isValid() && key.isReadable()) {
-            Watch w = (Watch) key.attachment();
+            Watch watch = (Watch) key.attachment();
             try {
-                int n =
+                int bytesRead =
                         ((SocketChannel) key.channel())
-                                .read(w.next < 0 ? w.hello : ByteBuffer.allocate(64));
-                if (n < 0) {
-                    end(key);
-                } else if (w.next < 0 && !w.hello.hasRemaining()) {
-                    w.next = (int) Math.max(0, w.hello.getLong(0) - 1);
+                                .read(watch.nextEvent < 0 ? watch.subscription : ByteBuffer.allocate(64));
+                if (bytesRead < 0) {
+                    closeWatch(key);
+                } else if (watch.nextEvent < 0 && !watch.subscription.hasRemaining()) {
+                    watch.nextEvent = (int) Math.max(0, watch.subscription.getLong(0) - 1);
                 }
-            } catch (IOException gone) {
-                end(key);
+            } catch (IOException connectionLost) {
+                closeWatch(key);
             }
         }
     }
 
-    private void end(SelectionKey key) throws IOException {
+    private void closeWatch(SelectionKey key) throws IOException {
         key.cancel();
         key.channel().close();
-        open--;
+        openWatches--;
     }
 
-    private void follow(SelectionKey key, Watch w, boolean beat) throws IOException {
-        if (w.next < 0) {
+    private void sendEvents(SelectionKey key, Watch watch, boolean heartbeatDue) throws IOException {
+        if (watch.nextEvent < 0) {
             return;
         }
-        while (w.next < events.size()) {
-            w.out.add(ByteBuffer.wrap(events.get(w.next++)));
+        while (watch.nextEvent < events.size()) {
+            watch.unsent.add(ByteBuffer.wrap(events.get(watch.nextEvent++)));
         }
-        if (beat && w.out.isEmpty()) {
-            w.out.add(ByteBuffer.allocate(4 + HEAD).putInt(0, HEAD));
+        if (heartbeatDue && watch.unsent.isEmpty()) {
+            watch.unsent.add(ByteBuffer.allocate(4 + HEADER_BYTES).putInt(0, HEADER_BYTES));
         }
         try {
-            while (!w.out.isEmpty()) {
-                bytes += ((SocketChannel) key.channel()).write(w.out.peek());
-                if (w.out.peek().hasRemaining()) {
+            while (!watch.unsent.isEmpty()) {
+                bytesWritten += ((SocketChannel) key.channel()).write(watch.unsent.peek());
+                if (watch.unsent.peek().hasRemaining()) {
                     return;
                 }
-                w.out.poll();
+                watch.unsent.poll();
             }
-        } catch (IOException gone) {
-            end(key);
+        } catch (IOException connectionLost) {
+            closeWatch(key);
         }
     }
 
-    /** Returns once the listener and all watches are closed: the address is free again. */
+    /** Closes the listener and all watches; the address is free when the method returns. */
     @Override
     public void close() throws IOException {
         closed = true;
--- a/src/main/java/firstage/scale/LoadClients.java
+++ b/src/main/java/firstage/scale/LoadClients.java
@@ -29,45 +29,53 @@
 import org.xnio.XnioWorker;
 
 /**
- * Clients of one manager: so many connections that stay open, each with one call at a time, at so
- * many statements a second in all. Within the protocol page: a connection rests 4 s at most, and
- * asks at once where it is given a path.
+ * Clients of one manager that send statements at a given rate over connections that stay open. A
+ * connection has one call at a time. As the protocol requires, a connection is idle for 4 s at
+ * most, and a client that receives the path of a poll follows it at once.
  */
 final class LoadClients implements AutoCloseable {
-    /** A client that rests longer closes its connection. */
+    /** Longest idle time of a connection, in seconds; a client closes a connection after that. */
     static final double MOST_REST_S = 4;
 
-    private static final int ALLOW_MS = 4_000;
-    private static final int TICK_MS = 10;
-    private static final long MOST_US = 60_000_000;
+    private static final int DEADLINE_MS = 4_000;
+
+    /** Time between two measurements of the delay of the clients' thread. */
+    private static final int TICK_INTERVAL_MS = 10;
+
+    private static final long MAX_RECORDED_US = 60_000_000;
     private static final String STATEMENT =
             "SELECT day, count(*) FROM sales_17.orders GROUP BY day";
-    private static final String POLL = "{\"poll\":\"";
+    private static final String POLL_PREFIX = "{\"poll\":\"";
 
     private final XnioWorker worker;
-    private final XnioIoThread io;
+    private final XnioIoThread ioThread;
     private final ByteBufferPool buffers = new DefaultByteBufferPool(true, 2 * 1024, 64, 0);
-    private final UndertowClient client = UndertowClient.getInstance();
-    private final URI manager;
-    private final String customer;
+    private final UndertowClient httpClient = UndertowClient.getInstance();
+    private final URI managerUri;
+    private final String tenant;
     private final List<Caller> callers = new ArrayList<>();
-    private final Histogram latency = new ConcurrentHistogram(MOST_US, 2);
-    private final Histogram late = new ConcurrentHistogram(MOST_US, 2);
+    private final Histogram latencies = new ConcurrentHistogram(MAX_RECORDED_US, 2);
+    private final Histogram threadDelays = new ConcurrentHistogram(MAX_RECORDED_US, 2);
     private final AtomicLong returned = new AtomicLong();
-    private final AtomicLong pushedBack = new AtomicLong();
+    private final AtomicLong rejected = new AtomicLong();
     private final AtomicLong failed = new AtomicLong();
     private final AtomicLong opened = new AtomicLong();
-    private volatile boolean over;
+    private volatile boolean closed;
 
-    /** Between two calls of a connection, in us. */
-    private volatile long pace;
+    /** Time between the starts of two statements on a connection, in us. */
+    private volatile long statementIntervalUs;
 
-    private long ids;
+    private long lastRequestId;
 
-    /** {@code customer}: whose statements these are. */
-    LoadClients(InetSocketAddress at, String customer) throws IOException {
-        manager = URI.create("http://" + at.getAddress().getHostAddress() + ":" + at.getPort());
-        this.customer = customer;
+    /**
+     * Starts the clients' thread, without any connections.
+     *
+     * @param address address at which the manager listens for clients
+     * @param tenant tenant of the statements
+     */
+    LoadClients(InetSocketAddress address, String tenant) throws IOException {
+        managerUri = URI.create("http://" + address.getAddress().getHostAddress() + ":" + address.getPort());
+        this.tenant = tenant;
         worker =
                 Xnio.getInstance(LoadClients.class.getClassLoader())
                         .createWorker(
@@ -77,120 +85,131 @@
                                         .set(Options.WORKER_TASK_CORE_THREADS, 1)
                                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                                         .getMap());
-        io = worker.getIoThread();
-        tick(System.nanoTime());
+        ioThread = worker.getIoThread();
+        measureDelay(System.nanoTime());
     }
 
     /**
-     * From now on so many connections, and statements a second; more connections than before are
-     * opened evenly.
+     * Changes the load. Additional connections are opened evenly over one interval between calls.
+     *
+     * @param rate statements a second over all connections
      */
     void play(int connections, double rate) {
-        pace = (long) (connections / rate * 1e6);
-        io.execute(
+        statementIntervalUs = (long) (connections / rate * 1e6);
+        ioThread.execute(
                 () -> {
-                    int before = callers.size();
-                    for (int c = before; c < connections; c++) {
+                    int connectionsBefore = callers.size();
+                    for (int i = connectionsBefore; i < connections; i++) {
                         Caller caller = new Caller();
                         callers.add(caller);
-                        caller.at(pace * (c - before) / Math.max(1, connections - before));
+                        caller.scheduleAfter(statementIntervalUs * (i - connectionsBefore) / Math.max(1, connections - connectionsBefore));
                     }
                     while (callers.size() > connections) {
-                        callers.remove(callers.size() - 1).leaves();
+                        callers.remove(callers.size() - 1).disconnect();
                     }
                 });
     }
 
+    /** Returns the number of statements whose result was returned. */
     long returned() {
         return returned.get();
     }
 
+    /** Returns the number of statements that the manager rejected. */
     long pushedBack() {
-        return pushedBack.get();
+        return rejected.get();
     }
 
-    /** Calls that ended in another way: errored, not answered, no connection. */
+    /**
+     * Returns the number of statements that ended in another way: with an error, without an answer,
+     * or without a connection.
+     */
     long failed() {
         return failed.get();
     }
 
-    /** Connections that were opened so far. */
+    /** Returns the number of connections that were opened so far. */
     long opened() {
         return opened.get();
     }
 
-    /** From a call's first byte to its last answer, in us. */
+    /** Returns the times from the start of a statement to its final answer, in us. */
     Histogram latency() {
-        return latency;
+        return latencies;
     }
 
-    /** How late this thread came, in us: one that has no time for it proves nothing. */
+    /**
+     * Returns the delays of the clients' thread, in us. Latencies that a late thread measures
+     * include its own delay and prove nothing about the manager.
+     */
     Histogram late() {
-        return late;
+        return threadDelays;
     }
 
-    private void tick(long due) {
-        if (!over) {
-            late.recordValue(Math.min(MOST_US, Math.max(0, (System.nanoTime() - due) / 1_000)));
-            long next = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TICK_MS);
-            io.executeAfter(() -> tick(next), TICK_MS, TimeUnit.MILLISECONDS);
+    private void measureDelay(long dueNs) {
+        if (!closed) {
+            threadDelays.recordValue(Math.min(MAX_RECORDED_US, Math.max(0, (System.nanoTime() - dueNs) / 1_000)));
+            long nextNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TICK_INTERVAL_MS);
+            ioThread.executeAfter(() -> measureDelay(nextNs), TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private interface Body {
-        void is(String text) throws IOException;
+    private interface BodyHandler {
+        void accept(String text) throws IOException;
     }
 
+    /** A client with one connection; it runs on the clients' thread. */
     private final class Caller {
         private ClientConnection connection;
-        private boolean left;
+        private boolean disconnected;
 
         /**
-         * Due in us of the monotonic clock: a call that took long is followed sooner by the next.
+         * Time at which the next statement is due, in us of the monotonic clock. Due times are evenly
+         * spaced, so after a long statement the next one follows sooner.
          */
-        private long due = System.nanoTime() / 1_000;
+        private long nextStatementUs = System.nanoTime() / 1_000;
 
-        private long from;
+        private long startNs;
 
-        private void at(long us) {
-            due += us;
-            long wait = Math.max(0, due - System.nanoTime() / 1_000) / 1_000;
-            io.executeAfter(
-                    this::call,
-                    Math.min(wait, (long) (MOST_REST_S * 1_000)),
+        private void scheduleAfter(long delayUs) {
+            nextStatementUs += delayUs;
+            long delayMs = Math.max(0, nextStatementUs - System.nanoTime() / 1_000) / 1_000;
+            ioThread.executeAfter(
+                    this::startStatement,
+                    Math.min(delayMs, (long) (MOST_REST_S * 1_000)),
                     TimeUnit.MILLISECONDS);
         }
 
-        private void leaves() {
-            left = true;
+        private void disconnect() {
+            disconnected = true;
             IoUtils.safeClose(connection);
         }
 
-        private void call() {
-            if (over || left) {
+        private void startStatement() {
+            if (closed || disconnected) {
                 return;
             }
-            from = System.nanoTime();
+            startNs = System.nanoTime();
             if (connection != null && connection.isOpen()) {
                 post();
                 return;
             }
-            client.connect(
+            httpClient.connect(
                     new ClientCallback<>() {
                         @Override
-                        public void completed(ClientConnection up) {
+                        public void completed(ClientConnection newConnection) {
                             opened.incrementAndGet();
-                            connection = up;
+                            connection = newConnection;
                             post();
                         }
 
                         @Override
                         public void failed(IOException fault) {
-                            ends(LoadClients.this.failed);
+                            finish(LoadClients.this.failed);
                         }
                     },
-                    manager,
-                    io,
+                    managerUri,
+                    ioThread,
                     buffers,
                     OptionMap.create(Options.TCP_NODELAY, true));
         }
@@ -199,11 +218,11 @@
             ClientRequest request =
                     new ClientRequest().setMethod(Methods.POST).setPath("/ops/lookup");
             request.getRequestHeaders()
-                    .put(Headers.HOST, manager.getAuthority())
+                    .put(Headers.HOST, managerUri.getAuthority())
                     .put(Headers.CONTENT_LENGTH, STATEMENT.length())
-                    .put(new HttpString("X-Job-Id"), String.format("%016x", ++ids))
-                    .put(new HttpString("X-Allow-Ms"), ALLOW_MS)
-                    .put(new HttpString("X-Team"), customer)
+                    .put(new HttpString("X-Job-Id"), String.format("%016x", ++lastRequestId))
+                    .put(new HttpString("X-Allow-Ms"), DEADLINE_MS)
+                    .put(new HttpString("X-Team"), tenant)
                     .put(new HttpString("X-Size-Ms"), "20")
                     .put(new HttpString("X-Memory"), "30");
             send(request, STATEMENT);
@@ -214,18 +233,18 @@
                     request,
                     new ClientCallback<>() {
                         @Override
-                        public void completed(ClientExchange x) {
+                        public void completed(ClientExchange exchange) {
                             if (!body.isEmpty()) {
-                                new StringWriteChannelListener(body).setup(x.getRequestChannel());
+                                new StringWriteChannelListener(body).setup(exchange.getRequestChannel());
                             }
-                            x.setResponseListener(
+                            exchange.setResponseListener(
                                     new ClientCallback<>() {
                                         @Override
                                         public void completed(ClientExchange answered) {
-                                            text(
+                                            readBody(
                                                     answered,
                                                     text ->
-                                                            took(
+                                                            onAnswer(
                                                                     answered.getResponse()
                                                                             .getResponseCode(),
                                                                     text));
@@ -233,73 +252,73 @@
 
                                         @Override
                                         public void failed(IOException fault) {
-                                            broken();
+                                            onConnectionBroken();
                                         }
                                     });
                         }
 
                         @Override
                         public void failed(IOException fault) {
-                            broken();
+                            onConnectionBroken();
                         }
                     });
         }
 
-        private void text(ClientExchange x, Body then) {
+        private void readBody(ClientExchange exchange, BodyHandler handler) {
             new StringReadChannelListener(buffers) {
                 @Override
                 protected void stringDone(String text) {
-                    // The exchange is over once this returns: the next call goes after it.
-                    io.execute(
+                    // The exchange ends when this method returns; the next call must follow it.
+                    ioThread.execute(
                             () -> {
                                 try {
-                                    then.is(text);
+                                    handler.accept(text);
                                 } catch (IOException fault) {
-                                    broken();
+                                    onConnectionBroken();
                                 }
                             });
                 }
 
                 @Override
                 protected void error(IOException fault) {
-                    broken();
+                    onConnectionBroken();
                 }
-            }.setup(x.getResponseChannel());
+            }.setup(exchange.getResponseChannel());
         }
 
-        private void took(int status, String text) {
-            if (text.startsWith(POLL)) {
+        private void onAnswer(int status, String text) {
+            if (text.startsWith(POLL_PREFIX)) {
                 ClientRequest request =
                         new ClientRequest()
                                 .setMethod(Methods.GET)
                                 .setPath(
                                         text.substring(
-                                                POLL.length(), text.indexOf('"', POLL.length())));
-                request.getRequestHeaders().put(Headers.HOST, manager.getAuthority());
+                                                POLL_PREFIX.length(), text.indexOf('"', POLL_PREFIX.length())));
+                request.getRequestHeaders().put(Headers.HOST, managerUri.getAuthority());
                 send(request, "");
                 return;
             }
-            latency.recordValue(Math.min(MOST_US, (System.nanoTime() - from) / 1_000));
-            ends(status == 200 ? returned : status == 429 || status == 503 ? pushedBack : failed);
+            latencies.recordValue(Math.min(MAX_RECORDED_US, (System.nanoTime() - startNs) / 1_000));
+            finish(status == 200 ? returned : status == 429 || status == 503 ? rejected : failed);
         }
 
-        private void broken() {
+        private void onConnectionBroken() {
             IoUtils.safeClose(connection);
-            ends(failed);
+            finish(failed);
         }
 
-        private void ends(AtomicLong how) {
-            if (!over && !left) {
-                how.incrementAndGet();
+        private void finish(AtomicLong counter) {
+            if (!closed && !disconnected) {
+                counter.incrementAndGet();
             }
-            at(pace);
+            scheduleAfter(statementIntervalUs);
         }
     }
 
     @Override
     public void close() {
-        over = true;
-        io.execute(() -> callers.forEach(Caller::leaves));
+        closed = true;
+        ioThread.execute(() -> callers.forEach(Caller::disconnect));
         worker.shutdown();
     }
 }
--- a/src/main/java/firstage/scale/ScaleAddresses.java
+++ b/src/main/java/firstage/scale/ScaleAddresses.java
@@ -2,34 +2,38 @@
 
 import java.net.InetSocketAddress;
 
-/** Who is where, all on loopback and on one port; hollow and real managers alike. */
+/**
+ * Loopback addresses of all participants in a scale run, on one port. Hollow and real managers have
+ * addresses of the same form.
+ */
 record ScaleAddresses(int port) {
-    /** Managers share the third number by so many where the fleet is one. */
-    private static final int IN_A_ROW = 200;
+    /** Managers with the same third octet in a fleet without cells; a cell has its own otherwise. */
+    private static final int MANAGERS_PER_ROW = 200;
 
-    private static final int ROWS = 250;
+    /** Values of the third octet for one value of the second octet. */
+    private static final int ROWS_PER_SECOND_OCTET = 250;
 
-    private InetSocketAddress at(int second, int third, int fourth) {
-        return new InetSocketAddress("127." + second + "." + third + "." + fourth, port);
+    private InetSocketAddress at(int secondOctet, int thirdOctet, int fourthOctet) {
+        return new InetSocketAddress("127." + secondOctet + "." + thirdOctet + "." + fourthOctet, port);
     }
 
-    /** Where a manager's datagrams come in. */
+    /** Returns the address at which a manager receives datagrams. */
     InetSocketAddress mail(ScalePlan plan, int manager) {
-        int row = plan.cell() == 0 ? manager / IN_A_ROW : plan.cellOf(manager);
-        int seat = plan.cell() == 0 ? manager % IN_A_ROW : plan.slotOf(manager);
-        return at(64 + row / ROWS, row % ROWS, 1 + seat);
+        int row = plan.cell() == 0 ? manager / MANAGERS_PER_ROW : plan.cellOf(manager);
+        int slot = plan.cell() == 0 ? manager % MANAGERS_PER_ROW : plan.slotOf(manager);
+        return at(64 + row / ROWS_PER_SECOND_OCTET, row % ROWS_PER_SECOND_OCTET, 1 + slot);
     }
 
-    /** Where a real manager listens for clients. */
-    InetSocketAddress manager(int real) {
-        return at(60, 0, 1 + real);
+    /** Returns the address at which a real manager listens for clients. */
+    InetSocketAddress manager(int realManager) {
+        return at(60, 0, 1 + realManager);
     }
 
     InetSocketAddress coordinator() {
         return at(61, 0, 1);
     }
 
-    /** One listener stands for all engines. */
+    /** Returns the address of the one listener that emulates all engines. */
     InetSocketAddress engine() {
         return at(62, 0, 1);
     }
--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -18,128 +18,136 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * What control costs a manager by the size of the fleet, played in virtual time: one row of figures
- * a size, and the slope of each against the managers with its error. All of it simulated. Times are
- * ticks.
+ * Measures what control costs a manager by the size of the fleet. A simulation in virtual time gives
+ * a row of figures for each size, and a fit gives the slope of each figure against the number of
+ * managers, with its error. All figures are simulated. Times are ticks.
  */
 public final class ScalingSlopes {
-    /** Unit: ticks. */
     private static final long SECOND = 10_000;
 
-    /** All are started within this, as a fleet that comes back from a power cut. */
-    private static final long START = SECOND;
+    /** Time within which all managers start, as in a fleet that returns from a power cut. */
+    private static final long START_WINDOW = SECOND;
 
-    /** A mass restart kills so many at once; they are back within {@link #BACK} of each other. */
-    private static final double RESTARTED = 0.7;
+    /** Share of the managers that a mass restart kills at once. */
+    private static final double MASS_RESTART_SHARE = 0.7;
 
-    private static final long BACK = 3 * SECOND;
+    /** Time within which the managers of a mass restart start again. */
+    private static final long MASS_RESTART_WINDOW = 3 * SECOND;
 
-    /** 1,800 restarts a day are one in 48 s; a manager is away for so long. */
-    private static final long ONE_IN = 48 * SECOND;
+    /** Time between restarts on an ordinary day: 1,800 a day in a fleet of 2,600 managers. */
+    private static final long RESTART_INTERVAL = 48 * SECOND;
+
+    /** Time for which a restarted manager is away. */
+    private static final long RESTART_DOWNTIME = 2 * SECOND;
 
-    private static final long AWAY = 2 * SECOND;
     private static final int KILLS = 3;
 
     private ScalingSlopes() {}
 
     /**
-     * Heap that a manager's state takes, in KB, 30 s after all started: the difference of the whole
-     * heap with and without the fleet in it, so nothing else may run in the process. The engines it
-     * holds apart are in none of it.
+     * Returns the heap that the state of a manager takes, in KB, 30 s after the start of the fleet.
+     * The figure is the difference of the whole heap with and without the fleet, so nothing else may
+     * run in the process. The engines that a manager holds are not included.
      */
     public static double heap(Shape shape, long seed) {
-        double before = used();
-        SimulatedCells f = new SimulatedCells(shape, seed);
-        start(f, shape, new LinkedHashMap<>());
-        f.advance(10 * SECOND);
-        double after = used();
-        return f.hosts().isEmpty() ? 0 : (after - before) / 1_024 / shape.managers();
+        double bytesBefore = usedHeapBytes();
+        SimulatedCells fleet = new SimulatedCells(shape, seed);
+        start(fleet, shape, new LinkedHashMap<>());
+        fleet.advance(10 * SECOND);
+        double bytesAfter = usedHeapBytes();
+        return fleet.hosts().isEmpty() ? 0 : (bytesAfter - bytesBefore) / 1_024 / shape.managers();
     }
 
-    private static double used() {
+    private static double usedHeapBytes() {
         MemoryMXBean memory = ManagementFactory.getMemoryMXBean();
         memory.gc();
         memory.gc();
         return memory.getHeapMemoryUsage().getUsed();
     }
 
-    /** What is measured of one size; {@code deep}: the mass restart and the day's restarts too. */
+    /**
+     * Returns the figures of one size, by name.
+     *
+     * @param deep whether to measure a day's restarts and a mass restart as well
+     */
     public static Map<String, Double> play(Shape shape, long seed, boolean deep) {
         Map<String, Double> row = new LinkedHashMap<>();
         row.put("managers", (double) shape.managers());
-        SimulatedCells f = new SimulatedCells(shape, seed);
-        start(f, shape, row);
-        long[] before = new long[MessageKind.values().length];
-        f.bytesByKind().forEach((k, b) -> before[k.ordinal()] = b);
-        long datagrams = f.datagrams();
-        f.advance(10 * SECOND);
-        double all = 0;
-        for (Map.Entry<MessageKind, Long> e : f.bytesByKind().entrySet()) {
-            double rate = (e.getValue() - before[e.getKey().ordinal()]) / 10.0 / shape.managers();
-            row.put("bytes a s, " + e.getKey().name().toLowerCase(Locale.ROOT), rate);
-            all += rate;
+        SimulatedCells fleet = new SimulatedCells(shape, seed);
+        start(fleet, shape, row);
+        long[] bytesBefore = new long[MessageKind.values().length];
+        fleet.bytesByKind().forEach((kind, bytes) -> bytesBefore[kind.ordinal()] = bytes);
+        long datagramsBefore = fleet.datagrams();
+        fleet.advance(10 * SECOND);
+        double totalRate = 0;
+        for (Map.Entry<MessageKind, Long> entry : fleet.bytesByKind().entrySet()) {
+            double rate = (entry.getValue() - bytesBefore[entry.getKey().ordinal()]) / 10.0 / shape.managers();
+            row.put("bytes a s, " + entry.getKey().name().toLowerCase(Locale.ROOT), rate);
+            totalRate += rate;
         }
-        row.put("bytes a s", all);
-        row.put("datagrams a s", (f.datagrams() - datagrams) / 10.0 / shape.managers());
-        row.put("most bytes a s of one", most(f, 5));
-        ages(f, row);
-        kills(f, row);
+        row.put("bytes a s", totalRate);
+        row.put("datagrams a s", (fleet.datagrams() - datagramsBefore) / 10.0 / shape.managers());
+        row.put("most bytes a s of one", mostBytesPerSecond(fleet, 5));
+        recordRowAges(fleet, row);
+        measureKills(fleet, row);
         if (deep) {
-            restarts(f, shape, row, 20);
-            massRestart(f, shape, row);
+            measureRestarts(fleet, shape, row, 20);
+            measureMassRestart(fleet, shape, row);
         }
         return row;
     }
 
-    private static void start(SimulatedCells f, Shape shape, Map<String, Double> row) {
-        for (ManagerHost p : f.hosts()) {
-            f.events().schedule(f.random().nextLong(START), p::start);
+    /** Starts the fleet, plays 20 s and records the figures of the start. */
+    private static void start(SimulatedCells fleet, Shape shape, Map<String, Double> row) {
+        for (ManagerHost host : fleet.hosts()) {
+            fleet.events().schedule(fleet.random().nextLong(START_WINDOW), host::start);
         }
-        double worst = 0;
-        long since = f.events().now();
-        long sum = 0;
-        long agreed = -1;
-        double shares = 0;
+        double worstSecond = 0;
+        long startTime = fleet.events().now();
+        long bytesBefore = 0;
+        long agreedAfter = -1;
+        double quotaAt10s = 0;
         for (int second = 1; second <= 20; second++) {
             for (int step = 0; step < 10; step++) {
-                f.advance(SECOND / 10);
-                if (agreed < 0
-                        && f.events().now() - since >= START
-                        && f.agreedCells() == shape.cellCount()) {
-                    agreed = f.events().now() - since;
+                fleet.advance(SECOND / 10);
+                if (agreedAfter < 0
+                        && fleet.events().now() - startTime >= START_WINDOW
+                        && fleet.agreedCells() == shape.cellCount()) {
+                    agreedAfter = fleet.events().now() - startTime;
                 }
             }
-            long now = f.bytesByKind().values().stream().mapToLong(b -> b).sum();
-            worst = Math.max(worst, (double) (now - sum) / shape.managers());
-            sum = now;
-            shares = second == 10 ? f.quotaInForce() : shares;
+            long bytes = fleet.bytesByKind().values().stream().mapToLong(b -> b).sum();
+            worstSecond = Math.max(worstSecond, (double) (bytes - bytesBefore) / shape.managers());
+            bytesBefore = bytes;
+            quotaAt10s = second == 10 ? fleet.quotaInForce() : quotaAt10s;
         }
-        row.put("start: worst second, bytes", worst);
-        row.put("start: to one view, s", agreed < 0 ? -1 : agreed / 1e4);
-        row.put("start: slices in force at 10 s", shares);
-        row.put("start: slices in force at 20 s", f.quotaInForce());
+        row.put("start: worst second, bytes", worstSecond);
+        row.put("start: to one view, s", agreedAfter < 0 ? -1 : agreedAfter / 1e4);
+        row.put("start: slices in force at 10 s", quotaAt10s);
+        row.put("start: slices in force at 20 s", fleet.quotaInForce());
     }
 
-    /** The most that one manager sent in any of so many seconds. */
-    private static double most(SimulatedCells f, int seconds) {
-        double most = 0;
-        for (int s = 0; s < seconds; s++) {
-            List<Long> before = f.hosts().stream().map(ManagerHost::bytesSent).toList();
-            f.advance(SECOND);
-            for (int p = 0; p < before.size(); p++) {
-                most = Math.max(most, f.hosts().get(p).bytesSent() - before.get(p));
+    /** Returns the most bytes that one manager sent in any of the next seconds. */
+    private static double mostBytesPerSecond(SimulatedCells fleet, int seconds) {
+        double maxBytes = 0;
+        for (int second = 0; second < seconds; second++) {
+            List<Long> before = fleet.hosts().stream().map(ManagerHost::bytesSent).toList();
+            fleet.advance(SECOND);
+            for (int i = 0; i < before.size(); i++) {
+                maxBytes = Math.max(maxBytes, fleet.hosts().get(i).bytesSent() - before.get(i));
             }
         }
-        return most;
+        return maxBytes;
     }
 
-    private static void ages(SimulatedCells f, Map<String, Double> row) {
+    /** Records how old the cells' rows are at all managers; a row never received counts as 99 s. */
+    private static void recordRowAges(SimulatedCells fleet, Map<String, Double> row) {
         DescriptiveStatistics ages = new DescriptiveStatistics();
-        for (ManagerHost p : f.hosts()) {
-            if (p.up() && p.cellDirectory() != null) {
-                p.cellDirectory()
-                        .cells(f.events().now())
-                        .forEach(k -> ages.addValue(k.age() < 0 ? 99 : k.age() / 1e4));
+        for (ManagerHost host : fleet.hosts()) {
+            if (host.up() && host.cellDirectory() != null) {
+                host.cellDirectory()
+                        .cells(fleet.events().now())
+                        .forEach(cell -> ages.addValue(cell.age() < 0 ? 99 : cell.age() / 1e4));
             }
         }
         if (ages.getN() > 0) {
@@ -148,137 +156,144 @@
         }
     }
 
-    private static void kills(SimulatedCells f, Map<String, Double> row) {
-        DescriptiveStatistics known = new DescriptiveStatistics();
+    /** Records how soon a kill is known; a manager that does not notice it counts as 99 s. */
+    private static void measureKills(SimulatedCells fleet, Map<String, Double> row) {
+        DescriptiveStatistics detectionTimes = new DescriptiveStatistics();
         for (int i = 0; i < KILLS; i++) {
-            int who = f.random().nextInt(f.hosts().size());
-            f.hosts().get(who).kill();
-            f.timesUntilRemoved(who, 10 * SECOND)
-                    .forEach(t -> known.addValue(t < 0 ? 99 : t / 1e4));
-            f.hosts().get(who).start();
-            f.advance(5 * SECOND);
+            int killed = fleet.random().nextInt(fleet.hosts().size());
+            fleet.hosts().get(killed).kill();
+            fleet.timesUntilRemoved(killed, 10 * SECOND)
+                    .forEach(time -> detectionTimes.addValue(time < 0 ? 99 : time / 1e4));
+            fleet.hosts().get(killed).start();
+            fleet.advance(5 * SECOND);
         }
-        row.put("a kill known, median, s", known.getPercentile(50));
-        row.put("a kill known, 99th, s", known.getPercentile(99));
+        row.put("a kill known, median, s", detectionTimes.getPercentile(50));
+        row.put("a kill known, 99th, s", detectionTimes.getPercentile(99));
     }
 
-    /** Restarts as on an ordinary day, at so many times its pace, for 60 s. */
-    private static void restarts(
-            SimulatedCells f, Shape shape, Map<String, Double> row, int times) {
-        // The page's pace is of 2,600 managers; a smaller fleet has as many fewer.
-        long every = Math.round((double) ONE_IN / times * 2_600 / shape.managers());
-        long before = f.bytesByKind().values().stream().mapToLong(b -> b).sum();
-        double least = 1;
-        long next = every;
-        for (long t = 0; t < 60 * SECOND; t += SECOND / 2) {
-            if (t >= next) {
-                next += every;
-                ManagerHost p = f.hosts().get(f.random().nextInt(f.hosts().size()));
-                if (p.up()) {
-                    p.leave();
-                    f.events().schedule(AWAY, p::start);
+    /** Plays the restarts of an ordinary day for 60 s, {@code speedUp} times as fast. */
+    private static void measureRestarts(
+            SimulatedCells fleet, Shape shape, Map<String, Double> row, int speedUp) {
+        // RESTART_INTERVAL is for 2,600 managers; a smaller fleet has proportionally fewer restarts.
+        long interval = Math.round((double) RESTART_INTERVAL / speedUp * 2_600 / shape.managers());
+        long bytesBefore = fleet.bytesByKind().values().stream().mapToLong(b -> b).sum();
+        double leastQuota = 1;
+        long nextRestart = interval;
+        for (long time = 0; time < 60 * SECOND; time += SECOND / 2) {
+            if (time >= nextRestart) {
+                nextRestart += interval;
+                ManagerHost host = fleet.hosts().get(fleet.random().nextInt(fleet.hosts().size()));
+                if (host.up()) {
+                    host.leave();
+                    fleet.events().schedule(RESTART_DOWNTIME, host::start);
                 }
             }
-            f.advance(SECOND / 2);
-            least = Math.min(least, f.quotaInForce());
+            fleet.advance(SECOND / 2);
+            leastQuota = Math.min(leastQuota, fleet.quotaInForce());
         }
-        long after = f.bytesByKind().values().stream().mapToLong(b -> b).sum();
+        long bytesAfter = fleet.bytesByKind().values().stream().mapToLong(b -> b).sum();
         row.put(
-                "restarts at " + times + " times the pace: bytes a s",
-                (after - before) / 60.0 / shape.managers());
-        row.put("restarts at " + times + " times the pace: least slices in force", least);
-        f.advance(5 * SECOND);
+                "restarts at " + speedUp + " times the pace: bytes a s",
+                (bytesAfter - bytesBefore) / 60.0 / shape.managers());
+        row.put("restarts at " + speedUp + " times the pace: least slices in force", leastQuota);
+        fleet.advance(5 * SECOND);
     }
 
-    private static void massRestart(SimulatedCells f, Shape shape, Map<String, Double> row) {
-        List<ManagerHost> all = new ArrayList<>(f.hosts());
-        Collections.shuffle(all, new Random(f.random().nextLong()));
+    private static void measureMassRestart(SimulatedCells fleet, Shape shape, Map<String, Double> row) {
+        List<ManagerHost> shuffled = new ArrayList<>(fleet.hosts());
+        Collections.shuffle(shuffled, new Random(fleet.random().nextLong()));
         List<ManagerHost> killed =
-                all.subList(0, (int) (all.size() * RESTARTED)).stream()
+                shuffled.subList(0, (int) (shuffled.size() * MASS_RESTART_SHARE)).stream()
                         .filter(ManagerHost::up)
                         .toList();
         killed.forEach(ManagerHost::kill);
-        for (ManagerHost p : killed) {
-            f.events().schedule(SECOND / 2 + f.random().nextLong(BACK), p::start);
+        for (ManagerHost host : killed) {
+            fleet.events().schedule(SECOND / 2 + fleet.random().nextLong(MASS_RESTART_WINDOW), host::start);
         }
-        double worst = 0;
-        long sum = f.bytesByKind().values().stream().mapToLong(b -> b).sum();
-        long since = f.events().now();
-        long agreed = -1;
-        double inForce = -1;
-        for (int step = 1; step <= 600 && (agreed < 0 || inForce < 0); step++) {
-            f.advance(SECOND / 10);
+        double worstSecond = 0;
+        long bytesBefore = fleet.bytesByKind().values().stream().mapToLong(b -> b).sum();
+        long killTime = fleet.events().now();
+        long agreedAfter = -1;
+        double fullQuotaAfter = -1;
+        for (int step = 1; step <= 600 && (agreedAfter < 0 || fullQuotaAfter < 0); step++) {
+            fleet.advance(SECOND / 10);
             if (step % 10 == 0) {
-                long now = f.bytesByKind().values().stream().mapToLong(b -> b).sum();
-                worst = Math.max(worst, (double) (now - sum) / shape.managers());
-                sum = now;
+                long bytes = fleet.bytesByKind().values().stream().mapToLong(b -> b).sum();
+                worstSecond = Math.max(worstSecond, (double) (bytes - bytesBefore) / shape.managers());
+                bytesBefore = bytes;
             }
-            boolean back = f.events().now() - since > BACK + SECOND / 2;
-            agreed =
-                    agreed < 0 && back && f.agreedCells() == shape.cellCount()
-                            ? f.events().now() - since
-                            : agreed;
-            inForce =
-                    inForce < 0 && back && f.quotaInForce() > 0.999
-                            ? f.events().now() - since
-                            : inForce;
+            boolean allStarted = fleet.events().now() - killTime > MASS_RESTART_WINDOW + SECOND / 2;
+            agreedAfter =
+                    agreedAfter < 0 && allStarted && fleet.agreedCells() == shape.cellCount()
+                            ? fleet.events().now() - killTime
+                            : agreedAfter;
+            fullQuotaAfter =
+                    fullQuotaAfter < 0 && allStarted && fleet.quotaInForce() > 0.999
+                            ? fleet.events().now() - killTime
+                            : fullQuotaAfter;
         }
-        row.put("seven in ten restarted: worst second, bytes", worst);
-        row.put("seven in ten restarted: one view after, s", agreed / 1e4);
-        row.put("seven in ten restarted: all slices in force after, s", inForce / 1e4);
+        row.put("seven in ten restarted: worst second, bytes", worstSecond);
+        row.put("seven in ten restarted: one view after, s", agreedAfter / 1e4);
+        row.put("seven in ten restarted: all slices in force after, s", fullQuotaAfter / 1e4);
     }
 
-    /** Two regions lose each other for so long, and meet again: every other zone is of the one. */
+    /**
+     * Measures a network partition between two regions, which each have every other cell, and the
+     * time after it.
+     *
+     * @param length duration of the partition
+     */
     public static Map<String, Double> region(Shape shape, long seed, long length) {
         Map<String, Double> row = new LinkedHashMap<>();
         row.put("managers", (double) shape.managers());
-        SimulatedCells f = new SimulatedCells(shape, seed);
-        f.start(START);
-        f.advance(40 * SECOND);
-        double usual = rate(f, 20) / shape.managers();
-        f.setPartition(p -> f.hosts().get(p).cell() % 2 == 0, true);
-        double least = 1;
-        for (long t = 0; t < length; t += 10 * SECOND) {
-            f.advance(10 * SECOND);
-            least = Math.min(least, f.quotaInForce());
+        SimulatedCells fleet = new SimulatedCells(shape, seed);
+        fleet.start(START_WINDOW);
+        fleet.advance(40 * SECOND);
+        double rateBefore = bytesPerSecond(fleet, 20) / shape.managers();
+        fleet.setPartition(index -> fleet.hosts().get(index).cell() % 2 == 0, true);
+        double leastQuota = 1;
+        for (long time = 0; time < length; time += 10 * SECOND) {
+            fleet.advance(10 * SECOND);
+            leastQuota = Math.min(leastQuota, fleet.quotaInForce());
         }
         row.put("cut, min", length / 6e5);
-        row.put("bytes a s before", usual);
-        row.put("bytes a s while cut", rate(f, 20) / shape.managers());
-        row.put("least slices in force while cut", least);
-        f.setPartition(p -> false, false);
-        double worst = 0;
-        long heard = -1;
-        for (int s = 1; s <= 60; s++) {
-            worst = Math.max(worst, rate(f, 1) / shape.managers());
-            boolean all = f.hosts().stream().allMatch(p -> hearsAll(p, f.events().now()));
-            heard = heard < 0 && all ? s : heard;
+        row.put("bytes a s before", rateBefore);
+        row.put("bytes a s while cut", bytesPerSecond(fleet, 20) / shape.managers());
+        row.put("least slices in force while cut", leastQuota);
+        fleet.setPartition(index -> false, false);
+        double worstSecond = 0;
+        long allHeardAfter = -1;
+        for (int second = 1; second <= 60; second++) {
+            worstSecond = Math.max(worstSecond, bytesPerSecond(fleet, 1) / shape.managers());
+            boolean allHeard = fleet.hosts().stream().allMatch(host -> hearsAll(host, fleet.events().now()));
+            allHeardAfter = allHeardAfter < 0 && allHeard ? second : allHeardAfter;
         }
-        row.put("worst second after, bytes", worst);
-        row.put("all cells heard by all after, s", (double) heard);
-        row.put("cells of one view after, part", (double) f.agreedCells() / shape.cellCount());
+        row.put("worst second after, bytes", worstSecond);
+        row.put("all cells heard by all after, s", (double) allHeardAfter);
+        row.put("cells of one view after, part", (double) fleet.agreedCells() / shape.cellCount());
         return row;
     }
 
-    private static boolean hearsAll(SimulatedCells.ManagerHost p, long now) {
-        return p.cellDirectory() == null
-                || p.cellDirectory().cells(now).stream()
-                        .allMatch(k -> k.state() == CellDirectory.CellState.ACTIVE);
+    private static boolean hearsAll(SimulatedCells.ManagerHost host, long now) {
+        return host.cellDirectory() == null
+                || host.cellDirectory().cells(now).stream()
+                        .allMatch(cell -> cell.state() == CellDirectory.CellState.ACTIVE);
     }
 
-    private static double rate(SimulatedCells f, int seconds) {
-        long before = f.bytesByKind().values().stream().mapToLong(b -> b).sum();
-        f.advance(seconds * SECOND);
-        return (f.bytesByKind().values().stream().mapToLong(b -> b).sum() - before)
+    /** Advances the time and returns the bytes a second that all managers together sent in it. */
+    private static double bytesPerSecond(SimulatedCells fleet, int seconds) {
+        long bytesBefore = fleet.bytesByKind().values().stream().mapToLong(b -> b).sum();
+        fleet.advance(seconds * SECOND);
+        return (fleet.bytesByKind().values().stream().mapToLong(b -> b).sum() - bytesBefore)
                 / (double) seconds;
     }
 
-    /** The slope of a figure against the managers, a thousand of them, and its standard error. */
+    /** Returns the increase of a figure for a thousand managers more, and its standard error. */
     public static double[] slope(List<Map<String, Double>> rows, String figure) {
         SimpleRegression fit = new SimpleRegression();
         rows.stream()
-                .filter(r -> r.containsKey(figure))
-                .forEach(r -> fit.addData(r.get("managers") / 1e3, r.get(figure)));
+                .filter(row -> row.containsKey(figure))
+                .forEach(row -> fit.addData(row.get("managers") / 1e3, row.get(figure)));
         return new double[] {fit.getSlope(), fit.getSlopeStdErr()};
     }
 }
--- a/src/main/java/firstage/scale/TrafficChart.java
+++ b/src/main/java/firstage/scale/TrafficChart.java
@@ -8,37 +8,41 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Bytes a second of a manager over a run. */
+/** Chart of the bytes that a manager sends in each second of a scale run, as a mean. */
 final class TrafficChart {
-    private static final int WIDE = 900;
-    private static final int HIGH = 420;
-    private static final int UP = 1;
-    private static final int BYTES = 2;
+    private static final int WIDTH = 900;
+    private static final int HEIGHT = 420;
+    private static final int UP_COLUMN = 1;
+    private static final int BYTES_COLUMN = 2;
 
     private TrafficChart() {}
 
-    /** {@code rows}: the table of seconds, its head first. */
+    /**
+     * Draws the chart to a PNG file.
+     *
+     * @param rows lines of the table of seconds, with the heading first
+     */
     static void draw(Path file, String title, List<String> rows) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYChart chart =
                 new XYChartBuilder()
-                        .width(WIDE)
-                        .height(HIGH)
+                        .width(WIDTH)
+                        .height(HEIGHT)
                         .title(title)
                         .xAxisTitle("second")
-                        .yAxisTitle("bytes a second of a manager")
+                        .yAxisTitle("bytes a second per manager")
                         .build();
-        double[] x = new double[Math.max(1, rows.size() - 2)];
-        double[] y = new double[x.length];
-        for (int s = 0; s + 2 < rows.size(); s++) {
-            String[] now = rows.get(s + 2).split(",");
-            String[] before = rows.get(s + 1).split(",");
-            x[s] = s + 1;
-            y[s] =
-                    (Double.parseDouble(now[BYTES]) - Double.parseDouble(before[BYTES]))
-                            / Math.max(1, Double.parseDouble(now[UP]));
+        double[] seconds = new double[Math.max(1, rows.size() - 2)];
+        double[] bytesPerManager = new double[seconds.length];
+        for (int i = 0; i + 2 < rows.size(); i++) {
+            String[] row = rows.get(i + 2).split(",");
+            String[] previousRow = rows.get(i + 1).split(",");
+            seconds[i] = i + 1;
+            bytesPerManager[i] =
+                    (Double.parseDouble(row[BYTES_COLUMN]) - Double.parseDouble(previousRow[BYTES_COLUMN]))
+                            / Math.max(1, Double.parseDouble(row[UP_COLUMN]));
         }
-        chart.addSeries("sent", x, y).setMarker(SeriesMarkers.NONE);
+        chart.addSeries("sent", seconds, bytesPerManager).setMarker(SeriesMarkers.NONE);
         BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
     }
 }
--- a/src/test/java/firstage/scale/EmulatedWatchesTest.java
+++ b/src/test/java/firstage/scale/EmulatedWatchesTest.java
@@ -9,7 +9,7 @@
 class EmulatedWatchesTest {
     private static final int ROUNDS = 300;
 
-    /** A listener left open by the run before: the next one could not bind its address. */
+    /** Guards against a listener that stays open after a run, so that the next cannot bind it. */
     @Test
     void close_returned_addressIsFree() throws IOException {
         int port;
--- a/src/test/java/firstage/scale/ScalingSlopesTest.java
+++ b/src/test/java/firstage/scale/ScalingSlopesTest.java
@@ -10,48 +10,51 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What docs/CAPACITY.md calls flat is flat: three sizes in virtual time, and a fault that the check
- * must find.
+ * Guards against a control cost of a manager that grows with the fleet: docs/CAPACITY.md calls the
+ * cost flat. The tests simulate three sizes, and a defect that the check must find.
  */
 class ScalingSlopesTest {
-    /** Of bytes a second between two cells and eight: chance alone makes under a twentieth. */
-    private static final double ALIKE = 1.15;
+    /**
+     * Limit of the ratio of the bytes a second between eight cells and two. Random variation alone
+     * changes the ratio by less than 5%.
+     */
+    private static final double MAX_RATIO = 1.15;
 
     /**
-     * A cell's row is 12 bytes in the datagrams of three deputies: 58 bytes a second for a thousand
-     * managers more.
+     * Limit of the increase of row bytes a second for a thousand managers more. The row of a cell is
+     * 12 bytes in the datagrams of three deputies, which makes 58 bytes a second.
      */
-    private static final double BY_A_THOUSAND = 120;
+    private static final double MAX_ROW_BYTES_PER_THOUSAND = 120;
 
-    private static List<Map<String, Double>> rows(InjectedDefect fault) {
+    private static List<Map<String, Double>> measureSizes(InjectedDefect defect) {
         return IntStream.of(50, 100, 200)
                 .parallel()
                 .mapToObj(
-                        n -> ScalingSlopes.play(new Shape(n, 25, 2, 1, true, 400, fault), 3, false))
+                        managers -> ScalingSlopes.play(new Shape(managers, 25, 2, 1, true, 400, defect), 3, false))
                 .toList();
     }
 
-    private static boolean flat(List<Map<String, Double>> rows) {
-        return rows.get(2).get("bytes a s") < rows.get(0).get("bytes a s") * ALIKE
-                && ScalingSlopes.slope(rows, "bytes a s, rows")[0] < BY_A_THOUSAND;
+    private static boolean isFlat(List<Map<String, Double>> rows) {
+        return rows.get(2).get("bytes a s") < rows.get(0).get("bytes a s") * MAX_RATIO
+                && ScalingSlopes.slope(rows, "bytes a s, rows")[0] < MAX_ROW_BYTES_PER_THOUSAND;
     }
 
     @Test
     void aManagersCostDoesNotGrowWithTheFleet() {
-        List<Map<String, Double>> rows = rows(InjectedDefect.NONE);
+        List<Map<String, Double>> rows = measureSizes(InjectedDefect.NONE);
         assertThat(rows)
                 .allSatisfy(
-                        r -> {
-                            assertThat(r.get("bytes a s")).isLessThan(4_000);
-                            assertThat(r.get("a kill known, 99th, s")).isBetween(0.0, 2.5);
-                            assertThat(r.get("start: slices in force at 10 s")).isEqualTo(1);
+                        row -> {
+                            assertThat(row.get("bytes a s")).isLessThan(4_000);
+                            assertThat(row.get("a kill known, 99th, s")).isBetween(0.0, 2.5);
+                            assertThat(row.get("start: slices in force at 10 s")).isEqualTo(1);
                         });
-        assertThat(flat(rows)).isTrue();
+        assertThat(isFlat(rows)).isTrue();
     }
 
-    /** One kind of message sent to all cells. */
+    /** The defect sends one kind of message to all cells. */
     @Test
     void aMessageSentToAllIsFound() {
-        assertThat(flat(rows(InjectedDefect.SENT_TO_ALL_CELLS))).isFalse();
+        assertThat(isFlat(measureSizes(InjectedDefect.SENT_TO_ALL_CELLS))).isFalse();
     }
 }
