--- a/src/main/java/firstage/scale/HollowEngines.java
+++ b/src/main/java/firstage/scale/HollowEngines.java
@@ -30,7 +30,7 @@
     /** Times in ms at which the statements end, by id; only used on the listener's one thread. */
     private final Map<String, Long> endTimes = new HashMap<>();
 
-    private final AtomicLong taken = new AtomicLong();
+    private final AtomicLong statementsReceived = new AtomicLong();
     private final AtomicLong probes = new AtomicLong();
     private final long workMs;
     private final Undertow server;
@@ -59,7 +59,7 @@
 
     /** Returns the number of statements received so far. Any thread may call it. */
     long taken() {
-        return taken.get();
+        return statementsReceived.get();
     }
 
     /** Returns the number of probes received so far. Any thread may call it. */
@@ -76,7 +76,7 @@
                             (received, body) -> {
                                 String id = received.getRequestHeaders().getFirst(TICKET);
                                 endTimes.put(id, nowMs() + workMs);
-                                taken.incrementAndGet();
+                                statementsReceived.incrementAndGet();
                                 received.getIoThread()
                                         .executeAfter(
                                                 () -> endTimes.remove(id),
--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -79,7 +79,7 @@
     private final ScaleAddresses addresses;
     private final Selector selector;
     private final Clock clock;
-    private final Witness witness;
+    private final Witness observer;
     private final Map<InetSocketAddress, Integer> slotsByAddress = new HashMap<>();
     private final Map<Integer, InetSocketAddress> addressesBySlot = new HashMap<>();
     private final DemandHistogram demand = new DemandHistogram();
@@ -123,13 +123,13 @@
             ScaleAddresses addresses,
             Selector selector,
             Clock clock,
-            Witness witness) {
+            Witness observer) {
         this.number = number;
         this.plan = plan;
         this.addresses = addresses;
         this.selector = selector;
         this.clock = clock;
-        this.witness = witness;
+        this.observer = observer;
         int firstManager = plan.cellOf(number) * plan.together();
         for (int slot = 0; slot < plan.together(); slot++) {
             slotsByAddress.put(addresses.mail(plan, firstManager + slot), slot);
@@ -360,7 +360,7 @@
             // Changes from before the start of this incarnation arrive when it connects; they say
             // nothing of the delay of a change.
             if (payload.getLong(record + STARTED_AT_OFFSET) >= incarnationStartMs) {
-                witness.listed(this, payload.getLong(record + STARTED_AT_OFFSET));
+                observer.listed(this, payload.getLong(record + STARTED_AT_OFFSET));
             }
         }
     }
@@ -413,7 +413,7 @@
         if (cellDirectory != null) {
             cellDirectory.onViewChanged(view.memberNames());
         }
-        witness.viewed(this, view);
+        observer.viewed(this, view);
     }
 
     @Override
@@ -424,7 +424,7 @@
     @Override
     public void logCellEvent(long now, String event, String cell, String reason) {
         if (event.equals("silent") || event.equals("heard again")) {
-            witness.noted(this, event, cell);
+            observer.noted(this, event, cell);
         }
     }
 
--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -57,20 +57,29 @@
     }
 
     final int from;
-    final int to;
+    final int endManager;
     private final Process process;
     private final PrintStream orders;
-    private final List<Line> lines = new ArrayList<>();
+
+    /** Reports so far; guarded by this object. */
+    private final List<Line> reports = new ArrayList<>();
 
     /** Last line that is not a report, or the message of a failed read. */
     private String lastMessage = "";
 
-    HollowWorkerProcess(List<String> command, int from, int to, Path log) throws IOException {
-        this.from = from;
-        this.to = to;
-        process = new ProcessBuilder(command).redirectError(log.toFile()).start();
+    /**
+     * Starts the process.
+     *
+     * @param firstManager number of the first manager in the process
+     * @param endManager one past the last manager
+     * @param errorLog file for the standard error of the process
+     */
+    HollowWorkerProcess(List<String> command, int firstManager, int endManager, Path errorLog) throws IOException {
+        this.from = firstManager;
+        this.endManager = endManager;
+        process = new ProcessBuilder(command).redirectError(errorLog.toFile()).start();
         orders = new PrintStream(process.getOutputStream(), true, StandardCharsets.UTF_8);
-        Thread reader = new Thread(this::readOutput, "hollow " + from);
+        Thread reader = new Thread(this::readOutput, "hollow " + firstManager);
         reader.setDaemon(true);
         reader.start();
     }
@@ -82,7 +91,7 @@
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 if (line.startsWith("{")) {
                     synchronized (this) {
-                        lines.add(Line.read(line));
+                        reports.add(Line.read(line));
                     }
                 } else {
                     lastMessage = line;
@@ -99,17 +108,17 @@
 
     /** Returns the number of reports so far. */
     synchronized int told() {
-        return lines.size();
+        return reports.size();
     }
 
     /** Returns the last report; there must be one. */
     synchronized Line last() {
-        return lines.get(lines.size() - 1);
+        return reports.get(reports.size() - 1);
     }
 
     /** Returns all reports so far: one a second, and one for each {@code heap} order. */
     synchronized List<Line> lines() {
-        return List.copyOf(lines);
+        return List.copyOf(reports);
     }
 
     boolean lives() {
--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -22,7 +22,7 @@
  * @param cell managers in a cell; 0 for a fleet without cells
  * @param spread number of cells that share an engine
  * @param engines number of engines
- * @param inAProcess managers in each hollow process
+ * @param inAProcess managers in a hollow process
  * @param period probe period of the membership protocol
  */
 public record ScalePlan(
@@ -53,11 +53,11 @@
      * An event of the run.
      *
      * @param at ticks from the end of the loads
-     * @param line line of the plan, for error messages
+     * @param line line of the event in the plan, for error messages
      */
     public record Event(Kind kind, long at, int line) {}
 
-    /** Kinds of events. They affect hollow managers only; the lower-case name stands in a plan. */
+    /** Kinds of events, all at hollow managers only. A plan names them in lower case. */
     public enum Kind {
         /** Kills one manager. */
         KILL,
--- a/src/test/java/firstage/scale/ScalingSlopesTest.java
+++ b/src/test/java/firstage/scale/ScalingSlopesTest.java
@@ -22,7 +22,7 @@
 
     /**
      * Limit of the increase of row bytes a second for a thousand managers more. The row of a cell is
-     * 12 bytes in the datagrams of three deputies, which makes 58 bytes a second.
+     * 12 bytes in the datagrams of three delegates, which makes 58 bytes a second.
      */
     private static final double MAX_ROW_BYTES_PER_THOUSAND = 120;
 
