--- a/src/main/java/firstage/scale/HollowEngines.java
+++ b/src/main/java/firstage/scale/HollowEngines.java
@@ -13,11 +13,11 @@
 
 /**
  * Emulates all engines of a scale run behind one listener. Each statement takes the same time and
- * returns one row, whatever else runs. The engines answer probes, and hold a poll for the result of
- * a statement until the statement ends or the hold time is over.
+ * returns one row, whatever else runs. The engines answer probes, and hold the answer to a
+ * statement or a poll until the statement ends or the hold time is over.
  */
 final class HollowEngines implements AutoCloseable {
-    /** Longest time for which a poll is held. */
+    /** Longest time for which an answer is held. */
     private static final long MAX_HOLD_MS = 250;
 
     /** Time for which the result of a statement can be read after the end of the statement. */
@@ -82,10 +82,10 @@
                                                 () -> endTimes.remove(id),
                                                 workMs + RESULT_RETENTION_MS,
                                                 TimeUnit.MILLISECONDS);
-                                answerPoll(received, endTimes.get(id));
+                                answerWhenDone(received, endTimes.get(id));
                             });
         } else if (method.equals("GET") && path.length == 4) {
-            answerPoll(exchange, endTimes.get(path[2]));
+            answerWhenDone(exchange, endTimes.get(path[2]));
         } else if (method.equals("GET")) {
             probes.incrementAndGet();
             exchange.getResponseHeaders().put(LOAD_REPORT, "waiting:0");
@@ -98,7 +98,8 @@
         }
     }
 
-    private static void answerPoll(HttpServerExchange exchange, Long endMs) {
+    /** Answers with the row of a statement, or with status 202 if it does not end in the hold time. */
+    private static void answerWhenDone(HttpServerExchange exchange, Long endMs) {
         long remainingMs = endMs == null ? 0 : endMs - nowMs();
         if (endMs == null) {
             sendStatus(exchange, 500);
--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -34,7 +34,8 @@
 /**
  * A hollow manager: the membership and the modules built on it, as {@code serve --peers} runs them,
  * without clients and engines. It has its own address, exchanges real datagrams with its peers and
- * watches the coordinator's endpoint list. All methods run on the one thread of its process.
+ * watches the coordinator's endpoint list. All methods run on the one thread of its process. Times
+ * are ticks unless their name says ms.
  */
 final class HollowManager implements MembershipActions, CellActions {
     private static final int MAX_DATAGRAM_BYTES = 1_200;
@@ -94,7 +95,7 @@
     private FleetCoordinator fleetCoordinator;
     private Set<Long> usableEngines = new HashSet<>();
 
-    /** Whether an earlier incarnation may have withdrawn quota from an unreachable manager. */
+    /** Whether an earlier incarnation may have withdrawn grants. */
     private boolean mayHaveWithdrawnBefore;
 
     private int incarnation;
@@ -155,7 +156,7 @@
         return membership == null ? List.of() : membership.view().memberNames();
     }
 
-    /** Returns the share of the manager's own slice that is in force, from 0 to 1. */
+    /** Returns the share of the manager's own slice that is in force. */
     double inForce() {
         return up() ? leases.share(clock.now()) / plan.part() : 0;
     }
@@ -295,7 +296,7 @@
         kill();
     }
 
-    /** Runs all work that is due at a time in ticks. */
+    /** Runs the work that is due. */
     void tick(long now) throws IOException {
         membership.tick(now);
         if (cellDirectory != null) {
@@ -357,8 +358,8 @@
                             new ListedEngine(
                                     payload.getInt(record) & 0xFFFFFFFFL,
                                     plan.zones().get(payload.get(record + ZONE_OFFSET)))));
-            // Changes from before the start of this incarnation arrive when it connects; they say
-            // nothing of the delay of a change.
+            // Changes from before the start of this incarnation arrive when it connects; their age
+            // is not the delay of a change.
             if (payload.getLong(record + STARTED_AT_OFFSET) >= incarnationStartMs) {
                 observer.listed(this, payload.getLong(record + STARTED_AT_OFFSET));
             }
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -28,17 +28,17 @@
 /**
  * Runs a few hundred hollow managers in one process, all on one thread. The worker reads orders from
  * standard input, one a line, and writes a line of JSON with its figures to standard output each
- * second. It ends when standard input ends.
+ * second. It ends when standard input ends. Times are ticks unless their name says ms.
  */
 public final class HollowWorker implements HollowManager.Witness {
     private static final long TICK_INTERVAL = 200;
 
-    /** Time within which all managers start, in ticks. */
+    /** Time within which all managers start. */
     private static final long START_WINDOW = 10_000;
 
     private static final long REPORT_INTERVAL_MS = 1_000;
 
-    /** Largest tick delay that is recorded, in ticks. */
+    /** Largest tick delay that is recorded. */
     private static final long MAX_TICK_DELAY = 600_000;
 
     /**
@@ -69,12 +69,12 @@
 
     private final Queue<String> orders = new ConcurrentLinkedQueue<>();
 
-    /** Delays of ticks since the last report, in ticks. */
+    /** Delays of managers' ticks since the last report. */
     private final Histogram tickDelays = new Histogram(MAX_TICK_DELAY, 2);
     private final PrintStream out;
     private final long startNs = System.nanoTime();
 
-    /** Unix time in ms at which a zone was silenced; events of cells are recorded from then on. */
+    /** Unix time at which a zone was killed; events of cells are recorded from then on. */
     private long silentSinceMs = Long.MAX_VALUE;
     private volatile boolean stopped;
 
--- a/src/main/java/firstage/scale/LoadClients.java
+++ b/src/main/java/firstage/scale/LoadClients.java
@@ -90,7 +90,8 @@
     }
 
     /**
-     * Changes the load. Additional connections are opened evenly over one interval between calls.
+     * Changes the load. Additional connections are opened evenly over one interval between
+     * statements.
      *
      * @param rate statements a second over all connections
      */
--- a/src/main/java/firstage/scale/ScaleAddresses.java
+++ b/src/main/java/firstage/scale/ScaleAddresses.java
@@ -13,7 +13,7 @@
     /** Values of the third octet for one value of the second octet. */
     private static final int ROWS_PER_SECOND_OCTET = 250;
 
-    private InetSocketAddress at(int secondOctet, int thirdOctet, int fourthOctet) {
+    private InetSocketAddress address(int secondOctet, int thirdOctet, int fourthOctet) {
         return new InetSocketAddress("127." + secondOctet + "." + thirdOctet + "." + fourthOctet, port);
     }
 
@@ -21,20 +21,20 @@
     InetSocketAddress mail(ScalePlan plan, int manager) {
         int row = plan.cell() == 0 ? manager / MANAGERS_PER_ROW : plan.cellOf(manager);
         int slot = plan.cell() == 0 ? manager % MANAGERS_PER_ROW : plan.slotOf(manager);
-        return at(64 + row / ROWS_PER_SECOND_OCTET, row % ROWS_PER_SECOND_OCTET, 1 + slot);
+        return address(64 + row / ROWS_PER_SECOND_OCTET, row % ROWS_PER_SECOND_OCTET, 1 + slot);
     }
 
     /** Returns the address at which a real manager listens for clients. */
     InetSocketAddress manager(int realManager) {
-        return at(60, 0, 1 + realManager);
+        return address(60, 0, 1 + realManager);
     }
 
     InetSocketAddress coordinator() {
-        return at(61, 0, 1);
+        return address(61, 0, 1);
     }
 
     /** Returns the address of the one listener that emulates all engines. */
     InetSocketAddress engine() {
-        return at(62, 0, 1);
+        return address(62, 0, 1);
     }
 }
--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -67,7 +67,7 @@
         LIST,
         /** Kills all managers of the last zone. */
         ZONE,
-        /** Kills seven in ten managers and starts them again. */
+        /** Kills about seven in ten managers and starts them again. */
         MASS
     }
 
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -40,7 +40,7 @@
 
     private static final int MAX_PROCESSES = 300;
 
-    /** Memory of a hollow process without its managers; like the other sizes, an upper estimate. */
+    /** Memory of a hollow process without its managers; a rough upper estimate, as all sizes. */
     private static final double HOLLOW_PROCESS_MB = 90;
 
     private static final double HOLLOW_MANAGER_MB = 0.5;
--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -174,7 +174,7 @@
     /** Plays the restarts of an ordinary day for 60 s, {@code speedUp} times as fast. */
     private static void measureRestarts(
             SimulatedCells fleet, Shape shape, Map<String, Double> row, int speedUp) {
-        // RESTART_INTERVAL is for 2,600 managers; a smaller fleet has proportionally fewer restarts.
+        // RESTART_INTERVAL is for 2,600 managers; a smaller fleet has fewer restarts in proportion.
         long interval = Math.round((double) RESTART_INTERVAL / speedUp * 2_600 / shape.managers());
         long bytesBefore = fleet.bytesByKind().values().stream().mapToLong(b -> b).sum();
         double leastQuota = 1;
--- a/src/main/java/firstage/scale/TrafficChart.java
+++ b/src/main/java/firstage/scale/TrafficChart.java
@@ -8,7 +8,7 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Chart of the bytes that a manager sends in each second of a scale run, as a mean. */
+/** Chart of the mean number of bytes that a manager sends in each second of a scale run. */
 final class TrafficChart {
     private static final int WIDTH = 900;
     private static final int HEIGHT = 420;
--- a/src/test/java/firstage/scale/ScalingSlopesTest.java
+++ b/src/test/java/firstage/scale/ScalingSlopesTest.java
@@ -15,14 +15,14 @@
  */
 class ScalingSlopesTest {
     /**
-     * Limit of the ratio of the bytes a second between eight cells and two. Random variation alone
-     * changes the ratio by less than 5%.
+     * Upper limit for the ratio of bytes a second with eight cells to bytes a second with two.
+     * Random variation alone changes the ratio by less than 5%.
      */
     private static final double MAX_RATIO = 1.15;
 
     /**
-     * Limit of the increase of row bytes a second for a thousand managers more. The row of a cell is
-     * 12 bytes in the datagrams of three delegates, which makes 58 bytes a second.
+     * Upper limit for the increase of row bytes a second with a thousand managers more. The row of a
+     * cell is 12 bytes in the datagrams of three delegates, which makes 58 bytes a second.
      */
     private static final double MAX_ROW_BYTES_PER_THOUSAND = 120;
 
