--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -48,8 +48,8 @@
     /** Fraction done up to which a progress report says too little about the total duration. */
     private static final double MIN_FRACTION_DONE = 0.05;
 
-    private final LogHistogram allEngines = new LogHistogram();
-    private final LogHistogram topPriority = new LogHistogram();
+    private final LogHistogram allEngineRatios = new LogHistogram();
+    private final LogHistogram topPriorityRatios = new LogHistogram();
 
     static TrafficClassStats newStats(TrafficClass trafficClass) {
         return new TrafficClassStats(
@@ -59,12 +59,12 @@
     /** Returns the median ratio of this engine, or of all engines if it has too few samples. */
     double medianRatio(EngineState engine) {
         boolean enough = engine.latencyRatios.total() >= MIN_ENGINE_SAMPLES;
-        return (enough ? engine.latencyRatios : allEngines).quantile(0.5);
+        return (enough ? engine.latencyRatios : allEngineRatios).quantile(0.5);
     }
 
     /** Returns the median ratio over all engines. */
     double medianRatio() {
-        return allEngines.quantile(0.5);
+        return allEngineRatios.quantile(0.5);
     }
 
     boolean isSlow(EngineState engine) {
@@ -82,7 +82,7 @@
     }
 
     boolean isTopPrioritySlow() {
-        return topPriority.quantile(0.5) >= SLOW_RATIO;
+        return topPriorityRatios.quantile(0.5) >= SLOW_RATIO;
     }
 
     /**
@@ -93,7 +93,7 @@
      */
     void record(EngineState engine, double ratio, double capacityShare) {
         engine.latencyRatios.add(ratio * capacityShare);
-        allEngines.add(ratio * capacityShare);
+        allEngineRatios.add(ratio * capacityShare);
     }
 
     /** Records an attempt that timed out, with its time so far as the latency. */
@@ -163,14 +163,14 @@
             record(attempt.engine, ratio, capacityShare);
         }
         if (attempt.priority == PriorityClasses.TOP) {
-            topPriority.add(ratio);
+            topPriorityRatios.add(ratio);
         }
     }
 
     /** Halves the samples that all engines share; called once each {@link #DECAY_INTERVAL}. */
     void decay(List<TrafficClassStats> classes) {
-        allEngines.halve();
-        topPriority.halve();
+        allEngineRatios.halve();
+        topPriorityRatios.halve();
         classes.forEach(stats -> stats.lowestRatio *= BEST_RATIO_DRIFT);
     }
 
--- a/src/main/java/firstage/policy/UnplaceableRequests.java
+++ b/src/main/java/firstage/policy/UnplaceableRequests.java
@@ -14,10 +14,10 @@
     static final long NO_KIND = -1;
 
     private final Map<Long, Double> smallestMemoryMb = new HashMap<>();
-    private final int trafficClasses;
+    private final int trafficClassCount;
 
-    UnplaceableRequests(int trafficClasses) {
-        this.trafficClasses = trafficClasses;
+    UnplaceableRequests(int trafficClassCount) {
+        this.trafficClassCount = trafficClassCount;
     }
 
     /**
@@ -28,7 +28,7 @@
         boolean byTables =
                 request.trafficClass().blockedByTableLoads() || request.trafficClass().tableLoad();
         long tables = byTables ? request.incoming.tableGroup() + 1L : 0;
-        return (tables * trafficClasses + request.incoming.trafficClass())
+        return (tables * trafficClassCount + request.incoming.trafficClass())
                         * (PriorityClasses.TOP + 1)
                 + priority;
     }
