--- a/src/main/java/firstage/policy/ConcurrencyLimiter.java
+++ b/src/main/java/firstage/policy/ConcurrencyLimiter.java
@@ -23,15 +23,15 @@
     private static final double MIN_THREADS_PER_CORE = 1.3;
 
     /**
-     * Factor by which one step lowers a limit. Three steps halve the limit, so that a single bad
-     * second does not close an engine.
+     * Factor by which one step lowers a limit. Three steps halve the limit, so that a single second
+     * of high latency does not block an engine.
      */
     private static final double SHRINK_FACTOR = 0.8;
 
-    /** Minimum time between two steps; a step has to show in latencies before the next one. */
+    /** Minimum time between two such steps; a step has to show in latencies before the next one. */
     private static final long SHRINK_INTERVAL = Ticks.ofMillis(700);
 
-    /** Share of the threads and of the grant of a low-latency result by which the limits grow. */
+    /** Growth of the limits after a low-latency result, as a share of its threads and its grant. */
     private static final double GROWTH_SHARE = 0.5;
 
     /**
@@ -170,7 +170,7 @@
 
     /**
      * Raises the limits after a result of low latency. Only limits that are at least half used grow,
-     * so that an idle period does not open the engine.
+     * so that an idle period does not raise them to the maximum.
      */
     void grow(Attempt attempt) {
         EngineState engine = attempt.engine;
--- a/src/main/java/firstage/policy/EngineEligibility.java
+++ b/src/main/java/firstage/policy/EngineEligibility.java
@@ -7,7 +7,10 @@
 import firstage.policy.state.RequestState;
 import java.util.Set;
 
-/** Checks whether a request may go to an engine by rules and health, regardless of capacity. */
+/**
+ * Checks whether the rules and the engine's health allow a request to go to an engine, regardless of
+ * the capacity within this manager's limits.
+ */
 final class EngineEligibility {
     private final SlowStartBudget slowStart;
     private final ConcurrencyLimiter limiter;
--- a/src/main/java/firstage/policy/EngineSelector.java
+++ b/src/main/java/firstage/policy/EngineSelector.java
@@ -21,8 +21,8 @@
     private static final double MIN_FREE_MEMORY_STEPS = -20;
 
     /**
-     * Number of steps to which the free memory of a slice is rounded down. Table affinity decides
-     * between engines with the same number of free steps.
+     * Number of steps into which a memory slice is divided. Free memory is rounded down to whole
+     * steps, and table affinity decides between engines with the same number of free steps.
      */
     private static final double FREE_MEMORY_STEPS_PER_SLICE = 4;
 
--- a/src/main/java/firstage/policy/GrantEstimator.java
+++ b/src/main/java/firstage/policy/GrantEstimator.java
@@ -15,8 +15,9 @@
     private static final double MARGIN_INCREASE = 0.14;
 
     /**
-     * Decrease of the margin after a grant that sufficed. It is a seventh of the increase, so that
-     * in the long run one grant in eight is too small.
+     * Decrease of the margin after a grant that sufficed at a saturated engine. It is a seventh of
+     * the increase, so that in the long run one grant in eight is too small there. At other engines
+     * a quarter of it applies.
      */
     private static final double MARGIN_DECREASE = 0.02;
 
@@ -39,8 +40,8 @@
     }
 
     /**
-     * Returns the grant in MB: the expected memory plus the margin. If no memory is known, the grant
-     * per thread is half of the engine's memory per core.
+     * Returns the grant in MB: the expected memory plus the margin. If the expected memory is
+     * unknown, the grant per thread is half of the engine's memory per core.
      */
     double grantMb(RequestState request, EngineState engine) {
         TrafficClassStats stats = request.classStats;
--- a/src/main/java/firstage/policy/KeyOrdering.java
+++ b/src/main/java/firstage/policy/KeyOrdering.java
@@ -13,7 +13,9 @@
  * another, in their order of arrival. The key pauses after an attempt that may still run.
  */
 final class KeyOrdering {
-    /** Pause in which the rejection of a request of unknown order reaches its client. */
+    /**
+     * Pause of a key after a request of unknown order, in which the rejection reaches the client.
+     */
     private static final long PAUSE_AFTER_UNKNOWN_ORDER = Ticks.ofMillis(50);
 
     private final Map<Integer, KeyQueue> queues = new HashMap<>();
@@ -47,7 +49,7 @@
         return request.orderingKey >= 0 && request.incoming.orderUnknown();
     }
 
-    /** Returns whether the request may start now as far as the order within its key permits. */
+    /** Returns whether the order within the request's key permits the request to start now. */
     boolean isNext(long now, RequestState request) {
         KeyQueue queue = queues.get(request.orderingKey);
         return queue == null
--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -21,7 +21,7 @@
     /** Number of samples of a traffic class at which their weight is halved. */
     private static final int MAX_CLASS_SAMPLES = 64;
 
-    /** Number of samples from which an engine's own median is used, not that of all engines. */
+    /** Weight of an engine's samples below which the median of all engines is used instead. */
     private static final double MIN_ENGINE_SAMPLES = 12;
 
     /** Ratio to the best latency below which the latency of an engine is low. */
@@ -37,12 +37,15 @@
     private static final double INITIAL_BEST_RATIO = 2.5;
 
     /**
-     * Upper bound of the best ratio where engines report the actual work, for which each thread is
-     * assumed to have a core of its own.
+     * Upper bound of the best ratio where engines report the actual work. The ratio of a request is
+     * about 1 there if each of its threads has a core of its own.
      */
     private static final double MAX_BEST_RATIO_OF_ACTUAL_WORK = 1.2;
 
-    /** Growth of the best ratio per decay interval, which expires an outdated best in minutes. */
+    /**
+     * Factor by which the best ratio grows each decay interval, so that an outdated best expires
+     * within minutes.
+     */
     private static final double BEST_RATIO_DRIFT = 1.002;
 
     /** Fraction done up to which a progress report says too little about the total duration. */
@@ -134,7 +137,7 @@
         } else if (request.incoming.estimatedWork() > 0) {
             work = request.incoming.estimatedWork();
         } else {
-            // No figure is known: a typical request should need half its latency objective at most.
+            // Neither is known: a typical request should need half its latency objective at most.
             work = stats.trafficClass.latencyObjective() * threads / 2.0;
         }
         double ratio = result.duration() * threads / work;
@@ -148,7 +151,7 @@
         return ratio;
     }
 
-    /** Lowers the best ratio of a class whose engines report the actual work of requests. */
+    /** Caps the best ratio of a class whose engines report the actual work of requests. */
     void onTrueWorkKnown(TrafficClassStats stats) {
         stats.lowestRatio = Math.min(stats.lowestRatio, MAX_BEST_RATIO_OF_ACTUAL_WORK);
     }
--- a/src/main/java/firstage/policy/LoadProbing.java
+++ b/src/main/java/firstage/policy/LoadProbing.java
@@ -13,8 +13,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Probes some random engines for their load before a costly request is sent to one of them. This is
- * done if this manager's share of an engine is too small to know its load otherwise.
+ * Probes some random engines for their load before a request of high priority weight is sent to one
+ * of them. This is done if latencies are high and this manager's share of an engine is too small to
+ * know the engine's load otherwise.
  */
 final class LoadProbing {
     /** Number of engines probed for a request: two to choose from, and a spare. */
@@ -73,7 +74,7 @@
                 && !latency.isFleetCalm();
     }
 
-    /** Probes engines for this request, unless that was done recently. */
+    /** Probes engines for this request, unless they were probed recently. */
     void probeIfDue(long now, RequestState request, Collection<EngineState> engines) {
         if (now < request.probedAt + PROBE_INTERVAL) {
             return;
--- a/src/main/java/firstage/policy/LoadReportTracker.java
+++ b/src/main/java/firstage/policy/LoadReportTracker.java
@@ -5,7 +5,7 @@
 import firstage.policy.state.EngineState;
 import firstage.util.Ticks;
 
-/** Tracks the load that engines report: 0 is idle, 1 is full. */
+/** Tracks the load that engines report: 0 is idle, 1 or more is full. */
 final class LoadReportTracker {
     /** Time over which the weight of a load report falls to 0. */
     private static final long REPORT_VALIDITY = Ticks.ofSeconds(5);
--- a/src/main/java/firstage/policy/OutlierDetector.java
+++ b/src/main/java/firstage/policy/OutlierDetector.java
@@ -25,7 +25,7 @@
      */
     private static final int MAX_CONSECUTIVE_FAILURES = 3;
 
-    /** Evidence that an event gives of the health of an engine. */
+    /** Evidence about the health of an engine, derived from an event. */
     enum Signal {
         SUCCESS,
         PROGRESS,
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Returns whether the engine's health admits a request of this effect; a half-open engine admits
-     * a request only as its probe.
+     * Returns whether a usable engine admits a request of this effect; a half-open engine admits
+     * only an idempotent request, as its probe, while no other probe is in flight.
      */
     static boolean admits(EngineState engine, Effect effect) {
         if (engine.health != EngineHealth.HALF_OPEN) {
@@ -119,7 +119,7 @@
         return engine.mayProbeNow && engine.health == EngineHealth.HALF_OPEN;
     }
 
-    /** Records the end of an attempt: its evidence of the engine's health, then any failure. */
+    /** Applies the outcome of an attempt to the engine's health, then counts any failure. */
     void onOutcome(long now, RequestState request, EngineState engine, AttemptOutcome outcome) {
         if (SIGNALS.containsKey(outcome)) {
             engine.lastResponseAt = now;
--- a/src/main/java/firstage/policy/RetryPolicy.java
+++ b/src/main/java/firstage/policy/RetryPolicy.java
@@ -22,7 +22,7 @@
 
     /**
      * Number of buckets of the budget's window. A bucket at the edge of the window still counts for
-     * retries, but no longer for accepted requests.
+     * retries, but no longer for accepted requests, so that the budget is never exceeded.
      */
     private static final int WINDOW_BUCKETS = 20;
 
--- a/src/main/java/firstage/policy/SlowStartBudget.java
+++ b/src/main/java/firstage/policy/SlowStartBudget.java
@@ -24,7 +24,7 @@
 
     /**
      * Largest work of a request that may be allocated at random, as a share of the engine's
-     * capacity in a window; one such request too many does no harm.
+     * capacity in a window; one such request too many does not overload the engine.
      */
     private static final double SMALL_REQUEST_SHARE = 0.05;
 
@@ -40,13 +40,16 @@
     /** Busy share of the cores of an engine at capacity. */
     private static final double BUSY_SHARE_AT_CAPACITY = 0.85;
 
-    /** Number of buckets of the window; a bucket at the edge of the window still counts. */
+    /**
+     * Number of buckets of the window. A bucket at the edge of the window still counts, so that the
+     * sent work is never underestimated.
+     */
     private static final int WINDOW_BUCKETS = 20;
 
     private final Deployment.Rules rules;
     private final int rank;
 
-    /** Equal share of all managers, used for engines without a {@code warmUpShare}. */
+    /** Share of each manager if all shares are equal, for engines without {@code warmUpShare}. */
     private final double equalShare;
 
     /** Time at which this manager received its first endpoint list; negative before. */
@@ -124,7 +127,7 @@
     }
 
     /**
-     * Returns this manager's draw, from 0 to 1, for an engine in the current window. If the share of
+     * Returns this manager's draw, in [0, 1), for an engine in the current window. If the share of
      * each manager is smaller than any request, the managers with low draws may send one. All
      * managers compute the draws in the same way, and the draws differ between windows.
      */
--- a/src/main/java/firstage/policy/StuckAttemptDetector.java
+++ b/src/main/java/firstage/policy/StuckAttemptDetector.java
@@ -17,7 +17,7 @@
     private static final double MAX_MISSED_REPORTS = 2.6;
 
     /**
-     * Silence allowed to engines that send no progress reports, in addition to the expected
+     * Silence allowed to engines that send no progress reports, in addition to twice the expected
      * duration; long compared to usual requests.
      */
     private static final long SILENCE_WITHOUT_REPORTS = Ticks.ofSeconds(4);
--- a/src/main/java/firstage/policy/TableAffinity.java
+++ b/src/main/java/firstage/policy/TableAffinity.java
@@ -15,8 +15,8 @@
  */
 final class TableAffinity {
     /**
-     * Score for a table load of an engine that is in this manager's group; higher than the score for
-     * free memory, lower than that for capacity.
+     * Score of an engine in this manager's group, for a table load; higher than the score for free
+     * memory, lower than that for capacity.
      */
     private static final double OWN_ENGINE_SCORE = 30;
 
@@ -26,7 +26,7 @@
      */
     private static final double MAX_LOAD_GROUP_SHARE = 0.67;
 
-    /** Result of {@link #loadOrder} for a request that is no table load. */
+    /** Result of {@link #loadOrder} for a request that is not a table load. */
     private static final double[] NO_ORDER = {};
 
     private final RandomGenerator random;
@@ -41,7 +41,7 @@
 
     /**
      * Returns the affinities of the active engines to the tables of a load, in ascending order;
-     * empty if the request is no table load.
+     * empty if the request is not a table load.
      */
     double[] loadOrder(RequestState request, Collection<EngineState> engines) {
         int tableGroup = request.incoming.tableGroup();
--- a/src/main/java/firstage/policy/api/DemandHistogram.java
+++ b/src/main/java/firstage/policy/api/DemandHistogram.java
@@ -16,7 +16,7 @@
     /** Band of a weight of 1 per second of work; bands reach a factor of 256 below and above it. */
     private static final int MIDDLE_BAND = BANDS / 2;
 
-    /** Number of bands that a request over its tenant's quota loses: a factor of two in weight. */
+    /** Bands by which a request over its tenant's quota is lowered: a factor of two in weight. */
     private static final int OVER_QUOTA_PENALTY = 2;
 
     private final double[] arrivedWork = new double[BANDS];
--- a/src/main/java/firstage/policy/api/Deployment.java
+++ b/src/main/java/firstage/policy/api/Deployment.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Configuration that a workload manager has of its deployment at start. Figures that are not set are
- * 0, and lists that are not set are empty.
+ * Configuration of a deployment as known to a workload manager at start. Numbers that are not set
+ * are 0, and lists that are not set are empty.
  *
  * @param managers number of managers that share the engines
  * @param rank index of this manager among them, from 0
@@ -16,8 +16,8 @@
  * @param probePrice cost of a probe, as a multiple of the mean priority weight of requests; negative
  *     if engines may not be probed
  * @param probesReportLoad whether the answer to a probe contains a load report
- * @param memoryOvercommitPages whether an engine accepts grants beyond its memory and pages, which
- *     slows down all requests there; otherwise such grants wait in its queue
+ * @param memoryOvercommitPages whether engines accept grants beyond their memory, in which case
+ *     paging slows down all requests there; otherwise such requests wait in the engine's queue
  */
 public record Deployment(
         long seed,
--- a/src/main/java/firstage/policy/api/PolicyActions.java
+++ b/src/main/java/firstage/policy/api/PolicyActions.java
@@ -33,7 +33,7 @@
     /** Releases the id of a request that is closed and has no attempt in flight. */
     void releaseRequest(int requestId);
 
-    /** Releases the id of an ordering key that has no waiting request and whose pause is over. */
+    /** Releases the id of an ordering key that has no open request and whose pause is over. */
     void releaseKey(int key);
 
     /** Releases the id of an engine that left long ago and has no attempt in flight. */
--- a/src/main/java/firstage/policy/api/SchedulingPolicy.java
+++ b/src/main/java/firstage/policy/api/SchedulingPolicy.java
@@ -4,24 +4,26 @@
  * Scheduling policy of a workload manager, which receives events and acts through {@link
  * PolicyActions} only. Each call passes the current time {@code now} in ticks. After all events of
  * one point in time the caller calls {@link #runPendingActions}. Ids of requests, engines and keys
- * are small numbers that the caller may reuse once they were released.
+ * are small numbers that the caller may reuse once they have been released.
  */
 public interface SchedulingPolicy {
     /** Handles a request that was accepted from a client. */
     void onRequest(long now, IncomingRequest request);
 
-    /** Handles the end of an attempt. Ignored if the attempt is not in flight. */
+    /** Handles the end of an attempt. Does nothing if the attempt is not in flight. */
     void onAttemptResult(long now, AttemptResult result);
 
-    /** Handles a progress report on an attempt. Ignored if the attempt is not in flight. */
+    /**
+     * Handles a progress report on an attempt. Does nothing if the attempt is not in flight.
+     */
     void onAttemptProgress(long now, AttemptProgress progress);
 
     /** Closes a request whose client left or whose deadline passed. The request gets no answer. */
     void onClientGone(long now, int requestId);
 
     /**
-     * Records whether the client of a request is absent. A request whose client is absent is not
-     * started, as the client may have left.
+     * Records whether the client of a request is absent: its connection broke or it did not poll in
+     * time, so that it may have left. The request is not started while its client is absent.
      */
     default void onClientAbsence(long now, int requestId, boolean absent) {}
 
--- a/src/main/java/firstage/policy/api/TrafficClass.java
+++ b/src/main/java/firstage/policy/api/TrafficClass.java
@@ -5,16 +5,15 @@
 /**
  * Configuration of a traffic class. Times are in ticks.
  *
- * @param latencyObjective time within which a request is to be answered, without the part that
- *     depends on its work
- * @param latencyObjectivePerWork factor of the work per thread that is added to the objective
+ * @param latencyObjective fixed part of the time within which a request is to be answered
+ * @param latencyObjectivePerWork additional time per tick of expected work on each thread
  * @param timeout time from acceptance to the deadline
  * @param priorityWeight value of a request that is answered within the objective
  * @param lateValueShare share of that value that is left for an answer after the objective, but
  *     before the deadline
  * @param effect effect of running a request more than once
  * @param idempotencyScope engines that recognise a repetition of an idempotency key
- * @param idempotencyWindow time from the first attempt for which repetitions are dropped
+ * @param idempotencyWindow time after the first attempt during which repetitions are dropped
  * @param ordered whether requests of one ordering key run one after another
  * @param threads number of threads that a request uses at its engine
  * @param tableLoad whether requests load tables
--- a/src/main/java/firstage/policy/package-info.java
+++ b/src/main/java/firstage/policy/package-info.java
@@ -1,9 +1,9 @@
 /**
  * Scheduling policy of one workload manager. {@link firstage.policy.WorkloadScheduler} receives
- * events and runs the steps in order; every other class implements one part of the policy. Such a
- * class gets its inputs as arguments, changes only its own state and its own fields of {@link
- * firstage.policy.state}, and does no I/O. Times are in ticks ({@link firstage.util.Ticks}), memory
- * is in MB.
+ * events and calls the other classes in a fixed order; each of them implements one part of the
+ * policy. Such a class gets its inputs as arguments, changes only its own state and its own fields
+ * of {@link firstage.policy.state}, and does no I/O. Times are in ticks ({@link
+ * firstage.util.Ticks}), memory is in MB.
  *
  * <p>Numbered rules are the guarantees that the policy gives: a retry never runs a non-idempotent
  * request twice (rule 2), no request goes to a draining engine (rule 3), a warming engine is not
--- a/src/main/java/firstage/policy/state/Attempt.java
+++ b/src/main/java/firstage/policy/state/Attempt.java
@@ -35,7 +35,7 @@
     /** Whether the attempt waits for memory; its engine sends no progress reports meanwhile. */
     public boolean queuedForMemory;
 
-    /** Whether the attempt was cancelled, or a hedged request was queued in its place. */
+    /** Whether the attempt was cancelled or hedged, so that no further remedy is applied to it. */
     public boolean abandoned;
 
     /** Creates an attempt that is sent at {@code sentAt}. */
--- a/src/main/java/firstage/policy/state/EngineHealth.java
+++ b/src/main/java/firstage/policy/state/EngineHealth.java
@@ -4,11 +4,14 @@
 public enum EngineHealth {
     /** Accepts requests. */
     AVAILABLE,
-    /** Refused a request as it is full; gets no new one until one succeeds or the backoff ends. */
+    /**
+     * Refused a request as it is full; gets no new one until an earlier one succeeds or the backoff
+     * ends.
+     */
     REFUSING,
     /** Gets a single request as a probe. */
     HALF_OPEN,
-    /** Has sent no response for too long. */
+    /** Has not responded for too long. */
     UNRESPONSIVE,
     /** Is unreachable, or was ejected because requests failed there. */
     UNAVAILABLE
--- a/src/main/java/firstage/policy/state/EngineState.java
+++ b/src/main/java/firstage/policy/state/EngineState.java
@@ -32,7 +32,7 @@
     /** This manager's share of the capacity during warm-up; 0 for an equal share of all managers. */
     public double warmUpShare;
 
-    /** Time since which the engine has been gone with no attempt in flight; 0 if it is not. */
+    /** Time since which the engine has been gone with no attempt in flight; 0 otherwise. */
     private long goneSince;
 
     // ---- Size of the engine and limits of this manager (ConcurrencyLimiter)
@@ -96,7 +96,7 @@
 
     public long loadReportedAt = Long.MIN_VALUE / 2;
 
-    /** Load according to the latest report: 0 is idle, 1 is full. */
+    /** Load according to the latest report: 0 is idle, 1 or more is full. */
     public double reportedLoad;
 
     /** Whether the latest report says that no request waits for memory. */
@@ -197,7 +197,7 @@
         return false;
     }
 
-    /** Returns a hash of the engine and the salt, from 0 to below 1; the same at every manager. */
+    /** Returns a hash of the engine and the salt, in [0, 1); the same at every manager. */
     public double hashFraction(int salt) {
         long hash = stableHash * 0x9E3779B97F4A7C15L ^ salt * 0xC2B2AE3D27D4EB4FL;
         hash = (hash ^ (hash >>> 29)) * 0xBF58476D1CE4E5B9L;
--- a/src/test/java/firstage/policy/SlowStartBudgetTest.java
+++ b/src/test/java/firstage/policy/SlowStartBudgetTest.java
@@ -27,7 +27,8 @@
                 sent++;
             }
         }
-        // Both managers together may send 2 x 0.3 x 8 cores x 0.85 x 2 s = 8.2 s of work.
+        // Both managers together may send 8.2 s of work: the overload multiple 2 x the initial share
+        // 0.3 x 8 cores x 0.85 x the window of 2 s.
         assertThat(sent).isBetween(1, 20);
     }
 
@@ -69,7 +70,7 @@
         for (int id = 0; id < 4; id++) {
             scenario.request(id, REPORT);
         }
-        // Two of four reports, all estimated at 2 s of work, end early as they were short.
+        // Two of four reports, all estimated at 2 s of work, end early as they are short.
         scenario.success(0, 1_000).success(1, 1_000);
         scenario.endpointUpdate(0, Lifecycle.GONE, 0)
                 .endpointUpdate(1, Lifecycle.ACTIVE, scenario.now());
@@ -119,8 +120,8 @@
     }
 
     /**
-     * Only 160 of 2,600 managers share an engine. With the share by the settings, 1/2600 for each
-     * manager, the engine would get too little work to warm up.
+     * Only 160 of 2,600 managers share an engine. With a share of 1/2600 for each manager, as by the
+     * settings, the engine would get too little work to warm up.
      */
     @Test
     void warmUpShare_inCells_isThatOfManagersThatShareTheEngine() {
--- a/src/test/java/firstage/policy/StuckAttemptDetectorTest.java
+++ b/src/test/java/firstage/policy/StuckAttemptDetectorTest.java
@@ -9,7 +9,7 @@
 import firstage.policy.api.AttemptProgress;
 import org.junit.jupiter.api.Test;
 
-/** Tests the detection of attempts that make no progress. */
+/** Tests the detection of attempts that make no progress or far too little. */
 class StuckAttemptDetectorTest {
     private final SchedulerScenario scenario = new SchedulerScenario();
 
--- a/src/test/java/firstage/policy/WorkloadSchedulerTest.java
+++ b/src/test/java/firstage/policy/WorkloadSchedulerTest.java
@@ -10,7 +10,7 @@
 import firstage.policy.api.EndpointUpdate.Lifecycle;
 import org.junit.jupiter.api.Test;
 
-/** Tests the bookkeeping of requests and engines that no other class of the package covers. */
+/** Tests the bookkeeping of requests and engines. */
 class WorkloadSchedulerTest {
     private final SchedulerScenario scenario = new SchedulerScenario();
 
