--- a/src/main/java/firstage/policy/AdmissionQueue.java
+++ b/src/main/java/firstage/policy/AdmissionQueue.java
@@ -70,7 +70,7 @@
                 && queued.size() > maxLength * (quotaApplies ? OVER_QUOTA_SHARE : 1);
     }
 
-    /** Returns whether the latest queue pass found a request that could start but for capacity. */
+    /** Returns whether a request that may start found no engine in the latest queue pass. */
     boolean isCongested() {
         return congested;
     }
@@ -80,7 +80,7 @@
         congested = false;
     }
 
-    /** Records that a request found no engine with capacity in this pass. */
+    /** Records that a request that may start found no engine in this pass. */
     void markCongested() {
         congested = true;
     }
--- a/src/main/java/firstage/policy/ConcurrencyLimiter.java
+++ b/src/main/java/firstage/policy/ConcurrencyLimiter.java
@@ -146,8 +146,9 @@
     }
 
     /**
-     * Lowers the thread limit by a step, for an engine that is slow. If the quota share is less than
-     * one thread, the step starts from the reserved threads where these are below the limit.
+     * Lowers the thread limit by a step, for an engine that is slow. If the quota share of even the
+     * largest engine is less than one thread, the step starts from the reserved threads where these
+     * are below the limit.
      */
     void shrinkThreadLimit(long now, EngineState engine) {
         if (beginShrinkIfDue(now, engine)) {
--- a/src/main/java/firstage/policy/EngineSelector.java
+++ b/src/main/java/firstage/policy/EngineSelector.java
@@ -123,8 +123,9 @@
     }
 
     /**
-     * Returns whether this manager's attempts stay within the sum of its thread limits at all usable
-     * engines. Without this check, many managers with a single request each could fill an engine.
+     * Returns whether this manager's attempts and this request together stay within the sum of its
+     * thread limits at all usable engines; always true while no attempt is in flight. Without this
+     * check, many managers with a single request each could fill an engine.
      */
     private static boolean isWithinTotalThreadLimit(
             RequestState request, Collection<EngineState> engines) {
--- a/src/main/java/firstage/policy/RetryPolicy.java
+++ b/src/main/java/firstage/policy/RetryPolicy.java
@@ -85,7 +85,7 @@
                 && (request.attemptsStarted == 0 || isWithinBudget(now));
     }
 
-    /** Returns whether it is safe that the client or another manager runs the request again. */
+    /** Returns whether it is safe for the client to send the request again to any manager. */
     boolean mayReject(RequestState request) {
         return rule(request).mayReject;
     }
--- a/src/main/java/firstage/policy/SheddingThreshold.java
+++ b/src/main/java/firstage/policy/SheddingThreshold.java
@@ -31,7 +31,7 @@
         return request.priorityBand == band && random.nextDouble() >= admittedShare;
     }
 
-    /** Returns whether the request is shed: its band is below the threshold and it never started. */
+    /** Returns whether a queued request is shed: it is below the threshold and was never started. */
     boolean isBelow(RequestState request) {
         return request.attemptsStarted == 0 && request.priorityBand < band;
     }
--- a/src/main/java/firstage/policy/StuckAttemptDetector.java
+++ b/src/main/java/firstage/policy/StuckAttemptDetector.java
@@ -8,7 +8,7 @@
 import firstage.policy.state.RequestState;
 import firstage.util.Ticks;
 
-/** Detects attempts that make no progress, and engines that stopped responding. */
+/** Detects attempts that make no or too little progress, and engines that stopped responding. */
 final class StuckAttemptDetector {
     /**
      * Number of report intervals without a report after which an engine or an attempt is considered
@@ -59,7 +59,7 @@
 
     /**
      * Returns the action to take on this attempt: {@code NONE} unless the attempt is lost, blocked
-     * or a runaway, and another attempt is allowed.
+     * by a table load or a runaway, and another attempt is allowed.
      */
     Remedy remedyFor(long now, Attempt attempt) {
         RequestState request = attempt.request;
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -390,8 +390,8 @@
             nextDecay = now + LatencyTracker.DECAY_INTERVAL;
         }
         if (queue.isPastPlannedEnd(now)) {
-            // Requests without an answer by the planned end would never get one here; another
-            // manager can still run them.
+            // Requests without an answer by the shutdown would never get one here; another manager
+            // can still run them.
             List.copyOf(requests.values()).stream()
                     .filter(request -> !request.closed && retries.mayReject(request))
                     .forEach(this::rejectOrFail);
--- a/src/test/java/firstage/policy/StuckAttemptDetectorTest.java
+++ b/src/test/java/firstage/policy/StuckAttemptDetectorTest.java
@@ -9,7 +9,7 @@
 import firstage.policy.api.AttemptProgress;
 import org.junit.jupiter.api.Test;
 
-/** Tests the detection of attempts that make no progress or far too little. */
+/** Tests the detection of attempts that make no or too little progress. */
 class StuckAttemptDetectorTest {
     private final SchedulerScenario scenario = new SchedulerScenario();
 
