--- a/src/main/java/firstage/policy/api/DemandHistogram.java
+++ b/src/main/java/firstage/policy/api/DemandHistogram.java
@@ -50,7 +50,10 @@
         startedWork += work;
     }
 
-    /** Records the work of a request that left the full queue, or timed out in it, unstarted. */
+    /**
+     * Records the work of a request that timed out in the queue, or left it because it was full, with
+     * no attempt in flight.
+     */
     public void shedWork(double work) {
         shedWork += work;
     }
@@ -81,7 +84,7 @@
         return startedWork;
     }
 
-    /** Returns the work of all requests that left the queue unstarted. */
+    /** Returns the work of all requests that left the queue without being started from it. */
     public double shedWork() {
         return shedWork;
     }
