--- a/src/test/java/firstage/policy/SlowStartBudgetTest.java
+++ b/src/test/java/firstage/policy/SlowStartBudgetTest.java
@@ -27,8 +27,8 @@
                 sent++;
             }
         }
-        // Both managers together may send 8.2 s of work: the overload multiple 2 x the initial share
-        // 0.3 x 8 cores x 0.85 x the window of 2 s.
+        // Both managers together may send 8.2 s of work: the overload multiple 2 x the initial
+        // share 0.3 x 8 cores x 0.85 x the window of 2 s.
         assertThat(sent).isBetween(1, 20);
     }
 
