--- a/src/main/java/firstage/policy/AdmissionQueue.java
+++ b/src/main/java/firstage/policy/AdmissionQueue.java
@@ -61,6 +61,8 @@
      * Returns whether the queue is too long to keep this request; a request that was started before
      * always stays. Callers ask in order of arrival, so that a queue that is too long drops its
      * oldest requests, which have the least time left.
+     *
+     * @param shedding whether the fleet sheds load, which takes the place of the tenants' quotas
      */
     boolean isFullFor(RequestState request, int maxLength, boolean shedding) {
         boolean quotaApplies = request.overQuota && !shedding;
@@ -68,7 +70,7 @@
                 && queued.size() > maxLength * (quotaApplies ? OVER_QUOTA_SHARE : 1);
     }
 
-    /** Returns whether the latest queue pass found a request that could start but for capacity. */
+    /** Returns whether a request that may start found no engine in the latest queue pass. */
     boolean isCongested() {
         return congested;
     }
@@ -78,7 +80,7 @@
         congested = false;
     }
 
-    /** Records that a request found no engine with capacity in this pass. */
+    /** Records that a request that may start found no engine in this pass. */
     void markCongested() {
         congested = true;
     }
--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -21,7 +21,7 @@
     /** Number of samples of a traffic class at which their weight is halved. */
     private static final int MAX_CLASS_SAMPLES = 64;
 
-    /** Number of samples from which an engine's own median is used, not that of all engines. */
+    /** Weight of an engine's samples below which the median of all engines is used instead. */
     private static final double MIN_ENGINE_SAMPLES = 12;
 
     /** Ratio to the best latency below which the latency of an engine is low. */
@@ -37,19 +37,22 @@
     private static final double INITIAL_BEST_RATIO = 2.5;
 
     /**
-     * Upper bound of the best ratio where engines report the actual work, for which each thread is
-     * assumed to have a core of its own.
+     * Upper bound of the best ratio where engines report the actual work. The ratio of a request is
+     * about 1 there if each of its threads has a core of its own.
      */
     private static final double MAX_BEST_RATIO_OF_ACTUAL_WORK = 1.2;
 
-    /** Growth of the best ratio per decay interval, which expires an outdated best in minutes. */
+    /**
+     * Factor by which the best ratio grows each decay interval, so that an outdated best expires
+     * within minutes.
+     */
     private static final double BEST_RATIO_DRIFT = 1.002;
 
     /** Fraction done up to which a progress report says too little about the total duration. */
     private static final double MIN_FRACTION_DONE = 0.05;
 
-    private final LogHistogram allEngines = new LogHistogram();
-    private final LogHistogram topPriority = new LogHistogram();
+    private final LogHistogram allEngineRatios = new LogHistogram();
+    private final LogHistogram topPriorityRatios = new LogHistogram();
 
     static TrafficClassStats newStats(TrafficClass trafficClass) {
         return new TrafficClassStats(
@@ -59,12 +62,12 @@
     /** Returns the median ratio of this engine, or of all engines if it has too few samples. */
     double medianRatio(EngineState engine) {
         boolean enough = engine.latencyRatios.total() >= MIN_ENGINE_SAMPLES;
-        return (enough ? engine.latencyRatios : allEngines).quantile(0.5);
+        return (enough ? engine.latencyRatios : allEngineRatios).quantile(0.5);
     }
 
     /** Returns the median ratio over all engines. */
     double medianRatio() {
-        return allEngines.quantile(0.5);
+        return allEngineRatios.quantile(0.5);
     }
 
     boolean isSlow(EngineState engine) {
@@ -82,7 +85,7 @@
     }
 
     boolean isTopPrioritySlow() {
-        return topPriority.quantile(0.5) >= SLOW_RATIO;
+        return topPriorityRatios.quantile(0.5) >= SLOW_RATIO;
     }
 
     /**
@@ -93,7 +96,7 @@
      */
     void record(EngineState engine, double ratio, double capacityShare) {
         engine.latencyRatios.add(ratio * capacityShare);
-        allEngines.add(ratio * capacityShare);
+        allEngineRatios.add(ratio * capacityShare);
     }
 
     /** Records an attempt that timed out, with its time so far as the latency. */
@@ -134,7 +137,7 @@
         } else if (request.incoming.estimatedWork() > 0) {
             work = request.incoming.estimatedWork();
         } else {
-            // No figure is known: a typical request should need half its latency objective at most.
+            // Neither is known: a typical request should need half its latency objective at most.
             work = stats.trafficClass.latencyObjective() * threads / 2.0;
         }
         double ratio = result.duration() * threads / work;
@@ -148,7 +151,7 @@
         return ratio;
     }
 
-    /** Lowers the best ratio of a class whose engines report the actual work of requests. */
+    /** Caps the best ratio of a class whose engines report the actual work of requests. */
     void onTrueWorkKnown(TrafficClassStats stats) {
         stats.lowestRatio = Math.min(stats.lowestRatio, MAX_BEST_RATIO_OF_ACTUAL_WORK);
     }
@@ -163,14 +166,14 @@
             record(attempt.engine, ratio, capacityShare);
         }
         if (attempt.priority == PriorityClasses.TOP) {
-            topPriority.add(ratio);
+            topPriorityRatios.add(ratio);
         }
     }
 
     /** Halves the samples that all engines share; called once each {@link #DECAY_INTERVAL}. */
     void decay(List<TrafficClassStats> classes) {
-        allEngines.halve();
-        topPriority.halve();
+        allEngineRatios.halve();
+        topPriorityRatios.halve();
         classes.forEach(stats -> stats.lowestRatio *= BEST_RATIO_DRIFT);
     }
 
--- a/src/main/java/firstage/policy/RetryPolicy.java
+++ b/src/main/java/firstage/policy/RetryPolicy.java
@@ -22,7 +22,7 @@
 
     /**
      * Number of buckets of the budget's window. A bucket at the edge of the window still counts for
-     * retries, but no longer for accepted requests.
+     * retries, but no longer for accepted requests, so that the budget is never exceeded.
      */
     private static final int WINDOW_BUCKETS = 20;
 
@@ -85,7 +85,7 @@
                 && (request.attemptsStarted == 0 || isWithinBudget(now));
     }
 
-    /** Returns whether it is safe that the client or another manager runs the request again. */
+    /** Returns whether it is safe for the client to send the request again to any manager. */
     boolean mayReject(RequestState request) {
         return rule(request).mayReject;
     }
--- a/src/main/java/firstage/policy/StuckAttemptDetector.java
+++ b/src/main/java/firstage/policy/StuckAttemptDetector.java
@@ -8,7 +8,7 @@
 import firstage.policy.state.RequestState;
 import firstage.util.Ticks;
 
-/** Detects attempts that make no progress, and engines that stopped responding. */
+/** Detects attempts that make no or too little progress, and engines that stopped responding. */
 final class StuckAttemptDetector {
     /**
      * Number of report intervals without a report after which an engine or an attempt is considered
@@ -17,7 +17,7 @@
     private static final double MAX_MISSED_REPORTS = 2.6;
 
     /**
-     * Silence allowed to engines that send no progress reports, in addition to the expected
+     * Silence allowed to engines that send no progress reports, in addition to twice the expected
      * duration; long compared to usual requests.
      */
     private static final long SILENCE_WITHOUT_REPORTS = Ticks.ofSeconds(4);
@@ -59,7 +59,7 @@
 
     /**
      * Returns the action to take on this attempt: {@code NONE} unless the attempt is lost, blocked
-     * or a runaway, and another attempt is allowed.
+     * by a table load or a runaway, and another attempt is allowed.
      */
     Remedy remedyFor(long now, Attempt attempt) {
         RequestState request = attempt.request;
--- a/src/main/java/firstage/policy/api/DemandHistogram.java
+++ b/src/main/java/firstage/policy/api/DemandHistogram.java
@@ -16,7 +16,7 @@
     /** Band of a weight of 1 per second of work; bands reach a factor of 256 below and above it. */
     private static final int MIDDLE_BAND = BANDS / 2;
 
-    /** Number of bands that a request over its tenant's quota loses: a factor of two in weight. */
+    /** Bands by which a request over its tenant's quota is lowered: a factor of two in weight. */
     private static final int OVER_QUOTA_PENALTY = 2;
 
     private final double[] arrivedWork = new double[BANDS];
@@ -50,7 +50,10 @@
         startedWork += work;
     }
 
-    /** Records the work of a request that left the full queue, or timed out in it, unstarted. */
+    /**
+     * Records the work of a request that timed out in the queue, or left it because it was full, with
+     * no attempt in flight.
+     */
     public void shedWork(double work) {
         shedWork += work;
     }
@@ -81,7 +84,7 @@
         return startedWork;
     }
 
-    /** Returns the work of all requests that left the queue unstarted. */
+    /** Returns the work of all requests that left the queue without being started from it. */
     public double shedWork() {
         return shedWork;
     }
