--- a/src/main/java/firstage/cells/BigEndianBytes.java
+++ b/src/main/java/firstage/cells/BigEndianBytes.java
@@ -7,7 +7,7 @@
     private final byte[] buffer;
     private int position;
 
-    /** Reads the bytes of the buffer, or overwrites them. */
+    /** Creates a reader or writer that starts at the first byte of {@code buffer}. */
     BigEndianBytes(byte[] buffer) {
         this.buffer = buffer;
     }
@@ -25,7 +25,7 @@
         return this;
     }
 
-    /** Reads the next integer of so many bytes; unsigned if it has fewer than four. */
+    /** Reads the next integer of {@code byteCount} bytes; unsigned if it has fewer than four. */
     int read(int byteCount) {
         int number = 0;
         for (int i = 0; i < byteCount; i++) {
--- a/src/main/java/firstage/cells/CellDirectory.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -34,9 +34,7 @@
  * long time). Times are in ticks of a monotonic clock.
  */
 public final class CellDirectory {
-    /**
-     * Number of delegates of a cell: two may fail within a second, and the next view has others.
-     */
+    /** Number of delegates of a cell. Two may fail within a second; the next view has others. */
     private static final int DELEGATES = 3;
 
     /**
@@ -354,7 +352,8 @@
 
     /**
      * Returns the lowest plan number in this cell. Only numbers that managers have sent themselves
-     * count: a manager that has sent none may hold the old plan and use its engines.
+     * count: a manager that has sent none may hold the old plan and use its engines, so its number
+     * is taken as 0.
      */
     private int leastPlanNumber() {
         return Math.min(
--- a/src/main/java/firstage/cells/CellPlan.java
+++ b/src/main/java/firstage/cells/CellPlan.java
@@ -12,7 +12,8 @@
  * assignment without a message, and a cell that is added or removed moves no engine between two
  * others.
  *
- * <p>{@code number}: a later plan has a higher one.
+ * <p>{@code number}: the number of the plan, higher than that of the plan before it; {@code
+ * spread}: the number of cells that serve each engine.
  */
 public record CellPlan(int number, int spread, List<Cell> cells) {
     /**
--- a/src/main/java/firstage/cells/EngineSubset.java
+++ b/src/main/java/firstage/cells/EngineSubset.java
@@ -10,9 +10,9 @@
 
 /**
  * Part of the endpoint list that this manager may use. Entries of engines that its cell gains, but
- * that other cells may not have released, are kept until they are released. Entries of engines that
- * its cell does not serve are not kept at all, so that a manager holds the engines of its cell and
- * no more.
+ * that other cells may not have released, are kept until the engines are released. Entries of
+ * engines that its cell does not serve are not kept at all, so that a manager holds the engines of
+ * its cell and no more.
  */
 public final class EngineSubset<T> {
     private final CellDirectory cells;
--- a/src/main/java/firstage/cli/CellsSectionReader.java
+++ b/src/main/java/firstage/cli/CellsSectionReader.java
@@ -42,7 +42,7 @@
     private static final int MAX_PLAN_NUMBER = 1_000_000_000;
     private static final int MAX_HOST_NUMBER = 255;
 
-    /** Four numbers, the last of which may be a range, and a port. */
+    /** IPv4 address, whose last number may be a range, and a port. */
     private static final Pattern HOSTS =
             Pattern.compile("([0-9.]+\\.)([0-9]{1,3})(?:-([0-9]{1,3}))?(:[0-9]{1,5})");
 
--- a/src/main/java/firstage/cli/ConfigReloader.java
+++ b/src/main/java/firstage/cli/ConfigReloader.java
@@ -31,8 +31,8 @@
     private final Path file;
 
     /**
-     * Permits for reloads that were requested, including those requested before the server was
-     * started or while the file was being read.
+     * One permit for each requested reload, including those requested before the server was started
+     * or while the file was being read.
      */
     private final Semaphore reloadRequests = new Semaphore(0);
 
@@ -52,8 +52,8 @@
     }
 
     /**
-     * Starts a thread that handles requests for reloads, separate because reading may wait for the
-     * file.
+     * Starts the thread that handles reload requests; it is a separate thread because reading may
+     * wait for the file.
      */
     void start(ManagerServer server, ManagerConfig current) {
         startDaemon("configuration", () -> reloadOnRequest(server, current));
--- a/src/main/java/firstage/cli/FaultScheduleCommand.java
+++ b/src/main/java/firstage/cli/FaultScheduleCommand.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * {@code exception-schedule FIRST COUNT [DEFECT]}: runs seeded fault schedules and prints which of them
+ * {@code fault-schedule FIRST COUNT [DEFECT]}: runs seeded fault schedules and prints which of them
  * violated which rule.
  */
 final class FaultScheduleCommand {
--- a/src/main/java/firstage/cli/FaultTestRunCommand.java
+++ b/src/main/java/firstage/cli/FaultTestRunCommand.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code exception-test run}: runs a plan and prints the verdict. */
+/** {@code fault-test run}: runs a plan and prints the verdict. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
@@ -116,8 +116,8 @@
     }
 
     /**
-     * Returns the text of the plan with the number of managers that are to be started, so that the
-     * other numbers in it are checked against this one.
+     * Returns the text of the plan with the number of managers from the options, if any, so that
+     * the other numbers in the plan are checked against it.
      */
     private String planText() throws IOException {
         String text = Files.readString(file);
--- a/src/main/java/firstage/cli/FleetTables.java
+++ b/src/main/java/firstage/cli/FleetTables.java
@@ -55,7 +55,7 @@
         out.println(
                 "verdict by service: "
                         + (comparison.verdict() == PairedComparison.Verdict.BROKEN
-                                ? "none, a rule broke"
+                                ? "none, a rule was violated"
                                 : verdict(comparison.rows().get(0))));
     }
 
@@ -63,7 +63,7 @@
         return switch (row.verdict()) {
             case LEFT -> "left is better";
             case RIGHT -> "right is better";
-            case NONE -> "no verdict; " + row.runsNeeded() + " runs would be likely to tell";
+            case NONE -> "no verdict; " + row.runsNeeded() + " runs are likely to be enough";
             case BROKEN -> "-";
         };
     }
--- a/src/main/java/firstage/cli/ManagerClient.java
+++ b/src/main/java/firstage/cli/ManagerClient.java
@@ -8,7 +8,7 @@
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 
-/** Client that sends requests to a manager on this machine, at the address of its datagrams. */
+/** Client that sends requests, as datagrams, to a manager on this machine. */
 final class ManagerClient {
     private static final int RESPONSE_TIMEOUT_MS = 400;
     private static final int MAX_ATTEMPTS = 5;
@@ -17,7 +17,7 @@
     private ManagerClient() {}
 
     /**
-     * Sends a request until a response arrives.
+     * Sends a request, repeating it a few times until a response arrives, and returns the response.
      *
      * @throws IOException if the manager is on another machine, or does not respond
      */
--- a/src/main/java/firstage/cli/PeersToml.java
+++ b/src/main/java/firstage/cli/PeersToml.java
@@ -87,7 +87,7 @@
         return value(key) != null;
     }
 
-    /** Checks that the file has no other keys than these; {@code shown} lists them for people. */
+    /** Checks that the file has no other keys than these; {@code shown} lists them in messages. */
     void requireKnownKeys(Set<String> known, String shown) {
         for (String key : toml.keySet()) {
             if (!known.contains(key)) {
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Checks that a section has no other keys than these; {@code shown} lists them for people. */
+    /** Checks that a section has no other keys than these; {@code shown} lists them in messages. */
     void requireKnownKeys(TomlTable section, String path, Set<String> known, String shown) {
         for (String key : section.keySet()) {
             if (!known.contains(key)) {
--- a/src/main/java/firstage/cli/PlanNumberFile.java
+++ b/src/main/java/firstage/cli/PlanNumberFile.java
@@ -25,8 +25,8 @@
     private PlanNumberFile() {}
 
     /**
-     * Stores the number of the manager's plan on the disk, before the manager reports it to
-     * anybody. Does nothing if the fleet has no cells.
+     * Stores the number of the manager's plan on the disk. To be called before the manager reports
+     * the number to other managers. Does nothing if the fleet has no cells.
      *
      * @throws InvalidConfigException if the manager has followed a newer plan
      */
--- a/src/main/java/firstage/cli/ServeCommand.java
+++ b/src/main/java/firstage/cli/ServeCommand.java
@@ -36,19 +36,19 @@
     private static final long RETRY_DELAY_MS = 25;
     private static final long NANOS_PER_MS = 1_000_000;
 
-    /** Step of the start that may fail for a while. */
+    /** Step of the start that may fail temporarily. */
     interface Step<T> {
         T run() throws IOException;
     }
 
     private final ConfigReloader reloader;
 
-    /** Peers file; null if none is named, and then no classes and files for peers are loaded. */
+    /** Peers file; null if none is named, and then no class or file for peers is loaded. */
     private final Path peersFile;
 
     /**
      * Whether SIGTERM was received. Until the manager serves, it has accepted no request that it
-     * would have to answer.
+     * would have to answer, and the program may end at once.
      */
     private volatile boolean terminated;
 
@@ -59,7 +59,7 @@
         this.peersFile = peersFile;
     }
 
-    /** Returns once the manager serves; ends the program if it can't. */
+    /** Starts a manager and returns once it serves; ends the program if the start fails. */
     static void run(List<String> options) {
         try {
             fromOptions(options).start();
--- a/src/main/java/firstage/config/MalformedLineException.java
+++ b/src/main/java/firstage/config/MalformedLineException.java
@@ -1,8 +1,8 @@
 package firstage.config;
 
 /**
- * Thrown if a line of the simulator, a field of a message or an option can't be read. The message
- * names the field, its value and what is wrong; a reader of lines skips the line and reports the
+ * Thrown if a line of the simulator, a setting, a field of a message or an option can't be read.
+ * The message names the field and what is wrong; a reader of lines skips the line and reports the
  * message.
  */
 public final class MalformedLineException extends RuntimeException {
@@ -11,7 +11,7 @@
     /**
      * Creates an exception that names the problem.
      *
-     * @param problem the field, its value, and what is wrong with it
+     * @param problem the field or its value, and what is wrong with it
      */
     public MalformedLineException(String problem) {
         super(problem);
--- a/src/main/java/firstage/config/ManagerConfig.java
+++ b/src/main/java/firstage/config/ManagerConfig.java
@@ -38,8 +38,8 @@
     private static final int RESERVED_DESCRIPTORS = 40;
 
     /**
-     * Number of client connections beyond the clients' third of the descriptors; they serve only to
-     * answer clients in excess.
+     * Number of client connections beyond the clients' third of the descriptors, used only to
+     * answer clients that connect in excess of that third.
      */
     private static final int EXCESS_CLIENT_CONNECTIONS = 16;
 
@@ -51,14 +51,14 @@
     private static final int UNLIMITED_CONNECTIONS = Integer.MAX_VALUE / 2;
     private static final long UNLIMITED_BYTES = Long.MAX_VALUE / 2;
 
-    /** Maximum of a traffic class's timeout that counts towards the shutdown timeout. */
+    /** Upper limit, in the shutdown timeout, for the longest timeout of a traffic class. */
     private static final long MAX_COUNTED_TIMEOUT = Ticks.ofSeconds(3);
 
     private static final long SHUTDOWN_MARGIN = Ticks.ofMillis(700);
 
     /**
-     * Returns the maximum number of connections of clients: a third of the descriptors, and a few
-     * in excess.
+     * Returns the maximum number of client connections: a third of the descriptors, and a few more
+     * to answer clients in excess.
      */
     public int maxClientConnections() {
         return maxFileDescriptors > 0
--- a/src/main/java/firstage/config/WireFields.java
+++ b/src/main/java/firstage/config/WireFields.java
@@ -15,7 +15,8 @@
  */
 public final class WireFields {
     /**
-     * Tolerance in ticks: a whole number of ticks in binary seconds falls short by less than this.
+     * Tolerance in ticks: a whole number of ticks that is given in seconds, as a binary fraction,
+     * falls short by less than this.
      */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
--- a/src/main/java/firstage/failover/ZoneActions.java
+++ b/src/main/java/firstage/failover/ZoneActions.java
@@ -3,8 +3,8 @@
 /** Actions that {@link ZoneFailover} requests. Implementations do not call back into it. */
 public interface ZoneActions {
     /**
-     * Sets whether this manager avoids an engine. {@code backoffOver}: whether the engine is to be
-     * probed now.
+     * Sets whether this manager avoids an engine. {@code backoffOver}: whether the engine may be
+     * probed now, without waiting for its backoff.
      */
     void setAvoided(long engine, boolean avoided, boolean backoffOver);
 
--- a/src/main/java/firstage/failover/ZoneFailover.java
+++ b/src/main/java/firstage/failover/ZoneFailover.java
@@ -22,9 +22,9 @@
  * long each time.
  *
  * <p>States of a zone: IN_USE; EVACUATED (only probe owners send to it); RETURNING (managers return
- * in the order of their rendezvous rank, along a ramp). Invariants: where there are more than two
- * zones, a zone is never evacuated on the reports of one other zone alone, since these indicate a
- * broken link between the two; a zone is never evacuated if fewer than a third of all zones would
+ * one after another, in the order of their rendezvous rank). Invariants: where there are more than
+ * two zones, a zone is never evacuated on the reports of one other zone alone, since these indicate
+ * a broken link between the two; a zone is never evacuated if fewer than a third of all zones would
  * stay in use. A manager that was paused reports nothing until it has new observations. Times are
  * in ticks.
  */
@@ -70,8 +70,7 @@
     private static final long MAX_OBSERVATION_AGE = Ticks.ofSeconds(3);
 
     /**
-     * Time within which a usual request returns; an attempt that is younger says nothing about its
-     * engine.
+     * Time within which a typical request returns; a younger attempt says nothing about its engine.
      */
     private static final long RESPONSE_TIME = Ticks.ofSeconds(2);
 
@@ -109,8 +108,8 @@
     private static final double MIN_ZONES_IN_USE = 1 / 3.0;
 
     /**
-     * Time between two evaluations above which this manager was paused and its observations are out
-     * of date.
+     * Time between two evaluations above which this manager counts as paused and its observations
+     * as out of date.
      */
     private static final long PAUSE_THRESHOLD = Ticks.ofSeconds(1);
 
@@ -165,7 +164,7 @@
         ALL_MAY_GO,
         /** All managers return to a zone at once. */
         ALL_AT_ONCE,
-        /** A zone that failed is not held out for a minimum time. */
+        /** The hold time is ignored: managers return to a zone as soon as it is healthy. */
         NO_HOLD,
         /** Observations from before a pause are reported. */
         STILL_COUNTS,
@@ -261,8 +260,8 @@
 
     /**
      * Records whether other managers probe this engine because of its own health ({@link
-     * firstage.overload.ProbeCoordinator}). {@code backoffOver}: whether the engine is to be probed
-     * now.
+     * firstage.overload.ProbeCoordinator}). {@code backoffOver}: whether the engine may be probed
+     * now, without waiting for its backoff.
      */
     public void setProbedByOthers(long engine, boolean probedByOthers, boolean backoffOver) {
         EngineObservation observation = engines.get(engine);
@@ -283,7 +282,10 @@
         zones[zone].orderedAt = LoadSheddingLevel.timestamp(now);
     }
 
-    /** Returns the known orders, to be sent with the load row: zone, order and time of each. */
+    /**
+     * Returns the known orders, to be sent with the load row, as triples of zone, ordinal of the
+     * order, and time.
+     */
     public int[] ordersToSend() {
         return IntStream.range(0, zones.length)
                 .filter(zone -> zones[zone].orderedAt != 0)
@@ -408,8 +410,8 @@
     }
 
     /**
-     * Returns whether most observers of most other zones report the zone as failed, and at least
-     * two zones where there are as many.
+     * Returns whether most observers of most other zones report the zone as failed. At least two
+     * zones have to report it, unless there is only one other zone.
      */
     private boolean failedByReports(int zone, List<LoadRow> rows) {
         // Once the zone is evacuated only observations count, not the mark of managers that avoid
@@ -536,7 +538,7 @@
         }
     }
 
-    /** Returns this manager's position on the ramp of the return to a zone, from 0 to 1. */
+    /** Returns the fraction of the ramp, 0 to 1, after which this manager uses the zone again. */
     private double rampPosition(int zone) {
         return (double) RendezvousHash.countBefore(zone, view, self) / Math.max(1, view.size());
     }
--- a/src/test/java/firstage/cells/CellDirectoryTest.java
+++ b/src/test/java/firstage/cells/CellDirectoryTest.java
@@ -17,7 +17,7 @@
 
 /**
  * Tests which cell serves which engine, and how an engine moves from one cell to another, in all
- * orders of a few events.
+ * orders of a few events. Times are in ticks.
  */
 class CellDirectoryTest {
     private static final long SECOND = 10_000;
@@ -167,6 +167,10 @@
                     .limit(3)
                     .toArray();
 
+    /**
+     * Returns the largest sum of the shares of an engine in all sequences of {@code depth} events;
+     * three bits of a sequence's number select each event.
+     */
     private static double maxShareSum(int depth, InjectedDefect defect) {
         return IntStream.range(0, 1 << 3 * depth)
                 .parallel()
--- a/src/test/java/firstage/cells/SimulatedCellsTest.java
+++ b/src/test/java/firstage/cells/SimulatedCellsTest.java
@@ -22,7 +22,7 @@
 
 /**
  * Tests cells in virtual time: delegates killed, a cell dead or cut in two, a region cut off, plans
- * changed while messages are lost.
+ * changed while messages are lost. Times are in ticks.
  */
 class SimulatedCellsTest {
     private static final long SECOND = 10_000;
@@ -79,8 +79,8 @@
     }
 
     /**
-     * With the injected defect, managers keep a dead cell alive by passing its old rows on again
-     * and again.
+     * With the injected defect, a dead cell still counts as active, because managers keep passing
+     * its old rows on.
      */
     @ParameterizedTest
     @EnumSource(
@@ -114,8 +114,8 @@
     }
 
     /**
-     * Neither part takes the shares that the other uses; after the partition heals, the cell has
-     * one view again.
+     * Neither part of the cell takes shares that the other part uses; after the partition heals,
+     * the cell has one view again.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 4})
@@ -127,8 +127,8 @@
             assertThat(managersOf(fleet, 0).stream().mapToDouble(ManagerHost::share).sum())
                     .isLessThanOrEqualTo(1 + 1e-9);
         }
-        // Of eight managers, four are enough to keep their whole shares. Fewer keep half of theirs,
-        // and a majority of at least five takes what it may of the other half.
+        // Of eight managers, four are enough to keep their whole shares. Fewer keep half of their
+        // shares, and the majority takes over the other half as far as it may.
         assertThat(managersOf(fleet, 0).stream().mapToDouble(ManagerHost::share).sum()).isGreaterThan(0.9);
         assertThat(managersOf(fleet, 0).get(0).share()).isEqualTo(isolated < 4 ? 0.0625 : 0.125);
         assertThat(managersOf(fleet, 1).stream().mapToDouble(ManagerHost::share).sum()).isEqualTo(1);
--- a/src/test/java/firstage/cli/PeersFileReaderTest.java
+++ b/src/test/java/firstage/cli/PeersFileReaderTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Tests that peers files, and the number of the cell plan beside them, are read as earlier versions
- * wrote them.
+ * Tests that peers files and plan number files of earlier versions are still read with the same
+ * values.
  */
 class PeersFileReaderTest {
     private static final Path STORED = Path.of("src", "test", "resources", "stored");
--- a/src/test/java/firstage/cli/StoredPlansTest.java
+++ b/src/test/java/firstage/cli/StoredPlansTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that plans for simulation, fault tests and scale tests are read as people wrote them for
- * earlier versions.
+ * Tests that plans for simulation, fault tests and scale tests that were written for earlier
+ * versions are still read with the same values.
  */
 class StoredPlansTest {
     private static String stored(String name) throws IOException {
--- a/src/test/java/firstage/config/SettingsParserTest.java
+++ b/src/test/java/firstage/config/SettingsParserTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that the settings alone tell the earlier from the newer report and memory modes, and that a
- * contradictory mix of them is rejected with the name of the key.
+ * Tests that settings without the newer keys select the earlier report and memory modes, and that
+ * contradictory or unknown values are rejected with the name of the key.
  */
 class SettingsParserTest {
     private static Deployment read(String settings) {
--- a/src/test/java/firstage/failover/ZoneFailoverTest.java
+++ b/src/test/java/firstage/failover/ZoneFailoverTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Tests zone failover with three zones of managers and engines and links that fail between them:
- * which managers evacuate which zone, and when they return.
+ * Tests zone failover with three zones of managers and engines, and with failing links between
+ * them: which managers evacuate which zone, and when they return. Times are in ticks.
  */
 class ZoneFailoverTest {
     private static final long SECOND = 10_000;
@@ -33,7 +33,7 @@
     private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(3);
     private final List<ObservingManager> managers = new ArrayList<>();
 
-    /** Whether managers of a zone (first index) reach the engines of another. */
+    /** Whether managers of a zone (first index) reach the engines of a zone (second index). */
     private final boolean[][] reachesEngines = new boolean[ZONES][ZONES];
 
     /** Whether managers of two zones reach each other. */
@@ -229,8 +229,8 @@
     }
 
     /**
-     * The engines of the zone respond within the zone: managers of other zones evacuate it, its own
-     * keep using it.
+     * Only managers of the same zone still reach its engines: they keep using the zone, and the
+     * managers of the other zones evacuate it.
      */
     @Test
     void evaluate_zoneCutOff_servesItself() {
