--- a/src/test/java/firstage/cli/PeersFileReaderTest.java
+++ b/src/test/java/firstage/cli/PeersFileReaderTest.java
@@ -132,7 +132,7 @@
      * plan would then be accepted.
      */
     @Test
-    void store_writeFails_keepsTheNumberBefore() throws IOException {
+    void store_writeFails_keepsThePreviousNumber() throws IOException {
         Path file = peersFileOfPlan(14);
         PeerConfig peers = PeersFileReader.read(file, "unused");
         Files.createDirectory(folder.resolve("peers-cells.toml.plan.new"));
--- a/src/test/java/firstage/config/SettingsParserTest.java
+++ b/src/test/java/firstage/config/SettingsParserTest.java
@@ -18,14 +18,14 @@
     }
 
     @Test
-    void parse_withoutTheNewKeys_keepsTheEarlierShape() {
+    void parse_withoutTheNewerKeys_keepsTheEarlierModes() {
         Deployment deployment = read("limits.probing=true deductions.probe=0.01");
         assertTrue(deployment.probesReportLoad());
         assertFalse(deployment.memoryOvercommitPages());
     }
 
     @Test
-    void parse_newKeys_givesTheNewShape() {
+    void parse_newerKeys_selectsTheNewerModes() {
         Deployment deployment =
                 read("report.via=off report.fields= family_info.out_of_memory=page");
         assertFalse(deployment.probesReportLoad());
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void parse_mixOfShapes_isRefusedNamingTheKey() {
+    void parse_contradictoryKeys_isRefusedNamingTheKey() {
         MalformedLineException exception =
                 assertThrows(
                         MalformedLineException.class,
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void parse_unknownWord_isRefusedNamingTheKey() {
+    void parse_unknownValue_isRefusedNamingTheKey() {
         MalformedLineException exception =
                 assertThrows(
                         MalformedLineException.class, () -> read("family_info.out_of_memory=swap"));
--- a/src/test/java/firstage/config/WireFieldsTest.java
+++ b/src/test/java/firstage/config/WireFieldsTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void object_nestedValues_standUnderPathsWithDots() {
+    void object_nestedValues_areHeldUnderDottedPaths() {
         WireFields fields =
                 new WireFields(
                         Map.of(
--- a/src/test/java/firstage/failover/ZoneFailoverTest.java
+++ b/src/test/java/firstage/failover/ZoneFailoverTest.java
@@ -280,7 +280,7 @@
     }
 
     @Test
-    void evaluate_zoneFlaps_heldOutLonger() {
+    void evaluate_zoneFlaps_evacuatedForLonger() {
         startFleet(12, ZoneFailover.InjectedDefect.NONE);
         advance(5);
         for (int s = 0; s < 120; s += 3) {
