--- a/src/main/java/firstage/cli/FleetCommand.java
+++ b/src/main/java/firstage/cli/FleetCommand.java
@@ -21,7 +21,7 @@
             "11:the right choice is better"
         })
 final class FleetCommand implements Callable<Integer> {
-    /** Exit status if a run violated a rule of the users. */
+    /** Exit status if a run violated a rule that the simulation checks. */
     static final int RULE_BROKEN_STATUS = 3;
 
     /** Runs the command and returns the exit code, which stands for the verdict. */
--- a/src/main/java/firstage/cli/ScaleCommand.java
+++ b/src/main/java/firstage/cli/ScaleCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** {@code scale}: measures what control costs a manager of a large fleet. */
+/** {@code scale}: measures what the control plane of a large fleet costs a manager. */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
@@ -18,9 +18,9 @@
             ScaleHollowCommand.class
         },
         description =
-                "Runs hollow managers beside real ones, or simulates a fleet's control in virtual"
-                        + " time, and reports what control costs; docs/operators/scale.md explains"
-                        + " the figures.",
+                "Runs hollow managers beside real ones, or simulates a fleet's control plane in"
+                        + " virtual time, and reports what it costs; docs/operators/scale.md"
+                        + " explains the figures.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:the run was completed",
--- a/src/main/java/firstage/cli/ScaleRunCommand.java
+++ b/src/main/java/firstage/cli/ScaleRunCommand.java
@@ -68,7 +68,7 @@
         ScaleFigures.writeJson(folder.resolve("figures.json"), result.figures());
         ScaleFigures.writeCsv(folder.resolve("figures.csv"), List.of(result.figures()));
         boolean completed = result.isVoid() == null;
-        System.out.println(completed ? "played" : "void: " + result.isVoid());
+        System.out.println(completed ? "completed" : "void: " + result.isVoid());
         result.figures()
                 .forEach(
                         (figure, value) ->
--- a/src/main/java/firstage/cli/ScaleSlopesCommand.java
+++ b/src/main/java/firstage/cli/ScaleSlopesCommand.java
@@ -22,8 +22,8 @@
         name = "slopes",
         mixinStandardHelpOptions = true,
         description =
-                "Simulates a fleet's control in virtual time at several sizes, and fits how its costs"
-                        + " grow.")
+                "Simulates a fleet's control plane in virtual time at several sizes, and fits how"
+                        + " its costs grow.")
 final class ScaleSlopesCommand implements Callable<Integer> {
     private static final int MIN_MANAGERS = 2;
     private static final int MAX_MANAGERS = 4_000;
--- a/src/main/java/firstage/config/WireFields.java
+++ b/src/main/java/firstage/config/WireFields.java
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Takes nested values, as JSON holds them, under their dotted paths. Lists of scalars are
+     * Reads nested values, as JSON holds them, under their dotted paths. Lists of scalars are
      * joined with commas; the length of a list of objects is held under {@code .count}.
      */
     public WireFields(Map<?, ?> nested) {
