--- a/src/main/java/firstage/config/PeerConfig.java
+++ b/src/main/java/firstage/config/PeerConfig.java
@@ -16,8 +16,8 @@
  * @param probeInterval the time between two probes, in ticks
  * @param peerAddresses every address at which a peer may ever be; in a fleet of cells those of its
  *     own cell, one for each slot, its own included
- * @param withdrawalMark the file beside the peers file that tells the next process that this one
- *     withdrew a grant from a peer
+ * @param withdrawalMark the file beside the peers file that records, for the next process, that
+ *     this one may have withdrawn a grant from a peer
  * @param cellPlacement its place in a fleet of cells, or null if the fleet has no cells
  */
 public record PeerConfig(
--- a/src/main/java/firstage/failover/ZoneFailover.java
+++ b/src/main/java/firstage/failover/ZoneFailover.java
@@ -24,9 +24,9 @@
  * <p>States of a zone: IN_USE; EVACUATED (only probe owners send to it); RETURNING (managers return
  * one after another, in the order of their rendezvous rank). Invariants, except for an operator's
  * order: where there are more than two zones, a zone is never evacuated on the reports of one other
- * zone alone, since these indicate a broken link between the two; a zone is never evacuated if fewer
- * than a third of all zones would stay in use. A manager that was paused reports nothing until it
- * has new observations. Times are in ticks.
+ * zone alone, since these indicate a broken link between the two; a zone is never evacuated if
+ * fewer than a third of all zones would stay in use. A manager that was paused reports nothing until
+ * it has new observations. Times are in ticks.
  */
 public final class ZoneFailover {
     /** Reported value for a zone that this manager has not observed. */
