--- a/src/main/java/firstage/cells/CellDirectory.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -85,11 +85,17 @@
     /** Defects that tests inject one at a time, to show that they are found. */
     public enum InjectedDefect {
         NONE,
+        /** A delegate sends its rows to all cells instead of one. */
         SENT_TO_ALL_CELLS,
+        /** The delegates are the first managers of the largest view so far, alive or not. */
         FIXED_DELEGATES,
+        /** A gained engine is used before other cells have released it. */
         GAINS_BEFORE_RELEASE,
+        /** The lowest plan number of a cell ignores managers that have not sent theirs. */
         SILENT_MANAGERS_IGNORED,
+        /** A row replaces the known row of its cell even if it is older. */
         OLDER_ROW_WINS,
+        /** A cell that gains an engine takes the warm-up share of a cell that served it before. */
         GAINS_WARM_UP_SHARE
     }
 
@@ -345,7 +351,6 @@
      * delegates.
      */
     private long delegateRank() {
-        // With the defect, the delegates are the first of the largest view, alive or not.
         List<String> candidates = defect == InjectedDefect.FIXED_DELEGATES ? largestView : view;
         return RendezvousHash.countBefore(ownCell, candidates, name);
     }
