--- a/src/main/java/firstage/cells/CellDirectory.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -328,8 +328,8 @@
         if (now >= nextRowAt) {
             nextRowAt = now + MIN_ROW_INTERVAL;
             long rank = delegateRank();
-            // The second and the third delegate renew the row only if those ranked before them do
-            // not.
+            // Unless the view has changed, the second and the third delegate renew the row only if
+            // those ranked before them do not.
             if (rank < DELEGATES
                     && (viewChanged
                             || now - rows[ownCell].receivedAt
--- a/src/main/java/firstage/failover/ZoneFailover.java
+++ b/src/main/java/firstage/failover/ZoneFailover.java
@@ -69,9 +69,7 @@
     /** Maximum age of an engine's last response for it to count as observed. */
     private static final long MAX_OBSERVATION_AGE = Ticks.ofSeconds(3);
 
-    /**
-     * Time within which a typical request returns; a younger attempt says nothing about its engine.
-     */
+    /** Time in which a typical request returns; a younger attempt says nothing of its engine. */
     private static final long RESPONSE_TIME = Ticks.ofSeconds(2);
 
     /** Time for which a failure must be reported before the zone is evacuated. */
@@ -164,7 +162,7 @@
         ALL_MAY_GO,
         /** All managers return to a zone at once. */
         ALL_AT_ONCE,
-        /** The hold time is ignored: managers return to a zone as soon as it is healthy. */
+        /** A zone that failed has no hold time. */
         NO_HOLD,
         /** Observations from before a pause are reported. */
         STILL_COUNTS,
@@ -414,7 +412,7 @@
      * zones have to report it, unless there is only one other zone.
      */
     private boolean failedByReports(int zone, List<LoadRow> rows) {
-        // Once the zone is evacuated only observations count, not the mark of managers that avoid
+        // Once the zone is evacuated, only observations count, not the mark of managers that avoid
         // it.
         int countedMark = zones[zone].state == State.IN_USE ? EVACUATED_MARK : MAX_PERCENT;
         int zonesReporting = 0;
