--- a/src/main/java/firstage/cells/CellDirectory.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -34,9 +34,7 @@
  * long time). Times are in ticks of a monotonic clock.
  */
 public final class CellDirectory {
-    /**
-     * Number of delegates of a cell: two may fail within a second, and the next view has others.
-     */
+    /** Number of delegates of a cell. Two may fail within a second; the next view has others. */
     private static final int DELEGATES = 3;
 
     /**
@@ -87,11 +85,17 @@
     /** Defects that tests inject one at a time, to show that they are found. */
     public enum InjectedDefect {
         NONE,
+        /** A delegate sends its rows to all cells instead of one. */
         SENT_TO_ALL_CELLS,
+        /** The delegates are the first managers of the largest view so far, alive or not. */
         FIXED_DELEGATES,
+        /** A gained engine is used before other cells have released it. */
         GAINS_BEFORE_RELEASE,
+        /** The lowest plan number of a cell ignores managers that have not sent theirs. */
         SILENT_MANAGERS_IGNORED,
+        /** A row replaces the known row of its cell even if it is older. */
         OLDER_ROW_WINS,
+        /** A cell that gains an engine takes the warm-up share of a cell that served it before. */
         GAINS_WARM_UP_SHARE
     }
 
@@ -324,8 +328,8 @@
         if (now >= nextRowAt) {
             nextRowAt = now + MIN_ROW_INTERVAL;
             long rank = delegateRank();
-            // The second and the third delegate renew the row only if those ranked before them do
-            // not.
+            // Unless the view has changed, the second and the third delegate renew the row only if
+            // those ranked before them do not.
             if (rank < DELEGATES
                     && (viewChanged
                             || now - rows[ownCell].receivedAt
@@ -347,14 +351,14 @@
      * delegates.
      */
     private long delegateRank() {
-        // With the defect, the delegates are the first of the largest view, alive or not.
         List<String> candidates = defect == InjectedDefect.FIXED_DELEGATES ? largestView : view;
         return RendezvousHash.countBefore(ownCell, candidates, name);
     }
 
     /**
      * Returns the lowest plan number in this cell. Only numbers that managers have sent themselves
-     * count: a manager that has sent none may hold the old plan and use its engines.
+     * count: a manager that has sent none may hold the old plan and use its engines, so its number
+     * is taken as 0.
      */
     private int leastPlanNumber() {
         return Math.min(
--- a/src/main/java/firstage/config/WireFields.java
+++ b/src/main/java/firstage/config/WireFields.java
@@ -15,7 +15,8 @@
  */
 public final class WireFields {
     /**
-     * Tolerance in ticks: a whole number of ticks in binary seconds falls short by less than this.
+     * Tolerance in ticks: a whole number of ticks that is given in seconds, as a binary fraction,
+     * falls short by less than this.
      */
     private static final double ROUNDING_TOLERANCE = 1e-6;
 
@@ -39,7 +40,7 @@
     }
 
     /**
-     * Takes nested values, as JSON holds them, under their dotted paths. Lists of scalars are
+     * Reads nested values, as JSON holds them, under their dotted paths. Lists of scalars are
      * joined with commas; the length of a list of objects is held under {@code .count}.
      */
     public WireFields(Map<?, ?> nested) {
--- a/src/test/java/firstage/config/SettingsParserTest.java
+++ b/src/test/java/firstage/config/SettingsParserTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests that the settings alone tell the earlier from the newer report and memory modes, and that a
- * contradictory mix of them is rejected with the name of the key.
+ * Tests that settings without the newer keys select the earlier report and memory modes, and that
+ * contradictory or unknown values are rejected with the name of the key.
  */
 class SettingsParserTest {
     private static Deployment read(String settings) {
@@ -18,14 +18,14 @@
     }
 
     @Test
-    void parse_withoutTheNewKeys_keepsTheEarlierShape() {
+    void parse_withoutTheNewerKeys_keepsTheEarlierModes() {
         Deployment deployment = read("limits.probing=true deductions.probe=0.01");
         assertTrue(deployment.probesReportLoad());
         assertFalse(deployment.memoryOvercommitPages());
     }
 
     @Test
-    void parse_newKeys_givesTheNewShape() {
+    void parse_newerKeys_selectsTheNewerModes() {
         Deployment deployment =
                 read("report.via=off report.fields= family_info.out_of_memory=page");
         assertFalse(deployment.probesReportLoad());
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void parse_mixOfShapes_isRefusedNamingTheKey() {
+    void parse_contradictoryKeys_isRefusedNamingTheKey() {
         MalformedLineException exception =
                 assertThrows(
                         MalformedLineException.class,
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void parse_unknownWord_isRefusedNamingTheKey() {
+    void parse_unknownValue_isRefusedNamingTheKey() {
         MalformedLineException exception =
                 assertThrows(
                         MalformedLineException.class, () -> read("family_info.out_of_memory=swap"));
