--- a/src/main/java/firstage/membership/FailureDetector.java
+++ b/src/main/java/firstage/membership/FailureDetector.java
@@ -15,9 +15,8 @@
 /**
  * Detects unresponsive peers (SWIM). Pings one peer each period, in turn. If no ack arrives, it asks
  * other peers to ping the target on this manager's behalf. A peer that answers neither is reported
- * as unanswered, and later as timed out unless it refutes the suspicion. A manager that is slow
- * itself waits longer for acks, and a manager that receives no acks at all reports no failures
- * (Lifeguard).
+ * as unresponsive, and later as dead unless it refutes the suspicion. A manager that is slow itself
+ * waits longer for acks, and a manager that receives no acks at all reports no failures (Lifeguard).
  */
 final class FailureDetector {
     /**
@@ -219,7 +218,7 @@
         return period * (1 + localHealthPenalty) / ACK_TIMEOUTS_PER_PERIOD;
     }
 
-    /** Sends the probes of a period if one has begun; a leaving manager sends none. */
+    /** Sends the probes of a new period once it has begun; a leaving manager sends none. */
     void probe(long now, boolean leaving) {
         if (now < nextProbeAt) {
             return;
@@ -255,8 +254,8 @@
     }
 
     /**
-     * Returns the next peer in a shuffled order, or null if no peer is alive or suspect. At most two
-     * rounds pass between two probes of a peer.
+     * Returns the next peer in a shuffled order, or null if no peer with a known address is alive or
+     * suspect. At most two rounds pass between two probes of a peer.
      */
     private Peer nextTarget() {
         for (int round = 0; round < 2; round++) {
@@ -278,7 +277,7 @@
         ping(now, peer.name(), peer.address(), null, 0);
     }
 
-    /** Pings a peer on behalf of the requester, which is told of the ack. */
+    /** Pings a peer on behalf of the requester, to which the ack is then reported. */
     void pingFor(long now, Peer target, String requester, long requesterSequence) {
         ping(now, target.name(), target.address(), requester, requesterSequence);
     }
--- a/src/main/java/firstage/membership/GossipQueue.java
+++ b/src/main/java/firstage/membership/GossipQueue.java
@@ -29,7 +29,10 @@
     private final ArrayDeque<Pending> queue = new ArrayDeque<>();
     private final Map<String, Pending> byMember = new HashMap<>();
 
-    /** Queues the changed record of a member in front; a queued older change is replaced. */
+    /**
+     * Queues the changed record of a member at the front, in place of a queued older change; drops it
+     * if the queue is full.
+     */
     void add(String name) {
         Pending previous = byMember.remove(name);
         if (previous != null) {
@@ -50,7 +53,7 @@
     /**
      * Adds changed records to those of a message.
      *
-     * @param maxRecords number of changes to take at most
+     * @param maxRecords maximum number of changes to take
      * @param sendsPerChange number of messages after which a change leaves the queue
      */
     void takeInto(
--- a/src/main/java/firstage/membership/Member.java
+++ b/src/main/java/firstage/membership/Member.java
@@ -4,9 +4,9 @@
  * Record of a member, as it is sent in gossip. Of two records of a member the one with the higher
  * incarnation wins, and at equal incarnations the one with the later state.
  *
- * @param incarnation Unix time of the member's start in ms; only the member itself raises it, to refute a
- *     suspicion
- * @param weight the relative share of traffic that the member asks for; usually 1
+ * @param incarnation Unix time of the member's start in ms; only the member itself raises it, to
+ *     refute a suspicion or to announce its shutdown
+ * @param weight relative share of traffic that the member asks for; usually 1
  */
 public record Member(
         String name,
--- a/src/main/java/firstage/membership/MemberTable.java
+++ b/src/main/java/firstage/membership/MemberTable.java
@@ -10,7 +10,7 @@
 final class MemberTable {
     private final TreeMap<String, Peer> peers = new TreeMap<>();
 
-    /** The peer last heard at each address, by index of the address. */
+    /** Name of the peer last heard at each address, by index of the address. */
     private final String[] nameByAddress;
 
     private Member self;
@@ -72,7 +72,7 @@
     }
 
     /**
-     * Returns up to {@code count} random alive peers with known addresses, without the peer named
+     * Returns up to {@code count} random alive peers with known addresses, other than the peer named
      * {@code except}.
      */
     List<Peer> randomAlive(RandomGenerator random, int count, String except) {
--- a/src/main/java/firstage/membership/MembershipActions.java
+++ b/src/main/java/firstage/membership/MembershipActions.java
@@ -1,6 +1,8 @@
 package firstage.membership;
 
-/** Effects of the membership protocol; an implementation must not call it before it returns. */
+/**
+ * Effects of the membership protocol. An implementation must not call the protocol before it returns.
+ */
 public interface MembershipActions {
     /**
      * Sends a datagram to the peer address with this index.
--- a/src/main/java/firstage/membership/MembershipProtocol.java
+++ b/src/main/java/firstage/membership/MembershipProtocol.java
@@ -13,13 +13,16 @@
  * a member, {@link GossipQueue} and {@link MessageSender} spread them, {@link ViewAgreement} derives
  * the view from them, and {@link FlapDamping} holds flapping members out of the view.
  *
- * <p>A suspect leaves the view at once, so that nothing new is shared with it. It is declared dead
- * only after it was unresponsive for longer than any tolerated pause; until then it can refute the
+ * <p>A suspect is left out of the next view, so that nothing new is shared with it. It is declared
+ * dead only after it was unresponsive for longer than any tolerated pause; until then it can refute the
  * suspicion with a higher incarnation. A process that was paused discards what it observed before
  * the pause. Times are ticks of a monotonic clock.
  */
 public final class MembershipProtocol {
-    /** Gap between two ticks above which this process counts as paused: two probe periods. */
+    /**
+     * Gap between two calls of {@link #tick} above which this process counts as paused: two probe
+     * periods.
+     */
     private static final long PAUSE_THRESHOLD = Ticks.ofMillis(400);
 
     /** Mean interval between full syncs with a random peer, which repair what gossip missed. */
@@ -67,7 +70,7 @@
      * @param period interval between two probes, in ticks
      * @param maxDatagramBytes maximum size of a datagram
      * @param random chooses the peers to probe and to ask for indirect probes
-     * @param leases quota leases that travel with acks
+     * @param leases quota leases, whose grants and withdrawals travel with acks
      */
     public MembershipProtocol(
             String fleet,
@@ -277,7 +280,8 @@
                     && peer.address() == address
                     && peer.state() != MemberState.LEFT) {
                 // A manager that restarted after its clock was set back has too low an
-                // incarnation. This message tells it the higher one, so that it can exceed it.
+                // incarnation. A message to a suspect or dead peer carries the peer's own record:
+                // the manager learns the higher incarnation from it and exceeds that one.
                 sender.send(now, peer, MembershipMessage.Kind.INDIRECT_ACK, 0, message.from());
             }
             return false;
@@ -353,11 +357,11 @@
     }
 
     private boolean mayAdd() {
-        boolean room = table.peerCount() < MAX_MEMBERS;
-        if (!room) {
+        boolean hasRoom = table.peerCount() < MAX_MEMBERS;
+        if (!hasRoom) {
             reject("too many members");
         }
-        return room;
+        return hasRoom;
     }
 
     private Peer addPeer(long now, Member member) {
--- a/src/main/java/firstage/membership/MembershipView.java
+++ b/src/main/java/firstage/membership/MembershipView.java
@@ -3,7 +3,8 @@
 import java.util.List;
 
 /**
- * The members that share the traffic.
+ * The alive members that are not held out for flapping, under a number on which managers with the
+ * same members agree.
  *
  * @param number version of the view; only increases
  * @param hash hash of the member names
--- a/src/main/java/firstage/membership/MessageCodec.java
+++ b/src/main/java/firstage/membership/MessageCodec.java
@@ -15,7 +15,7 @@
  * left out if they do not fit into a datagram.
  */
 public final class MessageCodec {
-    /** Maximum size of a datagram; with its headers below the minimum MTU of IPv6. */
+    /** Maximum payload of a datagram; with the headers it stays below the minimum MTU of IPv6. */
     public static final int MAX_DATAGRAM_BYTES = 1_200;
 
     private static final int VERSION = 1;
@@ -32,7 +32,10 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Thrown for a datagram that is not a valid message; its text is a short reason to count. */
+    /**
+     * Thrown for a datagram that is not a valid message. The exception's message is the short reason
+     * under which the rejection is counted.
+     */
     public static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -41,22 +44,25 @@
         }
     }
 
-    /** Returns how many member records fit into one datagram beside a digest of this size. */
+    /**
+     * Returns an estimate, at least 1, of how many member records fit into one datagram beside a
+     * digest of this size.
+     */
     public int maxMembers(int digestBytes) {
         return Math.max(1, (maxBytes - HEADER_BYTES - digestBytes) / MEMBER_BYTES);
     }
 
     /** Encodes a message with as many member records as fit. */
     public byte[] encode(MembershipMessage message) {
-        for (int members = Math.min(message.members().size(), MAX_MEMBERS); ; members--) {
-            byte[] bytes = encode(message, members);
-            if (bytes.length <= maxBytes || members == 0) {
+        for (int memberCount = Math.min(message.members().size(), MAX_MEMBERS); ; memberCount--) {
+            byte[] bytes = encode(message, memberCount);
+            if (bytes.length <= maxBytes || memberCount == 0) {
                 return bytes;
             }
         }
     }
 
-    private byte[] encode(MembershipMessage message, int members) {
+    private byte[] encode(MembershipMessage message, int memberCount) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
         try (JsonGenerator generator = cbor.createGenerator(out)) {
             generator.writeStartArray();
@@ -74,7 +80,7 @@
             writeNames(generator, message.withdrawnGrants());
             writeNames(generator, message.unheardMembers());
             generator.writeStartArray();
-            for (Member member : message.members().subList(0, members)) {
+            for (Member member : message.members().subList(0, memberCount)) {
                 generator.writeStartArray();
                 generator.writeString(member.name());
                 generator.writeString(member.zone());
--- a/src/main/java/firstage/membership/MessageSender.java
+++ b/src/main/java/firstage/membership/MessageSender.java
@@ -96,7 +96,8 @@
     private List<Member> recordsFor(Peer to, int digestBytes) {
         List<Member> records = new ArrayList<>(List.of(table.self()));
         if (to != null && to.state() != MemberState.ALIVE) {
-            // A suspect receives its own record first, so that its next message can refute it.
+            // A peer that is not alive receives its own record first, so that its next message can
+            // refute it.
             records.add(to.member());
         }
         gossip.takeInto(
--- a/src/main/java/firstage/membership/Peer.java
+++ b/src/main/java/firstage/membership/Peer.java
@@ -18,7 +18,10 @@
     private int address = -1;
     private long lastHeardAt = NEVER;
     private long indirectlyHeardAt = NEVER;
+
+    /** Ticks since the peer last heard this manager, as its last message reports; -1 for never. */
     private long reportedLastHeardAgo = -1;
+
     private long viewNumber;
     private long viewHash;
     private long suspectedAt;
@@ -44,7 +47,7 @@
         return member.state();
     }
 
-    /** Returns whether the peer is alive or suspect, so that a missing ack is significant. */
+    /** Returns whether the peer is alive or suspect; a missing ack matters only then. */
     boolean isJudged() {
         return state() == MemberState.ALIVE || state() == MemberState.SUSPECT;
     }
--- a/src/main/java/firstage/membership/QuotaLeases.java
+++ b/src/main/java/firstage/membership/QuotaLeases.java
@@ -11,9 +11,9 @@
  * guaranteed. It may use the other half while a quorum of managers has recently granted it. After a
  * majority has withdrawn its grants from a member, the other managers may use that member's second
  * half in equal pieces. Any quorum and any majority have at least one manager in common, because the
- * managers outside a quorum are too few for a majority. A manager that has granted withdraws only
- * after a time longer than a grant lasts, and grants again only after a time longer than a
- * withdrawal lasts.
+ * managers outside a quorum are too few for a majority. The grant and the withdrawal of that manager
+ * are never valid at the same time: it withdraws only after a time longer than a grant lasts, and
+ * grants again only after a time longer than a withdrawal lasts.
  *
  * <p>Invariant: the fractions of an engine that are in use never add up to more than 1, even if
  * messages are lost, late, reordered or duplicated and managers are paused or restarted.
@@ -83,7 +83,10 @@
     private long startedAt = -1;
     private boolean storeRequested;
     private boolean withdrawalMarkStored;
+
+    /** Cached result of {@link #share}, valid until {@code shareUntil}; negative if outdated. */
     private double share = -1;
+
     private long shareUntil;
 
     /**
@@ -162,7 +165,7 @@
         share = -1;
     }
 
-    /** Records that {@link LeaseActions#storeWithdrawalMark} has been completed. */
+    /** Records that the mark requested by {@link LeaseActions#storeWithdrawalMark} is stored. */
     public void onWithdrawalMarkStored() {
         withdrawalMarkStored = true;
     }
--- a/src/main/java/firstage/overload/BroadcastLoadShedding.java
+++ b/src/main/java/firstage/overload/BroadcastLoadShedding.java
@@ -21,7 +21,10 @@
     /** Time without a message after which a manager counts as dead. */
     private static final long PEER_TIMEOUT = Ticks.ofSeconds(3);
 
-    /** Thread utilization up to which a manager without waiting work sends nothing. */
+    /**
+     * Fraction of its equal share of the thread capacity up to which a manager without waiting work
+     * sends nothing.
+     */
     private static final double MIN_LOAD = 0.4;
 
     private final int self;
--- a/src/main/java/firstage/overload/LoadRow.java
+++ b/src/main/java/firstage/overload/LoadRow.java
@@ -6,9 +6,9 @@
  * @param managerHash hash of the manager's name
  * @param timestamp time by the manager's own clock ({@link LoadSheddingLevel#timestamp})
  * @param arrivalRates work that arrives in each priority band, in seconds of work a second
- * @param startRate work that is started, in seconds of work a second
- * @param queuedWork queued work, in seconds of work
- * @param runningThreads threads of engines in use
+ * @param startRate work that the manager starts, in seconds of work a second
+ * @param queuedWork work in the manager's queue, in seconds of work
+ * @param runningThreads number of engine threads that the manager uses
  * @param zone index of the manager's own zone
  * @param ejectedPercent by zone, the percentage of engines that are ejected, or a special value such
  *     as {@link firstage.failover.ZoneFailover#UNKNOWN}
--- a/src/main/java/firstage/overload/LoadSheddingLevel.java
+++ b/src/main/java/firstage/overload/LoadSheddingLevel.java
@@ -25,17 +25,17 @@
  * times as much if neither holds. The only state is smoothed rates, so a restarted manager agrees
  * with the others as soon as it has their rows.
  *
- * <p>Invariants: rows of others only make a manager refuse more than its own queue would; no row
- * counts for more than a few times the mean of the others; without fresh rows there is no
- * threshold. Times are in ticks, rates in seconds of expected work a second.
+ * <p>Invariants: rows of others only make a manager refuse more than it would because of its own
+ * queue; no row counts for more than a few times the mean of the others; without fresh rows there is
+ * no threshold. Times are in ticks, rates in seconds of expected work a second.
  */
 public final class LoadSheddingLevel {
     /** Time constant of the smoothed rates, in ticks: an overload shows within its first second. */
     private static final double SMOOTHING_TIME = 3_000;
 
     /**
-     * Time for which a received row counts: several probe rounds of a small fleet, and shorter than a
-     * restart.
+     * Time for which a received row counts: several probe rounds of a small fleet, and less than a
+     * restart takes.
      */
     private static final long ROW_LIFETIME = Ticks.ofSeconds(3);
 
@@ -57,7 +57,10 @@
     /** Fraction of the thread capacity in use above which the estimate is reduced. */
     private static final double UTILIZATION_THRESHOLD = 0.8;
 
-    /** Reduction of the estimate per unit of utilization above the threshold. */
+    /**
+     * Reduction of the estimate, relative to the start rate, per unit of utilization above the
+     * threshold.
+     */
     private static final double REDUCTION_PER_UTILIZATION = 1.5;
 
     /** Maximum weight of one row, as a multiple of the mean of the others. */
@@ -68,7 +71,10 @@
     /** Resolution of row timestamps in ticks; 32 bits last for more than a year. */
     private static final long TIMESTAMP_UNIT = Ticks.ofMillis(10);
 
-    /** Largest view for which each message carries all rows that fit; else rows go in turn. */
+    /**
+     * Maximum number of managers in the view for which a message carries all rows that fit; in larger
+     * views a message carries {@link #ROWS_PER_TURN} rows, in turn.
+     */
     private static final int MAX_VIEW_FOR_ALL_ROWS = 24;
 
     private static final int ROWS_PER_TURN = 6;
@@ -76,6 +82,8 @@
     /** Defects that tests inject one at a time, to prove that the checks detect them. */
     public enum InjectedDefect {
         NONE,
+
+        /** Rows of other managers are ignored. */
         NO_PEERS,
 
         /** Rows never expire. */
--- a/src/main/java/firstage/overload/OverloadDigest.java
+++ b/src/main/java/firstage/overload/OverloadDigest.java
@@ -30,8 +30,8 @@
     private static final int ROW_HEADER_BYTES = 18;
 
     /**
-     * Smallest encoded value other than 0: a thousandth of a core. With eight steps an octave a byte
-     * reaches four million.
+     * Smallest encoded value other than 0: a thousandth of a core. With eight steps per factor of two
+     * the largest value in a byte is almost four million.
      */
     private static final double SMALLEST_VALUE = 0.001;
 
--- a/src/main/java/firstage/overload/ProbeActions.java
+++ b/src/main/java/firstage/overload/ProbeActions.java
@@ -1,6 +1,6 @@
 package firstage.overload;
 
-/** Effects of the probe coordinator; an implementation must not call it. */
+/** Effects of the probe coordinator; an implementation must not call the coordinator. */
 public interface ProbeActions {
     /**
      * Sets whether this manager leaves the probing of an engine to other managers.
--- a/src/main/java/firstage/overload/ProbeCoordinator.java
+++ b/src/main/java/firstage/overload/ProbeCoordinator.java
@@ -38,7 +38,7 @@
     /** Lifetime of a report in probe rounds; in a round each manager hears every other. */
     private static final double REPORT_PROBE_ROUNDS = 1.5;
 
-    /** Interval between two probes of an engine by its owner, for a fleet of any size. */
+    /** Interval between two probes of an engine by its owner, regardless of the fleet size. */
     private static final long PROBE_INTERVAL = Ticks.ofSeconds(2);
 
     /** Time for which a response to this manager outweighs the reports of others. */
@@ -56,7 +56,7 @@
     /** Interval between two steps of the return, longer than a short request takes. */
     private static final long RETURN_STEP = Ticks.ofMillis(250);
 
-    /** Time after its step in which a manager relies on its own observations only. */
+    /** Time for which a manager relies only on its own observations after its step. */
     private static final long INDEPENDENT_AFTER_RETURN = Ticks.ofSeconds(5);
 
     /** Time for which a readmission is reported: longer than all steps of a large fleet. */
@@ -70,9 +70,17 @@
 
     private enum Event {
         PROBED_BY_OTHER,
+
+        /** This manager is the probe owner. */
         PROBE_OWNER,
+
+        /** The reports of others do not apply: this manager decides alone. */
         NOT_SHARED,
+
+        /** Another manager readmitted the engine. */
         READMITTED,
+
+        /** This manager's step of the return is due. */
         STEP_DUE
     }
 
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -59,17 +59,17 @@
  * of its own.
  */
 public final class MembershipTransport implements MembershipActions, CellActions {
-    /** Text of a request for this manager's status; answered only to this machine. */
+    /** Text of a request for this manager's status; answered only if it comes from this machine. */
     public static final String STATUS_REQUEST = "firstage view 1";
 
     /** Prefix of a zone order; the order and the name of the zone follow. */
     public static final String ZONE_ORDER_PREFIX = "firstage zone 1";
 
-    /** Answer to a zone order that is malformed or names an unknown zone. */
+    /** Answer to a zone order that is malformed or names an unknown order or zone. */
     public static final String ZONE_ORDER_REJECTED = "firstage zone 1 unknown";
 
     private static final Logger LOG = Logger.getLogger(MembershipTransport.class.getName());
-    private static final int TICK_MS = 20;
+    private static final int TICK_INTERVAL_MS = 20;
 
     /** Delay before the withdrawal mark is stored again after a disk error. */
     private static final int MARK_RETRY_MS = 1_000;
@@ -90,7 +90,7 @@
     private final FleetCoordinator fleetCoordinator;
     private final List<String> zoneNames;
 
-    /** Null if the fleet has no cells; the engine subset is null then, too. */
+    /** The cells of the fleet; null, like {@link #engineSubset}, if the fleet has no cells. */
     private final CellDirectory cells;
 
     private final EngineSubset<DiscoveredEndpoint> engineSubset;
@@ -228,8 +228,8 @@
     }
 
     /**
-     * Returns the endpoints of a watch event that this manager may use: all of them if the fleet has
-     * no cells.
+     * Returns those endpoints of a watch event that this manager may use; all of them if the fleet
+     * has no cells.
      */
     public List<DiscoveredEndpoint> usableEndpoints(
             EndpointUpdate.Kind kind, List<DiscoveredEndpoint> entries) {
@@ -240,7 +240,7 @@
 
     /**
      * Returns this manager's share of an engine's warm-up budget; 0 if the fleet has no cells, so that
-     * the share of the settings applies.
+     * the share from the settings applies.
      */
     public double warmUpShare(DiscoveredEndpoint endpoint) {
         return cells == null ? 0 : cells.warmUpShare(endpoint.id(), zoneName(endpoint.zone()));
@@ -269,7 +269,7 @@
             if (cells != null) {
                 cells.tick(clock.now());
             }
-            io.executeAfter(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
+            io.executeAfter(this::tick, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
