--- a/src/main/java/firstage/membership/FailureDetector.java
+++ b/src/main/java/firstage/membership/FailureDetector.java
@@ -85,7 +85,7 @@
         }
     }
 
-    /** The probe that an ack belongs to; {@code requester} is null for an own probe. */
+    /** The probe that an ack belongs to; {@code requester} is null if this manager sent it for itself. */
     record AnsweredProbe(long sentAt, String requester, long requesterSequence) {}
 
     private record Suspicion(long endsAt, String name) {}
--- a/src/main/java/firstage/membership/MembershipMessage.java
+++ b/src/main/java/firstage/membership/MembershipMessage.java
@@ -5,6 +5,8 @@
 /**
  * Contents of one datagram between managers.
  *
+ * @param target in a PING_REQUEST the member to ping, in an INDIRECT_ACK the member that answered; not
+ *     used in other kinds
  * @param lastHeardAgo ticks since the sender last heard the receiver, -1 for never; reveals a link
  *     that is broken in one direction
  * @param grantsQuota whether this ack grants the receiver its full share
--- a/src/main/java/firstage/membership/QuotaLeases.java
+++ b/src/main/java/firstage/membership/QuotaLeases.java
@@ -154,14 +154,14 @@
                 || defect == InjectedDefect.PREVIOUS_INCARNATION_FORGOTTEN;
     }
 
-    private PeerGrant peer(String name) {
+    private PeerGrant peerGrant(String name) {
         return peerGrants.computeIfAbsent(name, n -> new PeerGrant());
     }
 
     /** Records whether the membership considers another manager unreachable: dead or left. */
     public void setUnreachable(long now, String name, boolean unreachable) {
         recordStart(now);
-        peer(name).unreachable = unreachable;
+        peerGrant(name).unreachable = unreachable;
         share = -1;
     }
 
@@ -176,7 +176,7 @@
      */
     boolean grantTo(long now, String name) {
         recordStart(now);
-        PeerGrant peer = peer(name);
+        PeerGrant peer = peerGrant(name);
         boolean grants =
                 !peer.unreachable
                         && now - peer.withdrawnAt > withdrawalWait
--- a/src/main/java/firstage/overload/ProbeCoordinator.java
+++ b/src/main/java/firstage/overload/ProbeCoordinator.java
@@ -27,8 +27,8 @@
  */
 public final class ProbeCoordinator {
     /**
-     * Managers that must have ejected an engine before the engine counts as faulty, since one or two
-     * managers may share a broken link; a small fleet needs fewer.
+     * Number of managers that must have ejected an engine before the engine counts as faulty, since
+     * one or two managers may share a broken link; a small fleet needs fewer.
      */
     private static final int REPORTERS_NEEDED = 3;
 
@@ -59,7 +59,7 @@
     /** Time for which a manager relies only on its own observations after its step. */
     private static final long INDEPENDENT_AFTER_RETURN = Ticks.ofSeconds(5);
 
-    /** Time for which a readmission is reported: longer than all steps of a large fleet. */
+    /** Time for which a readmission is reported: longer than all steps take in a large fleet. */
     private static final long READMISSION_REPORTED_FOR = Ticks.ofSeconds(6);
 
     private enum State {
@@ -214,8 +214,8 @@
                                         true,
                                         Math.max(0, now - engineState.lastAttemptAt)));
                     } else if (now - readmittedAt < READMISSION_REPORTED_FOR) {
-                        // Managers that learned of a readmission report it, too: all managers know
-                        // it after a few rounds.
+                        // A manager that learned of a readmission from others reports it, too, so
+                        // that all managers know it after a few rounds.
                         reports.add(new EngineReport(engine, false, now - readmittedAt));
                     }
                 });
@@ -236,7 +236,7 @@
                 || defect == InjectedDefect.WORDS_NEVER_END;
     }
 
-    /** Decides on all unhealthy engines; to be called about every 100 ms. */
+    /** Decides who probes each unhealthy engine; to be called about every 100 ms. */
     public void evaluate(long now) {
         Set<Long> suspects = new HashSet<>();
         engines.forEach(
--- a/src/test/java/firstage/membership/QuotaLeasesTest.java
+++ b/src/test/java/firstage/membership/QuotaLeasesTest.java
@@ -20,8 +20,8 @@
     private static final long PERIOD = 2_000;
 
     /**
-     * Group of managers that consist of their leases only. Each has its own clock, which is fast or
-     * slow by up to a fortieth.
+     * Group of managers, each reduced to its leases and its own clock, which is fast or slow by up to
+     * 2.5 %.
      */
     private static final class LeaseGroup {
         private final int managerCount;
--- a/src/test/java/firstage/overload/LoadSheddingLevelTest.java
+++ b/src/test/java/firstage/overload/LoadSheddingLevelTest.java
@@ -21,9 +21,15 @@
 class LoadSheddingLevelTest {
     private static final long SECOND = 10_000;
     private static final long STEP = 1_000;
+
+    /** Capacity of the engines in seconds of work a second. */
     private static final double CAPACITY = 40;
+
+    /** Priority bands of the simulated work: low and high. */
     private static final int LOW = 12;
+
     private static final int HIGH = 20;
+
     private final RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(11);
     private final List<SheddingManager> managers = new ArrayList<>();
     private long now = 100 * SECOND;
@@ -261,8 +267,8 @@
     }
 
     /**
-     * If more rows exist than fit into a digest, each row must be sent in turn: otherwise the tables
-     * of a large fleet stay incomplete.
+     * If more rows exist than fit into a digest, they must be sent in turn: otherwise the tables of a
+     * large fleet stay incomplete.
      */
     @Test
     void rowsToSend_largeFleet_allByTurns() {
