--- a/src/main/java/firstage/overload/LoadSheddingLevel.java
+++ b/src/main/java/firstage/overload/LoadSheddingLevel.java
@@ -73,7 +73,7 @@
 
     /**
      * Maximum number of managers in the view for which a message carries all rows that fit; in larger
-     * views a message carries {@link #ROWS_PER_TURN} rows, in turn.
+     * views a message carries up to {@link #ROWS_PER_TURN} rows, in turn.
      */
     private static final int MAX_VIEW_FOR_ALL_ROWS = 24;
 
