--- a/src/main/java/firstage/overload/ProbeCoordinator.java
+++ b/src/main/java/firstage/overload/ProbeCoordinator.java
@@ -27,8 +27,8 @@
  */
 public final class ProbeCoordinator {
     /**
-     * Managers that must have ejected an engine before the engine counts as faulty, since one or two
-     * managers may share a broken link; a small fleet needs fewer.
+     * Number of managers that must have ejected an engine before the engine counts as faulty, since
+     * one or two managers may share a broken link; a small fleet needs fewer.
      */
     private static final int REPORTERS_NEEDED = 3;
 
@@ -38,7 +38,7 @@
     /** Lifetime of a report in probe rounds; in a round each manager hears every other. */
     private static final double REPORT_PROBE_ROUNDS = 1.5;
 
-    /** Interval between two probes of an engine by its owner, for a fleet of any size. */
+    /** Interval between two probes of an engine by its owner, regardless of the fleet size. */
     private static final long PROBE_INTERVAL = Ticks.ofSeconds(2);
 
     /** Time for which a response to this manager outweighs the reports of others. */
@@ -56,10 +56,10 @@
     /** Interval between two steps of the return, longer than a short request takes. */
     private static final long RETURN_STEP = Ticks.ofMillis(250);
 
-    /** Time after its step in which a manager relies on its own observations only. */
+    /** Time for which a manager relies only on its own observations after its step. */
     private static final long INDEPENDENT_AFTER_RETURN = Ticks.ofSeconds(5);
 
-    /** Time for which a readmission is reported: longer than all steps of a large fleet. */
+    /** Time for which a readmission is reported: longer than all steps take in a large fleet. */
     private static final long READMISSION_REPORTED_FOR = Ticks.ofSeconds(6);
 
     private enum State {
@@ -70,9 +70,17 @@
 
     private enum Event {
         PROBED_BY_OTHER,
+
+        /** This manager is the probe owner. */
         PROBE_OWNER,
+
+        /** The reports of others do not apply: this manager decides alone. */
         NOT_SHARED,
+
+        /** Another manager readmitted the engine. */
         READMITTED,
+
+        /** This manager's step of the return is due. */
         STEP_DUE
     }
 
@@ -206,8 +214,8 @@
                                         true,
                                         Math.max(0, now - engineState.lastAttemptAt)));
                     } else if (now - readmittedAt < READMISSION_REPORTED_FOR) {
-                        // Managers that learned of a readmission report it, too: all managers know
-                        // it after a few rounds.
+                        // A manager that learned of a readmission from others reports it, too, so
+                        // that all managers know it after a few rounds.
                         reports.add(new EngineReport(engine, false, now - readmittedAt));
                     }
                 });
@@ -228,7 +236,7 @@
                 || defect == InjectedDefect.WORDS_NEVER_END;
     }
 
-    /** Decides on all unhealthy engines; to be called about every 100 ms. */
+    /** Decides who probes each unhealthy engine; to be called about every 100 ms. */
     public void evaluate(long now) {
         Set<Long> suspects = new HashSet<>();
         engines.forEach(
