--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -270,7 +270,7 @@
         }
         double share = capacityShare();
         if (share < 1 && planRules.overloadMultiple() > 0 && state == State.UP) {
-            double sentWork = arrivedWork(p -> true);
+            double sentWork = arrivedWork(arrival -> true);
             double informedWork = arrivedWork(Arrival::managerKnewOfStart);
             if (sentWork
                     > planRules.overloadMultiple()
@@ -290,9 +290,9 @@
                                     Locale.ROOT,
                                     "%.0f%% of the work in the window came from manager"
                                         + " incarnations that had ended, %.0f%% from managers that"
-                                        + " knew of its start %d ms earlier",
+                                        + " knew of its start, %d ms earlier",
                                     100
-                                            * arrivedWork(p -> !p.attempt.listener.isSenderAlive())
+                                            * arrivedWork(arrival -> !arrival.attempt.listener.isSenderAlive())
                                             / sentWork,
                                     100 * informedWork / sentWork,
                                     (now - startedAt) / 10));
@@ -305,7 +305,7 @@
     private double arrivedWork(Predicate<Arrival> included) {
         return recentArrivals.stream()
                 .filter(included)
-                .mapToDouble(p -> p.attempt.trafficClass.work())
+                .mapToDouble(arrival -> arrival.attempt.trafficClass.work())
                 .sum();
     }
 
--- a/src/main/java/firstage/simulation/FaultTarget.java
+++ b/src/main/java/firstage/simulation/FaultTarget.java
@@ -46,7 +46,7 @@
             throw new IllegalArgumentException(
                     "'"
                             + text
-                            + "' is no target of a fault; write \"managers 1, 4\", \"engines 25%\", "
+                            + "' is not a fault target; write \"managers 1, 4\", \"engines 25%\", "
                             + "\"managers of "
                             + zones.get(0)
                             + "\" or \"engines\"");
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -264,14 +264,14 @@
 
     private void evaluateFleet(int ownIncarnation) {
         if (ownIncarnation == incarnation && up) {
-            for (int e : endpoints.keySet()) {
+            for (int engine : endpoints.keySet()) {
                 fleetCoordinator.updateEngine(
                         events.now(),
-                        plan.zoneOf(e),
-                        e,
-                        policy.isUnavailable(e),
-                        policy.lastAttemptAt(e),
-                        policy.lastResponseAt(e));
+                        plan.zoneOf(engine),
+                        engine,
+                        policy.isUnavailable(engine),
+                        policy.lastAttemptAt(engine),
+                        policy.lastResponseAt(engine));
             }
             fleetCoordinator.evaluate(events.now(), policy.demand(events.now()));
             events.schedule(EVALUATION_INTERVAL, () -> evaluateFleet(ownIncarnation));
--- a/src/main/java/firstage/simulation/PairedComparison.java
+++ b/src/main/java/firstage/simulation/PairedComparison.java
@@ -13,7 +13,7 @@
  */
 public final class PairedComparison {
     private static final double CONFIDENCE = 0.95;
-    private static final int MAX_RUNS = 100_000;
+    private static final int MAX_RUNS_NEEDED = 100_000;
 
     /**
      * The side that is better by a figure. {@code NONE}: the difference is not significant; {@code
@@ -110,7 +110,7 @@
                                 : mean > 0 == moreIsBetter(name) ? Verdict.RIGHT : Verdict.LEFT;
         double runsNeeded =
                 mean == 0
-                        ? MAX_RUNS
+                        ? MAX_RUNS_NEEDED
                         : Math.pow(quantile * differences.getStandardDeviation() / mean, 2);
         return new Row(
                 name,
@@ -121,7 +121,7 @@
                 verdict,
                 significant
                         ? runs
-                        : (int) Math.min(MAX_RUNS, Math.max(runs + 1, Math.ceil(runsNeeded))));
+                        : (int) Math.min(MAX_RUNS_NEEDED, Math.max(runs + 1, Math.ceil(runsNeeded))));
     }
 
     /**
--- a/src/main/java/firstage/simulation/Scoreboard.java
+++ b/src/main/java/firstage/simulation/Scoreboard.java
@@ -102,11 +102,11 @@
     /** Returns the figures of the run by name; the service as a whole comes first. */
     public Map<String, Double> figures() {
         double requestedWeight = 0;
-        double servedWeight = 0;
+        double earnedWeight = 0;
         double worstInterval = 1;
         for (int i = 0; i < requestedByInterval.length; i++) {
             requestedWeight += requestedByInterval[i];
-            servedWeight += earnedByInterval[i];
+            earnedWeight += earnedByInterval[i];
             // A last interval of less than half the length has too few requests to be the worst.
             worstInterval =
                     i == requestedByInterval.length - 1 && plan.length() % INTERVAL < INTERVAL / 2
@@ -130,12 +130,12 @@
                         + scoreWeights.worstTenant();
         figures.put(
                 "service",
-                (scoreWeights.wholeRun() * share(servedWeight, requestedWeight)
+                (scoreWeights.wholeRun() * share(earnedWeight, requestedWeight)
                                 + scoreWeights.worstSpan() * worstInterval
                                 + scoreWeights.worstTrafficClass() * worstTrafficClass
                                 + scoreWeights.worstTenant() * worstTenant)
                         / totalWeight);
-        figures.put("whole run", share(servedWeight, requestedWeight));
+        figures.put("whole run", share(earnedWeight, requestedWeight));
         figures.put("worst 10 s", worstInterval);
         figures.put("worst group", worstTrafficClass);
         figures.put("worst customer", worstTenant);
--- a/src/test/java/firstage/simulation/FleetSimulationTest.java
+++ b/src/test/java/firstage/simulation/FleetSimulationTest.java
@@ -29,7 +29,7 @@
         }
     }
 
-    private static List<SimulationResult> play(String planText, String choice, int runs, int firstSeed) {
+    private static List<SimulationResult> simulate(String planText, String choice, int runs, int firstSeed) {
         FleetPlan plan = FleetPlanReader.read(planText);
         return IntStream.range(0, runs)
                 .parallel()
@@ -39,9 +39,9 @@
 
     @Test
     void theSameSeedGivesTheSameResult() {
-        assertThat(play(shop(), "scheduler", 3, 1)).isEqualTo(play(shop(), "scheduler", 3, 1));
-        assertThat(play(shop(), "scheduler", 2, 1).get(0).figures())
-                .isNotEqualTo(play(shop(), "scheduler", 2, 1).get(1).figures());
+        assertThat(simulate(shop(), "scheduler", 3, 1)).isEqualTo(simulate(shop(), "scheduler", 3, 1));
+        assertThat(simulate(shop(), "scheduler", 2, 1).get(0).figures())
+                .isNotEqualTo(simulate(shop(), "scheduler", 2, 1).get(1).figures());
     }
 
     /**
@@ -55,7 +55,7 @@
     @Test
     void theSchedulerKeepsTheRulesThroughCrashes() {
         assertThat(crashes()).contains("crash").doesNotContain("restart");
-        assertThat(play(crashes(), "scheduler", 8, 1))
+        assertThat(simulate(crashes(), "scheduler", 8, 1))
                 .allSatisfy(r -> assertThat(r.violations()).isEmpty());
     }
 
@@ -63,7 +63,7 @@
     void aPolicyThatOverloadsColdEnginesHasNoVerdict() {
         PairedComparison comparison =
                 new PairedComparison(
-                        play(shop(), "scheduler", 4, 1), play(shop(), "two-choices", 4, 1));
+                        simulate(shop(), "scheduler", 4, 1), simulate(shop(), "two-choices", 4, 1));
         assertThat(comparison.verdict()).isEqualTo(PairedComparison.Verdict.BROKEN);
         assertThat(comparison.violations())
                 .anySatisfy(
@@ -78,7 +78,7 @@
      */
     @Test
     void aPolicyIsNotFoundBetterThanItself() {
-        List<SimulationResult> all = play(crashes(), "scheduler", 80, 100);
+        List<SimulationResult> all = simulate(crashes(), "scheduler", 80, 100);
         int differences = 0;
         for (int i = 0; i < 10; i++) {
             List<SimulationResult> left = all.subList(8 * i, 8 * i + 4);
@@ -109,7 +109,7 @@
                         .replaceAll("(?s)\\[\\[trouble\\]\\].*", "");
         PairedComparison comparison =
                 new PairedComparison(
-                        play(overload, "scheduler", 6, 1), play(overload, "random", 6, 1));
+                        simulate(overload, "scheduler", 6, 1), simulate(overload, "random", 6, 1));
         assertThat(comparison.verdict()).isEqualTo(PairedComparison.Verdict.LEFT);
     }
 
@@ -132,7 +132,7 @@
                         at = "3 s"
                         part = "50%"
                         """;
-        SimulationResult result = play(mass, "scheduler", 1, 1).get(0);
+        SimulationResult result = simulate(mass, "scheduler", 1, 1).get(0);
         assertThat(result.violations()).isEmpty();
         assertThat(result.requests()).isGreaterThan(3_000);
     }
@@ -156,7 +156,7 @@
             assertThat(plan.cells().cells().get(plan.cellOf(m)).zone())
                     .isEqualTo(plan.zones().get(plan.zoneOf(m)));
         }
-        SimulationResult result = play(cells(), "scheduler:peers", 1, 1).get(0);
+        SimulationResult result = simulate(cells(), "scheduler:peers", 1, 1).get(0);
         assertThat(result.violations()).isEmpty();
         assertThat(result.figures().get("service")).isGreaterThan(0.3);
     }
@@ -172,8 +172,8 @@
                 Files.readString(Path.of("deploy", "fleet", "cold-zone.toml"))
                         .replace("length = \"24 s\"", "length = \"9 s\"")
                         .replace("at = \"6 s\"", "at = \"2 s\"");
-        SimulationResult byCells = play(zone, "scheduler", 1, 1).get(0);
-        SimulationResult bySettings = play(zone, "scheduler:cold=settings", 1, 1).get(0);
+        SimulationResult byCells = simulate(zone, "scheduler", 1, 1).get(0);
+        SimulationResult bySettings = simulate(zone, "scheduler:cold=settings", 1, 1).get(0);
         assertThat(byCells.violations()).isEmpty();
         assertThat(byCells.figures().get("service")).isGreaterThan(0.9);
         assertThat(bySettings.figures().get("service")).isLessThan(0.6);
