--- a/src/main/java/firstage/simulation/ClientBehavior.java
+++ b/src/main/java/firstage/simulation/ClientBehavior.java
@@ -13,7 +13,6 @@
     /** Cumulative traffic weights of the managers: the upper bound of each manager's range. */
     private final double[] managerBounds;
 
-
     public ClientBehavior(FleetPlan plan, RandomGenerator random) {
         this.plan = plan;
         this.random = random;
--- a/src/main/java/firstage/simulation/DeploymentFactory.java
+++ b/src/main/java/firstage/simulation/DeploymentFactory.java
@@ -19,7 +19,7 @@
      * Returns the deployment of one manager.
      *
      * @param rank the manager's number, from 0
-     * @param capacityFactor factor on the cores and memory of engines that the deployment states
+     * @param capacityFactor factor by which the deployment overstates the cores and memory of engines
      */
     static Deployment of(FleetPlan plan, int rank, long seed, double capacityFactor) {
         List<TrafficClass> trafficClasses = new ArrayList<>();
--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -19,9 +19,10 @@
  *   <li>An attempt whose grant is below its need spills to disk, which costs further work.
  *   <li>An attempt whose grant exceeds the free memory waits in a queue.
  *   <li>Recently used table groups are warm and save I/O.
- *   <li>A table load blocks other loads of its table group, and the attempts that yield to loads.
- *   <li>A recently started engine is cold: it has a part of its capacity, and goes down when it is
- *       overloaded.
+ *   <li>A table load blocks the other loads of its table group, and the attempts on that group that
+ *       have to wait for loads.
+ *   <li>A recently started engine is cold: it has only a part of its capacity, and goes down when it
+ *       is overloaded.
  * </ul>
  */
 public final class EngineModel {
@@ -31,7 +32,10 @@
     /** Share of the time of all cores that counts as full capacity in the overload check. */
     private static final double BUSY_SHARE_AT_CAPACITY = 0.85;
 
-    /** Tolerance of the overload check for random variation of the work sent to a cold engine. */
+    /**
+     * Factor by which the work sent to a cold engine may exceed the limit of the overload check: a
+     * tolerance for random variation.
+     */
     private static final double OVERLOAD_TOLERANCE = 1.1;
 
     /**
@@ -54,7 +58,7 @@
         HANGING
     }
 
-    /** Callbacks about attempts; the listener adds the network delay on the way back. */
+    /** Callbacks about attempts; the listener adds the network delay of the way back. */
     public interface Listener {
         void onEnded(RunningAttempt attempt, AttemptOutcome outcome);
 
@@ -281,8 +285,8 @@
                             * planRules.overloadWindow()
                             * OVERLOAD_TOLERANCE) {
                 if (informedWork >= sentWork * MIN_SHARE_OF_INFORMED_MANAGERS) {
-                    // The report tells which managers sent the work: those killed in the meantime,
-                    // and those that knew of the start.
+                    // The report says how much of the work came from managers killed in the
+                    // meantime, and how much from managers that knew of the start.
                     rules.onColdEngineOverloaded(
                             number,
                             now,
--- a/src/main/java/firstage/simulation/EventQueue.java
+++ b/src/main/java/firstage/simulation/EventQueue.java
@@ -10,9 +10,10 @@
  *
  * <p>The queue is a timing wheel of three levels with 1,024 slots each (a slot spans one tick in
  * the first level, 0.1 s in the second and 105 s in the third) and a bit for each filled slot.
- * Scheduling thus costs the same for any number of events, and empty time costs next to
- * nothing. Most events of a fleet are due within a few seconds and are run, for which a heap would
- * pay its logarithmic cost twice. Events that are due in more than 30 hours wait in a list.
+ * Scheduling thus costs the same for any number of events, and empty time costs next to nothing.
+ * Most events of a fleet are due within a few seconds and do run: a heap would pay its logarithmic
+ * cost twice for each, to add and to remove it. Events that are due in more than 30 hours wait in a
+ * list.
  */
 public final class EventQueue {
     private static final int SLOT_BITS = 10;
@@ -111,8 +112,8 @@
     }
 
     /**
-     * Runs all events that are due by {@code until}, then moves the time there; returns the number
-     * of events that ran.
+     * Runs all events that are due by {@code until}, then sets the time to it; returns the number of
+     * events that ran.
      */
     public long runUntil(long until) {
         long executed = 0;
--- a/src/main/java/firstage/simulation/FaultTarget.java
+++ b/src/main/java/firstage/simulation/FaultTarget.java
@@ -85,7 +85,7 @@
         return engines;
     }
 
-    /** Returns the numbers of the managers or engines of the plan; draws those of a share. */
+    /** Returns the numbers of the affected managers or engines; those of a share are drawn. */
     public List<Integer> among(FleetPlan plan, RandomGenerator random) {
         int count = engines ? plan.engines().count() : plan.managers().count();
         List<Integer> candidates =
--- a/src/main/java/firstage/simulation/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -41,8 +41,9 @@
      * @param target for cuts, loss and delay, the other end of the links, else null
      * @param oneWay whether only the direction from {@code source} to {@code target} is affected
      * @param size the strength, as the kind defines it
-     * @param interval if above 0, the fault repeats at this interval until the end of the plan: on
-     *     links as before, else on the next one of the affected managers or engines
+     * @param interval if above 0, faults of managers hit one of the affected managers after another
+     *     at this interval until the end of the plan, and faults of links start again this long after
+     *     they end; other kinds of faults, and simulations, ignore the interval
      */
     public record Fault(
             int line,
@@ -159,7 +160,7 @@
      * @param threadsPerCoreKnee threads per core beyond which throughput falls
      * @param thrashing the cost of further threads: throughput is divided by 1 + thrashing *
      *     (threads / threads at the knee - 1)
-     * @param disks I/O capacity per core: ticks of I/O in a tick
+     * @param disks I/O capacity per core, in ticks of I/O work per tick
      * @param spillCost additional work of a request that gets no memory, as a multiple of its work
      * @param sessions attempts that an engine accepts at a time
      * @param warmTableGroups table groups that stay warm, the most recently used ones
@@ -203,7 +204,15 @@
             double deadlineShareOfTry,
             double retryAfterHonouredShare) {}
 
-    /** The figures of the rules on drains, cold engines and ordering keys. */
+    /**
+     * The limits of the rules on drains, cold engines and ordering keys.
+     *
+     * @param drainGrace time for which an engine may get statements after its drain was announced
+     * @param overloadMultiple multiple of its present capacity at which a cold engine is overloaded;
+     *     0 for never
+     * @param overloadWindow time over which the work sent to a cold engine is summed up
+     * @param keyQuietPeriod pause of a key after an attempt that may still run
+     */
     public record Rules(
             long drainGrace, double overloadMultiple, long overloadWindow, long keyQuietPeriod) {}
 
@@ -221,11 +230,16 @@
      * @param work the mean work of a request
      * @param workSpread standard deviation of the logarithm of the work
      * @param ioShare share of the work that is I/O
+     * @param memoryMb the median memory need of a request
+     * @param latencyObjectivePerWork addition to the latency objective, as a multiple of the work
+     *     per thread
+     * @param lateValueShare share of the priority weight that a late answer earns
      * @param blockedByTableLoads whether requests wait while their table group is loaded
      * @param badPlanShare share of requests that run with a bad execution plan, at a multiple of
      *     their work
      * @param estimateFactor the median of the ratio of estimated to true work
-     * @param estimateScatter standard deviation of the logarithm of the estimates
+     * @param estimateScatter standard deviation of the logarithm of the ratio of estimated to true
+     *     work or memory
      */
     public record TrafficClassPlan(
             String name,
@@ -253,7 +267,7 @@
     public record TenantPlan(String name, double share) {}
 
     /**
-     * The traffic over all managers.
+     * The traffic to all managers of the plan.
      *
      * @param shape the name of the {@link TrafficShape}
      * @param rate mean requests per second
--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -19,16 +19,19 @@
  * with the same seed get the same traffic, engines and faults.
  */
 public final class FleetSimulation implements ManagerModel.ClientActions {
-    /** Start of a run; above 0, which stands for "long ago" in the models. */
+    /** Time at which a run starts, in ticks; above 0, which stands for "long ago" in the models. */
     private static final long START = 1_000_000;
 
-    /** Time for which a run goes on after the last possible deadline, to answer all requests. */
+    /** Time from the last possible deadline to the end of a run, for late answers: 1 s. */
     private static final long COOL_DOWN = 10_000;
 
+    /** Time for which an engine drains before it is replaced: 3 s. */
     private static final long DRAIN_DURATION = 30_000;
+
+    /** Time from the end of a drained engine to the start of its replacement: 2 s. */
     private static final long DOWN_DURATION = 20_000;
 
-    /** How many times later the endpoint list reports a silent engine than a dead one. */
+    /** Factor by which the endpoint list reports a silent engine later than a dead one. */
     private static final int SILENCE_DETECTION_FACTOR = 3;
 
     private final FleetPlan plan;
@@ -47,7 +50,9 @@
     /** Number of announcements of the endpoint list about each engine. */
     private final int[] endpointVersions;
 
+    /** Active disturbances that make requests more expensive. */
     private final List<Disturbance> expensiveWork = new ArrayList<>();
+
     private double trafficFactor = 1;
     private long sentToFaultyEngines;
     private double faultyEngineSeconds;
@@ -133,8 +138,9 @@
     }
 
     /**
-     * Exchanges digests between each manager and a random other manager of its cell, as the probes
-     * of the membership protocol and their answers do, and schedules the next exchange.
+     * Updates each manager's view of its cell, exchanges digests between it and a random other
+     * manager of the cell, as the probes of the membership protocol and their answers do, and
+     * schedules the next round.
      */
     private void gossip(RandomGenerator random) {
         for (List<ManagerModel> cell : managersByCell) {
@@ -360,8 +366,8 @@
     }
 
     /**
-     * Puts an engine into this state for {@code length}, then starts it again, and announces both
-     * changes; the first one with {@code delayFactor} times the usual discovery delay.
+     * Puts an engine into this state for {@code length}, then starts it again. Announces both
+     * changes, the first one with {@code delayFactor} times the usual discovery delay.
      */
     private void takeDown(
             int engine, EngineModel.State state, long length, int delayFactor, RandomGenerator random) {
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -27,12 +27,13 @@
  * policy receives estimates and observations, never the true cost of a request.
  */
 final class ManagerModel implements PolicyActions {
+    /** Time until a connection that is not established, or a probe without answer, fails: 250 ms. */
     private static final long CONNECT_TIMEOUT = 2_500;
 
-    /** Time between two probes of the membership protocol, which carry the digests. */
+    /** Time between two probes of the membership protocol, which carry the digests: 200 ms. */
     static final long GOSSIP_PERIOD = 2_000;
 
-    /** Time between two evaluations by the fleet coordinator. */
+    /** Time between two evaluations by the fleet coordinator: 100 ms. */
     private static final long EVALUATION_INTERVAL = 1_000;
 
     /** Callbacks with the outcomes of tries, for the clients. */
@@ -43,7 +44,7 @@
 
         void onFailed(TrueRequest request);
 
-        /** Counts an attempt sent to an engine that is down, silent or hanging. */
+        /** Called for each attempt that is sent to an engine that is down, silent or hanging. */
         void onSentToFaultyEngine();
     }
 
@@ -156,7 +157,7 @@
     private final ClientActions clientListener;
     private final RandomGenerator random;
 
-    /** Null where all managers use all engines. */
+    /** Plan of the cells; null where all managers use all engines. */
     private final CellPlan cells;
 
     private SchedulingPolicy policy;
@@ -280,7 +281,7 @@
 
     /**
      * Sends this manager's digest to another one, with a network delay. Nothing is sent while this
-     * manager is down, or received while the other one is.
+     * manager is down, and nothing is received while the other one is.
      */
     void sendDigest(ManagerModel other) {
         if (fleetCoordinator != null && up) {
@@ -295,14 +296,14 @@
         }
     }
 
-    /** Sets the names of the managers that are up. */
+    /** Passes the names of the managers that are up to the fleet coordinator. */
     void onViewChanged(List<String> names) {
         if (fleetCoordinator != null) {
             fleetCoordinator.onViewChanged(names);
         }
     }
 
-    /** Kills the manager: its clients have to ask again, its attempts go on at the engines. */
+    /** Kills the manager: its open requests fail, and its attempts go on at the engines. */
     void kill() {
         List<RuleChecker.ClientTry> unansweredTries = new ArrayList<>();
         for (OpenRequest openRequest : openRequests) {
@@ -320,7 +321,7 @@
                 .forEach(openRequest -> clientListener.onFailed(openRequest.clientTry.request));
     }
 
-    /** Sets a delay of the load reports, in addition to that of the network. */
+    /** Sets a delay of the load reports in ticks, in addition to that of the network. */
     void loadReportDelay(long delay) {
         extraReportDelay = delay;
     }
@@ -372,6 +373,10 @@
         scheduleActions();
     }
 
+    /**
+     * Ends the attempts in flight, and fails the request if the policy has not answered it 10 ms
+     * later.
+     */
     private void onDeadline(OpenRequest openRequest, int ownIncarnation) {
         if (ownIncarnation != incarnation) {
             return;
@@ -420,8 +425,8 @@
     }
 
     /**
-     * Returns a hash of the engine that is the same at every manager and does not reveal the
-     * engine's number.
+     * Returns a hash of the engine that is the same at every manager, and whose order is unrelated to
+     * that of the engines' numbers.
      */
     private static long stableHash(int engine) {
         return (engine + 1) * 2_654_435_761L & 0xFFFFFFFFL;
--- a/src/main/java/firstage/simulation/PairedComparison.java
+++ b/src/main/java/firstage/simulation/PairedComparison.java
@@ -13,6 +13,8 @@
  */
 public final class PairedComparison {
     private static final double CONFIDENCE = 0.95;
+
+    /** Highest estimate of the runs that are needed for a verdict. */
     private static final int MAX_RUNS_NEEDED = 100_000;
 
     /**
@@ -125,8 +127,8 @@
     }
 
     /**
-     * Returns whether higher values of a figure are better, as for shares of priority weight; lower
-     * ones are for latencies, rejections, errors, late answers and attempts sent to faulty engines.
+     * Returns whether higher values of a figure are better: true for shares of priority weight, false
+     * for latencies, rejections, errors, late answers and attempts sent to faulty engines.
      */
     public static boolean moreIsBetter(String name) {
         return !name.contains(" ms ")
@@ -152,7 +154,7 @@
         return runs;
     }
 
-    /** Returns the verdict by the first figure, the service as a whole. */
+    /** Returns the verdict on the first figure, the service as a whole. */
     public Verdict verdict() {
         return violations.isEmpty() ? rows.get(0).verdict() : Verdict.BROKEN;
     }
--- a/src/main/java/firstage/simulation/RandomStreams.java
+++ b/src/main/java/firstage/simulation/RandomStreams.java
@@ -27,7 +27,7 @@
         return stream(kind, number).nextLong();
     }
 
-    /** Applies the finalizer of SplitMix64: each input bit changes half of the output bits. */
+    /** Applies the finalizer of SplitMix64: each input bit changes about half of the output bits. */
     private static long mix(long z) {
         long a = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
         long b = (a ^ a >>> 27) * 0x94D049BB133111EBL;
--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -13,7 +13,8 @@
  * managers, engines and clients, and never reads the state of a manager. The rules that it checks:
  *
  * <ol>
- *   <li>Each try is answered once and in time.
+ *   <li>Each try is answered once and in time. No attempt of it starts after its answer or after its
+ *       client left, or has a later deadline than the client's.
  *   <li>A non-idempotent request is sent again, or rejected, only if no earlier attempt can have
  *       run. A request with an idempotency key is sent again only within its idempotency window.
  *   <li>No statement goes to an engine after the grace period that follows the announcement of its
@@ -26,7 +27,7 @@
  * <p>Rules 6 (placement) and 7 (retry budget) are not checked: fleet files have no keys for them.
  */
 public final class RuleChecker {
-    /** Tolerance for late answers of simulated managers. */
+    /** Tolerance for late answers of simulated managers, in ticks (20 ms). */
     private static final long ANSWER_SLACK = 200;
 
     /** Tolerance for an attempt that starts after its client left. */
@@ -85,12 +86,12 @@
             return leftAt >= 0;
         }
 
-        /** Returns whether an attempt of this try reached an engine. */
+        /** Returns whether an attempt of this try was recorded. */
         public boolean attempted() {
             return attempted;
         }
 
-        /** Allows the answer to be this many ticks later, because the manager was paused. */
+        /** Allows the answer to be {@code delay} ticks later, because the manager was paused. */
         public void allowPause(long delay) {
             extraAnswerSlack = Math.max(extraAnswerSlack, delay);
         }
@@ -133,11 +134,11 @@
     }
 
     /**
-     * Creates a checker for observers outside the managers.
+     * Creates a checker of managers that are observed from outside their processes.
      *
      * @param answerSlack tolerance for late answers, in ticks
-     * @param observationDelay the time by which statements and answers may be observed late, in
-     *     ticks
+     * @param observationDelay longest time from the sending of a statement or an answer until it is
+     *     observed, in ticks; 0 if both are observed as they are sent
      */
     public RuleChecker(FleetPlan plan, long answerSlack, long observationDelay) {
         this.plan = plan;
@@ -168,7 +169,7 @@
         }
     }
 
-    /** Records that the endpoint list reported the last start of an engine to this manager. */
+    /** Records the start time of an engine that the endpoint list reported to this manager. */
     public void onEngineStartTold(int manager, int engine, long startedAt) {
         engineStartsByManager.get(manager).merge(engine, startedAt, Math::max);
     }
@@ -201,10 +202,11 @@
     }
 
     /**
-     * Records that an attempt arrived at an engine.
+     * Records an attempt, when it is sent (in simulations) or when it arrives at its engine (in
+     * fault tests).
      *
-     * @param delayed whether the network may have held the statement back: {@code now} is then the
-     *     time of its arrival, and the time at which it was sent is unknown
+     * @param delayed whether the network may have held the statement back, so that the time at which
+     *     it was sent is unknown
      */
     public void onAttemptSent(long now, ClientTry clientTry, int engine, boolean delayed) {
         Effect effect = plan.trafficClasses().get(clientTry.request.trafficClass).effect();
@@ -274,7 +276,7 @@
     }
 
     /**
-     * Checks the times of an attempt, where they are known.
+     * Checks the start and the deadline of an attempt, for observers that know them.
      *
      * @param beganAt the earliest time at which the attempt can have started
      * @param deadline the deadline that the engine received
@@ -355,7 +357,7 @@
         }
     }
 
-    /** Checks that the try was answered, after its deadline and the tolerance have passed. */
+    /** Checks that the try was answered; called once its deadline and the tolerance have passed. */
     public void onDeadlinePassed(long now, ClientTry clientTry) {
         if (clientTry.answers == 0 && !clientTry.abandoned && clientTry.leftAt < 0) {
             recordViolation(now, 1, clientTry, "was never answered");
--- a/src/main/java/firstage/simulation/Scoreboard.java
+++ b/src/main/java/firstage/simulation/Scoreboard.java
@@ -9,11 +9,12 @@
 /**
  * The service of a run so far: the priority weight earned by answers, over the priority weight of
  * all requests. An answer within the latency objective earns the whole weight of its request, a
- * late one the late value of the traffic class; a request counts once, with all its tries. The
- * share is computed for the whole run, its worst 10 s, and the traffic class and the tenant that
- * are served worst; the service as a whole is their weighted mean.
+ * late one the late value of the traffic class, and one after the deadline nothing; a request counts
+ * once, with all its tries. The share is computed for the whole run, its worst 10 s, and the traffic
+ * class and the tenant that are served worst; the service as a whole is their weighted mean.
  */
 public final class Scoreboard {
+    /** Length of the intervals of which the worst is reported: 10 s. */
     private static final long INTERVAL = 100_000;
 
     /** Highest latency that the histograms record, 1 hour; higher ones are recorded as this one. */
--- a/src/main/java/firstage/simulation/TomlSection.java
+++ b/src/main/java/firstage/simulation/TomlSection.java
@@ -12,7 +12,7 @@
 
 /**
  * A table of a TOML file with typed access to its values. It remembers the keys that were read, so
- * that unknown keys can be refused.
+ * that unknown keys can be refused. Keys without a default value (null) are required.
  */
 public final class TomlSection {
     private static final Pattern VALUE_WITH_UNIT =
@@ -139,11 +139,13 @@
         return range;
     }
 
+    /** Returns a duration in ticks. */
     public long duration(String key, String defaultValue) {
         Object value = value(key, defaultValue, "\"5 s\"");
         return Math.round(number(key, value, TICKS_BY_UNIT, "\"5 s\", \"200 ms\", \"2 min\" or \"1 h\""));
     }
 
+    /** Returns a range of durations in ticks. */
     Range durationRange(String key, String defaultValue) {
         return range(key, value(key, defaultValue, "\"1 s to 3 s\""), TICKS_BY_UNIT, "\"1 s to 3 s\"");
     }
--- a/src/main/java/firstage/simulation/TrafficShape.java
+++ b/src/main/java/firstage/simulation/TrafficShape.java
@@ -33,7 +33,7 @@
             return Math.max(0.1, 1 + swing * (2.2 * beforeDawn + 2.6 * afterSunset - 0.9 * noon));
         }
     },
-    /** Traffic that rises over the run, as reports do over a month, and peaks in the last tenth. */
+    /** Traffic of reports, which rises over the run as over a month and peaks in its last tenth. */
     MONTH_END("month-end") {
         @Override
         double factor(double at, double swing) {
--- a/src/main/java/firstage/simulation/TrafficSource.java
+++ b/src/main/java/firstage/simulation/TrafficSource.java
@@ -12,7 +12,10 @@
     private final TrafficShape shape;
     private final RandomGenerator random;
 
-    /** Cumulative shares, from which an index is drawn; likewise below. */
+    /**
+     * Cumulative shares of the traffic classes, from which {@link #drawIndex} draws an index; the
+     * other arrays serve the same purpose for tenants, ordering keys and table groups.
+     */
     private final double[] trafficClassBounds;
 
     private final double[] tenantBounds;
--- a/src/test/java/firstage/simulation/FleetSimulationTest.java
+++ b/src/test/java/firstage/simulation/FleetSimulationTest.java
@@ -162,9 +162,9 @@
     }
 
     /**
-     * All engines of a zone of a large fleet are cold. The zone serves on if engines are warmed up
-     * by the shares of the cells, and hardly by the share of the settings, which is one manager's
-     * of the whole fleet.
+     * All engines of a zone of a large fleet become cold. The zone keeps most of its service if
+     * engines are warmed up by the shares of the cells, and loses much of it if they are warmed up by
+     * the share of the settings, which is that of one manager of the whole fleet.
      */
     @Test
     void aColdZoneOfALargeFleetIsWarmedUpByItsCells() throws IOException {
