--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -354,6 +354,7 @@
         rules.onAccepted(openRequest.clientTry);
         int ownIncarnation = incarnation;
         events.schedule(deadline - events.now(), () -> onDeadline(openRequest, ownIncarnation));
+        // The checker's tolerance for late answers is over by then.
         events.schedule(
                 deadline - events.now() + 250,
                 () -> rules.onDeadlinePassed(events.now(), openRequest.clientTry));
--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -161,8 +161,8 @@
         }
     }
 
-    public void onEndpointUpdate(long now, int manager, int engine, boolean up) {
-        if (up) {
+    public void onEndpointUpdate(long now, int manager, int engine, boolean active) {
+        if (active) {
             drainsByManager.get(manager).remove(engine);
         } else {
             drainsByManager.get(manager).putIfAbsent(engine, now);
