--- a/src/main/java/firstage/simulation/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -103,8 +103,8 @@
      * The managers.
      *
      * @param count the number of managers that the plan runs
-     * @param fleetSize the number of managers of the whole fleet by the settings, at least {@code
-     *     count}
+     * @param fleetSize the number of managers of the whole fleet according to the settings, at least
+     *     {@code count}
      * @param cellSize managers in a cell; 0 where all managers use all engines
      * @param spread the number of cells that serve an engine
      * @param trafficSkew how far the managers' shares of the traffic differ; 0: not at all
--- a/src/main/java/firstage/simulation/PairedComparison.java
+++ b/src/main/java/firstage/simulation/PairedComparison.java
@@ -14,7 +14,7 @@
 public final class PairedComparison {
     private static final double CONFIDENCE = 0.95;
 
-    /** Highest estimate of the runs that are needed for a verdict. */
+    /** Highest estimate of the runs that are needed for a significant difference. */
     private static final int MAX_RUNS_NEEDED = 100_000;
 
     /**
@@ -35,8 +35,8 @@
      * @param right the mean of the right side
      * @param difference the mean of right minus left
      * @param halfInterval half the width of the confidence interval around {@code difference}
-     * @param runsNeeded the runs that would probably be needed for a verdict; with a verdict, the
-     *     runs made
+     * @param runsNeeded the runs that would probably be needed for a significant difference; the
+     *     runs made if it is significant
      */
     public record Row(
             String figure,
@@ -143,8 +143,8 @@
     }
 
     /**
-     * Returns the first violation of each run that broke a rule. A comparison with violations has
-     * no verdict.
+     * Returns the first violation of each run that broke a rule. With violations, all verdicts of
+     * the comparison are {@link Verdict#BROKEN}.
      */
     public List<String> violations() {
         return violations;
--- a/src/test/java/firstage/simulation/FleetSimulationTest.java
+++ b/src/test/java/firstage/simulation/FleetSimulationTest.java
@@ -74,7 +74,7 @@
 
     /**
      * Compares runs of one policy on different seeds as if they were of two policies. At a
-     * confidence of 95% one comparison of twenty finds a difference by chance.
+     * confidence of 95% about one comparison in twenty finds a difference by chance.
      */
     @Test
     void aPolicyIsNotFoundBetterThanItself() {
