--- a/src/main/java/firstage/simulation/PairedComparison.java
+++ b/src/main/java/firstage/simulation/PairedComparison.java
@@ -13,7 +13,9 @@
  */
 public final class PairedComparison {
     private static final double CONFIDENCE = 0.95;
-    private static final int MAX_RUNS = 100_000;
+
+    /** Highest estimate of the runs that are needed for a significant difference. */
+    private static final int MAX_RUNS_NEEDED = 100_000;
 
     /**
      * The side that is better by a figure. {@code NONE}: the difference is not significant; {@code
@@ -33,8 +35,8 @@
      * @param right the mean of the right side
      * @param difference the mean of right minus left
      * @param halfInterval half the width of the confidence interval around {@code difference}
-     * @param runsNeeded the runs that would probably be needed for a verdict; with a verdict, the
-     *     runs made
+     * @param runsNeeded the runs that would probably be needed for a significant difference; the
+     *     runs made if it is significant
      */
     public record Row(
             String figure,
@@ -110,7 +112,7 @@
                                 : mean > 0 == moreIsBetter(name) ? Verdict.RIGHT : Verdict.LEFT;
         double runsNeeded =
                 mean == 0
-                        ? MAX_RUNS
+                        ? MAX_RUNS_NEEDED
                         : Math.pow(quantile * differences.getStandardDeviation() / mean, 2);
         return new Row(
                 name,
@@ -121,12 +123,12 @@
                 verdict,
                 significant
                         ? runs
-                        : (int) Math.min(MAX_RUNS, Math.max(runs + 1, Math.ceil(runsNeeded))));
+                        : (int) Math.min(MAX_RUNS_NEEDED, Math.max(runs + 1, Math.ceil(runsNeeded))));
     }
 
     /**
-     * Returns whether higher values of a figure are better, as for shares of priority weight; lower
-     * ones are for latencies, rejections, errors, late answers and attempts sent to faulty engines.
+     * Returns whether higher values of a figure are better: true for shares of priority weight, false
+     * for latencies, rejections, errors, late answers and attempts sent to faulty engines.
      */
     public static boolean moreIsBetter(String name) {
         return !name.contains(" ms ")
@@ -141,8 +143,8 @@
     }
 
     /**
-     * Returns the first violation of each run that broke a rule. A comparison with violations has
-     * no verdict.
+     * Returns the first violation of each run that broke a rule. With violations, all verdicts of
+     * the comparison are {@link Verdict#BROKEN}.
      */
     public List<String> violations() {
         return violations;
@@ -152,7 +154,7 @@
         return runs;
     }
 
-    /** Returns the verdict by the first figure, the service as a whole. */
+    /** Returns the verdict on the first figure, the service as a whole. */
     public Verdict verdict() {
         return violations.isEmpty() ? rows.get(0).verdict() : Verdict.BROKEN;
     }
--- a/src/main/java/firstage/simulation/Scoreboard.java
+++ b/src/main/java/firstage/simulation/Scoreboard.java
@@ -9,11 +9,12 @@
 /**
  * The service of a run so far: the priority weight earned by answers, over the priority weight of
  * all requests. An answer within the latency objective earns the whole weight of its request, a
- * late one the late value of the traffic class; a request counts once, with all its tries. The
- * share is computed for the whole run, its worst 10 s, and the traffic class and the tenant that
- * are served worst; the service as a whole is their weighted mean.
+ * late one the late value of the traffic class, and one after the deadline nothing; a request counts
+ * once, with all its tries. The share is computed for the whole run, its worst 10 s, and the traffic
+ * class and the tenant that are served worst; the service as a whole is their weighted mean.
  */
 public final class Scoreboard {
+    /** Length of the intervals of which the worst is reported: 10 s. */
     private static final long INTERVAL = 100_000;
 
     /** Highest latency that the histograms record, 1 hour; higher ones are recorded as this one. */
@@ -102,11 +103,11 @@
     /** Returns the figures of the run by name; the service as a whole comes first. */
     public Map<String, Double> figures() {
         double requestedWeight = 0;
-        double servedWeight = 0;
+        double earnedWeight = 0;
         double worstInterval = 1;
         for (int i = 0; i < requestedByInterval.length; i++) {
             requestedWeight += requestedByInterval[i];
-            servedWeight += earnedByInterval[i];
+            earnedWeight += earnedByInterval[i];
             // A last interval of less than half the length has too few requests to be the worst.
             worstInterval =
                     i == requestedByInterval.length - 1 && plan.length() % INTERVAL < INTERVAL / 2
@@ -130,12 +131,12 @@
                         + scoreWeights.worstTenant();
         figures.put(
                 "service",
-                (scoreWeights.wholeRun() * share(servedWeight, requestedWeight)
+                (scoreWeights.wholeRun() * share(earnedWeight, requestedWeight)
                                 + scoreWeights.worstSpan() * worstInterval
                                 + scoreWeights.worstTrafficClass() * worstTrafficClass
                                 + scoreWeights.worstTenant() * worstTenant)
                         / totalWeight);
-        figures.put("whole run", share(servedWeight, requestedWeight));
+        figures.put("whole run", share(earnedWeight, requestedWeight));
         figures.put("worst 10 s", worstInterval);
         figures.put("worst group", worstTrafficClass);
         figures.put("worst customer", worstTenant);
