--- a/src/main/java/firstage/faulttest/LoopbackAddresses.java
+++ b/src/main/java/firstage/faulttest/LoopbackAddresses.java
@@ -42,8 +42,8 @@
                         + (lastFailure == null ? "" : lastFailure.getMessage()));
     }
 
-    private InetSocketAddress address(int second, int third, int fourth) {
-        return new InetSocketAddress("127." + second + "." + third + "." + fourth, port);
+    private InetSocketAddress address(int octet2, int octet3, int octet4) {
+        return new InetSocketAddress("127." + octet2 + "." + octet3 + "." + octet4, port);
     }
 
     /** Returns the address on which a manager listens for clients. */
--- a/src/main/java/firstage/faulttest/RunRecorder.java
+++ b/src/main/java/firstage/faulttest/RunRecorder.java
@@ -73,8 +73,8 @@
             out.writeEndObject();
             out.flush();
             timeline.write('\n');
-        } catch (IOException fault) {
-            throw new UncheckedIOException(fault);
+        } catch (IOException failure) {
+            throw new UncheckedIOException(failure);
         }
     }
 
@@ -149,13 +149,13 @@
                 calls, folder.resolve("calls.png").toString(), BitmapEncoder.BitmapFormat.PNG);
     }
 
-    private static XYChart chart(String title, String y) {
+    private static XYChart chart(String title, String yAxisTitle) {
         return new XYChartBuilder()
                 .width(CHART_WIDTH)
                 .height(CHART_HEIGHT)
                 .title(title + " (engines simulated)")
                 .xAxisTitle("second")
-                .yAxisTitle(y)
+                .yAxisTitle(yAxisTitle)
                 .build();
     }
 
--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -304,10 +304,10 @@
 
     @Override
     public void awaitEnd() {
-        long until = System.nanoTime() + CLIENT_TIMEOUT_MS * 1_000_000L;
+        long deadlineNs = System.nanoTime() + CLIENT_TIMEOUT_MS * 1_000_000L;
         for (Thread thread : List.copyOf(threads)) {
             try {
-                thread.join(Math.max(1, (until - System.nanoTime()) / 1_000_000));
+                thread.join(Math.max(1, (deadlineNs - System.nanoTime()) / 1_000_000));
             } catch (InterruptedException interrupted) {
                 Thread.currentThread().interrupt();
             }
--- a/src/test/java/firstage/soak/SoakClient.java
+++ b/src/test/java/firstage/soak/SoakClient.java
@@ -122,8 +122,8 @@
             return departure == Departure.STAYS
                     ? awaitAnswer(connectionReused)
                     : pollUntilLeaving(departure);
-        } catch (IOException fault) {
-            return onBroken(connectionReused, fault);
+        } catch (IOException failure) {
+            return onBroken(connectionReused, failure);
         }
     }
 
@@ -184,7 +184,7 @@
         try {
             socket.setSoTimeout((int) remainingMs);
             return HttpMessage.read(socket.getInputStream());
-        } catch (SocketTimeoutException nothing) {
+        } catch (SocketTimeoutException timedOut) {
             return null;
         }
     }
@@ -327,7 +327,7 @@
      * Handles a connection that ended without an answer. That is a violation unless the manager
      * ended, the client had left or has a path to poll, or the close crossed the request.
      */
-    private boolean onBroken(boolean connectionReused, IOException fault) {
+    private boolean onBroken(boolean connectionReused, IOException failure) {
         boolean crossed =
                 connectionReused
                         && Ticks.toMillis(environment.now() - sentAt) <= CROSSING_MS
@@ -338,7 +338,7 @@
             // The client leaves or sends its request again elsewhere: this try must not run.
             environment.left(clientTry, script.departure(), environment.now());
         } else {
-            environment.violation(clientTry, "closed without an answer: " + fault);
+            environment.violation(clientTry, "closed without an answer: " + failure);
         }
         return false;
     }
