--- a/src/main/java/firstage/faulttest/EngineFaults.java
+++ b/src/main/java/firstage/faulttest/EngineFaults.java
@@ -68,7 +68,8 @@
     /**
      * Makes a manager's coordinator send nothing for {@code ticks}.
      *
-     * @throws IllegalArgumentException if that is longer than an endpoint update may be delayed
+     * @throws IllegalArgumentException if {@code ticks} exceeds the 7 s by which an endpoint update
+     *     may be delayed
      */
     void silenceCoordinator(int manager, long ticks) {
         if (ticks > MAX_SILENCE) {
--- a/src/main/java/firstage/faulttest/FaultTestExtension.java
+++ b/src/main/java/firstage/faulttest/FaultTestExtension.java
@@ -14,7 +14,10 @@
     /** An extension that adds nothing to the plan. */
     FaultTestExtension NONE = new FaultTestExtension() {};
 
-    /** The running test as its extension sees it; called on the loop's thread. */
+    /**
+     * The running test as its extension sees it. Methods that change the run must be called on the
+     * loop's thread.
+     */
     interface RunningTest {
         FleetPlan plan();
 
@@ -56,7 +59,10 @@
     /** Called on the loop's thread when traffic begins. */
     default void begin(RunningTest test) {}
 
-    /** Returns the client try with this id, or null if the extension has none; loop's thread. */
+    /**
+     * Returns the client try with this id, or null if the extension has none. Called on the loop's
+     * thread.
+     */
     default ClientTry tryById(String id) {
         return null;
     }
--- a/src/main/java/firstage/faulttest/LoopbackAddresses.java
+++ b/src/main/java/firstage/faulttest/LoopbackAddresses.java
@@ -70,7 +70,7 @@
         return address(FIRST_PROXIED_NETWORK + manager, 1 + engine / 250, 1 + engine % 250);
     }
 
-    /** Returns the proxy's address at which a manager reaches another. */
+    /** Returns the proxy's address at which a manager reaches a peer's gossip address. */
     InetSocketAddress peerSeenBy(int manager, int peer) {
         return address(FIRST_PROXIED_NETWORK + manager, 9, 1 + peer);
     }
--- a/src/main/java/firstage/faulttest/ManagerConfigWriter.java
+++ b/src/main/java/firstage/faulttest/ManagerConfigWriter.java
@@ -285,7 +285,10 @@
         Files.write(file, lines);
     }
 
-    /** Returns the addresses at which a manager reaches those of a cell, quoted, with commas. */
+    /**
+     * Returns the gossip addresses at which a manager reaches the managers of a cell, quoted and
+     * separated by commas.
+     */
     private static String hostList(
             FleetPlan plan, LoopbackAddresses addresses, int manager, int cell) {
         return IntStream.range(0, plan.managers().count())
--- a/src/main/java/firstage/faulttest/ManagerController.java
+++ b/src/main/java/firstage/faulttest/ManagerController.java
@@ -39,7 +39,7 @@
     private final List<String> unexpectedEnds = new ArrayList<>();
 
     /**
-     * Creates a controller of processes that run already.
+     * Creates a controller of processes that are already running.
      *
      * @param blockingTasks runs tasks that wait for a process
      */
@@ -117,7 +117,8 @@
         // A manager that is already ending is restarted only once.
         if (processes.isAlive(manager) && !endExpected[manager]) {
             endExpected[manager] = true;
-            // Reported before the kill: its connections may break before this thread continues.
+            // Reported before the kill: the manager's connections may break before this thread
+            // continues.
             generator.onManagerKilled(manager);
             extension.onManagerEnding(manager, true);
             processes.kill(manager);
@@ -236,7 +237,7 @@
         }
     }
 
-    /** Returns descriptions of unexpected ends of processes and of actions that failed. */
+    /** Returns descriptions of unexpected ends of processes and of failed actions. */
     List<String> unexpectedEnds() {
         return unexpectedEnds;
     }
--- a/src/main/java/firstage/faulttest/ManagerProcesses.java
+++ b/src/main/java/firstage/faulttest/ManagerProcesses.java
@@ -250,7 +250,7 @@
         return processes.get(manager) != null && processes.get(manager).isAlive();
     }
 
-    /** Returns how often a manager was started. */
+    /** Returns the number of times that a manager was started. */
     int incarnation(int manager) {
         return incarnations.get(manager);
     }
--- a/src/main/java/firstage/faulttest/NetworkLinks.java
+++ b/src/main/java/firstage/faulttest/NetworkLinks.java
@@ -85,7 +85,10 @@
         }
     }
 
-    /** Returns the proxy's longest delay within the last quarter of a second, in ticks. */
+    /**
+     * Returns the longest duration of a round of the proxy's loop in the last quarter of a second,
+     * in ticks.
+     */
     long recentLateness() {
         return proxy.recentLateness();
     }
--- a/src/main/java/firstage/faulttest/ResultEvaluator.java
+++ b/src/main/java/firstage/faulttest/ResultEvaluator.java
@@ -18,7 +18,10 @@
     /** Limit of the loop's lateness (99th percentile); a run that exceeds it is void. */
     private static final double MAX_LATENESS_99TH_MS = 25;
 
-    /** Share of its requested priority weight that a second earns to count as recovered. */
+    /**
+     * Least earned share of the priority weight requested in a second for the second to count as
+     * recovered.
+     */
     private static final double RECOVERED_SHARE = 0.9;
 
     private static final int RECOVERED_SECONDS = 3;
@@ -153,8 +156,8 @@
     }
 
     /**
-     * Returns the seconds from the last fault's end until three seconds in a row each earn nine
-     * tenths of their requested weight; -1 if they never do, 0 if fewer than three seconds remain.
+     * Returns the seconds from the last fault's end until three consecutive seconds are recovered;
+     * -1 if that never happens, 0 if fewer than three seconds remain.
      */
     private double recoverySeconds() {
         long lastFaultEnd = 0;
--- a/src/main/java/firstage/faulttest/RunClock.java
+++ b/src/main/java/firstage/faulttest/RunClock.java
@@ -2,7 +2,7 @@
 
 import firstage.emulator.RealTimeLoop;
 
-/** Measures the time since a run's traffic began, in ticks; far below zero before that. */
+/** Measures the ticks since a run's traffic began; a large negative number before then. */
 final class RunClock {
     private final RealTimeLoop loop;
     private long startedAt = Long.MAX_VALUE / 2;
--- a/src/test/java/firstage/faulttest/FaultTestIT.java
+++ b/src/test/java/firstage/faulttest/FaultTestIT.java
@@ -20,7 +20,7 @@
  * Runs several processes of the packaged program with injected faults. Checks the rules, unexpected
  * ends of processes and what members log about each other, but no figure that depends on the
  * machine's load. A run is void if its emulators were too late; the test then prints the reason and
- * checks the rules nevertheless.
+ * still checks the rules.
  */
 @Timeout(120)
 class FaultTestIT {
--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -50,7 +50,13 @@
 
     private static final int REQUEST_MEMORY_MB = 200;
 
-    /** Result of the soak of a seed. */
+    /**
+     * Result of the soak of a seed.
+     *
+     * @param faults numbers of injected faults and of failed system calls, by kind
+     * @param refusedSends number of sends that managers refused, by their logs
+     * @param staleSends number of log lines that report sends on stale knowledge
+     */
     record Report(
             long seed,
             FaultTestResult result,
--- a/src/test/java/firstage/soak/SoakClient.java
+++ b/src/test/java/firstage/soak/SoakClient.java
@@ -12,8 +12,8 @@
 import java.util.Locale;
 
 /**
- * Runs one client script on sockets of its own. The client reports times that it took itself: when
- * the last byte of its request was written, and a time by which it had left.
+ * Runs one client script on sockets of its own. The times that the client reports are measured by
+ * itself: when the last byte of its request was written, and a time by which it had left.
  */
 final class SoakClient implements Runnable {
     private static final int CONNECT_TIMEOUT_MS = 2_000;
@@ -23,7 +23,7 @@
 
     /**
      * Time after the sending of a request on an idle connection within which the manager may close
-     * the connection because it has not seen the request yet; the client then sends it again.
+     * the connection because it has not seen the request yet, which is no violation.
      */
     private static final long CROSSING_MS = 50;
 
@@ -72,10 +72,14 @@
     private int requestCount;
     private Socket socket;
     private ClientTry clientTry;
+
+    /** Path at which the current request is polled; null until the manager gives one. */
     private String path;
+
+    /** Time at which the current request was sent, in ticks. */
     private long sentAt;
 
-    /** Time just before the first connection was opened. */
+    /** Time just before the first connection was opened, in ticks. */
     private long connectedAt;
 
     /** Deadline of the current request, in ticks. */
@@ -289,7 +293,8 @@
         if (departure == Departure.DELETES_ON_NEW_CONNECTION
                 || departure == Departure.DELETES_ON_SAME_CONNECTION
                 || departure == Departure.HALF_CLOSES) {
-            // Stays connected, so that only the DELETE or the half-close shows that it left.
+            // The client stays connected, so that only the DELETE or the half-close shows that it
+            // left.
             sleep(VANISHED_FOR_MS / 2);
         }
     }
@@ -324,8 +329,9 @@
     }
 
     /**
-     * Handles a connection that ended without an answer. That is a violation unless the manager
-     * ended, the client had left or has a path to poll, or the close crossed the request.
+     * Handles a connection that ended without an answer. The missing answer is a violation unless
+     * the manager ended, the client had left or has a path to poll, or the manager closed the idle
+     * connection while the request was on its way.
      */
     private boolean onBroken(boolean connectionReused, IOException failure) {
         boolean crossed =
@@ -335,7 +341,7 @@
         if (environment.endedSince(script.manager(), connectedAt)) {
             environment.notAccepted(clientTry);
         } else if (clientTry.hasLeft() || path != null || crossed) {
-            // The client leaves or sends its request again elsewhere: this try must not run.
+            // A real client leaves or sends its request again elsewhere: this try must not run.
             environment.left(clientTry, script.departure(), environment.now());
         } else {
             environment.violation(clientTry, "closed without an answer: " + failure);
--- a/src/test/java/firstage/soak/SoakPlan.java
+++ b/src/test/java/firstage/soak/SoakPlan.java
@@ -10,8 +10,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Everything that is drawn from a seed: the fleet and its faults as a plan of the fault tests, and
- * in addition clients, failing system calls, series of signals and silent coordinators.
+ * Plan of the soak of one seed: a fault-test plan with fleet, traffic and faults, and in addition
+ * clients and faults that such plans don't support. Faults and clients are drawn from the seed.
  *
  * @param text text of the plan
  * @param extraFaults faults in addition to the plan's
@@ -68,7 +68,7 @@
     static SoakPlan draw(long seed, int managers) {
         RandomGenerator random = new RandomStreams(seed).stream("soak", 0);
         StringBuilder text = new StringBuilder(fleet(managers));
-        // Manager, start in ms and length in ms of each pause.
+        // Each pause as manager, start in ms and length in ms.
         List<long[]> pauses = new ArrayList<>();
         int faults = MAX_FAULTS / 2 + random.nextInt(MAX_FAULTS / 2);
         for (int i = 0; i < faults; i++) {
@@ -86,7 +86,10 @@
                 text.toString(), FleetPlanReader.read(text.toString()), clients, extraFaults);
     }
 
-    /** Draws a client: half of them leave during a pause of their manager, the others any time. */
+    /**
+     * Draws a client. About half of the clients are meant to leave during a pause of their manager,
+     * or up to 20 ms after it; the others may leave at any time.
+     */
     private static ClientScript client(
             RandomGenerator random, int number, int managers, List<long[]> pauses) {
         if (pauses.isEmpty() || random.nextBoolean()) {
