--- a/src/main/java/firstage/faulttest/LoopbackAddresses.java
+++ b/src/main/java/firstage/faulttest/LoopbackAddresses.java
@@ -42,8 +42,8 @@
                         + (lastFailure == null ? "" : lastFailure.getMessage()));
     }
 
-    private InetSocketAddress address(int second, int third, int fourth) {
-        return new InetSocketAddress("127." + second + "." + third + "." + fourth, port);
+    private InetSocketAddress address(int octet2, int octet3, int octet4) {
+        return new InetSocketAddress("127." + octet2 + "." + octet3 + "." + octet4, port);
     }
 
     /** Returns the address on which a manager listens for clients. */
@@ -70,7 +70,7 @@
         return address(FIRST_PROXIED_NETWORK + manager, 1 + engine / 250, 1 + engine % 250);
     }
 
-    /** Returns the proxy's address at which a manager reaches another. */
+    /** Returns the proxy's address at which a manager reaches a peer's gossip address. */
     InetSocketAddress peerSeenBy(int manager, int peer) {
         return address(FIRST_PROXIED_NETWORK + manager, 9, 1 + peer);
     }
--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -50,7 +50,13 @@
 
     private static final int REQUEST_MEMORY_MB = 200;
 
-    /** Result of the soak of a seed. */
+    /**
+     * Result of the soak of a seed.
+     *
+     * @param faults numbers of injected faults and of failed system calls, by kind
+     * @param refusedSends number of sends that managers refused, by their logs
+     * @param staleSends number of log lines that report sends on stale knowledge
+     */
     record Report(
             long seed,
             FaultTestResult result,
@@ -304,10 +310,10 @@
 
     @Override
     public void awaitEnd() {
-        long until = System.nanoTime() + CLIENT_TIMEOUT_MS * 1_000_000L;
+        long deadlineNs = System.nanoTime() + CLIENT_TIMEOUT_MS * 1_000_000L;
         for (Thread thread : List.copyOf(threads)) {
             try {
-                thread.join(Math.max(1, (until - System.nanoTime()) / 1_000_000));
+                thread.join(Math.max(1, (deadlineNs - System.nanoTime()) / 1_000_000));
             } catch (InterruptedException interrupted) {
                 Thread.currentThread().interrupt();
             }
