--- a/src/main/java/firstage/scale/DecisionCost.java
+++ b/src/main/java/firstage/scale/DecisionCost.java
@@ -28,7 +28,7 @@
 public final class DecisionCost implements PolicyActions {
     private static final long SECOND = 10_000;
 
-    /** Time between requests: 462 a second, the load of one manager expected in two years. */
+    /** Time between requests. In two years, a manager is expected to receive 462 a second. */
     private static final long REQUEST_INTERVAL = SECOND / 462;
 
     private static final long WORK = 2_000;
@@ -38,7 +38,7 @@
     private static final double MEMORY_MB = 16_000;
     private final WorkloadScheduler scheduler;
 
-    /** Running attempts: end time, request id and engine id of each, by end time. */
+    /** End time, request id and engine id of each running attempt, in the order of end times. */
     private final ArrayDeque<long[]> running = new ArrayDeque<>();
 
     private long now = 100 * SECOND;
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Measures the cost for a number of engines and returns the figures by name: microseconds,
-     * attempts, and rejections or failures a request.
+     * Measures the cost for a number of engines. Returns the figures by name: microseconds, attempts,
+     * and rejections or failures per request.
      */
     public static Map<String, Double> play(int engines, int managers) {
         DecisionCost run = new DecisionCost(engines, managers);
--- a/src/main/java/firstage/scale/EmulatedWatches.java
+++ b/src/main/java/firstage/scale/EmulatedWatches.java
@@ -29,7 +29,7 @@
     private static final long HEARTBEAT_INTERVAL_MS = 1_000;
     private static final int ACCEPT_BACKLOG = 4_096;
 
-    /** A manager's connection. */
+    /** A watch: the connection of one manager. */
     private static final class Watch {
         /** Subscription that the manager sends first: the number of the last event that it knows. */
         private final ByteBuffer subscription = ByteBuffer.allocate(Long.BYTES);
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Sends a change of an engine to all watches. The start time of the engine is the current time,
-     * from which a receiver computes the delay of the event.
+     * Sends a change of an engine to all watches. The event gives the current time as the start time
+     * of the engine, so that a receiver can compute the delay of the event.
      */
     void tell(int id, int zone) {
         ByteBuffer frame = ByteBuffer.allocate(4 + HEADER_BYTES + RECORD_BYTES);
--- a/src/main/java/firstage/scale/HollowEngines.java
+++ b/src/main/java/firstage/scale/HollowEngines.java
@@ -98,7 +98,10 @@
         }
     }
 
-    /** Answers with the row of a statement, or with status 202 if it does not end in the hold time. */
+    /**
+     * Answers with the row of a statement, with status 202 if the statement does not end within the
+     * hold time, or with status 500 if the statement is unknown.
+     */
     private static void answerWhenDone(HttpServerExchange exchange, Long endMs) {
         long remainingMs = endMs == null ? 0 : endMs - nowMs();
         if (endMs == null) {
--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -45,15 +45,18 @@
     /** Number of priority bands over which the simulated demand is spread. */
     private static final int PRIORITY_BANDS = 4;
 
-    /** Work that arrives and starts in each tick, in ticks on one thread. */
+    /** Simulated work that arrives and starts in each tick, in ticks on one thread. */
     private static final double WORK_PER_TICK = 460;
 
     private static final int EVALUATION_INTERVAL = 1_000;
 
-    /** Size of an engine's record in an event of the endpoint list, and offsets of its fields. */
+    /** Size of an engine's record in an event of the endpoint list. */
     private static final int RECORD_BYTES = 27;
 
+    /** Offset of the zone in a record, in bytes. */
     private static final int ZONE_OFFSET = 11;
+
+    /** Offset of the start time in a record, in bytes; the value is a Unix time in ms. */
     private static final int STARTED_AT_OFFSET = 19;
 
     /** Receives the events of a hollow manager while it runs. */
@@ -107,7 +110,7 @@
     /** Time in ticks at which {@link #tick} is to be called next. */
     long tickAt;
 
-    /** Bytes sent, by the ordinal of the message's kind; the last entry is for datagrams of cells. */
+    /** Bytes sent, by the ordinal of the message kind; the last entry is for the cell directory. */
     final long[] bytesOut = new long[MembershipMessage.Kind.values().length + 1];
     long datagramsOut;
     long bytesIn;
@@ -213,7 +216,7 @@
 
                             @Override
                             public void logZoneState(int changedZone, String state) {
-                                // Nothing is measured about zones.
+                                // The states of zones are not measured.
                             }
                         },
                         (now, band, part) -> {},
@@ -258,7 +261,7 @@
         nextEvaluation = tickAt;
     }
 
-    /** Sets the engines that a configuration file would name, with the run's ids and zones. */
+    /** Sets the usable engines to those of the plan, as a configuration file would name them. */
     private void loadConfiguredEngines() {
         usableEngines = new HashSet<>();
         for (int i = 0; i < plan.engines(); i++) {
@@ -266,7 +269,7 @@
         }
     }
 
-    /** Adds the engines that this manager's cell may use. */
+    /** Adds those of the engines that this manager's cell may use. */
     private void addUsable(List<ListedEngine> entries) {
         (engineSubset == null ? entries : engineSubset.filter(false, entries)).forEach(engine -> usableEngines.add(engine.id));
     }
@@ -419,7 +422,7 @@
 
     @Override
     public void logMemberEvent(long now, String event, String member, String reason) {
-        // The views are observed instead.
+        // The observer receives views, not events of members.
     }
 
     @Override
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -28,7 +28,7 @@
 /**
  * Runs a few hundred hollow managers in one process, all on one thread. The worker reads orders from
  * standard input, one a line, and writes a line of JSON with its figures to standard output each
- * second. It ends when standard input ends. Times are ticks unless their name says ms.
+ * second. The process ends when standard input ends. Times are ticks unless their name says ms.
  */
 public final class HollowWorker implements HollowManager.Witness {
     private static final long TICK_INTERVAL = 200;
@@ -64,7 +64,7 @@
     private final Map<HollowManager, Long> startTimes = new LinkedHashMap<>();
     private final List<Milestone> milestones = new ArrayList<>();
 
-    /** Delays since the last report, in ms and by label. */
+    /** Delays recorded since the last report, in ms, by label. */
     private final Map<String, List<Long>> delaysByLabel = new TreeMap<>();
 
     private final Queue<String> orders = new ConcurrentLinkedQueue<>();
@@ -107,7 +107,7 @@
                 .runLoop();
     }
 
-    /** Returns the time in ticks; the process starts at 1,000 s. */
+    /** Returns the time in ticks; the clock of the process starts at 1,000 s. */
     private long now() {
         return 10_000_000 + (System.nanoTime() - startNs) / 100_000;
     }
@@ -185,7 +185,7 @@
                 Random random = new Random(managers.keySet().iterator().next());
                 managers.values()
                         .forEach(m -> startTimes.put(m, now() + (long) (random.nextDouble() * START_WINDOW)));
-                await(
+                addMilestone(
                         "one view",
                         Long.parseLong(order[1]),
                         -1,
@@ -196,19 +196,19 @@
             case "start" ->
                     forEach(order[1], m -> startTimes.put(m, now() + Long.parseLong(order[2]) * 10));
             case "gone" ->
-                    await(
+                    addMilestone(
                             order[1],
                             Long.parseLong(order[4]),
                             Integer.parseInt(order[2]),
                             names -> !names.contains(order[3]));
             case "back" ->
-                    await(
+                    addMilestone(
                             order[1],
                             Long.parseLong(order[4]),
                             Integer.parseInt(order[2]),
                             names -> names.contains(order[3]));
             case "whole" ->
-                    await(
+                    addMilestone(
                             order[1],
                             Long.parseLong(order[2]),
                             -1,
@@ -237,12 +237,12 @@
     }
 
     /**
-     * Records for each manager how long it takes to meet a condition.
+     * Starts to record how long each manager takes until its view meets a condition.
      *
      * @param sinceMs Unix time from which the delays count
-     * @param cell the cell whose managers are observed; -1 for all managers
+     * @param cell cell whose managers are observed; -1 for all managers
      */
-    private void await(String label, long sinceMs, int cell, Predicate<List<String>> condition) {
+    private void addMilestone(String label, long sinceMs, int cell, Predicate<List<String>> condition) {
         Milestone milestone = new Milestone(label, sinceMs, condition);
         managers.values().stream()
                 .filter(m -> cell < 0 || plan.cellOf(m.number) == cell)
@@ -280,7 +280,7 @@
         }
     }
 
-    /** Writes a line of figures and starts the next period of delays. */
+    /** Writes a line of figures and clears the delays that it contains. */
     private void writeReport() throws IOException {
         StringWriter line = new StringWriter();
         var operatingSystem =
--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -125,7 +125,10 @@
         return process.isAlive();
     }
 
-    /** Returns the last line that is not a report; empty if there is none. */
+    /**
+     * Returns the last line that is not a report, or the message of a failed read; empty if there is
+     * neither.
+     */
     String lastWords() {
         return lastMessage;
     }
--- a/src/main/java/firstage/scale/LoadClients.java
+++ b/src/main/java/firstage/scale/LoadClients.java
@@ -31,10 +31,10 @@
 /**
  * Clients of one manager that send statements at a given rate over connections that stay open. A
  * connection has one call at a time. As the protocol requires, a connection is idle for 4 s at
- * most, and a client that receives the path of a poll follows it at once.
+ * most, and a client that receives the path of a poll sends the poll at once.
  */
 final class LoadClients implements AutoCloseable {
-    /** Longest idle time of a connection, in seconds; a client closes a connection after that. */
+    /** Longest idle time of a connection, in seconds; clients close one that is idle for longer. */
     static final double MOST_REST_S = 4;
 
     private static final int DEADLINE_MS = 4_000;
@@ -140,8 +140,8 @@
     }
 
     /**
-     * Returns the delays of the clients' thread, in us. Latencies that a late thread measures
-     * include its own delay and prove nothing about the manager.
+     * Returns the delays of the clients' thread, in us. If they are long, the measured latencies
+     * contain them and say nothing about the manager.
      */
     Histogram late() {
         return threadDelays;
@@ -269,7 +269,7 @@
             new StringReadChannelListener(buffers) {
                 @Override
                 protected void stringDone(String text) {
-                    // The exchange ends when this method returns; the next call must follow it.
+                    // The next call must start after the exchange, which ends on return from here.
                     ioThread.execute(
                             () -> {
                                 try {
--- a/src/main/java/firstage/scale/ScaleAddresses.java
+++ b/src/main/java/firstage/scale/ScaleAddresses.java
@@ -7,10 +7,13 @@
  * addresses of the same form.
  */
 record ScaleAddresses(int port) {
-    /** Managers with the same third octet in a fleet without cells; a cell has its own otherwise. */
+    /**
+     * Number of managers that share a third octet in a fleet without cells. In a fleet with cells,
+     * the managers of a cell share one.
+     */
     private static final int MANAGERS_PER_ROW = 200;
 
-    /** Values of the third octet for one value of the second octet. */
+    /** Number of values of the third octet for each value of the second octet. */
     private static final int ROWS_PER_SECOND_OCTET = 250;
 
     private InetSocketAddress address(int secondOctet, int thirdOctet, int fourthOctet) {
--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -16,13 +16,13 @@
  * are ticks.
  *
  * @param settle time from the start of the managers to the first measurement
- * @param length time after the loads until the end of the run; the events happen in it
+ * @param length time from the end of the loads to the end of the run, in which the events happen
  * @param hollow number of hollow managers
  * @param real number of real managers
  * @param cell managers in a cell; 0 for a fleet without cells
  * @param spread number of cells that share an engine
  * @param engines number of engines
- * @param inAProcess managers in a hollow process
+ * @param inAProcess maximum number of managers in a hollow process
  * @param period probe period of the membership protocol
  */
 public record ScalePlan(
@@ -44,20 +44,20 @@
      *
      * @param rate statements a second over all connections
      * @param length ticks for which the load is measured
-     * @param counted whether the load goes into the slopes; false for a load that only warms up the
-     *     program
+     * @param counted whether the slopes are fitted to the load; false for a load that only warms up
+     *     the program
      */
     public record Load(int connections, double rate, long length, boolean counted) {}
 
     /**
      * An event of the run.
      *
-     * @param at ticks from the end of the loads
+     * @param at time from the end of the loads, in ticks
      * @param line line of the event in the plan, for error messages
      */
     public record Event(Kind kind, long at, int line) {}
 
-    /** Kinds of events, all at hollow managers only. A plan names them in lower case. */
+    /** Kinds of events. Only hollow managers are killed or restarted. Plans use lower case. */
     public enum Kind {
         /** Kills one manager. */
         KILL,
@@ -82,7 +82,7 @@
     private static final double MAX_RATE = 10_000;
 
     /**
-     * Returns the plan in the text.
+     * Reads a plan from its TOML text.
      *
      * @throws InvalidPlanException if the plan is not valid; the message names the line, the fault
      *     and a valid value
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -40,7 +40,10 @@
 
     private static final int MAX_PROCESSES = 300;
 
-    /** Memory of a hollow process without its managers; a rough upper estimate, as all sizes. */
+    /**
+     * Memory of a hollow process without its managers. As the other sizes below, this is a rough
+     * upper estimate.
+     */
     private static final double HOLLOW_PROCESS_MB = 90;
 
     private static final double HOLLOW_MANAGER_MB = 0.5;
@@ -51,8 +54,8 @@
     private static final double REAL_MANAGER_MB = 110;
 
     /**
-     * 99th percentile of the tick delay of hollow managers above which a phase is void. The
-     * membership regards a manager that pauses for 400 ms as stopped.
+     * Limit on the 99th percentile of the tick delay of hollow managers; the figures of a phase over
+     * the limit are void. The membership regards a manager that pauses for 400 ms as stopped.
      */
     private static final double MAX_TICK_DELAY_MS = 100;
 
@@ -74,14 +77,14 @@
     private static final double HIGH_PERCENTILE = 99;
 
     /**
-     * Service time of a statement at a hollow engine. It is below the 28.7 ms that each statement
-     * has on an engine with eight cores at 279 statements a second.
+     * Service time of a statement at a hollow engine. An engine with eight cores can give each
+     * statement up to 28.7 ms at 279 statements a second; the service time is below that.
      */
     private static final long STATEMENT_MS = 20;
 
     private static final long LOAD_RAMP_MS = 4_000;
 
-    /** Fewest loads that give the two slopes of the processor time with their standard errors. */
+    /** Smallest number of loads that the fit of two slopes with standard errors needs. */
     private static final int MIN_LOADS_FOR_SLOPES = 4;
 
     private static final int BASE_SOCKETS = 1_024;
@@ -125,7 +128,7 @@
     /**
      * The outcome of a run.
      *
-     * @param isVoid why some figures are void, or null if all count
+     * @param isVoid reason why some figures are void, or null if all figures are valid
      */
     public record Result(Map<String, Double> figures, String isVoid) {}
 
@@ -140,8 +143,8 @@
     private final Map<String, Double> figures = new LinkedHashMap<>();
 
     /**
-     * Index of the first report line of each phase, by the phase's name and in order. The figures
-     * of a phase are void if its hollow managers ticked too late.
+     * Index of the first report line of each phase, by the name of the phase and in the order of the
+     * phases. The figures of a phase are void if hollow managers ticked too late in it.
      */
     private final Map<String, Integer> phases = new LinkedHashMap<>();
 
@@ -217,7 +220,7 @@
         }
     }
 
-    /** Plays a run to its end. All processes that it started have ended when it returns. */
+    /** Plays a run to its end. All processes of the run have ended when the method returns. */
     public static Result play(Order parameters) throws IOException {
         check(parameters.plan);
         try (ScaleRun run = new ScaleRun(parameters)) {
@@ -256,8 +259,9 @@
     }
 
     /**
-     * Records the tick delay of each phase and marks the figures of late phases as void. Returns
-     * which phases were late, or null if none was.
+     * Records the tick delay of each phase, and marks the figures of a phase as void if its delay is
+     * above {@link #MAX_TICK_DELAY_MS}. Returns a message that names the late phases, or null if
+     * there are none.
      */
     private String voidLatePhases() {
         List<String> latePhases = new ArrayList<>();
@@ -488,8 +492,8 @@
     }
 
     /**
-     * Plays the loads on the first real manager one after another, then fits what a statement and a
-     * connection cost it.
+     * Plays the loads on the first real manager one after another, then fits the manager's cost of a
+     * statement and of a connection.
      */
     private void playLoads() throws IOException {
         if (plan.loads().isEmpty()) {
@@ -683,12 +687,15 @@
         return hollowProcesses.stream().mapToDouble(h -> h.last().figure(name)).sum();
     }
 
-    /** Returns the number of seconds that all hollow processes have reported. */
+    /** Returns the number of reports, one a second, that every hollow process has written. */
     private int completeSeconds() {
         return hollowProcesses.stream().mapToInt(HollowWorkerProcess::told).min().orElse(0);
     }
 
-    /** Returns the largest increase of a counter in one second, as a mean over hollow managers. */
+    /**
+     * Returns the largest increase of a counter in one second, from {@code firstSecond} on, as a mean
+     * over the hollow managers.
+     */
     private double worstSecondPerManager(String name, int firstSecond) {
         double worst = 0;
         for (int second = Math.max(1, firstSecond); second < completeSeconds(); second++) {
@@ -702,8 +709,8 @@
     }
 
     /**
-     * Returns the largest tick delay of a hollow process in ms: the 99th percentile of each second
-     * from {@code firstSecond} until before {@code endSecond}, at least of one second.
+     * Returns the largest 99th percentile of the tick delay, in ms, that a hollow process reported
+     * from {@code firstSecond} until before {@code endSecond}; at least one second is considered.
      */
     private double tickDelayMs(int firstSecond, int endSecond) {
         return hollowProcesses.stream()
@@ -761,7 +768,7 @@
         writeSeconds();
     }
 
-    /** Writes the table of seconds, summed over the hollow managers, and its chart. */
+    /** Writes the figures of each second, summed over the hollow processes, and their chart. */
     private void writeSeconds() throws IOException {
         Map<String, ToDoubleFunction<HollowWorkerProcess.Line>> columns = new LinkedHashMap<>();
         for (String name :
--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -18,9 +18,9 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * Measures what control costs a manager by the size of the fleet. A simulation in virtual time gives
- * a row of figures for each size, and a fit gives the slope of each figure against the number of
- * managers, with its error. All figures are simulated. Times are ticks.
+ * Measures what coordination costs a manager, by the size of the fleet. A simulation in virtual
+ * time gives a row of figures for each size, and a fit gives the slope of each figure against the
+ * number of managers, with its error. All figures are simulated. Times are ticks.
  */
 public final class ScalingSlopes {
     private static final long SECOND = 10_000;
@@ -68,9 +68,9 @@
     /**
      * Returns the figures of one size, by name.
      *
-     * @param deep whether to measure a day's restarts and a mass restart as well
+     * @param includeRestarts whether to measure a day's restarts and a mass restart as well
      */
-    public static Map<String, Double> play(Shape shape, long seed, boolean deep) {
+    public static Map<String, Double> play(Shape shape, long seed, boolean includeRestarts) {
         Map<String, Double> row = new LinkedHashMap<>();
         row.put("managers", (double) shape.managers());
         SimulatedCells fleet = new SimulatedCells(shape, seed);
@@ -90,7 +90,7 @@
         row.put("most bytes a s of one", mostBytesPerSecond(fleet, 5));
         recordRowAges(fleet, row);
         measureKills(fleet, row);
-        if (deep) {
+        if (includeRestarts) {
             measureRestarts(fleet, shape, row, 20);
             measureMassRestart(fleet, shape, row);
         }
@@ -156,7 +156,7 @@
         }
     }
 
-    /** Records how soon a kill is known; a manager that does not notice it counts as 99 s. */
+    /** Records how soon managers notice a kill; one that does not notice it counts as 99 s. */
     private static void measureKills(SimulatedCells fleet, Map<String, Double> row) {
         DescriptiveStatistics detectionTimes = new DescriptiveStatistics();
         for (int i = 0; i < KILLS; i++) {
@@ -238,8 +238,8 @@
     }
 
     /**
-     * Measures a network partition between two regions, which each have every other cell, and the
-     * time after it.
+     * Measures a network partition between two regions, and the recovery from it. Every other cell is
+     * in the same region.
      *
      * @param length duration of the partition
      */
@@ -288,7 +288,7 @@
                 / (double) seconds;
     }
 
-    /** Returns the increase of a figure for a thousand managers more, and its standard error. */
+    /** Returns the increase of a figure per thousand managers, and its standard error. */
     public static double[] slope(List<Map<String, Double>> rows, String figure) {
         SimpleRegression fit = new SimpleRegression();
         rows.stream()
--- a/src/test/java/firstage/scale/ScaleIT.java
+++ b/src/test/java/firstage/scale/ScaleIT.java
@@ -14,7 +14,7 @@
 
 /**
  * Scale runs with 96 hollow and four real managers in four cells, and with clients of one real
- * manager; plans that are refused.
+ * manager; also the plans that are refused.
  */
 @Timeout(120)
 class ScaleIT {
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Returns a figure, also one of a void phase: on a busy machine a phase becomes void, but the
-     * counts and the wide bounds in these tests hold there, too.
+     * Returns a figure, even if it is void. On a busy machine a phase may become void, but the counts
+     * and the wide bounds in these tests still hold.
      */
     private static double figure(Map<String, Double> figures, String name) {
         assertThat(figures.containsKey(name) || figures.containsKey("(void) " + name))
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void aPlanThatTheMachineCannotBearIsRefused() throws IOException {
+    void aPlanThatTheMachineCannotHostIsRefused() throws IOException {
         String small = Files.readString(Path.of("deploy", "scale", "small.toml"));
         ScalePlan large =
                 ScalePlan.read(
--- a/src/test/java/firstage/scale/ScalingSlopesTest.java
+++ b/src/test/java/firstage/scale/ScalingSlopesTest.java
@@ -21,8 +21,9 @@
     private static final double MAX_RATIO = 1.15;
 
     /**
-     * Upper limit for the increase of row bytes a second with a thousand managers more. The row of a
-     * cell is 12 bytes in the datagrams of three delegates, which makes 58 bytes a second.
+     * Upper limit for the increase of row bytes a second per thousand managers. The row of a cell is
+     * 12 bytes in the datagrams of three delegates, which makes 58 bytes a second per thousand
+     * managers.
      */
     private static final double MAX_ROW_BYTES_PER_THOUSAND = 120;
 
@@ -52,7 +53,7 @@
         assertThat(isFlat(rows)).isTrue();
     }
 
-    /** The defect sends one kind of message to all cells. */
+    /** Guards against a check that misses the defect: one kind of message goes to all cells. */
     @Test
     void aMessageSentToAllIsFound() {
         assertThat(isFlat(measureSizes(InjectedDefect.SENT_TO_ALL_CELLS))).isFalse();
