--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -44,7 +44,7 @@
      *
      * @param rate statements a second over all connections
      * @param length ticks for which the load is measured
-     * @param counted whether the slopes are fitted to the load; false for a load that only warms up
+     * @param counted whether the load is used to fit the slopes; false for a load that only warms up
      *     the program
      */
     public record Load(int connections, double rate, long length, boolean counted) {}
--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -238,8 +238,8 @@
     }
 
     /**
-     * Measures a network partition between two regions, and the recovery from it. Every other cell is
-     * in the same region.
+     * Measures a network partition between two regions, and the recovery from it. The cells with an
+     * even index are in one region, all others in the other.
      *
      * @param length duration of the partition
      */
