--- a/src/main/java/firstage/emulator/EmulatedCoordinator.java
+++ b/src/main/java/firstage/emulator/EmulatedCoordinator.java
@@ -99,7 +99,7 @@
     }
 
     private void serve(Socket socket) throws Exception {
-        long nextEvent =
+        long nextIndex =
                 Math.max(1, new DataInputStream(socket.getInputStream()).readLong() + 1) - 2;
         while (true) {
             byte[] frame =
@@ -109,15 +109,15 @@
                             .put((byte) 0)
                             .array();
             synchronized (this) {
-                if (nextEvent >= events.size() && !closed) {
+                if (nextIndex >= events.size() && !closed) {
                     wait(HEARTBEAT_MS);
                 }
                 while (silent && !closed) {
                     wait(HEARTBEAT_MS);
                 }
-                if (nextEvent < events.size()) {
-                    nextEvent = Math.max(0, nextEvent);
-                    frame = events.get((int) nextEvent++);
+                if (nextIndex < events.size()) {
+                    nextIndex = Math.max(0, nextIndex);
+                    frame = events.get((int) nextIndex++);
                 }
             }
             socket.getOutputStream().write(frame);
--- a/src/main/java/firstage/emulator/EmulatedEngine.java
+++ b/src/main/java/firstage/emulator/EmulatedEngine.java
@@ -63,7 +63,7 @@
     private final class Statement implements EngineModel.Listener {
         private final String id;
         private final ClientTry clientTry;
-        private RunningAttempt job;
+        private RunningAttempt runningAttempt;
         private long lastPolledAt;
         private boolean outcomeReported;
         private AttemptOutcome result;
@@ -98,7 +98,7 @@
         /** A poll: answered at once if there is news. */
         private void onPoll(HttpServerExchange exchange) {
             lastPolledAt = loop.now();
-            int ownPoll = ++pollCount;
+            int pollNumber = ++pollCount;
             if (waitingPoll != null) {
                 answer(waitingPoll, 202);
             }
@@ -112,11 +112,11 @@
                     .schedule(
                             LONG_POLL_TIMEOUT,
                             () -> {
-                                if (ownPoll == pollCount && waitingPoll != null) {
+                                if (pollNumber == pollCount && waitingPoll != null) {
                                     lastPolledAt = loop.now();
-                                    HttpServerExchange empty = waitingPoll;
+                                    HttpServerExchange unanswered = waitingPoll;
                                     waitingPoll = null;
-                                    answer(empty, 202);
+                                    answer(unanswered, 202);
                                 }
                             });
         }
@@ -197,8 +197,8 @@
 
         private void discard(AttemptOutcome outcome) {
             statements.remove(id, this);
-            if (job != null) {
-                model.cancel(job);
+            if (runningAttempt != null) {
+                model.cancel(runningAttempt);
             }
             reportOutcome(outcome);
             if (waitingPoll != null) {
@@ -260,7 +260,7 @@
                                                         connection = channel.accept()) {
                                                     http.handleEvent(connection);
                                                 }
-                                            } catch (IOException gone) {
+                                            } catch (IOException acceptFailed) {
                                                 // The next connection may succeed.
                                             }
                                         },
@@ -277,9 +277,9 @@
     }
 
     /** Sets the state; one that is down or silent loses its statements. On the loop's thread. */
-    public void setState(State next) {
-        boolean losesStatements = next == State.DOWN || next == State.SILENT;
-        model.setState(next);
+    public void setState(State newState) {
+        boolean losesStatements = newState == State.DOWN || newState == State.SILENT;
+        model.setState(newState);
         if (losesStatements) {
             statements
                     .values()
@@ -322,9 +322,9 @@
                         exchange.getRequestReceiver()
                                 .receiveFullString(
                                         (received, priority) -> {
-                                            if (statement != null && statement.job != null) {
+                                            if (statement != null && statement.runningAttempt != null) {
                                                 model.setPriority(
-                                                        statement.job,
+                                                        statement.runningAttempt,
                                                         Integer.parseInt(priority.trim()));
                                             }
                                             answer(received, 204);
@@ -351,38 +351,38 @@
         observer.onAttempt(clientTry, number, retry);
         rules.onAttemptSent(
                 loop.now(), clientTry, number, observer.mayBeDelayed(clientTry.manager, number));
-        observeTimes(exchange, clientTry);
+        checkTimes(exchange, clientTry);
         Statement statement = new Statement(id, clientTry);
         statements.put(id, statement);
         double grant = Double.parseDouble(header(exchange, GRANT, "0"));
-        FleetPlan.TrafficClassPlan group =
+        FleetPlan.TrafficClassPlan trafficClass =
                 plan.trafficClasses().get(clientTry.request.trafficClass);
-        statement.job =
+        statement.runningAttempt =
                 new RunningAttempt(
                         clientTry.request,
-                        group,
+                        trafficClass,
                         statement,
                         clientTry.manager,
                         grant > 0 ? grant : clientTry.request.estimatedMemoryMb * 1.25,
                         Integer.parseInt(header(exchange, RANK, "1")));
         statement.onPoll(exchange);
         statement.scheduleExpiry();
-        model.start(statement.job);
+        model.start(statement.runningAttempt);
     }
 
     /** Only where no delay on the way and no lateness of this process can explain them. */
-    private void observeTimes(HttpServerExchange exchange, ClientTry clientTry) {
+    private void checkTimes(HttpServerExchange exchange, ClientTry clientTry) {
         if (observer.mayBeDelayed(clientTry.manager, number)) {
             return;
         }
-        long beganAt = loop.now() - observer.lateness();
-        long toldMs = Long.parseLong(header(exchange, MAX_MS, "0"));
-        rules.onAttemptTimes(beganAt, clientTry, beganAt + Ticks.ofMillis(toldMs));
+        long startedAt = loop.now() - observer.lateness();
+        long maxMs = Long.parseLong(header(exchange, MAX_MS, "0"));
+        rules.onAttemptTimes(startedAt, clientTry, startedAt + Ticks.ofMillis(maxMs));
     }
 
-    private static String header(HttpServerExchange exchange, HttpString name, String absent) {
+    private static String header(HttpServerExchange exchange, HttpString name, String defaultValue) {
         String value = exchange.getRequestHeaders().getFirst(name);
-        return value == null ? absent : value;
+        return value == null ? defaultValue : value;
     }
 
     @Override
--- a/src/main/java/firstage/emulator/FaultInjectingProxy.java
+++ b/src/main/java/firstage/emulator/FaultInjectingProxy.java
@@ -42,7 +42,7 @@
     private final RandomGenerator random;
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final PriorityQueue<TimedTask> timers =
-            new PriorityQueue<>(Comparator.comparingLong(timer -> timer.due));
+            new PriorityQueue<>(Comparator.comparingLong(timer -> timer.dueAt));
     private final ByteBuffer buffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
     private final List<Endpoint> endpoints = new ArrayList<>();
     private final Thread thread;
@@ -54,7 +54,7 @@
 
     private final RecentPeak longestRound = new RecentPeak();
 
-    private record TimedTask(long due, Runnable task) {}
+    private record TimedTask(long dueAt, Runnable task) {}
 
     /** How an endpoint answers new connections. */
     public enum EndpointMode {
@@ -96,9 +96,9 @@
     private void run() {
         while (!closed) {
             try {
-                long wait = timers.isEmpty() ? 100 : Math.max(0, (timers.peek().due - now()) / 10);
-                if (wait > 0) {
-                    selector.select(wait);
+                long waitMs = timers.isEmpty() ? 100 : Math.max(0, (timers.peek().dueAt - now()) / 10);
+                if (waitMs > 0) {
+                    selector.select(waitMs);
                 } else {
                     selector.selectNow();
                 }
@@ -106,7 +106,7 @@
                 for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
                     task.run();
                 }
-                while (!timers.isEmpty() && timers.peek().due <= now()) {
+                while (!timers.isEmpty() && timers.peek().dueAt <= now()) {
                     timers.poll().task.run();
                 }
                 Set<SelectionKey> ready = selector.selectedKeys();
@@ -115,11 +115,11 @@
                 }
                 ready.clear();
                 recordRound();
-            } catch (CancelledKeyException gone) {
+            } catch (CancelledKeyException alreadyClosed) {
                 selector.selectedKeys().clear();
-            } catch (IOException | RuntimeException ended) {
+            } catch (IOException | RuntimeException exception) {
                 // Nothing is forwarded from here on, so the run proves nothing: see failure().
-                failure = ended;
+                failure = exception;
                 return;
             }
         }
@@ -162,7 +162,7 @@
         private final LinkFaults forwardFaults;
         private final LinkFaults returnFaults;
         private final Set<Connection> connections = new HashSet<>();
-        private final List<SocketChannel> fillers = new ArrayList<>();
+        private final List<SocketChannel> backlogFillers = new ArrayList<>();
         private ServerSocketChannel listener;
         private EndpointMode mode = EndpointMode.REFUSING;
         private EndpointMode requestedMode = EndpointMode.OPEN;
@@ -182,10 +182,10 @@
          * Sets the state of the party behind this address; {@code resetConnections} resets open
          * connections, as a dying process does.
          */
-        public void setMode(EndpointMode next, boolean resetConnections) {
+        public void setMode(EndpointMode newMode, boolean resetConnections) {
             execute(
                     () -> {
-                        requestedMode = next;
+                        requestedMode = newMode;
                         if (resetConnections) {
                             List.copyOf(connections).forEach(Connection::reset);
                         }
@@ -209,17 +209,17 @@
 
         private void applyMode() {
             boolean cut = forwardFaults.isCut() || returnFaults.isCut();
-            EndpointMode next =
+            EndpointMode effectiveMode =
                     requestedMode == EndpointMode.OPEN && cut
                             ? EndpointMode.UNRESPONSIVE
                             : requestedMode;
-            if (next != mode) {
+            if (effectiveMode != mode) {
                 close();
-                mode = next;
+                mode = effectiveMode;
                 try {
                     listen();
-                } catch (IOException fault) {
-                    throw new IllegalStateException("can't listen at " + listenAddress, fault);
+                } catch (IOException exception) {
+                    throw new IllegalStateException("can't listen at " + listenAddress, exception);
                 }
             }
         }
@@ -239,7 +239,7 @@
                     SocketChannel filler = SocketChannel.open();
                     filler.configureBlocking(false);
                     filler.connect(listenAddress);
-                    fillers.add(filler);
+                    backlogFillers.add(filler);
                 }
             }
         }
@@ -247,13 +247,13 @@
         private void close() {
             closeQuietly(listener);
             listener = null;
-            fillers.forEach(FaultInjectingProxy::closeQuietly);
-            fillers.clear();
+            backlogFillers.forEach(FaultInjectingProxy::closeQuietly);
+            backlogFillers.clear();
             try {
                 // A closed channel frees its address only once its key is deregistered.
                 selector.selectNow();
-            } catch (IOException fault) {
-                throw new IllegalStateException(fault);
+            } catch (IOException exception) {
+                throw new IllegalStateException(exception);
             }
         }
 
@@ -301,7 +301,7 @@
                     (key.channel() == clientSide ? outbound : inbound).read();
                 }
                 transfer();
-            } catch (IOException | CancelledKeyException fault) {
+            } catch (IOException | CancelledKeyException exception) {
                 reset();
             }
         }
@@ -324,7 +324,7 @@
                 targetSide
                         .keyFor(selector)
                         .interestOps(inbound.readInterest() | outbound.writeInterest());
-            } catch (IOException | CancelledKeyException fault) {
+            } catch (IOException | CancelledKeyException exception) {
                 reset();
             }
         }
@@ -334,7 +334,7 @@
                 try {
                     clientSide.setOption(StandardSocketOptions.SO_LINGER, 0);
                     targetSide.setOption(StandardSocketOptions.SO_LINGER, 0);
-                } catch (IOException gone) {
+                } catch (IOException alreadyClosed) {
                     // Already disconnected.
                 }
                 close();
@@ -351,14 +351,14 @@
 
     /** One direction of a connection. */
     private final class Direction {
-        private record Chunk(long due, ByteBuffer bytes) {}
+        private record Chunk(long dueAt, ByteBuffer bytes) {}
 
         private final Connection connection;
         private final SocketChannel source;
         private final SocketChannel sink;
         private final LinkFaults faults;
         private final ArrayDeque<Chunk> queue = new ArrayDeque<>();
-        private long lastDue;
+        private long lastDueAt;
         private boolean endOfInput;
         private boolean outputShutDown;
         private boolean sinkFull;
@@ -381,18 +381,18 @@
                 endOfInput = true;
             } else if (length > 0) {
                 ByteBuffer copy = ByteBuffer.allocate(length).put(buffer.flip()).flip();
-                long due = Math.max(lastDue, now() + faults.drawDelay(false));
-                lastDue = due;
-                queue.add(new Chunk(due, copy));
-                if (due > now()) {
-                    schedule(due - now(), connection::transfer);
+                long dueAt = Math.max(lastDueAt, now() + faults.drawDelay(false));
+                lastDueAt = dueAt;
+                queue.add(new Chunk(dueAt, copy));
+                if (dueAt > now()) {
+                    schedule(dueAt - now(), connection::transfer);
                 }
             }
         }
 
         private void write() throws IOException {
             sinkFull = false;
-            while (!queue.isEmpty() && !faults.isCut() && queue.peek().due <= now()) {
+            while (!queue.isEmpty() && !faults.isCut() && queue.peek().dueAt <= now()) {
                 ByteBuffer next = queue.peek().bytes;
                 sink.write(next);
                 if (next.hasRemaining()) {
@@ -444,19 +444,19 @@
             LinkFaults forwardFaults,
             LinkFaults returnFaults)
             throws IOException {
-        DatagramChannel one = DatagramChannel.open().bind(secondSeenByFirst);
-        DatagramChannel two = DatagramChannel.open().bind(firstSeenBySecond);
-        one.configureBlocking(false);
-        two.configureBlocking(false);
+        DatagramChannel firstChannel = DatagramChannel.open().bind(secondSeenByFirst);
+        DatagramChannel secondChannel = DatagramChannel.open().bind(firstSeenBySecond);
+        firstChannel.configureBlocking(false);
+        secondChannel.configureBlocking(false);
         execute(
                 () -> {
-                    forward(one, two, second, forwardFaults);
-                    forward(two, one, first, returnFaults);
+                    forward(firstChannel, secondChannel, second, forwardFaults);
+                    forward(secondChannel, firstChannel, first, returnFaults);
                 });
     }
 
     private void forward(
-            DatagramChannel in, DatagramChannel out, SocketAddress to, LinkFaults faults) {
+            DatagramChannel in, DatagramChannel out, SocketAddress target, LinkFaults faults) {
         try {
             in.register(
                     selector,
@@ -464,9 +464,9 @@
                     (ReadyHandler)
                             key -> {
                                 buffer.clear();
-                                for (SocketAddress from = receive(in);
-                                        from != null;
-                                        from = receive(in)) {
+                                for (SocketAddress sender = receive(in);
+                                        sender != null;
+                                        sender = receive(in)) {
                                     buffer.flip();
                                     if (faults.passes()) {
                                         ByteBuffer copy =
@@ -475,16 +475,16 @@
                                                         .flip();
                                         long delay = faults.drawDelay(true);
                                         if (delay > 0) {
-                                            schedule(delay, () -> send(out, copy, to));
+                                            schedule(delay, () -> send(out, copy, target));
                                         } else {
-                                            send(out, copy, to);
+                                            send(out, copy, target);
                                         }
                                     }
                                     buffer.clear();
                                 }
                             });
-        } catch (IOException fault) {
-            throw new IllegalStateException(fault);
+        } catch (IOException exception) {
+            throw new IllegalStateException(exception);
         }
     }
 
@@ -496,9 +496,9 @@
         }
     }
 
-    private void send(DatagramChannel out, ByteBuffer bytes, SocketAddress to) {
+    private void send(DatagramChannel out, ByteBuffer bytes, SocketAddress target) {
         try {
-            out.send(bytes, to);
+            out.send(bytes, target);
         } catch (IOException unreachable) {
             // Lost, as on any network.
         }
@@ -510,13 +510,13 @@
         selector.wakeup();
         try {
             thread.join(1_000);
-        } catch (InterruptedException fault) {
+        } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         }
         for (SelectionKey key : selector.keys()) {
             closeQuietly(key.channel());
         }
-        endpoints.forEach(endpoint -> endpoint.fillers.forEach(FaultInjectingProxy::closeQuietly));
+        endpoints.forEach(endpoint -> endpoint.backlogFillers.forEach(FaultInjectingProxy::closeQuietly));
         closeQuietly(selector);
     }
 }
--- a/src/main/java/firstage/emulator/LinkFaults.java
+++ b/src/main/java/firstage/emulator/LinkFaults.java
@@ -21,26 +21,26 @@
     }
 
     /** While cut, nothing passes. */
-    public void setCut(boolean now) {
-        cut = now;
+    public void setCut(boolean newCut) {
+        cut = newCut;
         changedAt = System.nanoTime() / 100_000;
     }
 
     /** Datagrams are lost with this probability. */
-    public void setLoss(double share) {
-        loss = share;
+    public void setLoss(double probability) {
+        loss = probability;
         changedAt = System.nanoTime() / 100_000;
     }
 
     /** Delays everything by once to twice this, in ticks. */
-    public void setDelay(long ticks) {
-        delay = ticks;
+    public void setDelay(long minDelay) {
+        delay = minDelay;
         changedAt = System.nanoTime() / 100_000;
     }
 
     /** Whether it is faulty, or changed within the last {@code time} ticks. */
-    public boolean faultyWithin(long time) {
-        return cut || loss > 0 || delay > 0 || System.nanoTime() / 100_000 - changedAt < time;
+    public boolean faultyWithin(long duration) {
+        return cut || loss > 0 || delay > 0 || System.nanoTime() / 100_000 - changedAt < duration;
     }
 
     boolean isCut() {
@@ -54,8 +54,8 @@
 
     /** Draws the delay of the next datagram or chunk, in ticks; called by one thread. */
     long drawDelay(boolean datagram) {
-        long ticks = delay <= 0 ? 0 : delay + random.nextLong(delay + 1);
-        return ticks
+        long linkDelay = delay <= 0 ? 0 : delay + random.nextLong(delay + 1);
+        return linkDelay
                 + (!datagram && loss > 0 && random.nextDouble() < loss * RETRANSMITTED_SHARE_OF_LOSS
                         ? RETRANSMISSION_DELAY
                         : 0);
--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -102,10 +102,10 @@
     private final List<InetSocketAddress> managers;
     private final ClientBehavior clientBehavior;
     private final Map<String, ClientTry> triesById = new HashMap<>();
-    private final Map<Integer, Long> keyFreeAt = new HashMap<>();
+    private final Map<Integer, Long> nextSendAtByKey = new HashMap<>();
     private final List<Set<ClientTry>> openTries = new ArrayList<>();
     private final Set<Integer> aliveManagers = new HashSet<>();
-    private final long[] stateChanges;
+    private final long[] stateChangeCounts;
     private final boolean[] killed;
 
     /** Until when each manager is paused: what times out meanwhile is not its violation. */
@@ -151,7 +151,7 @@
                         .connectTimeout(Duration.ofMillis(CONNECT_TIMEOUT_MS))
                         .build();
         clientBehavior = new ClientBehavior(plan, random);
-        stateChanges = new long[managers.size()];
+        stateChangeCounts = new long[managers.size()];
         killed = new boolean[managers.size()];
         pausedUntil = new long[managers.size()];
         for (int manager = 0; manager < managers.size(); manager++) {
@@ -205,11 +205,11 @@
 
     /** A manager's process was killed: its open tries need no answer. */
     public void onManagerKilled(int manager) {
-        List<ClientTry> held = new ArrayList<>();
+        List<ClientTry> unanswered = new ArrayList<>();
         openTries.get(manager).stream()
                 .filter(clientTry -> clientTry.answers() == 0)
-                .forEach(held::add);
-        rules.onManagerKilled(manager, held);
+                .forEach(unanswered::add);
+        rules.onManagerKilled(manager, unanswered);
         killed[manager] = true;
         onManagerStateChanged(manager, false);
     }
@@ -217,14 +217,14 @@
     /** A manager's process serves again, or is shutting down. */
     public void onManagerStateChanged(int manager, boolean up) {
         killed[manager] &= !up;
-        long ownChange = ++stateChanges[manager];
+        long changeNumber = ++stateChangeCounts[manager];
         loop.events()
                 .schedule(
                         up ? 0 : DETECTION_DELAY / 2 + random.nextLong(DETECTION_DELAY),
                         () -> {
-                            if (stateChanges[manager] == ownChange && up) {
+                            if (stateChangeCounts[manager] == changeNumber && up) {
                                 aliveManagers.add(manager);
-                            } else if (stateChanges[manager] == ownChange) {
+                            } else if (stateChangeCounts[manager] == changeNumber) {
                                 aliveManagers.remove(manager);
                             }
                         });
@@ -261,10 +261,10 @@
     private void sendInKeyOrder(TrueRequest request, int manager) {
         long now = loop.events().now();
         if (request.orderingKey >= 0) {
-            long freeAt = Math.max(now, keyFreeAt.getOrDefault(request.orderingKey, 0L));
-            keyFreeAt.put(request.orderingKey, freeAt + KEY_GAP);
-            if (freeAt > now) {
-                loop.events().schedule(freeAt - now, () -> send(request, manager));
+            long sendAt = Math.max(now, nextSendAtByKey.getOrDefault(request.orderingKey, 0L));
+            nextSendAtByKey.put(request.orderingKey, sendAt + KEY_GAP);
+            if (sendAt > now) {
+                loop.events().schedule(sendAt - now, () -> send(request, manager));
                 return;
             }
         }
@@ -278,7 +278,7 @@
             return;
         }
         request.tries++;
-        long patience =
+        long tryTimeout =
                 Math.min(
                         remaining,
                         Math.max(
@@ -286,7 +286,7 @@
                                 Math.round(
                                         (request.deadline - request.firstRequestedAt)
                                                 * plan.clients().deadlineShareOfTry())));
-        ClientTry clientTry = new ClientTry(request, manager, now + patience);
+        ClientTry clientTry = new ClientTry(request, manager, now + tryTimeout);
         String id = String.format(Locale.ROOT, "%08x%08x", idPrefix, ++lastId);
         triesById.put(id, clientTry);
         openTries.get(manager).add(clientTry);
@@ -295,9 +295,9 @@
         FleetPlan.TrafficClassPlan trafficClass = plan.trafficClasses().get(request.trafficClass);
         HttpRequest.Builder httpRequest =
                 HttpRequest.newBuilder(uri(manager, "/ops/" + trafficClass.name()))
-                        .timeout(Duration.ofMillis((patience + RESPONSE_GRACE) / 10))
+                        .timeout(Duration.ofMillis((tryTimeout + RESPONSE_GRACE) / 10))
                         .header("X-Job-Id", id)
-                        .header("X-Allow-Ms", String.valueOf(Math.max(1, patience / 10)))
+                        .header("X-Allow-Ms", String.valueOf(Math.max(1, tryTimeout / 10)))
                         .header("X-Team", plan.tenants().get(request.tenant).name())
                         .header(
                                 "X-Size-Ms",
@@ -315,10 +315,10 @@
         call(clientTry, id, httpRequest.build(), MAX_POLL_ATTEMPTS, true);
         // A paused manager can't know how long the request waited: it counts from when it reads it.
         clientTry.allowPause(Math.max(0, pausedUntil[manager] - now));
-        loop.events().schedule(patience + RESPONSE_GRACE / 2, () -> checkDeadline(clientTry));
+        loop.events().schedule(tryTimeout + RESPONSE_GRACE / 2, () -> checkDeadline(clientTry));
         loop.events()
                 .schedule(
-                        patience + 2 * RESPONSE_GRACE,
+                        tryTimeout + 2 * RESPONSE_GRACE,
                         () -> {
                             openTries.get(manager).remove(clientTry);
                             triesById.remove(id);
@@ -336,26 +336,26 @@
             String id,
             HttpRequest httpRequest,
             int attemptsLeft,
-            boolean first) {
+            boolean firstCall) {
         http.sendAsync(httpRequest, HttpResponse.BodyHandlers.ofString())
                 .whenComplete(
-                        (response, fault) ->
+                        (response, failure) ->
                                 loop.execute(
                                         () -> {
-                                            if (fault != null) {
+                                            if (failure != null) {
                                                 onFailure(
                                                         clientTry,
                                                         id,
                                                         httpRequest,
                                                         attemptsLeft,
-                                                        first,
-                                                        fault instanceof CompletionException
-                                                                ? fault.getCause()
-                                                                : fault);
+                                                        firstCall,
+                                                        failure instanceof CompletionException
+                                                                ? failure.getCause()
+                                                                : failure);
                                                 return;
                                             }
-                                            Matcher poll = POLL_PATH.matcher(response.body());
-                                            if (response.statusCode() == 200 && poll.find()) {
+                                            Matcher pollPath = POLL_PATH.matcher(response.body());
+                                            if (response.statusCode() == 200 && pollPath.find()) {
                                                 long remainingMs =
                                                         Math.max(
                                                                         10,
@@ -369,7 +369,7 @@
                                                         HttpRequest.newBuilder(
                                                                         uri(
                                                                                 clientTry.manager,
-                                                                                poll.group(1)))
+                                                                                pollPath.group(1)))
                                                                 .timeout(
                                                                         Duration.ofMillis(
                                                                                 remainingMs))
@@ -387,12 +387,12 @@
             String id,
             HttpRequest httpRequest,
             int attemptsLeft,
-            boolean first,
-            Throwable fault) {
+            boolean firstCall,
+            Throwable failure) {
         boolean unreachable =
-                fault instanceof ConnectException || fault instanceof HttpConnectTimeoutException;
+                failure instanceof ConnectException || failure instanceof HttpConnectTimeoutException;
         // What was sent to a process that is being killed was never accepted.
-        if (first && (unreachable || killed[clientTry.manager])) {
+        if (firstCall && (unreachable || killed[clientTry.manager])) {
             rules.onNeverAccepted(clientTry);
             observer.onTryEnded(clientTry, TryOutcome.NEVER_ACCEPTED);
             scoreboard.onFailed();
@@ -404,10 +404,10 @@
                     unreachable
                             || plan.trafficClasses().get(clientTry.request.trafficClass).effect()
                                     == Effect.IDEMPOTENT);
-        } else if (!first
+        } else if (!firstCall
                 && attemptsLeft > 1
                 && loop.now() < clientTry.deadline
-                && fault instanceof IOException) {
+                && failure instanceof IOException) {
             call(clientTry, id, httpRequest, attemptsLeft - 1, false);
         } else {
             // Rule 1 is checked at the deadline; a killed manager's open tries are exempt.
@@ -415,7 +415,7 @@
             scoreboard.onFailed();
             if (!clientTry.abandoned()
                     && !clientTry.pauseAllowance()
-                    && !(fault instanceof HttpTimeoutException)) {
+                    && !(failure instanceof HttpTimeoutException)) {
                 loop.events()
                         .schedule(
                                 2_000,
@@ -427,7 +427,7 @@
                                                         + " at manager "
                                                         + clientTry.manager
                                                         + " got no answer that can be read: "
-                                                        + fault);
+                                                        + failure);
                                     }
                                 });
             }
@@ -460,8 +460,8 @@
         } else if (rejected) {
             observer.onTryEnded(clientTry, TryOutcome.REJECTED);
             scoreboard.onRejected();
-            long wait = response.headers().firstValueAsLong("X-Wait-Ms").orElse(0) * 10;
-            retry(clientTry.request, wait, true);
+            long retryAfter = response.headers().firstValueAsLong("X-Wait-Ms").orElse(0) * 10;
+            retry(clientTry.request, retryAfter, true);
         } else {
             observer.onTryEnded(clientTry, TryOutcome.FAILED);
             scoreboard.onFailed();
@@ -474,9 +474,9 @@
     }
 
     private void retry(TrueRequest request, long retryAfter, boolean mayRetry) {
-        long wait = clientBehavior.retryDelay(request, loop.now(), retryAfter, mayRetry);
-        if (wait >= 0) {
-            loop.events().schedule(wait, () -> sendInKeyOrder(request, chooseManager(request)));
+        long delay = clientBehavior.retryDelay(request, loop.now(), retryAfter, mayRetry);
+        if (delay >= 0) {
+            loop.events().schedule(delay, () -> sendInKeyOrder(request, chooseManager(request)));
         }
     }
 
--- a/src/main/java/firstage/emulator/RealTimeLoop.java
+++ b/src/main/java/firstage/emulator/RealTimeLoop.java
@@ -23,7 +23,7 @@
     /** Time at creation: above 0, which stands for "long ago" in the models. */
     public static final long START = 1_000_000;
 
-    private static final long TICK_MS = 1;
+    private static final long ROUND_INTERVAL_MS = 1;
     private static final long MAX_LATENESS_US = 60_000_000;
     private final XnioWorker worker;
     private final XnioIoThread ioThread;
@@ -32,7 +32,7 @@
     private final long startMs = System.currentTimeMillis();
     private final Histogram lateness = new Histogram(MAX_LATENESS_US, 2);
     private volatile boolean closed;
-    private volatile long lastTickNs = System.nanoTime();
+    private volatile long lastRoundNs = System.nanoTime();
     private final RecentPeak peakLateness = new RecentPeak();
 
     public RealTimeLoop() throws IOException {
@@ -46,7 +46,7 @@
                                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                                         .getMap());
         ioThread = worker.getIoThread();
-        tick(System.nanoTime());
+        runRound(System.nanoTime());
     }
 
     public XnioWorker worker() {
@@ -102,7 +102,7 @@
         }
     }
 
-    private void tick(long scheduledNs) {
+    private void runRound(long scheduledNs) {
         if (closed) {
             return;
         }
@@ -110,19 +110,19 @@
                 Math.min(MAX_LATENESS_US, Math.max(0, (System.nanoTime() - scheduledNs) / 1_000)));
         events.runUntil(now());
         recordPeak(scheduledNs);
-        long nextNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TICK_MS);
-        ioThread.executeAfter(() -> tick(nextNs), TICK_MS, TimeUnit.MILLISECONDS);
+        long nextNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ROUND_INTERVAL_MS);
+        ioThread.executeAfter(() -> runRound(nextNs), ROUND_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void recordPeak(long scheduledNs) {
         long nowNs = System.nanoTime();
         peakLateness.record(Ticks.ofNanos(nowNs - scheduledNs));
-        lastTickNs = nowNs;
+        lastRoundNs = nowNs;
     }
 
     /** How late this thread ran at most in the last quarter of a second, in ticks. */
     public long recentLateness() {
-        return Math.max(Ticks.ofNanos(System.nanoTime() - lastTickNs), peakLateness.value());
+        return Math.max(Ticks.ofNanos(System.nanoTime() - lastRoundNs), peakLateness.value());
     }
 
     /** How late this thread ran, in microseconds. A run on an overloaded machine proves nothing. */
--- a/src/main/java/firstage/emulator/RecentPeak.java
+++ b/src/main/java/firstage/emulator/RecentPeak.java
@@ -7,21 +7,21 @@
 final class RecentPeak {
     private static final long WINDOW_NS = 250_000_000;
 
-    private volatile long ofThisWindow;
-    private volatile long ofWindowBefore;
+    private volatile long currentWindowPeak;
+    private volatile long previousWindowPeak;
     private long windowStartNs = System.nanoTime();
 
     void record(long value) {
         long nowNs = System.nanoTime();
         if (nowNs - windowStartNs > WINDOW_NS) {
             windowStartNs = nowNs;
-            ofWindowBefore = ofThisWindow;
-            ofThisWindow = 0;
+            previousWindowPeak = currentWindowPeak;
+            currentWindowPeak = 0;
         }
-        ofThisWindow = Math.max(ofThisWindow, value);
+        currentWindowPeak = Math.max(currentWindowPeak, value);
     }
 
     long value() {
-        return Math.max(ofThisWindow, ofWindowBefore);
+        return Math.max(currentWindowPeak, previousWindowPeak);
     }
 }
--- a/src/main/java/firstage/simulation/schedule/FaultSchedule.java
+++ b/src/main/java/firstage/simulation/schedule/FaultSchedule.java
@@ -25,7 +25,7 @@
     private static final long KEY_GAP = 600;
     private static final long KEY_GAP_NEW_CONNECTION = 2_500;
     private static final long MAX_DEADLINE = 5 * SECOND;
-    private static final int KEYS = 2;
+    private static final int KEY_COUNT = 2;
     private static final double[] FAULT_PROBABILITIES = {0, 0.02, 0.1, 0.3};
 
     private FaultSchedule() {}
@@ -40,17 +40,17 @@
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         EventQueue events = new EventQueue(START);
         ScheduleRuleChecker ruleChecker = new ScheduleRuleChecker();
-        int count = 1 + random.nextInt(3);
+        int engineCount = 1 + random.nextInt(3);
         List<SimulatedEngine> engines = new ArrayList<>();
-        for (int index = 0; index < count; index++) {
+        for (int index = 0; index < engineCount; index++) {
             engines.add(new SimulatedEngine(events, ruleChecker, random));
         }
         Deployment deployment = deployment(random);
         double faultProbability = FAULT_PROBABILITIES[random.nextInt(FAULT_PROBABILITIES.length)];
-        boolean stalls = random.nextBoolean();
+        boolean stallsBetweenReads = random.nextBoolean();
         Supplier<SimulatedManager> startManager =
                 () -> {
-                    SimulatedManager next =
+                    SimulatedManager started =
                             new SimulatedManager(
                                     events,
                                     random,
@@ -59,9 +59,9 @@
                                     deployment,
                                     engines,
                                     faultProbability,
-                                    stalls);
-                    next.setInitialEndpoints(count);
-                    return next;
+                                    stallsBetweenReads);
+                    started.setInitialEndpoints(engineCount);
+                    return started;
                 };
         SimulatedManager[] manager = {startManager.get()};
         scheduleTraffic(random, events, ruleChecker, manager);
@@ -82,19 +82,19 @@
             ScheduleRuleChecker ruleChecker,
             SimulatedManager[] manager,
             Supplier<SimulatedManager> startManager) {
-        long at = random.nextLong(4 * SECOND);
+        long offset = random.nextLong(4 * SECOND);
         switch (random.nextInt(5)) {
             case 0 ->
                     events.schedule(
-                            at,
+                            offset,
                             () -> {
                                 manager[0].kill();
                                 ruleChecker.onManagerKilled();
                                 manager[0] = startManager.get();
                                 manager[0].thread().pause(random.nextLong(SECOND));
                             });
-            case 1 -> events.schedule(at, () -> manager[0].shutDown(events.now() + 3 * SECOND));
-            case 2 -> events.schedule(at, () -> manager[0].onEndpointSnapshot());
+            case 1 -> events.schedule(offset, () -> manager[0].shutDown(events.now() + 3 * SECOND));
+            case 2 -> events.schedule(offset, () -> manager[0].onEndpointSnapshot());
             default -> {}
         }
     }
@@ -151,8 +151,8 @@
             ScheduleRuleChecker ruleChecker,
             SimulatedManager[] manager) {
         int requestId = 0;
-        for (int orderingKey = 0; orderingKey < KEYS; orderingKey++) {
-            long at = random.nextLong(SECOND);
+        for (int orderingKey = 0; orderingKey < KEY_COUNT; orderingKey++) {
+            long offset = random.nextLong(SECOND);
             int requestCount = 3 + random.nextInt(5);
             int trafficClass = 1 + random.nextInt(2);
             for (int i = 0; i < requestCount; i++) {
@@ -165,10 +165,10 @@
                         requestId++,
                         trafficClass,
                         orderingKey,
-                        at,
+                        offset,
                         newConnection);
                 long gap = newConnection ? KEY_GAP_NEW_CONNECTION : KEY_GAP;
-                at += random.nextBoolean() ? gap : gap + random.nextLong(SECOND / 2);
+                offset += random.nextBoolean() ? gap : gap + random.nextLong(SECOND / 2);
             }
         }
         for (int i = 0; i < 4; i++) {
@@ -193,22 +193,22 @@
             int requestId,
             int trafficClass,
             int orderingKey,
-            long at,
+            long offset,
             boolean newConnection) {
-        long deadline = START + at + SECOND / 2 + random.nextLong(MAX_DEADLINE);
+        long deadline = START + offset + SECOND / 2 + random.nextLong(MAX_DEADLINE);
         long runTime = 50 + random.nextLong(random.nextInt(4) == 0 ? SECOND * 3 : SECOND / 4);
         SimulatedManager.SimulatedRequest request =
                 new SimulatedManager.SimulatedRequest(
                         requestId, trafficClass, orderingKey, deadline, runTime);
         events.schedule(
-                at,
+                offset,
                 () -> {
                     ruleChecker.onArrived(
                             events.now(), requestId, orderingKey, trafficClass == 1, deadline);
                     manager[0].onRequestReceived(request, newConnection);
                 });
         if (random.nextInt(10) == 0) {
-            events.schedule(at + random.nextLong(SECOND), () -> manager[0].onClientQuit(request));
+            events.schedule(offset + random.nextLong(SECOND), () -> manager[0].onClientQuit(request));
         }
     }
 
@@ -217,8 +217,8 @@
             EventQueue events,
             SimulatedManager[] manager,
             List<SimulatedEngine> engines) {
-        int stalls = random.nextInt(4);
-        for (int i = 0; i < stalls; i++) {
+        int pauseCount = random.nextInt(4);
+        for (int i = 0; i < pauseCount; i++) {
             events.schedule(
                     random.nextLong(4 * SECOND),
                     () -> manager[0].thread().pause(500 + random.nextLong(SECOND)));
@@ -226,31 +226,31 @@
         for (int index = 0; index < engines.size(); index++) {
             int engineIndex = index;
             SimulatedEngine engine = engines.get(index);
-            long at = random.nextLong(4 * SECOND);
+            long offset = random.nextLong(4 * SECOND);
             switch (random.nextInt(6)) {
                 case 0 -> {
                     events.schedule(
-                            at, () -> engine.setAvailability(SimulatedEngine.Availability.DOWN));
+                            offset, () -> engine.setAvailability(SimulatedEngine.Availability.DOWN));
                     events.schedule(
-                            at + random.nextLong(2 * SECOND),
+                            offset + random.nextLong(2 * SECOND),
                             () -> engine.setAvailability(SimulatedEngine.Availability.UP));
                 }
                 case 1 -> {
                     events.schedule(
-                            at,
+                            offset,
                             () ->
                                     engine.setAvailability(
                                             SimulatedEngine.Availability.UNRESPONSIVE));
                     events.schedule(
-                            at + random.nextLong(4 * SECOND),
+                            offset + random.nextLong(4 * SECOND),
                             () -> engine.setAvailability(SimulatedEngine.Availability.UP));
                 }
                 case 2 -> {
                     events.schedule(
-                            at,
+                            offset,
                             () -> engine.setAvailability(SimulatedEngine.Availability.DRAINING));
                     events.schedule(
-                            at + random.nextLong(SECOND),
+                            offset + random.nextLong(SECOND),
                             () ->
                                     manager[0].onEndpointChanged(
                                             engineIndex, EndpointUpdate.Lifecycle.DRAINING));
--- a/src/main/java/firstage/simulation/schedule/FaultSchedules.java
+++ b/src/main/java/firstage/simulation/schedule/FaultSchedules.java
@@ -18,7 +18,7 @@
      */
     public static Map<Long, List<String>> run(
             long firstSeed, long count, InjectedDefect defect, int maxShown) {
-        ConcurrentSkipListMap<Long, List<String>> findings = new ConcurrentSkipListMap<>();
+        ConcurrentSkipListMap<Long, List<String>> violationsBySeed = new ConcurrentSkipListMap<>();
         LongStream.range(firstSeed, firstSeed + count)
                 .parallel()
                 .forEach(
@@ -35,12 +35,12 @@
                                                         + exception.getStackTrace()[0]);
                             }
                             if (!violations.isEmpty()) {
-                                findings.put(seed, violations);
-                                if (findings.size() > maxShown) {
-                                    findings.pollLastEntry();
+                                violationsBySeed.put(seed, violations);
+                                if (violationsBySeed.size() > maxShown) {
+                                    violationsBySeed.pollLastEntry();
                                 }
                             }
                         });
-        return new TreeMap<>(findings);
+        return new TreeMap<>(violationsBySeed);
     }
 }
--- a/src/main/java/firstage/simulation/schedule/MembershipFigures.java
+++ b/src/main/java/firstage/simulation/schedule/MembershipFigures.java
@@ -14,10 +14,10 @@
 
     private MembershipFigures() {}
 
-    private static SimulatedMembership startedFleet(int count, long seed) {
+    private static SimulatedMembership startedFleet(int managerCount, long seed) {
         SimulatedMembership fleet =
                 new SimulatedMembership(
-                        count,
+                        managerCount,
                         seed,
                         MembershipProtocol.InjectedDefect.NONE,
                         QuotaLeases.InjectedDefect.NONE);
@@ -28,7 +28,7 @@
     }
 
     /** Figures by name, for so many managers and seeds. */
-    public static Map<String, Double> measure(int count, int seeds) {
+    public static Map<String, Double> measure(int managerCount, int seedCount) {
         Map<String, Double> figures = new LinkedHashMap<>();
         DescriptiveStatistics detection = new DescriptiveStatistics();
         DescriptiveStatistics halfKilled = new DescriptiveStatistics();
@@ -37,17 +37,17 @@
         DescriptiveStatistics bytesPerSecond = new DescriptiveStatistics();
         DescriptiveStatistics startUp = new DescriptiveStatistics();
         double neverAgreed = 0;
-        for (long seed = 0; seed < seeds; seed++) {
+        for (long seed = 0; seed < seedCount; seed++) {
             SimulatedMembership startingFleet =
                     new SimulatedMembership(
-                            count,
+                            managerCount,
                             seed,
                             MembershipProtocol.InjectedDefect.NONE,
                             QuotaLeases.InjectedDefect.NONE);
             long startTime = startingFleet.startAll();
             neverAgreed += startTime < 0 ? 1 : 0;
             startUp.addValue(startTime / 1e4);
-            SimulatedMembership fleet = startedFleet(count, seed);
+            SimulatedMembership fleet = startedFleet(managerCount, seed);
             long bytesBefore =
                     fleet.hosts().stream()
                             .mapToLong(SimulatedMembership.ManagerHost::bytesSent)
@@ -59,24 +59,24 @@
                                             .sum()
                                     - bytesBefore)
                             / 10.0
-                            / count);
+                            / managerCount);
             fleet.hosts().get(0).kill();
             fleet.timesUntilNotAlive(0, 20 * SECOND)
                     .forEach(elapsed -> detection.addValue(elapsed < 0 ? 99 : elapsed / 1e4));
-            fleet = startedFleet(count, seed);
+            fleet = startedFleet(managerCount, seed);
             List<SimulatedMembership.ManagerHost> hosts = new ArrayList<>(fleet.hosts());
             fleet.advance(fleet.random().nextLong(SECOND));
-            for (int i = 0; i < count / 2; i++) {
+            for (int i = 0; i < managerCount / 2; i++) {
                 hosts.get(2 * i).kill();
             }
             long agreedAfter = fleet.timeUntilAgreed(30 * SECOND);
             neverAgreed += agreedAfter < 0 ? 1 : 0;
             halfKilled.addValue(agreedAfter / 1e4);
-            viewChangesPerHost.addValue((double) fleet.viewChanges().size() / (count - count / 2));
-            fleet = startedFleet(count, seed);
-            split(fleet, count, true);
+            viewChangesPerHost.addValue((double) fleet.viewChanges().size() / (managerCount - managerCount / 2));
+            fleet = startedFleet(managerCount, seed);
+            split(fleet, managerCount, true);
             fleet.advance(20 * SECOND);
-            split(fleet, count, false);
+            split(fleet, managerCount, false);
             long healedAfter = fleet.timeUntilAgreed(60 * SECOND);
             neverAgreed += healedAfter < 0 ? 1 : 0;
             splitHealed.addValue(healedAfter / 1e4);
@@ -94,10 +94,10 @@
         return figures;
     }
 
-    private static void split(SimulatedMembership fleet, int count, boolean block) {
-        for (int from = 0; from < count; from++) {
-            for (int to = 0; to < count; to++) {
-                if (from < count / 2 != to < count / 2) {
+    private static void split(SimulatedMembership fleet, int managerCount, boolean block) {
+        for (int from = 0; from < managerCount; from++) {
+            for (int to = 0; to < managerCount; to++) {
+                if (from < managerCount / 2 != to < managerCount / 2) {
                     fleet.setBlocked(from, to, block);
                 }
             }
@@ -108,12 +108,12 @@
      * Counts live managers declared dead within {@code minutes} of pauses up to {@code maxPause},
      * one every 2 s, with 20% loss.
      */
-    public static int falselyDead(int count, long seed, int minutes, long maxPause) {
-        SimulatedMembership fleet = startedFleet(count, seed);
+    public static int falselyDead(int managerCount, long seed, int minutes, long maxPause) {
+        SimulatedMembership fleet = startedFleet(managerCount, seed);
         fleet.setLossProbability(0.2);
         for (int i = 0; i < minutes * 30; i++) {
             fleet.hosts()
-                    .get(fleet.random().nextInt(count))
+                    .get(fleet.random().nextInt(managerCount))
                     .pause(maxPause / 5 + fleet.random().nextLong(maxPause * 4 / 5));
             fleet.advance(2 * SECOND);
         }
--- a/src/main/java/firstage/simulation/schedule/ScheduleRuleChecker.java
+++ b/src/main/java/firstage/simulation/schedule/ScheduleRuleChecker.java
@@ -30,7 +30,7 @@
         private final long deadline;
         private int answerCount;
         private boolean completed;
-        private boolean owedNothing;
+        private boolean answerWaived;
 
         /** Since when its client is not there; below 0 where it is. */
         private long absentSince = -1;
@@ -87,7 +87,7 @@
     /** The manager says how it ends; a client that asks at once has it at once. */
     public void onCompleted(long now, int requestId, boolean rejected) {
         ObservedRequest request = requests.get(requestId);
-        if (!request.owedNothing && now > request.deadline + ANSWER_SLACK + totalStall) {
+        if (!request.answerWaived && now > request.deadline + ANSWER_SLACK + totalStall) {
             recordViolation(now, 1, request, "answered too late");
         }
         if (rejected && request.nonIdempotent && request.runCount > 0) {
@@ -126,7 +126,7 @@
     /** The client left: it is owed nothing. */
     public void onClientLeft(int requestId) {
         ObservedRequest request = requests.get(requestId);
-        request.owedNothing = true;
+        request.answerWaived = true;
         request.completed = true;
     }
 
@@ -210,7 +210,7 @@
     /** All is played: nobody may be without an answer. */
     public void checkAllAnswered(long now) {
         for (ObservedRequest request : requests.values()) {
-            if (request.answerCount == 0 && !request.owedNothing) {
+            if (request.answerCount == 0 && !request.answerWaived) {
                 recordViolation(now, 1, request, "never answered");
             }
         }
--- a/src/main/java/firstage/simulation/schedule/SimulatedCells.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedCells.java
@@ -94,7 +94,7 @@
         private final DemandHistogram demand = new DemandHistogram();
         private CellPlan currentPlan;
         private boolean up;
-        private boolean lentBefore;
+        private boolean mayHaveWithdrawnBefore;
         private int incarnation;
         private int lastSenderSlot;
         private final long[] bytesSent = new long[MessageKind.values().length];
@@ -146,9 +146,9 @@
                             peers,
                             shape.cellSize == 0 ? 1.0 / peers : nextPlan.share(cell),
                             PROBE_PERIOD,
-                            lentBefore,
+                            mayHaveWithdrawnBefore,
                             () -> {
-                                lentBefore = true;
+                                mayHaveWithdrawnBefore = true;
                                 events.schedule(
                                         50,
                                         () -> {
@@ -162,7 +162,7 @@
                     new MembershipProtocol(
                             "field",
                             new Member(
-                                    name(number),
+                                    managerName(number),
                                     zone(cell),
                                     events.now() + 1,
                                     MemberState.ALIVE,
@@ -184,7 +184,7 @@
                                     previousPlan,
                                     cell,
                                     slot,
-                                    name(number),
+                                    managerName(number),
                                     "field",
                                     events.now() / 10,
                                     RANDOM_FACTORY.create(random.nextLong()),
@@ -194,7 +194,7 @@
             coordinator =
                     shape.withFleetControl
                             ? new FleetCoordinator(
-                                    name(number),
+                                    managerName(number),
                                     cell % shape.zones,
                                     shape.zones,
                                     LATENCY_OBJECTIVE,
@@ -203,7 +203,7 @@
                                     new ZoneActions() {
                                         @Override
                                         public void setAvoided(
-                                                long engine, boolean away, boolean restIsOver) {
+                                                long engine, boolean avoided, boolean backoffOver) {
                                             // No engines stand behind it.
                                         }
 
@@ -325,18 +325,18 @@
 
         @Override
         public byte[] outgoingDigest(long now) {
-            byte[] rest = coordinator == null ? new byte[0] : coordinator.encodeDigest(now);
-            return cellDirectory == null ? rest : cellDirectory.encodeDigest(rest);
+            byte[] coordinatorDigest = coordinator == null ? new byte[0] : coordinator.encodeDigest(now);
+            return cellDirectory == null ? coordinatorDigest : cellDirectory.encodeDigest(coordinatorDigest);
         }
 
         @Override
         public void digestReceived(long now, String member, byte[] digest) {
-            byte[] rest =
+            byte[] coordinatorDigest =
                     cellDirectory == null
                             ? digest
                             : cellDirectory.onDigest(now, lastSenderSlot, digest);
             if (coordinator != null) {
-                coordinator.onDigest(now, member, rest);
+                coordinator.onDigest(now, member, coordinatorDigest);
             }
         }
 
@@ -389,8 +389,8 @@
         return "z" + cell % shape.zones;
     }
 
-    public static String name(int place) {
-        return "m" + place;
+    public static String managerName(int number) {
+        return "m" + number;
     }
 
     public List<ManagerHost> hosts() {
@@ -420,11 +420,11 @@
     }
 
     /** All are started within this; none is waited for. */
-    public void start(long within) {
+    public void start(long duration) {
         for (ManagerHost host : hosts) {
-            events.schedule(random.nextLong(within), host::start);
+            events.schedule(random.nextLong(duration), host::start);
         }
-        advance(within);
+        advance(duration);
     }
 
     /** How many cells hold one view of just those that are up. */
@@ -432,12 +432,12 @@
         int size = shape.cellSize == 0 ? hosts.size() : shape.cellSize;
         int agreed = 0;
         for (int cell = 0; cell < shape.cellCount(); cell++) {
-            agreed += agreedCells(hosts.subList(cell * size, (cell + 1) * size)) ? 1 : 0;
+            agreed += isAgreed(hosts.subList(cell * size, (cell + 1) * size)) ? 1 : 0;
         }
         return agreed;
     }
 
-    private static boolean agreedCells(List<ManagerHost> cell) {
+    private static boolean isAgreed(List<ManagerHost> cell) {
         int up = 0;
         MembershipView firstView = null;
         for (ManagerHost host : cell) {
@@ -452,7 +452,7 @@
         }
         Set<String> names = firstView == null ? Set.of() : new HashSet<>(firstView.memberNames());
         return names.size() == up
-                && cell.stream().allMatch(host -> host.up == names.contains(name(host.number)));
+                && cell.stream().allMatch(host -> host.up == names.contains(managerName(host.number)));
     }
 
     /** Ticks until all cells agree, in steps of 0.1 s; -1 if not within this. */
@@ -478,7 +478,7 @@
         for (long elapsed = 0; elapsed <= limit && remaining > 0; elapsed += 100) {
             for (int i = 0; i < times.length; i++) {
                 if (times[i] < 0
-                        && !peers.get(i).membership.view().memberNames().contains(name(killed))) {
+                        && !peers.get(i).membership.view().memberNames().contains(managerName(killed))) {
                     times[i] = elapsed;
                     remaining--;
                 }
--- a/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
@@ -82,13 +82,13 @@
         return drainNotifiedAt < 0 ? -1 : now - drainNotifiedAt;
     }
 
-    void setAvailability(Availability next) {
-        if (next == Availability.DOWN) {
+    void setAvailability(Availability newAvailability) {
+        if (newAvailability == Availability.DOWN) {
             runs.values().forEach(StatementRun::end);
             runs.clear();
             incarnation++;
         }
-        availability = next;
+        availability = newAvailability;
     }
 
     /** A statement arrived complete. */
@@ -110,30 +110,30 @@
         ruleChecker.onRunStarted(events.now(), requestId, sentSinceDrain, drainGrace);
         StatementRun run = new StatementRun(requestId, events.now(), runTime, deadline);
         runs.put(attemptId, run);
-        scheduleForgetting(run);
+        scheduleExpiry(run);
         replyWhenEnded(attemptId, reply);
     }
 
-    private void scheduleForgetting(StatementRun run) {
+    private void scheduleExpiry(StatementRun run) {
         // A run that ended unpolled stays open until its end is written, at the latest at the
         // client's
         // deadline.
-        long delay = forgetsAt(run) - events.now();
+        long delay = expiresAt(run) - events.now();
         events.schedule(
                 Math.max(1, delay),
                 () -> {
-                    if (run.ended || events.now() >= forgetsAt(run)) {
+                    if (run.ended || events.now() >= expiresAt(run)) {
                         run.end();
                     } else {
-                        scheduleForgetting(run);
+                        scheduleExpiry(run);
                     }
                 });
     }
 
-    private long forgetsAt(StatementRun run) {
-        boolean endedWhilePolled =
+    private long expiresAt(StatementRun run) {
+        boolean endedBeforeExpiry =
                 run.endsAt <= events.now() && run.endsAt - run.lastPolledAt < RETENTION;
-        return endedWhilePolled
+        return endedBeforeExpiry
                 ? Math.max(Math.max(run.lastPolledAt, run.endsAt) + RETENTION, run.deadline)
                 : run.lastPolledAt + RETENTION;
     }
--- a/src/main/java/firstage/simulation/schedule/SimulatedManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -89,7 +89,7 @@
             Deployment deployment,
             List<SimulatedEngine> engines,
             double faultProbability,
-            boolean stalls) {
+            boolean stallsBetweenReads) {
         this.events = events;
         this.random = random;
         this.ruleChecker = ruleChecker;
@@ -102,7 +102,7 @@
                         events,
                         random,
                         ruleChecker,
-                        stalls,
+                        stallsBetweenReads,
                         defect == InjectedDefect.ONE_ACCEPTED_PER_ROUND,
                         this::runPendingActions);
         scheduler = new WorkloadScheduler(deployment, this);
@@ -166,7 +166,7 @@
                 });
     }
 
-    private void clientGone(SimulatedRequest request) {
+    private void handleClientGone(SimulatedRequest request) {
         if (!request.completed) {
             request.completed = true;
             openRequests--;
@@ -310,7 +310,7 @@
 
         @Override
         public void markClientGone() {
-            SimulatedManager.this.clientGone(request);
+            SimulatedManager.this.handleClientGone(request);
         }
 
         @Override
@@ -653,30 +653,30 @@
                                                             stateMachine.onStatementReply(
                                                                     events.now(), reply);
                                                         },
-                                                        loss ->
+                                                        failure ->
                                                                 stateMachine.onStatementFailed(
-                                                                        events.now(), loss));
+                                                                        events.now(), failure));
                                             }
                                         }));
             }
-            scheduleLoss(
+            scheduleFailure(
                     connectionBreaks ? 2 * drawOneWayDelay() : POLL_TIMEOUT,
                     answered,
-                    loss -> {
+                    failure -> {
                         if (defect == InjectedDefect.BROKEN_NEVER_RAN) {
                             reportEnd(AttemptOutcome.CONNECT_FAILED, 0);
                         } else {
-                            stateMachine.onStatementFailed(events.now(), loss);
+                            stateMachine.onStatementFailed(events.now(), failure);
                         }
                     });
         }
 
-        private interface LossHandler {
-            void onLost(CallFailure loss);
+        private interface FailureHandler {
+            void onFailed(CallFailure failure);
         }
 
         /** Delivers a reply to the manager: complete, unreadable, or never. */
-        private void deliverReply(boolean[] answered, Runnable onReply, LossHandler lossHandler) {
+        private void deliverReply(boolean[] answered, Runnable onReply, FailureHandler failureHandler) {
             if (answered[0] || drawFault() && random.nextBoolean()) {
                 return;
             }
@@ -689,7 +689,7 @@
                                         if (!answered[0]) {
                                             answered[0] = true;
                                             if (unreadable) {
-                                                lossHandler.onLost(CallFailure.REPLY_UNREADABLE);
+                                                failureHandler.onFailed(CallFailure.REPLY_UNREADABLE);
                                             } else {
                                                 onReply.run();
                                             }
@@ -697,7 +697,7 @@
                                     }));
         }
 
-        private void scheduleLoss(long timeout, boolean[] answered, LossHandler lossHandler) {
+        private void scheduleFailure(long timeout, boolean[] answered, FailureHandler failureHandler) {
             events.schedule(
                     timeout,
                     () ->
@@ -705,7 +705,7 @@
                                     () -> {
                                         if (!answered[0]) {
                                             answered[0] = true;
-                                            lossHandler.onLost(CallFailure.REPLY_LOST);
+                                            failureHandler.onFailed(CallFailure.REPLY_LOST);
                                         }
                                     }));
         }
@@ -714,7 +714,7 @@
                 long timeout,
                 boolean newConnection,
                 Consumer<boolean[]> send,
-                LossHandler lossHandler) {
+                FailureHandler failureHandler) {
             boolean[] answered = {false};
             boolean refused =
                     engine.availability() == SimulatedEngine.Availability.DOWN
@@ -728,7 +728,7 @@
                         2 * drawOneWayDelay(),
                         () ->
                                 onManagerThread(
-                                        () -> lossHandler.onLost(CallFailure.CONNECTION_REFUSED)));
+                                        () -> failureHandler.onFailed(CallFailure.CONNECTION_REFUSED)));
                 return;
             }
             boolean connectionBreaks = drawFault();
@@ -736,7 +736,7 @@
                     && (!connectionBreaks || random.nextBoolean())) {
                 events.schedule(drawOneWayDelay(), () -> send.accept(answered));
             }
-            scheduleLoss(connectionBreaks ? 2 * drawOneWayDelay() : timeout, answered, lossHandler);
+            scheduleFailure(connectionBreaks ? 2 * drawOneWayDelay() : timeout, answered, failureHandler);
         }
 
         @Override
@@ -768,18 +768,18 @@
                                                                     events.now(), reply);
                                                         }
                                                     },
-                                                    loss ->
+                                                    failure ->
                                                             stateMachine.onCallFailed(
-                                                                    events.now(), loss))),
-                    this::onCallLost);
+                                                                    events.now(), failure))),
+                    this::handleCallFailure);
         }
 
-        private void onCallLost(CallFailure loss) {
-            if (loss == CallFailure.CONNECTION_REFUSED
+        private void handleCallFailure(CallFailure failure) {
+            if (failure == CallFailure.CONNECTION_REFUSED
                     && defect == InjectedDefect.REFUSED_IS_OVER) {
                 reportEnd(AttemptOutcome.CONNECTION_LOST, 0);
             } else {
-                stateMachine.onCallFailed(events.now(), loss);
+                stateMachine.onCallFailed(events.now(), failure);
             }
         }
 
@@ -795,10 +795,10 @@
                                             deliverReply(
                                                     answered,
                                                     () -> stateMachine.onReply(events.now(), reply),
-                                                    loss ->
+                                                    failure ->
                                                             stateMachine.onCallFailed(
-                                                                    events.now(), loss))),
-                    this::onCallLost);
+                                                                    events.now(), failure))),
+                    this::handleCallFailure);
         }
 
         @Override
@@ -824,10 +824,10 @@
                                                                     events.now());
                                                         }
                                                     },
-                                                    loss ->
+                                                    failure ->
                                                             stateMachine.onDeleteFailed(
-                                                                    events.now(), loss))),
-                    loss -> stateMachine.onDeleteFailed(events.now(), loss));
+                                                                    events.now(), failure))),
+                    failure -> stateMachine.onDeleteFailed(events.now(), failure));
         }
 
         @Override
--- a/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
@@ -32,7 +32,7 @@
         private MembershipProtocol membership;
         private QuotaLeases leases;
         private boolean up;
-        private boolean lentBefore;
+        private boolean mayHaveWithdrawnBefore;
         private long pausedUntil;
         private final List<Runnable> waitingDatagrams = new ArrayList<>();
         private int incarnation;
@@ -67,9 +67,9 @@
                     new QuotaLeases(
                             hosts.size(),
                             PROBE_PERIOD,
-                            lentBefore,
+                            mayHaveWithdrawnBefore,
                             () -> {
-                                lentBefore = true;
+                                mayHaveWithdrawnBefore = true;
                                 events.schedule(
                                         50,
                                         () -> {
@@ -172,7 +172,7 @@
         @Override
         public void viewChanged(long now, MembershipView view) {
             viewChangeCount++;
-            viewChanges.add("m" + number + " " + view.number() + " " + view.memberNames().size());
+            pendingViewChanges.add("m" + number + " " + view.number() + " " + view.memberNames().size());
         }
 
         @Override
@@ -212,7 +212,7 @@
     private final List<ManagerHost> hosts = new ArrayList<>();
     private final boolean[][] blocked;
     private final List<String> falselyDead = new ArrayList<>();
-    private final List<String> viewChanges = new ArrayList<>();
+    private final List<String> pendingViewChanges = new ArrayList<>();
     private double lossProbability;
     private double duplicateProbability;
 
@@ -332,9 +332,9 @@
 
     /** All view changes since the last call. */
     public List<String> viewChanges() {
-        List<String> all = List.copyOf(viewChanges);
-        viewChanges.clear();
-        return all;
+        List<String> changes = List.copyOf(pendingViewChanges);
+        pendingViewChanges.clear();
+        return changes;
     }
 
     public double totalShare() {
--- a/src/test/java/firstage/emulator/LoadGeneratorTest.java
+++ b/src/test/java/firstage/emulator/LoadGeneratorTest.java
@@ -74,7 +74,7 @@
             manager.start();
             loop.execute(generator::start);
             while (maxTries(plan, Effect.IDEMPOTENT) < 2
-                    || count(plan, Effect.NON_IDEMPOTENT) < 30) {
+                    || requestCount(plan, Effect.NON_IDEMPOTENT) < 30) {
                 Thread.sleep(20);
             }
             assertThat(maxTries(plan, Effect.NON_IDEMPOTENT)).isEqualTo(1);
@@ -84,7 +84,7 @@
         }
     }
 
-    private long count(FleetPlan plan, Effect effect) {
+    private long requestCount(FleetPlan plan, Effect effect) {
         return tries.keySet().stream()
                 .filter(
                         request ->
@@ -94,7 +94,7 @@
 
     private int maxTries(FleetPlan plan, Effect effect) {
         return tries.entrySet().stream()
-                .filter(t -> plan.trafficClasses().get(t.getKey().trafficClass).effect() == effect)
+                .filter(entry -> plan.trafficClasses().get(entry.getKey().trafficClass).effect() == effect)
                 .mapToInt(Map.Entry::getValue)
                 .max()
                 .orElse(0);
@@ -118,12 +118,12 @@
                             try {
                                 client.setSoLinger(true, 0);
                                 client.close();
-                            } catch (IOException gone) {
+                            } catch (IOException alreadyClosed) {
                                 assertThat(client.isClosed()).isTrue();
                             }
                         });
             }
-        } catch (IOException over) {
+        } catch (IOException serverClosed) {
             assertThat(server.isClosed()).isTrue();
         }
     }
