--- a/src/main/java/firstage/simulation/schedule/FaultSchedule.java
+++ b/src/main/java/firstage/simulation/schedule/FaultSchedule.java
@@ -14,10 +14,10 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * One seeded schedule in virtual time: one to three engines, some dozen requests of two ordering
- * keys, and the faults between them. The same seed gives the same schedule. Requests of one key are
- * sent as far apart as clients promise: 60 ms, 250 ms after one on a new connection. Times are
- * ticks.
+ * A seeded fault schedule in virtual time: one manager at a time, one to three engines, 10 to 18
+ * requests, most of them of two ordering keys, and faults of the manager, engines and connections.
+ * The same seed gives the same schedule. Requests of one key keep the minimum distance that clients
+ * guarantee: 60 ms, or 250 ms after a request on a new connection. Times are ticks.
  */
 public final class FaultSchedule {
     private static final long SECOND = 10_000;
@@ -33,8 +33,8 @@
     /**
      * Runs the schedule of a seed.
      *
-     * @return the violations, in words; empty if all rules held and the manager holds nothing at
-     *     the end
+     * @return descriptions of the violations; empty if all rules were kept and the manager released
+     *     all its state by the end
      */
     public static List<String> run(long seed, InjectedDefect defect) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
@@ -74,7 +74,8 @@
     }
 
     /**
-     * Kills and restarts the manager, shuts it down, or sends it a snapshot of the endpoint list.
+     * Schedules at most one event of the manager: a kill and restart, a shutdown, or a snapshot of
+     * the endpoint list.
      */
     private static void scheduleManagerEvents(
             RandomGenerator random,
--- a/src/main/java/firstage/simulation/schedule/FaultSchedules.java
+++ b/src/main/java/firstage/simulation/schedule/FaultSchedules.java
@@ -6,15 +6,15 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 import java.util.stream.LongStream;
 
-/** Runs many fault schedules on all cores; the same seeds give the same findings. */
+/** Runs many fault schedules on all cores; the same seeds give the same violations. */
 public final class FaultSchedules {
     private FaultSchedules() {}
 
     /**
-     * Runs {@code count} schedules from {@code firstSeed} on.
+     * Runs {@code count} schedules with consecutive seeds, beginning with {@code firstSeed}.
      *
-     * @return by seed, the violations of the schedules that had any; at most the first {@code
-     *     maxShown} seeds
+     * @return the violations of the schedules that had any, by seed; those of the lowest {@code
+     *     maxShown} seeds at most
      */
     public static Map<Long, List<String>> run(
             long firstSeed, long count, InjectedDefect defect, int maxShown) {
--- a/src/main/java/firstage/simulation/schedule/InjectedDefect.java
+++ b/src/main/java/firstage/simulation/schedule/InjectedDefect.java
@@ -2,40 +2,57 @@
 
 /**
  * Defects that are injected one at a time, to check that the fault schedules find them. The names
- * are words of the command line {@code fault-schedule FIRST COUNT [DEFECT]}.
+ * are arguments of the command {@code fault-schedule FIRST COUNT [DEFECT]}.
  */
 public enum InjectedDefect {
-    /** The program as it is. */
+    /** No defect. */
     NONE,
-    /** Requests are delivered in the order of reading, without a read barrier. */
+    /** Requests are delivered in the order in which they are read, without a read barrier. */
     DELIVERED_AS_READ,
-    /** One new connection is accepted per select round, and two rounds count as a barrier. */
+    /**
+     * Only one new connection is accepted per select round, although two rounds count as a read
+     * barrier.
+     */
     ONE_ACCEPTED_PER_ROUND,
-    /** A refused poll ends an attempt for good, also at a draining engine. */
+    /** A poll whose connection is refused ends the attempt, even at a draining engine. */
     REFUSED_IS_OVER,
     /**
-     * An attempt unknown to its engine counts as ended, though its statement was never answered.
+     * An attempt that its engine does not know counts as ended, although its statement was never
+     * answered and may still arrive.
      */
     UNKNOWN_IS_OVER,
-    /** The response to a DELETE counts as the end, also where it overtook the statement. */
+    /**
+     * The response to a DELETE counts as the end of the attempt, even if the DELETE overtook the
+     * statement.
+     */
     DELETED_IS_OVER,
-    /** An abandoned attempt has no quiet period: its ordering key goes on at once. */
+    /**
+     * An abandoned attempt has no quiet period: the next request of its ordering key may run at
+     * once.
+     */
     ABANDONED_IS_OVER,
     /**
-     * The quiet period of a key ends when an unpolled run ends, not when that is written or
-     * forgotten.
+     * The quiet period of an ordering key ends when an unpolled run ends, not when the engine has
+     * written or dropped its result.
      */
     UNWRITTEN_END_IS_OVER,
-    /** An unpolled run that ended counts as forgotten, and its DELETE is not repeated. */
+    /**
+     * An unpolled run that ended counts as dropped by its engine, and its DELETE is not repeated.
+     */
     UNWRITTEN_END_IS_FORGOTTEN,
-    /** A connection broken after the statement was written counts as a failed connect. */
+    /**
+     * A connection that breaks after the statement was written counts as one that was never
+     * established.
+     */
     BROKEN_NEVER_RAN,
     /** A request is answered at its deadline, and again when an attempt ends late. */
     ANSWERED_TWICE,
-    /** A connection that opened late still carries its statement to a draining engine. */
+    /**
+     * A statement whose connection opened late is still sent to an engine that has begun to drain.
+     */
     DRAIN_IGNORED,
     /** A client that stopped polling counts as present. */
     ABSENCE_IGNORED,
-    /** A request without an answer at its deadline gets none. */
+    /** A request that has no answer at its deadline never gets one. */
     DEADLINE_IGNORED
 }
--- a/src/main/java/firstage/simulation/schedule/MembershipFigures.java
+++ b/src/main/java/firstage/simulation/schedule/MembershipFigures.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.apache.commons.math3.stat.descriptive.DescriptiveStatistics;
 
-/** Measures the table of docs/membership.md in virtual time; every figure is simulated. */
+/** Measures the figures of docs/membership.md in virtual time; all of them are simulated. */
 public final class MembershipFigures {
     private static final long SECOND = 10_000;
 
@@ -27,7 +27,10 @@
         return fleet;
     }
 
-    /** Figures by name, for so many managers and seeds. */
+    /**
+     * Returns the measured figures by name, for fleets of {@code managerCount} managers with the
+     * seeds from 0 to {@code seedCount} - 1.
+     */
     public static Map<String, Double> measure(int managerCount, int seedCount) {
         Map<String, Double> figures = new LinkedHashMap<>();
         DescriptiveStatistics detection = new DescriptiveStatistics();
@@ -105,8 +108,9 @@
     }
 
     /**
-     * Counts live managers declared dead within {@code minutes} of pauses up to {@code maxPause},
-     * one every 2 s, with 20% loss.
+     * Returns how often a live manager was declared dead in a run of {@code minutes} minutes, in
+     * which a random manager is paused every 2 s for up to {@code maxPause} ticks and 20% of the
+     * datagrams are lost.
      */
     public static int falselyDead(int managerCount, long seed, int minutes, long maxPause) {
         SimulatedMembership fleet = startedFleet(managerCount, seed);
--- a/src/main/java/firstage/simulation/schedule/ScheduleRuleChecker.java
+++ b/src/main/java/firstage/simulation/schedule/ScheduleRuleChecker.java
@@ -6,21 +6,26 @@
 import java.util.Map;
 
 /**
- * Observes the messages between clients, one manager and engines, and reports violations of the
- * rules. It reads no state of the manager. Rule 1: one final answer in time. Rule 2: no
- * non-idempotent request runs twice, and none is rejected that may have run. Rule 3: no statement
- * to a draining engine past the grace period. Rule 5: no request reaches an engine while an earlier
- * one of its ordering key is open, or another of its key may run. Besides: no statement is sent
- * more than 0.3 s after its client was last present. Times are ticks.
+ * Checks the messages between clients, one manager and engines against the rules, without reading
+ * any state of the manager. Times are ticks.
+ *
+ * <ul>
+ *   <li>Rule 1: each request gets one final answer, in time.
+ *   <li>Rule 2: no non-idempotent request runs twice, and none is rejected that may have run.
+ *   <li>Rule 3: no statement is sent to a draining engine after the grace period.
+ *   <li>Rule 5: no request reaches an engine while an earlier request of its ordering key is open,
+ *       or while another request of the key may run.
+ *   <li>Unnumbered: no statement is sent more than 0.3 s after its client was last present.
+ * </ul>
  */
 public final class ScheduleRuleChecker {
-    /** Ticks after a client's limit in which its answer still counts. */
+    /** Time after the deadline of a request within which its answer counts as in time. */
     private static final long ANSWER_SLACK = 500;
 
-    /** After its client left nothing is sent for it later than this. */
+    /** Longest time after the start of a client's absence at which its statement may be sent. */
     private static final long MAX_SEND_DELAY_AFTER_ABSENCE = 3_000;
 
-    /** What crossed of one request. */
+    /** Messages observed for one request. */
     private static final class ObservedRequest {
         private final int id;
         private final int managerIncarnation;
@@ -32,7 +37,7 @@
         private boolean completed;
         private boolean answerWaived;
 
-        /** Since when its client is not there; below 0 where it is. */
+        /** Time since which the client is absent; negative while it is present. */
         private long absentSince = -1;
 
         private int runCount;
@@ -56,19 +61,25 @@
     private final List<String> violations = new ArrayList<>();
     private final Map<Integer, ObservedRequest> requests = new HashMap<>();
 
-    /** By key, the requests that came, in the order of their last bytes. */
+    /** Requests of each ordering key, in the order in which their last bytes arrived. */
     private final Map<Integer, List<ObservedRequest>> requestsByKey = new HashMap<>();
 
-    /** By key, the requests whose runs are at engines now; once for each run. */
+    /** Requests of each ordering key that run at engines now, listed once for each run. */
     private final Map<Integer, List<ObservedRequest>> runningByKey = new HashMap<>();
 
-    /** Which of the managers that follow each other is up. */
+    /** Number of managers that were killed before the current one. */
     private int incarnation;
 
-    /** Time that the thread stood still: no answer can be asked for within it. */
+    /**
+     * Total time for which the manager's thread was stalled. All time limits are extended by it,
+     * because a stalled manager can't answer.
+     */
     private long totalStall;
 
-    /** The last byte of a request reached the machine; {@code orderingKey} -1 without order. */
+    /**
+     * Records that the last byte of a request reached the machine; {@code orderingKey} is -1 for a
+     * request without one.
+     */
     public void onArrived(
             long now, int requestId, int orderingKey, boolean nonIdempotent, long deadline) {
         ObservedRequest request =
@@ -80,23 +91,27 @@
         }
     }
 
+    /** Records a stall of the manager's thread. */
     public void onStalled(long length) {
         totalStall += length;
     }
 
-    /** The manager says how it ends; a client that asks at once has it at once. */
+    /**
+     * Records that the manager determined the outcome of a request; a client that is waiting gets
+     * its answer at once.
+     */
     public void onCompleted(long now, int requestId, boolean rejected) {
         ObservedRequest request = requests.get(requestId);
         if (!request.answerWaived && now > request.deadline + ANSWER_SLACK + totalStall) {
             recordViolation(now, 1, request, "answered too late");
         }
         if (rejected && request.nonIdempotent && request.runCount > 0) {
-            recordViolation(now, 2, request, "pushed back, and may have run");
+            recordViolation(now, 2, request, "rejected although it may have run");
         }
         request.completed = true;
     }
 
-    /** The client has its answer. */
+    /** Records that the client received its answer. */
     public void onAnswered(long now, int requestId) {
         ObservedRequest request = requests.get(requestId);
         request.answerCount++;
@@ -106,8 +121,8 @@
     }
 
     /**
-     * The manager was killed: what it held is no duty of anybody's, and the next one's orders begin
-     * anew.
+     * Records that the manager was killed: its open requests need no answer, and the next manager
+     * tracks the order of each key from scratch.
      */
     public void onManagerKilled() {
         requests.values().stream()
@@ -118,19 +133,19 @@
         incarnation++;
     }
 
-    /** How many managers were killed before this one. */
+    /** Returns the number of managers that were killed before the current one. */
     public int incarnation() {
         return incarnation;
     }
 
-    /** The client left: it is owed nothing. */
+    /** Records that the client left for good, so that its request needs no answer. */
     public void onClientLeft(int requestId) {
         ObservedRequest request = requests.get(requestId);
         request.answerWaived = true;
         request.completed = true;
     }
 
-    /** The client is not there, for now or for ever. */
+    /** Records that the client is absent, temporarily or for good. */
     public void onClientAbsent(long now, int requestId) {
         requests.get(requestId).absentSince = now;
     }
@@ -139,31 +154,33 @@
         requests.get(requestId).absentSince = -1;
     }
 
-    /** A statement goes onto the wire. */
+    /** Records that a statement is written to a connection. */
     public void onStatementSent(long now, int requestId) {
         ObservedRequest request = requests.get(requestId);
         if (request.absentSince >= 0
                 && now - request.absentSince > MAX_SEND_DELAY_AFTER_ABSENCE + totalStall) {
             violations.add(
-                    "at "
+                    "at tick "
                             + now
                             + ": batch "
                             + request.id
-                            + " is sent "
+                            + " was sent "
                             + (now - request.absentSince)
-                            + " after its client left");
+                            + " ticks after its client left");
         }
     }
 
     /**
-     * A statement came whole to an engine that takes it up; {@code sinceDrain} below 0 where it
-     * does not drain.
+     * Records that an engine received a whole statement and starts to run it.
+     *
+     * @param sentSinceDrain time from the engine's drain notice to the send; negative if the
+     *     manager had no such notice
      */
     public void onRunStarted(long now, int requestId, long sentSinceDrain, long drainGrace) {
         ObservedRequest request = requests.get(requestId);
         if (sentSinceDrain > drainGrace) {
             recordViolation(
-                    now, 3, request, "sent " + sentSinceDrain + " after the drain was told");
+                    now, 3, request, "sent " + sentSinceDrain + " ticks after the drain notice");
         }
         if (request.nonIdempotent && request.runCount > 0) {
             recordViolation(now, 2, request, "runs again");
@@ -172,12 +189,12 @@
         if (request.orderingKey < 0 || request.managerIncarnation != incarnation) {
             return;
         }
-        // A retry or a hedged request of the same request is outside this rule.
+        // Rule 5 does not apply between attempts of one request: retries and hedged requests.
         List<ObservedRequest> running =
                 runningByKey.computeIfAbsent(request.orderingKey, absentKey -> new ArrayList<>());
         for (ObservedRequest other : running) {
             if (other != request) {
-                recordViolation(now, 5, request, "runs beside " + other.id);
+                recordViolation(now, 5, request, "runs concurrently with batch " + other.id);
             }
         }
         running.add(request);
@@ -190,16 +207,19 @@
                         now,
                         5,
                         request,
-                        "runs before "
+                        "runs before batch "
                                 + earlier.id
-                                + ", which came "
+                                + ", which arrived "
                                 + (request.arrivedAt - earlier.arrivedAt)
-                                + " earlier");
+                                + " ticks earlier");
             }
         }
     }
 
-    /** A run ended at its engine: by itself, by a DELETE, forgotten, or with the process. */
+    /**
+     * Records that a run ended at its engine: it completed, was deleted or expired, or the engine
+     * went down.
+     */
     public void onRunEnded(int requestId) {
         ObservedRequest request = requests.get(requestId);
         if (request.orderingKey >= 0 && request.managerIncarnation == incarnation) {
@@ -207,7 +227,7 @@
         }
     }
 
-    /** All is played: nobody may be without an answer. */
+    /** Reports each request that still lacks an answer at the end of the schedule. */
     public void checkAllAnswered(long now) {
         for (ObservedRequest request : requests.values()) {
             if (request.answerCount == 0 && !request.answerWaived) {
@@ -216,16 +236,16 @@
         }
     }
 
-    /** A table of the manager's that is not empty at the end. */
+    /** Records a broken invariant of the manager, such as state left over at the end. */
     public void recordLeftover(String leftover) {
-        violations.add("kept at the end: " + leftover);
+        violations.add("invariant not kept: " + leftover);
     }
 
     private void recordViolation(long now, int rule, ObservedRequest request, String description) {
         violations.add(
                 "rule "
                         + rule
-                        + " at "
+                        + " at tick "
                         + now
                         + ": batch "
                         + request.id
--- a/src/main/java/firstage/simulation/schedule/SimulatedCells.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedCells.java
@@ -27,13 +27,13 @@
 import java.util.stream.IntStream;
 
 /**
- * Fleet control in virtual time, without clients and engines: the real membership, leases, load
- * shedding, probes, zones and cells of each manager; their datagrams are delayed, lost and blocked.
- * Every figure is simulated. It runs a fleet in cells, or the same fleet without cells. Times are
- * ticks.
+ * A fleet of managers in virtual time, with or without cells, and without clients and engines. Each
+ * manager runs the production code of membership, quota leases, load shedding, engine probes, zone
+ * failover and cells. Datagrams between managers are delayed, lost and blocked. All measured
+ * figures are simulated. Times are ticks.
  */
 public final class SimulatedCells {
-    /** Between two probes of one manager. */
+    /** Time between two membership probes of a manager. */
     public static final long PROBE_PERIOD = 2_000;
 
     private static final long START = 1_000_000;
@@ -43,8 +43,9 @@
     private static final long WARM_UP = 130_000;
 
     /**
-     * Rates of a manager that serves 462 requests a second in four bands of worth: rows as long as
-     * in service.
+     * Number of priority bands with demand. Together with {@link #WORK_PER_TICK} it gives the
+     * demand of a manager that serves 462 requests per second, so that its digests are as long as
+     * in production.
      */
     private static final int PRIORITY_BANDS = 4;
 
@@ -53,9 +54,16 @@
             RandomGeneratorFactory.of("L64X128MixRandom");
 
     /**
-     * {@code cellSize}: managers in one, 0 for a fleet that is one; {@code zones}: cells lie in
-     * them by turns; {@code withFleetControl}: whether the level's and the trials' words ride
-     * along; {@code tickInterval}: between two looks.
+     * Size and settings of a simulated fleet.
+     *
+     * @param managers number of managers
+     * @param cellSize managers per cell; 0 for a fleet without cells
+     * @param zones number of zones, to which the cells are assigned in turn
+     * @param spread number of cells that serve each engine
+     * @param withFleetControl whether membership messages carry the digests of load shedding,
+     *     engine probes and zones
+     * @param tickInterval ticks between two periodic runs of a manager's protocols
+     * @param defect defect of the cell directories
      */
     public record Shape(
             int managers,
@@ -65,13 +73,13 @@
             boolean withFleetControl,
             long tickInterval,
             CellDirectory.InjectedDefect defect) {
-        /** How many cells there are. */
+        /** Returns the number of cells; 1 for a fleet without cells. */
         public int cellCount() {
             return cellSize == 0 ? 1 : managers / cellSize;
         }
     }
 
-    /** Kinds of messages that a manager sends. */
+    /** Kinds of messages that a manager sends; figures carry these names in lower case. */
     public enum MessageKind {
         PING,
         ACK,
@@ -82,7 +90,7 @@
         ROWS
     }
 
-    /** A host that runs a manager, one process after another. */
+    /** A host that runs the processes of one manager, one after another. */
     public final class ManagerHost implements MembershipActions, CellActions {
         private final int number;
         private final int cell;
@@ -119,7 +127,7 @@
             return membership;
         }
 
-        /** Null in a fleet that is one. */
+        /** Returns the cell directory; null in a fleet without cells. */
         public CellDirectory cellDirectory() {
             return cellDirectory;
         }
@@ -136,7 +144,10 @@
             return sum;
         }
 
-        /** Starts it; with another plan, the one that it held is the one before. */
+        /**
+         * Starts the manager. If {@code nextPlan} has a higher number than the current plan, the
+         * manager treats the current one as the previous plan.
+         */
         public void start(CellPlan nextPlan) {
             up = true;
             int startedIncarnation = ++incarnation;
@@ -204,12 +215,12 @@
                                         @Override
                                         public void setAvoided(
                                                 long engine, boolean avoided, boolean backoffOver) {
-                                            // No engines stand behind it.
+                                            // The simulation has no engines.
                                         }
 
                                         @Override
                                         public void logZoneState(int zone, String state) {
-                                            // The same.
+                                            // Zone states are not evaluated.
                                         }
                                     },
                                     (now, band, part) -> {},
@@ -228,7 +239,7 @@
             incarnation++;
         }
 
-        /** It ends by intent. */
+        /** Leaves the fleet in an orderly shutdown. */
         public void leave() {
             membership.leave(events.now());
             kill();
@@ -315,12 +326,12 @@
 
         @Override
         public void logMemberEvent(long now, String event, String member, String reason) {
-            // Told to nobody: what is wanted of it is asked for.
+            // Not logged: callers query the state of the membership.
         }
 
         @Override
         public void logCellEvent(long now, String event, String cell, String reason) {
-            // The same.
+            // Not logged: callers query the state of the cell directory.
         }
 
         @Override
@@ -342,7 +353,7 @@
 
         @Override
         public void enginesReleased(long now) {
-            // Asked for by those who look.
+            // Not recorded: callers query the cell directory.
         }
 
         @Override
@@ -372,7 +383,10 @@
         }
     }
 
-    /** So many cells of so many slots, by turns in the zones. */
+    /**
+     * Returns a plan of {@code cells} cells with {@code slots} slots each, assigned to {@code
+     * zones} zones in turn.
+     */
     public static CellPlan plan(int number, int spread, int cells, int zones, int slots) {
         return new CellPlan(
                 number,
@@ -409,7 +423,10 @@
         lossProbability = probability;
     }
 
-    /** Nothing passes between those on this side and the others, or all does again. */
+    /**
+     * Sets or heals a partition: while {@code partition} is true, no datagram passes between the
+     * hosts that match {@code inPartition} and the other hosts.
+     */
     public void setPartition(IntPredicate inPartition, boolean partition) {
         partitionSide = inPartition;
         partitioned = partition;
@@ -419,7 +436,10 @@
         events.runUntil(events.now() + length);
     }
 
-    /** All are started within this; none is waited for. */
+    /**
+     * Starts all managers at random times within {@code duration} ticks, and does not wait for them
+     * to agree on a view.
+     */
     public void start(long duration) {
         for (ManagerHost host : hosts) {
             events.schedule(random.nextLong(duration), host::start);
@@ -427,7 +447,10 @@
         advance(duration);
     }
 
-    /** How many cells hold one view of just those that are up. */
+    /**
+     * Returns the number of cells whose running managers all hold the same view, with exactly these
+     * managers in it.
+     */
     public int agreedCells() {
         int size = shape.cellSize == 0 ? hosts.size() : shape.cellSize;
         int agreed = 0;
@@ -455,7 +478,11 @@
                 && cell.stream().allMatch(host -> host.up == names.contains(managerName(host.number)));
     }
 
-    /** Ticks until all cells agree, in steps of 0.1 s; -1 if not within this. */
+    /**
+     * Runs until all cells agree on their views.
+     *
+     * @return the ticks that this took, in steps of 0.1 s; -1 if it took more than {@code limit}
+     */
     public long timeUntilAgreed(long limit) {
         for (long elapsed = 0; elapsed <= limit; elapsed += 1_000) {
             if (agreedCells() == shape.cellCount()) {
@@ -466,7 +493,13 @@
         return -1;
     }
 
-    /** For each in whose view this one was, ticks until it is out of it; -1 for not within this. */
+    /**
+     * Runs until the views of all running managers in the cell of {@code killed} no longer contain
+     * it.
+     *
+     * @return for each of these managers, the ticks that this took, in steps of 10 ms; -1 if it took
+     *     more than {@code limit}
+     */
     public List<Long> timesUntilRemoved(int killed, long limit) {
         List<ManagerHost> peers =
                 hosts.stream()
@@ -488,7 +521,10 @@
         return Arrays.stream(times).boxed().toList();
     }
 
-    /** The part of the slices in force: 1 where each manager that is up uses its whole own. */
+    /**
+     * Returns the fraction of the running managers' slices that is in force: 1 if each of them uses
+     * its whole slice.
+     */
     public double quotaInForce() {
         double sum = 0;
         int up = 0;
@@ -505,7 +541,7 @@
         return up == 0 ? 0 : sum / up;
     }
 
-    /** Bytes that each kind of message took so far, over all managers. */
+    /** Returns the bytes sent so far by all managers, by kind of message. */
     public Map<MessageKind, Long> bytesByKind() {
         Map<MessageKind, Long> bytesSent = new EnumMap<>(MessageKind.class);
         for (MessageKind kind : MessageKind.values()) {
@@ -515,7 +551,7 @@
         return bytesSent;
     }
 
-    /** Datagrams so far, over all managers. */
+    /** Returns the number of datagrams sent so far by all managers. */
     public long datagrams() {
         return hosts.stream().mapToLong(host -> Arrays.stream(host.datagramsSent).sum()).sum();
     }
--- a/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
@@ -8,8 +8,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A simulated engine: accepts statements, holds polls, ends and forgets runs that are not polled,
- * drains, fails, and restarts. Times are ticks.
+ * A simulated engine: accepts statements, holds polls, drops runs that are not polled, drains,
+ * fails and restarts. Times are ticks.
  */
 final class SimulatedEngine {
     private static final long MAX_POLL_HOLD = 2_500;
@@ -54,12 +54,12 @@
     private final ScheduleRuleChecker ruleChecker;
     private final RandomGenerator random;
 
-    /** By attempt id, the runs that are in progress or ended here. */
+    /** Runs of the current incarnation, in progress or ended, by attempt id. */
     private final Map<Integer, StatementRun> runs = new HashMap<>();
 
     private Availability availability = Availability.UP;
 
-    /** When the manager was notified that this engine drains; below 0 if it was not. */
+    /** Time at which the manager was notified that this engine drains; negative before that. */
     private long drainNotifiedAt = -1;
 
     private int incarnation;
@@ -78,6 +78,7 @@
         drainNotifiedAt = now;
     }
 
+    /** Returns the time since the manager's drain notice; negative if there was none. */
     long sinceDrain(long now) {
         return drainNotifiedAt < 0 ? -1 : now - drainNotifiedAt;
     }
@@ -91,7 +92,10 @@
         availability = newAvailability;
     }
 
-    /** A statement arrived complete. */
+    /**
+     * Receives a whole statement and starts to run it, unless the engine refuses it; {@code reply}
+     * gets the refusal, or what a poll of the run would get.
+     */
     void receiveStatement(
             int requestId,
             int attemptId,
@@ -115,9 +119,8 @@
     }
 
     private void scheduleExpiry(StatementRun run) {
-        // A run that ended unpolled stays open until its end is written, at the latest at the
-        // client's
-        // deadline.
+        // A run that ends before it expires counts as running until the engine has written or
+        // dropped its unread result, which is at expiresAt() at the latest.
         long delay = expiresAt(run) - events.now();
         events.schedule(
                 Math.max(1, delay),
@@ -130,6 +133,11 @@
                 });
     }
 
+    /**
+     * Returns the time at which the engine drops a run that nobody polls from now on: the retention
+     * time after the last poll. If the run ends before that, its unread result is kept for the
+     * retention time after its end, and at least until the client's deadline.
+     */
     private long expiresAt(StatementRun run) {
         boolean endedBeforeExpiry =
                 run.endsAt <= events.now() && run.endsAt - run.lastPolledAt < RETENTION;
@@ -150,7 +158,7 @@
         replyWhenEnded(attemptId, reply);
     }
 
-    /** Replies when the run ends, or after {@link #MAX_POLL_HOLD}. */
+    /** Replies when the run ends, and after {@link #MAX_POLL_HOLD} at the latest. */
     private void replyWhenEnded(int attemptId, Consumer<EngineReply> reply) {
         StatementRun run = runs.get(attemptId);
         long holdTime = Math.min(MAX_POLL_HOLD, Math.max(0, run.endsAt - events.now()));
--- a/src/main/java/firstage/simulation/schedule/SimulatedManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -22,9 +22,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A manager in virtual time: the real {@link WorkloadScheduler}, {@link ArrivalSequencer} and state
- * machines of client calls and attempts, on simulated connections and engines. Times are tenths of
- * a millisecond.
+ * A manager in virtual time: the production {@link WorkloadScheduler}, {@link ArrivalSequencer} and
+ * state machines of client calls and attempts, connected to simulated clients, connections and
+ * engines. Times are ticks.
  */
 final class SimulatedManager
         implements PolicyActions,
@@ -37,10 +37,13 @@
     private static final long MAX_LATE_DELIVERY = 1_500;
     private static final int ATTEMPT_IDS_PER_INCARNATION = 100_000;
 
-    /** How much too short the quiet period is with UNWRITTEN_END_IS_OVER: an engine's retention. */
+    /**
+     * Time by which {@link InjectedDefect#UNWRITTEN_END_IS_OVER} shortens the quiet period of an
+     * ordering key: a little more than the time for which an engine keeps an unread result.
+     */
     private static final long QUIET_PERIOD_SHORTFALL = 20_500;
 
-    /** A request, and what the manager knows of it. */
+    /** A request, and its state at the manager. */
     static final class SimulatedRequest {
         final int id;
         final int trafficClass;
@@ -78,7 +81,10 @@
     private int openRequests;
     private int openCalls;
 
-    /** Unique over all managers of a schedule, since engines still know those of a killed one. */
+    /**
+     * Id of the next attempt; unique across all managers of a schedule, because engines still know
+     * the attempts of a killed manager.
+     */
     private int nextAttemptId;
 
     SimulatedManager(
@@ -112,12 +118,15 @@
         return thread;
     }
 
-    /** Kills the process; statements already on their way still reach the engines. */
+    /** Kills the process; statements already in transit still reach the engines. */
     void kill() {
         thread.kill();
     }
 
-    /** SIGTERM: it still accepts requests for a while, and ends at {@code endsAt}. */
+    /**
+     * Starts a shutdown, as SIGTERM does: the manager still accepts requests for a while and exits
+     * at {@code endsAt}.
+     */
     void shutDown(long endsAt) {
         thread.submit(
                 () -> {
@@ -133,8 +142,8 @@
         }
     }
 
-    // ---- Clients.
-    /** The last byte of a request reached the machine. */
+    // ---- Client calls.
+    /** Submits a request whose last byte has reached the machine to the I/O thread. */
     void onRequestReceived(SimulatedRequest request, boolean newConnection) {
         Runnable read =
                 () -> {
@@ -180,8 +189,8 @@
     }
 
     /**
-     * A client and its call: it polls at the path that it is given, sometimes loses a connection
-     * and polls again; some clients never poll.
+     * A client and its call. The client polls the path that it receives, sometimes loses a
+     * connection and polls again; some clients never poll.
      */
     private final class SimulatedClient implements ClientCallStateMachine.ClientCallActions {
         private final SimulatedRequest request;
@@ -226,7 +235,7 @@
             }
         }
 
-        /** Its connection may break while the poll is held. */
+        /** Breaks the connection of a held poll with the fault probability. */
         private void breakConnectionLater() {
             if (random.nextDouble() < faultProbability) {
                 runOnThreadAfter(
@@ -253,7 +262,7 @@
         @Override
         public void respond() {
             if (heldCalls == 0) {
-                ruleChecker.recordLeftover("an answer given to no call of batch " + request.id);
+                ruleChecker.recordLeftover("answer without a held call, batch " + request.id);
             }
             heldCalls = 0;
             if (!answered || defect == InjectedDefect.ANSWERED_TWICE) {
@@ -286,7 +295,7 @@
 
         @Override
         public void failHeldCalls() {
-            // The client gave up: a response to these calls is no answer.
+            // The client cancelled, so the response to these calls does not count as an answer.
             heldCalls = 0;
         }
 
@@ -317,12 +326,12 @@
         public void release() {
             if (released) {
                 ruleChecker.recordLeftover(
-                        "a call that is forgotten twice, of batch " + request.id);
+                        "call released twice, batch " + request.id);
             }
             released = true;
             openCalls--;
             if (!answered && request.completed) {
-                // It was answered at a path that its client never polled: the client is gone.
+                // The client never polled for the answer, so it counts as gone.
                 ruleChecker.onClientLeft(request.id);
             }
         }
@@ -412,7 +421,7 @@
                 });
     }
 
-    /** A new coordinator sends a snapshot of the endpoint list. */
+    /** Delivers a snapshot of the endpoint list, as a new coordinator sends it. */
     void onEndpointSnapshot() {
         thread.submit(
                 () -> {
@@ -447,7 +456,7 @@
         return new EndpointUpdate.Endpoint(engine, engine + 1, 0, 0, 0, lifecycle, 1, 0);
     }
 
-    // ---- Decisions.
+    // ---- Actions of the scheduler.
     @Override
     public void setGrantAndPriority(int requestId, int grantMb, int priority) {}
 
@@ -523,29 +532,29 @@
     @Override
     public void log(String line) {}
 
-    /** What must be empty once all is over. */
+    /** Reports all state that the manager should have released by the end of the schedule. */
     void close() {
         for (int engine = 0; engine < engines.size(); engine++) {
             if (scheduler.attemptsInFlight(engine) != 0) {
                 ruleChecker.recordLeftover(
-                        scheduler.attemptsInFlight(engine) + " dispatches at engine " + engine);
+                        scheduler.attemptsInFlight(engine) + " dispatches in flight at engine " + engine);
             }
         }
         if (!requests.isEmpty()) {
-            ruleChecker.recordLeftover(requests.size() + " batches");
+            ruleChecker.recordLeftover(requests.size() + " batches not released");
         }
         if (arrivalSequencer.undelivered() != 0 || openRequests != 0 || openCalls != 0) {
             ruleChecker.recordLeftover(
                     arrivalSequencer.undelivered()
-                            + " unsettled, "
+                            + " batches waiting for a read barrier, "
                             + openRequests
-                            + " open, "
+                            + " open batches, "
                             + openCalls
-                            + " calls");
+                            + " open client calls");
         }
     }
 
-    /** An attempt on simulated connections: each call may fail, be late, or lose its reply. */
+    /** An attempt over simulated connections: each call may fail, be late, or lose its reply. */
     private final class SimulatedAttempt implements AttemptStateMachine.AttemptActions {
         private final SimulatedRequest request;
         private final int attemptNumber;
@@ -627,7 +636,7 @@
             boolean[] answered = {false};
             boolean connectionBreaks = drawFault();
             boolean reachesEngine = !connectionBreaks || random.nextBoolean();
-            // The bytes may still be in transit after the connection broke.
+            // The statement may still be in transit after the connection broke.
             long deliveryDelay =
                     connectionBreaks && random.nextBoolean()
                             ? random.nextLong(MAX_LATE_DELIVERY)
@@ -675,7 +684,7 @@
             void onFailed(CallFailure failure);
         }
 
-        /** Delivers a reply to the manager: complete, unreadable, or never. */
+        /** Delivers a reply to the manager whole or unreadable, or drops it. */
         private void deliverReply(boolean[] answered, Runnable onReply, FailureHandler failureHandler) {
             if (answered[0] || drawFault() && random.nextBoolean()) {
                 return;
@@ -842,7 +851,7 @@
 
         @Override
         public boolean hasOpenConnection() {
-            // Drawn: other attempts may hold open connections to this engine or not.
+            // Random, because other attempts may or may not hold open connections to this engine.
             return engine.availability() != SimulatedEngine.Availability.DOWN
                     && random.nextBoolean();
         }
--- a/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
@@ -17,8 +17,9 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Membership of managers in virtual time: the real protocol and leases; datagrams are lost,
- * delayed, duplicated and blocked. Every figure is simulated. Times are ticks.
+ * Membership of a fleet of managers in virtual time: the production protocol and quota leases, with
+ * datagrams that are lost, delayed, duplicated and blocked. All measured figures are simulated.
+ * Times are ticks.
  */
 public final class SimulatedMembership {
     public static final long PROBE_PERIOD = 2_000;
@@ -26,7 +27,7 @@
     private static final long TICK_INTERVAL = 200;
     private static final int MAX_DATAGRAM_BYTES = 1_200;
 
-    /** A host that runs a manager, one process after another. */
+    /** A host that runs the processes of one manager, one after another. */
     public final class ManagerHost implements MembershipActions {
         private final int number;
         private MembershipProtocol membership;
@@ -59,7 +60,7 @@
             return leases.share(events.now());
         }
 
-        /** Starts a manager that knows only its name and its seed addresses. */
+        /** Starts the manager, which knows only its own name and its seed addresses. */
         public void start() {
             up = true;
             int startedIncarnation = ++incarnation;
@@ -105,7 +106,7 @@
             waitingDatagrams.clear();
         }
 
-        /** Pauses the process; datagrams that arrive wait for it. */
+        /** Pauses the process; datagrams that arrive meanwhile are read afterwards. */
         public void pause(long length) {
             pausedUntil = events.now() + length;
             int startedIncarnation = incarnation;
@@ -184,9 +185,9 @@
                             now / 10
                                     + " ms: m"
                                     + number
-                                    + " holds m"
+                                    + " declared m"
                                     + memberIndex
-                                    + " for dead: "
+                                    + " dead: "
                                     + reason);
                 }
             }
@@ -199,7 +200,7 @@
 
         @Override
         public void digestReceived(long now, String senderSlot, byte[] digest) {
-            // The field has no rooms above.
+            // No part of this simulation sends digests.
         }
     }
 
@@ -243,7 +244,9 @@
     }
 
     /**
-     * Starts all within a second, and plays until they know each other; how long that took, or -1.
+     * Starts all managers within a second and runs until they agree on a view.
+     *
+     * @return the ticks that the agreement took after that second; -1 if it took more than 60 s
      */
     public long startAll() {
         for (ManagerHost host : hosts) {
@@ -261,7 +264,7 @@
         duplicateProbability = probability;
     }
 
-    /** Nothing passes from the one to the other, or it does again. */
+    /** Blocks or unblocks the datagrams from one host to another. */
     public void setBlocked(int from, int to, boolean block) {
         blocked[from][to] = block;
     }
@@ -270,7 +273,9 @@
         events.runUntil(events.now() + length);
     }
 
-    /** Whether all that are up hold the same view, of just them. */
+    /**
+     * Returns whether all running managers hold the same view, with exactly these managers in it.
+     */
     public boolean isAgreed() {
         Set<String> up = new HashSet<>();
         hosts.stream().filter(host -> host.up).forEach(host -> up.add("m" + host.number));
@@ -289,7 +294,11 @@
         return true;
     }
 
-    /** Ticks until they agree, in steps of 10 ms; -1 if they do not within this. */
+    /**
+     * Runs until the managers agree on a view.
+     *
+     * @return the ticks that this took, in steps of 10 ms; -1 if it took more than {@code limit}
+     */
     public long timeUntilAgreed(long limit) {
         for (long elapsed = 0; elapsed <= limit; elapsed += 100) {
             if (isAgreed()) {
@@ -300,7 +309,12 @@
         return -1;
     }
 
-    /** Until each that is up has this one out of its view; by each, ticks; -1 for never. */
+    /**
+     * Runs until all running managers no longer consider {@code killed} alive.
+     *
+     * @return for each of these managers, the ticks that this took, in steps of 10 ms; -1 if it took
+     *     more than {@code limit}
+     */
     public List<Long> timesUntilNotAlive(int killed, long limit) {
         TreeMap<Integer, Long> timesByHost = new TreeMap<>();
         for (long elapsed = 0;
@@ -325,12 +339,12 @@
         return List.copyOf(timesByHost.values());
     }
 
-    /** Live managers that were declared dead: when and by whom. */
+    /** Returns the cases of a live manager declared dead: when, by whom and why. */
     public List<String> falselyDead() {
         return falselyDead;
     }
 
-    /** All view changes since the last call. */
+    /** Returns the view changes since the last call. */
     public List<String> viewChanges() {
         List<String> changes = List.copyOf(pendingViewChanges);
         pendingViewChanges.clear();
--- a/src/main/java/firstage/simulation/schedule/SimulatedThread.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedThread.java
@@ -7,9 +7,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The one I/O thread of a simulated manager. In each round it selects what is ready, runs that in
- * random order, and may be paused between any two steps. A new connection is accepted in one round
- * and read in the next. Times are ticks.
+ * The single I/O thread of a simulated manager. Each round selects the actions that are ready and
+ * runs them in random order; the thread may be paused between any two actions. A new connection is
+ * accepted in one round and read in the next. Times are ticks.
  */
 final class SimulatedThread {
     private static final double STALL_PROBABILITY = 0.004;
@@ -34,9 +34,10 @@
     private final List<Runnable> newConnections = new ArrayList<>();
     private final ArrayDeque<Runnable> selected = new ArrayDeque<>();
 
-    /** Barriers that the current round counts for. */
+    /** Barriers requested before the current round began; they count this round. */
     private final List<ReadBarrier> currentBarriers = new ArrayList<>();
 
+    /** Barriers requested since then; they count from the next round on. */
     private final List<ReadBarrier> nextBarriers = new ArrayList<>();
     private boolean roundScheduled;
     private boolean killed;
@@ -57,7 +58,7 @@
         this.runPendingActions = runPendingActions;
     }
 
-    /** Kills the process: it runs nothing any more. */
+    /** Kills the process: no further action runs. */
     void kill() {
         killed = true;
     }
@@ -66,25 +67,30 @@
         return killed;
     }
 
-    /** Runs an action in the next round: data on an open connection, or a timer that expired. */
+    /**
+     * Runs an action in the next round; used for data on an open connection and for expired timers.
+     */
     void submit(Runnable action) {
         ready.add(action);
         scheduleRound();
     }
 
-    /** Runs an action for data on a new connection. */
+    /**
+     * Runs an action for data on a new connection: one round accepts the connection, a later one
+     * runs the action.
+     */
     void submitOnNewConnection(Runnable action) {
         newConnections.add(action);
         scheduleRound();
     }
 
-    /** Runs an action once two whole rounds that began after this call are over. */
+    /** Runs an action after two whole rounds that begin after this call. */
     void addBarrier(Runnable action) {
         nextBarriers.add(new ReadBarrier(action));
         scheduleRound();
     }
 
-    /** Pauses the process. */
+    /** Pauses the process for {@code length} ticks. */
     void pause(long length) {
         pausedUntil = Math.max(pausedUntil, events.now() + length);
         ruleChecker.onStalled(length);
@@ -119,7 +125,7 @@
         while (!arrived.isEmpty()) {
             selected.add(arrived.remove(random.nextInt(arrived.size())));
         }
-        // Accepted in this round, read in the next.
+        // A connection that is accepted in this round is read in the next.
         if (acceptsOnePerRound && !newConnections.isEmpty()) {
             ready.add(newConnections.remove(0));
         } else {
--- a/src/test/java/firstage/simulation/schedule/FaultSchedulesTest.java
+++ b/src/test/java/firstage/simulation/schedule/FaultSchedulesTest.java
@@ -7,7 +7,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Fault schedules with fixed seeds: the program keeps the rules, and each injected defect is found.
+ * Fault schedules with fixed seeds: the program keeps all rules, and the schedules find each
+ * injected defect.
  */
 class FaultSchedulesTest {
     @Test
