--- a/src/main/java/firstage/emulator/EmulatedCoordinator.java
+++ b/src/main/java/firstage/emulator/EmulatedCoordinator.java
@@ -10,9 +10,9 @@
 import java.util.List;
 
 /**
- * The emulated coordinator of one manager: sends watch events, numbered from 1, as frames over TCP
- * and an empty frame as heartbeat each second. Each manager has its own, because each reaches the
- * engines at addresses of its own. One blocking thread per connection.
+ * An emulated coordinator for one manager: sends watch events, numbered from 1, as frames over TCP,
+ * and an empty frame as a heartbeat every second. Each manager has a coordinator of its own,
+ * because each reaches the engines at different addresses. Uses one blocking thread per connection.
  */
 public final class EmulatedCoordinator implements AutoCloseable {
     private static final int RECORD_BYTES = 27;
@@ -20,8 +20,13 @@
     private static final int HEARTBEAT_MS = 1_000;
 
     /**
-     * An engine in an event. {@code state}: 0 ready, 1 draining, 2 gone; {@code startedMs}: Unix
-     * time of a start during the run, else 0.
+     * An engine in a watch event.
+     *
+     * @param id id of the engine
+     * @param address address at which the manager reaches the engine
+     * @param state 0: ready, 1: draining, 2: gone
+     * @param zone index of the engine's zone
+     * @param startedMs Unix time in ms at which the engine started; 0 if it started before the run
      */
     public record ListedEndpoint(
             int id, InetSocketAddress address, int state, int zone, long startedMs) {
@@ -40,7 +45,10 @@
 
     private final ServerSocket server = new ServerSocket();
 
-    /** The events after the first, in order; the first is in the manager's configuration. */
+    /**
+     * Frames of the events from number 2 on; event 1 is the endpoint list in the manager's
+     * configuration.
+     */
     private final List<byte[]> events = new ArrayList<>();
 
     private final List<Socket> connections = new ArrayList<>();
@@ -81,7 +89,7 @@
         thread.start();
     }
 
-    /** Sends the changed endpoints as the next event. */
+    /** Publishes the changed endpoints as the next event. */
     public synchronized void publish(List<ListedEndpoint> changed) {
         ByteBuffer frame = ByteBuffer.allocate(4 + HEADER_BYTES + RECORD_BYTES * changed.size());
         frame.putInt(HEADER_BYTES + RECORD_BYTES * changed.size())
@@ -92,7 +100,10 @@
         notifyAll();
     }
 
-    /** While silent it sends neither events nor heartbeats; they follow. */
+    /**
+     * Starts or ends a silence, during which neither events nor heartbeats are sent. Events that
+     * were held back are sent after it.
+     */
     public synchronized void setSilent(boolean value) {
         silent = value;
         notifyAll();
--- a/src/main/java/firstage/emulator/EmulatedEngine.java
+++ b/src/main/java/firstage/emulator/EmulatedEngine.java
@@ -29,9 +29,9 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * An engine behind a socket: the simulation's engine model on the wall clock, serving the
- * platform's protocol. A statement runs until it ends, is deleted, or was not polled for 2 s; a
- * poll without news is answered after 250 ms. Runs on the loop's thread.
+ * An emulated engine: runs the simulation's engine model in real time and serves the engines' HTTP
+ * protocol. A statement runs until it ends, is deleted, or was not polled for 2 s; a poll without
+ * anything to report is answered after 250 ms. Calls are served on the loop's thread.
  */
 public final class EmulatedEngine implements AutoCloseable {
     private static final long LONG_POLL_TIMEOUT = 2_500;
@@ -46,17 +46,29 @@
     private static final HttpString FIGURE = new HttpString("Figure");
     private static final HttpString METER = new HttpString("X-Meter");
 
-    /** Receives what an engine sees; on the loop's thread. */
+    /**
+     * Receives the events of engines, and estimates the delay with which they are read; called on
+     * the loop's thread.
+     */
     public interface Observer {
-        /** An attempt arrived; {@code retry}: not the first of its try. */
+        /**
+         * Records an attempt that arrived; {@code retry} is false for the first attempt of a client
+         * try.
+         */
         void onAttempt(ClientTry clientTry, int engine, boolean retry);
 
+        /** Records a probe that arrived. */
         void onProbe(int engine);
 
-        /** Whether the link from this manager to this engine may have delayed data recently. */
+        /**
+         * Returns whether the link from this manager to this engine may have delayed data recently.
+         */
         boolean mayBeDelayed(int manager, int engine);
 
-        /** How late what arrives just now may be seen, in ticks. */
+        /**
+         * Returns the longest time, in ticks, for which data that is read now may have waited in
+         * this process.
+         */
         long lateness();
     }
 
@@ -95,7 +107,7 @@
             return !clientTry.abandoned();
         }
 
-        /** A poll: answered at once if there is news. */
+        /** Answers a poll at once if there is something to report, and holds it otherwise. */
         private void onPoll(HttpServerExchange exchange) {
             lastPolledAt = loop.now();
             int pollNumber = ++pollCount;
@@ -218,7 +230,10 @@
     private final AcceptingChannel<StreamConnection> server;
     private final Map<String, Statement> statements = new HashMap<>();
 
-    /** Starts to listen. {@code triesById}: the try with an id; null if no client sent it. */
+    /**
+     * Creates an engine that listens at {@code address}; {@code triesById} returns the client try
+     * with an id, or null if no client sent one.
+     */
     public EmulatedEngine(
             RealTimeLoop loop,
             FleetPlan plan,
@@ -276,7 +291,10 @@
         return model;
     }
 
-    /** Sets the state; one that is down or silent loses its statements. On the loop's thread. */
+    /**
+     * Sets the state; an engine that goes down or silent loses its statements. Must be called on
+     * the loop's thread.
+     */
     public void setState(State newState) {
         boolean losesStatements = newState == State.DOWN || newState == State.SILENT;
         model.setState(newState);
@@ -298,7 +316,7 @@
         String method = exchange.getRequestMethod().toString();
         if (model.state() == State.SILENT
                 || model.state() == State.HANGING && !method.equals("POST")) {
-            // The connection stays open without an answer.
+            // Keeps the connection open and never answers.
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {});
             return;
         }
@@ -370,7 +388,11 @@
         model.start(statement.runningAttempt);
     }
 
-    /** Only where no delay on the way and no lateness of this process can explain them. */
+    /**
+     * Checks the start and the deadline of an attempt. A delay on the link or by this process is
+     * not counted as a violation: attempts on links that may be delayed are not checked, and the
+     * lateness of this process is deducted.
+     */
     private void checkTimes(HttpServerExchange exchange, ClientTry clientTry) {
         if (observer.mayBeDelayed(clientTry.manager, number)) {
             return;
--- a/src/main/java/firstage/emulator/FaultInjectingProxy.java
+++ b/src/main/java/firstage/emulator/FaultInjectingProxy.java
@@ -24,18 +24,22 @@
 
 /**
  * A proxy for connections and datagrams with an address for each pair of parties, so that each
- * direction of each pair can be cut, delayed or made lossy on its own. Runs on one thread. A
- * connection to a dead party is refused; to an unresponsive or cut-off one it is never established:
- * the listener's backlog is kept full, so that the kernel drops further connection attempts.
+ * direction of each pair can be cut, delayed or made lossy independently. All data is forwarded by
+ * one thread. Connections to a dead party are refused. Connections to an unresponsive or cut-off
+ * party are never established: the listener's backlog is kept full, so that the kernel drops
+ * further connection attempts. Times are ticks.
  */
 public final class FaultInjectingProxy implements AutoCloseable {
     private static final int BACKLOG = 256;
     private static final int BUFFER_BYTES = 16 * 1024;
 
-    /** Above this a source is not read, so that its TCP window fills. */
+    /**
+     * Number of queued chunks from which a source is not read any more, so that its TCP window
+     * fills.
+     */
     private static final int MAX_QUEUED_CHUNKS = 64;
 
-    /** Connections that fill the backlog of an unresponsive endpoint's listener. */
+    /** Number of connections that fill the backlog of an unresponsive endpoint's listener. */
     private static final int BACKLOG_FILLERS = 4;
 
     private final Selector selector;
@@ -49,14 +53,14 @@
     private volatile boolean closed;
     private volatile Exception failure;
 
-    /** When this thread began what it does now; 0 while it waits. */
+    /** Time at which the current round began; 0 while the thread waits for events. */
     private volatile long busySince;
 
     private final RecentPeak longestRound = new RecentPeak();
 
     private record TimedTask(long dueAt, Runnable task) {}
 
-    /** How an endpoint answers new connections. */
+    /** Treatment of new connections by an endpoint. */
     public enum EndpointMode {
         OPEN,
         REFUSING,
@@ -74,7 +78,7 @@
         thread.start();
     }
 
-    /** Adds one direction between two parties; call it before {@link #start()}. */
+    /** Creates one direction of a link; must be called before {@link #start()}. */
     public LinkFaults newLink() {
         return new LinkFaults(random);
     }
@@ -118,7 +122,7 @@
             } catch (CancelledKeyException alreadyClosed) {
                 selector.selectedKeys().clear();
             } catch (IOException | RuntimeException exception) {
-                // Nothing is forwarded from here on, so the run proves nothing: see failure().
+                // Nothing is forwarded any more, so the run's results are invalid: see failure().
                 failure = exception;
                 return;
             }
@@ -130,13 +134,13 @@
         busySince = 0;
     }
 
-    /** How long a round took at most in the last quarter of a second, in ticks. */
+    /** Returns the longest round of the last quarter of a second, in ticks; from any thread. */
     public long recentLateness() {
         long since = busySince;
         return Math.max(since == 0 ? 0 : now() - since, longestRound.value());
     }
 
-    /** What ended the proxy prematurely; null if it works. */
+    /** Returns the exception that ended the proxy prematurely, or null; from any thread. */
     public Exception failure() {
         return failure;
     }
@@ -151,11 +155,14 @@
                 resource.close();
             }
         } catch (Exception nothingToDo) {
-            // Closed either way.
+            // The resource counts as closed either way.
         }
     }
 
-    /** A listening address at which one party reaches another. */
+    /**
+     * A listening address at which one party reaches another. The public methods may be called from
+     * any thread.
+     */
     public final class Endpoint {
         private final InetSocketAddress listenAddress;
         private final InetSocketAddress targetAddress;
@@ -179,8 +186,8 @@
         }
 
         /**
-         * Sets the state of the party behind this address; {@code resetConnections} resets open
-         * connections, as a dying process does.
+         * Sets how new connections are treated; {@code resetConnections} also resets the open ones,
+         * as the death of a process does.
          */
         public void setMode(EndpointMode newMode, boolean resetConnections) {
             execute(
@@ -193,12 +200,12 @@
                     });
         }
 
-        /** Resets all connections that are open; new ones are accepted as before. */
+        /** Resets all open connections; new ones are accepted as before. */
         public void resetConnections() {
             execute(() -> List.copyOf(connections).forEach(Connection::reset));
         }
 
-        /** To be called after one of its links was cut or repaired. */
+        /** Takes a cut or repair of one of this endpoint's links into account. */
         public void onLinkChanged() {
             execute(
                     () -> {
@@ -266,7 +273,7 @@
         }
     }
 
-    /** A proxied connection: a client's, and the one to the target. */
+    /** A proxied connection: the client's connection, and the one to the target. */
     private final class Connection {
         private final Endpoint endpoint;
         private final SocketChannel clientSide;
@@ -306,7 +313,7 @@
             }
         }
 
-        /** Writes what is due and registers interest in what comes next. */
+        /** Writes the chunks that are due and registers interest in the next events. */
         private void transfer() {
             if (closed || !connected) {
                 return;
@@ -335,7 +342,7 @@
                     clientSide.setOption(StandardSocketOptions.SO_LINGER, 0);
                     targetSide.setOption(StandardSocketOptions.SO_LINGER, 0);
                 } catch (IOException alreadyClosed) {
-                    // Already disconnected.
+                    // The connection is already closed.
                 }
                 close();
             }
@@ -349,7 +356,7 @@
         }
     }
 
-    /** One direction of a connection. */
+    /** One direction of a proxied connection. */
     private final class Direction {
         private record Chunk(long dueAt, ByteBuffer bytes) {}
 
@@ -417,8 +424,8 @@
     }
 
     /**
-     * Forwards connections made to {@code listenAddress} to {@code targetAddress}. Open from the
-     * start.
+     * Forwards connections made to {@code listenAddress} to {@code targetAddress}. The endpoint is
+     * open from the start.
      */
     public Endpoint addEndpoint(
             InetSocketAddress listenAddress,
@@ -432,9 +439,9 @@
     }
 
     /**
-     * Forwards datagrams between two parties: {@code first} reaches the second at {@code
-     * secondSeenByFirst}; the second sees them as coming from {@code firstSeenBySecond}, where it
-     * reaches the first.
+     * Forwards datagrams between two parties. The first sends to the second at {@code
+     * secondSeenByFirst}; the second receives these datagrams from {@code firstSeenBySecond}, and
+     * sends to the first at that address.
      */
     public void forwardDatagrams(
             InetSocketAddress first,
@@ -500,7 +507,7 @@
         try {
             out.send(bytes, target);
         } catch (IOException unreachable) {
-            // Lost, as on any network.
+            // The datagram is lost, as on any network.
         }
     }
 
--- a/src/main/java/firstage/emulator/LinkFaults.java
+++ b/src/main/java/firstage/emulator/LinkFaults.java
@@ -2,12 +2,15 @@
 
 import java.util.random.RandomGenerator;
 
-/** The faults of one direction of a link. Set from any thread, read by the proxy's. */
+/** Faults of one direction of a link. Set from any thread, applied by the proxy's thread. */
 public final class LinkFaults {
-    /** A lost TCP segment is retransmitted after about this, in ticks. */
+    /** Approximate time after which a lost TCP segment is retransmitted, in ticks. */
     private static final long RETRANSMISSION_DELAY = 2_000;
 
-    /** Share of the datagram loss rate at which the chunks of a connection are retransmitted. */
+    /**
+     * Probability that a chunk of a connection is retransmitted, as a share of the probability that
+     * a datagram is lost.
+     */
     private static final double RETRANSMITTED_SHARE_OF_LOSS = 0.1;
 
     private final RandomGenerator random;
@@ -20,25 +23,25 @@
         this.random = random;
     }
 
-    /** While cut, nothing passes. */
+    /** Cuts or repairs the link; nothing passes while it is cut. */
     public void setCut(boolean newCut) {
         cut = newCut;
         changedAt = System.nanoTime() / 100_000;
     }
 
-    /** Datagrams are lost with this probability. */
+    /** Sets the probability with which a datagram is lost. */
     public void setLoss(double probability) {
         loss = probability;
         changedAt = System.nanoTime() / 100_000;
     }
 
-    /** Delays everything by once to twice this, in ticks. */
+    /** Sets the minimum delay in ticks; the delays are random, up to twice this value. */
     public void setDelay(long minDelay) {
         delay = minDelay;
         changedAt = System.nanoTime() / 100_000;
     }
 
-    /** Whether it is faulty, or changed within the last {@code time} ticks. */
+    /** Returns whether the link is faulty, or changed within the last {@code duration} ticks. */
     public boolean faultyWithin(long duration) {
         return cut || loss > 0 || delay > 0 || System.nanoTime() / 100_000 - changedAt < duration;
     }
@@ -47,12 +50,14 @@
         return cut;
     }
 
-    /** Draws whether a datagram passes; called by one thread. */
+    /** Draws whether the next datagram passes; must be called by one thread only. */
     boolean passes() {
         return !cut && random.nextDouble() >= loss;
     }
 
-    /** Draws the delay of the next datagram or chunk, in ticks; called by one thread. */
+    /**
+     * Draws the delay of the next datagram or chunk, in ticks; must be called by one thread only.
+     */
     long drawDelay(boolean datagram) {
         long linkDelay = delay <= 0 ? 0 : delay + random.nextLong(delay + 1);
         return linkDelay
--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -35,34 +35,36 @@
 import java.util.regex.Pattern;
 
 /**
- * An open-loop load generator: clients that keep to their schedule whatever is answered, behind a
+ * An open-loop load generator: clients that send on schedule, whatever the responses, through a
  * load balancer that keeps sending to a dead manager until it detects the failure. Clients retry as
- * the plan says; requests of one ordering key are sent apart from each other. Runs on the loop's
- * thread; times are ticks.
+ * the plan configures; requests of one ordering key are sent at a minimum distance. Runs on the
+ * loop's thread; times are ticks.
  */
 public final class LoadGenerator implements AutoCloseable {
     private static final Pattern POLL_PATH = Pattern.compile("\"poll\":\"([^\"]+)\"");
 
     /**
-     * Minimum time between requests of one ordering key: each may open a new connection, and the
-     * protocol requires this distance then.
+     * Minimum time between requests of one ordering key. Each request may open a new connection,
+     * after which the protocol requires this distance.
      */
     private static final long KEY_GAP = 3_000;
 
     /**
-     * How long a client waits beyond the deadline: a response in it is late, none at all is lost.
+     * Time for which a client waits beyond the deadline. A response within this time is late; a
+     * request without any is lost.
      */
     private static final long RESPONSE_GRACE = 5_000;
 
     /**
-     * The load balancer detects a failed manager after half of this to one and a half times this.
+     * Mean time after which the load balancer detects a failed manager; the actual time is 0.5 to
+     * 1.5 times this value.
      */
     private static final long DETECTION_DELAY = 15_000;
 
     private static final int MAX_POLL_ATTEMPTS = 3;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
 
-    /** How one try of a client ended. */
+    /** Outcome of one try of a client. */
     public enum TryOutcome {
         SUCCEEDED("returned"),
         SUCCEEDED_LATE("late"),
@@ -77,13 +79,13 @@
             this.recordedName = recordedName;
         }
 
-        /** The name in recorded files and in the figures of plans. */
+        /** Returns the name in recorded files and in the figures of plans. */
         public String recordedName() {
             return recordedName;
         }
     }
 
-    /** Receives what happens to requests; on the loop's thread. */
+    /** Receives the events of requests; called on the loop's thread. */
     public interface Observer {
         void onRequest(TrueRequest request, int manager);
 
@@ -108,7 +110,10 @@
     private final long[] stateChangeCounts;
     private final boolean[] killed;
 
-    /** Until when each manager is paused: what times out meanwhile is not its violation. */
+    /**
+     * Time until which each manager is paused; tries that time out during a pause do not count as
+     * violations by the manager.
+     */
     private final long[] pausedUntil;
 
     private final ExecutorService executor =
@@ -160,19 +165,25 @@
         }
     }
 
-    /** The try with this id, or null; on the loop's thread. */
+    /** Returns the try with this id, or null; must be called on the loop's thread. */
     public ClientTry tryById(String id) {
         return triesById.get(id);
     }
 
-    /** Starts the traffic, which lasts for the plan's length; on the loop's thread. */
+    /**
+     * Starts the traffic, which lasts for the length of the plan; must be called on the loop's
+     * thread.
+     */
     public void start() {
         endsAt = loop.now() + plan.length();
         startedAt = loop.now();
         scheduleNext();
     }
 
-    /** Multiplies the rate of requests from the next one on; on the loop's thread. */
+    /**
+     * Sets the factor by which the request rate is multiplied, effective after the request that is
+     * scheduled next; must be called on the loop's thread.
+     */
     public void setTrafficFactor(double factor) {
         trafficFactor = factor;
     }
@@ -195,7 +206,7 @@
                         });
     }
 
-    /** Whether traffic has ended and no try is open. */
+    /** Returns whether the traffic has ended and no try is open. */
     public boolean idle() {
         return loop.now() > endsAt
                 && openTries.stream()
@@ -203,7 +214,7 @@
                         .allMatch(clientTry -> clientTry.answers() > 0 || clientTry.abandoned());
     }
 
-    /** A manager's process was killed: its open tries need no answer. */
+    /** Records that a manager's process was killed, so that its open tries need no answer. */
     public void onManagerKilled(int manager) {
         List<ClientTry> unanswered = new ArrayList<>();
         openTries.get(manager).stream()
@@ -214,7 +225,10 @@
         onManagerStateChanged(manager, false);
     }
 
-    /** A manager's process serves again, or is shutting down. */
+    /**
+     * Records that a manager's process serves again, which the load balancer sees at once, or that
+     * it is down or shutting down, which the load balancer detects later.
+     */
     public void onManagerStateChanged(int manager, boolean up) {
         killed[manager] &= !up;
         long changeNumber = ++stateChangeCounts[manager];
@@ -230,7 +244,7 @@
                         });
     }
 
-    /** A manager's process is paused until then. */
+    /** Records that a manager's process is paused until {@code until}. */
     public void onManagerPaused(int manager, long until) {
         pausedUntil[manager] = until;
         openTries.get(manager).forEach(clientTry -> allowPause(clientTry, until));
@@ -242,7 +256,7 @@
 
     private void checkDeadline(ClientTry clientTry) {
         if (clientTry.pauseAllowance() && clientTry.answers() == 0) {
-            // It timed out while its manager was paused, and its client left.
+            // The try timed out while its manager was paused, and its client left.
             rules.onNeverAccepted(clientTry);
         } else {
             rules.onDeadlinePassed(loop.now(), clientTry);
@@ -251,7 +265,7 @@
 
     private int chooseManager(TrueRequest request) {
         int manager = clientBehavior.managerFor(request);
-        // Failover to the next one in order keeps the requests of one key together.
+        // Failing over to the next manager in order keeps the requests of one key together.
         for (int i = 0; i < managers.size() && !aliveManagers.contains(manager); i++) {
             manager = (manager + 1) % managers.size();
         }
@@ -313,7 +327,8 @@
                                 + request.tableGroup
                                 + ".orders"));
         call(clientTry, id, httpRequest.build(), MAX_POLL_ATTEMPTS, true);
-        // A paused manager can't know how long the request waited: it counts from when it reads it.
+        // A paused manager can't know how long the request waited: it counts the deadline from when
+        // it reads the request.
         clientTry.allowPause(Math.max(0, pausedUntil[manager] - now));
         loop.events().schedule(tryTimeout + RESPONSE_GRACE / 2, () -> checkDeadline(clientTry));
         loop.events()
@@ -391,13 +406,13 @@
             Throwable failure) {
         boolean unreachable =
                 failure instanceof ConnectException || failure instanceof HttpConnectTimeoutException;
-        // What was sent to a process that is being killed was never accepted.
+        // A request sent to a process that is being killed counts as never accepted.
         if (firstCall && (unreachable || killed[clientTry.manager])) {
             rules.onNeverAccepted(clientTry);
             observer.onTryEnded(clientTry, TryOutcome.NEVER_ACCEPTED);
             scoreboard.onFailed();
-            // The protocol allows a retry of non-idempotent requests only after a rejection or if
-            // the manager was unreachable: on a broken connection it may have run.
+            // The protocol allows a retry of a non-idempotent request only after a rejection or if
+            // the manager was unreachable: if the connection broke, the request may have run.
             retry(
                     clientTry.request,
                     0,
@@ -426,7 +441,7 @@
                                                         + clientTry.request.id
                                                         + " at manager "
                                                         + clientTry.manager
-                                                        + " got no answer that can be read: "
+                                                        + " received no readable answer: "
                                                         + failure);
                                     }
                                 });
--- a/src/main/java/firstage/emulator/RealTimeLoop.java
+++ b/src/main/java/firstage/emulator/RealTimeLoop.java
@@ -15,12 +15,12 @@
 import org.xnio.XnioWorker;
 
 /**
- * The one thread of all emulators, and the simulation's event queue advanced by the wall clock:
- * what is modelled in virtual time runs here in real time. Times are ticks; {@link #START} is when
- * the loop was created.
+ * The single thread of all emulators, with the simulation's event queue advanced by the wall clock,
+ * so that models of the simulation run in real time. Times are ticks, and count from {@link #START}
+ * at the creation of the loop.
  */
 public final class RealTimeLoop implements AutoCloseable {
-    /** Time at creation: above 0, which stands for "long ago" in the models. */
+    /** Time at the creation of the loop; not 0, which means "long ago" in the models. */
     public static final long START = 1_000_000;
 
     private static final long ROUND_INTERVAL_MS = 1;
@@ -53,22 +53,22 @@
         return worker;
     }
 
-    /** The present time in ticks; from any thread. */
+    /** Returns the current time in ticks; from any thread. */
     public long now() {
         return START + (System.nanoTime() - startNs) / 100_000;
     }
 
-    /** Unix time in ms of a time of this loop. */
+    /** Returns the Unix time in ms for a time of this loop. */
     public long unixMs(long time) {
         return startMs + (time - START) / 10;
     }
 
-    /** The event queue; only for use on this thread. */
+    /** Returns the event queue; only for use on this loop's thread. */
     public EventQueue events() {
         return events;
     }
 
-    /** Runs the task on this thread, after all events that are due. */
+    /** Runs the task on this loop's thread, after all due events; from any thread. */
     public void execute(Runnable task) {
         ioThread.execute(
                 () -> {
@@ -78,9 +78,9 @@
     }
 
     /**
-     * Runs the call on this thread and waits for its result.
+     * Runs the task on this loop's thread and waits for its result; from any other thread.
      *
-     * @throws IOException if the call fails or the wait is interrupted
+     * @throws IOException if the task fails or the wait is interrupted
      */
     public <T> T call(Callable<T> task) throws IOException {
         CompletableFuture<T> done = new CompletableFuture<>();
@@ -98,7 +98,7 @@
             throw new IOException(failure.getCause());
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", interrupted);
+            throw new IOException("interrupted while waiting for the emulators' thread", interrupted);
         }
     }
 
@@ -120,12 +120,18 @@
         lastRoundNs = nowNs;
     }
 
-    /** How late this thread ran at most in the last quarter of a second, in ticks. */
+    /**
+     * Returns the longest delay of the loop's thread in the last quarter of a second, in ticks;
+     * from any thread.
+     */
     public long recentLateness() {
         return Math.max(Ticks.ofNanos(System.nanoTime() - lastRoundNs), peakLateness.value());
     }
 
-    /** How late this thread ran, in microseconds. A run on an overloaded machine proves nothing. */
+    /**
+     * Returns the distribution of the delays of the loop's thread, in microseconds. Long delays
+     * show that the machine was overloaded, which invalidates the results of a run.
+     */
     public Histogram lateness() {
         return lateness;
     }
--- a/src/main/java/firstage/emulator/RecentPeak.java
+++ b/src/main/java/firstage/emulator/RecentPeak.java
@@ -1,8 +1,8 @@
 package firstage.emulator;
 
 /**
- * The largest of the values of the last quarter of a second, and of some before. Recorded by one
- * thread, read by any; values are ticks.
+ * The largest of the recently recorded values: those of the current and the previous window of a
+ * quarter of a second. Recorded by one thread, read by any; values are ticks.
  */
 final class RecentPeak {
     private static final long WINDOW_NS = 250_000_000;
--- a/src/main/java/firstage/emulator/package-info.java
+++ b/src/main/java/firstage/emulator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Emulates on loopback what workload managers talk to: engines, coordinator, clients, and the links
- * between them. Scripted and seeded.
+ * Emulates the environment of workload managers on loopback addresses: engines, coordinators,
+ * clients, and the links between them. All behaviour follows a plan and a seed.
  */
 package firstage.emulator;
--- a/src/test/java/firstage/emulator/LoadGeneratorTest.java
+++ b/src/test/java/firstage/emulator/LoadGeneratorTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients of the load generator retry only what the protocol lets them retry. */
+/** Clients of the load generator retry only requests that the protocol lets them retry. */
 @Timeout(30)
 class LoadGeneratorTest {
     private final Map<TrueRequest, Integer> tries = new ConcurrentHashMap<>();
@@ -47,7 +47,10 @@
                 }
             };
 
-    /** Each call is read whole and its connection then reset, as when the manager is killed. */
+    /**
+     * The server reads each call whole and then resets its connection, as happens when a manager is
+     * killed. A non-idempotent request may have run then, so it must not be sent again.
+     */
     @Test
     void retry_managerKilledDuringCall_onlyIdempotentRequestsAreSentAgain() throws Exception {
         FleetPlan plan =
