--- a/src/main/java/firstage/emulator/EmulatedEngine.java
+++ b/src/main/java/firstage/emulator/EmulatedEngine.java
@@ -340,7 +340,8 @@
                         exchange.getRequestReceiver()
                                 .receiveFullString(
                                         (received, priority) -> {
-                                            if (statement != null && statement.runningAttempt != null) {
+                                            if (statement != null
+                                                    && statement.runningAttempt != null) {
                                                 model.setPriority(
                                                         statement.runningAttempt,
                                                         Integer.parseInt(priority.trim()));
@@ -402,7 +403,8 @@
         rules.onAttemptTimes(startedAt, clientTry, startedAt + Ticks.ofMillis(maxMs));
     }
 
-    private static String header(HttpServerExchange exchange, HttpString name, String defaultValue) {
+    private static String header(
+            HttpServerExchange exchange, HttpString name, String defaultValue) {
         String value = exchange.getRequestHeaders().getFirst(name);
         return value == null ? defaultValue : value;
     }
--- a/src/main/java/firstage/emulator/FaultInjectingProxy.java
+++ b/src/main/java/firstage/emulator/FaultInjectingProxy.java
@@ -100,7 +100,8 @@
     private void run() {
         while (!closed) {
             try {
-                long waitMs = timers.isEmpty() ? 100 : Math.max(0, (timers.peek().dueAt - now()) / 10);
+                long waitMs =
+                        timers.isEmpty() ? 100 : Math.max(0, (timers.peek().dueAt - now()) / 10);
                 if (waitMs > 0) {
                     selector.select(waitMs);
                 } else {
@@ -523,7 +524,8 @@
         for (SelectionKey key : selector.keys()) {
             closeQuietly(key.channel());
         }
-        endpoints.forEach(endpoint -> endpoint.backlogFillers.forEach(FaultInjectingProxy::closeQuietly));
+        endpoints.forEach(
+                endpoint -> endpoint.backlogFillers.forEach(FaultInjectingProxy::closeQuietly));
         closeQuietly(selector);
     }
 }
--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -405,7 +405,8 @@
             boolean firstCall,
             Throwable failure) {
         boolean unreachable =
-                failure instanceof ConnectException || failure instanceof HttpConnectTimeoutException;
+                failure instanceof ConnectException
+                        || failure instanceof HttpConnectTimeoutException;
         // A request sent to a process that is being killed counts as never accepted.
         if (firstCall && (unreachable || killed[clientTry.manager])) {
             rules.onNeverAccepted(clientTry);
--- a/src/main/java/firstage/emulator/RealTimeLoop.java
+++ b/src/main/java/firstage/emulator/RealTimeLoop.java
@@ -98,7 +98,8 @@
             throw new IOException(failure.getCause());
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted while waiting for the emulators' thread", interrupted);
+            throw new IOException(
+                    "interrupted while waiting for the emulators' thread", interrupted);
         }
     }
 
--- a/src/main/java/firstage/simulation/schedule/FaultSchedule.java
+++ b/src/main/java/firstage/simulation/schedule/FaultSchedule.java
@@ -209,7 +209,8 @@
                     manager[0].onRequestReceived(request, newConnection);
                 });
         if (random.nextInt(10) == 0) {
-            events.schedule(offset + random.nextLong(SECOND), () -> manager[0].onClientQuit(request));
+            events.schedule(
+                    offset + random.nextLong(SECOND), () -> manager[0].onClientQuit(request));
         }
     }
 
@@ -231,7 +232,8 @@
             switch (random.nextInt(6)) {
                 case 0 -> {
                     events.schedule(
-                            offset, () -> engine.setAvailability(SimulatedEngine.Availability.DOWN));
+                            offset,
+                            () -> engine.setAvailability(SimulatedEngine.Availability.DOWN));
                     events.schedule(
                             offset + random.nextLong(2 * SECOND),
                             () -> engine.setAvailability(SimulatedEngine.Availability.UP));
--- a/src/main/java/firstage/simulation/schedule/MembershipFigures.java
+++ b/src/main/java/firstage/simulation/schedule/MembershipFigures.java
@@ -75,7 +75,8 @@
             long agreedAfter = fleet.timeUntilAgreed(30 * SECOND);
             neverAgreed += agreedAfter < 0 ? 1 : 0;
             halfKilled.addValue(agreedAfter / 1e4);
-            viewChangesPerHost.addValue((double) fleet.viewChanges().size() / (managerCount - managerCount / 2));
+            viewChangesPerHost.addValue(
+                    (double) fleet.viewChanges().size() / (managerCount - managerCount / 2));
             fleet = startedFleet(managerCount, seed);
             split(fleet, managerCount, true);
             fleet.advance(20 * SECOND);
--- a/src/main/java/firstage/simulation/schedule/SimulatedCells.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedCells.java
@@ -336,8 +336,11 @@
 
         @Override
         public byte[] outgoingDigest(long now) {
-            byte[] coordinatorDigest = coordinator == null ? new byte[0] : coordinator.encodeDigest(now);
-            return cellDirectory == null ? coordinatorDigest : cellDirectory.encodeDigest(coordinatorDigest);
+            byte[] coordinatorDigest =
+                    coordinator == null ? new byte[0] : coordinator.encodeDigest(now);
+            return cellDirectory == null
+                    ? coordinatorDigest
+                    : cellDirectory.encodeDigest(coordinatorDigest);
         }
 
         @Override
@@ -475,7 +478,8 @@
         }
         Set<String> names = firstView == null ? Set.of() : new HashSet<>(firstView.memberNames());
         return names.size() == up
-                && cell.stream().allMatch(host -> host.up == names.contains(managerName(host.number)));
+                && cell.stream()
+                        .allMatch(host -> host.up == names.contains(managerName(host.number)));
     }
 
     /**
@@ -497,8 +501,8 @@
      * Runs until the views of all running managers in the cell of {@code killed} no longer contain
      * it.
      *
-     * @return for each of these managers, the ticks that this took, in steps of 10 ms; -1 if it took
-     *     more than {@code limit}
+     * @return for each of these managers, the ticks that this took, in steps of 10 ms; -1 if it
+     *     took more than {@code limit}
      */
     public List<Long> timesUntilRemoved(int killed, long limit) {
         List<ManagerHost> peers =
@@ -511,7 +515,11 @@
         for (long elapsed = 0; elapsed <= limit && remaining > 0; elapsed += 100) {
             for (int i = 0; i < times.length; i++) {
                 if (times[i] < 0
-                        && !peers.get(i).membership.view().memberNames().contains(managerName(killed))) {
+                        && !peers.get(i)
+                                .membership
+                                .view()
+                                .memberNames()
+                                .contains(managerName(killed))) {
                     times[i] = elapsed;
                     remaining--;
                 }
--- a/src/main/java/firstage/simulation/schedule/SimulatedManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -325,8 +325,7 @@
         @Override
         public void release() {
             if (released) {
-                ruleChecker.recordLeftover(
-                        "call released twice, batch " + request.id);
+                ruleChecker.recordLeftover("call released twice, batch " + request.id);
             }
             released = true;
             openCalls--;
@@ -537,7 +536,9 @@
         for (int engine = 0; engine < engines.size(); engine++) {
             if (scheduler.attemptsInFlight(engine) != 0) {
                 ruleChecker.recordLeftover(
-                        scheduler.attemptsInFlight(engine) + " dispatches in flight at engine " + engine);
+                        scheduler.attemptsInFlight(engine)
+                                + " dispatches in flight at engine "
+                                + engine);
             }
         }
         if (!requests.isEmpty()) {
@@ -685,7 +686,8 @@
         }
 
         /** Delivers a reply to the manager whole or unreadable, or drops it. */
-        private void deliverReply(boolean[] answered, Runnable onReply, FailureHandler failureHandler) {
+        private void deliverReply(
+                boolean[] answered, Runnable onReply, FailureHandler failureHandler) {
             if (answered[0] || drawFault() && random.nextBoolean()) {
                 return;
             }
@@ -698,7 +700,8 @@
                                         if (!answered[0]) {
                                             answered[0] = true;
                                             if (unreadable) {
-                                                failureHandler.onFailed(CallFailure.REPLY_UNREADABLE);
+                                                failureHandler.onFailed(
+                                                        CallFailure.REPLY_UNREADABLE);
                                             } else {
                                                 onReply.run();
                                             }
@@ -706,7 +709,8 @@
                                     }));
         }
 
-        private void scheduleFailure(long timeout, boolean[] answered, FailureHandler failureHandler) {
+        private void scheduleFailure(
+                long timeout, boolean[] answered, FailureHandler failureHandler) {
             events.schedule(
                     timeout,
                     () ->
@@ -737,7 +741,9 @@
                         2 * drawOneWayDelay(),
                         () ->
                                 onManagerThread(
-                                        () -> failureHandler.onFailed(CallFailure.CONNECTION_REFUSED)));
+                                        () ->
+                                                failureHandler.onFailed(
+                                                        CallFailure.CONNECTION_REFUSED)));
                 return;
             }
             boolean connectionBreaks = drawFault();
@@ -745,7 +751,8 @@
                     && (!connectionBreaks || random.nextBoolean())) {
                 events.schedule(drawOneWayDelay(), () -> send.accept(answered));
             }
-            scheduleFailure(connectionBreaks ? 2 * drawOneWayDelay() : timeout, answered, failureHandler);
+            scheduleFailure(
+                    connectionBreaks ? 2 * drawOneWayDelay() : timeout, answered, failureHandler);
         }
 
         @Override
--- a/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
@@ -173,7 +173,8 @@
         @Override
         public void viewChanged(long now, MembershipView view) {
             viewChangeCount++;
-            pendingViewChanges.add("m" + number + " " + view.number() + " " + view.memberNames().size());
+            pendingViewChanges.add(
+                    "m" + number + " " + view.number() + " " + view.memberNames().size());
         }
 
         @Override
@@ -312,8 +313,8 @@
     /**
      * Runs until all running managers no longer consider {@code killed} alive.
      *
-     * @return for each of these managers, the ticks that this took, in steps of 10 ms; -1 if it took
-     *     more than {@code limit}
+     * @return for each of these managers, the ticks that this took, in steps of 10 ms; -1 if it
+     *     took more than {@code limit}
      */
     public List<Long> timesUntilNotAlive(int killed, long limit) {
         TreeMap<Integer, Long> timesByHost = new TreeMap<>();
--- a/src/main/java/firstage/simulation/schedule/SimulatedThread.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedThread.java
@@ -39,6 +39,7 @@
 
     /** Barriers requested since then; they count from the next round on. */
     private final List<ReadBarrier> nextBarriers = new ArrayList<>();
+
     private boolean roundScheduled;
     private boolean killed;
     private long pausedUntil;
--- a/src/test/java/firstage/emulator/LoadGeneratorTest.java
+++ b/src/test/java/firstage/emulator/LoadGeneratorTest.java
@@ -97,7 +97,10 @@
 
     private int maxTries(FleetPlan plan, Effect effect) {
         return tries.entrySet().stream()
-                .filter(entry -> plan.trafficClasses().get(entry.getKey().trafficClass).effect() == effect)
+                .filter(
+                        entry ->
+                                plan.trafficClasses().get(entry.getKey().trafficClass).effect()
+                                        == effect)
                 .mapToInt(Map.Entry::getValue)
                 .max()
                 .orElse(0);
