--- a/src/main/java/firstage/simulation/schedule/FaultSchedules.java
+++ b/src/main/java/firstage/simulation/schedule/FaultSchedules.java
@@ -6,19 +6,19 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 import java.util.stream.LongStream;
 
-/** Runs many fault schedules on all cores; the same seeds give the same findings. */
+/** Runs many fault schedules on all cores; the same seeds give the same violations. */
 public final class FaultSchedules {
     private FaultSchedules() {}
 
     /**
-     * Runs {@code count} schedules from {@code firstSeed} on.
+     * Runs {@code count} schedules with consecutive seeds, beginning with {@code firstSeed}.
      *
-     * @return by seed, the violations of the schedules that had any; at most the first {@code
-     *     maxShown} seeds
+     * @return the violations of the schedules that had any, by seed; those of the lowest {@code
+     *     maxShown} seeds at most
      */
     public static Map<Long, List<String>> run(
             long firstSeed, long count, InjectedDefect defect, int maxShown) {
-        ConcurrentSkipListMap<Long, List<String>> findings = new ConcurrentSkipListMap<>();
+        ConcurrentSkipListMap<Long, List<String>> violationsBySeed = new ConcurrentSkipListMap<>();
         LongStream.range(firstSeed, firstSeed + count)
                 .parallel()
                 .forEach(
@@ -35,12 +35,12 @@
                                                         + exception.getStackTrace()[0]);
                             }
                             if (!violations.isEmpty()) {
-                                findings.put(seed, violations);
-                                if (findings.size() > maxShown) {
-                                    findings.pollLastEntry();
+                                violationsBySeed.put(seed, violations);
+                                if (violationsBySeed.size() > maxShown) {
+                                    violationsBySeed.pollLastEntry();
                                 }
                             }
                         });
-        return new TreeMap<>(findings);
+        return new TreeMap<>(violationsBySeed);
     }
 }
--- a/src/test/java/firstage/emulator/LoadGeneratorTest.java
+++ b/src/test/java/firstage/emulator/LoadGeneratorTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Clients of the load generator retry only what the protocol lets them retry. */
+/** Clients of the load generator retry only requests that the protocol lets them retry. */
 @Timeout(30)
 class LoadGeneratorTest {
     private final Map<TrueRequest, Integer> tries = new ConcurrentHashMap<>();
@@ -47,7 +47,10 @@
                 }
             };
 
-    /** Each call is read whole and its connection then reset, as when the manager is killed. */
+    /**
+     * The server reads each call whole and then resets its connection, as happens when a manager is
+     * killed. A non-idempotent request may have run then, so it must not be sent again.
+     */
     @Test
     void retry_managerKilledDuringCall_onlyIdempotentRequestsAreSentAgain() throws Exception {
         FleetPlan plan =
@@ -74,7 +77,7 @@
             manager.start();
             loop.execute(generator::start);
             while (maxTries(plan, Effect.IDEMPOTENT) < 2
-                    || count(plan, Effect.NON_IDEMPOTENT) < 30) {
+                    || requestCount(plan, Effect.NON_IDEMPOTENT) < 30) {
                 Thread.sleep(20);
             }
             assertThat(maxTries(plan, Effect.NON_IDEMPOTENT)).isEqualTo(1);
@@ -84,7 +87,7 @@
         }
     }
 
-    private long count(FleetPlan plan, Effect effect) {
+    private long requestCount(FleetPlan plan, Effect effect) {
         return tries.keySet().stream()
                 .filter(
                         request ->
@@ -94,7 +97,10 @@
 
     private int maxTries(FleetPlan plan, Effect effect) {
         return tries.entrySet().stream()
-                .filter(t -> plan.trafficClasses().get(t.getKey().trafficClass).effect() == effect)
+                .filter(
+                        entry ->
+                                plan.trafficClasses().get(entry.getKey().trafficClass).effect()
+                                        == effect)
                 .mapToInt(Map.Entry::getValue)
                 .max()
                 .orElse(0);
@@ -118,12 +124,12 @@
                             try {
                                 client.setSoLinger(true, 0);
                                 client.close();
-                            } catch (IOException gone) {
+                            } catch (IOException alreadyClosed) {
                                 assertThat(client.isClosed()).isTrue();
                             }
                         });
             }
-        } catch (IOException over) {
+        } catch (IOException serverClosed) {
             assertThat(server.isClosed()).isTrue();
         }
     }
