--- a/src/main/java/firstage/lifecycle/ArrivalSequencer.java
+++ b/src/main/java/firstage/lifecycle/ArrivalSequencer.java
@@ -21,11 +21,11 @@
  *
  * <p>Invariant: each request is delivered once. Calls come on one thread.
  *
- * @param <B> a request
+ * @param <R> a request
  */
-public final class ArrivalSequencer<B> {
+public final class ArrivalSequencer<R> {
     /** What the sequencer causes. */
-    public interface ArrivalActions<B> {
+    public interface ArrivalActions<R> {
         /**
          * {@link ArrivalSequencer#onReadBarrierPassed} is to be called once all that has arrived
          * until now is read.
@@ -33,18 +33,18 @@
         void requestReadBarrier(Object key);
 
         /** The request goes to the scheduler; where its order is unknown it must not run. */
-        void deliver(B request, boolean orderKnown);
+        void deliver(R request, boolean orderKnown);
     }
 
-    private final ArrivalActions<B> actions;
-    private final Map<Object, B> firstByKey = new HashMap<>();
+    private final ArrivalActions<R> actions;
+    private final Map<Object, R> firstByKey = new HashMap<>();
 
-    public ArrivalSequencer(ArrivalActions<B> actions) {
+    public ArrivalSequencer(ArrivalActions<R> actions) {
         this.actions = actions;
     }
 
     /** A request was read whole; {@code key} is null without an ordering key. */
-    public void onRequestRead(B request, Object key) {
+    public void onRequestRead(R request, Object key) {
         if (key == null) {
             actions.deliver(request, true);
         } else if (firstByKey.putIfAbsent(key, request) == null) {
@@ -56,7 +56,7 @@
 
     /** All that had arrived when the barrier was requested has been read. */
     public void onReadBarrierPassed(Object key) {
-        B first = firstByKey.remove(key);
+        R first = firstByKey.remove(key);
         if (first != null) {
             actions.deliver(first, true);
         }
--- a/src/main/java/firstage/lifecycle/AttemptStateMachine.java
+++ b/src/main/java/firstage/lifecycle/AttemptStateMachine.java
@@ -282,10 +282,11 @@
     public void onCallFailed(long now, CallFailure failure) {
         unreadableReplies += failure == CallFailure.REPLY_UNREADABLE ? 1 : 0;
         pollOnNewConnection = failure != CallFailure.CONNECTION_REFUSED;
-        boolean gone = failure == CallFailure.CONNECTION_REFUSED && !actions.hasOpenConnection();
+        boolean engineGone =
+                failure == CallFailure.CONNECTION_REFUSED && !actions.hasOpenConnection();
         handle(
                 now,
-                gone
+                engineGone
                         ? Event.ENGINE_GONE
                         : unreadableReplies >= MAX_UNREADABLE_REPLIES
                                 ? Event.TOO_MANY_FAILURES
@@ -308,9 +309,9 @@
         deleteAcknowledged = true;
         // A statement that lay unread for so long does not arrive any more, and what arrived before
         // this DELETE is ended by it.
-        boolean late =
+        boolean expired =
                 state == State.LINGERING_UNACKNOWLEDGED && now >= lastCallAt + UNPOLLED_EXPIRY;
-        handle(now, late ? Event.EXPIRED : Event.DELETE_ACKNOWLEDGED);
+        handle(now, expired ? Event.EXPIRED : Event.DELETE_ACKNOWLEDGED);
     }
 
     /** The DELETE could not be sent, or the answer to it was lost. */
@@ -346,18 +347,18 @@
     private void handle(long now, Event event) {
         Optional<Transition> transition = AttemptTransitions.find(state, event);
         if (transition.isPresent()) {
-            State before = state;
+            State previous = state;
             state = transition.get().next();
             outcome = transition.get().outcome().orElse(outcome);
-            perform(transition.get().action(), now, before);
+            perform(transition.get().action(), now, previous);
         }
     }
 
-    private void perform(Action action, long now, State before) {
+    private void perform(Action action, long now, State previous) {
         switch (action) {
             case NONE -> {}
             case SEND_STATEMENT -> actions.sendStatement();
-            case POLL -> pollWithMinimumInterval(now, before);
+            case POLL -> pollWithMinimumInterval(now, previous);
             case RETRY_CALL -> retryCall(now);
             case FETCH_NEXT_PAGE -> {
                 currentPage++;
@@ -397,8 +398,8 @@
     }
 
     /** Polls again; an engine that does not hold its polls is left alone for a moment. */
-    private void pollWithMinimumInterval(long now, State before) {
-        if (before == State.RUNNING && now - lastCallAt < MIN_LONG_POLL) {
+    private void pollWithMinimumInterval(long now, State previous) {
+        if (previous == State.RUNNING && now - lastCallAt < MIN_LONG_POLL) {
             retryScheduled = true;
             pollOnNewConnection = false;
             actions.startTimer(SHORT_POLL_DELAY, Timeout.RETRY_POLL);
@@ -440,11 +441,11 @@
      * it is proven.
      */
     private void linger(long now) {
-        long limit =
+        long engineDeadline =
                 failureReported || deleteAcknowledged
                         ? 0
                         : actions.deadline() + STATEMENT_TRANSIT_ALLOWANCE;
-        long heldFor = Math.max(0, Math.max(lastCallAt + UNPOLLED_EXPIRY, limit) - now);
+        long heldFor = Math.max(0, Math.max(lastCallAt + UNPOLLED_EXPIRY, engineDeadline) - now);
         actions.startTimer(heldFor, Timeout.EXPIRY);
         if (actions.isResultAwaited()) {
             endReported = true;
--- a/src/main/java/firstage/lifecycle/KeyOrderMonitor.java
+++ b/src/main/java/firstage/lifecycle/KeyOrderMonitor.java
@@ -68,9 +68,9 @@
 
     /** Drops keys that nothing is known of any more; called now and then. */
     public void removeIdleKeys(long now) {
-        for (Iterator<KeyState> remaining = keys.values().iterator(); remaining.hasNext(); ) {
-            if (remaining.next().isIdle(now)) {
-                remaining.remove();
+        for (Iterator<KeyState> iterator = keys.values().iterator(); iterator.hasNext(); ) {
+            if (iterator.next().isIdle(now)) {
+                iterator.remove();
             }
         }
     }
--- a/src/main/java/firstage/lifecycle/PauseDetector.java
+++ b/src/main/java/firstage/lifecycle/PauseDetector.java
@@ -22,7 +22,7 @@
     public static final long BEAT_INTERVAL = Ticks.ofMillis(30);
 
     /** A beat that is later than this shows a pause. */
-    private static final long MAX_BEAT_DELAY = Ticks.ofMillis(20);
+    private static final long MAX_HEARTBEAT_DELAY = Ticks.ofMillis(20);
 
     private static final long NOT_PAUSED = -1;
 
@@ -38,37 +38,37 @@
     private final PauseActions actions;
 
     /** All that had arrived by then was read by the last beat. */
-    private long previousBeat;
+    private long previousHeartbeat;
 
-    private long lastBeat;
+    private long lastHeartbeat;
     private long pausedSince = NOT_PAUSED;
-    private int barriersRequested;
+    private int pendingBarriers;
 
     /** {@code now}: nothing can have arrived before. */
     public PauseDetector(PauseActions actions, long now) {
         this.actions = actions;
-        previousBeat = now;
-        lastBeat = now;
+        previousHeartbeat = now;
+        lastHeartbeat = now;
     }
 
     /** To be called each {@link #BEAT_INTERVAL}. */
     public void onBeat(long now) {
         detect(now);
-        previousBeat = lastBeat;
-        lastBeat = now;
+        previousHeartbeat = lastHeartbeat;
+        lastHeartbeat = now;
     }
 
     /** What arrives is not read, from now on or since the last beats, until a barrier is passed. */
     public void onReadsBlocked(long now) {
         detect(now);
-        catchUpSince(previousBeat);
+        catchUpSince(previousHeartbeat);
     }
 
     /** All that had arrived when a read barrier was requested has been read. */
     public void onBacklogRead(long now) {
         detect(now);
-        barriersRequested--;
-        if (barriersRequested == 0) {
+        pendingBarriers--;
+        if (pendingBarriers == 0) {
             pausedSince = NOT_PAUSED;
         }
     }
@@ -85,18 +85,18 @@
     }
 
     private void detect(long now) {
-        if (now - lastBeat <= BEAT_INTERVAL + MAX_BEAT_DELAY) {
+        if (now - lastHeartbeat <= BEAT_INTERVAL + MAX_HEARTBEAT_DELAY) {
             return;
         }
-        long before = previousBeat;
-        previousBeat = now;
-        lastBeat = now;
-        catchUpSince(before);
+        long pauseStart = previousHeartbeat;
+        previousHeartbeat = now;
+        lastHeartbeat = now;
+        catchUpSince(pauseStart);
     }
 
     private void catchUpSince(long since) {
         pausedSince = pausedSince == NOT_PAUSED ? since : pausedSince;
-        barriersRequested++;
+        pendingBarriers++;
         actions.requestReadBarrier();
     }
 }
