--- a/src/main/java/firstage/lifecycle/ArrivalSequencer.java
+++ b/src/main/java/firstage/lifecycle/ArrivalSequencer.java
@@ -4,35 +4,44 @@
 import java.util.Map;
 
 /**
- * Finds in which order requests with the same ordering key arrived, as far as that can be known:
- * what counts is when the last byte reached this machine, not when it is read. A request with a key
- * is delivered only when all that had arrived before it was read has been read, too. Another of its
- * key that turns up meanwhile may have arrived before or after it: it is delivered at once, ahead
- * of the first, with its order unknown, so that at most one of them ever runs.
+ * Determines the order in which requests with the same ordering key arrived, as far as it can be
+ * known. A request arrives when its last byte reaches this machine, not when that byte is read. A
+ * request with a key is held back until a read barrier is passed: until everything that had arrived
+ * by the time it was read has been read, too. Another request of the key that is read in the
+ * meantime may have arrived before or after the first one. It is delivered at once, ahead of the
+ * first one, and marked as of unknown order, so that at most one of the two ever runs.
  *
  * <table>
  * <caption>State of a key, event, next state, action</caption>
- * <tr><td>clear</td><td>a request was read</td><td>waiting</td><td>request a read barrier</td></tr>
- * <tr><td>waiting</td><td>another was read</td><td>waiting</td>
- *     <td>deliver it, order unknown</td></tr>
- * <tr><td>waiting</td><td>the barrier was passed</td><td>clear</td>
- *     <td>deliver the first, order known</td></tr>
+ * <tr><td>clear</td><td>a request is read</td><td>waiting</td><td>request a read barrier</td></tr>
+ * <tr><td>waiting</td><td>another request is read</td><td>waiting</td>
+ *     <td>deliver it with unknown order</td></tr>
+ * <tr><td>waiting</td><td>the barrier is passed</td><td>clear</td>
+ *     <td>deliver the first request with known order</td></tr>
  * </table>
  *
- * <p>Invariant: each request is delivered once. Calls come on one thread.
+ * <p>Invariant: each request is delivered once. All calls come on one thread.
  *
- * @param <R> a request
+ * @param <R> the type of a request
  */
 public final class ArrivalSequencer<R> {
-    /** What the sequencer causes. */
+    /**
+     * Actions of the sequencer.
+     *
+     * @param <R> the type of a request
+     */
     public interface ArrivalActions<R> {
         /**
-         * {@link ArrivalSequencer#onReadBarrierPassed} is to be called once all that has arrived
-         * until now is read.
+         * Requests that {@link ArrivalSequencer#onReadBarrierPassed} is called once everything that
+         * has arrived until now is read.
          */
         void requestReadBarrier(Object key);
 
-        /** The request goes to the scheduler; where its order is unknown it must not run. */
+        /**
+         * Delivers a request to the scheduler.
+         *
+         * @param orderKnown whether the order of arrival is known; if not, the request must not run
+         */
         void deliver(R request, boolean orderKnown);
     }
 
@@ -43,7 +52,11 @@
         this.actions = actions;
     }
 
-    /** A request was read whole; {@code key} is null without an ordering key. */
+    /**
+     * Handles a request that was read completely.
+     *
+     * @param key the ordering key; null if the request has none
+     */
     public void onRequestRead(R request, Object key) {
         if (key == null) {
             actions.deliver(request, true);
@@ -54,7 +67,7 @@
         }
     }
 
-    /** All that had arrived when the barrier was requested has been read. */
+    /** Delivers the request that waited for the read barrier of this key, which is passed. */
     public void onReadBarrierPassed(Object key) {
         R first = firstByKey.remove(key);
         if (first != null) {
@@ -62,7 +75,7 @@
         }
     }
 
-    /** Requests that were read and not delivered yet. */
+    /** Returns the number of requests that were read and are not delivered yet. */
     public int undelivered() {
         return firstByKey.size();
     }
--- a/src/main/java/firstage/lifecycle/AttemptStateMachine.java
+++ b/src/main/java/firstage/lifecycle/AttemptStateMachine.java
@@ -9,157 +9,185 @@
 import java.util.Optional;
 
 /**
- * One attempt at its engine: its statement is sent, it is polled without pause (an engine drops
- * what nobody polls for), its pages are fetched, and it ends once. It belongs to no connection:
- * where one fails, another is used.
+ * State machine of one attempt at an engine. It sends the statement, polls without pause (an engine
+ * drops a statement that nobody polls for), fetches the pages of the result, and ends once. An
+ * attempt is not bound to a connection: when one fails, another is used.
  *
  * <table>
  * <caption>States</caption>
- * <tr><td>NEW</td><td>the statement is not written</td></tr>
- * <tr><td>ABANDONED_UNSENT</td><td>abandoned before that; ends after the current event</td></tr>
- * <tr><td>SENT</td><td>written, no reply yet</td></tr>
- * <tr><td>UNACKNOWLEDGED</td><td>the reply to the statement was lost; polled all the same</td></tr>
- * <tr><td>RUNNING</td><td>the engine has it</td></tr>
- * <tr><td>FETCHING_PAGES</td><td>it succeeded; pages of the result are missing</td></tr>
- * <tr><td>ABANDONING</td><td>abandoned after a reply: a DELETE is out</td></tr>
- * <tr><td>ABANDONING_UNACKNOWLEDGED</td><td>the same, and no reply to the statement came</td></tr>
- * <tr><td>LINGERING</td><td>nobody waits for it but the next request of its ordering key</td></tr>
- * <tr><td>LINGERING_UNACKNOWLEDGED</td><td>the same, and no reply to the statement came</td></tr>
+ * <tr><td>NEW</td><td>the statement is not written yet</td></tr>
+ * <tr><td>ABANDONED_UNSENT</td><td>abandoned before the statement was written; ends after the
+ *     current event</td></tr>
+ * <tr><td>SENT</td><td>the statement is written; no reply yet</td></tr>
+ * <tr><td>UNACKNOWLEDGED</td><td>the reply to the statement was lost; the engine is polled
+ *     anyway</td></tr>
+ * <tr><td>RUNNING</td><td>the engine has confirmed the statement</td></tr>
+ * <tr><td>FETCHING_PAGES</td><td>the statement succeeded; pages of the result are missing</td></tr>
+ * <tr><td>ABANDONING</td><td>abandoned after a reply; a DELETE was sent</td></tr>
+ * <tr><td>ABANDONING_UNACKNOWLEDGED</td><td>like ABANDONING, but without a reply to the
+ *     statement</td></tr>
+ * <tr><td>LINGERING</td><td>abandoned, and the DELETE was not answered in time; only the next
+ *     request of the ordering key still waits for the end</td></tr>
+ * <tr><td>LINGERING_UNACKNOWLEDGED</td><td>like LINGERING, but without a reply to the
+ *     statement</td></tr>
  * <tr><td>ENDED</td><td>final</td></tr>
  * </table>
  *
  * <p>Invariants: {@link AttemptActions#reportEnd} and {@link AttemptActions#release} are called
- * once each, in this order. What can't be proven ended is reported with the time for which the
- * engine may still hold it. An end is proven by the engine's own final reply, or by its answer to a
- * DELETE that came after the statement. Until then the DELETE of a request with an ordering key is
- * repeated, and the next request of its key waits, while its own client is answered at once. What
- * is not proven counts as held until nobody polled for {@link #UNPOLLED_EXPIRY}, counted from our
- * last call, and, where the engine could not even be told, until the client's deadline, which the
- * engine knows.
+ * once each, in this order. The end of an attempt is proven by the engine's own final reply, or by
+ * its answer to a DELETE that arrived after the statement. An attempt whose end is not proven is
+ * reported with the time for which the engine may still hold the statement: until {@link
+ * #UNPOLLED_EXPIRY} after the last call and, if the engine answered no DELETE either, until the
+ * client's deadline, which the engine knows. For a request with an ordering key, the DELETE is
+ * repeated and the next request of the key waits until the end is proven, while the request's own
+ * client is answered at once.
  *
- * <p>Times are ticks. Every call is an event; actions go out by {@link AttemptActions}. Calls come
- * on one thread. The table of transitions is {@link AttemptTransitions}.
+ * <p>Times are ticks. Every method call is an event; actions go out through {@link AttemptActions}.
+ * All calls come on one thread. {@link AttemptTransitions} holds the table of transitions.
  */
 public final class AttemptStateMachine {
     /**
-     * An engine ends by itself what nobody polled for in 2 s. Our last call may have been held
-     * there for 250 ms first. A result that ends meanwhile is held until it is written, which
-     * nobody polls for: 2 s more. The rest is for calls that are late on their way
-     * (docs/incidents/the-last-connection.md).
+     * Time from the last call to an engine until the engine holds the statement no longer. An
+     * engine ends a statement that nobody polled for in 2 s. The last call may have been held there
+     * for 250 ms first. A statement that completes in the meantime leaves a result, which the
+     * engine keeps for another 2 s because nobody polls for it. The rest allows for calls that are
+     * delayed on the network (docs/incidents/the-last-connection.md).
      */
     public static final long UNPOLLED_EXPIRY = Ticks.ofMillis(4_500);
 
-    /** For the engine to answer the DELETE: the client's answer may wait for it. */
+    /** Time for the engine to answer a DELETE; the answer to the client may wait for it. */
     private static final long ABANDON_TIMEOUT = Ticks.ofMillis(20);
 
-    /** Between calls that fail at once: a lost connection is not worth a busy loop. */
+    /** Delay before a failed call is repeated, so that a lost connection causes no busy loop. */
     private static final long RETRY_DELAY = Ticks.ofMillis(50);
 
     /**
-     * Until a connection that was just in use may carry a DELETE: it stays quiet for 10 ms after an
-     * answer.
+     * Delay before a DELETE is sent on a connection that was just in use; a connection is not
+     * reused for 10 ms after a response.
      */
     private static final long QUIET_CONNECTION_DELAY = Ticks.ofMillis(12);
 
-    /** An engine counts the deadline from when the statement arrives, which may be so late. */
+    /**
+     * Longest time that a statement takes to reach its engine, which counts the deadline from the
+     * arrival.
+     */
     private static final long STATEMENT_TRANSIT_ALLOWANCE = Ticks.ofMillis(100);
 
-    /** Between DELETEs that nobody waits for: a statement that lay unread may have arrived. */
+    /**
+     * Interval between the DELETEs of an attempt whose statement is unacknowledged: the engine may
+     * have read the statement after the previous DELETE.
+     */
     private static final long REPEATED_DELETE_INTERVAL = Ticks.ofMillis(500);
 
-    /** An engine that answers a poll sooner than this with no end does not hold its polls. */
+    /**
+     * Shortest time for which an engine that holds its polls holds one. An engine that reports
+     * progress sooner does not hold them.
+     */
     private static final long MIN_LONG_POLL = Ticks.ofMillis(10);
 
-    /** Between polls of an engine that does not hold them. */
+    /** Delay between polls of an engine that does not hold its polls. */
     private static final long SHORT_POLL_DELAY = Ticks.ofMillis(20);
 
-    /** Replies that can't be read: a few are damaged on their way, not so many. */
+    /**
+     * Number of unreadable replies at which an attempt fails; a few replies may be damaged in
+     * transit, but not this many.
+     */
     private static final int MAX_UNREADABLE_REPLIES = 5;
 
-    /** New connections in a row that are reset before the statement is written. */
+    /**
+     * Number of new connections in a row that were reset before the statement was written at which
+     * an attempt ends.
+     */
     private static final int MAX_CONNECTION_RESETS = 3;
 
-    /** What an attempt causes; no method calls back before it returns. */
+    /** Actions of an attempt. No method calls back into the state machine before it returns. */
     public interface AttemptActions {
         /**
-         * Sends the statement on a connection that may have to be opened first; asks {@link
-         * #shouldSendStatement} when it is up.
+         * Sends the statement on a connection that may have to be opened first; calls {@link
+         * #shouldSendStatement} once the connection is established.
          */
         void sendStatement();
 
-        /** Polls for progress and the end. */
+        /** Polls the engine for progress or the end of the statement. */
         void poll(boolean onNewConnection);
 
-        /** Fetches a page of the result; the first is 0 and comes with a poll. */
+        /** Fetches a page of the result, counted from 0; page 0 comes with the reply to a poll. */
         void fetchPage(int page, boolean onNewConnection);
 
-        /** Tells the engine to end it. */
+        /** Sends a DELETE, which tells the engine to end the statement. */
         void sendDelete(boolean onNewConnection);
 
-        /** {@link #onTimeout} is to be called after {@code delay}. */
+        /** Starts a timer that calls {@link #onTimeout} after {@code delay}. */
         void startTimer(long delay, Timeout timeout);
 
         /**
-         * Whether another connection to this engine is open: those of a process that died are
-         * reset.
+         * Returns whether another connection to this engine is open. The connections of a process
+         * that died are reset.
          */
         boolean hasOpenConnection();
 
         /**
-         * Whether somebody waits for its end: its client has no answer yet, or the program shuts
-         * down.
+         * Returns whether the end of the attempt is awaited: the client has no answer yet, or the
+         * program shuts down.
          */
         boolean isResultAwaited();
 
-        /** The client's deadline, as the engine was told. */
+        /** Returns the client's deadline, which was sent to the engine. */
         long deadline();
 
-        /** It ended; the engine may hold it for {@code heldFor} more. Called once. */
+        /**
+         * Reports the end of the attempt. Called once.
+         *
+         * @param heldFor how much longer the engine may hold the statement
+         */
         void reportEnd(AttemptOutcome outcome, long heldFor);
 
-        /** No more calls are made for it. Called once, after {@link #reportEnd}. */
+        /**
+         * Releases the attempt: no more calls are made for it. Called once, after {@link
+         * #reportEnd}.
+         */
         void release();
     }
 
-    /** What a timer was set for. */
+    /** Purposes of timers. */
     public enum Timeout {
-        /** A call that failed, or an engine that does not hold polls, is called again. */
+        /** Repeats a poll or page fetch that failed, or a poll that the engine did not hold. */
         RETRY_POLL,
-        /** An abandoned attempt ends, whether its engine answered or not. */
+        /** Stops waiting for the engine to answer the DELETE of an abandoned attempt. */
         ABANDON,
-        /** The DELETE is sent again. */
+        /** Sends the DELETE again. */
         RETRY_DELETE,
-        /** The engine has dropped what nobody polled for. */
+        /** Ends an attempt whose statement the engine no longer holds, as nobody polled for it. */
         EXPIRY
     }
 
-    /** How a call to the engine failed. */
+    /** Ways in which a call to the engine fails. */
     public enum CallFailure {
         /** The connection was refused. */
         CONNECTION_REFUSED,
-        /** No connection was established in its time. */
+        /** No connection was established within the connect timeout. */
         CONNECT_TIMEOUT,
         /** A new connection was reset before anything was written. */
         RESET_BEFORE_SEND,
-        /** Nothing was written, for reasons of our own. */
+        /** The manager itself did not write the call, or did not complete it. */
         NOT_SENT,
-        /** The connection broke, or no answer came: what was written may have been read. */
+        /** The connection broke, or no reply came; the engine may have read the call. */
         REPLY_LOST,
-        /** A reply came that can't be read or used. */
+        /** The reply can't be parsed or used. */
         REPLY_UNREADABLE
     }
 
-    /** What an engine replied. */
+    /** Replies of an engine. */
     public enum EngineReply {
-        /** It runs, or waits to run. */
+        /** The statement runs, or waits to run. */
         PROGRESS,
-        /** It succeeded; a page came, and more are to be fetched. */
+        /** The statement succeeded; a page arrived, and more are to be fetched. */
         PAGE,
-        /** It succeeded, and all pages are here. */
+        /** The statement succeeded, and all pages have arrived. */
         LAST_PAGE,
-        /** The engine never ran it. */
+        /** The engine refused the statement and never ran it. */
         REFUSED,
-        /** It failed, or the engine does not know it. */
+        /** The statement failed, or the engine does not know it. */
         FAILED
     }
 
@@ -167,18 +195,18 @@
     private final boolean keyed;
     private State state = State.NEW;
 
-    /** Null until it is settled. */
+    /** Outcome of the attempt; null until it is settled. */
     private AttemptOutcome outcome;
 
     private boolean deleteOnNewConnection;
     private boolean pollOnNewConnection;
     private boolean retryScheduled;
 
-    /** The engine itself reported the failure. */
+    /** Whether the engine itself reported that the statement failed. */
     private boolean failureReported;
 
     /**
-     * A DELETE was answered: the engine can be told, and is told again in case the statement
+     * Whether the engine answered a DELETE. The DELETE is then repeated in case the statement
      * arrives later.
      */
     private boolean deleteAcknowledged;
@@ -191,61 +219,68 @@
     private long lastCallAt;
 
     /**
-     * @param keyed whether the request has an ordering key: others may wait for its end, which is
-     *     then proven even where that costs a call
+     * @param keyed whether the request has an ordering key. Other requests may then wait for the
+     *     end of the attempt, which is proven even if that costs a call.
      */
     public AttemptStateMachine(AttemptActions actions, boolean keyed) {
         this.actions = actions;
         this.keyed = keyed;
     }
 
-    /** Whether the statement is to be written still; asked when its connection is up. */
+    /**
+     * Returns whether the statement is still to be written; called once its connection is
+     * established.
+     */
     public boolean shouldSendStatement() {
         return state == State.NEW;
     }
 
-    /** Whether the statement was written. */
+    /** Returns whether the statement was written, at least in part. */
     public boolean isStatementWritten() {
         return state != State.NEW && state != State.ABANDONED_UNSENT;
     }
 
-    /** Whether it was written and is neither abandoned nor ended. */
+    /** Returns whether the statement was written and the attempt has no outcome yet. */
     public boolean isRunning() {
         return isStatementWritten() && outcome == null && state != State.ENDED;
     }
 
-    /** Whether nobody but its ordering key waits for its end, which is not reported yet. */
+    /**
+     * Returns whether the end of the attempt is not reported yet and only the next request of its
+     * ordering key waits for it.
+     */
     public boolean isLingering() {
         return !endReported
                 && (state == State.LINGERING || state == State.LINGERING_UNACKNOWLEDGED);
     }
 
-    /** Whether it ended. */
+    /** Returns whether the attempt has ended. */
     public boolean isEnded() {
         return state == State.ENDED;
     }
 
-    /** Begins. */
+    /** Starts the attempt. */
     public void start() {
         if (state == State.NEW) {
             actions.sendStatement();
         }
     }
 
-    /** The statement is being written now. */
+    /** Records that the statement is being written. */
     public void onStatementWritten(long now) {
         lastCallAt = now;
         handle(now, Event.STATEMENT_WRITTEN);
     }
 
-    /** The reply to the statement itself. */
+    /** Handles the reply to the statement itself. */
     public void onStatementReply(long now, EngineReply reply) {
         handle(now, eventFor(reply));
     }
 
-    /** The reply to a poll or to the fetch of a page. */
+    /** Handles the reply to a poll or to the fetch of a page. */
     public void onReply(long now, EngineReply reply) {
-        // While the statement is unacknowledged, a reply to another call proves nothing.
+        // Once an unacknowledged statement is abandoned, only a reply to the statement itself can
+        // prove its end.
         if (state != State.ABANDONING_UNACKNOWLEDGED && state != State.LINGERING_UNACKNOWLEDGED) {
             handle(now, eventFor(reply));
         }
@@ -263,7 +298,7 @@
         };
     }
 
-    /** The statement could not be sent, or the reply to it was lost. */
+    /** Handles a statement that could not be sent, or whose reply was lost. */
     public void onStatementFailed(long now, CallFailure failure) {
         switch (failure) {
             case RESET_BEFORE_SEND ->
@@ -278,7 +313,7 @@
         }
     }
 
-    /** A poll or the fetch of a page failed. */
+    /** Handles the failure of a poll or of the fetch of a page. */
     public void onCallFailed(long now, CallFailure failure) {
         unreadableReplies += failure == CallFailure.REPLY_UNREADABLE ? 1 : 0;
         pollOnNewConnection = failure != CallFailure.CONNECTION_REFUSED;
@@ -294,8 +329,9 @@
     }
 
     /**
-     * Ends it with this outcome, once the engine knows of it or can't be told in time: until then
-     * it is in flight. The first outcome stays.
+     * Abandons the attempt, which ends with this outcome once the engine has answered the DELETE or
+     * did not do so in time; until then the attempt is in flight. Does nothing if the outcome is
+     * already settled.
      */
     public void abandon(long now, AttemptOutcome requestedOutcome) {
         if (state != State.ENDED && outcome == null) {
@@ -304,23 +340,23 @@
         }
     }
 
-    /** The engine answered the DELETE. */
+    /** Handles the engine's answer to the DELETE. */
     public void onDeleteAcknowledged(long now) {
         deleteAcknowledged = true;
-        // A statement that lay unread for so long does not arrive any more, and what arrived before
-        // this DELETE is ended by it.
+        // A statement that was still unread after this time does not arrive any more, and one that
+        // arrived before this DELETE is ended by it.
         boolean expired =
                 state == State.LINGERING_UNACKNOWLEDGED && now >= lastCallAt + UNPOLLED_EXPIRY;
         handle(now, expired ? Event.EXPIRED : Event.DELETE_ACKNOWLEDGED);
     }
 
-    /** The DELETE could not be sent, or the answer to it was lost. */
+    /** Handles a DELETE that could not be sent, or whose answer was lost. */
     public void onDeleteFailed(long now, CallFailure failure) {
         deleteOnNewConnection = failure != CallFailure.CONNECTION_REFUSED;
         handle(now, Event.DELETE_FAILED);
     }
 
-    /** A timer that was started ran out. */
+    /** Handles a timer that elapsed. */
     public void onTimeout(long now, Timeout timeout) {
         switch (timeout) {
             case RETRY_POLL -> {
@@ -381,7 +417,10 @@
         }
     }
 
-    /** The engine reported a failure: with an ordering key a DELETE confirms that nothing runs. */
+    /**
+     * Ends an attempt whose failure the engine reported. For a request with an ordering key, a
+     * DELETE confirms first that nothing runs any more.
+     */
     private void confirmEnd(long now) {
         if (keyed) {
             failureReported = true;
@@ -397,7 +436,7 @@
         actions.sendDelete(false);
     }
 
-    /** Polls again; an engine that does not hold its polls is left alone for a moment. */
+    /** Polls again, after a delay if the engine does not hold its polls. */
     private void pollWithMinimumInterval(long now, State previous) {
         if (previous == State.RUNNING && now - lastCallAt < MIN_LONG_POLL) {
             retryScheduled = true;
@@ -410,7 +449,8 @@
     }
 
     private void retryCall(long now) {
-        // The first time at once: a process that died resets its connections, and refuses the next.
+        // The first retry is immediate: a process that died resets its connections and refuses new
+        // ones, so the retry shows at once whether the engine is gone.
         if (consecutiveFailures++ == 0 && pollOnNewConnection) {
             repeatCall(now);
         } else {
@@ -437,8 +477,8 @@
     }
 
     /**
-     * Reports the end now where somebody waits for it, with the time that it may be held; else once
-     * it is proven.
+     * Waits until the end is proven or the engine no longer holds the statement. Reports the end
+     * now, with the time for which the statement may be held, if it is awaited.
      */
     private void linger(long now) {
         long engineDeadline =
--- a/src/main/java/firstage/lifecycle/AttemptTransitions.java
+++ b/src/main/java/firstage/lifecycle/AttemptTransitions.java
@@ -6,8 +6,9 @@
 import java.util.Optional;
 
 /**
- * The table of transitions of {@link AttemptStateMachine}: state, event, next state, action, and
- * the outcome that is settled by it. An event that is not in the row of a state changes nothing.
+ * Transition table of {@link AttemptStateMachine}: state, event, next state, action, and the
+ * outcome that the transition settles. An event without an entry for the current state changes
+ * nothing.
  */
 final class AttemptTransitions {
     enum State {
@@ -45,7 +46,7 @@
         EXPIRED
     }
 
-    /** What a transition does; {@link AttemptStateMachine} carries it out. */
+    /** Actions of transitions, which {@link AttemptStateMachine} performs. */
     enum Action {
         NONE,
         SEND_STATEMENT,
@@ -64,16 +65,17 @@
     }
 
     /**
-     * One transition.
+     * Reaction to an event in a state.
      *
-     * @param outcome what the attempt will end with; empty where the transition settles none
+     * @param outcome the outcome with which the attempt will end; empty if the transition settles
+     *     none
      */
     record Transition(State next, Action action, Optional<AttemptOutcome> outcome) {}
 
     private static final Map<State, Map<Event, Transition>> TABLE = new EnumMap<>(State.class);
 
     static {
-        // Not written yet: the engine never ran it, whatever happens.
+        // The statement is not written yet: whatever happens, the engine never ran it.
         on(State.NEW, Event.STATEMENT_WRITTEN, State.SENT, Action.NONE);
         on(State.NEW, Event.RESET_BEFORE_SEND, State.NEW, Action.SEND_STATEMENT);
         on(
@@ -90,14 +92,15 @@
                 AttemptOutcome.CONNECT_FAILED);
         on(State.NEW, Event.NOT_SENT, State.ENDED, Action.END_PROVEN, AttemptOutcome.NOT_SENT);
         on(State.NEW, Event.ABANDON, State.ABANDONED_UNSENT, Action.END_AFTER_CURRENT_EVENT);
-        // Ends after the current event: that may be the decision that abandons it.
+        // The attempt ends only after the current event, since that event may be the decision that
+        // abandons it.
         on(
                 State.ABANDONED_UNSENT,
                 Event.ABANDON_TIMEOUT,
                 State.ENDED,
                 Action.END_PROVEN,
                 AttemptOutcome.NOT_SENT);
-        // Written, and not answered.
+        // The statement is written, and no reply has come.
         on(State.SENT, Event.PROGRESS, State.RUNNING, Action.POLL);
         on(State.SENT, Event.PAGE, State.FETCHING_PAGES, Action.FETCH_NEXT_PAGE);
         on(State.SENT, Event.LAST_PAGE, State.ENDED, Action.END_PROVEN, AttemptOutcome.SUCCEEDED);
@@ -111,13 +114,12 @@
                 Action.DELETE,
                 AttemptOutcome.FAILED);
         on(State.SENT, Event.ABANDON, State.ABANDONING_UNACKNOWLEDGED, Action.DELETE);
-        // Not written to its end: the engine never began it.
+        // The statement was not written completely: the engine never started it.
         on(State.SENT, Event.NOT_SENT, State.ENDED, Action.END_PROVEN, AttemptOutcome.NOT_SENT);
         on(State.ABANDONING_UNACKNOWLEDGED, Event.NOT_SENT, State.ENDED, Action.END_PROVEN);
         on(State.LINGERING_UNACKNOWLEDGED, Event.NOT_SENT, State.ENDED, Action.END_PROVEN);
-        // Its answer was lost. The statement may lie unread: that the engine does not know it
-        // proves
-        // nothing.
+        // The reply was lost. The engine may not have read the statement yet, so a reply that the
+        // statement is unknown does not prove the end.
         on(State.UNACKNOWLEDGED, Event.PROGRESS, State.RUNNING, Action.POLL);
         on(State.UNACKNOWLEDGED, Event.PAGE, State.FETCHING_PAGES, Action.FETCH_NEXT_PAGE);
         on(
@@ -152,7 +154,8 @@
                 Action.DELETE,
                 AttemptOutcome.FAILED);
         on(State.UNACKNOWLEDGED, Event.ABANDON, State.ABANDONING_UNACKNOWLEDGED, Action.DELETE);
-        // The engine has it. One that drains may refuse new connections and run on.
+        // The engine has confirmed the statement. A draining engine may refuse new connections and
+        // still run the statement.
         on(State.RUNNING, Event.PROGRESS, State.RUNNING, Action.POLL);
         on(State.RUNNING, Event.PAGE, State.FETCHING_PAGES, Action.FETCH_NEXT_PAGE);
         on(
@@ -182,7 +185,7 @@
                 Action.DELETE,
                 AttemptOutcome.FAILED);
         on(State.RUNNING, Event.ABANDON, State.ABANDONING, Action.DELETE);
-        // It succeeded there; only its pages can be lost.
+        // The statement succeeded at the engine; only its pages can be lost.
         on(State.FETCHING_PAGES, Event.PAGE, State.FETCHING_PAGES, Action.FETCH_NEXT_PAGE);
         on(
                 State.FETCHING_PAGES,
@@ -210,10 +213,9 @@
                 Action.DELETE,
                 AttemptOutcome.FAILED);
         on(State.FETCHING_PAGES, Event.ABANDON, State.ABANDONING, Action.DELETE);
-        // Abandoned, and the engine had answered for it: its answer to the DELETE, or any final
-        // reply,
-        // proves the end. The connection of PROGRESS is there, where that of the DELETE may never
-        // come up.
+        // Abandoned after a reply to the statement: the answer to the DELETE, or any final reply,
+        // proves the end. After PROGRESS the DELETE is sent again on the connection that carried
+        // it, as the connection for the first DELETE may never be established.
         on(State.ABANDONING, Event.DELETE_ACKNOWLEDGED, State.ENDED, Action.END_PROVEN);
         on(State.ABANDONING, Event.REFUSED, State.ENDED, Action.END_PROVEN);
         on(State.ABANDONING, Event.FAILED, State.ENDED, Action.END_PROVEN);
@@ -223,8 +225,8 @@
         on(State.ABANDONING, Event.DELETE_FAILED, State.ABANDONING, Action.RETRY_DELETE);
         on(State.ABANDONING, Event.ABANDON_TIMEOUT, State.ENDED, Action.END_UNPROVEN);
         on(State.ABANDONING, Event.ABANDON_TIMEOUT_KEYED, State.LINGERING, Action.LINGER);
-        // Abandoned, and the DELETE may have overtaken the statement: only a reply to the statement
-        // itself proves anything.
+        // Abandoned without a reply to the statement, which the DELETE may have overtaken: only a
+        // reply to the statement itself proves the end.
         on(
                 State.ABANDONING_UNACKNOWLEDGED,
                 Event.PROGRESS,
@@ -254,8 +256,9 @@
                 Event.ABANDON_TIMEOUT_KEYED,
                 State.LINGERING_UNACKNOWLEDGED,
                 Action.LINGER);
-        // Abandoned, its time to hear of it is over, and others of its key wait: an engine that was
-        // never told may run it on, and a result that nobody fetches is held until its deadline.
+        // Abandoned, the abandon timeout is over, and other requests of the ordering key wait. An
+        // engine that received no DELETE may still run the statement, and holds a result that
+        // nobody fetches until the deadline.
         on(State.LINGERING, Event.DELETE_ACKNOWLEDGED, State.ENDED, Action.END_PROVEN);
         on(State.LINGERING, Event.REFUSED, State.ENDED, Action.END_PROVEN);
         on(State.LINGERING, Event.FAILED, State.ENDED, Action.END_PROVEN);
@@ -301,7 +304,7 @@
         TABLE.computeIfAbsent(state, s -> new EnumMap<>(Event.class)).put(event, transition);
     }
 
-    /** The transition of an event in a state; empty where the event changes nothing. */
+    /** Returns the transition for an event in a state; empty if the event changes nothing. */
     static Optional<Transition> find(State state, Event event) {
         return Optional.ofNullable(TABLE.getOrDefault(state, Map.of()).get(event));
     }
--- a/src/main/java/firstage/lifecycle/ClientCallStateMachine.java
+++ b/src/main/java/firstage/lifecycle/ClientCallStateMachine.java
@@ -5,78 +5,81 @@
 import java.util.Map;
 
 /**
- * A request as its client sees it. The client's first call is held until there is an answer; where
- * that takes long it gets a path to poll instead, so that a connection that breaks costs a call and
- * not the request. An answer that was written may be lost with its connection: it is kept for a
- * client that polls again.
+ * State machine of a request from its client's point of view. The client's first call is held until
+ * the answer is available. If that takes too long, the client gets a path to poll instead, so that
+ * a broken connection costs a call and not the request. An answer that was written may be lost with
+ * its connection, so it is kept for a client that polls again.
  *
  * <table>
  * <caption>States</caption>
  * <tr><td>FIRST_CALL_HELD</td><td>the first call waits for the answer</td></tr>
  * <tr><td>POLL_PATH_SENT</td><td>the client has a path and is expected to poll</td></tr>
- * <tr><td>CLIENT_ABSENT</td><td>it did not poll in time: nothing new is sent for it</td></tr>
+ * <tr><td>CLIENT_ABSENT</td><td>the client did not poll in time; nothing is sent for it</td></tr>
  * <tr><td>POLL_HELD</td><td>a poll waits for the answer</td></tr>
  * <tr><td>ANSWER_READY</td><td>the answer waits for a poll</td></tr>
- * <tr><td>ANSWER_SENT</td><td>the answer was sent, and is kept for another poll</td></tr>
+ * <tr><td>ANSWER_SENT</td><td>the answer was sent and is kept for another poll</td></tr>
  * <tr><td>RELEASED</td><td>final</td></tr>
  * </table>
  *
  * <p>Invariants: {@link ClientCallActions#release} is called once; a client whose request is
- * released before there is an answer is marked gone; at most one timer runs.
+ * released before there is an answer is marked as gone; at most one timer runs.
  *
- * <p>Times are ticks. Calls come on one thread; actions go out by {@link ClientCallActions}, which
- * does not call back before it returns.
+ * <p>Times are ticks. All calls come on one thread. Actions go out through {@link
+ * ClientCallActions}, which does not call back into the state machine before it returns.
  */
 public final class ClientCallStateMachine {
-    /** How long a first call is held: as long as the engines hold theirs. */
+    /** Time for which a first call is held, in ticks: as long as engines hold their polls. */
     public static final long FIRST_CALL_HOLD = 2_500;
 
     /**
-     * A client whose connection broke calls again at once, three times at most: within this an
-     * answer may be fetched again.
+     * Time, in ticks, for which an answer can be fetched and a client may come back. A client whose
+     * connection broke calls again at once, three times at most.
      */
     public static final long RECONNECT_TIMEOUT = 20_000;
 
     /**
-     * A client that has not polled within this may be gone: a round trip takes milliseconds.
-     * Nothing is sent for it until it polls. Half of the 0.1 s after which a client that left must
-     * cost no engine anything, so that a statement which is just being sent is in time, too.
+     * Time, in ticks, after which a client that has not polled may be gone; a round trip takes
+     * milliseconds. Nothing is sent for the client until it polls. Half of the 0.1 s after which no
+     * engine may work for a client that left, so that a statement that is just being sent is within
+     * that limit, too.
      */
     public static final long POLL_GRACE = 500;
 
-    /** What a call causes. */
+    /** Actions of a call. */
     public interface ClientCallActions {
         /** Answers the first call with the path to poll. */
         void respondWithPollPath();
 
-        /** Answers all calls that are held with the request's answer. */
+        /** Answers all held calls with the answer to the request. */
         void respond();
 
         /**
-         * Starts the one timer, which ends in {@link ClientCallStateMachine#onTimeout}; replaces
-         * the one before.
+         * Starts the timer, which calls {@link ClientCallStateMachine#onTimeout} after {@code
+         * delay}; replaces a timer that runs.
          */
         void startTimer(long delay);
 
         /** Stops the timer. */
         void stopTimer();
 
-        /** Ends the connections of all calls that are held. */
+        /** Closes the connections of all held calls. */
         void closeHeldCalls();
 
-        /** Answers all calls that are held as failed: the request is cancelled and may have run. */
+        /** Answers all held calls as failed: the request is cancelled and may have run. */
         void failHeldCalls();
 
-        /** Nobody polls, and the client may be gone: nothing more is to be sent for it. */
+        /** Reports that the client does not poll and may be gone: nothing more is sent for it. */
         void markClientAbsent();
 
-        /** The client polls again. */
+        /** Reports that the client polls again. */
         void markClientPresent();
 
-        /** The client is gone, or cancelled, before there was an answer: it is owed none. */
+        /**
+         * Reports that the client is gone, or cancelled, before there was an answer; it gets none.
+         */
         void markClientGone();
 
-        /** Nobody polls any more. Called once. */
+        /** Releases the request: the client does not poll any more. Called once. */
         void release();
     }
 
@@ -126,7 +129,8 @@
                 .put(event, new Transition(next, List.of(actions)));
     }
 
-    // State, event, next state, actions. An event that is not here changes nothing.
+    // State, event, next state, actions. An event without an entry for the current state changes
+    // nothing.
     static {
         transition(
                 State.FIRST_CALL_HELD,
@@ -141,7 +145,7 @@
                 Action.RESPOND,
                 Action.STOP_TIMER,
                 Action.RELEASE);
-        // A client that closes before it has a path cancels.
+        // A client that closes its connection before it has a path to poll cancels its request.
         transition(
                 State.FIRST_CALL_HELD,
                 Event.FIRST_CALL_BROKEN,
@@ -170,7 +174,8 @@
                 State.CLIENT_ABSENT,
                 Action.START_REMAINING_RECONNECT_TIMEOUT,
                 Action.MARK_CLIENT_ABSENT);
-        // The connection on which it has its path, and on which it polls.
+        // The client polls on the connection on which it got the path, so it is absent once that
+        // connection is closed.
         transition(
                 State.POLL_PATH_SENT,
                 Event.PATH_CONNECTION_CLOSED,
@@ -184,8 +189,8 @@
                 Action.STOP_TIMER,
                 Action.RELEASE,
                 Action.MARK_CLIENT_GONE);
-        // A client that closed and can't say so, or whose cancellation is late, must cost no
-        // engine anything. One whose connection broke finds its request where it was.
+        // No engine may work for an absent client: it may have left without being able to cancel,
+        // or its cancellation may be late. The request is kept for a client whose connection broke.
         transition(
                 State.CLIENT_ABSENT,
                 Event.POLL,
@@ -210,8 +215,8 @@
                 Action.STOP_TIMER,
                 Action.RELEASE,
                 Action.MARK_CLIENT_GONE);
-        // Which of two polls is the later one can't be known from when they arrive: both are held,
-        // and both answered.
+        // The order in which two polls arrive does not show which one the client sent last, so both
+        // are held and both are answered.
         transition(
                 State.POLL_HELD,
                 Event.ANSWER_AVAILABLE,
@@ -224,8 +229,8 @@
                 State.CLIENT_ABSENT,
                 Action.START_RECONNECT_TIMEOUT,
                 Action.MARK_CLIENT_ABSENT);
-        // A client's deadline may pass before ours, as it counts from before it sent: its held
-        // poll must not end with no answer at all.
+        // The client's deadline may pass before the manager's, as the client counts it from before
+        // it sent the request: its held poll must not end without any answer.
         transition(
                 State.POLL_HELD,
                 Event.CLIENT_CANCELLED,
@@ -269,47 +274,47 @@
         this.actions = actions;
     }
 
-    /** Begins: the first call is held. */
+    /** Starts to hold the first call. */
     public void start() {
         actions.startTimer(FIRST_CALL_HOLD);
     }
 
-    /** The timer ran out. */
+    /** Handles the timer that elapsed. */
     public void onTimeout() {
         handle(Event.TIMEOUT);
     }
 
-    /** The client polls; its call is held from here on. */
+    /** Handles a poll of the client; the call is held until it is answered. */
     public void onPoll() {
         handle(Event.POLL);
     }
 
-    /** There is an answer. */
+    /** Handles the answer to the request, which is available from now on. */
     public void onAnswerAvailable() {
         handle(Event.ANSWER_AVAILABLE);
     }
 
-    /** The connection of the first call broke. */
+    /** Handles the break of the first call's connection. */
     public void onFirstCallBroken() {
         handle(Event.FIRST_CALL_BROKEN);
     }
 
-    /** The connection on which the path was sent ended, and no poll had come. */
+    /** Handles the end of the connection on which the path was sent, before any poll. */
     public void onPathConnectionClosed() {
         handle(Event.PATH_CONNECTION_CLOSED);
     }
 
-    /** The connection of a poll broke, and no other poll is held. */
+    /** Handles the break of a poll's connection when no other poll is held. */
     public void onLastPollBroken() {
         handle(Event.LAST_POLL_BROKEN);
     }
 
-    /** The client cancelled, or broke the protocol. */
+    /** Handles a client that cancelled or violated the protocol. */
     public void onClientCancelled() {
         handle(Event.CLIENT_CANCELLED);
     }
 
-    /** Whether its client has its answer, or is owed none. */
+    /** Returns whether the client has its answer, or gets none. */
     public boolean isSettled() {
         return state == State.ANSWER_SENT || state == State.RELEASED;
     }
--- a/src/main/java/firstage/lifecycle/DepartureMonitor.java
+++ b/src/main/java/firstage/lifecycle/DepartureMonitor.java
@@ -4,12 +4,12 @@
 
 /**
  * Checks, independently of {@link SendGuard}, that no statement of a request is sent after its
- * client left. What counts is the earliest moment at which the client can have left, which may be
- * known only after the statement was sent. It decides nothing; a violation is a fault of this
- * program. Times are ticks.
+ * client left. A client counts as gone from the earliest moment at which it can have left, which
+ * may become known only after a statement was sent. The monitor decides nothing; a violation is a
+ * bug of this program. Times are ticks.
  */
 public final class DepartureMonitor {
-    /** A statement may be sent for so long after its client left. */
+    /** Longest time after a client left at which a statement may still be sent for it. */
     private static final long MAX_DELAY = Ticks.ofMillis(100);
 
     private static final long NEVER = -1;
@@ -17,15 +17,21 @@
     private long leftAt = NEVER;
     private long lastSentAt = NEVER;
 
-    /** A statement was written; returns for how long too late, 0 where it was not. */
+    /**
+     * Records that a statement was written.
+     *
+     * @return by how much the statement was sent too late; 0 if it was in time
+     */
     public long onStatementSent(long now) {
         lastSentAt = now;
         return lateness();
     }
 
     /**
-     * The client closed, or cancelled, not before {@code earliest}; returns for how long too late
-     * the last statement was sent, 0 where it was not.
+     * Records that the client closed its connection or cancelled.
+     *
+     * @param earliest the earliest moment at which the client can have left
+     * @return by how much the last statement was sent too late; 0 if it was in time
      */
     public long onClientLeft(long earliest) {
         if (leftAt != NEVER) {
@@ -35,7 +41,7 @@
         return lateness();
     }
 
-    /** The client is there after all: only its connection had ended. */
+    /** Records that the client is still there: only its connection had ended. */
     public void onClientReturned() {
         leftAt = NEVER;
         lastSentAt = NEVER;
--- a/src/main/java/firstage/lifecycle/KeyOrderMonitor.java
+++ b/src/main/java/firstage/lifecycle/KeyOrderMonitor.java
@@ -7,17 +7,17 @@
 import java.util.Map;
 
 /**
- * Checks the order of requests with an ordering key independently of the scheduler: no statement is
- * sent while an earlier request of its key is open, or while an attempt of another one is in flight
- * or may be held by its engine. It decides nothing; a violation is a fault of this program. Times
- * are ticks. Calls come on one thread.
+ * Checks the order of requests with an ordering key, independently of the scheduler: no statement
+ * may be sent while an earlier request of its key is open, or while an attempt of another request
+ * of the key is in flight or may be held by its engine. The monitor decides nothing; a violation is
+ * a bug of this program. Times are ticks. All calls come on one thread.
  */
 public final class KeyOrderMonitor {
     private static final class KeyState {
         private final List<Object> openRequests = new ArrayList<>();
         private final Map<Object, Integer> attemptsInFlight = new HashMap<>();
 
-        /** Requests whose engine may hold a statement, and until when. */
+        /** Times until which engines may hold a statement, by request. */
         private final Map<Object, Long> heldUntil = new HashMap<>();
 
         private boolean isIdle(long now) {
@@ -28,12 +28,16 @@
 
     private final Map<Object, KeyState> keys = new HashMap<>();
 
-    /** A request went to the scheduler, its order known. */
+    /** Records that a request whose order is known was delivered to the scheduler. */
     public void onRequest(Object key, Object request) {
         keys.computeIfAbsent(key, k -> new KeyState()).openRequests.add(request);
     }
 
-    /** An attempt starts; false where that breaks the order of its key. */
+    /**
+     * Records that an attempt starts.
+     *
+     * @return whether the attempt keeps the order of its key
+     */
     public boolean onAttemptStarted(long now, Object key, Object request) {
         KeyState keyState = keys.computeIfAbsent(key, k -> new KeyState());
         keyState.isIdle(now);
@@ -46,7 +50,11 @@
         return first && alone;
     }
 
-    /** An attempt ended; its engine may hold the statement for {@code heldFor} more. */
+    /**
+     * Records that an attempt ended.
+     *
+     * @param heldFor how much longer the engine may hold the statement
+     */
     public void onAttemptEnded(long now, Object key, Object request, long heldFor) {
         KeyState keyState = keys.get(key);
         if (keyState != null) {
@@ -58,7 +66,7 @@
         }
     }
 
-    /** The client has its answer, or is owed none. */
+    /** Records that the client of a request has its answer, or gets none. */
     public void onRequestEnded(Object key, Object request) {
         KeyState keyState = keys.get(key);
         if (keyState != null) {
@@ -66,7 +74,7 @@
         }
     }
 
-    /** Drops keys that nothing is known of any more; called now and then. */
+    /** Removes keys without open requests, attempts and held statements; called periodically. */
     public void removeIdleKeys(long now) {
         for (Iterator<KeyState> iterator = keys.values().iterator(); iterator.hasNext(); ) {
             if (iterator.next().isIdle(now)) {
--- a/src/main/java/firstage/lifecycle/PauseDetector.java
+++ b/src/main/java/firstage/lifecycle/PauseDetector.java
@@ -3,68 +3,74 @@
 import firstage.util.Ticks;
 
 /**
- * Finds pauses of the I/O thread: the process was stopped, the machine was busy, or the thread
- * itself was. A beat that comes late shows one. What is read after a pause may have arrived at its
- * beginning, until all that arrived meanwhile has been read.
+ * Detects pauses of the I/O thread by a heartbeat that comes late: the process was stopped, the
+ * machine was busy, or the thread itself was. Input that is read after a pause may have arrived as
+ * early as the start of the pause, until everything that arrived during the pause has been read.
  *
  * <table>
  * <caption>State, event, next state, action</caption>
- * <tr><td>running</td><td>a beat is overdue</td><td>paused</td><td>request a read barrier</td></tr>
- * <tr><td>paused</td><td>a beat is overdue</td><td>paused</td><td>request another</td></tr>
- * <tr><td>either</td><td>reads are blocked</td><td>paused</td><td>request another</td></tr>
- * <tr><td>paused</td><td>the last barrier was passed</td><td>running</td><td>-</td></tr>
+ * <tr><td>running</td><td>a heartbeat is overdue</td><td>paused</td>
+ *     <td>request a read barrier</td></tr>
+ * <tr><td>paused</td><td>a heartbeat is overdue</td><td>paused</td>
+ *     <td>request another read barrier</td></tr>
+ * <tr><td>any</td><td>reads are blocked</td><td>paused</td>
+ *     <td>request another read barrier</td></tr>
+ * <tr><td>paused</td><td>the last read barrier is passed</td><td>running</td><td>-</td></tr>
  * </table>
  *
- * <p>Times are ticks. Calls come on one thread.
+ * <p>Times are ticks. All calls come on one thread.
  */
 public final class PauseDetector {
-    /** Between two beats. */
+    /** Interval between two heartbeats, in ticks. */
     public static final long BEAT_INTERVAL = Ticks.ofMillis(30);
 
-    /** A beat that is later than this shows a pause. */
+    /** Longest delay of a heartbeat that does not count as a pause. */
     private static final long MAX_HEARTBEAT_DELAY = Ticks.ofMillis(20);
 
     private static final long NOT_PAUSED = -1;
 
-    /** What the detector causes. */
+    /** Actions of the detector. */
     public interface PauseActions {
         /**
-         * {@link PauseDetector#onBacklogRead} is to be called once all that has arrived until now
-         * is read.
+         * Requests that {@link PauseDetector#onBacklogRead} is called once everything that has
+         * arrived until now is read.
          */
         void requestReadBarrier();
     }
 
     private final PauseActions actions;
 
-    /** All that had arrived by then was read by the last beat. */
+    /** Time of the heartbeat before the last; all input up to it was read by the last one. */
     private long previousHeartbeat;
 
     private long lastHeartbeat;
     private long pausedSince = NOT_PAUSED;
     private int pendingBarriers;
 
-    /** {@code now}: nothing can have arrived before. */
+    /** Creates a detector; nothing can have arrived before {@code now}. */
     public PauseDetector(PauseActions actions, long now) {
         this.actions = actions;
         previousHeartbeat = now;
         lastHeartbeat = now;
     }
 
-    /** To be called each {@link #BEAT_INTERVAL}. */
+    /** Records a heartbeat; to be called every {@link #BEAT_INTERVAL}. */
     public void onBeat(long now) {
         detect(now);
         previousHeartbeat = lastHeartbeat;
         lastHeartbeat = now;
     }
 
-    /** What arrives is not read, from now on or since the last beats, until a barrier is passed. */
+    /**
+     * Records that input is not read, from now on or since the last heartbeats, until a read
+     * barrier is passed.
+     */
     public void onReadsBlocked(long now) {
         detect(now);
         catchUpSince(previousHeartbeat);
     }
 
-    /** All that had arrived when a read barrier was requested has been read. */
+    /** Records that everything that had arrived when a read barrier was requested was read. */
     public void onBacklogRead(long now) {
         detect(now);
         pendingBarriers--;
@@ -73,13 +79,13 @@
         }
     }
 
-    /** Whether what arrived during a pause is not all read yet. */
+    /** Returns whether some input that arrived during a pause may not be read yet. */
     public boolean isCatchingUp(long now) {
         detect(now);
         return pausedSince != NOT_PAUSED;
     }
 
-    /** The earliest moment at which something that is read now can have arrived. */
+    /** Returns the earliest moment at which input that is read now can have arrived. */
     public long earliestArrival(long now) {
         return isCatchingUp(now) ? pausedSince : now;
     }
--- a/src/main/java/firstage/lifecycle/SendGuard.java
+++ b/src/main/java/firstage/lifecycle/SendGuard.java
@@ -3,54 +3,56 @@
 import firstage.util.Ticks;
 
 /**
- * Decides whether a statement may be written at this instant, by what is known and as of when. The
- * only place that does: first attempts, retries and hedged requests pass through it, each time
- * bytes of them are about to be written.
+ * Decides whether a statement may be written now, from the known state of its request and the age
+ * of that knowledge. All first attempts, retries and hedged requests pass through this class each
+ * time some of their bytes are about to be written; no other class makes this decision.
  */
 public final class SendGuard {
     /**
-     * Older knowledge is renewed before it is acted on. Half of the 0.1 s within which a client
-     * that left may still be sent for: the rest is for what arrived and is not read yet.
+     * Maximum age of knowledge that a send may rely on, in ticks; older knowledge is renewed first.
+     * Half of the 0.1 s within which statements may still be sent for a client that left. The other
+     * half allows for input that arrived and is not read yet.
      */
     public static final long MAX_KNOWLEDGE_AGE = Ticks.ofMillis(50);
 
-    /** What is to be done with the statement. */
+    /** Decisions on a statement. Each constant but {@link #SEND} names its reason. */
     public enum Verdict {
-        /** It may be written now. */
+        /** The statement may be written now. */
         SEND,
-        /** What is known is too old: what lies unread is to be read, then this is asked again. */
+        /** The knowledge is too old: read all pending input, then ask for a new decision. */
         RENEW,
-        /** Its attempt was abandoned or has ended. */
+        /** The attempt was abandoned or has ended. */
         ATTEMPT_OVER,
-        /** Its client has its answer or is owed none. */
+        /** The client has its answer or gets none. */
         CLIENT_SETTLED,
-        /** Its client may be gone. */
+        /** The client may be gone. */
         CLIENT_ABSENT,
-        /** Its client waits no longer. */
+        /** The client's deadline has passed, so it waits no longer. */
         DEADLINE_PASSED,
-        /** Its engine drains or is not listed any more. */
+        /** The engine drains or is not listed any more. */
         ENGINE_LEAVING,
-        /** What is known could not be renewed. */
+        /** The knowledge could not be renewed. */
         KNOWLEDGE_STALE,
-        /** Its head, with the time that the client has left, was made too long ago. */
+        /** The head of the call, which states the time left to the client, is too old. */
         HEAD_STALE;
 
-        /** Whether it is not to be written, now or later. */
+        /** Returns whether the statement must be written neither now nor later. */
         public boolean isRefusal() {
             return this != SEND && this != RENEW;
         }
     }
 
     /**
-     * What is known. Times are ticks.
+     * State of a request, its attempt and its engine as known when a send is checked. Times are
+     * ticks.
      *
-     * @param attemptOpen the attempt was neither abandoned nor ended
-     * @param engineAccepts the engine is listed and does not drain, as of {@code readAsOf}
-     * @param clientSettled the client has its answer or is owed none
-     * @param clientAbsent the client may be gone
-     * @param clientSeenAt when the client was last known to be there, by its connection
-     * @param readAsOf all that had arrived at this moment has been read and handled
-     * @param deadline the client's
+     * @param attemptOpen whether the attempt is neither abandoned nor ended
+     * @param engineAccepts whether the engine is listed and does not drain, as of {@code readAsOf}
+     * @param clientSettled whether the client has its answer or gets none
+     * @param clientAbsent whether the client may be gone
+     * @param clientSeenAt the last time at which the client's connection showed its presence
+     * @param readAsOf the time up to which all input that had arrived was read and handled
+     * @param deadline the client's deadline
      */
     public record Knowledge(
             boolean attemptOpen,
@@ -60,7 +62,7 @@
             long clientSeenAt,
             long readAsOf,
             long deadline) {
-        /** As of when the oldest part of it holds. */
+        /** Returns the time as of which the oldest part of this knowledge holds. */
         public long asOf() {
             return Math.min(clientSeenAt, readAsOf);
         }
@@ -68,7 +70,7 @@
 
     private SendGuard() {}
 
-    /** Whether the statement may be written. */
+    /** Decides whether the statement may be written; see {@link Verdict} for the outcomes. */
     public static Verdict decide(long now, Knowledge knowledge) {
         if (!knowledge.attemptOpen) {
             return Verdict.ATTEMPT_OVER;
@@ -89,8 +91,10 @@
     }
 
     /**
-     * Whether the rest of a statement may be written, whose head was made at {@code headMadeAt}: it
-     * names the time that the client had left then.
+     * Decides whether the rest of a partly written statement may be written.
+     *
+     * @param headMadeAt when the head of the call was made, which states the time that the client
+     *     had left then
      */
     public static Verdict decideRest(long now, Knowledge knowledge, long headMadeAt) {
         Verdict verdict = decide(now, knowledge);
