--- a/src/main/java/firstage/server/ActionGuard.java
+++ b/src/main/java/firstage/server/ActionGuard.java
@@ -23,14 +23,14 @@
     private final TickClock clock;
     private final Counters counters;
     private final ReadBarrier barrier;
-    private PauseDetector pauses;
+    private PauseDetector pauseDetector;
 
     public ActionGuard(XnioIoThread io, TickClock clock, Counters counters, ReadBarrier barrier) {
         this.io = io;
         this.clock = clock;
         this.counters = counters;
         this.barrier = barrier;
-        pauses = newPauseDetector();
+        pauseDetector = newPauseDetector();
     }
 
     private PauseDetector newPauseDetector() {
@@ -46,34 +46,34 @@
         if (barrier.acceptsFail()) {
             barrier.runAfterPendingReads(this::onBarrierPassed);
         } else {
-            pauses.onBacklogRead(clock.now());
+            pauseDetector.onBacklogRead(clock.now());
         }
     }
 
     /** Connections wait that can't be accepted: what comes on them is not read. */
     public void onAcceptFailed() {
-        pauses.onReadsBlocked(clock.now());
+        pauseDetector.onReadsBlocked(clock.now());
     }
 
     /** Nothing can have arrived before now: called just before this program listens. */
     public void onBeforeListen() {
-        pauses = newPauseDetector();
+        pauseDetector = newPauseDetector();
     }
 
     /** Begins to watch for pauses; on the I/O thread. */
     public void start() {
-        pauses.onBeat(clock.now());
+        pauseDetector.onBeat(clock.now());
         io.executeAfter(this::start, PauseDetector.BEAT_INTERVAL / 10, TimeUnit.MILLISECONDS);
     }
 
     /** The earliest moment at which something that is read now can have arrived. */
     public long earliestArrival() {
-        return pauses.earliestArrival(clock.now());
+        return pauseDetector.earliestArrival(clock.now());
     }
 
     /** Whether what arrived during a pause is not all read yet. */
     public boolean isCatchingUp() {
-        return pauses.isCatchingUp(clock.now());
+        return pauseDetector.isCatchingUp(clock.now());
     }
 
     /** Calls back once all that has arrived until now is read, and its events are handled. */
@@ -96,7 +96,7 @@
     private final class Timeout implements XnioExecutor.Key {
         private final Runnable action;
         private XnioExecutor.Key timer;
-        private boolean cancelled;
+        private boolean finished;
 
         private Timeout(Runnable action) {
             this.action = action;
@@ -105,8 +105,8 @@
         private void onElapsed() {
             barrier.runAfterPendingReads(
                     () -> {
-                        if (!cancelled) {
-                            cancelled = true;
+                        if (!finished) {
+                            finished = true;
                             action.run();
                         }
                     });
@@ -114,8 +114,8 @@
 
         @Override
         public boolean remove() {
-            boolean pending = !cancelled;
-            cancelled = true;
+            boolean pending = !finished;
+            finished = true;
             timer.remove();
             return pending;
         }
@@ -150,7 +150,7 @@
         if (now - knowledge.asOf() > 2 * SendGuard.MAX_KNOWLEDGE_AGE) {
             counters.count("statements sent on stale knowledge");
         }
-        report(exchange, exchange.departures.onStatementSent(now));
+        reportLateness(exchange, exchange.departures.onStatementSent(now));
     }
 
     /**
@@ -160,10 +160,10 @@
      */
     public void onClientLeft(RequestExchange exchange, long notBefore) {
         long earliest = Math.max(earliestArrival(), notBefore);
-        report(exchange, exchange.departures.onClientLeft(earliest));
+        reportLateness(exchange, exchange.departures.onClientLeft(earliest));
     }
 
-    private void report(RequestExchange exchange, long lateness) {
+    private void reportLateness(RequestExchange exchange, long lateness) {
         if (lateness > 0) {
             counters.count("violations: statements sent after their client left");
             LOG.severe(
--- a/src/main/java/firstage/server/DecisionExecutor.java
+++ b/src/main/java/firstage/server/DecisionExecutor.java
@@ -17,18 +17,18 @@
     private final SchedulerLoop loop;
     private final RequestRegistry requests;
     private final EngineClients engines;
-    private final IntConsumer engineReleased;
+    private final IntConsumer onEngineReleased;
 
-    /** {@code engineReleased}: told of each engine that the scheduler knows no more. */
+    /** {@code onEngineReleased}: told of each engine that the scheduler knows no more. */
     DecisionExecutor(
             SchedulerLoop loop,
             RequestRegistry requests,
             EngineClients engines,
-            IntConsumer engineReleased) {
+            IntConsumer onEngineReleased) {
         this.loop = loop;
         this.requests = requests;
         this.engines = engines;
-        this.engineReleased = engineReleased;
+        this.onEngineReleased = onEngineReleased;
     }
 
     @Override
@@ -96,7 +96,7 @@
 
     @Override
     public void releaseEngine(int engine) {
-        engineReleased.accept(engine);
+        onEngineReleased.accept(engine);
     }
 
     @Override
--- a/src/main/java/firstage/server/FlightRecorder.java
+++ b/src/main/java/firstage/server/FlightRecorder.java
@@ -59,44 +59,44 @@
     private static final int CAPACITY = 2_048;
 
     /** Between two dumps: one fault is logged once, not with each of its consequences. */
-    private static final long DUMP_GAP_NS = 10_000_000_000L;
+    private static final long MIN_DUMP_INTERVAL_NANOS = 10_000_000_000L;
 
-    private final long[] timesNanos = new long[CAPACITY];
+    private final long[] recordedAtNanos = new long[CAPACITY];
     private final EventType[] types = new EventType[CAPACITY];
     private final String[] requestIds = new String[CAPACITY];
     private final String[] reasons = new String[CAPACITY];
-    private final int[] firstFigures = new int[CAPACITY];
-    private final int[] secondFigures = new int[CAPACITY];
+    private final int[] firstValues = new int[CAPACITY];
+    private final int[] secondValues = new int[CAPACITY];
     private long count;
-    private long dumpedAtNanos;
+    private long lastDumpNanos;
 
     /** Keeps one event; {@code id} is null where it is not of a request. */
-    public void record(EventType type, String id, long firstFigure, long secondFigure) {
-        record(type, id, NO_REASON, firstFigure, secondFigure);
+    public void record(EventType type, String id, long firstValue, long secondValue) {
+        record(type, id, NO_REASON, firstValue, secondValue);
     }
 
     /** Keeps one event and its reason. */
     public void record(
-            EventType type, String id, String reason, long firstFigure, long secondFigure) {
+            EventType type, String id, String reason, long firstValue, long secondValue) {
         int slot = (int) (count++ % CAPACITY);
-        timesNanos[slot] = System.nanoTime();
+        recordedAtNanos[slot] = System.nanoTime();
         types[slot] = type;
         requestIds[slot] = id;
         reasons[slot] = reason;
-        firstFigures[slot] = (int) firstFigure;
-        secondFigures[slot] = (int) secondFigure;
+        firstValues[slot] = (int) firstValue;
+        secondValues[slot] = (int) secondValue;
         if (LOG.isLoggable(Level.FINE)) {
-            LOG.fine("nanos=" + timesNanos[slot] + " " + describe(slot));
+            LOG.fine("nanos=" + recordedAtNanos[slot] + " " + describe(slot));
         }
     }
 
     /** Writes the ring to the log, oldest first, in times before now. */
     public void dump(String reason) {
         long now = System.nanoTime();
-        if (dumpedAtNanos != 0 && now - dumpedAtNanos < DUMP_GAP_NS) {
+        if (lastDumpNanos != 0 && now - lastDumpNanos < MIN_DUMP_INTERVAL_NANOS) {
             return;
         }
-        dumpedAtNanos = now;
+        lastDumpNanos = now;
         LOG.severe(
                 () ->
                         reason
@@ -113,7 +113,7 @@
                     String.format(
                             Locale.ROOT,
                             "%.1f %s",
-                            (timesNanos[slot] - now) / 1e6,
+                            (recordedAtNanos[slot] - now) / 1e6,
                             describe(slot)));
         }
         return lines;
@@ -125,9 +125,9 @@
                         + " "
                         + (requestIds[slot] == null ? "-" : requestIds[slot])
                         + " "
-                        + firstFigures[slot]
+                        + firstValues[slot]
                         + " "
-                        + secondFigures[slot];
+                        + secondValues[slot];
         return reasons[slot].isEmpty() ? event : event + " reason=" + reasons[slot];
     }
 }
--- a/src/main/java/firstage/server/InterruptedCalls.java
+++ b/src/main/java/firstage/server/InterruptedCalls.java
@@ -21,33 +21,34 @@
     public static void shield(StreamConnection connection) {
         connection
                 .getSourceChannel()
-                .setConduit(new ShieldedSource(connection.getSourceChannel().getConduit()));
+                .setConduit(new InterruptSafeSource(connection.getSourceChannel().getConduit()));
         connection
                 .getSinkChannel()
-                .setConduit(new ShieldedSink(connection.getSinkChannel().getConduit()));
+                .setConduit(new InterruptSafeSink(connection.getSinkChannel().getConduit()));
     }
 
-    private static final class ShieldedSource
+    private static final class InterruptSafeSource
             extends AbstractStreamSourceConduit<StreamSourceConduit> {
-        private ShieldedSource(StreamSourceConduit next) {
+        private InterruptSafeSource(StreamSourceConduit next) {
             super(next);
         }
 
         @Override
         public int read(ByteBuffer target) throws IOException {
-            int moved = super.read(target);
-            return moved < END_OF_STREAM ? 0 : moved;
+            int bytesRead = super.read(target);
+            return bytesRead < END_OF_STREAM ? 0 : bytesRead;
         }
 
         @Override
         public long read(ByteBuffer[] targets, int offset, int length) throws IOException {
-            long moved = super.read(targets, offset, length);
-            return moved < END_OF_STREAM ? 0 : moved;
+            long bytesRead = super.read(targets, offset, length);
+            return bytesRead < END_OF_STREAM ? 0 : bytesRead;
         }
     }
 
-    private static final class ShieldedSink extends AbstractStreamSinkConduit<StreamSinkConduit> {
-        private ShieldedSink(StreamSinkConduit next) {
+    private static final class InterruptSafeSink
+            extends AbstractStreamSinkConduit<StreamSinkConduit> {
+        private InterruptSafeSink(StreamSinkConduit next) {
             super(next);
         }
 
--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -146,10 +146,10 @@
     public void shutDown() {
         // Counted from the signal: a thread, or a process, that is paused just then has the less
         // time left.
-        long handledAt = clock.now();
+        long receivedAt = clock.now();
         io.execute(
                 () -> {
-                    long signalledAt = Math.min(handledAt, guard.earliestArrival());
+                    long signalledAt = Math.min(receivedAt, guard.earliestArrival());
                     shutdown.begin(fleet, signalledAt + config.shutdownTimeout());
                 });
     }
@@ -223,10 +223,9 @@
             long duration,
             LoadReport report,
             List<byte[]> pages,
-            long mayStillRunFor) {
+            long heldFor) {
         engines.onAttemptEnded(attempt.engine());
-        requestEvents.onAttemptEnded(
-                exchange, attempt, outcome, duration, report, pages, mayStillRunFor);
+        requestEvents.onAttemptEnded(exchange, attempt, outcome, duration, report, pages, heldFor);
     }
 
     @Override
--- a/src/main/java/firstage/server/PeerFleetControl.java
+++ b/src/main/java/firstage/server/PeerFleetControl.java
@@ -97,18 +97,21 @@
         membership.fleetCoordinator().removeEngine(engineId);
     }
 
-    private void onProbeOwnership(long engineId, boolean away, boolean restIsOver) {
-        counters.count(away ? "engines left to a probe owner" : "engines taken back");
+    private void onProbeOwnership(long engineId, boolean probedByOthers, boolean mayProbeNow) {
+        counters.count(probedByOthers ? "engines left to a probe owner" : "engines taken back");
         int engine = directory.find(engineId);
         if (engine >= 0) {
             loop.dispatch(
                     "away",
-                    scheduler -> scheduler.onProbeOwnership(clock.now(), engine, away, restIsOver));
+                    scheduler ->
+                            scheduler.onProbeOwnership(
+                                    clock.now(), engine, probedByOthers, mayProbeNow));
         }
     }
 
-    private void onSheddingThreshold(long now, int band, double part) {
-        loop.dispatch("cut", scheduler -> scheduler.onSheddingThreshold(now, band, part));
+    private void onSheddingThreshold(long now, int band, double admittedShare) {
+        loop.dispatch(
+                "cut", scheduler -> scheduler.onSheddingThreshold(now, band, admittedShare));
     }
 
     private void reportToFleet() {
--- a/src/main/java/firstage/server/ReadBarrier.java
+++ b/src/main/java/firstage/server/ReadBarrier.java
@@ -27,7 +27,7 @@
     private static final int SELECTOR_PASSES = 2;
 
     /** Between passes while connections can't be accepted, or the pipe can't be opened. */
-    private static final int RETRY_MS = 5;
+    private static final int RETRY_DELAY_MS = 5;
 
     /** What waits is called after this even where connections can't be accepted, in ticks. */
     private static final long MAX_ACCEPT_WAIT = 1_000;
@@ -49,7 +49,7 @@
     private final ByteBuffer wakeUpByte = ByteBuffer.allocate(1);
     private StreamConnection wakeUpReader;
     private StreamConnection wakeUpWriter;
-    private BooleanSupplier acceptsFail = () -> false;
+    private BooleanSupplier acceptFailing = () -> false;
 
     /**
      * Waiters that the pass under way counts for; those that came since it began are in the next.
@@ -80,11 +80,11 @@
     /**
      * Begins; on the I/O thread.
      *
-     * @param acceptsFail whether connections wait that can't be accepted for the moment: what came
+     * @param acceptFailing whether connections wait that can't be accepted for the moment: what came
      *     on them is not read
      */
-    public void start(BooleanSupplier acceptsFail) {
-        this.acceptsFail = acceptsFail;
+    public void start(BooleanSupplier acceptFailing) {
+        this.acceptFailing = acceptFailing;
         listen();
     }
 
@@ -95,7 +95,7 @@
 
     /** Whether connections wait that can't be accepted for the moment. */
     boolean acceptsFail() {
-        return acceptsFail.getAsBoolean();
+        return acceptFailing.getAsBoolean();
     }
 
     /** All that had arrived at this moment has been read and its events are handled; in ticks. */
@@ -156,23 +156,23 @@
     }
 
     private void finishPass() {
-        boolean allRead = !acceptsFail.getAsBoolean();
-        List<Waiter> done = currentPass;
+        boolean allRead = !acceptFailing.getAsBoolean();
+        List<Waiter> finished = currentPass;
         currentPass = new ArrayList<>();
-        for (Waiter waiter : done) {
+        for (Waiter waiter : finished) {
             waiter.passesLeft -= allRead ? 1 : 0;
             if (waiter.passesLeft > 0 && !isOverdue(waiter, allRead)) {
                 currentPass.add(waiter);
             }
         }
-        done.removeAll(currentPass);
+        finished.removeAll(currentPass);
         if (allRead) {
-            done.forEach(waiter -> readAsOf = Math.max(readAsOf, waiter.requestedAt));
+            finished.forEach(waiter -> readAsOf = Math.max(readAsOf, waiter.requestedAt));
             startPass();
         } else {
-            io.executeAfter(this::startPass, RETRY_MS, TimeUnit.MILLISECONDS);
+            io.executeAfter(this::startPass, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
         }
-        done.forEach(waiter -> waiter.callback.run());
+        finished.forEach(waiter -> waiter.callback.run());
     }
 
     private boolean isOverdue(Waiter waiter, boolean allRead) {
@@ -187,7 +187,7 @@
         LOG.severe("read barrier broken cause=" + exception);
         counters.count("read barriers broken");
         closePipe();
-        io.executeAfter(this::reopenPipe, RETRY_MS, TimeUnit.MILLISECONDS);
+        io.executeAfter(this::reopenPipe, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
     private void reopenPipe() {
--- a/src/main/java/firstage/server/RequestEventHandler.java
+++ b/src/main/java/firstage/server/RequestEventHandler.java
@@ -31,7 +31,8 @@
     private final ReadBarrier barrier;
     private final SchedulerLoop loop;
     private final RequestRegistry requests;
-    private final ArrivalSequencer<UnsequencedRequest> arrivals = new ArrivalSequencer<>(this);
+    private final ArrivalSequencer<UnsequencedRequest> arrivalSequencer =
+            new ArrivalSequencer<>(this);
 
     RequestEventHandler(
             TickClock clock, ReadBarrier barrier, SchedulerLoop loop, RequestRegistry requests) {
@@ -43,7 +44,7 @@
 
     /** Requests that were read and are not with the scheduler yet. */
     int undelivered() {
-        return arrivals.undelivered();
+        return arrivalSequencer.undelivered();
     }
 
     /** A request was read whole. */
@@ -54,12 +55,12 @@
                 loop.runLater(
                         Math.max(0, (exchange.deadline - clock.now()) / 10),
                         () -> onDeadline(exchange));
-        arrivals.onRequestRead(request, exchange.orderingKey);
+        arrivalSequencer.onRequestRead(request, exchange.orderingKey);
     }
 
     @Override
     public void requestReadBarrier(Object key) {
-        barrier.runAfterPendingReads(() -> arrivals.onReadBarrierPassed(key));
+        barrier.runAfterPendingReads(() -> arrivalSequencer.onReadBarrierPassed(key));
     }
 
     @Override
@@ -164,8 +165,8 @@
             long duration,
             LoadReport report,
             List<byte[]> pages,
-            long mayStillRunFor) {
-        requests.onAttemptEnded(exchange, attempt, outcome, mayStillRunFor);
+            long heldFor) {
+        requests.onAttemptEnded(exchange, attempt, outcome, heldFor);
         if (outcome == AttemptOutcome.SUCCEEDED && exchange.succeed(pages)) {
             requests.onRequestEnded(RequestRegistry.End.SUCCEEDED, exchange);
         }
@@ -184,7 +185,7 @@
                                         0,
                                         exchange.isSettled(),
                                         report,
-                                        mayStillRunFor)));
+                                        heldFor)));
         if (outcome == AttemptOutcome.SUCCEEDED) {
             exchange.abandonAttempts(AttemptOutcome.CANCELLED);
         }
--- a/src/main/java/firstage/server/RequestExchange.java
+++ b/src/main/java/firstage/server/RequestExchange.java
@@ -121,29 +121,29 @@
     }
 
     public boolean succeed(List<byte[]> pages) {
-        boolean first = !settled;
+        boolean firstAnswer = !settled;
         settled = true;
-        if (first) {
+        if (firstAnswer) {
             response.respondSucceeded(pages);
         }
-        return first;
+        return firstAnswer;
     }
 
     public boolean reject(long retryAfter) {
-        boolean first = !settled;
+        boolean firstAnswer = !settled;
         settled = true;
-        if (first) {
+        if (firstAnswer) {
             response.respondRejected(retryAfter);
         }
-        return first;
+        return firstAnswer;
     }
 
     public boolean fail() {
-        boolean first = !settled;
+        boolean firstAnswer = !settled;
         settled = true;
-        if (first) {
+        if (firstAnswer) {
             response.respondFailed();
         }
-        return first;
+        return firstAnswer;
     }
 }
--- a/src/main/java/firstage/server/RequestRegistry.java
+++ b/src/main/java/firstage/server/RequestRegistry.java
@@ -26,7 +26,7 @@
         }
     }
 
-    private static final String ACCEPTED = "requests accepted";
+    private static final String ACCEPTED_COUNTER = "requests accepted";
 
     private final TickClock clock;
     private final Counters counters;
@@ -63,7 +63,7 @@
 
     /** The request was read whole. */
     void onAccepted(RequestExchange exchange) {
-        counters.count(ACCEPTED);
+        counters.count(ACCEPTED_COUNTER);
         openRequests++;
         record(EventType.READ, exchange, exchange.connectionAgeMs, 0);
     }
@@ -143,11 +143,11 @@
         for (End end : End.values()) {
             ended += counters.sum(end.counter);
         }
-        counters.checkInvariant(counters.sum(ACCEPTED) == ended, "each request ends once");
+        counters.checkInvariant(counters.sum(ACCEPTED_COUNTER) == ended, "each request ends once");
     }
 
     private void record(
-            EventType event, RequestExchange exchange, long firstFigure, long secondFigure) {
-        counters.recorder().record(event, exchange.id, firstFigure, secondFigure);
+            EventType event, RequestExchange exchange, long firstValue, long secondValue) {
+        counters.recorder().record(event, exchange.id, firstValue, secondValue);
     }
 }
--- a/src/main/java/firstage/server/SchedulerLoop.java
+++ b/src/main/java/firstage/server/SchedulerLoop.java
@@ -25,7 +25,7 @@
     private final TickClock clock;
     private final Counters counters;
     private final ActionGuard guard;
-    private final BooleanSupplier mayAct;
+    private final BooleanSupplier endpointsConfirmed;
     private SchedulingPolicy scheduler;
     private Runnable beforeEvaluation;
     private Runnable afterEvaluation;
@@ -34,18 +34,18 @@
     /** The thread was stalled since the last evaluation. */
     private boolean stalled;
 
-    /** {@code mayAct}: whether the endpoint list may be acted on yet. */
+    /** {@code endpointsConfirmed}: whether the endpoint list may be acted on yet. */
     SchedulerLoop(
             XnioIoThread io,
             TickClock clock,
             Counters counters,
             ActionGuard guard,
-            BooleanSupplier mayAct) {
+            BooleanSupplier endpointsConfirmed) {
         this.io = io;
         this.clock = clock;
         this.counters = counters;
         this.guard = guard;
-        this.mayAct = mayAct;
+        this.endpointsConfirmed = endpointsConfirmed;
     }
 
     /** Called once, before the first event. */
@@ -96,7 +96,7 @@
         evaluationScheduled = false;
         try {
             beforeEvaluation.run();
-            if (mayAct.getAsBoolean()) {
+            if (endpointsConfirmed.getAsBoolean()) {
                 scheduler.runPendingActions(clock.now());
             }
         } catch (RuntimeException exception) {
--- a/src/main/java/firstage/server/ServerEvents.java
+++ b/src/main/java/firstage/server/ServerEvents.java
@@ -55,7 +55,7 @@
             long duration,
             LoadReport report,
             List<byte[]> pages,
-            long mayStillRunFor);
+            long heldFor);
 
     /** A probe ended; {@code report} is null where its answer carried none. */
     void onProbeResult(int engine, AttemptOutcome outcome, LoadReport report);
--- a/src/main/java/firstage/server/ShutdownSequence.java
+++ b/src/main/java/firstage/server/ShutdownSequence.java
@@ -73,9 +73,9 @@
      * the SIGKILL that follows the first.
      *
      * @param fleet is told that this manager leaves
-     * @param endsBy when the process may be killed, in ticks
+     * @param killDeadline when the process may be killed, in ticks
      */
-    void begin(FleetControl fleet, long endsBy) {
+    void begin(FleetControl fleet, long killDeadline) {
         if (phase != Phase.SERVING) {
             counters.count("repeated shutdown signals");
             return;
@@ -86,7 +86,9 @@
         fleet.leave();
         loop.dispatch(
                 "closing",
-                scheduler -> scheduler.onShutdown(clock.now(), endsBy - LAST_RESPONSES_ALLOWANCE));
+                scheduler ->
+                        scheduler.onShutdown(
+                                clock.now(), killDeadline - LAST_RESPONSES_ALLOWANCE));
         loop.runLater(
                 ACCEPT_AFTER_SIGTERM_MS,
                 () -> {
--- a/src/main/java/firstage/server/TickClock.java
+++ b/src/main/java/firstage/server/TickClock.java
@@ -41,9 +41,12 @@
             return 0;
         }
         long now = now();
-        long byStart = Ticks.ofMillis(unixMs);
+        long unadjusted = Ticks.ofMillis(unixMs);
         long step = Ticks.ofMillis(unixClock.getAsLong()) - now;
-        long latest = Math.abs(step) > MIN_STEP ? Math.max(byStart, byStart - step) : byStart;
+        long latest =
+                Math.abs(step) > MIN_STEP
+                        ? Math.max(unadjusted, unadjusted - step)
+                        : unadjusted;
         return Math.min(now, latest);
     }
 }
