--- a/src/main/java/firstage/server/ActionGuard.java
+++ b/src/main/java/firstage/server/ActionGuard.java
@@ -11,10 +11,10 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The one place through which statements are sent and sent again, connections are closed for lack
- * of input, and what waits for input is given up: none of it is done on what was known before a
- * pause. Counts what it refuses, by reason, and what proves to have passed wrongly. Owned by the
- * I/O thread; times are ticks.
+ * Guards the actions that must not rely on knowledge from before a pause of the process: sending a
+ * statement, closing a connection on which nothing arrived, and giving up a wait for input. All
+ * such actions go through this class. It counts the sends that it refuses, by reason, and the sends
+ * that prove to have been wrong. Owned by the I/O thread; times are ticks.
  */
 public final class ActionGuard {
     private static final Logger LOG = Logger.getLogger(ActionGuard.class.getName());
@@ -50,42 +50,45 @@
         }
     }
 
-    /** Connections wait that can't be accepted: what comes on them is not read. */
+    /** Records that accepting connections fails: input on the pending ones is not read. */
     public void onAcceptFailed() {
         pauseDetector.onReadsBlocked(clock.now());
     }
 
-    /** Nothing can have arrived before now: called just before this program listens. */
+    /**
+     * Records that nothing can have arrived before now; called just before the program listens for
+     * clients.
+     */
     public void onBeforeListen() {
         pauseDetector = newPauseDetector();
     }
 
-    /** Begins to watch for pauses; on the I/O thread. */
+    /** Starts to detect pauses; called on the I/O thread. */
     public void start() {
         pauseDetector.onBeat(clock.now());
         io.executeAfter(this::start, PauseDetector.BEAT_INTERVAL / 10, TimeUnit.MILLISECONDS);
     }
 
-    /** The earliest moment at which something that is read now can have arrived. */
+    /** Returns the earliest moment at which input that is read now can have arrived. */
     public long earliestArrival() {
         return pauseDetector.earliestArrival(clock.now());
     }
 
-    /** Whether what arrived during a pause is not all read yet. */
+    /** Returns whether some input that arrived during a pause may not be read yet. */
     public boolean isCatchingUp() {
         return pauseDetector.isCatchingUp(clock.now());
     }
 
-    /** Calls back once all that has arrived until now is read, and its events are handled. */
+    /** Runs an action once all input that has arrived until now is read and handled. */
     public void runAfterPendingReads(Runnable action) {
         barrier.runAfterPendingReads(action);
     }
 
     /**
-     * Runs an action that ends or repeats something because nothing came in time: after so many
-     * milliseconds, and after what came in that time has been read.
+     * Schedules an action that ends or repeats something because no input came in time. The action
+     * runs after {@code ms} milliseconds, once all input that arrived in that time has been read.
      *
-     * @return cancels the action until it runs
+     * @return a key that cancels the action if it has not run yet
      */
     public XnioExecutor.Key executeAfter(long ms, Runnable action) {
         Timeout timeout = new Timeout(action);
@@ -122,7 +125,8 @@
     }
 
     /**
-     * Reads what lies unread on the client's connection, and returns what is known of the request.
+     * Reads all pending input of the client's connection, and returns the known state of the
+     * request.
      */
     public Knowledge inspect(RequestExchange exchange, boolean attemptOpen, boolean engineAccepts) {
         long clientSeenAt = exchange.confirmClient(clock.now());
@@ -136,14 +140,14 @@
                 exchange.deadline);
     }
 
-    /** Counts a statement that is not written. */
+    /** Counts and records a statement that was not written. */
     public void onSendRefused(RequestExchange exchange, Verdict reason, int attempt, int engine) {
         counters.count("sends refused " + reason);
         counters.recorder()
                 .record(EventType.SEND_REFUSED, exchange.id, reason.name(), attempt, engine);
     }
 
-    /** A statement was written, on this knowledge. */
+    /** Records that a statement was written, and checks how old the knowledge for it was. */
     public void onStatementSent(RequestExchange exchange, Knowledge knowledge) {
         long now = clock.now();
         counters.peak("max age of knowledge at a send, us", (now - knowledge.asOf()) * 100);
@@ -154,9 +158,10 @@
     }
 
     /**
-     * The client closed its connection, or cancelled; this was read just now.
+     * Records that the client closed its connection or cancelled, which was read just now.
      *
-     * @param notBefore it can't have left earlier: its connection was open, or it could not cancel
+     * @param notBefore the time before which the client can't have left, as its connection was open
+     *     or it could not cancel yet
      */
     public void onClientLeft(RequestExchange exchange, long notBefore) {
         long earliest = Math.max(earliestArrival(), notBefore);
--- a/src/main/java/firstage/server/Counters.java
+++ b/src/main/java/firstage/server/Counters.java
@@ -5,14 +5,14 @@
 import java.util.TreeMap;
 
 /**
- * Counts by name, printed when the program ends. What must hold is asserted under {@code -ea} and
- * else counted as broken. Owned by the I/O thread.
+ * Named counters, printed when the program ends, and checks of invariants. A broken invariant fails
+ * an assertion under {@code -ea} and is counted otherwise. Owned by the I/O thread.
  */
 public final class Counters {
     private final Map<String, Long> counts = new TreeMap<>();
     private final FlightRecorder recorder = new FlightRecorder();
 
-    /** The events that led up to a broken invariant. */
+    /** Returns the recorder of the events that lead up to a broken invariant. */
     public FlightRecorder recorder() {
         return recorder;
     }
@@ -29,12 +29,12 @@
         return Arrays.stream(names).mapToLong(name -> counts.getOrDefault(name, 0L)).sum();
     }
 
-    /** Keeps the largest value seen. */
+    /** Sets a counter to {@code value} if that is larger than all values before. */
     public void peak(String name, long value) {
         counts.merge(name, value, Math::max);
     }
 
-    /** Checks an invariant; a broken one is logged with the recorded events, and counted. */
+    /** Checks an invariant; logs a broken one with the recorded events, and counts it. */
     public void checkInvariant(boolean holds, String invariant) {
         if (!holds) {
             recorder.dump("broken: " + invariant);
--- a/src/main/java/firstage/server/DecisionExecutor.java
+++ b/src/main/java/firstage/server/DecisionExecutor.java
@@ -8,7 +8,7 @@
 import java.util.logging.Logger;
 
 /**
- * Carries the scheduler's decisions out at engines and clients. It decides nothing itself. Owned by
+ * Carries out the scheduler's decisions at engines and clients. Makes no decisions itself. Owned by
  * the I/O thread.
  */
 final class DecisionExecutor implements PolicyActions {
@@ -19,7 +19,9 @@
     private final EngineClients engines;
     private final IntConsumer onEngineReleased;
 
-    /** {@code onEngineReleased}: told of each engine that the scheduler knows no more. */
+    /**
+     * @param onEngineReleased called with the index of each engine that the scheduler has released
+     */
     DecisionExecutor(
             SchedulerLoop loop,
             RequestRegistry requests,
--- a/src/main/java/firstage/server/EngineDirectory.java
+++ b/src/main/java/firstage/server/EngineDirectory.java
@@ -11,8 +11,8 @@
 import java.util.function.IntConsumer;
 
 /**
- * The engines that discovery lists: the index and the zone of each. Changes of the list go from
- * here to the engine connections and to the scheduler. Owned by the I/O thread.
+ * Directory of the engines in the endpoint list, with the index and the zone of each. Passes
+ * changes of the list on to the engine connections and to the scheduler. Owned by the I/O thread.
  */
 final class EngineDirectory {
     private static final int UNKNOWN_ZONE = -1;
@@ -31,22 +31,22 @@
         this.engines = engines;
     }
 
-    /** The index of the engine with this id; -1 where it has none. */
+    /** Returns the index of the engine with this id; -1 if the engine has none. */
     int find(long id) {
         return ids.findIndex(id);
     }
 
-    /** The id of the engine with this index. */
+    /** Returns the id of the engine with this index. */
     long id(int engine) {
         return ids.idOf(engine);
     }
 
-    /** The zone of an engine, -1 where it is unknown. */
+    /** Returns the zone of an engine; -1 if it is unknown. */
     int zone(int engine) {
         return zoneByEngine.getOrDefault(engine, UNKNOWN_ZONE);
     }
 
-    /** Calls back with the index of each engine that was listed and not released. */
+    /** Calls {@code action} with the index of each engine that was listed and not released. */
     void forEach(IntConsumer action) {
         for (int engine = 0; engine < engines.count(); engine++) {
             if (engines.isKnown(engine)) {
@@ -55,7 +55,11 @@
         }
     }
 
-    /** Engines changed, or the whole list came; {@code fleet} names their warm-up shares. */
+    /**
+     * Applies a change of the endpoint list, or a whole list.
+     *
+     * @param fleet the source of this manager's shares of the engines' warm-up budgets
+     */
     void update(EndpointUpdate.Kind kind, List<DiscoveredEndpoint> endpoints, FleetControl fleet) {
         List<EndpointUpdate.Endpoint> updated = new ArrayList<>();
         for (DiscoveredEndpoint endpoint : endpoints) {
@@ -84,14 +88,17 @@
                                 clock.now(), new EndpointUpdate(kind, updated)));
     }
 
-    /** The scheduler knows the engine no more: its index may serve again. */
+    /** Removes an engine that the scheduler has released; its index may be reused. */
     void release(int engine) {
         ids.release(engine);
         engines.removeEngine(engine);
         zoneByEngine.remove(engine);
     }
 
-    /** What the engine connections count must be what the scheduler counts. */
+    /**
+     * Checks that the engine connections and the scheduler count the same attempts in flight, and
+     * the invariants of the engine connections.
+     */
     void checkInvariants() {
         for (int engine = 0; engine < engines.count(); engine++) {
             counters.checkInvariant(
--- a/src/main/java/firstage/server/FleetControl.java
+++ b/src/main/java/firstage/server/FleetControl.java
@@ -7,39 +7,49 @@
 import org.xnio.XnioWorker;
 
 /**
- * What the managers of a fleet work out together, as one of them sees it. {@link #NONE} stands for
- * a manager that no peers are named for. All calls but {@link #listen} come on the I/O thread.
+ * Coordination of this manager with the other managers of its fleet. {@link #NONE} is the
+ * implementation for a manager without configured peers. All calls but {@link #listen} come on the
+ * I/O thread.
  */
 interface FleetControl {
-    /** A manager without peers: all engines are its own, and its quota never changes. */
+    /**
+     * Implementation for a manager without peers: it may use all engines, and its quota never
+     * changes.
+     */
     FleetControl NONE = new FleetControl() {};
 
-    /** Listens for the peers. */
+    /** Binds the address at which the peers reach this manager. */
     default void listen(XnioWorker worker) throws IOException {}
 
-    /** Begins to speak with the peers. */
+    /** Starts to exchange messages with the peers. */
     default void start() {}
 
-    /** Tells the peers that this manager shuts down. */
+    /** Informs the peers that this manager shuts down. */
     default void leave() {}
 
-    /** Ends its connections. */
+    /** Closes the connections to the peers. */
     default void close() {}
 
-    /** Asked before each evaluation: a lease may have ended while the process was paused. */
+    /**
+     * Passes a changed quota share on to the scheduler. Called before each evaluation, as a lease
+     * may have ended while the process was paused.
+     */
     default void updateQuotaShare() {}
 
-    /** Of an update of the endpoint list the engines that this manager may use. */
+    /** Returns those endpoints of an update that this manager may use. */
     default List<DiscoveredEndpoint> served(
             EndpointUpdate.Kind kind, List<DiscoveredEndpoint> endpoints) {
         return endpoints;
     }
 
-    /** This manager's share of an engine's warm-up budget; 0 where it has no say. */
+    /**
+     * Returns this manager's share of an engine's warm-up budget; 0 if the share of the settings
+     * applies.
+     */
     default double warmUpShare(DiscoveredEndpoint endpoint) {
         return 0;
     }
 
-    /** The scheduler knows the engine with this id no more. */
+    /** Records that the scheduler has released the engine with this id. */
     default void onEngineReleased(long engineId) {}
 }
--- a/src/main/java/firstage/server/FlightRecorder.java
+++ b/src/main/java/firstage/server/FlightRecorder.java
@@ -7,47 +7,51 @@
 import java.util.logging.Logger;
 
 /**
- * The latest events of requests, and the thread's stalls, in a ring of fixed size: written to the
- * log when an invariant is broken. An event costs a few stores, and no line until then, unless this
- * class logs at {@link Level#FINE}: then each event is a line. Owned by the I/O thread.
+ * Ring buffer of the latest events of requests and the latest stalls of the I/O thread, written to
+ * the log when an invariant is broken. Recording an event takes a few stores and logs nothing,
+ * unless the log level of this class is {@link Level#FINE}: then each event is logged at once.
+ * Owned by the I/O thread.
  */
 public final class FlightRecorder {
-    /** What happened; the two figures beside it are as said. */
+    /** Types of events, each with the meaning of the two values that are recorded with it. */
     public enum EventType {
-        /** Read whole: age of its connection in ms. */
+        /** A request was read completely. Values: age of its connection in ms; 0. */
         READ,
-        /** Given to the scheduler: 1 where its order is known. */
+        /** A request was delivered to the scheduler. Values: 1 if its order is known, else 0; 0. */
         SCHEDULED,
-        /** The scheduler starts an attempt: its number, the engine. */
+        /** The scheduler started an attempt. Values: number of the attempt; engine. */
         ATTEMPT_STARTED,
-        /** The statement is written: attempt, engine. */
+        /** A statement was written. Values: number of the attempt; engine. */
         STATEMENT_WRITTEN,
-        /** An answer of the engine: attempt, HTTP status. */
+        /** An engine replied. Values: number of the attempt; HTTP status. */
         ENGINE_REPLY,
-        /** A call to the engine failed: attempt, ordinal of {@code EngineCall.Failure}. */
+        /**
+         * A call to an engine failed. Values: number of the attempt; ordinal of {@code
+         * EngineCall.Failure}.
+         */
         CALL_FAILED,
         /**
-         * An attempt ended: ordinal of {@code AttemptOutcome}, how long its engine may hold it in
-         * ms.
+         * An attempt ended. Values: ordinal of {@code AttemptOutcome}; how much longer its engine
+         * may hold the statement, in ms.
          */
         ATTEMPT_ENDED,
-        /** The client has its answer, or left; the reason names the end. */
+        /** The client has its answer, or left; the reason names the outcome. Values: 0; 0. */
         REQUEST_ENDED,
-        /** The client has a path to poll. */
+        /** The client was sent a path to poll. */
         POLL_PATH_SENT,
-        /** The client polls: how many of its calls are held. */
+        /** The client polled. First value: number of its calls that are held. */
         POLLED,
-        /** A held call was closed; the reason says why. How many are still held. */
+        /** A held call was closed, with a reason. First value: number of calls still held. */
         CALL_CLOSED,
         /** The client may be gone. */
         CLIENT_ABSENT,
-        /** It polls again. */
+        /** The client polls again. */
         CLIENT_PRESENT,
         /** The client is gone, or cancelled. */
         CLIENT_GONE,
-        /** A statement was not written; the reason says why: attempt, engine. */
+        /** A statement was not written, with a reason. Values: number of the attempt; engine. */
         SEND_REFUSED,
-        /** The thread was stalled: ms. */
+        /** The I/O thread was stalled. First value: duration in ms. */
         STALL
     }
 
@@ -55,10 +59,13 @@
 
     private static final Logger LOG = Logger.getLogger(FlightRecorder.class.getName());
 
-    /** The last seconds of a manager in heavy traffic; some 40 bytes each. */
+    /**
+     * Number of events that are kept: the last seconds of a manager in heavy traffic, at about 40
+     * bytes per event.
+     */
     private static final int CAPACITY = 2_048;
 
-    /** Between two dumps: one fault is logged once, not with each of its consequences. */
+    /** Minimum time between two dumps, so that a fault is not logged with each consequence. */
     private static final long MIN_DUMP_INTERVAL_NANOS = 10_000_000_000L;
 
     private final long[] recordedAtNanos = new long[CAPACITY];
@@ -70,12 +77,16 @@
     private long count;
     private long lastDumpNanos;
 
-    /** Keeps one event; {@code id} is null where it is not of a request. */
+    /**
+     * Records an event.
+     *
+     * @param id the id of the request; null if the event is not of a request
+     */
     public void record(EventType type, String id, long firstValue, long secondValue) {
         record(type, id, NO_REASON, firstValue, secondValue);
     }
 
-    /** Keeps one event and its reason. */
+    /** Records an event with a reason. */
     public void record(
             EventType type, String id, String reason, long firstValue, long secondValue) {
         int slot = (int) (count++ % CAPACITY);
@@ -90,7 +101,10 @@
         }
     }
 
-    /** Writes the ring to the log, oldest first, in times before now. */
+    /**
+     * Writes the recorded events to the log, oldest first, with times relative to now. Does nothing
+     * if the previous dump was less than {@link #MIN_DUMP_INTERVAL_NANOS} ago.
+     */
     public void dump(String reason) {
         long now = System.nanoTime();
         if (lastDumpNanos != 0 && now - lastDumpNanos < MIN_DUMP_INTERVAL_NANOS) {
@@ -104,7 +118,7 @@
                                 + String.join("\n", lines(now)));
     }
 
-    /** The events that are kept, oldest first. */
+    /** Returns the recorded events, oldest first, with times in ms relative to {@code now}. */
     List<String> lines(long now) {
         List<String> lines = new ArrayList<>();
         for (long i = Math.max(0, count - CAPACITY); i < count; i++) {
--- a/src/main/java/firstage/server/InterruptedCalls.java
+++ b/src/main/java/firstage/server/InterruptedCalls.java
@@ -9,15 +9,16 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * Makes a read or write that was interrupted (EINTR) one that moved nothing. The JDK returns -3 for
- * it on a non-blocking channel, which neither XNIO nor Undertow knows: they stop reading for good.
+ * Conduits that report a read or write that was interrupted (EINTR) as one that transferred no
+ * bytes. On a non-blocking channel the JDK returns -3 for an interrupted call. Neither XNIO nor
+ * Undertow handles that value; both would stop reading for good.
  */
 public final class InterruptedCalls {
     private static final int END_OF_STREAM = -1;
 
     private InterruptedCalls() {}
 
-    /** To be called before anything is read or written. */
+    /** Installs the conduits on a connection; to be called before anything is read or written. */
     public static void shield(StreamConnection connection) {
         connection
                 .getSourceChannel()
--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -22,10 +22,10 @@
 import org.xnio.XnioWorker;
 
 /**
- * One workload manager: puts its parts together, starts them and takes signals. All parts live on
- * one I/O thread, named {@code firstage I/O-1}; only the constructor and the public methods that
- * say so are called from others. Events of clients, engines and discovery go on to the part that
- * answers for them; nothing is decided here.
+ * A workload manager: creates its components, starts them and handles signals. All components run
+ * on one I/O thread, named {@code firstage I/O-1}; only the constructor and the public methods that
+ * say so may be called from other threads. Events of clients, engines and discovery are passed on
+ * to the component that handles them; this class makes no decisions.
  */
 public final class ManagerServer implements ServerEvents {
     private static final Logger LOG = Logger.getLogger(ManagerServer.class.getName());
@@ -49,10 +49,10 @@
     private final ShutdownSequence shutdown;
 
     /**
-     * Opens nothing yet that others see.
+     * Creates a manager that does not listen yet.
      *
-     * @param peers the other managers; null where none are named, and then no class of the fleet's
-     *     control is loaded
+     * @param peers the configuration of the other managers; null if there are none, and then no
+     *     class of the fleet control is loaded
      */
     public ManagerServer(ManagerConfig config, PeerConfig peers) throws IOException {
         this.config = config;
@@ -101,9 +101,9 @@
     }
 
     /**
-     * Starts serving; returns once clients can connect. From any thread.
+     * Starts serving; returns once clients can connect. May be called from any thread.
      *
-     * @throws IOException where the address is taken; may be called again
+     * @throws IOException if the address is in use; the method may then be called again
      */
     public void start() throws IOException {
         guard.onBeforeListen();
@@ -121,7 +121,10 @@
         LOG.info(() -> "listening manager=" + config.name() + " address=" + config.listenAddress());
     }
 
-    /** A new configuration (SIGHUP): only its coordinator is taken over. From any thread. */
+    /**
+     * Applies a new configuration (SIGHUP), of which only the coordinator is used. May be called
+     * from any thread.
+     */
     public void reconfigure(ManagerConfig newConfig) {
         io.execute(
                 () -> {
@@ -134,18 +137,18 @@
                 });
     }
 
-    /** Logs the counters (SIGUSR2). From any thread. */
+    /** Logs the counters (SIGUSR2). May be called from any thread. */
     public void logCounters() {
         io.execute(() -> LOG.info(() -> "counters " + counters));
     }
 
     /**
-     * Shuts down (SIGTERM): serves on while the front still sends, answers all that was accepted,
-     * then ends the program. From any thread.
+     * Shuts down (SIGTERM): keeps serving while the front still sends requests, answers all
+     * accepted requests, then ends the program. May be called from any thread.
      */
     public void shutDown() {
-        // Counted from the signal: a thread, or a process, that is paused just then has the less
-        // time left.
+        // The shutdown timeout counts from the signal: a pause of the thread or the process at
+        // that moment shortens the time that is left.
         long receivedAt = clock.now();
         io.execute(
                 () -> {
--- a/src/main/java/firstage/server/PeerFleetControl.java
+++ b/src/main/java/firstage/server/PeerFleetControl.java
@@ -12,9 +12,9 @@
 import org.xnio.XnioWorker;
 
 /**
- * Stands between the membership protocol and the scheduler: reports the scheduler's view of the
- * engines to the fleet ten times a second, and hands the fleet's quota, probe ownership and
- * shedding threshold to the scheduler. Owned by the I/O thread.
+ * Connects the membership protocol and the scheduler: reports the scheduler's view of the engines
+ * to the fleet ten times a second, and passes the quota share, the probe ownership and the shedding
+ * threshold from the fleet to the scheduler. Owned by the I/O thread.
  */
 final class PeerFleetControl implements FleetControl {
     private static final long REPORT_PERIOD_MS = 100;
--- a/src/main/java/firstage/server/ReadBarrier.java
+++ b/src/main/java/firstage/server/ReadBarrier.java
@@ -15,21 +15,22 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Calls back when all that had reached this machine at a moment has been read. A byte is written to
- * a pipe of the thread's own; the selector pass that finds it finds all that arrived before it,
- * too, and once the thread is through with what it found, that has been read. It takes two such
- * passes: the first finds new connections, which are accepted and registered, the second what had
- * arrived on them. This depends neither on the order in which the selector reports what is ready,
- * nor on how long the thread, or the process, was paused. Owned by the I/O thread.
+ * Runs callbacks once all input that had reached this machine at the time of the request has been
+ * read. The I/O thread writes a byte to a pipe to itself. The selector pass that finds this byte
+ * also finds all input that arrived before it, which has been read once the thread has handled the
+ * ready channels of that pass. A barrier takes two such passes: the first finds new connections,
+ * which are accepted and registered, and the second finds the input that had arrived on them. The
+ * barrier depends neither on the order in which the selector reports ready channels, nor on how
+ * long the thread or the process was paused. Owned by the I/O thread.
  */
 public final class ReadBarrier {
     private static final Logger LOG = Logger.getLogger(ReadBarrier.class.getName());
     private static final int SELECTOR_PASSES = 2;
 
-    /** Between passes while connections can't be accepted, or the pipe can't be opened. */
+    /** Delay before a pass is repeated after a failed accept, or a broken pipe is reopened. */
     private static final int RETRY_DELAY_MS = 5;
 
-    /** What waits is called after this even where connections can't be accepted, in ticks. */
+    /** Time, in ticks, after which a callback runs even if connections still can't be accepted. */
     private static final long MAX_ACCEPT_WAIT = 1_000;
 
     private static final class Waiter {
@@ -51,9 +52,7 @@
     private StreamConnection wakeUpWriter;
     private BooleanSupplier acceptFailing = () -> false;
 
-    /**
-     * Waiters that the pass under way counts for; those that came since it began are in the next.
-     */
+    /** Waiters of the pass in progress; those added since it started wait for the next pass. */
     private List<Waiter> currentPass = new ArrayList<>();
 
     private final ArrayDeque<Waiter> nextPass = new ArrayDeque<>();
@@ -78,10 +77,10 @@
     }
 
     /**
-     * Begins; on the I/O thread.
+     * Starts to handle wake-ups; called on the I/O thread.
      *
-     * @param acceptFailing whether connections wait that can't be accepted for the moment: what came
-     *     on them is not read
+     * @param acceptFailing returns whether there are pending connections that currently can't be
+     *     accepted, so that input on them is not read
      */
     public void start(BooleanSupplier acceptFailing) {
         this.acceptFailing = acceptFailing;
@@ -93,19 +92,19 @@
         wakeUpReader.getSourceChannel().resumeReads();
     }
 
-    /** Whether connections wait that can't be accepted for the moment. */
+    /** Returns whether there are pending connections that currently can't be accepted. */
     boolean acceptsFail() {
         return acceptFailing.getAsBoolean();
     }
 
-    /** All that had arrived at this moment has been read and its events are handled; in ticks. */
+    /** Returns the time, in ticks, up to which all input that had arrived was read and handled. */
     long readAsOf() {
         return readAsOf;
     }
 
     /**
-     * Calls back once all that has arrived until now is read, and its events are handled. Never
-     * where it is closed: the program ends.
+     * Runs a callback once all input that has arrived until now is read and handled. The callback
+     * never runs if the barrier is closed, as the program then ends.
      */
     public void runAfterPendingReads(Runnable callback) {
         if (closed) {
@@ -131,7 +130,7 @@
         try {
             wakeUpByte.clear();
             while (wakeUpByte.hasRemaining()) {
-                // One byte fits an empty pipe.
+                // The write never blocks, as one byte fits into an empty pipe.
                 wakeUpWriter.getSinkChannel().write(wakeUpByte);
             }
         } catch (IOException exception) {
@@ -147,7 +146,7 @@
                 throw new IOException("end of the pipe");
             }
             if (bytesRead > 0) {
-                // The rest of what this pass found is read first.
+                // The remaining ready channels of this pass are handled first.
                 io.execute(this::finishPass);
             }
         } catch (IOException exception) {
@@ -179,7 +178,7 @@
         return !allRead && clock.now() - waiter.requestedAt > MAX_ACCEPT_WAIT;
     }
 
-    /** Without the pipe no barrier is ever passed: another is opened. */
+    /** Replaces a broken pipe, without which no barrier is ever passed. */
     private void onPipeBroken(IOException exception) {
         if (closed) {
             return;
--- a/src/main/java/firstage/server/RequestEventHandler.java
+++ b/src/main/java/firstage/server/RequestEventHandler.java
@@ -9,16 +9,17 @@
 import java.util.List;
 
 /**
- * Events of requests on their way to the scheduler: arrivals, in the order in which they came as
- * far as it is known, clients that leave, deadlines, progress and ends of attempts. Answers go out
- * where no decision is needed: a result that came, a deadline that passed. Owned by the I/O thread.
+ * Handles the events of requests and passes them on to the scheduler: arrivals, in their order as
+ * far as it is known, clients that leave, deadlines, and the progress and end of attempts. Answers
+ * the client itself where no decision is needed: with the result of an attempt, or when the
+ * deadline has passed. Owned by the I/O thread.
  */
 final class RequestEventHandler
         implements ArrivalSequencer.ArrivalActions<RequestEventHandler.UnsequencedRequest> {
-    /** After a client's deadline; its answer must be there 50 ms after it. */
+    /** Time after a client's deadline until it is answered; it must get an answer within 50 ms. */
     private static final long DEADLINE_GRACE_MS = 35;
 
-    /** A request that was read and is not with the scheduler yet. */
+    /** A request that was read and is not delivered to the scheduler yet. */
     record UnsequencedRequest(
             RequestExchange exchange,
             int trafficClass,
@@ -42,12 +43,12 @@
         this.requests = requests;
     }
 
-    /** Requests that were read and are not with the scheduler yet. */
+    /** Returns the number of requests that were read and are not delivered to the scheduler yet. */
     int undelivered() {
         return arrivalSequencer.undelivered();
     }
 
-    /** A request was read whole. */
+    /** Accepts a request that was read completely. */
     void onRequest(UnsequencedRequest request) {
         RequestExchange exchange = request.exchange;
         requests.onAccepted(exchange);
@@ -67,7 +68,7 @@
     public void deliver(UnsequencedRequest request, boolean orderKnown) {
         RequestExchange exchange = request.exchange;
         if (exchange.isSettled()) {
-            // The client left, or its deadline passed, before the scheduler knew of it.
+            // The client left, or its deadline passed, before the request was delivered.
             exchange.deadlineTimer.remove();
             loop.scheduleEvaluation();
             return;
@@ -96,8 +97,8 @@
 
     private void onDeadline(RequestExchange exchange) {
         exchange.abandonAttempts(AttemptOutcome.TIMED_OUT);
-        // Neither an exception in the scheduler nor an engine that hears of no DELETE may keep a
-        // client's answer back.
+        // The client must get its answer even if the scheduler throws an exception, or if an engine
+        // can't be reached by a DELETE.
         loop.runLater(
                 DEADLINE_GRACE_MS,
                 () -> {
@@ -108,7 +109,7 @@
                 });
     }
 
-    /** The client left, or cancelled. */
+    /** Ends a request whose client left or cancelled. */
     void onClientGone(RequestExchange exchange) {
         if (exchange.isSettled()) {
             return;
@@ -119,7 +120,11 @@
         exchange.abandonAttempts(AttemptOutcome.CANCELLED);
     }
 
-    /** The client is not there to be answered, and may be gone; or it polls again. */
+    /**
+     * Records whether the client is absent.
+     *
+     * @param absent true if the client has no call open and may be gone; false if it polls again
+     */
     void onClientPresence(RequestExchange exchange, boolean absent) {
         exchange.clientAbsent = absent;
         if (exchange.requestIndex >= 0 && !exchange.isSettled()) {
@@ -130,7 +135,7 @@
         }
     }
 
-    /** The scheduler hears only of requests that were delivered to it. */
+    /** Reports that a client is gone if its request was delivered to the scheduler. */
     private void reportClientGone(String event, RequestExchange exchange) {
         if (exchange.requestIndex >= 0) {
             loop.dispatch(
@@ -138,7 +143,7 @@
         }
     }
 
-    /** An engine reported progress. */
+    /** Passes the progress that an engine reported on to the scheduler. */
     void onAttemptProgress(
             RequestExchange exchange,
             RequestExchange.AttemptHandle attempt,
@@ -157,7 +162,7 @@
                                         amount)));
     }
 
-    /** An attempt ended; a result goes to its client at once. */
+    /** Handles the end of an attempt; sends a result to the client at once. */
     void onAttemptEnded(
             RequestExchange exchange,
             RequestExchange.AttemptHandle attempt,
--- a/src/main/java/firstage/server/RequestExchange.java
+++ b/src/main/java/firstage/server/RequestExchange.java
@@ -7,11 +7,11 @@
 import org.xnio.XnioExecutor;
 
 /**
- * One request between its client and the engines: what both sides know of each other. What goes on
- * unchanged is kept as the bytes that came. Owned by the I/O thread; times are ticks.
+ * State of a request that its client's side and the engines' side share. The statement is kept as
+ * the bytes that arrived, as it is forwarded unchanged. Owned by the I/O thread; times are ticks.
  */
 public final class RequestExchange {
-    /** Answers the client: one of the three is called, once. */
+    /** Answers the client. At most one of the methods is called, once. */
     public interface ResponseActions {
         void respondSucceeded(List<byte[]> pages);
 
@@ -20,13 +20,14 @@
         void respondFailed();
     }
 
-    /** Knows whether the client is there. */
+    /** Determines whether the client is still there. */
     public interface ClientPresence {
         /**
-         * Reads what lies unread on the client's connection, so that an end of it is known.
+         * Reads all pending input of the client's connection, so that the end of the connection is
+         * noticed.
          *
          * @return when the client was last known to be there: {@code now} while it waits for an
-         *     answer on a connection that is open
+         *     answer on an open connection
          */
         long confirm(long now);
     }
@@ -39,7 +40,10 @@
 
         void updatePriority(int priority);
 
-        /** Ends it with this outcome, once the engine knows of it or can't be told. */
+        /**
+         * Abandons the attempt, which ends with this outcome once the engine was told or can't be
+         * reached.
+         */
         void abandon(AttemptOutcome outcome);
     }
 
@@ -52,26 +56,26 @@
 
     public final List<AttemptHandle> attemptsInFlight = new ArrayList<>();
 
-    /** Its index at the scheduler; -1 before the scheduler knows it. */
+    /** Index of the request at the scheduler; -1 before the request is delivered to it. */
     public int requestIndex = -1;
 
-    /** The ordering key, or null. */
+    /** Ordering key; null if the request has none. */
     public String orderingKey;
 
-    /** How old the client's connection was when the request was read, in ms. */
+    /** Age of the client's connection when the request was read, in ms. */
     public long connectionAgeMs;
 
-    /** Runs at the deadline. */
+    /** Timer that runs at the deadline. */
     public XnioExecutor.Key deadlineTimer;
 
     public int attemptsStarted;
     public int grantMb;
     public int priority = 1;
 
-    /** Its client may be gone: nothing new is to be sent for it. */
+    /** Whether the client may be gone; nothing is sent for it then. */
     public boolean clientAbsent;
 
-    /** Checks that nothing is sent for a client that left. */
+    /** Monitor that checks that nothing is sent for a client that left. */
     final DepartureMonitor departures = new DepartureMonitor();
 
     private final ResponseActions response;
@@ -100,26 +104,27 @@
         }
     }
 
-    /** Whether the client has its answer or is owed none. */
+    /** Returns whether the client has its answer or gets none. */
     public boolean isSettled() {
         return settled;
     }
 
-    /** The client polls: it has not left. */
+    /** Records that the client polls again, so it has not left. */
     public void onClientReturned() {
         departures.onClientReturned();
     }
 
-    /** Reads what its client's connection holds; returns when the client was last known there. */
+    /** Confirms the client's presence; see {@link ClientPresence#confirm}. */
     long confirmClient(long now) {
         return client.confirm(now);
     }
 
-    /** The client left: it is owed no answer. */
+    /** Records that the client left; it gets no answer. */
     public void clientGone() {
         settled = true;
     }
 
+    /** Answers the request with a result unless it is settled; returns whether it did so. */
     public boolean succeed(List<byte[]> pages) {
         boolean firstAnswer = !settled;
         settled = true;
@@ -129,6 +134,7 @@
         return firstAnswer;
     }
 
+    /** Rejects the request unless it is settled; returns whether it did so. */
     public boolean reject(long retryAfter) {
         boolean firstAnswer = !settled;
         settled = true;
@@ -138,6 +144,7 @@
         return firstAnswer;
     }
 
+    /** Answers that the request failed unless it is settled; returns whether it did so. */
     public boolean fail() {
         boolean firstAnswer = !settled;
         settled = true;
--- a/src/main/java/firstage/server/RequestRegistry.java
+++ b/src/main/java/firstage/server/RequestRegistry.java
@@ -6,12 +6,12 @@
 import firstage.server.FlightRecorder.EventType;
 
 /**
- * The requests that are open and the attempts in flight: their indices, the indices of their
- * ordering keys, their counts, and the invariants that hold over them. It decides nothing and
+ * Registry of the open requests and the attempts in flight: assigns indices to requests and
+ * ordering keys, counts requests and attempts, and checks their invariants. It decides nothing and
  * starts nothing. Owned by the I/O thread.
  */
 final class RequestRegistry {
-    /** How a request ended; each is counted under its name. */
+    /** Outcomes of requests, each with the name of its counter. */
     enum End {
         SUCCEEDED("requests succeeded"),
         REJECTED("requests rejected"),
@@ -41,34 +41,34 @@
         this.counters = counters;
     }
 
-    /** Requests whose clients have no answer yet. */
+    /** Returns the number of requests whose clients have no answer yet. */
     int openRequests() {
         return openRequests;
     }
 
-    /** Attempts that were started and did not end. */
+    /** Returns the number of attempts that were started and have not ended. */
     int attemptsInFlight() {
         return attemptsInFlight;
     }
 
-    /** The request with this index. */
+    /** Returns the request with this index. */
     RequestExchange find(int request) {
         return requestIds.idOf(request);
     }
 
-    /** The index of an ordering key; -1 where the request has none. */
+    /** Returns the index of an ordering key, which may be new; -1 for null. */
     int keyIndex(String orderingKey) {
         return orderingKey == null ? -1 : keyIds.indexFor(orderingKey);
     }
 
-    /** The request was read whole. */
+    /** Records that a request was read completely. */
     void onAccepted(RequestExchange exchange) {
         counters.count(ACCEPTED_COUNTER);
         openRequests++;
         record(EventType.READ, exchange, exchange.connectionAgeMs, 0);
     }
 
-    /** The request goes to the scheduler: it gets its index here. */
+    /** Assigns an index to a request that is delivered to the scheduler. */
     void onSequenced(RequestExchange exchange, boolean orderKnown) {
         if (!orderKnown) {
             counters.count("requests of unknown order");
@@ -80,7 +80,7 @@
         }
     }
 
-    /** The scheduler starts an attempt. */
+    /** Records that the scheduler starts an attempt. */
     void onAttemptStarted(RequestExchange exchange, int engine) {
         counters.count("attempts started");
         attemptsInFlight++;
@@ -92,7 +92,11 @@
         }
     }
 
-    /** An attempt ended; its engine may hold the statement for {@code heldFor} more. */
+    /**
+     * Records that an attempt ended.
+     *
+     * @param heldFor how much longer the engine may hold the statement, in ticks
+     */
     void onAttemptEnded(
             RequestExchange exchange,
             RequestExchange.AttemptHandle attempt,
@@ -107,7 +111,7 @@
         }
     }
 
-    /** The client has its answer, or is owed none. Called once a request. */
+    /** Records that the client has its answer, or gets none. Called once for each request. */
     void onRequestEnded(End end, RequestExchange exchange) {
         counters.count(end.counter);
         openRequests--;
@@ -117,7 +121,7 @@
         }
     }
 
-    /** The scheduler knows the request no more: its index may serve again. */
+    /** Removes a request that the scheduler has released; its index may be reused. */
     void releaseRequest(int request) {
         RequestExchange exchange = requestIds.idOf(request);
         counters.checkInvariant(
@@ -127,17 +131,17 @@
         requestIds.release(request);
     }
 
-    /** The scheduler knows the key no more: its index may serve again. */
+    /** Removes an ordering key that the scheduler has released; its index may be reused. */
     void releaseKey(int key) {
         keyIds.release(key);
     }
 
-    /** Drops what is kept of keys that nobody uses any more. */
+    /** Removes the state of ordering keys that are no longer in use. */
     void removeIdleKeys() {
         keyOrder.removeIdleKeys(clock.now());
     }
 
-    /** At the end of the program: each request that was accepted ended once. */
+    /** Checks, at the end of the program, that each accepted request ended once. */
     void checkAllEnded() {
         long ended = 0;
         for (End end : End.values()) {
--- a/src/main/java/firstage/server/SchedulerLoop.java
+++ b/src/main/java/firstage/server/SchedulerLoop.java
@@ -11,14 +11,18 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Brings events to the scheduler and lets it evaluate once after all events that are at hand. Where
- * the thread was stalled, what arrived meanwhile is read before that. An exception of the scheduler
- * is logged and counted, and the program goes on. Owned by the I/O thread.
+ * Passes events to the scheduler and runs one evaluation after all events that are ready. If the
+ * thread was stalled, all input that arrived in the meantime is read before the evaluation. An
+ * exception of the scheduler is logged and counted, and the program continues. Owned by the I/O
+ * thread.
  */
 final class SchedulerLoop {
     private static final Logger LOG = Logger.getLogger(SchedulerLoop.class.getName());
 
-    /** A longer delay is a stall: clients write requests of one key 60 ms apart. */
+    /**
+     * Delay, in microseconds, above which the thread counts as stalled. Clients send the requests
+     * of one ordering key 60 ms apart.
+     */
     private static final long STALL_THRESHOLD_US = 30_000;
 
     private final XnioIoThread io;
@@ -31,10 +35,12 @@
     private Runnable afterEvaluation;
     private boolean evaluationScheduled;
 
-    /** The thread was stalled since the last evaluation. */
+    /** Whether the thread was stalled since the last evaluation. */
     private boolean stalled;
 
-    /** {@code endpointsConfirmed}: whether the endpoint list may be acted on yet. */
+    /**
+     * @param endpointsConfirmed returns whether the endpoint list may be acted on yet
+     */
     SchedulerLoop(
             XnioIoThread io,
             TickClock clock,
@@ -48,19 +54,23 @@
         this.endpointsConfirmed = endpointsConfirmed;
     }
 
-    /** Called once, before the first event. */
+    /** Sets the scheduler and the hooks of evaluations; called once, before the first event. */
     void attach(SchedulingPolicy scheduler, Runnable beforeEvaluation, Runnable afterEvaluation) {
         this.scheduler = scheduler;
         this.beforeEvaluation = beforeEvaluation;
         this.afterEvaluation = afterEvaluation;
     }
 
-    /** The scheduler, to be asked only: events go by {@link #dispatch}. */
+    /** Returns the scheduler for queries only; events go through {@link #dispatch}. */
     SchedulingPolicy scheduler() {
         return scheduler;
     }
 
-    /** Hands one event to the scheduler; {@code event} names it in the log. */
+    /**
+     * Passes an event to the scheduler, and schedules an evaluation.
+     *
+     * @param event the name of the event in the log
+     */
     void dispatch(String event, Consumer<SchedulingPolicy> call) {
         try {
             call.accept(scheduler);
@@ -70,7 +80,7 @@
         scheduleEvaluation();
     }
 
-    /** One evaluation after all events that are at hand. */
+    /** Schedules one evaluation after all events that are ready. */
     void scheduleEvaluation() {
         if (!evaluationScheduled) {
             evaluationScheduled = true;
@@ -80,8 +90,8 @@
                         stalled |= recordDelay("max evaluation delay, us", dueNanos);
                         stalled |= guard.isCatchingUp();
                         if (stalled) {
-                            // What arrived meanwhile is read first: nothing must be sent for a
-                            // client that left in that time.
+                            // All input that arrived in the meantime is read first: nothing must
+                            // be sent for a client that left in that time.
                             counters.count("stalls");
                             stalled = false;
                             guard.runAfterPendingReads(this::runScheduler);
@@ -105,7 +115,7 @@
         afterEvaluation.run();
     }
 
-    /** Wakes the scheduler up after {@code delay}, with {@code token}. */
+    /** Wakes up the scheduler with {@code token} after {@code delay} ticks. */
     void scheduleWakeUp(long delay, long token) {
         long delayMs = Math.max(1, delay / 10);
         long dueNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(delayMs);
@@ -117,12 +127,12 @@
                 });
     }
 
-    /** Runs a task on the I/O thread after so many milliseconds. */
+    /** Runs a task on the I/O thread after {@code ms} milliseconds. */
     XnioExecutor.Key runLater(long ms, Runnable task) {
         return io.executeAfter(task, ms, TimeUnit.MILLISECONDS);
     }
 
-    /** Keeps the largest delay of a timer under {@code counter}; true where it is a stall. */
+    /** Records a timer's delay under {@code counter}; returns whether the delay is a stall. */
     boolean recordDelay(String counter, long dueNanos) {
         long delayUs = (System.nanoTime() - dueNanos) / 1_000;
         counters.peak(counter, delayUs);
--- a/src/main/java/firstage/server/ServerEvents.java
+++ b/src/main/java/firstage/server/ServerEvents.java
@@ -10,14 +10,14 @@
 /** Events of clients, engines and discovery. All calls come on the I/O thread; times are ticks. */
 public interface ServerEvents {
     /**
-     * A request was read whole.
+     * Handles a request that was read completely.
      *
-     * @param trafficClass its index in the settings
-     * @param tenant its index in the settings; 0 where these name none
-     * @param key the ordering key; null without one
-     * @param estimate the client's estimate of the work; 0 without one
-     * @param memoryMb the client's estimate of the memory; 0 without one
-     * @param tableGroup the group of tables that the statement names; -1 without one
+     * @param trafficClass the index of the traffic class in the settings
+     * @param tenant the index of the tenant in the settings; 0 if the settings name none
+     * @param key the ordering key; null if the request has none
+     * @param estimate the client's estimate of the work; 0 if there is none
+     * @param memoryMb the client's estimate of the memory in MB; 0 if there is none
+     * @param tableGroup the group of tables that the statement names; -1 if there is none
      */
     void onRequest(
             RequestExchange exchange,
@@ -28,13 +28,17 @@
             int memoryMb,
             int tableGroup);
 
-    /** The client left, or cancelled. */
+    /** Handles a client that left or cancelled. */
     void onClientGone(RequestExchange exchange);
 
-    /** The client is absent and may be gone; or it polls again. */
+    /**
+     * Handles a change of the client's presence.
+     *
+     * @param absent true if the client does not poll and may be gone; false if it polls again
+     */
     void onClientAbsence(RequestExchange exchange, boolean absent);
 
-    /** An engine reported progress. */
+    /** Handles progress that an engine reported. */
     void onAttemptProgress(
             RequestExchange exchange,
             RequestExchange.AttemptHandle attempt,
@@ -42,11 +46,11 @@
             double amount);
 
     /**
-     * An attempt ended.
+     * Handles the end of an attempt.
      *
-     * @param pages the result; used only where the attempt succeeded
-     * @param report the latest load report of the engine; null without one
-     * @param heldFor for how long the engine may still hold the statement
+     * @param report the latest load report of the engine; null if there is none
+     * @param pages the result; used only if the attempt succeeded
+     * @param heldFor how much longer the engine may hold the statement
      */
     void onAttemptEnded(
             RequestExchange exchange,
@@ -57,22 +61,29 @@
             List<byte[]> pages,
             long heldFor);
 
-    /** A probe ended; {@code report} is null where its answer carried none. */
+    /**
+     * Handles the end of a probe.
+     *
+     * @param report the load report of the engine; null if the answer contained none
+     */
     void onProbeResult(int engine, AttemptOutcome outcome, LoadReport report);
 
-    /** Engines changed, or the whole list came. */
+    /** Handles a change of the endpoint list, or a whole list. */
     void onEndpointsUpdated(EndpointUpdate.Kind kind, List<DiscoveredEndpoint> endpoints);
 
-    /** The endpoint list is current, or as current as can be had: it may be acted on. */
+    /**
+     * Handles the confirmation that the endpoint list may be acted on: it is current, or as current
+     * as possible.
+     */
     void onEndpointsConfirmed();
 
     /**
-     * An engine as the coordinator lists it.
+     * An engine in the coordinator's endpoint list.
      *
-     * @param id its id as a number
-     * @param address where it listens
-     * @param kind the index of its machine type
-     * @param startedAt when it started; 0 where that is long ago
+     * @param id the id of the engine, as a number
+     * @param address the address at which the engine listens
+     * @param kind the index of the engine's machine type
+     * @param startedAt when the engine started; 0 if that is long ago
      */
     record DiscoveredEndpoint(
             long id,
--- a/src/main/java/firstage/server/ShutdownSequence.java
+++ b/src/main/java/firstage/server/ShutdownSequence.java
@@ -5,27 +5,31 @@
 import java.util.logging.Logger;
 
 /**
- * The way from SIGTERM to the end of the program. Owned by the I/O thread.
+ * Steps of a shutdown, from SIGTERM to the end of the program. Owned by the I/O thread.
  *
  * <table>
  * <caption>Phases</caption>
- * <tr><td>SERVING</td><td>no SIGTERM came yet</td></tr>
- * <tr><td>ACCEPTING</td><td>SIGTERM came; the front still sends, requests are accepted</td></tr>
- * <tr><td>DRAINING</td><td>until all requests are answered and all attempts ended</td></tr>
- * <tr><td>STOPPING</td><td>all is idle: one grace period, then the listener is closed and what had
- *     come is read; back to DRAINING where that was a request</td></tr>
+ * <tr><td>SERVING</td><td>no SIGTERM was received yet</td></tr>
+ * <tr><td>ACCEPTING</td><td>SIGTERM was received; the front still sends requests, which are
+ *     accepted</td></tr>
+ * <tr><td>DRAINING</td><td>open requests are answered, and attempts in flight end</td></tr>
+ * <tr><td>STOPPING</td><td>the manager is idle: after a grace period the listener is closed and all
+ *     input that had arrived is read; back to DRAINING if the input contained a request</td></tr>
  * </table>
  */
 final class ShutdownSequence {
     private static final Logger LOG = Logger.getLogger(ShutdownSequence.class.getName());
 
-    /** The front goes on sending for at most 0.6 s after a SIGTERM. */
+    /**
+     * Time for which new requests are expected after a SIGTERM; the front goes on sending for at
+     * most 0.6 s.
+     */
     private static final long ACCEPT_AFTER_SIGTERM_MS = 700;
 
-    /** Ticks that the last answers may need on their way. */
+    /** Time, in ticks, that the last answers may take to reach their clients. */
     private static final long LAST_RESPONSES_ALLOWANCE = 5_000;
 
-    /** Attempts that were abandoned end within this. */
+    /** Time within which abandoned attempts end. */
     private static final long ABANDONED_ATTEMPTS_GRACE_MS = 50;
 
     private enum Phase {
@@ -46,7 +50,9 @@
     private final Runnable closeAll;
     private Phase phase = Phase.SERVING;
 
-    /** {@code closeAll}: closes what the manager holds and checks that nothing is left. */
+    /**
+     * @param closeAll closes all resources of the manager and checks that none is still in use
+     */
     ShutdownSequence(
             TickClock clock,
             Counters counters,
@@ -69,10 +75,10 @@
     }
 
     /**
-     * SIGTERM. The first counts; a second changes nothing: it must not move the planned end past
-     * the SIGKILL that follows the first.
+     * Starts the shutdown on the first SIGTERM. A repeated SIGTERM is only counted: it must not
+     * move the planned end past the SIGKILL that follows the first one.
      *
-     * @param fleet is told that this manager leaves
+     * @param fleet the fleet control, which is informed that this manager leaves
      * @param killDeadline when the process may be killed, in ticks
      */
     void begin(FleetControl fleet, long killDeadline) {
@@ -98,7 +104,10 @@
                 });
     }
 
-    /** Asked after each evaluation, and now and then. */
+    /**
+     * Ends the program if the shutdown is in progress and the manager is idle. Called after each
+     * evaluation and periodically.
+     */
     void endWhenIdle() {
         if (phase == Phase.DRAINING && isIdle()) {
             phase = Phase.STOPPING;
@@ -114,9 +123,9 @@
     }
 
     /**
-     * New connections are accepted until here, and what came on any is read before the end: else
-     * the last answer would be lost with its connection, and its client, which asks for it at once
-     * on a new one, refused.
+     * Closes the listener. Connections are accepted until now, and their input is read before the
+     * end. Otherwise a client whose connection broke before it received the last answer, and which
+     * asks for the answer at once on a new connection, would be refused.
      */
     private void stopAccepting() {
         if (isIdle()) {
@@ -132,7 +141,8 @@
             phase = Phase.DRAINING;
             return;
         }
-        // A request that came after this would be read, forwarded, and lost with the process.
+        // A request that arrived later on one of these connections would be read, forwarded, and
+        // lost with the process.
         clientHandler.closeIdleConnections();
         if (!isIdle()) {
             phase = Phase.DRAINING;
@@ -149,7 +159,8 @@
         } finally {
             System.err.println("end: " + counters);
             int status = invariantsHold ? 0 : 1;
-            // Not on this thread: the exit waits for hooks, and sockets still flush here.
+            // The exit runs on another thread, as it waits for shutdown hooks while this thread
+            // still flushes sockets.
             new Thread(() -> System.exit(status), "exit").start();
         }
     }
--- a/src/main/java/firstage/server/TickClock.java
+++ b/src/main/java/firstage/server/TickClock.java
@@ -4,11 +4,15 @@
 import java.util.function.LongSupplier;
 
 /**
- * The Unix clock in ticks as it stood at the start, carried on by the monotonic clock: a step of
- * the system's time neither delays a decision nor makes all of them due at once.
+ * Clock that returns Unix time in ticks. It reads the system's time once, at the start, and
+ * advances by the monotonic clock, so that a step of the system's time neither delays decisions nor
+ * makes all of them due at once.
  */
 public final class TickClock {
-    /** The system's time drifts; more than this against the monotonic clock is a step. */
+    /**
+     * Difference between the system's time and the monotonic clock above which the system's time
+     * was stepped; a smaller difference is drift.
+     */
     private static final long MIN_STEP = Ticks.ofMillis(500);
 
     private final LongSupplier unixClock;
@@ -32,9 +36,11 @@
     }
 
     /**
-     * A moment in Unix milliseconds of another process, on this clock, and not after now; 0 stays
-     * 0: long ago. Where the system's time was stepped since the start, it is unknown by which of
-     * the two times the other process counts: the later moment is taken.
+     * Converts a time in Unix milliseconds that another process reported to this clock. If the
+     * system's time was stepped since the start, it is unknown whether the other process counts by
+     * the time before or after the step, and the later result is used.
+     *
+     * @return the time in ticks, at most {@link #now}; 0, which means long ago, for 0
      */
     public long fromUnixMillis(long unixMs) {
         if (unixMs == 0) {
