--- a/src/main/java/firstage/server/ActionGuard.java
+++ b/src/main/java/firstage/server/ActionGuard.java
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Records that accepting connections fails: input on the pending ones is not read. */
+    /** Records that pending connections can't be accepted, so that input on them is not read. */
     public void onAcceptFailed() {
         pauseDetector.onReadsBlocked(clock.now());
     }
@@ -147,7 +147,10 @@
                 .record(EventType.SEND_REFUSED, exchange.id, reason.name(), attempt, engine);
     }
 
-    /** Records that a statement was written, and checks how old the knowledge for it was. */
+    /**
+     * Records that a statement was written, and checks the age of the knowledge that the send
+     * relied on.
+     */
     public void onStatementSent(RequestExchange exchange, Knowledge knowledge) {
         long now = clock.now();
         counters.peak("max age of knowledge at a send, us", (now - knowledge.asOf()) * 100);
