--- a/src/main/java/firstage/server/EngineDirectory.java
+++ b/src/main/java/firstage/server/EngineDirectory.java
@@ -82,7 +82,7 @@
             engines.retainOnly(updated.stream().map(EndpointUpdate.Endpoint::engineId).toList());
         }
         loop.dispatch(
-                "listed",
+                "endpoints updated",
                 scheduler ->
                         scheduler.onEndpointsUpdated(
                                 clock.now(), new EndpointUpdate(kind, updated)));
--- a/src/main/java/firstage/server/FlightRecorder.java
+++ b/src/main/java/firstage/server/FlightRecorder.java
@@ -114,7 +114,7 @@
         LOG.severe(
                 () ->
                         reason
-                                + "; what happened before, in ms before now:\n"
+                                + "; latest events, times in ms relative to now:\n"
                                 + String.join("\n", lines(now)));
     }
 
--- a/src/main/java/firstage/server/PeerFleetControl.java
+++ b/src/main/java/firstage/server/PeerFleetControl.java
@@ -102,7 +102,7 @@
         int engine = directory.find(engineId);
         if (engine >= 0) {
             loop.dispatch(
-                    "away",
+                    "probe ownership",
                     scheduler ->
                             scheduler.onProbeOwnership(
                                     clock.now(), engine, probedByOthers, mayProbeNow));
--- a/src/main/java/firstage/server/RequestEventHandler.java
+++ b/src/main/java/firstage/server/RequestEventHandler.java
@@ -75,7 +75,7 @@
         }
         requests.onSequenced(exchange, orderKnown);
         loop.dispatch(
-                "taken",
+                "request",
                 scheduler ->
                         scheduler.onRequest(
                                 clock.now(),
@@ -104,7 +104,7 @@
                 () -> {
                     if (exchange.fail()) {
                         requests.onRequestEnded(RequestRegistry.End.FAILED_AT_DEADLINE, exchange);
-                        reportClientGone("overdue", exchange);
+                        reportClientGone("deadline passed", exchange);
                     }
                 });
     }
@@ -129,7 +129,7 @@
         exchange.clientAbsent = absent;
         if (exchange.requestIndex >= 0 && !exchange.isSettled()) {
             loop.dispatch(
-                    "away",
+                    "client absence",
                     scheduler ->
                             scheduler.onClientAbsence(clock.now(), exchange.requestIndex, absent));
         }
@@ -150,7 +150,7 @@
             AttemptProgress.Kind kind,
             double amount) {
         loop.dispatch(
-                "noted",
+                "attempt progress",
                 scheduler ->
                         scheduler.onAttemptProgress(
                                 clock.now(),
--- a/src/main/java/firstage/server/SchedulerLoop.java
+++ b/src/main/java/firstage/server/SchedulerLoop.java
@@ -110,7 +110,7 @@
                 scheduler.runPendingActions(clock.now());
             }
         } catch (RuntimeException exception) {
-            onUnexpectedException("turn", exception);
+            onUnexpectedException("evaluation", exception);
         }
         afterEvaluation.run();
     }
@@ -123,7 +123,7 @@
                 delayMs,
                 () -> {
                     stalled |= recordDelay("max wake-up delay, us", dueNanos);
-                    dispatch("woken", policy -> policy.onWakeUp(clock.now(), token));
+                    dispatch("wake-up", policy -> policy.onWakeUp(clock.now(), token));
                 });
     }
 
--- a/src/main/java/firstage/server/ShutdownSequence.java
+++ b/src/main/java/firstage/server/ShutdownSequence.java
@@ -91,7 +91,7 @@
         LOG.info(() -> "shutdown started openRequests=" + requests.openRequests());
         fleet.leave();
         loop.dispatch(
-                "closing",
+                "shutdown",
                 scheduler ->
                         scheduler.onShutdown(
                                 clock.now(), killDeadline - LAST_RESPONSES_ALLOWANCE));
