--- a/src/test/java/firstage/lifecycle/DepartureMonitorTest.java
+++ b/src/test/java/firstage/lifecycle/DepartureMonitorTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void clientPollsAgain_hadNotLeft() {
+    void sent_clientReturned_isNoViolation() {
         assertThat(monitor.onClientLeft(5_000)).isZero();
         monitor.onClientReturned();
         assertThat(monitor.onStatementSent(9_000)).isZero();
--- a/src/test/java/firstage/lifecycle/PauseDetectorTest.java
+++ b/src/test/java/firstage/lifecycle/PauseDetectorTest.java
@@ -5,9 +5,9 @@
 import org.junit.jupiter.api.Test;
 
 class PauseDetectorTest implements PauseDetector.PauseActions {
-    private static final long BEAT = PauseDetector.BEAT_INTERVAL;
+    private static final long HEARTBEAT = PauseDetector.BEAT_INTERVAL;
     private int barriers;
-    private final PauseDetector pauses = new PauseDetector(this, 0);
+    private final PauseDetector detector = new PauseDetector(this, 0);
 
     @Override
     public void requestReadBarrier() {
@@ -15,10 +15,10 @@
     }
 
     @Test
-    void earliestArrival_beatsInTime_isNow() {
-        for (long now = BEAT; now < 20 * BEAT; now += BEAT) {
-            pauses.onBeat(now);
-            assertThat(pauses.earliestArrival(now + BEAT / 2)).isEqualTo(now + BEAT / 2);
+    void earliestArrival_heartbeatsInTime_isNow() {
+        for (long now = HEARTBEAT; now < 20 * HEARTBEAT; now += HEARTBEAT) {
+            detector.onBeat(now);
+            assertThat(detector.earliestArrival(now + HEARTBEAT / 2)).isEqualTo(now + HEARTBEAT / 2);
         }
         assertThat(barriers).isZero();
     }
@@ -26,41 +26,41 @@
     /** What is read before the late beat may have come at the pause's beginning, too. */
     @Test
     void earliestArrival_afterPause_isBeforeItUntilBacklogIsRead() {
-        pauses.onBeat(BEAT);
-        pauses.onBeat(2 * BEAT);
-        long resumed = 2 * BEAT + 4_000;
-        assertThat(pauses.earliestArrival(resumed)).isEqualTo(BEAT);
-        pauses.onBeat(resumed + 1);
-        assertThat(pauses.earliestArrival(resumed + 2)).isEqualTo(BEAT);
+        detector.onBeat(HEARTBEAT);
+        detector.onBeat(2 * HEARTBEAT);
+        long resumed = 2 * HEARTBEAT + 4_000;
+        assertThat(detector.earliestArrival(resumed)).isEqualTo(HEARTBEAT);
+        detector.onBeat(resumed + 1);
+        assertThat(detector.earliestArrival(resumed + 2)).isEqualTo(HEARTBEAT);
         assertThat(barriers).isEqualTo(1);
-        pauses.onBacklogRead(resumed + 3);
-        assertThat(pauses.earliestArrival(resumed + 4)).isEqualTo(resumed + 4);
+        detector.onBacklogRead(resumed + 3);
+        assertThat(detector.earliestArrival(resumed + 4)).isEqualTo(resumed + 4);
     }
 
     /** A connection that can't be accepted for a while holds a request that nobody reads. */
     @Test
-    void onReadsBlocked_countsFromThenUntilBacklogIsRead() {
-        pauses.onBeat(BEAT);
-        pauses.onReadsBlocked(BEAT + 1);
-        for (long now = 2 * BEAT; now < 20 * BEAT; now += BEAT) {
-            pauses.onBeat(now);
+    void earliestArrival_readsBlocked_isBeforeThatUntilBacklogIsRead() {
+        detector.onBeat(HEARTBEAT);
+        detector.onReadsBlocked(HEARTBEAT + 1);
+        for (long now = 2 * HEARTBEAT; now < 20 * HEARTBEAT; now += HEARTBEAT) {
+            detector.onBeat(now);
         }
-        assertThat(pauses.earliestArrival(20 * BEAT)).isZero();
+        assertThat(detector.earliestArrival(20 * HEARTBEAT)).isZero();
         assertThat(barriers).isEqualTo(1);
-        pauses.onBacklogRead(20 * BEAT + 1);
-        assertThat(pauses.isCatchingUp(20 * BEAT + 2)).isFalse();
+        detector.onBacklogRead(20 * HEARTBEAT + 1);
+        assertThat(detector.isCatchingUp(20 * HEARTBEAT + 2)).isFalse();
     }
 
     /** The process is stopped again before all is read: the first barrier proves nothing. */
     @Test
     void onBacklogRead_pausedAgainMeanwhile_staysPaused() {
-        pauses.onBeat(BEAT);
-        pauses.onBeat(2 * BEAT);
-        assertThat(pauses.isCatchingUp(10 * BEAT)).isTrue();
-        pauses.onBacklogRead(20 * BEAT);
+        detector.onBeat(HEARTBEAT);
+        detector.onBeat(2 * HEARTBEAT);
+        assertThat(detector.isCatchingUp(10 * HEARTBEAT)).isTrue();
+        detector.onBacklogRead(20 * HEARTBEAT);
         assertThat(barriers).isEqualTo(2);
-        assertThat(pauses.earliestArrival(20 * BEAT)).isEqualTo(BEAT);
-        pauses.onBacklogRead(20 * BEAT + 1);
-        assertThat(pauses.isCatchingUp(20 * BEAT + 2)).isFalse();
+        assertThat(detector.earliestArrival(20 * HEARTBEAT)).isEqualTo(HEARTBEAT);
+        detector.onBacklogRead(20 * HEARTBEAT + 1);
+        assertThat(detector.isCatchingUp(20 * HEARTBEAT + 2)).isFalse();
     }
 }
--- a/src/test/java/firstage/lifecycle/SendGuardTest.java
+++ b/src/test/java/firstage/lifecycle/SendGuardTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void decide_anythingAgainstIt_refusesWithItsReason() {
+    void decide_sendNotAllowed_refusesWithReason() {
         assertThat(decide(false, true, false, false, DEADLINE)).isEqualTo(Verdict.ATTEMPT_OVER);
         assertThat(decide(true, false, false, false, DEADLINE)).isEqualTo(Verdict.ENGINE_LEAVING);
         assertThat(decide(true, true, true, false, DEADLINE)).isEqualTo(Verdict.CLIENT_SETTLED);
--- a/src/test/java/firstage/server/CancellationIT.java
+++ b/src/test/java/firstage/server/CancellationIT.java
@@ -80,9 +80,9 @@
             client.sendGet(path);
             Thread.sleep(50);
             assertThat(otherClient.delete(path).status()).isEqualTo(204);
-            HttpMessage last = client.read();
-            assertThat(last.status()).isEqualTo(500);
-            assertThat(last.body()).contains("\"err\":\"Failed\"");
+            HttpMessage response = client.read();
+            assertThat(response.status()).isEqualTo(500);
+            assertThat(response.body()).contains("\"err\":\"Failed\"");
             assertThat(otherClient.get(path).status()).isEqualTo(404);
         }
         assertThat(engine.awaitCall(DELETE).startLine()).endsWith(JobIds.of(1));
@@ -161,35 +161,39 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void lateEngineConnection_isUsed_unlessClientLeft(boolean leaves) throws Exception {
+    void lateEngineConnection_isUsed_unlessClientLeft(boolean clientLeaves) throws Exception {
         coordinator.watchStarts().take();
         manager.restart(withConnectTimeout(config(), 3));
         // Until the new process watches, events would be written to the killed one's connection.
         coordinator.watchStarts().take();
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                Socket firstQueued = new Socket(full.getInetAddress(), full.getLocalPort());
-                Socket secondQueued = new Socket(full.getInetAddress(), full.getLocalPort());
+        try (ServerSocket fullServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                Socket firstQueued =
+                        new Socket(fullServer.getInetAddress(), fullServer.getLocalPort());
+                Socket secondQueued =
+                        new Socket(fullServer.getInetAddress(), fullServer.getLocalPort());
                 QueryClient client = newClient()) {
-            coordinator.publish(2, endpoint(2, full.getLocalPort(), READY));
+            coordinator.publish(2, endpoint(2, fullServer.getLocalPort(), READY));
             coordinator.publish(3, endpoint(1, engine.port(), DRAINING));
             manager.awaitLog("event=3");
             client.sendGet(client.request(LOOKUP, "", "SELECT 1", 5000).pollPath());
             Thread.sleep(200);
-            if (leaves) {
+            if (clientLeaves) {
                 client.close();
             }
-            full.accept().close();
-            full.accept().close();
-            full.setSoTimeout(5_000);
-            try (Socket late = full.accept()) {
-                late.setSoTimeout(1_000);
-                if (leaves) {
-                    assertThatThrownBy(() -> late.getInputStream().read())
+            fullServer.accept().close();
+            fullServer.accept().close();
+            fullServer.setSoTimeout(5_000);
+            try (Socket engineConnection = fullServer.accept()) {
+                engineConnection.setSoTimeout(1_000);
+                if (clientLeaves) {
+                    assertThatThrownBy(() -> engineConnection.getInputStream().read())
                             .isInstanceOf(SocketTimeoutException.class);
                 } else {
-                    assertThat(HttpMessage.read(late.getInputStream()).headers())
+                    assertThat(HttpMessage.read(engineConnection.getInputStream()).headers())
                             .containsEntry(TICKET, JobIds.of(1));
-                    late.getOutputStream().write(ONE_ROW.getBytes(StandardCharsets.UTF_8));
+                    engineConnection
+                            .getOutputStream()
+                            .write(ONE_ROW.getBytes(StandardCharsets.UTF_8));
                     assertThat(client.read().status()).isEqualTo(200);
                 }
             }
@@ -228,26 +232,26 @@
         coordinator.publish(2, endpoint(1, engine.port(), DRAINING));
         manager.awaitLog("event=2");
         ScriptedEngine secondEngine = newEngine();
-        List<QueryClient> all = new ArrayList<>();
+        List<QueryClient> clients = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             QueryClient client = newClient();
             client.sendGet(client.request(REPORT, "", "SELECT 1", 9000).pollPath());
-            all.add(client);
+            clients.add(client);
         }
         manager.pause();
         coordinator.publish(3, endpoint(2, secondEngine.port(), READY));
-        for (QueryClient client : all) {
+        for (QueryClient client : clients) {
             client.close();
         }
         Thread.sleep(400);
         manager.resume();
         awaitUse(secondEngine);
         Thread.sleep(200);
-        List<String> left = new ArrayList<>();
+        List<String> leftIds = new ArrayList<>();
         for (int i = 1; i <= 8; i++) {
-            left.add(JobIds.of(i));
+            leftIds.add(JobIds.of(i));
         }
         assertThat(secondEngine.calls().stream().map(HttpMessage::ticket))
-                .doesNotContainAnyElementsOf(left);
+                .doesNotContainAnyElementsOf(leftIds);
     }
 }
--- a/src/test/java/firstage/server/PeersIT.java
+++ b/src/test/java/firstage/server/PeersIT.java
@@ -61,8 +61,8 @@
     }
 
     /** Starts the program with this peers file ({@code ~} is a line end); it must end with 2. */
-    private void assertEndsWithTwo(String text) throws Exception {
-        Path peers = Files.writeString(folder.resolve("peers.toml"), text.replace('~', '\n'));
+    private void assertExitsWithStatusTwo(String peersFile) throws Exception {
+        Path peers = Files.writeString(folder.resolve("peers.toml"), peersFile.replace('~', '\n'));
         Path config =
                 Files.writeString(
                         folder.resolve("c.json"),
@@ -78,7 +78,7 @@
     @Test
     void peersFile_planOlderThanHeld_isRefused() throws Exception {
         Files.writeString(folder.resolve("peers.toml.plan"), "8\n");
-        assertEndsWithTwo(
+        assertExitsWithStatusTwo(
                 "fleet = 'a'~listen = '127.0.0.1:9'~plan = 7~[[cell]]~name = 'c'~zone = 'z'~"
                         + "hosts = ['127.0.0.1:9']");
         assertThat(Files.readAllLines(folder.resolve("out")))
@@ -120,10 +120,11 @@
                         + " before plan 2",
                 "fleet = [|:1:"
             })
-    void peersFile_unusable_endsProgramWithOneLine(String text, String line) throws Exception {
-        assertEndsWithTwo(text);
+    void peersFile_unusable_endsProgramWithOneLine(String peersFile, String message)
+            throws Exception {
+        assertExitsWithStatusTwo(peersFile);
         assertThat(Files.readString(folder.resolve("out")))
-                .contains("can't serve: ", line)
+                .contains("can't serve: ", message)
                 .contains("peers.toml");
     }
 }
--- a/src/test/java/firstage/server/ProcessPauseIT.java
+++ b/src/test/java/firstage/server/ProcessPauseIT.java
@@ -42,11 +42,11 @@
         coordinator.publish(3, endpoint(2, secondEngine.port(), READY));
     }
 
-    private void assertNotSent(List<String> jobIdsOfClientsThatLeft) throws Exception {
+    private void assertNotSent(List<String> leftIds) throws Exception {
         awaitUse(secondEngine);
         Thread.sleep(300);
         assertThat(secondEngine.calls().stream().map(HttpMessage::ticket))
-                .doesNotContainAnyElementsOf(jobIdsOfClientsThatLeft);
+                .doesNotContainAnyElementsOf(leftIds);
     }
 
     /** Four requests, each on a connection of its own; adds their ids. */
@@ -66,8 +66,8 @@
     @ValueSource(ints = {5, 15, 25, 35})
     void firstCall_clientClosedDuringPause_isNotSent(int engineReadyAfterMs) throws Exception {
         holdRequests();
-        List<String> left = new ArrayList<>();
-        List<QueryClient> clients = sendRequests(left);
+        List<String> leftIds = new ArrayList<>();
+        List<QueryClient> clients = sendRequests(leftIds);
         Thread.sleep(100);
         manager.pause();
         for (QueryClient client : clients) {
@@ -77,7 +77,7 @@
         manager.resume();
         Thread.sleep(engineReadyAfterMs);
         publishSecondEngine();
-        assertNotSent(left);
+        assertNotSent(leftIds);
     }
 
     /** A client that was given a path closes and never polls; the pause outlasts its grace. */
@@ -85,8 +85,8 @@
     @ValueSource(ints = {-1, 0, 5, 15, 35})
     void pathSent_clientClosedDuringPause_isNotSent(int engineReadyAfterMs) throws Exception {
         holdRequests();
-        List<String> left = new ArrayList<>();
-        List<QueryClient> clients = sendRequests(left);
+        List<String> leftIds = new ArrayList<>();
+        List<QueryClient> clients = sendRequests(leftIds);
         for (QueryClient client : clients) {
             client.read().pollPath();
         }
@@ -103,7 +103,7 @@
             Thread.sleep(engineReadyAfterMs);
             publishSecondEngine();
         }
-        assertNotSent(left);
+        assertNotSent(leftIds);
     }
 
     /** A DELETE on a new connection lies unread; the client's held poll stays open. */
@@ -112,15 +112,15 @@
     void request_cancelledDuringPause_isNotSent(boolean polls, int engineReadyAfterMs)
             throws Exception {
         holdRequests();
-        List<String> left = new ArrayList<>();
-        List<QueryClient> open = new ArrayList<>();
+        List<String> leftIds = new ArrayList<>();
+        List<QueryClient> openClients = new ArrayList<>();
         List<String> paths = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             QueryClient client = newClient();
             String path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
-            left.add(jobIds.latest());
+            leftIds.add(jobIds.latest());
             paths.add(path);
-            open.add(client);
+            openClients.add(client);
             if (polls) {
                 client.sendGet(path);
             }
@@ -131,9 +131,9 @@
             publishSecondEngine();
         }
         for (String path : paths) {
-            QueryClient other = newClient();
-            other.send("DELETE " + path, "", "");
-            open.add(other);
+            QueryClient otherClient = newClient();
+            otherClient.send("DELETE " + path, "", "");
+            openClients.add(otherClient);
         }
         Thread.sleep(PAUSE_MS);
         manager.resume();
@@ -141,8 +141,8 @@
             Thread.sleep(engineReadyAfterMs);
             publishSecondEngine();
         }
-        assertNotSent(left);
-        for (QueryClient client : open) {
+        assertNotSent(leftIds);
+        for (QueryClient client : openClients) {
             client.close();
         }
     }
--- a/src/test/java/firstage/server/ReloadIT.java
+++ b/src/test/java/firstage/server/ReloadIT.java
@@ -27,16 +27,16 @@
     @Test
     void reload_newCoordinatorAnnouncesDrain_drainIsKept() throws Exception {
         coordinator.watchStarts().take();
-        ScriptedCoordinator next = newCoordinator();
+        ScriptedCoordinator nextCoordinator = newCoordinator();
         ScriptedEngine secondEngine = newEngine();
         engine.respondWith(call -> NO_NEWS);
         try (QueryClient reportClient = newClient();
                 QueryClient client = newClient()) {
             String path = reportClient.request(REPORT, "", "SELECT 1", 9000).pollPath();
             reportClient.sendGet(path);
-            next.publishLater(2, CHANGE, endpoint(2, secondEngine.port(), READY));
-            next.publishLater(3, CHANGE, endpoint(1, engine.port(), DRAINING));
-            manager.reload(configWithCoordinator(next.port()));
+            nextCoordinator.publishLater(2, CHANGE, endpoint(2, secondEngine.port(), READY));
+            nextCoordinator.publishLater(3, CHANGE, endpoint(1, engine.port(), DRAINING));
+            manager.reload(configWithCoordinator(nextCoordinator.port()));
             manager.awaitLog("event=3");
             for (int i = 0; i < 10; i++) {
                 assertThat(client.requestToEnd(LOOKUP, "", "SELECT 1", 5000).status())
@@ -53,18 +53,18 @@
     void reload_newCoordinator_changesNothingElse() throws Exception {
         coordinator.watchStarts().take();
         coordinator.publish(2, endpoint(1, engine.port(), DRAINING));
-        ScriptedCoordinator next = newCoordinator();
+        ScriptedCoordinator nextCoordinator = newCoordinator();
         ScriptedEngine secondEngine = newEngine();
-        String changed = configWithCoordinator(next.port());
+        String changedConfig = configWithCoordinator(nextCoordinator.port());
         manager.reload("{\"listen\":");
         manager.awaitLog("can't be read");
-        manager.reload(changed.replace("\"name\":\"m\"", "\"name\":\"other\""));
+        manager.reload(changedConfig.replace("\"name\":\"m\"", "\"name\":\"other\""));
         manager.awaitLog("another manager's");
         for (int i = 0; i < 2; i++) {
-            manager.reload(changed);
-            assertThat(next.watchStarts().take()).isEqualTo(2L);
+            manager.reload(changedConfig);
+            assertThat(nextCoordinator.watchStarts().take()).isEqualTo(2L);
         }
-        next.publish(3, endpoint(2, secondEngine.port(), READY));
+        nextCoordinator.publish(3, endpoint(2, secondEngine.port(), READY));
         awaitUse(secondEngine);
         assertThat(coordinator.watchStarts()).isEmpty();
     }
@@ -76,11 +76,11 @@
         manager.startWith(manager.configFile(), "sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
         manager.awaitAlive();
         coordinator.watchStarts().take();
-        ScriptedCoordinator next = newCoordinator();
+        ScriptedCoordinator nextCoordinator = newCoordinator();
         ScriptedEngine secondEngine = newEngine();
-        manager.reload(configWithCoordinator(next.port()));
-        assertThat(next.watchStarts().take()).isEqualTo(1L);
-        next.publish(2, endpoint(2, secondEngine.port(), READY));
+        manager.reload(configWithCoordinator(nextCoordinator.port()));
+        assertThat(nextCoordinator.watchStarts().take()).isEqualTo(1L);
+        nextCoordinator.publish(2, endpoint(2, secondEngine.port(), READY));
         awaitUse(secondEngine);
         manager.awaitLog("SIGHUP ignored");
     }
@@ -91,16 +91,18 @@
         // With a full accept queue the system drops the connection's first packet and sends it
         // again
         // after 1 s.
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                Socket firstQueued = new Socket(full.getInetAddress(), full.getLocalPort());
-                Socket secondQueued = new Socket(full.getInetAddress(), full.getLocalPort())) {
-            manager.reload(configWithCoordinator(full.getLocalPort()));
+        try (ServerSocket fullServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                Socket firstQueued =
+                        new Socket(fullServer.getInetAddress(), fullServer.getLocalPort());
+                Socket secondQueued =
+                        new Socket(fullServer.getInetAddress(), fullServer.getLocalPort())) {
+            manager.reload(configWithCoordinator(fullServer.getLocalPort()));
             manager.awaitLog("configuration reloaded coordinator=");
             long start = System.nanoTime();
             Thread.sleep(100);
-            full.accept().close();
-            full.accept().close();
-            try (Socket third = full.accept()) {
+            fullServer.accept().close();
+            fullServer.accept().close();
+            try (Socket third = fullServer.accept()) {
                 assertThat(new DataInputStream(third.getInputStream()).readLong()).isEqualTo(1L);
                 assertThat(System.nanoTime() - start).isLessThan(700_000_000L);
             }
@@ -110,11 +112,11 @@
 
     @Test
     void reload_truncatedFile_isReadAgainOnceWhole() throws Exception {
-        ScriptedCoordinator next = newCoordinator();
-        String changed = configWithCoordinator(next.port());
-        manager.reload(changed.substring(0, 200));
+        ScriptedCoordinator nextCoordinator = newCoordinator();
+        String changedConfig = configWithCoordinator(nextCoordinator.port());
+        manager.reload(changedConfig.substring(0, 200));
         manager.awaitLog("tried again");
-        Files.writeString(manager.configFile(), changed);
-        assertThat(next.watchStarts().take()).isEqualTo(1);
+        Files.writeString(manager.configFile(), changedConfig);
+        assertThat(nextCoordinator.watchStarts().take()).isEqualTo(1);
     }
 }
--- a/src/test/java/firstage/server/StartupIT.java
+++ b/src/test/java/firstage/server/StartupIT.java
@@ -28,10 +28,10 @@
         "'{\"settings\":{}}'",
         "'{\"settings\":{},\"listen\":\"nowhere\"}'"
     })
-    void start_brokenConfiguration_endsWithOneLine(String broken) throws Exception {
+    void start_brokenConfiguration_endsWithOneLine(String brokenConfig) throws Exception {
         // The first process would write to the same log.
         manager.kill();
-        manager.start(broken);
+        manager.start(brokenConfig);
         assertThat(manager.awaitExit()).isEqualTo(2);
         List<String> log = Files.readAllLines(folder.resolve("log"));
         assertThat(log.get(log.size() - 1)).startsWith("can't serve: ");
@@ -43,8 +43,11 @@
     @ValueSource(strings = {"missing", "empty", "truncated"})
     void start_configurationBeingReplaced_isReadAgain(String state) throws Exception {
         manager.kill();
-        String whole = config();
-        manager.start(state.equals("truncated") ? whole.substring(0, whole.length() / 2) : "");
+        String wholeConfig = config();
+        manager.start(
+                state.equals("truncated")
+                        ? wholeConfig.substring(0, wholeConfig.length() / 2)
+                        : "");
         if (state.equals("missing")) {
             Files.delete(manager.configFile());
         }
@@ -52,7 +55,7 @@
         manager.awaitLog("tried again");
         Thread.sleep(1_200);
         assertThat(manager.isAlive()).isTrue();
-        Files.writeString(manager.configFile(), whole);
+        Files.writeString(manager.configFile(), wholeConfig);
         manager.awaitAlive();
         assertThat(manager.log()).containsOnlyOnce("tried again");
     }
@@ -81,7 +84,7 @@
     @Timeout(600)
     void restart_underLoad_neverFails() throws Exception {
         int restarts = Integer.getInteger("firstage.restarts", 6);
-        String whole = config();
+        String wholeConfig = config();
         boolean[] stopped = {false};
         BackgroundTasks.start(
                 () -> {
@@ -95,15 +98,16 @@
                         }
                     }
                 });
-        Path rewritten = Files.writeString(folder.resolve("rewritten.json"), whole);
+        Path rewritten = Files.writeString(folder.resolve("rewritten.json"), wholeConfig);
         BackgroundTasks.start(
                 () -> {
                     while (!stopped[0]) {
                         Files.writeString(rewritten, "");
                         Thread.sleep(1);
-                        Files.writeString(rewritten, whole.substring(0, whole.length() / 3));
+                        Files.writeString(
+                                rewritten, wholeConfig.substring(0, wholeConfig.length() / 3));
                         Thread.sleep(1);
-                        Files.writeString(rewritten, whole);
+                        Files.writeString(rewritten, wholeConfig);
                         Thread.sleep(3);
                     }
                 });
--- a/src/test/java/firstage/server/SystemCallFaultsIT.java
+++ b/src/test/java/firstage/server/SystemCallFaultsIT.java
@@ -21,16 +21,16 @@
 /** System calls of the manager fail for a moment. */
 class SystemCallFaultsIT extends ManagerFixture {
     private static final int SEED = 1;
-    private static final int MOMENT_MS = 60;
+    private static final int FAULT_DURATION_MS = 60;
 
     /** What the protocol allows a deadline at an engine beyond the client's. */
     private static final int DEADLINE_SLACK_MS = 150;
 
     /** Of a thousand calls: some writes pass, so that reads fail, too. */
-    private static final int OFTEN = 400;
+    private static final int FAULTS_PER_THOUSAND = 400;
 
     /** From the end of the moment on an answer may take so long; a tenth would do. */
-    private static final int ANSWER_MS = 150;
+    private static final int MAX_ANSWER_MS = 150;
 
     private SystemCallFaults faults;
 
@@ -52,11 +52,11 @@
             faults.set(Kind.ACCEPT, SystemCallFaults.ALWAYS);
             try (QueryClient client = newClient()) {
                 client.sendRequest(LOOKUP, "", "SELECT 1", 5000);
-                Thread.sleep(MOMENT_MS);
+                Thread.sleep(FAULT_DURATION_MS);
                 faults.set(Kind.ACCEPT, 0);
                 long start = System.nanoTime();
                 assertThat(client.readToEnd().status()).isEqualTo(200);
-                assertThat(millisecondsSince(start)).isLessThan(ANSWER_MS);
+                assertThat(millisecondsSince(start)).isLessThan(MAX_ANSWER_MS);
             }
         }
         assertThat(faults.count(Kind.ACCEPT)).isPositive();
@@ -87,7 +87,7 @@
         try (QueryClient client = newClient()) {
             client.sendRequest(REPORT, "", "SELECT 1", 9000);
             Thread.sleep(200);
-            faults.set(Kind.BREAK, OFTEN);
+            faults.set(Kind.BREAK, FAULTS_PER_THOUSAND);
             BackgroundTasks.start(
                     () -> {
                         Thread.sleep(4_000);
@@ -103,7 +103,7 @@
     /** A read that comes short or is interrupted leaves a call unread for good. */
     @Test
     void reads_comeShort_everyCallIsAnswered() throws Exception {
-        faults.set(Kind.SHORT_READ, OFTEN);
+        faults.set(Kind.SHORT_READ, FAULTS_PER_THOUSAND);
         for (int i = 0; i < 100; i++) {
             try (QueryClient client = newClient()) {
                 assertThat(client.requestToEnd(LOOKUP, "", "SELECT 1", 9000).status())
@@ -116,7 +116,7 @@
     /** The same for writes. */
     @Test
     void writes_comeShort_everyCallIsAnswered() throws Exception {
-        faults.set(Kind.SHORT_WRITE, OFTEN);
+        faults.set(Kind.SHORT_WRITE, FAULTS_PER_THOUSAND);
         for (int i = 0; i < 100; i++) {
             try (QueryClient client = newClient()) {
                 assertThat(client.requestToEnd(LOOKUP, "", "SELECT 1", 9000).status())
