--- a/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
+++ b/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Single attempts, event by event: which actions each causes, with which outcome it ends, and how
- * long its engine may still hold it.
+ * Tests single attempts event by event: the actions that each event causes, the outcome of the
+ * attempt, and the time for which its engine may still hold the statement.
  */
 class AttemptStateMachineTest implements AttemptStateMachine.AttemptActions {
     private final List<String> actions = new ArrayList<>();
@@ -79,7 +79,10 @@
         assertThat(releases).isEqualTo(1);
     }
 
-    /** The connection of the DELETE comes up late: it is repeated on the one of the poll. */
+    /**
+     * The connection for the DELETE is never established, so the DELETE is sent again on the
+     * connection of the poll.
+     */
     @Test
     void delete_connectionNeverEstablished_isSentOnPollConnection() {
         writeStatement();
--- a/src/test/java/firstage/lifecycle/ClientCallStateMachineTest.java
+++ b/src/test/java/firstage/lifecycle/ClientCallStateMachineTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Single calls of clients, event by event: which actions each causes. */
+/** Tests single calls of clients event by event: the actions that each event causes. */
 class ClientCallStateMachineTest implements ClientCallStateMachine.ClientCallActions {
     private final List<String> actions = new ArrayList<>();
     private final ClientCallStateMachine call = new ClientCallStateMachine(this);
@@ -55,7 +55,10 @@
                         "markClientGone");
     }
 
-    /** A client that was given a path and closes must not count as there until its grace ends. */
+    /**
+     * A client that closes its connection after it got a path must count as absent at once, not
+     * only after the poll grace.
+     */
     @Test
     void pathConnectionClosed_beforePoll_clientAbsentAtOnceUntilItPolls() {
         call.start();
--- a/src/test/java/firstage/lifecycle/DepartureMonitorTest.java
+++ b/src/test/java/firstage/lifecycle/DepartureMonitorTest.java
@@ -19,7 +19,7 @@
         assertThat(monitor.onStatementSent(6_200)).isEqualTo(200);
     }
 
-    /** The departure lay unread while the statement was sent. */
+    /** The end of the client's connection was not read yet when the statement was sent. */
     @Test
     void departureReadAfterSend_isViolation() {
         assertThat(monitor.onStatementSent(9_000)).isZero();
--- a/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
+++ b/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Violations that the monitor reports, and the sequence of arrivals that it relies on. */
+/**
+ * Tests the violations that the monitor reports, and the order of arrivals that the sequencer
+ * determines for it.
+ */
 class KeyOrderMonitorTest {
     private final KeyOrderMonitor monitor = new KeyOrderMonitor();
 
--- a/src/test/java/firstage/lifecycle/PauseDetectorTest.java
+++ b/src/test/java/firstage/lifecycle/PauseDetectorTest.java
@@ -18,12 +18,15 @@
     void earliestArrival_heartbeatsInTime_isNow() {
         for (long now = HEARTBEAT; now < 20 * HEARTBEAT; now += HEARTBEAT) {
             detector.onBeat(now);
-            assertThat(detector.earliestArrival(now + HEARTBEAT / 2)).isEqualTo(now + HEARTBEAT / 2);
+            assertThat(detector.earliestArrival(now + HEARTBEAT / 2))
+                    .isEqualTo(now + HEARTBEAT / 2);
         }
         assertThat(barriers).isZero();
     }
 
-    /** What is read before the late beat may have come at the pause's beginning, too. */
+    /**
+     * Input that is read before the late heartbeat may have arrived as early as the pause began.
+     */
     @Test
     void earliestArrival_afterPause_isBeforeItUntilBacklogIsRead() {
         detector.onBeat(HEARTBEAT);
@@ -37,7 +40,7 @@
         assertThat(detector.earliestArrival(resumed + 4)).isEqualTo(resumed + 4);
     }
 
-    /** A connection that can't be accepted for a while holds a request that nobody reads. */
+    /** A connection that can't be accepted for a while may hold an unread request. */
     @Test
     void earliestArrival_readsBlocked_isBeforeThatUntilBacklogIsRead() {
         detector.onBeat(HEARTBEAT);
@@ -51,7 +54,10 @@
         assertThat(detector.isCatchingUp(20 * HEARTBEAT + 2)).isFalse();
     }
 
-    /** The process is stopped again before all is read: the first barrier proves nothing. */
+    /**
+     * The process is stopped again before all input is read, so passing the first read barrier does
+     * not end the pause.
+     */
     @Test
     void onBacklogRead_pausedAgainMeanwhile_staysPaused() {
         detector.onBeat(HEARTBEAT);
--- a/src/test/java/firstage/lifecycle/SendGuardTest.java
+++ b/src/test/java/firstage/lifecycle/SendGuardTest.java
@@ -16,7 +16,7 @@
         return new Knowledge(true, true, false, false, clientSeenAt, readAsOf, DEADLINE);
     }
 
-    /** With twice as old knowledge a statement may go out over 0.1 s after its client left. */
+    /** With larger limits, a statement could be sent more than 0.1 s after its client left. */
     @Test
     void knowledgeAgeAndPollGrace_areAtMostHalfOfWhatIsAllowed() {
         long allowed = Ticks.ofMillis(100);
@@ -30,7 +30,7 @@
                 .isEqualTo(Verdict.SEND);
     }
 
-    /** What was known before a pause of the process says nothing of the client now. */
+    /** Knowledge from before a pause of the process does not show whether the client is there. */
     @Test
     void decide_oldKnowledge_isRenewed() {
         assertThat(SendGuard.decide(NOW, knowledge(NOW, NOW - TOO_OLD))).isEqualTo(Verdict.RENEW);
@@ -55,7 +55,10 @@
         return verdict;
     }
 
-    /** The rest of a statement waited for its engine to read: its head names too long a time. */
+    /**
+     * The rest of a statement waited until its engine read the first part; the head now states more
+     * time than the client has left.
+     */
     @Test
     void decideRest_headMadeLongAgo_isRefused() {
         assertThat(SendGuard.decideRest(NOW, knowledge(NOW, NOW), NOW - TOO_OLD))
--- a/src/test/java/firstage/server/CancellationIT.java
+++ b/src/test/java/firstage/server/CancellationIT.java
@@ -35,7 +35,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that leave, cancel or come back while their request waits or runs. */
+/** Tests clients that leave, cancel or come back while their request waits or runs. */
 class CancellationIT extends ManagerFixture {
     @Test
     void request_closedOrDeletedByClient_isDeletedAtEngine() throws Exception {
@@ -56,7 +56,8 @@
     }
 
     /**
-     * A client that ends its own side only waits still: its call must not end without an answer.
+     * A client that closes only its own side of the connection still waits, so its call must not
+     * end without an answer.
      */
     @Test
     void firstCall_halfClosedByClient_isAnsweredAsFailed() throws Exception {
@@ -88,7 +89,7 @@
         assertThat(engine.awaitCall(DELETE).startLine()).endsWith(JobIds.of(1));
     }
 
-    /** Every way in which a client leaves, for each attempt that its request may wait for. */
+    /** Covers each way in which a client leaves, for each attempt that its request may wait for. */
     @ParameterizedTest
     @CsvSource({
         "first attempt, closes",
@@ -108,9 +109,8 @@
         if (waitsFor.equals("hedged request")) {
             manager.restart(withHedgedRequests(config()));
         }
-        // Refused, the request waits for its retry; without a response, for its hedged request;
-        // with
-        // the only engine draining, for its first attempt.
+        // A refused request waits for its retry. A request without a response waits for its hedged
+        // request. A request whose only engine drains waits for its first attempt.
         engine.respondWith(call -> waitsFor.equals("retry") ? SHED : SILENCE);
         if (waitsFor.equals("first attempt")) {
             coordinator.publish(2, endpoint(1, engine.port(), DRAINING));
@@ -123,7 +123,8 @@
             if (holdsCall) {
                 client.sendGet(path);
             }
-            // Longer than the wait before a hedged request, shorter than that for a silent client.
+            // Longer than the delay of a hedged request, but shorter than the time after which a
+            // silent client counts as absent.
             Thread.sleep(1_600);
         }
         switch (departure) {
@@ -156,15 +157,16 @@
     }
 
     /**
-     * The engine's accept queue is full, so the connection to it comes up a second late. Where the
-     * client has left by then, the connection stays and nothing is written on it.
+     * The engine's accept queue is full, so the connection to it is established a second late. If
+     * the client has left by then, the connection stays open and nothing is written to it.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void lateEngineConnection_isUsed_unlessClientLeft(boolean clientLeaves) throws Exception {
         coordinator.watchStarts().take();
         manager.restart(withConnectTimeout(config(), 3));
-        // Until the new process watches, events would be written to the killed one's connection.
+        // Before the new process watches, events would be written to the killed process's
+        // connection.
         coordinator.watchStarts().take();
         try (ServerSocket fullServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket firstQueued =
@@ -224,8 +226,8 @@
     }
 
     /**
-     * While the process is stopped, clients leave and an engine with capacity is published; after
-     * it, the order in which the manager reads the two must not matter.
+     * While the process is stopped, clients leave and an engine with capacity is published. The
+     * order in which the manager reads the two afterwards must not matter.
      */
     @Test
     void waitingRequest_clientLeftDuringStall_isNotSent() throws Exception {
--- a/src/test/java/firstage/server/CellsIT.java
+++ b/src/test/java/firstage/server/CellsIT.java
@@ -29,13 +29,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two real managers, each a cell of its own: a new plan moves engines from one to the other. */
+/** Tests two real managers, each a cell: a new plan moves engines from one cell to the other. */
 @Timeout(120)
 class CellsIT {
     private static final int ENGINES = 16;
 
-    // Second octet of the loopback address at which a manager serves clients, at which its engines
-    // would be, and at which its peers reach it.
+    // Second octets of the loopback addresses of a manager's client side, of its engines, and of
+    // its side for peers.
     private static final int HTTP_OCTET = 60;
     private static final int ENGINE_OCTET = 62;
     private static final int PEERS_OCTET = 64;
@@ -126,7 +126,7 @@
                         .start());
     }
 
-    /** Polls a cell's manager for its view until that contains this text; returns the view. */
+    /** Requests the view of a cell's manager until it contains {@code text}; returns the view. */
     private String awaitView(String cell, String text) throws IOException {
         String[] hostAndPort = address(cell, PEERS_OCTET).split(":");
         byte[] question = MembershipTransport.STATUS_REQUEST.getBytes(StandardCharsets.US_ASCII);
--- a/src/test/java/firstage/server/ClientErrorsIT.java
+++ b/src/test/java/firstage/server/ClientErrorsIT.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Calls of clients that cannot be used. */
+/** Tests calls of clients that are malformed or not allowed. */
 class ClientErrorsIT extends ManagerFixture {
     @Test
     void oversizedStatement_isReadOff_soThatClientIsAnswered() throws Exception {
--- a/src/test/java/firstage/server/ConnectionsIT.java
+++ b/src/test/java/firstage/server/ConnectionsIT.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Limits on connections and descriptors. */
+/** Tests the limits on connections and file descriptors. */
 class ConnectionsIT extends ManagerFixture {
     @Test
     void silentClients_overTheLimit_keepNobodyOut() throws Exception {
@@ -59,8 +59,8 @@
     }
 
     /**
-     * The system enforces the limit, too: without a reserve of descriptors neither the coordinator
-     * nor an engine could be reached again.
+     * The operating system enforces the limit, too. Without a reserve of descriptors, neither the
+     * coordinator nor an engine could be reached again.
      */
     @Test
     void idleClients_fillDescriptors_keepNeitherWatchNorEnginesOut() throws Exception {
@@ -95,7 +95,7 @@
         }
     }
 
-    /** While the process is stopped, a silent connection times out and a call arrives on it. */
+    /** While the process is stopped, an idle connection times out and a call arrives on it. */
     @ParameterizedTest
     @ValueSource(strings = {"unused", "idle"})
     void call_atMomentOfIdleClose_isAnswered(String connection) throws Exception {
--- a/src/test/java/firstage/server/DiscoveryIT.java
+++ b/src/test/java/firstage/server/DiscoveryIT.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** The watch on the coordinator's endpoint list. */
+/** Tests the watch on the coordinator's endpoint list. */
 class DiscoveryIT extends ManagerFixture {
     @Test
     void brokenWatch_reconnected_continuesAfterLastEvent() throws Exception {
@@ -29,7 +29,10 @@
         assertThat(coordinator.watchStarts().take()).isEqualTo(3L);
     }
 
-    /** The next watch is sent the event that the first one held a part of, and applies it. */
+    /**
+     * The first watch receives only a part of an event. The next watch receives the whole event,
+     * which is then applied.
+     */
     @Test
     void watch_unresponsiveWithinEvent_restartsBeforeThatEvent() throws Exception {
         assertThat(coordinator.watchStarts().take()).isEqualTo(1L);
@@ -48,7 +51,10 @@
         assertThat(secondEngine.calls()).isNotEmpty();
     }
 
-    /** Nothing is sent by a part of a full list, neither after a start nor later. */
+    /**
+     * A full list takes effect only once it is complete, both after a start and later; nothing is
+     * sent on the basis of a part.
+     */
     @Test
     void fullList_inPieces_countsOnceWhole() throws Exception {
         manager.kill();
@@ -61,7 +67,7 @@
         try (QueryClient client = newClient()) {
             assertThat(client.requestToEnd(LOOKUP, "", "SELECT 1", 5000).status()).isEqualTo(200);
             assertThat(secondEngine.calls()).isNotEmpty();
-            // A full list removes the engines that it does not name.
+            // A full list removes the engines that it does not contain.
             coordinator.setSendingInPieces(false);
             coordinator.publish(3, FULL_LIST, endpoint(3, thirdEngine.port(), READY));
             manager.awaitLog("event=3");
@@ -74,8 +80,8 @@
     }
 
     /**
-     * The configuration's list is older than a drain that was published while the manager was down:
-     * it waits for its coordinator.
+     * The list in the configuration is older than a drain that was published while the manager was
+     * down, so the manager waits for its coordinator.
      */
     @Test
     void start_listUnconfirmedByCoordinator_nothingIsSent() throws Exception {
@@ -96,7 +102,7 @@
         assertThat(secondEngine.calls()).isNotEmpty();
     }
 
-    /** The coordinator accepts watches and sends nothing: the configuration's list is used. */
+    /** The coordinator accepts watches but sends nothing, so the configuration's list is used. */
     @Test
     void start_coordinatorUnresponsive_waitsNotLongerThanOneSecond() throws Exception {
         manager.kill();
--- a/src/test/java/firstage/server/KeyOrderIT.java
+++ b/src/test/java/firstage/server/KeyOrderIT.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** Requests with an ordering key run one at a time, in the order of their arrival. */
+/** Tests that requests with an ordering key run one at a time, in the order of their arrival. */
 class KeyOrderIT extends ManagerFixture {
     @Test
     void nextOfKey_cancelUnconfirmed_waits() throws Exception {
@@ -48,9 +48,9 @@
     }
 
     /**
-     * A client leaves while the only connection to its engine carries a poll, and no other comes
-     * up: the cancellation goes out on that one once it is free, and the key's next request after
-     * it, not before.
+     * A client leaves while the only connection to its engine carries a poll, and no other
+     * connection can be established. The cancellation must be sent on that connection once it is
+     * free, and the next request of the key only after the cancellation.
      */
     @Test
     void cancel_noOtherConnection_isSentAfterHeldPoll() throws Exception {
@@ -72,16 +72,15 @@
         manager.awaitLog("event=2");
         try (QueryClient client = newClient()) {
             client.sendRequest(LOAD, orderingKey("7f"), "INSERT INTO sales_3.t", 9000);
-            // Well past the 20 ms in which the engine would have got the cancellation; the held
-            // poll
-            // is answered only now.
+            // Well past the 20 ms for which the manager waits for the answer to a DELETE; the held
+            // poll is answered only now.
             Thread.sleep(100);
             assertThat(secondEngine.calls()).isEmpty();
             heldPoll.countDown();
             assertThat(engine.awaitCall(DELETE).startLine()).endsWith(JobIds.of(1));
             long start = System.nanoTime();
             assertThat(client.readToEnd().status()).isEqualTo(200);
-            // The end of the first is proven, so its key needs no quiet time.
+            // The end of the first request is proven, so its key has no quiet period.
             assertThat(millisecondsSince(start)).isLessThan(2_000);
         }
         assertThat(secondEngine.posts()).hasSize(1);
@@ -105,7 +104,7 @@
             assertThat(client.readToEnd().status()).isEqualTo(500);
             assertThat(otherClient.readToEnd().status()).isEqualTo(200);
         }
-        // Cancelled each half second, in case the engine reads the statement late.
+        // The DELETE is repeated every 0.5 s in case the engine reads the statement late.
         List<String> calls =
                 engine.calls().stream().map(call -> call.startLine().substring(0, 4)).toList();
         assertThat(calls.stream().distinct()).containsExactly("GET ", "DELE", "POST");
@@ -116,7 +115,8 @@
 
     /**
      * While the process is stopped, two requests of one key arrive, on a new and an old connection
-     * or on two old ones. Nothing tells which came first; they must not run in the wrong order.
+     * or on two old ones. The manager can't tell which came first; the two must not run in the
+     * wrong order.
      */
     @Test
     void requestsOfKey_readAfterStall_keepTheirOrder() throws Exception {
--- a/src/test/java/firstage/server/PeersIT.java
+++ b/src/test/java/firstage/server/PeersIT.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a manager without peers loads, and how one ends whose peers file cannot be used. */
+/** Tests the classes that a manager without peers loads, and the errors of unusable peers files. */
 @Timeout(60)
 class PeersIT {
     private static final String JAR = "target/firstage.jar";
     @TempDir private Path folder;
 
-    /** A Java process with these arguments; what it writes goes to the file {@code out}. */
+    /** Returns a builder of a Java process, whose output is written to the file {@code out}. */
     private ProcessBuilder java(String... arguments) {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -60,7 +60,11 @@
                 .allMatch(line -> line.contains(" serve\"") && !line.contains("--peers"));
     }
 
-    /** Starts the program with this peers file ({@code ~} is a line end); it must end with 2. */
+    /**
+     * Starts the program with this peers file and asserts that it exits with status 2.
+     *
+     * @param peersFile the text of the file, with {@code ~} for a line end
+     */
     private void assertExitsWithStatusTwo(String peersFile) throws Exception {
         Path peers = Files.writeString(folder.resolve("peers.toml"), peersFile.replace('~', '\n'));
         Path config =
@@ -74,7 +78,7 @@
         assertThat(process.exitValue()).isEqualTo(2);
     }
 
-    /** With an older plan the manager would use engines again that it has released. */
+    /** With an older plan, the manager would use engines again that it has released. */
     @Test
     void peersFile_planOlderThanHeld_isRefused() throws Exception {
         Files.writeString(folder.resolve("peers.toml.plan"), "8\n");
--- a/src/test/java/firstage/server/ProcessPauseIT.java
+++ b/src/test/java/firstage/server/ProcessPauseIT.java
@@ -21,17 +21,20 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The process is stopped (SIGSTOP) while clients send, leave or cancel. */
+/** Tests pauses of the process (SIGSTOP) during which clients send, leave or cancel. */
 class ProcessPauseIT extends ManagerFixture {
-    /** Longer than a first call is held, and than a client is waited for that has a path. */
+    /**
+     * Length of a pause: longer than a first call is held, and longer than the time after which a
+     * client that does not poll counts as absent.
+     */
     private static final int PAUSE_MS = 400;
 
-    /** What the protocol allows a deadline at an engine beyond the client's. */
+    /** Time by which the protocol lets an engine's deadline exceed the client's deadline. */
     private static final int DEADLINE_SLACK_MS = 150;
 
     private ScriptedEngine secondEngine;
 
-    /** The one engine drains: requests wait until the second is published. */
+    /** Drains the only engine, so that requests wait until the second engine is published. */
     private void holdRequests() throws Exception {
         secondEngine = newEngine();
         coordinator.publish(2, endpoint(1, engine.port(), DRAINING));
@@ -42,6 +45,7 @@
         coordinator.publish(3, endpoint(2, secondEngine.port(), READY));
     }
 
+    /** Asserts that no request with these ids, whose clients left, is sent to the second engine. */
     private void assertNotSent(List<String> leftIds) throws Exception {
         awaitUse(secondEngine);
         Thread.sleep(300);
@@ -49,7 +53,7 @@
                 .doesNotContainAnyElementsOf(leftIds);
     }
 
-    /** Four requests, each on a connection of its own; adds their ids. */
+    /** Sends four requests, each on its own connection, and adds their ids to {@code ids}. */
     private List<QueryClient> sendRequests(List<String> ids) throws Exception {
         List<QueryClient> clients = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
@@ -61,7 +65,9 @@
         return clients;
     }
 
-    /** A client without a path closes: its request must not be sent when the process goes on. */
+    /**
+     * A client without a path closes its connection; its request must not be sent after the pause.
+     */
     @ParameterizedTest
     @ValueSource(ints = {5, 15, 25, 35})
     void firstCall_clientClosedDuringPause_isNotSent(int engineReadyAfterMs) throws Exception {
@@ -80,7 +86,10 @@
         assertNotSent(leftIds);
     }
 
-    /** A client that was given a path closes and never polls; the pause outlasts its grace. */
+    /**
+     * A client with a path closes its connection and never polls; the pause is longer than the poll
+     * grace.
+     */
     @ParameterizedTest
     @ValueSource(ints = {-1, 0, 5, 15, 35})
     void pathSent_clientClosedDuringPause_isNotSent(int engineReadyAfterMs) throws Exception {
@@ -106,7 +115,7 @@
         assertNotSent(leftIds);
     }
 
-    /** A DELETE on a new connection lies unread; the client's held poll stays open. */
+    /** A DELETE on a new connection is not read yet; the client's held poll stays open. */
     @ParameterizedTest
     @CsvSource({"true, -1", "true, 0", "true, 10", "false, -1", "false, 0", "false, 10"})
     void request_cancelledDuringPause_isNotSent(boolean polls, int engineReadyAfterMs)
@@ -148,7 +157,8 @@
     }
 
     /**
-     * A request lies unread: the deadline that the engine is told must not be late by the pause.
+     * A request is read only after the pause; the deadline that the engine gets must not be later
+     * by the length of the pause.
      */
     @Test
     void request_sentDuringPause_engineDeadlineIsWithinClients() throws Exception {
@@ -164,7 +174,10 @@
         client.close();
     }
 
-    /** The rest of a statement comes while its time to be read runs out: it is answered. */
+    /**
+     * The rest of a statement arrives during the pause, in which the time to read the statement
+     * runs out; the request must be answered.
+     */
     @Test
     void statement_completedDuringPause_isAnswered() throws Exception {
         try (QueryClient client = newClient()) {
--- a/src/test/java/firstage/server/ReloadIT.java
+++ b/src/test/java/firstage/server/ReloadIT.java
@@ -21,9 +21,9 @@
 import java.nio.file.Files;
 import org.junit.jupiter.api.Test;
 
-/** What SIGHUP changes. */
+/** Tests which parts of a changed configuration SIGHUP applies. */
 class ReloadIT extends ManagerFixture {
-    /** What runs at the draining engine goes on, and nothing more is sent there. */
+    /** Requests at the draining engine continue, and no more requests are sent there. */
     @Test
     void reload_newCoordinatorAnnouncesDrain_drainIsKept() throws Exception {
         coordinator.watchStarts().take();
@@ -88,9 +88,8 @@
     @Test
     void reload_firstPacketToCoordinatorLost_costsNoSecond() throws Exception {
         coordinator.watchStarts().take();
-        // With a full accept queue the system drops the connection's first packet and sends it
-        // again
-        // after 1 s.
+        // With a full accept queue, the system drops the first packet of the connection and sends
+        // it again after 1 s.
         try (ServerSocket fullServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket firstQueued =
                         new Socket(fullServer.getInetAddress(), fullServer.getLocalPort());
--- a/src/test/java/firstage/server/RequestsIT.java
+++ b/src/test/java/firstage/server/RequestsIT.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests from a client to an engine and back. */
+/** Tests the path of requests from a client to an engine and back. */
 class RequestsIT extends ManagerFixture {
     private static final int PIECE_BYTES = 7;
     private static final int PAUSE_MS = 5;
@@ -107,7 +107,7 @@
         }
     }
 
-    /** A slow client writes some bytes at a time, with a length or in chunks. */
+    /** A slow client sends a few bytes at a time, with a content length or in chunks. */
     @ParameterizedTest
     @ValueSource(
             strings = {
--- a/src/test/java/firstage/server/RetriesIT.java
+++ b/src/test/java/firstage/server/RetriesIT.java
@@ -29,7 +29,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which failures of an attempt let the manager retry, poll again or fail the request. */
+/**
+ * Tests after which failures of an attempt the manager retries, polls again or fails the request.
+ */
 class RetriesIT extends ManagerFixture {
     @Test
     void nonIdempotentRequest_mayHaveRun_isNotRetried() throws Exception {
@@ -72,8 +74,8 @@
     }
 
     /**
-     * An engine drains before the endpoint list says so: it takes no new connections, and its
-     * progress reports come at once, identical or not.
+     * An engine drains before the endpoint list reports it: the engine accepts no new connections,
+     * and answers polls at once, with identical or changing progress.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -167,8 +169,8 @@
             assertThat(response.status()).isEqualTo(500);
         }
         engine.respondWith(call -> ONE_ROW);
-        // Until its DELETE is answered the first attempt is in flight, and a half-open engine gets
-        // no other.
+        // The first attempt is in flight until its DELETE is answered, and a half-open engine gets
+        // no other attempt.
         try (QueryClient client = newClient()) {
             int status = 503;
             while (status == 503) {
--- a/src/test/java/firstage/server/ShutdownIT.java
+++ b/src/test/java/firstage/server/ShutdownIT.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** From SIGTERM to the end of the process. */
+/** Tests the shutdown, from SIGTERM to the end of the process. */
 class ShutdownIT extends ManagerFixture {
     @Test
     void sigterm_requestsOpen_allAnsweredAndExitStatusZero() throws Exception {
@@ -70,8 +70,8 @@
     }
 
     /**
-     * The client's connection breaks long after new traffic has stopped; it polls on a new one, or
-     * cancels there.
+     * The client's connection breaks long after new traffic has stopped; the client polls or
+     * cancels on a new connection.
      */
     @ParameterizedTest
     @ValueSource(strings = {"GET ", "DELETE "})
@@ -94,7 +94,10 @@
         assertThat(manager.awaitExit()).isZero();
     }
 
-    /** The process is stopped from its signal until long after its listener would close. */
+    /**
+     * The process is stopped from the signal, or shortly after it, until long after the listener
+     * would have been closed.
+     */
     @ParameterizedTest
     @ValueSource(ints = {0, 400})
     void sigterm_callArrivesDuringStall_isAnswered(int runsOnMs) throws Exception {
@@ -111,7 +114,7 @@
         assertThat(manager.log()).contains("requests succeeded=1").doesNotContain("broken:");
     }
 
-    /** The last answer of all is lost with its connection, and its client polls again at once. */
+    /** The last answer is lost with its connection, and its client polls again at once. */
     @Test
     void sigterm_lastAnswerLost_isGivenAgain() throws Exception {
         engine.respondWith(call -> NO_NEWS);
@@ -145,7 +148,7 @@
         }
     }
 
-    /** The program waits for a client that reads late, not for one that never reads. */
+    /** The program waits for a client that reads late, but not for one that never reads. */
     @Test
     void sigterm_clientNeverReads_delaysNobody() throws Exception {
         String rows = "\u0001".repeat(5_990) + "\t\t\n";
@@ -170,8 +173,8 @@
     }
 
     /**
-     * Requests on open connections that are read while the process ends are forwarded and lost:
-     * each is answered, or crosses the close of its connection unread.
+     * Guards against requests on open connections that are read while the process ends, forwarded,
+     * and lost. Each request must be answered, or stay unread because its connection is closed.
      */
     @Test
     void sigterm_requestsOnIdleConnectionsAsItEnds_noneIsForwardedAndLost() throws Exception {
@@ -192,7 +195,7 @@
                 clients.get(i).sendRequest(LOOKUP, "", "SELECT 1", 5000);
                 unanswered.add(jobIds.latest());
             } catch (IOException closed) {
-                // Closed before it was sent.
+                // The connection was closed before the request was sent.
             }
         }
         for (int i = 0; i < count; i++) {
@@ -200,7 +203,7 @@
                 client.readToEnd();
                 unanswered.remove(JobIds.of(i + 1));
             } catch (IOException closed) {
-                // Closed without an answer.
+                // The connection was closed without an answer.
             }
         }
         assertThat(manager.awaitExit()).isZero();
--- a/src/test/java/firstage/server/StartupIT.java
+++ b/src/test/java/firstage/server/StartupIT.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** From the start of the process until it serves. */
+/** Tests the start of the process, until it serves. */
 class StartupIT extends ManagerFixture {
     @ParameterizedTest
     @CsvSource({
@@ -29,7 +29,7 @@
         "'{\"settings\":{},\"listen\":\"nowhere\"}'"
     })
     void start_brokenConfiguration_endsWithOneLine(String brokenConfig) throws Exception {
-        // The first process would write to the same log.
+        // The first process is killed, as it would write to the same log.
         manager.kill();
         manager.start(brokenConfig);
         assertThat(manager.awaitExit()).isEqualTo(2);
@@ -38,7 +38,7 @@
         assertThat(log.stream().filter(line -> line.contains("tried again"))).hasSizeLessThan(2);
     }
 
-    /** Writers truncate a file and fill it in pieces, or remove it first. */
+    /** Programs that rewrite a file truncate it and fill it in pieces, or remove it first. */
     @ParameterizedTest
     @ValueSource(strings = {"missing", "empty", "truncated"})
     void start_configurationBeingReplaced_isReadAgain(String state) throws Exception {
@@ -51,7 +51,8 @@
         if (state.equals("missing")) {
             Files.delete(manager.configFile());
         }
-        // A busy machine may take longer to read the file than it is unusable here.
+        // On a busy machine, the first read of the file may take longer than the file stays
+        // unusable in this test.
         manager.awaitLog("tried again");
         Thread.sleep(1_200);
         assertThat(manager.isAlive()).isTrue();
@@ -67,7 +68,8 @@
             holder.setReuseAddress(true);
             holder.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), manager.port()));
             manager.start(config());
-            // A busy machine may take longer to bind the address than it is held here.
+            // On a busy machine, the first attempt to bind may take longer than the address stays
+            // in use in this test.
             manager.awaitLog("tried again");
             Thread.sleep(1_500);
             assertThat(manager.isAlive()).isTrue();
@@ -77,8 +79,8 @@
     }
 
     /**
-     * Restarts under load, killed and terminated by turns, while the configuration is rewritten in
-     * pieces. Six by default; {@code -Dfirstage.restarts=200} for the long form.
+     * Restarts the process under load, killed and terminated in turn, while the configuration is
+     * rewritten in pieces. Six restarts by default; {@code -Dfirstage.restarts=200} for a long run.
      */
     @Test
     @Timeout(600)
--- a/src/test/java/firstage/server/SystemCallFaultsIT.java
+++ b/src/test/java/firstage/server/SystemCallFaultsIT.java
@@ -18,18 +18,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** System calls of the manager fail for a moment. */
+/** Tests short failures of the manager's system calls. */
 class SystemCallFaultsIT extends ManagerFixture {
     private static final int SEED = 1;
     private static final int FAULT_DURATION_MS = 60;
 
-    /** What the protocol allows a deadline at an engine beyond the client's. */
+    /** Time by which the protocol lets an engine's deadline exceed the client's deadline. */
     private static final int DEADLINE_SLACK_MS = 150;
 
-    /** Of a thousand calls: some writes pass, so that reads fail, too. */
+    /** Failing calls per thousand; some writes must succeed so that reads fail, too. */
     private static final int FAULTS_PER_THOUSAND = 400;
 
-    /** From the end of the moment on an answer may take so long; a tenth would do. */
+    /** Longest time from the end of the fault to the answer; a tenth of it would suffice. */
     private static final int MAX_ANSWER_MS = 150;
 
     private SystemCallFaults faults;
@@ -45,7 +45,10 @@
         }
     }
 
-    /** A back-off after a failed accept keeps new connections waiting for 0.25 s and longer. */
+    /**
+     * Guards against a back-off after a failed accept, with which new connections would wait for
+     * 0.25 s or longer.
+     */
     @Test
     void accept_failsForAMoment_nextConnectionIsServedAtOnce() throws Exception {
         for (int i = 0; i < 3; i++) {
@@ -62,7 +65,9 @@
         assertThat(faults.count(Kind.ACCEPT)).isPositive();
     }
 
-    /** A request on a connection that waits to be accepted has that much less time. */
+    /**
+     * The time for which a connection waits to be accepted counts against its request's deadline.
+     */
     @Test
     void accept_failsForLong_engineDeadlineIsWithinClients() throws Exception {
         engine.calls().clear();
@@ -79,7 +84,10 @@
         }
     }
 
-    /** Connections that time out pass for spoilt answers; five end an attempt that runs. */
+    /**
+     * Guards against connections that time out being counted as unreadable replies, five of which
+     * end a running attempt.
+     */
     @Test
     void engineConnections_break_attemptGoesOn() throws Exception {
         engine.calls().clear();
@@ -100,7 +108,7 @@
         assertThat(engine.posts()).hasSize(1);
     }
 
-    /** A read that comes short or is interrupted leaves a call unread for good. */
+    /** Guards against calls that are never read because a read was short or interrupted. */
     @Test
     void reads_comeShort_everyCallIsAnswered() throws Exception {
         faults.set(Kind.SHORT_READ, FAULTS_PER_THOUSAND);
@@ -113,7 +121,7 @@
         assertThat(faults.count(Kind.SHORT_READ)).isPositive();
     }
 
-    /** The same for writes. */
+    /** Guards against answers that are never sent because a write was short or interrupted. */
     @Test
     void writes_comeShort_everyCallIsAnswered() throws Exception {
         faults.set(Kind.SHORT_WRITE, FAULTS_PER_THOUSAND);
@@ -126,7 +134,10 @@
         assertThat(faults.count(Kind.SHORT_WRITE)).isPositive();
     }
 
-    /** A start that finds no socket for a moment ends the program. */
+    /**
+     * Guards against a program that ends because no socket is available for a short time at the
+     * start.
+     */
     @Test
     void start_noSocketForAMoment_serves() throws Exception {
         manager.kill();
--- a/src/test/java/firstage/server/TickClockTest.java
+++ b/src/test/java/firstage/server/TickClockTest.java
@@ -28,7 +28,7 @@
         assertThat(clock.fromUnixMillis(0)).isZero();
     }
 
-    /** An engine that just started would pass for warm, and be pushed over. */
+    /** Otherwise an engine that just started would count as warm and be overloaded. */
     @Test
     void fromUnixMillis_clockSteppedForward_engineIsNotOlder() {
         pass(10_000);
@@ -37,7 +37,7 @@
         assertThat(ageMs(unixMs - 3_000)).isLessThanOrEqualTo(3_000);
     }
 
-    /** The coordinator's clock may have been stepped back with this machine's, or not. */
+    /** The coordinator's clock may or may not have been stepped back with this machine's clock. */
     @Test
     void fromUnixMillis_clockSteppedBack_engineIsNeitherOlderNorOfTheFuture() {
         pass(10_000);
