--- a/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
+++ b/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
@@ -31,7 +31,9 @@
     void attempts_outOfOrderOrBesideAnother_areReported() {
         monitor.onRequest("k", "a");
         monitor.onRequest("k", "b");
-        assertThat(monitor.onAttemptStarted(0, "k", "b")).as("out of turn").isFalse();
+        assertThat(monitor.onAttemptStarted(0, "k", "b"))
+                .as("sent before an earlier request of its key")
+                .isFalse();
         monitor.onAttemptEnded(1, "k", "b", 0);
         monitor.onRequestEnded("k", "a");
         assertThat(monitor.onAttemptStarted(2, "k", "b")).isTrue();
@@ -39,12 +41,14 @@
         monitor.onRequestEnded("k", "b");
         monitor.onRequest("k", "c");
         assertThat(monitor.onAttemptStarted(50, "k", "c"))
-                .as("the engine may still hold the request before")
+                .as("sent while the engine may still hold the previous request")
                 .isFalse();
         monitor.onAttemptEnded(51, "k", "c", 0);
         assertThat(monitor.onAttemptStarted(103, "k", "c")).isTrue();
         monitor.onRequest("k", "d");
-        assertThat(monitor.onAttemptStarted(104, "k", "d")).as("beside another").isFalse();
+        assertThat(monitor.onAttemptStarted(104, "k", "d"))
+                .as("sent while another attempt of its key is in flight")
+                .isFalse();
     }
 
     @Test
