--- a/src/main/java/firstage/lifecycle/AttemptStateMachine.java
+++ b/src/main/java/firstage/lifecycle/AttemptStateMachine.java
@@ -47,7 +47,7 @@
  */
 public final class AttemptStateMachine {
     /**
-     * Time from the last call to an engine until the engine holds the statement no longer. An
+     * Time after the last call to an engine at which the engine no longer holds the statement. An
      * engine ends a statement that nobody polled for in 2 s. The last call may have been held there
      * for 250 ms first. A statement that completes in the meantime leaves a result, which the
      * engine keeps for another 2 s because nobody polls for it. The rest allows for calls that are
@@ -68,8 +68,8 @@
     private static final long QUIET_CONNECTION_DELAY = Ticks.ofMillis(12);
 
     /**
-     * Longest time that a statement takes to reach its engine, which counts the deadline from the
-     * arrival.
+     * Allowance for the time that a statement takes to reach its engine, which counts the deadline
+     * from the arrival of the statement.
      */
     private static final long STATEMENT_TRANSIT_ALLOWANCE = Ticks.ofMillis(100);
 
@@ -80,8 +80,8 @@
     private static final long REPEATED_DELETE_INTERVAL = Ticks.ofMillis(500);
 
     /**
-     * Shortest time for which an engine that holds its polls holds one. An engine that reports
-     * progress sooner does not hold them.
+     * Minimum duration of a held poll. An engine that answers a poll with progress sooner does not
+     * hold its polls.
      */
     private static final long MIN_LONG_POLL = Ticks.ofMillis(10);
 
@@ -95,8 +95,8 @@
     private static final int MAX_UNREADABLE_REPLIES = 5;
 
     /**
-     * Number of new connections in a row that were reset before the statement was written at which
-     * an attempt ends.
+     * Number of consecutive new connections, reset before the statement was written, after which an
+     * attempt ends.
      */
     private static final int MAX_CONNECTION_RESETS = 3;
 
@@ -477,8 +477,8 @@
     }
 
     /**
-     * Waits until the end is proven or the engine no longer holds the statement. Reports the end
-     * now, with the time for which the statement may be held, if it is awaited.
+     * Waits until the end is proven or the engine no longer holds the statement. If the end is
+     * awaited, reports it now, with the time for which the engine may still hold the statement.
      */
     private void linger(long now) {
         long engineDeadline =
--- a/src/main/java/firstage/lifecycle/ClientCallStateMachine.java
+++ b/src/main/java/firstage/lifecycle/ClientCallStateMachine.java
@@ -32,8 +32,8 @@
     public static final long FIRST_CALL_HOLD = 2_500;
 
     /**
-     * Time, in ticks, for which an answer can be fetched and a client may come back. A client whose
-     * connection broke calls again at once, three times at most.
+     * Time, in ticks, for which an answer is kept and an absent client may come back. A client
+     * whose connection broke calls again at once, three times at most.
      */
     public static final long RECONNECT_TIMEOUT = 20_000;
 
@@ -289,12 +289,12 @@
         handle(Event.POLL);
     }
 
-    /** Handles the answer to the request, which is available from now on. */
+    /** Handles the answer to the request, which has become available. */
     public void onAnswerAvailable() {
         handle(Event.ANSWER_AVAILABLE);
     }
 
-    /** Handles the break of the first call's connection. */
+    /** Handles a broken connection of the first call. */
     public void onFirstCallBroken() {
         handle(Event.FIRST_CALL_BROKEN);
     }
@@ -304,7 +304,7 @@
         handle(Event.PATH_CONNECTION_CLOSED);
     }
 
-    /** Handles the break of a poll's connection when no other poll is held. */
+    /** Handles a broken connection of a poll when no other poll is held. */
     public void onLastPollBroken() {
         handle(Event.LAST_POLL_BROKEN);
     }
--- a/src/main/java/firstage/lifecycle/PauseDetector.java
+++ b/src/main/java/firstage/lifecycle/PauseDetector.java
@@ -3,9 +3,9 @@
 import firstage.util.Ticks;
 
 /**
- * Detects pauses of the I/O thread by a heartbeat that comes late: the process was stopped, the
- * machine was busy, or the thread itself was. Input that is read after a pause may have arrived as
- * early as the start of the pause, until everything that arrived during the pause has been read.
+ * Detects pauses of the I/O thread by a heartbeat that comes late: the process was stopped, or the
+ * machine or the thread was busy. Input that is read after a pause may have arrived as early as the
+ * start of the pause, until everything that arrived during the pause has been read.
  *
  * <table>
  * <caption>State, event, next state, action</caption>
@@ -24,7 +24,7 @@
     /** Interval between two heartbeats, in ticks. */
     public static final long BEAT_INTERVAL = Ticks.ofMillis(30);
 
-    /** Longest delay of a heartbeat that does not count as a pause. */
+    /** Delay of a heartbeat above which it shows a pause. */
     private static final long MAX_HEARTBEAT_DELAY = Ticks.ofMillis(20);
 
     private static final long NOT_PAUSED = -1;
@@ -40,7 +40,7 @@
 
     private final PauseActions actions;
 
-    /** Time of the heartbeat before the last; all input up to it was read by the last one. */
+    /** Time of the heartbeat before the last; input up to this time was read by the last one. */
     private long previousHeartbeat;
 
     private long lastHeartbeat;
--- a/src/main/java/firstage/lifecycle/SendGuard.java
+++ b/src/main/java/firstage/lifecycle/SendGuard.java
@@ -15,7 +15,7 @@
      */
     public static final long MAX_KNOWLEDGE_AGE = Ticks.ofMillis(50);
 
-    /** Decisions on a statement. Each constant but {@link #SEND} names its reason. */
+    /** Decisions on whether a statement is written. */
     public enum Verdict {
         /** The statement may be written now. */
         SEND,
@@ -27,7 +27,7 @@
         CLIENT_SETTLED,
         /** The client may be gone. */
         CLIENT_ABSENT,
-        /** The client's deadline has passed, so it waits no longer. */
+        /** The client's deadline has passed. */
         DEADLINE_PASSED,
         /** The engine drains or is not listed any more. */
         ENGINE_LEAVING,
@@ -93,8 +93,8 @@
     /**
      * Decides whether the rest of a partly written statement may be written.
      *
-     * @param headMadeAt when the head of the call was made, which states the time that the client
-     *     had left then
+     * @param headMadeAt when the head of the call was made; the head states the time that the
+     *     client had left then
      */
     public static Verdict decideRest(long now, Knowledge knowledge, long headMadeAt) {
         Verdict verdict = decide(now, knowledge);
--- a/src/main/java/firstage/server/FlightRecorder.java
+++ b/src/main/java/firstage/server/FlightRecorder.java
@@ -65,7 +65,10 @@
      */
     private static final int CAPACITY = 2_048;
 
-    /** Minimum time between two dumps, so that a fault is not logged with each consequence. */
+    /**
+     * Minimum time between two dumps, so that a fault is logged once and not with each of its
+     * consequences.
+     */
     private static final long MIN_DUMP_INTERVAL_NANOS = 10_000_000_000L;
 
     private final long[] recordedAtNanos = new long[CAPACITY];
--- a/src/main/java/firstage/server/ReadBarrier.java
+++ b/src/main/java/firstage/server/ReadBarrier.java
@@ -27,7 +27,7 @@
     private static final Logger LOG = Logger.getLogger(ReadBarrier.class.getName());
     private static final int SELECTOR_PASSES = 2;
 
-    /** Delay before a pass is repeated after a failed accept, or a broken pipe is reopened. */
+    /** Delay before the next pass after a failed accept, and before a broken pipe is replaced. */
     private static final int RETRY_DELAY_MS = 5;
 
     /** Time, in ticks, after which a callback runs even if connections still can't be accepted. */
@@ -130,7 +130,7 @@
         try {
             wakeUpByte.clear();
             while (wakeUpByte.hasRemaining()) {
-                // The write never blocks, as one byte fits into an empty pipe.
+                // The loop ends, as one byte fits into an empty pipe.
                 wakeUpWriter.getSinkChannel().write(wakeUpByte);
             }
         } catch (IOException exception) {
--- a/src/main/java/firstage/server/RequestRegistry.java
+++ b/src/main/java/firstage/server/RequestRegistry.java
@@ -56,7 +56,7 @@
         return requestIds.idOf(request);
     }
 
-    /** Returns the index of an ordering key, which may be new; -1 for null. */
+    /** Returns the index of an ordering key, assigning one if needed; -1 if the key is null. */
     int keyIndex(String orderingKey) {
         return orderingKey == null ? -1 : keyIds.indexFor(orderingKey);
     }
--- a/src/main/java/firstage/server/SchedulerLoop.java
+++ b/src/main/java/firstage/server/SchedulerLoop.java
@@ -20,8 +20,8 @@
     private static final Logger LOG = Logger.getLogger(SchedulerLoop.class.getName());
 
     /**
-     * Delay, in microseconds, above which the thread counts as stalled. Clients send the requests
-     * of one ordering key 60 ms apart.
+     * Delay, in microseconds, above which the thread counts as stalled: half of the 60 ms by which
+     * clients space the requests of one ordering key.
      */
     private static final long STALL_THRESHOLD_US = 30_000;
 
--- a/src/main/java/firstage/server/TickClock.java
+++ b/src/main/java/firstage/server/TickClock.java
@@ -36,9 +36,10 @@
     }
 
     /**
-     * Converts a time that another process reported in Unix milliseconds to the ticks of this clock.
-     * If the system's time was stepped since the start, it is unknown whether the other process
-     * counts by the time before or after the step, and the later of the two results is returned.
+     * Converts a time that another process reported in Unix milliseconds to the ticks of this
+     * clock. If the system's time was stepped since the start, it is unknown whether the other
+     * process counts by the time before or after the step, and the later of the two results is
+     * returned.
      *
      * @return the time in ticks, at most {@link #now}; 0, which means long ago, for 0
      */
