--- a/src/test/java/firstage/server/CellsIT.java
+++ b/src/test/java/firstage/server/CellsIT.java
@@ -129,7 +129,7 @@
     /** Requests the view of a cell's manager until it contains {@code text}; returns the view. */
     private String awaitView(String cell, String text) throws IOException {
         String[] hostAndPort = address(cell, PEERS_OCTET).split(":");
-        byte[] question = MembershipTransport.STATUS_REQUEST.getBytes(StandardCharsets.US_ASCII);
+        byte[] request = MembershipTransport.STATUS_REQUEST.getBytes(StandardCharsets.US_ASCII);
         DatagramPacket answer = new DatagramPacket(new byte[64 * 1024], 64 * 1024);
         try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             socket.setSoTimeout(200);
@@ -139,8 +139,8 @@
                         .isTrue();
                 socket.send(
                         new DatagramPacket(
-                                question,
-                                question.length,
+                                request,
+                                request.length,
                                 new InetSocketAddress(
                                         hostAndPort[0], Integer.parseInt(hostAndPort[1]))));
                 try {
@@ -171,11 +171,11 @@
                         List.of(
                                 new CellPlan.Cell("a", "z", 1, true),
                                 new CellPlan.Cell("b", "z", 1, true)));
-        long moving =
+        long movedEngines =
                 IntStream.rangeClosed(1, ENGINES)
                         .filter(id -> firstPlan.serves(0, id, "z"))
                         .count();
-        assertThat(moving).isBetween(3L, 13L);
+        assertThat(movedEngines).isBetween(3L, 13L);
         start("a", 1);
         start("b", 1);
         assertThat(awaitView("b", "\"cells heard\":2"))
@@ -185,17 +185,17 @@
                         "\"share\":1.0",
                         "\"engines waited for\":0");
         start("b", 2);
-        String waiting = awaitView("b", "\"cells heard\":2");
-        assertThat(waiting)
+        String viewWithNewPlan = awaitView("b", "\"cells heard\":2");
+        assertThat(viewWithNewPlan)
                 .contains(
                         "\"plan\":2",
                         "\"plan not held by\":\"a",
-                        "\"engines waited for\":" + moving);
+                        "\"engines waited for\":" + movedEngines);
         start("a", 2);
         assertThat(awaitView("b", "\"engines waited for\":0"))
                 .contains("\"plan not held by\":\"\"");
         assertThat(Files.readString(folder.resolve("b.log")))
-                .contains("cell {\"engines taken over\":" + moving + "}")
+                .contains("cell {\"engines taken over\":" + movedEngines + "}")
                 .contains("cell {\"is\":\"follows\",\"name\":\"a\"")
                 .doesNotContain("Exception", "AssertionError");
         start("a", 1);
--- a/src/test/java/firstage/server/ConnectionsIT.java
+++ b/src/test/java/firstage/server/ConnectionsIT.java
@@ -28,15 +28,15 @@
     @Test
     void silentClients_overTheLimit_keepNobodyOut() throws Exception {
         manager.restart(withSockets(config(), 140));
-        List<QueryClient> silent = new ArrayList<>();
+        List<QueryClient> silentClients = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            silent.add(newClient());
+            silentClients.add(newClient());
         }
         long start = System.nanoTime();
         try (QueryClient client = newClient()) {
             assertThat(client.request(LOOKUP, "", "SELECT 1", 2000).body()).isEqualTo(ONE_ROW_JSON);
         }
-        for (QueryClient client : silent) {
+        for (QueryClient client : silentClients) {
             assertThat(client.readByte()).isEqualTo(-1);
             client.close();
         }
@@ -72,10 +72,10 @@
                 "ulimit -n 120 && exec \"$@\"",
                 "sh");
         manager.awaitAlive();
-        List<QueryClient> idle = new ArrayList<>();
+        List<QueryClient> idleClients = new ArrayList<>();
         for (int i = 0; i < 90; i++) {
             QueryClient client = newClient();
-            idle.add(client);
+            idleClients.add(client);
             if (i % 2 == 0) {
                 assertThat(client.get(ALIVE_PATH).status()).isEqualTo(200);
             }
@@ -90,7 +90,7 @@
         }
         assertThat(secondEngine.awaitCall(POST_STATEMENT).headers())
                 .containsEntry(TICKET, JobIds.of(1));
-        for (QueryClient client : idle) {
+        for (QueryClient client : idleClients) {
             client.close();
         }
     }
--- a/src/test/java/firstage/server/KeyOrderIT.java
+++ b/src/test/java/firstage/server/KeyOrderIT.java
@@ -122,21 +122,27 @@
     void requestsOfKey_readAfterStall_keepTheirOrder() throws Exception {
         int executed = 0;
         for (int round = 0; round < 12; round++) {
-            try (QueryClient old = newClient();
-                    QueryClient older = newClient()) {
-                old.get(ALIVE_PATH);
-                older.get(ALIVE_PATH);
+            try (QueryClient oldClient = newClient();
+                    QueryClient otherOldClient = newClient()) {
+                oldClient.get(ALIVE_PATH);
+                otherOldClient.get(ALIVE_PATH);
                 manager.pause();
                 List<QueryClient> silentClients = new ArrayList<>();
                 for (int i = 0; i < 8; i++) {
                     silentClients.add(newClient());
                 }
-                QueryClient first = round % 3 == 0 ? newClient() : round % 3 == 1 ? old : older;
-                QueryClient second = round % 3 == 2 ? old : round % 3 == 0 ? older : newClient();
+                QueryClient first =
+                        round % 3 == 0
+                                ? newClient()
+                                : round % 3 == 1 ? oldClient : otherOldClient;
+                QueryClient second =
+                        round % 3 == 2
+                                ? oldClient
+                                : round % 3 == 0 ? otherOldClient : newClient();
                 String key = orderingKey(String.valueOf(round));
                 first.sendRequest(LOAD, key, "INSERT INTO sales_3.t VALUES (1)", 5000);
                 String firstId = jobIds.latest();
-                Thread.sleep(first == old || first == older ? 60 : 250);
+                Thread.sleep(first == oldClient || first == otherOldClient ? 60 : 250);
                 second.sendRequest(LOAD, key, "INSERT INTO sales_3.t VALUES (2)", 5000);
                 String secondId = jobIds.latest();
                 manager.resume();
@@ -154,8 +160,8 @@
                         .hasSize((firstStatus == 200 ? 1 : 0) + (secondStatus == 200 ? 1 : 0));
                 assertThat(posts.equals(List.of(secondId, firstId))).as("order reversed").isFalse();
                 executed += posts.size();
-                for (QueryClient each : silentClients) {
-                    each.close();
+                for (QueryClient silentClient : silentClients) {
+                    silentClient.close();
                 }
                 first.close();
                 second.close();
--- a/src/test/java/firstage/server/PeersIT.java
+++ b/src/test/java/firstage/server/PeersIT.java
@@ -21,7 +21,7 @@
     @TempDir private Path folder;
 
     /** Returns a builder of a Java process, whose output is written to the file {@code out}. */
-    private ProcessBuilder java(String... arguments) {
+    private ProcessBuilder javaProcess(String... arguments) {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(List.of(arguments));
@@ -33,7 +33,8 @@
     @Test
     void start_withoutPeers_loadsNoFleetControl() throws Exception {
         Path loaded = folder.resolve("loaded");
-        Process process = java("-Xlog:class+load:file=" + loaded, "-jar", JAR, "rehearse").start();
+        Process process =
+                javaProcess("-Xlog:class+load:file=" + loaded, "-jar", JAR, "rehearse").start();
         assertThat(process.waitFor(30, TimeUnit.SECONDS)).isTrue();
         String classes = Files.readString(loaded);
         assertThat(classes)
@@ -71,7 +72,7 @@
                 Files.writeString(
                         folder.resolve("c.json"),
                         "{\"name\":\"m\",\"listen\":\"127.0.0.1:1\",\"settings\":{}}");
-        ProcessBuilder builder = java("-jar", JAR, "serve", "--peers", peers.toString());
+        ProcessBuilder builder = javaProcess("-jar", JAR, "serve", "--peers", peers.toString());
         builder.environment().put("ROUTER_CONFIG", config.toString());
         Process process = builder.start();
         assertThat(process.waitFor(30, TimeUnit.SECONDS)).isTrue();
--- a/src/test/java/firstage/server/ReloadIT.java
+++ b/src/test/java/firstage/server/ReloadIT.java
@@ -101,8 +101,9 @@
             Thread.sleep(100);
             fullServer.accept().close();
             fullServer.accept().close();
-            try (Socket third = fullServer.accept()) {
-                assertThat(new DataInputStream(third.getInputStream()).readLong()).isEqualTo(1L);
+            try (Socket watchConnection = fullServer.accept()) {
+                assertThat(new DataInputStream(watchConnection.getInputStream()).readLong())
+                        .isEqualTo(1L);
                 assertThat(System.nanoTime() - start).isLessThan(700_000_000L);
             }
             assertThat(firstQueued.isConnected() && secondQueued.isConnected()).isTrue();
--- a/src/test/java/firstage/server/RetriesIT.java
+++ b/src/test/java/firstage/server/RetriesIT.java
@@ -48,14 +48,14 @@
 
     @Test
     void refusedPoll_otherConnectionUp_provesNothing() throws Exception {
-        String page = getPage(JobIds.of(2), 1);
+        String secondPageCall = getPage(JobIds.of(2), 1);
         engine.respondWith(
                 call -> {
-                    if (call.startLine().equals(page) && engine.isAccepting()) {
+                    if (call.startLine().equals(secondPageCall) && engine.isAccepting()) {
                         engine.stopAccepting();
                         return RESET;
                     }
-                    return call.startLine().equals(page)
+                    return call.startLine().equals(secondPageCall)
                             ? page("Page-No: 1", "")
                             : JobIds.of(2).equals(call.ticket())
                                     ? page("Page-Count: 2", "a\tb\tc\n")
--- a/src/test/java/firstage/server/ShutdownIT.java
+++ b/src/test/java/firstage/server/ShutdownIT.java
@@ -48,14 +48,14 @@
     /** A second SIGTERM must not restart the time until the planned end. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void sigterm_requestRunsTooLong_isRejectedBeforeKill(boolean again) throws Exception {
+    void sigterm_requestRunsTooLong_isRejectedBeforeKill(boolean repeatSignal) throws Exception {
         engine.respondWith(call -> call.isDelete() ? DELETED : NO_NEWS);
         try (QueryClient client = newClient()) {
             String path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
             client.sendGet(path);
             long start = System.nanoTime();
             manager.terminate();
-            if (again) {
+            if (repeatSignal) {
                 Thread.sleep(1_500);
                 manager.terminateAgain();
             }
@@ -64,7 +64,7 @@
         }
         assertThat(engine.awaitCall(DELETE).startLine()).endsWith(JobIds.of(1));
         assertThat(manager.awaitExit()).isZero();
-        if (again) {
+        if (repeatSignal) {
             assertThat(manager.log()).contains("repeated shutdown signals=1");
         }
     }
@@ -100,9 +100,9 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 400})
-    void sigterm_callArrivesDuringStall_isAnswered(int runsOnMs) throws Exception {
+    void sigterm_callArrivesDuringStall_isAnswered(int pauseDelayMs) throws Exception {
         manager.terminate();
-        Thread.sleep(runsOnMs);
+        Thread.sleep(pauseDelayMs);
         manager.pause();
         try (QueryClient client = newClient()) {
             client.sendRequest(LOOKUP, "X-Size-Ms: 20\r\n", "SELECT 1", 5000);
@@ -128,8 +128,8 @@
             assertThat(client.readByte()).isPositive();
         }
         try (QueryClient client = newClient()) {
-            HttpMessage again = client.get(path);
-            assertThat(again.body()).isEqualTo(ONE_ROW_JSON);
+            HttpMessage repeatedAnswer = client.get(path);
+            assertThat(repeatedAnswer.body()).isEqualTo(ONE_ROW_JSON);
         }
         assertThat(manager.awaitExit()).isZero();
     }
@@ -157,15 +157,15 @@
                         call.startLine().equals(POST_STATEMENT)
                                 ? page("Page-Count: 40", rows)
                                 : page("Page-No: " + call.startLine().replaceAll(".*/", ""), rows));
-        try (QueryClient silent = newClient(4_096);
-                QueryClient late = newClient()) {
-            silent.sendRequest(REPORT, "", "SELECT 1", 9_000);
-            late.sendRequest(REPORT, "", "SELECT 1", 9_000);
+        try (QueryClient silentClient = newClient(4_096);
+                QueryClient lateClient = newClient()) {
+            silentClient.sendRequest(REPORT, "", "SELECT 1", 9_000);
+            lateClient.sendRequest(REPORT, "", "SELECT 1", 9_000);
             Thread.sleep(700);
             long start = System.nanoTime();
             manager.terminate();
             Thread.sleep(300);
-            assertThat(late.readToEnd().body().length()).isGreaterThan(1_000_000);
+            assertThat(lateClient.readToEnd().body().length()).isGreaterThan(1_000_000);
             assertThat(manager.awaitExit()).isZero();
             assertThat(millisecondsSince(start)).isLessThan(3_600);
         }
--- a/src/test/java/firstage/server/TickClockTest.java
+++ b/src/test/java/firstage/server/TickClockTest.java
@@ -11,7 +11,7 @@
     private long nanos = 5;
     private final TickClock clock = new TickClock(() -> unixMs, () -> nanos);
 
-    private void pass(long ms) {
+    private void advance(long ms) {
         unixMs += ms;
         nanos += ms * 1_000_000;
     }
@@ -22,7 +22,7 @@
 
     @Test
     void fromUnixMillis_clockNotStepped_isExact() {
-        pass(10_000);
+        advance(10_000);
         assertThat(ageMs(START_MS + 7_000)).isEqualTo(3_000);
         assertThat(ageMs(START_MS - 7_000)).isEqualTo(17_000);
         assertThat(clock.fromUnixMillis(0)).isZero();
@@ -31,7 +31,7 @@
     /** Otherwise an engine that just started would count as warm and be overloaded. */
     @Test
     void fromUnixMillis_clockSteppedForward_engineIsNotOlder() {
-        pass(10_000);
+        advance(10_000);
         unixMs += HOUR_MS;
         assertThat(ageMs(START_MS + 7_000)).isEqualTo(3_000);
         assertThat(ageMs(unixMs - 3_000)).isLessThanOrEqualTo(3_000);
@@ -40,7 +40,7 @@
     /** The coordinator's clock may or may not have been stepped back with this machine's clock. */
     @Test
     void fromUnixMillis_clockSteppedBack_engineIsNeitherOlderNorOfTheFuture() {
-        pass(10_000);
+        advance(10_000);
         unixMs -= HOUR_MS;
         assertThat(ageMs(unixMs - 3_000)).isEqualTo(3_000);
         assertThat(ageMs(START_MS + 7_000)).isBetween(0L, 3_000L);
