--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -189,11 +189,11 @@
             RequestExchange exchange,
             int trafficClass,
             int tenant,
-            String key,
+            String orderingKey,
             long estimate,
             int memoryMb,
             int tableGroup) {
-        exchange.orderingKey = key;
+        exchange.orderingKey = orderingKey;
         requestEvents.onRequest(
                 new RequestEventHandler.UnsequencedRequest(
                         exchange, trafficClass, tenant, estimate, memoryMb, tableGroup));
--- a/src/main/java/firstage/server/ServerEvents.java
+++ b/src/main/java/firstage/server/ServerEvents.java
@@ -14,7 +14,7 @@
      *
      * @param trafficClass the index of the traffic class in the settings
      * @param tenant the index of the tenant in the settings; 0 if the settings name none
-     * @param key the ordering key; null if the request has none
+     * @param orderingKey the ordering key; null if the request has none
      * @param estimate the client's estimate of the work, in ticks; 0 if there is none
      * @param memoryMb the client's estimate of the memory in MB; 0 if there is none
      * @param tableGroup the group of tables that the statement names; -1 if there is none
@@ -23,7 +23,7 @@
             RequestExchange exchange,
             int trafficClass,
             int tenant,
-            String key,
+            String orderingKey,
             long estimate,
             int memoryMb,
             int tableGroup);
