--- a/src/main/java/firstage/server/DecisionExecutor.java
+++ b/src/main/java/firstage/server/DecisionExecutor.java
@@ -8,7 +8,7 @@
 import java.util.logging.Logger;
 
 /**
- * Carries the scheduler's decisions out at engines and clients. It decides nothing itself. Owned by
+ * Carries out the scheduler's decisions at engines and clients. Makes no decisions itself. Owned by
  * the I/O thread.
  */
 final class DecisionExecutor implements PolicyActions {
@@ -17,18 +17,20 @@
     private final SchedulerLoop loop;
     private final RequestRegistry requests;
     private final EngineClients engines;
-    private final IntConsumer engineReleased;
+    private final IntConsumer onEngineReleased;
 
-    /** {@code engineReleased}: told of each engine that the scheduler knows no more. */
+    /**
+     * @param onEngineReleased called with the index of each engine that the scheduler has released
+     */
     DecisionExecutor(
             SchedulerLoop loop,
             RequestRegistry requests,
             EngineClients engines,
-            IntConsumer engineReleased) {
+            IntConsumer onEngineReleased) {
         this.loop = loop;
         this.requests = requests;
         this.engines = engines;
-        this.engineReleased = engineReleased;
+        this.onEngineReleased = onEngineReleased;
     }
 
     @Override
@@ -96,7 +98,7 @@
 
     @Override
     public void releaseEngine(int engine) {
-        engineReleased.accept(engine);
+        onEngineReleased.accept(engine);
     }
 
     @Override
--- a/src/main/java/firstage/server/InterruptedCalls.java
+++ b/src/main/java/firstage/server/InterruptedCalls.java
@@ -9,45 +9,47 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * Makes a read or write that was interrupted (EINTR) one that moved nothing. The JDK returns -3 for
- * it on a non-blocking channel, which neither XNIO nor Undertow knows: they stop reading for good.
+ * Conduits that report a read or write that was interrupted (EINTR) as one that transferred no
+ * bytes. On a non-blocking channel the JDK returns -3 for an interrupted call. Neither XNIO nor
+ * Undertow handles that value; both would stop reading for good.
  */
 public final class InterruptedCalls {
     private static final int END_OF_STREAM = -1;
 
     private InterruptedCalls() {}
 
-    /** To be called before anything is read or written. */
+    /** Installs the conduits on a connection; to be called before anything is read or written. */
     public static void shield(StreamConnection connection) {
         connection
                 .getSourceChannel()
-                .setConduit(new ShieldedSource(connection.getSourceChannel().getConduit()));
+                .setConduit(new InterruptSafeSource(connection.getSourceChannel().getConduit()));
         connection
                 .getSinkChannel()
-                .setConduit(new ShieldedSink(connection.getSinkChannel().getConduit()));
+                .setConduit(new InterruptSafeSink(connection.getSinkChannel().getConduit()));
     }
 
-    private static final class ShieldedSource
+    private static final class InterruptSafeSource
             extends AbstractStreamSourceConduit<StreamSourceConduit> {
-        private ShieldedSource(StreamSourceConduit next) {
+        private InterruptSafeSource(StreamSourceConduit next) {
             super(next);
         }
 
         @Override
         public int read(ByteBuffer target) throws IOException {
-            int moved = super.read(target);
-            return moved < END_OF_STREAM ? 0 : moved;
+            int bytesRead = super.read(target);
+            return bytesRead < END_OF_STREAM ? 0 : bytesRead;
         }
 
         @Override
         public long read(ByteBuffer[] targets, int offset, int length) throws IOException {
-            long moved = super.read(targets, offset, length);
-            return moved < END_OF_STREAM ? 0 : moved;
+            long bytesRead = super.read(targets, offset, length);
+            return bytesRead < END_OF_STREAM ? 0 : bytesRead;
         }
     }
 
-    private static final class ShieldedSink extends AbstractStreamSinkConduit<StreamSinkConduit> {
-        private ShieldedSink(StreamSinkConduit next) {
+    private static final class InterruptSafeSink
+            extends AbstractStreamSinkConduit<StreamSinkConduit> {
+        private InterruptSafeSink(StreamSinkConduit next) {
             super(next);
         }
 
--- a/src/main/java/firstage/server/PeerFleetControl.java
+++ b/src/main/java/firstage/server/PeerFleetControl.java
@@ -12,9 +12,9 @@
 import org.xnio.XnioWorker;
 
 /**
- * Stands between the membership protocol and the scheduler: reports the scheduler's view of the
- * engines to the fleet ten times a second, and hands the fleet's quota, probe ownership and
- * shedding threshold to the scheduler. Owned by the I/O thread.
+ * Connects the membership protocol and the scheduler: reports the scheduler's view of the engines
+ * to the fleet ten times a second, and passes the quota share, the probe ownership and the shedding
+ * threshold from the fleet to the scheduler. Owned by the I/O thread.
  */
 final class PeerFleetControl implements FleetControl {
     private static final long REPORT_PERIOD_MS = 100;
@@ -97,18 +97,21 @@
         membership.fleetCoordinator().removeEngine(engineId);
     }
 
-    private void onProbeOwnership(long engineId, boolean away, boolean restIsOver) {
-        counters.count(away ? "engines left to a probe owner" : "engines taken back");
+    private void onProbeOwnership(long engineId, boolean probedByOthers, boolean mayProbeNow) {
+        counters.count(probedByOthers ? "engines left to a probe owner" : "engines taken back");
         int engine = directory.find(engineId);
         if (engine >= 0) {
             loop.dispatch(
-                    "away",
-                    scheduler -> scheduler.onProbeOwnership(clock.now(), engine, away, restIsOver));
+                    "probe ownership",
+                    scheduler ->
+                            scheduler.onProbeOwnership(
+                                    clock.now(), engine, probedByOthers, mayProbeNow));
         }
     }
 
-    private void onSheddingThreshold(long now, int band, double part) {
-        loop.dispatch("cut", scheduler -> scheduler.onSheddingThreshold(now, band, part));
+    private void onSheddingThreshold(long now, int band, double admittedShare) {
+        loop.dispatch(
+                "cut", scheduler -> scheduler.onSheddingThreshold(now, band, admittedShare));
     }
 
     private void reportToFleet() {
--- a/src/test/java/firstage/server/ConnectionsIT.java
+++ b/src/test/java/firstage/server/ConnectionsIT.java
@@ -23,20 +23,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Limits on connections and descriptors. */
+/** Tests the limits on connections and file descriptors. */
 class ConnectionsIT extends ManagerFixture {
     @Test
     void silentClients_overTheLimit_keepNobodyOut() throws Exception {
         manager.restart(withSockets(config(), 140));
-        List<QueryClient> silent = new ArrayList<>();
+        List<QueryClient> silentClients = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            silent.add(newClient());
+            silentClients.add(newClient());
         }
         long start = System.nanoTime();
         try (QueryClient client = newClient()) {
             assertThat(client.request(LOOKUP, "", "SELECT 1", 2000).body()).isEqualTo(ONE_ROW_JSON);
         }
-        for (QueryClient client : silent) {
+        for (QueryClient client : silentClients) {
             assertThat(client.readByte()).isEqualTo(-1);
             client.close();
         }
@@ -59,8 +59,8 @@
     }
 
     /**
-     * The system enforces the limit, too: without a reserve of descriptors neither the coordinator
-     * nor an engine could be reached again.
+     * The operating system enforces the limit, too. Without a reserve of descriptors, neither the
+     * coordinator nor an engine could be reached again.
      */
     @Test
     void idleClients_fillDescriptors_keepNeitherWatchNorEnginesOut() throws Exception {
@@ -72,10 +72,10 @@
                 "ulimit -n 120 && exec \"$@\"",
                 "sh");
         manager.awaitAlive();
-        List<QueryClient> idle = new ArrayList<>();
+        List<QueryClient> idleClients = new ArrayList<>();
         for (int i = 0; i < 90; i++) {
             QueryClient client = newClient();
-            idle.add(client);
+            idleClients.add(client);
             if (i % 2 == 0) {
                 assertThat(client.get(ALIVE_PATH).status()).isEqualTo(200);
             }
@@ -90,12 +90,12 @@
         }
         assertThat(secondEngine.awaitCall(POST_STATEMENT).headers())
                 .containsEntry(TICKET, JobIds.of(1));
-        for (QueryClient client : idle) {
+        for (QueryClient client : idleClients) {
             client.close();
         }
     }
 
-    /** While the process is stopped, a silent connection times out and a call arrives on it. */
+    /** While the process is stopped, an idle connection times out and a call arrives on it. */
     @ParameterizedTest
     @ValueSource(strings = {"unused", "idle"})
     void call_atMomentOfIdleClose_isAnswered(String connection) throws Exception {
