--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -22,8 +22,9 @@
 final class AttemptRunner
         implements RequestExchange.AttemptHandle, AttemptStateMachine.AttemptActions {
     /**
-     * Response timeout of all calls of an attempt but the DELETE. Engines answer within 250 ms and drop a statement
-     * that is not polled for 2 s; this timeout leaves time to try another connection before that.
+     * Response timeout of all calls of an attempt except the DELETE. Engines answer within 250 ms
+     * and drop a statement that is not polled for 2 s; this timeout leaves time to try another
+     * connection before that.
      */
     private static final long POLL_TIMEOUT_MS = 600;
 
@@ -46,7 +47,9 @@
     /** State of the request on which the last send verdict is based; null before the first. */
     private Knowledge knowledge;
 
+    /** Ticks from the start of the attempt to the first page of its result; 0 before that. */
     private long duration;
+
     private int priority;
     private LoadReport loadReport;
     private boolean countedAsLingering;
@@ -216,7 +219,7 @@
         record(EventType.ENGINE_REPLY, response.status());
         boolean running = stateMachine.isRunning();
         if (running) {
-            // Overwritten even with null: at the end, an old report would be taken for a new one.
+            // Overwritten even with null: an older report would pass for the latest at the end.
             loadReport = EngineProtocol.loadReport(response);
         }
         return switch (response.status()) {
--- a/src/main/java/firstage/server/engine/ConnectionBudget.java
+++ b/src/main/java/firstage/server/engine/ConnectionBudget.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Checks that the reserved connections are those in use, idle or being established, and that the
-     * limit is kept.
+     * Checks that the reserved connections are those in use, idle or being established, and that
+     * the limit is kept.
      */
     void checkInvariants() {
         int open = pools.stream().mapToInt(EngineConnectionPool::connectionCount).sum();
--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -17,10 +17,16 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The connection pools and attempts of all listed engines, by engine index. Owned by the I/O thread.
+ * The connection pools and attempts in flight of all engines that were listed, by engine index.
+ * Owned by the I/O thread.
  */
 public final class EngineClients {
     private static final int READ_BUFFER_BYTES = 16 * 1024;
+
+    /**
+     * Keep-alive time of the engines' connections if the settings define none, in ticks. Connections
+     * are closed once they were idle for half of the keep-alive time.
+     */
     private static final long DEFAULT_KEEP_ALIVE = Ticks.ofSeconds(1);
 
     private final EngineContext context;
@@ -77,11 +83,11 @@
         }
     }
 
-    /** Closes the pools of all engines that are missing in a snapshot of the endpoint list. */
+    /** Closes the pools of all engines that are missing from a snapshot of the endpoint list. */
     public void retainOnly(List<Integer> indices) {
         for (int i = 0; i < poolsByEngine.size(); i++) {
             if (poolsByEngine.get(i) != null && !indices.contains(i)) {
-                // Draining also stops statements that still wait for a connection to this engine.
+                // Statements that still wait for a connection to this engine are not sent, either.
                 poolsByEngine.get(i).markDraining();
                 poolsByEngine.get(i).close();
             }
@@ -122,8 +128,8 @@
     }
 
     /**
-     * Returns the number of abandoned attempts whose end only the next requests of their ordering
-     * keys wait for.
+     * Returns the number of lingering attempts: abandoned ones for whose end only the next request
+     * of their ordering key waits.
      */
     public int lingeringAttempts() {
         return lingeringAttempts;
@@ -134,8 +140,8 @@
     }
 
     /**
-     * Starts the shutdown: from now on, an abandoned attempt is reported as ended even if its engine
-     * has not confirmed the end.
+     * Starts the shutdown: from now on, an abandoned attempt is reported as ended even if its
+     * engine has not confirmed the end.
      */
     public void prepareShutdown() {
         shuttingDown = true;
--- a/src/main/java/firstage/server/engine/EngineConnection.java
+++ b/src/main/java/firstage/server/engine/EngineConnection.java
@@ -83,8 +83,9 @@
     }
 
     /**
-     * Writes a call if its check allows this now. Everything else is done before the check or after
-     * the write: a process that is stopped in between sends the call on outdated knowledge.
+     * Writes a call if {@link EngineCall#checkSend} allows it now. Everything else is done before
+     * the check or after the write: a process that is paused between the two sends the call on
+     * outdated knowledge.
      */
     Verdict sendIfAllowed(EngineCall next, String host) {
         ByteBuffer encoded = next.encode(host);
@@ -189,7 +190,7 @@
     private void onResponseComplete() {
         EngineCall completedCall = call;
         boolean hasTrailingBytes = readBuffer.hasRemaining();
-        // Trailing bytes that begin another response are a duplicate: the first one is complete.
+        // Trailing bytes that begin another response are a duplicate; this response is complete.
         boolean trailingDuplicate =
                 readBuffer.remaining() >= HTTP_VERSION_PREFIX.length
                         && ByteBuffer.wrap(HTTP_VERSION_PREFIX)
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -21,15 +21,15 @@
  */
 final class EngineConnectionPool {
     /**
-     * Time after the engine's last bytes in which its open connections are assumed to work. Engines
-     * answer a poll after 250 ms; the rest is for the round trip.
+     * Time for which the open connections are assumed to work after the engine last sent bytes.
+     * Engines answer a poll after 250 ms at the latest; the rest is for the round trip.
      */
     private static final long LIVENESS_PERIOD = 4_000;
 
     /**
      * Minimum time between a page and the next call on its connection. A duplicate of the page
-     * arrives within this time, and would be taken for rows of another result. A call whose response
-     * must not be confused (a statement, a DELETE) waits this long after any response.
+     * arrives within this time, and would be taken for rows of another result. A call whose
+     * response must not be mistaken (a statement, a DELETE) waits this long after any response.
      */
     private static final long QUIET_PERIOD = 100;
 
@@ -40,8 +40,8 @@
     private static final long QUARANTINE_PERIOD = 3_000;
 
     /**
-     * Maximum number of times that outdated knowledge is renewed for one send; only a very busy
-     * machine needs more than one renewal.
+     * Maximum number of times that outdated knowledge about a request is renewed for one send; only
+     * a very busy machine needs several.
      */
     private static final int MAX_RENEWALS = 3;
 
@@ -57,7 +57,7 @@
     private final Set<EngineConnection> openConnections = new HashSet<>();
     private int connectingCount;
 
-    /** Number of attempts whose statement was written to this engine and that are not released. */
+    /** Number of attempts whose statement was written to this engine; not yet released. */
     private int runningAttempts;
 
     private long lastReceivedAt = Long.MIN_VALUE / 2;
@@ -99,8 +99,8 @@
      * Makes a call.
      *
      * @param onNewConnection whether to open a new connection even if one is idle
-     * @param requireQuiet whether an idle connection must have received nothing for {@link
-     *     #QUIET_PERIOD} since its last response
+     * @param requireQuiet whether a connection is used only if its last call ended at least {@link
+     *     #QUIET_PERIOD} ago
      */
     void call(EngineCall call, boolean onNewConnection, boolean requireQuiet) {
         closeIdleTooLong();
@@ -125,8 +125,8 @@
     }
 
     /**
-     * Writes the call on this connection if its check allows this now; renews outdated knowledge and
-     * checks again.
+     * Writes the call on this connection if {@link EngineCall#checkSend} allows it now; otherwise
+     * renews outdated knowledge and checks again, or refuses the call.
      */
     private void sendIfAllowed(EngineConnection connection, EngineCall call, int renewals) {
         if (connection.isClosed()) {
@@ -158,8 +158,8 @@
     }
 
     /**
-     * Returns the most recently used idle connection that has no unread bytes and that has to stay
-     * quiet until {@code maxQuietUntil} at most, or null. Closes connections on which it finds unread
+     * Returns the most recently used idle connection that has no unread bytes and does not have to
+     * stay quiet beyond {@code maxQuietUntil}, or null. Closes connections on which it finds unread
      * bytes.
      */
     private EngineConnection mostRecentlyUsed(long maxQuietUntil, boolean requireQuiet) {
@@ -275,8 +275,8 @@
     }
 
     /**
-     * Keeps a connection unused until the genuine response behind a duplicate must have arrived. If
-     * it has, the connection is found to have unread bytes and is closed.
+     * Keeps a connection unused for {@link #QUARANTINE_PERIOD}. If its last response was a duplicate,
+     * the genuine one arrives in that time; its bytes belong to no call and close the connection.
      */
     void onSuspectedDuplicate(EngineConnection connection) {
         connection.doubtUntil = clock.now() + QUARANTINE_PERIOD;
@@ -333,7 +333,7 @@
         return closable;
     }
 
-    /** Marks the engine as draining: it gets no new statements, but running ones are still polled. */
+    /** Marks the engine as draining: it gets no new statements; running ones are still polled. */
     void markDraining() {
         draining = true;
     }
--- a/src/main/java/firstage/server/engine/EngineContext.java
+++ b/src/main/java/firstage/server/engine/EngineContext.java
@@ -11,7 +11,7 @@
  * Services and limits shared by all calls to engines.
  *
  * @param readBuffer buffer shared by all connections; empty between events
- * @param connectTimeoutMs time until a new connection has to be established
+ * @param connectTimeoutMs time within which a new connection has to be established
  * @param maxIdle time in ticks after which an idle connection is closed
  */
 record EngineContext(
--- a/src/main/java/firstage/server/engine/EngineProtocol.java
+++ b/src/main/java/firstage/server/engine/EngineProtocol.java
@@ -27,6 +27,8 @@
     private static final String NEVER_RAN = "x-shed";
     private static final String PAGE_COUNT = "page-count";
     private static final String PAGE_NUMBER = "page-no";
+
+    /** Progress value of a queued statement that waits for memory; others wait for a table load. */
     private static final int WAITING_FOR_MEMORY = 1;
 
     private EngineProtocol() {}
--- a/src/main/java/firstage/server/engine/EngineResponse.java
+++ b/src/main/java/firstage/server/engine/EngineResponse.java
@@ -18,8 +18,8 @@
     /**
      * Returns whether the body is a valid page: complete rows of three columns in valid UTF-8, with
      * no trailing bytes. A body that was truncated or overwritten in transit is rarely valid, and
-     * trailing bytes indicate a wrong length. An invalid page must not reach a client and is fetched
-     * again.
+     * trailing bytes may be due to a wrong length. An invalid page must not reach a client and is
+     * fetched again.
      */
     boolean isPage() {
         int tabs = 0;
