--- a/src/main/java/firstage/server/client/BadRequestResponse.java
+++ b/src/main/java/firstage/server/client/BadRequestResponse.java
@@ -7,9 +7,9 @@
 import org.xnio.conduits.StreamSinkConduit;
 
 /**
- * Adds the JSON body that all other refusals have to the answer to input that is not HTTP.
- * Undertow's parser sends that answer, a 400 without a body, before any handler is called. All other
- * output passes unchanged.
+ * Gives the answer to input that is not HTTP a JSON body like that of all other refusals. Undertow's
+ * parser sends this answer, a 400 without a body, before any handler is called. All other output
+ * passes unchanged.
  */
 final class BadRequestResponse extends AbstractStreamSinkConduit<StreamSinkConduit> {
     private static final byte[] EMPTY_BAD_REQUEST =
@@ -33,8 +33,8 @@
             return super.write(source);
         }
         int size = source.remaining();
-        // Fits the socket buffer if it is the first output on the connection. Otherwise the client
-        // gets a part of it and then the end of the connection.
+        // The answer fits the socket buffer if it is the first output on the connection. Otherwise
+        // the client may get only a part of it before the connection is closed.
         super.write(ByteBuffer.wrap(FULL_BAD_REQUEST));
         source.position(source.limit());
         return size;
--- a/src/main/java/firstage/server/client/ClientConnections.java
+++ b/src/main/java/firstage/server/client/ClientConnections.java
@@ -21,12 +21,12 @@
  * never one with an open call. Owned by the I/O thread.
  */
 final class ClientConnections {
-    /** Time after which a new connection is closed without a call; clients send theirs at once. */
+    /** Time after which a connection is closed if it has carried no call; clients call at once. */
     private static final long MAX_SILENT_MS = 2_000;
 
     /**
-     * Time after its last call after which a connection is closed. Clients close their idle
-     * connections after 4 s, so one that is idle for longer is abandoned.
+     * Time from its last call until a connection is closed. Clients close their idle connections
+     * after 4 s, so one that is idle for longer is abandoned.
      */
     private static final long MAX_IDLE_MS = 5_000;
 
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Adds a connection; at the limit, closes another one for it. If all have open calls, closes the
+     * Adds a connection; at the limit, closes another one for it. If none can be closed, closes the
      * new connection and returns false.
      */
     boolean tryAdd(StreamConnection connection) {
@@ -69,7 +69,7 @@
         return true;
     }
 
-    /** Removes the connection when it closes; its own close listener is still called. */
+    /** Removes the connection when it closes; a close listener that it already has is called, too. */
     void watchClose(StreamConnection connection) {
         if (!connection.isOpen()) {
             remove(connection);
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Sets the listener that is called once when the connection closes; replaces a previous one. */
+    /** Sets the listener that is called once when the connection closes; replaces another one. */
     void onClose(StreamConnection connection, Runnable listener) {
         closeListeners.put(connection, listener);
     }
@@ -137,7 +137,10 @@
         }
     }
 
-    /** Closes the connection that was without a call for longest; false if all have open calls. */
+    /**
+     * Closes the connection that was without a call for longest, unless another one closes while it
+     * is read. Returns whether there is room for another connection.
+     */
     private boolean closeLongestWithoutCall() {
         Map<StreamConnection, Long> candidates =
                 silentSinceMs.isEmpty() ? idleSinceMs : silentSinceMs;
@@ -177,7 +180,7 @@
         IoUtils.safeClose(connection);
     }
 
-    /** Closes connections that have been without a call for too long; repeats itself periodically. */
+    /** Closes connections that were without a call for too long; repeats itself periodically. */
     void sweep() {
         sweep(silentSinceMs, MAX_SILENT_MS, "silent client connections closed");
         sweep(idleSinceMs, MAX_IDLE_MS, "idle client connections closed");
--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -38,22 +38,22 @@
     private static final int MAX_STATEMENT_BYTES = 64 * 1024;
 
     /**
-     * Limit on the head of a call; a longer head is answered with 431. A head of more than four times
-     * the limit is answered like input that is not HTTP.
+     * Limit on the head of a call; a longer head is answered with 431. A head of more than four
+     * times the limit is answered like input that is not HTTP.
      */
     private static final int MAX_HEAD_BYTES = 16 * 1024;
 
     private static final int ACCEPT_BACKLOG = 512;
 
-    /** Delay before another accept while the system can't accept connections. */
+    /** Delay before accepting is tried again while the system can't accept connections. */
     private static final int ACCEPT_RETRY_MS = 5;
 
-    /** Time from the end of a call's head to the end of its statement. */
+    /** Maximum time from the end of a call's head to the end of its statement. */
     private static final int MAX_BODY_READ_MS = 2_000;
 
     /**
-     * Retry delay sent to a client whose statement can't be kept for lack of memory; much of the
-     * memory is released by then.
+     * Retry delay sent to a client whose statement can't be kept for lack of memory; much of what
+     * is kept is released by then.
      */
     private static final int BUSY_RETRY_AFTER_MS = 500;
 
@@ -123,8 +123,8 @@
 
     /**
      * Accepts all waiting connections; if only some were accepted, requests on the others would be
-     * read several selector passes later. While the system can't accept any, tries again every {@link
-     * #ACCEPT_RETRY_MS}.
+     * read several selector passes later. While the system can't accept any, tries again every
+     * {@link #ACCEPT_RETRY_MS}.
      */
     private void acceptPending() {
         if (!listener.isOpen()) {
@@ -177,8 +177,9 @@
     }
 
     /**
-     * Prepares the end of a shutdown, when the front sends no more requests. New connections are
-     * still accepted: a client whose connection broke must be able to fetch its answer or to cancel.
+     * Starts the last phase of a shutdown, in which the front sends no more requests and each
+     * connection is closed after its next answer. New connections are still accepted: a client
+     * whose connection broke must be able to fetch its answer or to cancel.
      */
     public void onFrontStopped(long now) {
         responses.closing(now);
@@ -187,7 +188,7 @@
         acceptPending();
     }
 
-    /** Stops accepting connections; calls on the open ones are still answered. */
+    /** Accepts the waiting connections and then no more; calls on open ones are still answered. */
     public void close() {
         acceptPending();
         IoUtils.safeClose(listener);
--- a/src/main/java/firstage/server/client/ClientProtocol.java
+++ b/src/main/java/firstage/server/client/ClientProtocol.java
@@ -34,7 +34,7 @@
     /** The client's estimate of the memory, in MB. */
     static final HttpString MEMORY_MB = new HttpString("X-Memory");
 
-    /** Ordering key: requests with the same key run one at a time, in the order of their arrival. */
+    /** Ordering key: requests with the same key run one at a time, in the order of arrival. */
     static final HttpString ORDERING_KEY = new HttpString("X-Item");
 
     /** Header of an answer: time after which the client may retry, in ms. */
@@ -63,8 +63,8 @@
     }
 
     /**
-     * Returns whether the client sent its next call before this one was answered, which the protocol
-     * does not allow.
+     * Returns whether the client sent its next call before this one was answered, which the
+     * protocol does not allow.
      */
     static boolean isPipelined(HttpServerExchange exchange) {
         return ((AbstractServerConnection) exchange.getConnection()).getExtraBytes() != null;
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Returns the value of a header; null if it is missing. Returns an empty text, which is not valid
-     * for any header of this protocol, if the header occurs more than once.
+     * Returns the value of a header; null if it is missing, and an empty text, which is not valid
+     * for any header of this protocol, if it occurs more than once.
      */
     static String text(HttpServerExchange exchange, HttpString header) {
         HeaderValues values = exchange.getRequestHeaders().get(header);
@@ -91,8 +91,8 @@
     }
 
     /**
-     * Returns a decimal number from a header; {@code defaultValue} if the header is missing, and NaN if it
-     * is malformed.
+     * Returns a decimal number from a header; {@code defaultValue} if the header is missing, and
+     * NaN if it is malformed.
      */
     static double number(HttpServerExchange exchange, HttpString header, double defaultValue) {
         String text = text(exchange, header);
--- a/src/main/java/firstage/server/client/ClientResponses.java
+++ b/src/main/java/firstage/server/client/ClientResponses.java
@@ -25,11 +25,12 @@
  */
 final class ClientResponses {
     /**
-     * Limit, in time and in size, on the input that is read and discarded after the last answer on a
-     * connection. Closing the connection at once could reset it and destroy the answer.
+     * Time for which input is read and discarded after the last answer on a connection. Closing the
+     * connection at once could reset it and destroy the answer.
      */
     private static final int DRAIN_MS = 300;
 
+    /** Limit on the input that is discarded in that time. */
     private static final int MAX_DRAIN_BYTES = 256 * 1024;
 
     /**
@@ -38,6 +39,7 @@
      */
     private static final int MAX_WRITE_MS = 10_000;
 
+    /** The same time in the last phase of a shutdown, whose end must not be delayed for long. */
     private static final int MAX_WRITE_CLOSING_MS = 1_000;
     private static final int WRITE_SWEEP_PERIOD_MS = 250;
 
@@ -47,7 +49,7 @@
     private final ActionGuard guard;
     private final ClientConnections connections;
 
-    /** Calls whose answers are not completely written, with the start of the write; oldest first. */
+    /** Calls whose answers are not completely written, and since when; oldest first. */
     private final Map<HttpServerExchange, Long> writeStartedAt = new LinkedHashMap<>();
 
     private long closingSince;
@@ -66,7 +68,7 @@
         this.connections = connections;
     }
 
-    /** Starts the last phase of a shutdown: each connection is closed after its next answer. */
+    /** Starts the last phase of a shutdown, in which each connection ends with its next answer. */
     void closing(long now) {
         closeAfterAnswer = true;
         closingSince = now;
@@ -121,9 +123,9 @@
     }
 
     /**
-     * Answers an unusable call with an error, reads a limited amount of further input and closes the
-     * connection. Undertow by itself would first read the complete body, so a client that never ends
-     * its body would occupy the one thread that serves all clients.
+     * Answers an unusable call with an error, reads a limited amount of further input and closes
+     * the connection. Undertow by itself would first read the complete body, so a client that never
+     * ends its body would occupy the one thread that serves all clients.
      */
     void refuseAndClose(HttpServerExchange exchange, int status, String reason) {
         counters.count("client calls refused with " + status);
--- a/src/main/java/firstage/server/client/JsonRows.java
+++ b/src/main/java/firstage/server/client/JsonRows.java
@@ -46,7 +46,7 @@
         return ByteBuffer.wrap(out.toByteArray());
     }
 
-    /** Writes one byte of a text, escaped if needed; bytes of non-ASCII characters are unchanged. */
+    /** Writes a byte of a text, escaped if needed; bytes of non-ASCII characters are unchanged. */
     private static void writeEscaped(ByteArrayOutputStream out, byte b) {
         if (b == '"' || b == '\\') {
             out.write('\\');
--- a/src/main/java/firstage/server/client/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -24,7 +24,7 @@
 /**
  * Handles a client's request over HTTP: performs the actions of its {@link ClientCallStateMachine}.
  * The connection is read while a call is held, because a client cancels by closing it and Undertow
- * does not read by itself in that time. Owned by the I/O thread.
+ * does not read by itself in that time. Owned by the I/O thread; times are ticks.
  */
 final class PendingCall
         implements RequestExchange.ResponseActions,
@@ -35,6 +35,7 @@
     private static final byte[] BUSY_BODY =
             "{\"err\":\"Busy\"}\n".getBytes(StandardCharsets.US_ASCII);
 
+    /** Answer to the request; {@code retryAfter} is 0 if the client is not told when to retry. */
     private record Answer(int status, long retryAfter, ByteBuffer body) {}
 
     private static final Answer FAILED = new Answer(500, 0, ByteBuffer.wrap(FAILED_BODY));
@@ -57,14 +58,14 @@
      */
     private final List<HeldCall> heldCalls = new ArrayList<>();
 
-    /** Connection on which the poll path was sent; null before that and once the client polls. */
+    /** Connection on which the poll path was sent, until the client polls or closes it; else null. */
     private StreamConnection pathConnection;
 
     private long pathSentAt;
 
     /**
-     * Time at which a connection on which the client waits, or is expected to poll, was last known to
-     * be open.
+     * Time at which a connection on which the client waits, or is expected to poll, was last known
+     * to be open.
      */
     private long connectionOpenAt;
 
@@ -140,7 +141,7 @@
             connection.getOriginalSourceConduit().resumeReads();
         }
 
-        /** Stops reading the connection and returns the exchange, to be answered. */
+        /** Stops reading the connection and returns the exchange so that it can be answered. */
         HttpServerExchange release() {
             heldCalls.remove(this);
             connection.getOriginalSourceConduit().suspendReads();
@@ -187,7 +188,7 @@
 
     /**
      * Handles the end of a call's input. The first call is answered as failed, since its client may
-     * have closed its own side only and still read.
+     * have closed only its own side and still read.
      */
     private void onConnectionEnded(HeldCall call) {
         if (call.isPoll()) {
--- a/src/main/java/firstage/server/client/PendingCalls.java
+++ b/src/main/java/firstage/server/client/PendingCalls.java
@@ -16,7 +16,7 @@
     private final long maxKeptBytes;
     private final Map<String, PendingCall> byPollPath = new HashMap<>();
 
-    /** Ids of the requests that are not answered yet. */
+    /** Ids of the requests that are neither answered nor released. */
     private final Set<String> openRequestIds = new HashSet<>();
 
     /** Total size of the statements and answers that are kept for clients. */
@@ -30,7 +30,7 @@
         this.maxKeptBytes = maxKeptBytes;
     }
 
-    /** Returns whether the request with this id is not answered yet. */
+    /** Returns whether the request with this id is neither answered nor released. */
     boolean isOpen(String requestId) {
         return openRequestIds.contains(requestId);
     }
@@ -40,7 +40,7 @@
         return keptBytes + bytes <= maxKeptBytes;
     }
 
-    /** Returns whether no client waits for an answer. */
+    /** Returns whether all requests are answered or released. */
     boolean allAnswered() {
         return unansweredCount == 0;
     }
@@ -63,7 +63,7 @@
         unansweredCount++;
     }
 
-    /** Records that the answer was sent to the client. */
+    /** Records that the answer was sent, or that the client needs none any more. */
     void onAnswerSent(PendingCall call) {
         openRequestIds.remove(call.id());
         unansweredCount--;
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Adds to the number of kept bytes; negative if bytes are released. */
+    /** Adds {@code change}, negative if bytes are released, to the number of kept bytes. */
     void addKeptBytes(int change) {
         keptBytes += change;
         counters.peak("max bytes kept for clients", keptBytes);
--- a/src/main/java/firstage/server/client/StatementCallValidator.java
+++ b/src/main/java/firstage/server/client/StatementCallValidator.java
@@ -7,14 +7,14 @@
 /** Validates calls that submit a statement; a call is refused for the first fault found. */
 final class StatementCallValidator {
     /**
-     * Upper limit on both estimates: work in ms (a year on one core) and memory in MB (the memory of
-     * a thousand engines).
+     * Upper limit on both estimates: work in ms (a year on one core) and memory in MB (the memory
+     * of a thousand engines).
      */
     static final double MAX_ESTIMATE = 3e10;
 
     /**
-     * Upper limit on the timeout as a multiple of the deadline of the traffic class. No client waits
-     * longer; inaccurate clocks and rounding need far less.
+     * Upper limit on the timeout as a multiple of the deadline of the traffic class. No client
+     * waits longer; inaccurate clocks and rounding need far less.
      */
     private static final double MAX_TIMEOUT_FACTOR = 1.5;
 
--- a/src/main/java/firstage/server/client/StatementTables.java
+++ b/src/main/java/firstage/server/client/StatementTables.java
@@ -8,9 +8,9 @@
 
 /**
  * Finds the table group that a statement reads or writes: the number after the underscore in the
- * name of the schema (17 in {@code sales_17.orders}). Ignores strings, comments and the schema
- * {@code staging}. A qualified name in a list of tables takes precedence over one elsewhere, whose
- * first part may be the alias of a table.
+ * name of the schema (17 in {@code sales_17.orders}). Ignores strings, comments and schemas without
+ * a number, such as {@code staging}. A qualified name in a list of tables takes precedence over one
+ * elsewhere, whose first part may be the alias of a table.
  */
 final class StatementTables {
     private static final Set<String> TABLE_LIST_OPENERS =
@@ -23,8 +23,8 @@
     private int position;
 
     /**
-     * Current token: a name as written but without quotes, a single character, {@code 0} for a number
-     * and a quote for a string; null at the end.
+     * Current token: a name as written but without quotes, a single character, {@code 0} for any
+     * number or a quote for any string; null at the end.
      */
     private String token;
 
@@ -41,9 +41,10 @@
 
     private int findTableGroup() {
         // A list of tables begins after FROM and similar keywords, in the statement or in a query
-        // in parentheses.
+        // in parentheses, but not in EXTRACT(DAY FROM x) or after IS DISTINCT.
         boolean inTableList = false;
         boolean inQuery = true;
+        // Values of inTableList and inQuery before each parenthesis that is open.
         Deque<boolean[]> enclosing = new ArrayDeque<>();
         String previousWord = "";
         int groupOutsideTableList = -1;
