--- a/src/main/java/firstage/server/client/BadRequestResponse.java
+++ b/src/main/java/firstage/server/client/BadRequestResponse.java
@@ -7,9 +7,9 @@
 import org.xnio.conduits.StreamSinkConduit;
 
 /**
- * Gives the answer to input that is not HTTP a JSON body like that of all other refusals. Undertow's
- * parser sends this answer, a 400 without a body, before any handler is called. All other output
- * passes unchanged.
+ * Gives the answer to input that is not HTTP a JSON body like that of all other refusals.
+ * Undertow's parser sends this answer, a 400 without a body, before any handler is called. All
+ * other output passes unchanged.
  */
 final class BadRequestResponse extends AbstractStreamSinkConduit<StreamSinkConduit> {
     private static final byte[] EMPTY_BAD_REQUEST =
--- a/src/main/java/firstage/server/client/ClientConnections.java
+++ b/src/main/java/firstage/server/client/ClientConnections.java
@@ -69,7 +69,7 @@
         return true;
     }
 
-    /** Removes the connection when it closes; a close listener that it already has is called, too. */
+    /** Removes the connection when it closes; its existing close listener is called, too. */
     void watchClose(StreamConnection connection) {
         if (!connection.isOpen()) {
             remove(connection);
--- a/src/main/java/firstage/server/client/ClientResponses.java
+++ b/src/main/java/firstage/server/client/ClientResponses.java
@@ -39,7 +39,7 @@
      */
     private static final int MAX_WRITE_MS = 10_000;
 
-    /** The same time in the last phase of a shutdown, whose end must not be delayed for long. */
+    /** The same time in the last phase of a shutdown; enough for a client that reads. */
     private static final int MAX_WRITE_CLOSING_MS = 1_000;
     private static final int WRITE_SWEEP_PERIOD_MS = 250;
 
--- a/src/main/java/firstage/server/client/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -58,7 +58,7 @@
      */
     private final List<HeldCall> heldCalls = new ArrayList<>();
 
-    /** Connection on which the poll path was sent, until the client polls or closes it; else null. */
+    /** Connection on which the poll path was sent; null before that, after a poll or its close. */
     private StreamConnection pathConnection;
 
     private long pathSentAt;
--- a/src/main/java/firstage/server/client/StatementTables.java
+++ b/src/main/java/firstage/server/client/StatementTables.java
@@ -41,7 +41,7 @@
 
     private int findTableGroup() {
         // A list of tables begins after FROM and similar keywords, in the statement or in a query
-        // in parentheses, but not in EXTRACT(DAY FROM x) or after IS DISTINCT.
+        // in parentheses, but not in EXTRACT(DAY FROM x) or IS DISTINCT FROM x.
         boolean inTableList = false;
         boolean inQuery = true;
         // Values of inTableList and inQuery before each parenthesis that is open.
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -32,23 +32,23 @@
     private static final Logger LOG = Logger.getLogger(EndpointWatcher.class.getName());
 
     /**
-     * Time without input after which another connection is opened. The coordinator sends an empty
-     * frame each second, so two are missing then. Updates must be in force within 7 s.
+     * Time without input after which the connection is replaced. The coordinator sends an empty
+     * frame each second, so two are missing by then. Updates must be in force within 7 s.
      */
     private static final long SILENCE_TIMEOUT_MS = 2_300;
 
     private static final long CONNECT_TIMEOUT_MS = 1_000;
 
     /**
-     * Delay before another connection attempt is started in parallel. A connection is established in
-     * a few ms, but a lost first packet is sent again only after 1 s.
+     * Delay before another connection attempt is started in parallel. A connection is established
+     * in a few ms, but a lost first packet is sent again only after 1 s.
      */
     private static final long PARALLEL_ATTEMPT_DELAY_MS = 150;
 
     private static final long RECONNECT_DELAY_MS = 200;
 
     /**
-     * Maximum number of parallel connection attempts: all of them start well before the first is
+     * Maximum number of parallel connection attempts. All of them start well before the first is
      * cancelled, and they use few file descriptors.
      */
     private static final int MAX_PARALLEL_ATTEMPTS = 5;
@@ -109,9 +109,9 @@
     }
 
     /**
-     * Passes on the updates in a configuration that are not known yet, then follows its coordinator.
-     * After a reload of the configuration the coordinator may be another one, so the old connection
-     * is closed at once. Event numbers continue.
+     * Passes on the updates in a configuration that are not known yet, then follows its
+     * coordinator. After a reload of the configuration the coordinator may be another one, so the
+     * old connection is closed at once; the numbering of events continues.
      */
     public void follow(ManagerConfig config) {
         configuredAt = clock.now();
@@ -140,8 +140,8 @@
     }
 
     /**
-     * Returns whether the list may be acted on. A manager that was down starts with an outdated list,
-     * and would send statements to engines that began to drain in the meantime.
+     * Returns whether the list may be acted on. A manager that was down starts with an outdated
+     * list, and would send statements to engines that began to drain in the meantime.
      */
     public boolean isConfirmed() {
         return confirmed || coordinator == null;
@@ -175,8 +175,9 @@
     }
 
     /**
-     * Starts a connection attempt, and another one in parallel if it is slow: a lost first packet is
-     * sent again only after 1 s, in which this manager would send statements to draining engines.
+     * Starts a connection attempt, and another one in parallel if it is slow: a lost first packet
+     * is sent again only after 1 s, in which this manager would send statements to draining
+     * engines.
      */
     private void openConnection(long generation, int attempt) {
         if (generation != connectionGeneration || connection != null) {
@@ -200,8 +201,8 @@
                                     connectTimeout.remove();
                                     boolean done = future.getStatus() == IoFuture.Status.DONE;
                                     if (generation != connectionGeneration || closed || connection != null) {
-                                        // The coordinator has changed in the meantime, or
-                                        // another attempt was faster.
+                                        // The watcher was closed or follows another coordinator,
+                                        // or another attempt was faster.
                                         IoUtils.safeClose(done ? result(future) : null);
                                     } else if (done) {
                                         onConnected(result(future));
--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -24,8 +24,8 @@
     private static final int READ_BUFFER_BYTES = 16 * 1024;
 
     /**
-     * Keep-alive time of the engines' connections if the settings define none, in ticks. Connections
-     * are closed once they were idle for half of the keep-alive time.
+     * Keep-alive time in ticks if the settings define none. Connections are closed when they were
+     * idle for half of the keep-alive time.
      */
     private static final long DEFAULT_KEEP_ALIVE = Ticks.ofSeconds(1);
 
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -57,7 +57,7 @@
     private final Set<EngineConnection> openConnections = new HashSet<>();
     private int connectingCount;
 
-    /** Number of attempts whose statement was written to this engine; not yet released. */
+    /** Number of unreleased attempts whose statement was written to this engine. */
     private int runningAttempts;
 
     private long lastReceivedAt = Long.MIN_VALUE / 2;
@@ -275,8 +275,9 @@
     }
 
     /**
-     * Keeps a connection unused for {@link #QUARANTINE_PERIOD}. If its last response was a duplicate,
-     * the genuine one arrives in that time; its bytes belong to no call and close the connection.
+     * Keeps a connection unused for {@link #QUARANTINE_PERIOD}. If its last response was a
+     * duplicate, the genuine one arrives in that time; the connection is then closed, since its
+     * bytes belong to no call.
      */
     void onSuspectedDuplicate(EngineConnection connection) {
         connection.doubtUntil = clock.now() + QUARANTINE_PERIOD;
--- a/src/main/java/org/xnio/nio/IoThreadTcpServer.java
+++ b/src/main/java/org/xnio/nio/IoThreadTcpServer.java
@@ -13,9 +13,10 @@
 /**
  * A listening socket whose connections are accepted on the I/O thread itself, when its owner asks
  * for them. XNIO's own servers accept on a separate thread, hand over connections through a queue,
- * and accept nothing for 0.25 s or longer after a failed accept. A request on a new connection would
- * then be read after requests that arrived later, or too late. XNIO has no public method to register
- * a socket, so this class is in its package (both jars are on the class path; no module is opened).
+ * and accept nothing for 0.25 s or longer after a failed accept. A request on a new connection
+ * would then be read after requests that arrived later, or too late. XNIO has no public method to
+ * register a socket, so this class is in its package (both jars are on the class path; no module is
+ * opened).
  */
 public final class IoThreadTcpServer extends NioHandle implements Closeable {
     private final ServerSocketChannel socket;
--- a/src/test/java/firstage/server/discovery/EndpointParserTest.java
+++ b/src/test/java/firstage/server/discovery/EndpointParserTest.java
@@ -71,8 +71,9 @@
 
     @Test
     void parse_startTime_isOnTickClock() throws IOException {
-        long since = parser.parse(record(0, System.currentTimeMillis() - 3_000)).get(0).startedAt();
-        assertThat(clock.now() - since).isBetween(29_000L, 40_000L);
+        long startedAt =
+                parser.parse(record(0, System.currentTimeMillis() - 3_000)).get(0).startedAt();
+        assertThat(clock.now() - startedAt).isBetween(29_000L, 40_000L);
     }
 
     @Test
