--- a/src/main/java/firstage/server/client/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -58,7 +58,10 @@
      */
     private final List<HeldCall> heldCalls = new ArrayList<>();
 
-    /** Connection on which the poll path was sent; null before that, after a poll or its close. */
+    /**
+     * Connection on which the poll path was sent; null before that, and once the client has polled
+     * or closed it.
+     */
     private StreamConnection pathConnection;
 
     private long pathSentAt;
--- a/src/main/java/firstage/server/client/StatementCallValidator.java
+++ b/src/main/java/firstage/server/client/StatementCallValidator.java
@@ -14,7 +14,7 @@
 
     /**
      * Upper limit on the timeout as a multiple of the deadline of the traffic class. No client
-     * waits longer; inaccurate clocks and rounding need far less.
+     * waits longer; the margin is far more than inaccurate clocks and rounding need.
      */
     private static final double MAX_TIMEOUT_FACTOR = 1.5;
 
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -195,7 +195,7 @@
                                 PARALLEL_ATTEMPT_DELAY_MS,
                                 TimeUnit.MILLISECONDS);
         connectFuture.addNotifier(
-                (future, none) ->
+                (future, attachment) ->
                         io.execute(
                                 () -> {
                                     connectTimeout.remove();
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -194,7 +194,7 @@
         // Handled as a later event on the I/O thread: a refused connection may be reported before
         // this method returns.
         connectFuture.addNotifier(
-                (future, none) ->
+                (future, attachment) ->
                         context.io()
                                 .execute(
                                         () -> {
@@ -276,8 +276,8 @@
 
     /**
      * Keeps a connection unused for {@link #QUARANTINE_PERIOD}. If its last response was a
-     * duplicate, the genuine one arrives in that time; the connection is then closed, since its
-     * bytes belong to no call.
+     * duplicate, the genuine one arrives in that time and, since it belongs to no call, closes the
+     * connection.
      */
     void onSuspectedDuplicate(EngineConnection connection) {
         connection.doubtUntil = clock.now() + QUARANTINE_PERIOD;
