--- a/src/main/java/firstage/bench/BenchAdapter.java
+++ b/src/main/java/firstage/bench/BenchAdapter.java
@@ -107,7 +107,8 @@
 
     private void addListEntry(WireFields entry) {
         if (openList == null || openList.size() == openListSize) {
-            throw new MalformedLineException("list entry without a list, or beyond the size of its list");
+            throw new MalformedLineException(
+                    "list entry without a list, or beyond the size of its list");
         }
         openList.add(entry);
     }
--- a/src/main/java/firstage/cells/CellDirectory.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -378,7 +378,9 @@
         applyRow(
                 now,
                 ownCell,
-                row.receivedAt != NEVER && row.timestamp - unixSeconds >= 0 ? row.timestamp + 1 : unixSeconds,
+                row.receivedAt != NEVER && row.timestamp - unixSeconds >= 0
+                        ? row.timestamp + 1
+                        : unixSeconds,
                 leastPlanNumber(),
                 view.size(),
                 actions.sheddingThreshold());
@@ -453,7 +455,10 @@
                     case NONE -> {}
                     case FIRST_HEARD ->
                             actions.logCellEvent(
-                                    now, "met", cellName, row.aliveManagers + " managers are alive");
+                                    now,
+                                    "met",
+                                    cellName,
+                                    row.aliveManagers + " managers are alive");
                     case LOST ->
                             actions.logCellEvent(
                                     now,
@@ -529,7 +534,8 @@
             }
         }
         BigEndianBytes writer =
-                newMessage(1 + selected.size() * ROW_BYTES + coordinatorDigest.length).put(selected.size(), 1);
+                newMessage(1 + selected.size() * ROW_BYTES + coordinatorDigest.length)
+                        .put(selected.size(), 1);
         selected.forEach(cell -> writeRow(writer, cell));
         return writer.put(coordinatorDigest).bytes();
     }
--- a/src/main/java/firstage/cli/CellsSectionReader.java
+++ b/src/main/java/firstage/cli/CellsSectionReader.java
@@ -64,7 +64,9 @@
         if (!(toml.value(CELLS) instanceof TomlArray sections) || sections.size() > MAX_CELLS) {
             throw toml.invalid(
                     CELLS,
-                    "is not a list of sections, or has more than " + MAX_CELLS + "; write [[cell]]");
+                    "is not a list of sections, or has more than "
+                            + MAX_CELLS
+                            + "; write [[cell]]");
         }
         int number =
                 toml.wholeNumber(
@@ -97,7 +99,8 @@
         String name = toml.name(section, position, CELLS, CELL_NAME);
         if (cells.stream().anyMatch(cell -> cell.name().equals(name))) {
             throw toml.invalid(
-                    position, "cell.name: '" + name + "' is listed twice; write one section for each cell");
+                    position,
+                    "cell.name: '" + name + "' is listed twice; write one section for each cell");
         }
         Object serves = section.get(List.of(CELL_SERVES));
         if (serves != null && !(serves instanceof Boolean)) {
@@ -127,7 +130,8 @@
     private List<InetSocketAddress> hosts(TomlTable section, TomlPosition position) {
         if (!(section.get(List.of(CELL_HOSTS)) instanceof TomlArray ranges) || ranges.isEmpty()) {
             throw toml.invalid(
-                    position, "cell.hosts: is absent or empty; write hosts = [\"10.0.0.1-40:7946\"]");
+                    position,
+                    "cell.hosts: is absent or empty; write hosts = [\"10.0.0.1-40:7946\"]");
         }
         List<InetSocketAddress> hosts = new ArrayList<>();
         for (Object range : ranges.toList()) {
@@ -193,7 +197,8 @@
             return null;
         }
         if (!(toml.value(PREVIOUS_PLAN) instanceof TomlTable section)) {
-            throw toml.invalid(PREVIOUS_PLAN, "is not a section; write [before] with plan and cells");
+            throw toml.invalid(
+                    PREVIOUS_PLAN, "is not a section; write [before] with plan and cells");
         }
         TomlPosition position = toml.position(PREVIOUS_PLAN);
         requireKnownKeys(section, PREVIOUS_PLAN, PREVIOUS_PLAN_KEYS);
--- a/src/main/java/firstage/cli/FaultScheduleCommand.java
+++ b/src/main/java/firstage/cli/FaultScheduleCommand.java
@@ -37,8 +37,7 @@
         long firstSeed = wholeNumber(arguments.get(0));
         long count = wholeNumber(arguments.get(1));
         if (count < 1) {
-            throw new IllegalArgumentException(
-                    count + " is not a valid COUNT; use 1 or more");
+            throw new IllegalArgumentException(count + " is not a valid COUNT; use 1 or more");
         }
         InjectedDefect defect =
                 arguments.size() > 2 ? defect(arguments.get(2)) : InjectedDefect.NONE;
@@ -63,7 +62,9 @@
             return Long.parseLong(text);
         } catch (NumberFormatException exception) {
             throw new IllegalArgumentException(
-                    text + " is not a whole number; FIRST is the first seed, COUNT the number of schedules");
+                    text
+                            + " is not a whole number; FIRST is the first seed, COUNT the number of"
+                            + " schedules");
         }
     }
 
--- a/src/main/java/firstage/cli/FaultTestCommand.java
+++ b/src/main/java/firstage/cli/FaultTestCommand.java
@@ -14,8 +14,8 @@
             FaultTestListCommand.class
         },
         description =
-                "Runs many processes of the program with emulated engines and clients, injects faults"
-                        + " between them and evaluates the outcome;"
+                "Runs many processes of the program with emulated engines and clients, injects"
+                        + " faults between them and evaluates the outcome;"
                         + " docs/operators/fault-tests.md explains the results.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
--- a/src/main/java/firstage/cli/FaultTestRunCommand.java
+++ b/src/main/java/firstage/cli/FaultTestRunCommand.java
@@ -37,10 +37,7 @@
             description = "the plan; deploy/fault-tests contains some")
     private Path file;
 
-    @Option(
-            names = "--seed",
-            defaultValue = "1",
-            description = "random seed (${DEFAULT-VALUE})")
+    @Option(names = "--seed", defaultValue = "1", description = "random seed (${DEFAULT-VALUE})")
     private long seed;
 
     @Option(
@@ -67,7 +64,9 @@
             description = "runs the plan with this jar, too, for comparison")
     private Path against;
 
-    @Option(names = "--peers", description = "starts the managers with peers files, so that they form a membership")
+    @Option(
+            names = "--peers",
+            description = "starts the managers with peers files, so that they form a membership")
     private boolean peers;
 
     @Override
@@ -109,7 +108,8 @@
             }
             return plan;
         } catch (NoSuchFileException exception) {
-            throw new InvalidPlanException(file + " does not exist; fault-test list prints the plans");
+            throw new InvalidPlanException(
+                    file + " does not exist; fault-test list prints the plans");
         } catch (InvalidPlanException exception) {
             throw exception.inFile(file.toString());
         }
--- a/src/main/java/firstage/cli/FaultTestShowCommand.java
+++ b/src/main/java/firstage/cli/FaultTestShowCommand.java
@@ -78,7 +78,8 @@
         return (request == null || request.equals(event.get(REQUEST)))
                 && (engine == null || engine.equals(event.get("engine")))
                 && (manager == null || manager.equals(event.get("manager")))
-                && (atSecond == null || Math.abs(timeMs(event) - atSecond * 1_000) <= MAX_DISTANCE_MS);
+                && (atSecond == null
+                        || Math.abs(timeMs(event) - atSecond * 1_000) <= MAX_DISTANCE_MS);
     }
 
     private static double timeMs(Map<String, String> event) {
--- a/src/main/java/firstage/cli/FleetOptions.java
+++ b/src/main/java/firstage/cli/FleetOptions.java
@@ -40,8 +40,7 @@
     /** Reads the plan from the file. */
     FleetPlan plan() throws IOException {
         if (seeds < 1) {
-            throw new InvalidPlanException(
-                    "--seeds " + seeds + " is out of range; use 1 or more");
+            throw new InvalidPlanException("--seeds " + seeds + " is out of range; use 1 or more");
         }
         try {
             return FleetPlanReader.read(Files.readString(file));
--- a/src/main/java/firstage/cli/PeersFileReader.java
+++ b/src/main/java/firstage/cli/PeersFileReader.java
@@ -131,7 +131,8 @@
         if (!(value instanceof Number number
                 && number.doubleValue() > 0
                 && number.doubleValue() <= MAX_WEIGHT)) {
-            throw toml.invalid(WEIGHT, value + " is not a number above 0 and up to 100; 1.0 would do");
+            throw toml.invalid(
+                    WEIGHT, value + " is not a number above 0 and up to 100; 1.0 would do");
         }
         return number.doubleValue();
     }
@@ -176,7 +177,9 @@
                     toml.address(peers.inputPositionOf(i), PEERS + "." + PEER_ADDRESS, value))) {
                 throw toml.invalid(
                         peers.inputPositionOf(i),
-                        "peer.address: " + value + " is listed twice; write one [[peer]] for each address");
+                        "peer.address: "
+                                + value
+                                + " is listed twice; write one [[peer]] for each address");
             }
         }
         return new ArrayList<>(addresses);
--- a/src/main/java/firstage/cli/PeersToml.java
+++ b/src/main/java/firstage/cli/PeersToml.java
@@ -160,7 +160,8 @@
     /** Returns one section of a list, such as the third [[peer]]. */
     TomlTable section(TomlArray sections, int index, String name) {
         if (!(sections.get(index) instanceof TomlTable section)) {
-            throw invalid(sections.inputPositionOf(index), "is not a section; write [[" + name + "]]");
+            throw invalid(
+                    sections.inputPositionOf(index), "is not a section; write [[" + name + "]]");
         }
         return section;
     }
--- a/src/main/java/firstage/cli/ScaleChoicesCommand.java
+++ b/src/main/java/firstage/cli/ScaleChoicesCommand.java
@@ -11,7 +11,8 @@
 @Command(
         name = "choices",
         mixinStandardHelpOptions = true,
-        description = "Measures what the decisions on a batch cost, by the number of engines known.")
+        description =
+                "Measures what the decisions on a batch cost, by the number of engines known.")
 final class ScaleChoicesCommand implements Callable<Integer> {
     private static final int MAX_COUNT = 10_000;
 
--- a/src/main/java/firstage/cli/ScaleRunCommand.java
+++ b/src/main/java/firstage/cli/ScaleRunCommand.java
@@ -19,13 +19,22 @@
 final class ScaleRunCommand implements Callable<Integer> {
     private static final int VOID_STATUS = 1;
 
-    @Parameters(index = "0", paramLabel = "FILE", description = "the plan; deploy/scale contains some")
+    @Parameters(
+            index = "0",
+            paramLabel = "FILE",
+            description = "the plan; deploy/scale contains some")
     private Path file;
 
-    @Option(names = "--hollow", paramLabel = "N", description = "number of hollow managers, if not the plan's")
+    @Option(
+            names = "--hollow",
+            paramLabel = "N",
+            description = "number of hollow managers, if not the plan's")
     private Integer hollow;
 
-    @Option(names = "--real", paramLabel = "N", description = "number of real managers, if not the plan's")
+    @Option(
+            names = "--real",
+            paramLabel = "N",
+            description = "number of real managers, if not the plan's")
     private Integer real;
 
     @Option(
@@ -34,13 +43,13 @@
             description = "managers in a cell; 0: a fleet without cells")
     private Integer cell;
 
-    @Option(names = "--engines", paramLabel = "N", description = "number of engines, if not the plan's")
+    @Option(
+            names = "--engines",
+            paramLabel = "N",
+            description = "number of engines, if not the plan's")
     private Integer engines;
 
-    @Option(
-            names = "--seed",
-            defaultValue = "1",
-            description = "random seed (${DEFAULT-VALUE})")
+    @Option(names = "--seed", defaultValue = "1", description = "random seed (${DEFAULT-VALUE})")
     private long seed;
 
     @Option(
--- a/src/main/java/firstage/cli/ScaleSlopesCommand.java
+++ b/src/main/java/firstage/cli/ScaleSlopesCommand.java
@@ -52,10 +52,7 @@
             description = "number of zones, which cells take in turn" + " (${DEFAULT-VALUE})")
     private int zones;
 
-    @Option(
-            names = "--seed",
-            defaultValue = "1",
-            description = "random seed (${DEFAULT-VALUE})")
+    @Option(names = "--seed", defaultValue = "1", description = "random seed (${DEFAULT-VALUE})")
     private long seed;
 
     @Option(names = "--deep", description = "simulates a mass restart and a day's restarts, too")
@@ -63,7 +60,8 @@
 
     @Option(
             names = "--bare",
-            description = "simulates the membership alone, without the digests of the fleet's decisions")
+            description =
+                    "simulates the membership alone, without the digests of the fleet's decisions")
     private boolean bare;
 
     @Option(
--- a/src/main/java/firstage/cli/ServeCommand.java
+++ b/src/main/java/firstage/cli/ServeCommand.java
@@ -79,7 +79,8 @@
             throw new MalformedLineException(
                     "no configuration: " + CONFIG_FILE_VARIABLE + " is not set");
         }
-        return new ServeCommand(Path.of(configFile), hasPeersOption ? Path.of(options.get(1)) : null);
+        return new ServeCommand(
+                Path.of(configFile), hasPeersOption ? Path.of(options.get(1)) : null);
     }
 
     private void start() throws IOException {
--- a/src/main/java/firstage/cli/ZonesCommand.java
+++ b/src/main/java/firstage/cli/ZonesCommand.java
@@ -15,8 +15,8 @@
         name = "zones",
         mixinStandardHelpOptions = true,
         description =
-                "Orders the fleet to leave a zone, to hold it in use regardless of its health, or to"
-                        + " decide by its health again; docs/operators/zones.md.",
+                "Orders the fleet to leave a zone, to hold it in use regardless of its health, or"
+                        + " to decide by its health again; docs/operators/zones.md.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:the manager accepted the order and passes it on",
--- a/src/main/java/firstage/config/ManagerConfig.java
+++ b/src/main/java/firstage/config/ManagerConfig.java
@@ -107,11 +107,13 @@
         try {
             String host = hostPort.substring(0, colon);
             if (!host.matches("[0-9.]+|[0-9a-fA-F:\\[\\]]+")) {
-                throw new MalformedLineException("not an address HOST:PORT with a numeric host: " + hostPort);
+                throw new MalformedLineException(
+                        "not an address HOST:PORT with a numeric host: " + hostPort);
             }
             return new InetSocketAddress(host, Integer.parseInt(hostPort.substring(colon + 1)));
         } catch (IndexOutOfBoundsException | IllegalArgumentException exception) {
-            throw new MalformedLineException("not an address HOST:PORT with a numeric host: " + hostPort);
+            throw new MalformedLineException(
+                    "not an address HOST:PORT with a numeric host: " + hostPort);
         }
     }
 }
--- a/src/main/java/firstage/failover/FleetCoordinator.java
+++ b/src/main/java/firstage/failover/FleetCoordinator.java
@@ -58,7 +58,8 @@
                                                                     defect)))
                             .flatMap(part -> part);
             String constantName = name.toUpperCase(Locale.ROOT).replace('-', '_');
-            return candidates.filter(
+            return candidates
+                    .filter(
                             defects ->
                                     List.of(
                                                     defects.probes.name(),
@@ -91,7 +92,8 @@
             SheddingActions sheddingActions,
             InjectedDefects defects) {
         zones = new ZoneFailover(self, zone, zoneCount, warmUpDuration, zoneActions, defects.zones);
-        probes = new ProbeCoordinator(self, probeInterval, zones::setProbedByOthers, defects.probes);
+        probes =
+                new ProbeCoordinator(self, probeInterval, zones::setProbedByOthers, defects.probes);
         level = new LoadSheddingLevel(self, latencyObjective, sheddingActions, defects.level);
     }
 
--- a/src/main/java/firstage/failover/ZoneFailover.java
+++ b/src/main/java/firstage/failover/ZoneFailover.java
@@ -25,8 +25,8 @@
  * one after another, in the order of their rendezvous rank). Invariants, except for an operator's
  * order: where there are more than two zones, a zone is never evacuated on the reports of one other
  * zone alone, since these indicate a broken link between the two; a zone is never evacuated if
- * fewer than a third of all zones would stay in use. A manager that was paused reports nothing until
- * it has new observations. Times are in ticks.
+ * fewer than a third of all zones would stay in use. A manager that was paused reports nothing
+ * until it has new observations. Times are in ticks.
  */
 public final class ZoneFailover {
     /** Reported value for a zone that this manager has not observed. */
@@ -336,7 +336,9 @@
                     boolean counts = zone.state == State.IN_USE || !observation.avoided;
                     boolean respondedLately =
                             observation.lastResponseAt
-                                    > (zone.state == State.IN_USE ? now - MAX_OBSERVATION_AGE : zone.enteredAt);
+                                    > (zone.state == State.IN_USE
+                                            ? now - MAX_OBSERVATION_AGE
+                                            : zone.enteredAt);
                     boolean isEjected =
                             observation.ejected
                                     && (zone.state != State.RETURNING
@@ -350,9 +352,13 @@
         int[] percentByZone = new int[zones.length];
         for (int zone = 0; zone < zones.length; zone++) {
             int minObserved =
-                    zones[zone].state == State.EVACUATED ? 1 : Math.min(MIN_OBSERVED_ENGINES, total[zone]);
+                    zones[zone].state == State.EVACUATED
+                            ? 1
+                            : Math.min(MIN_OBSERVED_ENGINES, total[zone]);
             boolean insufficient =
-                    observed[zone] == 0 || observed[zone] < minObserved || now < observationsStaleUntil;
+                    observed[zone] == 0
+                            || observed[zone] < minObserved
+                            || now < observationsStaleUntil;
             percentByZone[zone] =
                     !insufficient
                             ? MAX_PERCENT * ejected[zone] / observed[zone]
@@ -466,7 +472,8 @@
         boolean healthy = healthyByReports(zoneIndex, rows);
         zone.failedSince = !failed ? -1 : zone.failedSince < 0 ? now : zone.failedSince;
         zone.healthySince = !healthy ? -1 : zone.healthySince < 0 ? now : zone.healthySince;
-        boolean inHoldTime = now - zone.enteredAt < zone.holdTime && defect != InjectedDefect.NO_HOLD;
+        boolean inHoldTime =
+                now - zone.enteredAt < zone.holdTime && defect != InjectedDefect.NO_HOLD;
         Event event =
                 zone.order == Order.LEAVE
                         ? Event.ORDERED
--- a/src/main/java/firstage/faulttest/ManagerController.java
+++ b/src/main/java/firstage/faulttest/ManagerController.java
@@ -95,12 +95,7 @@
             recorder.writeEvent(clock.elapsed(), "signal", "manager", manager, "name", name);
         } catch (IOException failure) {
             unexpectedEnds.add(
-                    "can't send "
-                            + name
-                            + " to manager "
-                            + manager
-                            + ": "
-                            + failure.getMessage());
+                    "can't send " + name + " to manager " + manager + ": " + failure.getMessage());
         }
     }
 
--- a/src/main/java/firstage/faulttest/ManagerProcesses.java
+++ b/src/main/java/firstage/faulttest/ManagerProcesses.java
@@ -69,8 +69,7 @@
     public static List<String> command(String commandLine, Path jar) {
         List<String> words =
                 new ArrayList<>(
-                        Arrays.asList(
-                                commandLine.replaceFirst("^exec ", "").trim().split("\\s+")));
+                        Arrays.asList(commandLine.replaceFirst("^exec ", "").trim().split("\\s+")));
         for (int i = 0; i < words.size(); i++) {
             if (words.get(i).equals("target/firstage.jar")) {
                 words.set(i, jar.toString());
--- a/src/main/java/firstage/membership/FailureDetector.java
+++ b/src/main/java/firstage/membership/FailureDetector.java
@@ -13,10 +13,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Detects unresponsive peers (SWIM). Pings one peer each period, in turn. If no ack arrives, it asks
- * other peers to ping the target on this manager's behalf. A peer that answers neither is reported
- * as unresponsive, and later as dead unless it refutes the suspicion. A manager that is slow itself
- * waits longer for acks, and a manager that receives no acks at all reports no failures (Lifeguard).
+ * Detects unresponsive peers (SWIM). Pings one peer each period, in turn. If no ack arrives, it
+ * asks other peers to ping the target on this manager's behalf. A peer that answers neither is
+ * reported as unresponsive, and later as dead unless it refutes the suspicion. A manager that is
+ * slow itself waits longer for acks, and a manager that receives no acks at all reports no failures
+ * (Lifeguard).
  */
 final class FailureDetector {
     /**
@@ -26,8 +27,8 @@
     static final int INDIRECT_PROBERS = 3;
 
     /**
-     * Ack timeouts in one period. Indirect probes are sent after a quarter of a period, which is many
-     * round trips.
+     * Ack timeouts in one period. Indirect probes are sent after a quarter of a period, which is
+     * many round trips.
      */
     private static final long ACK_TIMEOUTS_PER_PERIOD = 4;
 
@@ -50,8 +51,8 @@
     private static final int RECONNECT_PROBES_ALONE = 3;
 
     /**
-     * Maximum number of probes at start: enough for this manager to become known, without a burst in
-     * a large fleet.
+     * Maximum number of probes at start: enough for this manager to become known, without a burst
+     * in a large fleet.
      */
     private static final int STARTUP_PROBES = 32;
 
@@ -85,7 +86,10 @@
         }
     }
 
-    /** The probe that an ack belongs to; {@code requester} is null if this manager sent it for itself. */
+    /**
+     * The probe that an ack belongs to; {@code requester} is null if this manager sent it for
+     * itself.
+     */
     record AnsweredProbe(long sentAt, String requester, long requesterSequence) {}
 
     private record Suspicion(long endsAt, String name) {}
@@ -126,14 +130,15 @@
             addresses.add(address);
         }
         Collections.shuffle(addresses, new Random(random.nextLong()));
-        addresses.subList(0, Math.min(addresses.size(), STARTUP_PROBES))
+        addresses
+                .subList(0, Math.min(addresses.size(), STARTUP_PROBES))
                 .forEach(address -> ping(now, null, address, null, 0));
     }
 
     /**
-     * Handles a pause of this process that lasted {@code gap} ticks. Acks to pending probes are late
-     * because of the pause, so the probes are dropped and the suspicions start anew: no peer is
-     * reported because of observations made before the pause.
+     * Handles a pause of this process that lasted {@code gap} ticks. Acks to pending probes are
+     * late because of the pause, so the probes are dropped and the suspicions start anew: no peer
+     * is reported because of observations made before the pause.
      */
     void onPause(long now, long gap) {
         probes.clear();
@@ -210,7 +215,9 @@
         boolean heardSince = target.lastAliveAt() > probe.sentAt;
         if (mayReport && !heardSince) {
             actions.peerUnanswered(
-                    now, target, "no ack to direct pings or to " + INDIRECT_PROBERS + " indirect probes");
+                    now,
+                    target,
+                    "no ack to direct pings or to " + INDIRECT_PROBERS + " indirect probes");
         }
     }
 
@@ -254,8 +261,8 @@
     }
 
     /**
-     * Returns the next peer in a shuffled order, or null if no peer with a known address is alive or
-     * suspect. At most two rounds pass between two probes of a peer.
+     * Returns the next peer in a shuffled order, or null if no peer with a known address is alive
+     * or suspect. At most two rounds pass between two probes of a peer.
      */
     private Peer nextTarget() {
         for (int round = 0; round < 2; round++) {
--- a/src/main/java/firstage/membership/FlapDamping.java
+++ b/src/main/java/firstage/membership/FlapDamping.java
@@ -3,14 +3,16 @@
 import firstage.util.Ticks;
 
 /**
- * Keeps a member out of the view if it repeatedly dies and returns, for longer with each return. The
- * count of returns decays over time.
+ * Keeps a member out of the view if it repeatedly dies and returns, for longer with each return.
+ * The count of returns decays over time.
  */
 final class FlapDamping {
     /** Returns allowed without a hold-down: one restart and one false suspicion. */
     private static final double FREE_RETURNS = 2;
 
-    /** Base of the hold-down; doubled for the third recent return and again for each further one. */
+    /**
+     * Base of the hold-down; doubled for the third recent return and again for each further one.
+     */
     private static final long HOLD_DOWN_BASE = Ticks.ofMillis(500);
 
     private static final long MAX_HOLD_DOWN = Ticks.ofSeconds(30);
--- a/src/main/java/firstage/membership/GossipQueue.java
+++ b/src/main/java/firstage/membership/GossipQueue.java
@@ -7,8 +7,9 @@
 import java.util.function.Function;
 
 /**
- * Queue of members whose changed records are still to be sent to peers. Each change is attached to a
- * number of messages that grows with the logarithm of the fleet size; the newest change goes first.
+ * Queue of members whose changed records are still to be sent to peers. Each change is attached to
+ * a number of messages that grows with the logarithm of the fleet size; the newest change goes
+ * first.
  */
 final class GossipQueue {
     /** Sends of one change as a multiple of the binary logarithm of the fleet size. */
@@ -30,8 +31,8 @@
     private final Map<String, Pending> byMember = new HashMap<>();
 
     /**
-     * Queues the changed record of a member at the front, in place of a queued older change; drops it
-     * if the queue is full.
+     * Queues the changed record of a member at the front, in place of a queued older change; drops
+     * it if the queue is full.
      */
     void add(String name) {
         Pending previous = byMember.remove(name);
@@ -57,7 +58,10 @@
      * @param sendsPerChange number of messages after which a change leaves the queue
      */
     void takeInto(
-            List<Member> records, int maxRecords, int sendsPerChange, Function<String, Member> recordOf) {
+            List<Member> records,
+            int maxRecords,
+            int sendsPerChange,
+            Function<String, Member> recordOf) {
         for (int i = 0; i < maxRecords && i < queue.size() && !queue.isEmpty(); i++) {
             Pending pending = queue.poll();
             Member member = recordOf.apply(pending.name);
--- a/src/main/java/firstage/membership/MemberTable.java
+++ b/src/main/java/firstage/membership/MemberTable.java
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Returns up to {@code count} random alive peers with known addresses, other than the peer named
-     * {@code except}.
+     * Returns up to {@code count} random alive peers with known addresses, other than the peer
+     * named {@code except}.
      */
     List<Peer> randomAlive(RandomGenerator random, int count, String except) {
         List<Peer> candidates =
--- a/src/main/java/firstage/membership/MemberTransition.java
+++ b/src/main/java/firstage/membership/MemberTransition.java
@@ -3,9 +3,9 @@
 /**
  * One row of the state machine of a member as seen by this manager. Alive: the member answers.
  * Suspect: a probe by this or another manager was not answered; the member can refute the suspicion
- * with a higher incarnation. Dead: it did not refute in time. Left: it announced its shutdown. Gossip
- * with an older incarnation is dropped before it becomes an event. A combination of state and event
- * that has no row changes nothing.
+ * with a higher incarnation. Dead: it did not refute in time. Left: it announced its shutdown.
+ * Gossip with an older incarnation is dropped before it becomes an event. A combination of state
+ * and event that has no row changes nothing.
  */
 record MemberTransition(MemberState state, Event event, MemberState next, Effect effect) {
     /** An observation of this manager, or gossip, about a member. */
@@ -19,8 +19,8 @@
     }
 
     /**
-     * Side effect of a transition. All but NONE gossip the new record; SUSPECT also starts the time to
-     * refute, and RETURN counts a return for flap damping.
+     * Side effect of a transition. All but NONE gossip the new record; SUSPECT also starts the time
+     * to refute, and RETURN counts a return for flap damping.
      */
     enum Effect {
         NONE,
--- a/src/main/java/firstage/membership/MembershipActions.java
+++ b/src/main/java/firstage/membership/MembershipActions.java
@@ -1,7 +1,8 @@
 package firstage.membership;
 
 /**
- * Effects of the membership protocol. An implementation must not call the protocol before it returns.
+ * Effects of the membership protocol. An implementation must not call the protocol before it
+ * returns.
  */
 public interface MembershipActions {
     /**
--- a/src/main/java/firstage/membership/MembershipMessage.java
+++ b/src/main/java/firstage/membership/MembershipMessage.java
@@ -5,8 +5,8 @@
 /**
  * Contents of one datagram between managers.
  *
- * @param target in a PING_REQUEST the member to ping, in an INDIRECT_ACK the member that answered; not
- *     used in other kinds
+ * @param target in a PING_REQUEST the member to ping, in an INDIRECT_ACK the member that answered;
+ *     not used in other kinds
  * @param lastHeardAgo ticks since the sender last heard the receiver, -1 for never; reveals a link
  *     that is broken in one direction
  * @param grantsQuota whether this ack grants the receiver its full share
@@ -31,9 +31,9 @@
         List<Member> members,
         byte[] digest) {
     /**
-     * Kind of a message. PING asks for an ACK. PING_REQUEST asks another manager to ping the target,
-     * and INDIRECT_ACK reports that the target answered. SYNC and SYNC_REPLY carry all known member
-     * records. The ordinal is on the wire.
+     * Kind of a message. PING asks for an ACK. PING_REQUEST asks another manager to ping the
+     * target, and INDIRECT_ACK reports that the target answered. SYNC and SYNC_REPLY carry all
+     * known member records. The ordinal is on the wire.
      */
     public enum Kind {
         PING,
--- a/src/main/java/firstage/membership/MembershipProtocol.java
+++ b/src/main/java/firstage/membership/MembershipProtocol.java
@@ -8,15 +8,16 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Membership protocol of one manager. Receives datagrams and the time, and directs its parts: {@link
- * FailureDetector} detects unresponsive peers, {@link MemberTransition} defines the state changes of
- * a member, {@link GossipQueue} and {@link MessageSender} spread them, {@link ViewAgreement} derives
- * the view from them, and {@link FlapDamping} holds flapping members out of the view.
+ * Membership protocol of one manager. Receives datagrams and the time, and directs its parts:
+ * {@link FailureDetector} detects unresponsive peers, {@link MemberTransition} defines the state
+ * changes of a member, {@link GossipQueue} and {@link MessageSender} spread them, {@link
+ * ViewAgreement} derives the view from them, and {@link FlapDamping} holds flapping members out of
+ * the view.
  *
  * <p>A suspect is left out of the next view, so that nothing new is shared with it. It is declared
- * dead only after it was unresponsive for longer than any tolerated pause; until then it can refute the
- * suspicion with a higher incarnation. A process that was paused discards what it observed before
- * the pause. Times are ticks of a monotonic clock.
+ * dead only after it was unresponsive for longer than any tolerated pause; until then it can refute
+ * the suspicion with a higher incarnation. A process that was paused discards what it observed
+ * before the pause. Times are ticks of a monotonic clock.
  */
 public final class MembershipProtocol {
     /**
@@ -142,8 +143,8 @@
     }
 
     /**
-     * Returns the fraction, from 0 to 1, of the other members of the view that were recently known to
-     * be alive; 0 if this manager is isolated, 1 if the view has no other members.
+     * Returns the fraction, from 0 to 1, of the other members of the view that were recently known
+     * to be alive; 0 if this manager is isolated, 1 if the view has no other members.
      */
     public double confidence(long now) {
         if (detector.isIsolated(now)) {
@@ -162,8 +163,8 @@
 
     /**
      * Returns the state of the link to a member: ok, deaf (this manager does not hear the member),
-     * unheard (the member does not hear this manager), cut (both), or none if the member is unknown,
-     * dead or left.
+     * unheard (the member does not hear this manager), cut (both), or none if the member is
+     * unknown, dead or left.
      */
     public String linkState(long now, String name) {
         Peer peer = table.peer(name);
@@ -176,8 +177,8 @@
     }
 
     /**
-     * Sends probes and syncs that are due and handles timeouts; to be called about every 20 ms. A much
-     * longer gap between calls counts as a pause of this process.
+     * Sends probes and syncs that are due and handles timeouts; to be called about every 20 ms. A
+     * much longer gap between calls counts as a pause of this process.
      */
     public void tick(long now) {
         if (lastTickAt < 0) {
@@ -371,7 +372,8 @@
         }
         sender.gossip(member.name());
         views.onMemberChanged(now);
-        actions.logMemberEvent(now, "joined", member.name(), "first reported as " + lowerCaseName(member.state()));
+        actions.logMemberEvent(
+                now, "joined", member.name(), "first reported as " + lowerCaseName(member.state()));
         return peer;
     }
 
@@ -411,7 +413,10 @@
             detector.onRefutation();
             raiseIncarnation(reported.incarnation() + 1, self.state());
             actions.logMemberEvent(
-                    now, "denied", self.name(), "was reported as " + lowerCaseName(reported.state()));
+                    now,
+                    "denied",
+                    self.name(),
+                    "was reported as " + lowerCaseName(reported.state()));
         }
     }
 
--- a/src/main/java/firstage/membership/MessageCodec.java
+++ b/src/main/java/firstage/membership/MessageCodec.java
@@ -10,9 +10,9 @@
 import java.util.List;
 
 /**
- * Encodes and decodes messages as CBOR (RFC 8949): one array whose first item is the format version.
- * Items that a newer format adds at the end are skipped. Member records at the end of the list are
- * left out if they do not fit into a datagram.
+ * Encodes and decodes messages as CBOR (RFC 8949): one array whose first item is the format
+ * version. Items that a newer format adds at the end are skipped. Member records at the end of the
+ * list are left out if they do not fit into a datagram.
  */
 public final class MessageCodec {
     /** Maximum payload of a datagram; with the headers it stays below the minimum MTU of IPv6. */
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Thrown for a datagram that is not a valid message. The exception's message is the short reason
-     * under which the rejection is counted.
+     * Thrown for a datagram that is not a valid message. The exception's message is the short
+     * reason under which the rejection is counted.
      */
     public static final class MalformedMessageException extends Exception {
         private static final long serialVersionUID = 1;
@@ -94,7 +94,8 @@
             generator.writeBinary(message.digest());
             generator.writeEndArray();
         } catch (IOException exception) {
-            throw new IllegalStateException("can't encode a membership message in memory", exception);
+            throw new IllegalStateException(
+                    "can't encode a membership message in memory", exception);
         }
         return out.toByteArray();
     }
--- a/src/main/java/firstage/membership/Peer.java
+++ b/src/main/java/firstage/membership/Peer.java
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Excludes a pause of this process, which lasted {@code gap} ticks, from the time since the peer
-     * was last heard.
+     * Excludes a pause of this process, which lasted {@code gap} ticks, from the time since the
+     * peer was last heard.
      */
     void onPause(long gap) {
         lastHeardAt += gap;
--- a/src/main/java/firstage/membership/QuotaLeases.java
+++ b/src/main/java/firstage/membership/QuotaLeases.java
@@ -10,18 +10,18 @@
  * Computes the fraction of each engine that this manager may use. Half of a manager's share is
  * guaranteed. It may use the other half while a quorum of managers has recently granted it. After a
  * majority has withdrawn its grants from a member, the other managers may use that member's second
- * half in equal pieces. Any quorum and any majority have at least one manager in common, because the
- * managers outside a quorum are too few for a majority. The grant and the withdrawal of that manager
- * are never valid at the same time: it withdraws only after a time longer than a grant lasts, and
- * grants again only after a time longer than a withdrawal lasts.
+ * half in equal pieces. Any quorum and any majority have at least one manager in common, because
+ * the managers outside a quorum are too few for a majority. The grant and the withdrawal of that
+ * manager are never valid at the same time: it withdraws only after a time longer than a grant
+ * lasts, and grants again only after a time longer than a withdrawal lasts.
  *
  * <p>Invariant: the fractions of an engine that are in use never add up to more than 1, even if
  * messages are lost, late, reordered or duplicated and managers are paused or restarted.
  *
  * <p>The receiver of a grant measures its duration from the request, by its own clock. The granter
- * measures each wait from its response, by its own clock. The rates of clocks must agree within 5 %;
- * the times that they show need not agree. {@link #share} must be called before each attempt, since
- * a paused process must check its clock before it uses a grant. Times are in ticks.
+ * measures each wait from its response, by its own clock. The rates of clocks must agree within 5
+ * %; the times that they show need not agree. {@link #share} must be called before each attempt,
+ * since a paused process must check its clock before it uses a grant. Times are in ticks.
  */
 public final class QuotaLeases {
     /** Fraction of its share that a manager may use even while it is isolated. */
--- a/src/main/java/firstage/membership/ViewAgreement.java
+++ b/src/main/java/firstage/membership/ViewAgreement.java
@@ -10,9 +10,9 @@
 /**
  * Derives this manager's view: the alive members that are not held out for flapping. A new view is
  * made once the members have not changed for a short time, or at the latest after a maximum delay.
- * Managers with the same members agree on the number of the view: each takes the highest number that
- * peers report for the same hash if it exceeds all numbers known for other hashes, or else one more
- * than the highest of those.
+ * Managers with the same members agree on the number of the view: each takes the highest number
+ * that peers report for the same hash if it exceeds all numbers known for other hashes, or else one
+ * more than the highest of those.
  */
 final class ViewAgreement {
     /** Time without a change before a view is made, so that a failed zone leaves in one view. */
--- a/src/main/java/firstage/overload/LoadRow.java
+++ b/src/main/java/firstage/overload/LoadRow.java
@@ -10,8 +10,8 @@
  * @param queuedWork work in the manager's queue, in seconds of work
  * @param runningThreads number of engine threads that the manager uses
  * @param zone index of the manager's own zone
- * @param ejectedPercent by zone, the percentage of engines that are ejected, or a special value such
- *     as {@link firstage.failover.ZoneFailover#UNKNOWN}
+ * @param ejectedPercent by zone, the percentage of engines that are ejected, or a special value
+ *     such as {@link firstage.failover.ZoneFailover#UNKNOWN}
  * @param zoneOrders three values for each operator's order: zone, order and time
  */
 public record LoadRow(
--- a/src/main/java/firstage/overload/LoadSheddingLevel.java
+++ b/src/main/java/firstage/overload/LoadSheddingLevel.java
@@ -15,10 +15,10 @@
 
 /**
  * Computes one load-shedding threshold for the whole fleet. Each manager sends a row with the work
- * that arrives by priority band, and the work that it starts, queues and runs. Managers forward rows,
- * so that all have nearly the same table and compute the same threshold: the fleet's capacity is
- * filled from the highest priority band down. Requests of bands below the threshold are refused at
- * once; of the threshold's own band a fraction is admitted.
+ * that arrives by priority band, and the work that it starts, queues and runs. Managers forward
+ * rows, so that all have nearly the same table and compute the same threshold: the fleet's capacity
+ * is filled from the highest priority band down. Requests of bands below the threshold are refused
+ * at once; of the threshold's own band a fraction is admitted.
  *
  * <p>The fleet's capacity is not known in advance. The estimate is the work that is started now;
  * less if work is queued too long or more threads run than the engines can sustain, and up to three
@@ -26,8 +26,8 @@
  * with the others as soon as it has their rows.
  *
  * <p>Invariants: rows of others only make a manager refuse more than it would because of its own
- * queue; no row counts for more than a few times the mean of the others; without fresh rows there is
- * no threshold. Times are in ticks, rates in seconds of expected work a second.
+ * queue; no row counts for more than a few times the mean of the others; without fresh rows there
+ * is no threshold. Times are in ticks, rates in seconds of expected work a second.
  */
 public final class LoadSheddingLevel {
     /** Time constant of the smoothed rates, in ticks: an overload shows within its first second. */
@@ -72,8 +72,8 @@
     private static final long TIMESTAMP_UNIT = Ticks.ofMillis(10);
 
     /**
-     * Maximum number of managers in the view for which a message carries all rows that fit; in larger
-     * views a message carries up to {@link #ROWS_PER_TURN} rows, in turn.
+     * Maximum number of managers in the view for which a message carries all rows that fit; in
+     * larger views a message carries up to {@link #ROWS_PER_TURN} rows, in turn.
      */
     private static final int MAX_VIEW_FOR_ALL_ROWS = 24;
 
@@ -142,8 +142,8 @@
     }
 
     /**
-     * Returns a time as it is sent in rows. Timestamps are compared by their difference, which is valid
-     * for times up to half a year apart.
+     * Returns a time as it is sent in rows. Timestamps are compared by their difference, which is
+     * valid for times up to half a year apart.
      */
     public static int timestamp(long now) {
         return (int) (now / TIMESTAMP_UNIT);
@@ -178,11 +178,12 @@
     }
 
     /**
-     * Returns the rows to send: this manager's own first, then rows of others, in turn if not all of
-     * them fit.
+     * Returns the rows to send: this manager's own first, then rows of others, in turn if not all
+     * of them fit.
      */
     public List<LoadRow> rowsToSend(long now, int maxRows) {
-        int limit = view.size() > MAX_VIEW_FOR_ALL_ROWS ? Math.min(maxRows, ROWS_PER_TURN) : maxRows;
+        int limit =
+                view.size() > MAX_VIEW_FOR_ALL_ROWS ? Math.min(maxRows, ROWS_PER_TURN) : maxRows;
         List<LoadRow> others = freshPeerRows(now);
         List<LoadRow> rows = new ArrayList<>(List.of(localRow(now)));
         for (int i = 0; i < others.size() && rows.size() < limit; i++) {
@@ -280,7 +281,9 @@
                         -MAX_REDUCTION,
                         utilization > UTILIZATION_THRESHOLD
                                 ? Math.min(
-                                        changeByDelay, (UTILIZATION_THRESHOLD - utilization) * REDUCTION_PER_UTILIZATION)
+                                        changeByDelay,
+                                        (UTILIZATION_THRESHOLD - utilization)
+                                                * REDUCTION_PER_UTILIZATION)
                                 : changeByDelay);
         double remainingRate =
                 totalStartRate
@@ -316,9 +319,9 @@
     }
 
     /**
-     * Returns the value of each row, limited to a few times the mean of the others, so that a single
-     * wrong row has a bounded effect on the fleet. Applied to values that make this manager refuse
-     * more.
+     * Returns the value of each row, limited to a few times the mean of the others, so that a
+     * single wrong row has a bounded effect on the fleet. Applied to values that make this manager
+     * refuse more.
      */
     private DoubleStream limited(List<LoadRow> rows, ToDoubleFunction<LoadRow> valueOf) {
         double total = rows.stream().mapToDouble(valueOf).sum();
--- a/src/main/java/firstage/overload/OverloadDigest.java
+++ b/src/main/java/firstage/overload/OverloadDigest.java
@@ -11,9 +11,9 @@
 import java.util.List;
 
 /**
- * Encodes and decodes a manager's reports on engines and load, which travel as CBOR in the digest of
- * membership messages: an array whose first item is the format version. Items that a newer format
- * adds at the end are skipped. The digest is empty if there is nothing to report.
+ * Encodes and decodes a manager's reports on engines and load, which travel as CBOR in the digest
+ * of membership messages: an array whose first item is the format version. Items that a newer
+ * format adds at the end are skipped. The digest is empty if there is nothing to report.
  */
 public final class OverloadDigest {
     private static final int VERSION = 1;
@@ -30,8 +30,8 @@
     private static final int ROW_HEADER_BYTES = 18;
 
     /**
-     * Smallest encoded value other than 0: a thousandth of a core. With eight steps per factor of two
-     * the largest value in a byte is almost four million.
+     * Smallest encoded value other than 0: a thousandth of a core. With eight steps per factor of
+     * two the largest value in a byte is almost four million.
      */
     private static final double SMALLEST_VALUE = 0.001;
 
@@ -87,9 +87,9 @@
 
     /**
      * Encodes rows one after the other. Each row consists of the manager's hash, timestamp, start
-     * rate, queued work, running threads, a bit mask of the bands with arrivals, the zone, the counts
-     * of ejection percentages and of zone orders, these two lists, and the arrival rates of the bands
-     * in the mask.
+     * rate, queued work, running threads, a bit mask of the bands with arrivals, the zone, the
+     * counts of ejection percentages and of zone orders, these two lists, and the arrival rates of
+     * the bands in the mask.
      */
     private static byte[] encodeRows(List<LoadRow> rows) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(rows.size() * ROW_BYTES);
--- a/src/main/java/firstage/overload/ProbeCoordinator.java
+++ b/src/main/java/firstage/overload/ProbeCoordinator.java
@@ -11,19 +11,20 @@
 import java.util.Set;
 
 /**
- * Decides which managers probe an unhealthy engine and which avoid it. If several managers report an
- * engine as ejected, the other managers avoid it unless it has recently responded to them. Of the
- * managers that ejected the engine, one keeps probing it: the probe owner by rendezvous hashing
+ * Decides which managers probe an unhealthy engine and which avoid it. If several managers report
+ * an engine as ejected, the other managers avoid it unless it has recently responded to them. Of
+ * the managers that ejected the engine, one keeps probing it: the probe owner by rendezvous hashing
  * (Thaler and Ravishankar 1998). After a successful probe the other managers return in steps, each
- * step with twice as many managers as the one before, so that only few are affected if the engine is
- * overloaded again. An engine that only one manager has ejected concerns that manager alone: its link
- * is broken, not the engine. If reports of others would make this manager avoid too many engines, the
- * reports are ignored.
+ * step with twice as many managers as the one before, so that only few are affected if the engine
+ * is overloaded again. An engine that only one manager has ejected concerns that manager alone: its
+ * link is broken, not the engine. If reports of others would make this manager avoid too many
+ * engines, the reports are ignored.
  *
- * <p>States of this manager's right to send to an engine: OWN (decided by its own outlier detection),
- * WITHHELD (probing is left to the probe owner), RETURNING (another manager readmitted the engine;
- * this manager waits for its step). Invariant: only reports that are fresh by this manager's own
- * clock withhold the right; without such reports the manager decides alone. Times are in ticks.
+ * <p>States of this manager's right to send to an engine: OWN (decided by its own outlier
+ * detection), WITHHELD (probing is left to the probe owner), RETURNING (another manager readmitted
+ * the engine; this manager waits for its step). Invariant: only reports that are fresh by this
+ * manager's own clock withhold the right; without such reports the manager decides alone. Times are
+ * in ticks.
  */
 public final class ProbeCoordinator {
     /**
@@ -45,8 +46,8 @@
     private static final long RECENT_RESPONSE = Ticks.ofSeconds(2);
 
     /**
-     * Maximum fraction of engines avoided because of others' reports; if more are reported, the cause
-     * is not the engines.
+     * Maximum fraction of engines avoided because of others' reports; if more are reported, the
+     * cause is not the engines.
      */
     private static final double MAX_AVOIDED_FRACTION = 0.34;
 
@@ -87,8 +88,8 @@
     private record Transition(State state, Event event, State next) {}
 
     /**
-     * Transitions of this manager's right to send to an engine. A combination of state and event that
-     * is not listed changes nothing.
+     * Transitions of this manager's right to send to an engine. A combination of state and event
+     * that is not listed changes nothing.
      */
     private static final Transition[] TRANSITIONS = {
         new Transition(State.OWN, Event.PROBED_BY_OTHER, State.WITHHELD),
@@ -260,7 +261,8 @@
                         .filter(
                                 engine ->
                                         !engines.get(engine).ejected
-                                                && reporters(now, engine).size() >= reportersNeeded())
+                                                && reporters(now, engine).size()
+                                                        >= reportersNeeded())
                         .count();
         boolean tooManyEjected = ejectedByOthers > MAX_AVOIDED_FRACTION * engines.size();
         suspects.forEach(engine -> evaluate(now, engine, engines.get(engine), tooManyEjected));
@@ -283,7 +285,8 @@
         return reporters;
     }
 
-    private void evaluate(long now, long engine, EngineProbing engineState, boolean tooManyEjected) {
+    private void evaluate(
+            long now, long engine, EngineProbing engineState, boolean tooManyEjected) {
         List<String> reporters = reporters(now, engine);
         List<String> probingReporters =
                 new ArrayList<>(
--- a/src/main/java/firstage/overload/RendezvousHash.java
+++ b/src/main/java/firstage/overload/RendezvousHash.java
@@ -4,13 +4,15 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Orders managers by rendezvous hashing (Thaler and Ravishankar 1998) with XXH3: all managers compute
- * the same order for a key without exchanging messages.
+ * Orders managers by rendezvous hashing (Thaler and Ravishankar 1998) with XXH3: all managers
+ * compute the same order for a key without exchanging messages.
  */
 public final class RendezvousHash {
     private RendezvousHash() {}
 
-    /** Returns the rank of a manager for this key; the manager with the highest rank comes first. */
+    /**
+     * Returns the rank of a manager for this key; the manager with the highest rank comes first.
+     */
     public static long rank(long key, String name) {
         return LongHashFunction.xx3(key).hashChars(name);
     }
--- a/src/main/java/firstage/policy/AdmissionQueue.java
+++ b/src/main/java/firstage/policy/AdmissionQueue.java
@@ -97,10 +97,10 @@
      * Returns the time, in ticks, at which a request times out in the queue: the last time at which
      * an attempt could start and still end in time.
      *
-     * <p>An attempt ends in time if it meets the deadline, or the latency objective if a late answer
-     * has no value. While the queue is congested, requests without an estimate have to meet the
-     * objective as well, since otherwise all of them would be late. Requests with an estimate do
-     * not, as estimates scatter too widely to predict that the objective is missed.
+     * <p>An attempt ends in time if it meets the deadline, or the latency objective if a late
+     * answer has no value. While the queue is congested, requests without an estimate have to meet
+     * the objective as well, since otherwise all of them would be late. Requests with an estimate
+     * do not, as estimates scatter too widely to predict that the objective is missed.
      */
     long timeoutAt(RequestState request) {
         boolean estimated = request.incoming.estimatedWork() > 0;
--- a/src/main/java/firstage/policy/ConcurrencyLimiter.java
+++ b/src/main/java/firstage/policy/ConcurrencyLimiter.java
@@ -10,7 +10,8 @@
 
 /**
  * Limits on the threads and the memory that this manager may use at each engine. Both start at the
- * manager's quota share, grow with results of low latency, and shrink while the engine is saturated.
+ * manager's quota share, grow with results of low latency, and shrink while the engine is
+ * saturated.
  */
 final class ConcurrencyLimiter {
     /** Share of an engine's memory that the requests of all managers together may reserve. */
@@ -96,12 +97,16 @@
         return largestMachineThreadShare < trafficClass.threads();
     }
 
-    /** Returns how many threads of all managers the engine can run with this share of its capacity. */
+    /**
+     * Returns how many threads of all managers the engine can run with this share of its capacity.
+     */
     double threadCapacity(EngineState engine, double capacityShare) {
         return engine.cores * THREADS_PER_CORE * capacityShare;
     }
 
-    /** Returns the active threads as a share of all that the engine can run; NaN if not reported. */
+    /**
+     * Returns the active threads as a share of all that the engine can run; NaN if not reported.
+     */
     static double threadLoad(EngineState engine, double activeThreads) {
         return activeThreads / engine.cores / THREADS_PER_CORE;
     }
@@ -170,8 +175,8 @@
     }
 
     /**
-     * Raises the limits after a result of low latency. Only limits that are at least half used grow,
-     * so that an idle period does not raise them to the maximum.
+     * Raises the limits after a result of low latency. Only limits that are at least half used
+     * grow, so that an idle period does not raise them to the maximum.
      */
     void grow(Attempt attempt) {
         EngineState engine = attempt.engine;
@@ -182,7 +187,8 @@
         }
         if (engine.reservedMb + attempt.grantMb >= engine.memorySliceMb / 2) {
             engine.memorySliceMb =
-                    Math.min(engine.memoryMb, engine.memorySliceMb + attempt.grantMb * GROWTH_SHARE);
+                    Math.min(
+                            engine.memoryMb, engine.memorySliceMb + attempt.grantMb * GROWTH_SHARE);
         }
     }
 }
--- a/src/main/java/firstage/policy/EngineEligibility.java
+++ b/src/main/java/firstage/policy/EngineEligibility.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Checks whether the rules and the engine's health allow a request to go to an engine, regardless of
- * the capacity within this manager's limits.
+ * Checks whether the rules and the engine's health allow a request to go to an engine, regardless
+ * of the capacity within this manager's limits.
  */
 final class EngineEligibility {
     private final SlowStartBudget slowStart;
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Returns whether the engine is within the idempotency scope of the request. Engines recognise a
-     * repetition of an idempotency key only within the scope of the engine of the first attempt.
+     * Returns whether the engine is within the idempotency scope of the request. Engines recognise
+     * a repetition of an idempotency key only within the scope of the engine of the first attempt.
      */
     private static boolean isInIdempotencyScope(RequestState request, EngineState engine) {
         TrafficClass trafficClass = request.trafficClass();
--- a/src/main/java/firstage/policy/EngineSelector.java
+++ b/src/main/java/firstage/policy/EngineSelector.java
@@ -167,8 +167,8 @@
     }
 
     /**
-     * Returns whether the engine is warm, shows no sign of saturation and has space for the request,
-     * in which case this manager's limits need not be enforced.
+     * Returns whether the engine is warm, shows no sign of saturation and has space for the
+     * request, in which case this manager's limits need not be enforced.
      */
     private boolean isUncontended(
             long now,
--- a/src/main/java/firstage/policy/KeyOrdering.java
+++ b/src/main/java/firstage/policy/KeyOrdering.java
@@ -29,8 +29,9 @@
     }
 
     /**
-     * Queues a request of an ordered traffic class behind the others of its key, or pauses the key if
-     * the request's position in it is unknown. Releases a key that the traffic class does not use.
+     * Queues a request of an ordered traffic class behind the others of its key, or pauses the key
+     * if the request's position in it is unknown. Releases a key that the traffic class does not
+     * use.
      */
     void onRequest(long now, RequestState request, PolicyActions actions) {
         int key = request.incoming.orderingKey();
--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -31,8 +31,8 @@
     private static final double SLOW_RATIO = 1.6;
 
     /**
-     * Best ratio of latency to estimated work that is assumed before the first sample. Otherwise slow
-     * first results would set the best latency themselves, and so count as low latency.
+     * Best ratio of latency to estimated work that is assumed before the first sample. Otherwise
+     * slow first results would set the best latency themselves, and so count as low latency.
      */
     private static final double INITIAL_BEST_RATIO = 2.5;
 
--- a/src/main/java/firstage/policy/OutlierDetector.java
+++ b/src/main/java/firstage/policy/OutlierDetector.java
@@ -129,10 +129,10 @@
     }
 
     /**
-     * Counts the failures of engines and ejects an engine after a few in a row. An engine that fails
-     * requests at once is always free and would otherwise attract all requests. The failure of an
-     * idempotent request counts only when a retry succeeds at another engine, as a request that
-     * fails everywhere says nothing about engines.
+     * Counts the failures of engines and ejects an engine after a few in a row. An engine that
+     * fails requests at once is always free and would otherwise attract all requests. The failure
+     * of an idempotent request counts only when a retry succeeds at another engine, as a request
+     * that fails everywhere says nothing about engines.
      */
     private void countFailure(
             long now, RequestState request, EngineState engine, AttemptOutcome outcome) {
@@ -146,7 +146,8 @@
                     request.firstFailedEngine == null ? engine : request.firstFailedEngine;
             faultyEngine = request.trafficClass().effect() == Effect.IDEMPOTENT ? null : engine;
         }
-        if (faultyEngine != null && ++faultyEngine.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) {
+        if (faultyEngine != null
+                && ++faultyEngine.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES) {
             onSignal(now, faultyEngine, Signal.CONNECTION_BROKEN);
         }
     }
--- a/src/main/java/firstage/policy/RetryPolicy.java
+++ b/src/main/java/firstage/policy/RetryPolicy.java
@@ -17,7 +17,9 @@
     /** Number of engines at which a request may fail; a third one would give the same result. */
     private static final int MAX_FAILED_ENGINES = 2;
 
-    /** Wait that rejected clients are asked for; a full queue shrinks to about half in this time. */
+    /**
+     * Wait that rejected clients are asked for; a full queue shrinks to about half in this time.
+     */
     private static final long RETRY_AFTER = Ticks.ofMillis(500);
 
     /**
@@ -90,13 +92,16 @@
         return rule(request).mayReject;
     }
 
-    /** Returns whether the client is told to send the request again, not that the request failed. */
+    /**
+     * Returns whether the client is told to send the request again, not that the request failed.
+     */
     boolean rejectsRatherThanFails(RequestState request) {
         TrafficClass trafficClass = request.trafficClass();
         boolean dropsRepetitionsEverywhere =
                 trafficClass.effect() == Effect.IDEMPOTENT_WITH_KEY
                         && trafficClass.idempotencyScope() == Scope.ALL;
-        return !hasReachedFailureLimit(request) && (mayReject(request) || dropsRepetitionsEverywhere);
+        return !hasReachedFailureLimit(request)
+                && (mayReject(request) || dropsRepetitionsEverywhere);
     }
 
     /**
@@ -124,6 +129,7 @@
                 return rule;
             }
         }
-        throw new IllegalStateException("no retry rule for effect " + request.trafficClass().effect());
+        throw new IllegalStateException(
+                "no retry rule for effect " + request.trafficClass().effect());
     }
 }
--- a/src/main/java/firstage/policy/SheddingThreshold.java
+++ b/src/main/java/firstage/policy/SheddingThreshold.java
@@ -4,8 +4,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Load-shedding threshold of the fleet: requests in priority bands below the threshold are shed, and
- * so is a random part of those in the threshold's own band.
+ * Load-shedding threshold of the fleet: requests in priority bands below the threshold are shed,
+ * and so is a random part of those in the threshold's own band.
  */
 final class SheddingThreshold {
     private final RandomGenerator random;
@@ -31,7 +31,9 @@
         return request.priorityBand == band && random.nextDouble() >= admittedShare;
     }
 
-    /** Returns whether a queued request is shed: it is below the threshold and was never started. */
+    /**
+     * Returns whether a queued request is shed: it is below the threshold and was never started.
+     */
     boolean isBelow(RequestState request) {
         return request.attemptsStarted == 0 && request.priorityBand < band;
     }
--- a/src/main/java/firstage/policy/SlowStartBudget.java
+++ b/src/main/java/firstage/policy/SlowStartBudget.java
@@ -75,9 +75,9 @@
     }
 
     /**
-     * Returns the share of its capacity that an engine can be relied on to have now. The share grows
-     * linearly from {@code initialCapacityShare}, with a slope reduced by {@link #WARM_UP_SLOPE},
-     * and is 1 once the warm-up is over.
+     * Returns the share of its capacity that an engine can be relied on to have now. The share
+     * grows linearly from {@code initialCapacityShare}, with a slope reduced by {@link
+     * #WARM_UP_SLOPE}, and is 1 once the warm-up is over.
      */
     double capacityShare(long now, EngineState engine) {
         // Suspected restarts count as well: an engine that was unavailable may have restarted, and
--- a/src/main/java/firstage/policy/StuckAttemptDetector.java
+++ b/src/main/java/firstage/policy/StuckAttemptDetector.java
@@ -23,8 +23,8 @@
     private static final long SILENCE_WITHOUT_REPORTS = Ticks.ofSeconds(4);
 
     /**
-     * Ratio of the remaining time of an attempt to the duration of a new one above which the attempt
-     * is a runaway; high, as estimates scatter widely.
+     * Ratio of the remaining time of an attempt to the duration of a new one above which the
+     * attempt is a runaway; high, as estimates scatter widely.
      */
     private static final double RUNAWAY_FACTOR = 5;
 
@@ -49,7 +49,9 @@
         this.progressInterval = progressInterval;
     }
 
-    /** Returns whether the engine has not responded for too long while this attempt is in flight. */
+    /**
+     * Returns whether the engine has not responded for too long while this attempt is in flight.
+     */
     boolean isEngineSilent(long now, Attempt attempt) {
         long silentSince = Math.max(attempt.sentAt, attempt.engine.lastResponseAt);
         return !attempt.queuedForMemory
--- a/src/main/java/firstage/policy/TableAffinity.java
+++ b/src/main/java/firstage/policy/TableAffinity.java
@@ -63,8 +63,9 @@
      * other requests.
      *
      * @param tableLoadOrder result of {@link #loadOrder} for the same request
-     * @param shareBelowOneRequest whether the quota share of an engine is too small for the request,
-     *     in which case readers get a random score, so that managers select different engines
+     * @param shareBelowOneRequest whether the quota share of an engine is too small for the
+     *     request, in which case readers get a random score, so that managers select different
+     *     engines
      */
     double score(
             RequestState request,
@@ -73,7 +74,10 @@
             boolean shareBelowOneRequest) {
         double affinity = engine.hashFraction(request.incoming.tableGroup());
         if (isLoadOfTables(request)) {
-            int groups = Math.min(managers, (int) Math.ceil(tableLoadOrder.length * MAX_LOAD_GROUP_SHARE));
+            int groups =
+                    Math.min(
+                            managers,
+                            (int) Math.ceil(tableLoadOrder.length * MAX_LOAD_GROUP_SHARE));
             int position = Arrays.binarySearch(tableLoadOrder, affinity);
             return (position - rank) % groups == 0 ? OWN_ENGINE_SCORE : 0;
         }
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -25,9 +25,9 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Scheduling policy of one workload manager. Passes events to the other classes of this package in a
- * fixed order and executes their decisions. Callers call {@link #runPendingActions} after all events
- * of one point in time. Times are in ticks.
+ * Scheduling policy of one workload manager. Passes events to the other classes of this package in
+ * a fixed order and executes their decisions. Callers call {@link #runPendingActions} after all
+ * events of one point in time. Times are in ticks.
  *
  * <p>In the normal case (docs/design.md) a request reserves its memory grant and its threads within
  * this manager's limits at one engine, or waits in a bounded FIFO queue until there is capacity.
--- a/src/main/java/firstage/policy/api/DemandHistogram.java
+++ b/src/main/java/firstage/policy/api/DemandHistogram.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 
 /**
- * Expected work that arrived at a manager, by priority band, and how much of it was started, shed or
- * is waiting. Work is in ticks on one thread; arrived, started and shed work are sums since the
+ * Expected work that arrived at a manager, by priority band, and how much of it was started, shed
+ * or is waiting. Work is in ticks on one thread; arrived, started and shed work are sums since the
  * start of the manager. Each band covers half an octave of priority weight per second of expected
  * work.
  */
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Records the work of a request that timed out in the queue, or left it because it was full, with
-     * no attempt in flight.
+     * Records the work of a request that timed out in the queue, or left it because it was full,
+     * with no attempt in flight.
      */
     public void shedWork(double work) {
         shedWork += work;
--- a/src/main/java/firstage/policy/api/Deployment.java
+++ b/src/main/java/firstage/policy/api/Deployment.java
@@ -13,8 +13,8 @@
  * @param progressInterval ticks between progress reports; 0 if engines send none
  * @param subscribesToEndpoints whether the manager has to subscribe to the endpoint list
  * @param crossZoneCosts whether traffic between zones has a cost
- * @param probePrice cost of a probe, as a multiple of the mean priority weight of requests; negative
- *     if engines may not be probed
+ * @param probePrice cost of a probe, as a multiple of the mean priority weight of requests;
+ *     negative if engines may not be probed
  * @param probesReportLoad whether the answer to a probe contains a load report
  * @param memoryOvercommitPages whether engines accept grants beyond their memory, in which case
  *     paging slows down all requests there; otherwise such requests wait in the engine's queue
@@ -36,7 +36,9 @@
         double probePrice,
         boolean probesReportLoad,
         boolean memoryOvercommitPages) {
-    /** Returns the shortest latency objective of all traffic classes, in ticks; 1 if there are none. */
+    /**
+     * Returns the shortest latency objective of all traffic classes, in ticks; 1 if there are none.
+     */
     public long shortestLatencyObjective() {
         return trafficClasses.stream().mapToLong(TrafficClass::latencyObjective).min().orElse(1);
     }
--- a/src/main/java/firstage/policy/api/EndpointUpdate.java
+++ b/src/main/java/firstage/policy/api/EndpointUpdate.java
@@ -36,8 +36,8 @@
      * @param stableHash hash of the engine that is the same at every manager
      * @param cell idempotency cell of the engine
      * @param startedAt start of the engine, in ticks; 0 if long ago
-     * @param warmUpShare this manager's share of the engine's capacity while the engine warms up, if
-     *     it is fixed and no other manager can change it; 0 for an equal share of all managers
+     * @param warmUpShare this manager's share of the engine's capacity while the engine warms up,
+     *     if it is fixed and no other manager can change it; 0 for an equal share of all managers
      */
     public record Endpoint(
             int engineId,
--- a/src/main/java/firstage/policy/api/PolicyActions.java
+++ b/src/main/java/firstage/policy/api/PolicyActions.java
@@ -1,6 +1,8 @@
 package firstage.policy.api;
 
-/** Executes the decisions of a scheduling policy. Implementations make no decisions of their own. */
+/**
+ * Executes the decisions of a scheduling policy. Implementations make no decisions of their own.
+ */
 public interface PolicyActions {
     /**
      * Sets the memory grant and the priority of the request's next attempt.
@@ -47,7 +49,10 @@
     /** Subscribes to the endpoint list; does nothing if updates arrive without a subscription. */
     default void subscribeToEndpoints() {}
 
-    /** Schedules a call of {@link SchedulingPolicy#onWakeUp} with this token, after a delay in ticks. */
+    /**
+     * Schedules a call of {@link SchedulingPolicy#onWakeUp} with this token, after a delay in
+     * ticks.
+     */
     void scheduleWakeUp(long delay, long token);
 
     /** Writes a line to the operators' log. */
--- a/src/main/java/firstage/policy/api/SchedulingPolicy.java
+++ b/src/main/java/firstage/policy/api/SchedulingPolicy.java
@@ -13,9 +13,7 @@
     /** Handles the end of an attempt. Does nothing if the attempt is not in flight. */
     void onAttemptResult(long now, AttemptResult result);
 
-    /**
-     * Handles a progress report on an attempt. Does nothing if the attempt is not in flight.
-     */
+    /** Handles a progress report on an attempt. Does nothing if the attempt is not in flight. */
     void onAttemptProgress(long now, AttemptProgress progress);
 
     /** Closes a request whose client left or whose deadline passed. The request gets no answer. */
@@ -71,15 +69,17 @@
     default void onProbeOwnership(
             long now, int engineId, boolean probedByOthers, boolean mayProbeNow) {}
 
-    /** Returns the work that arrived, was started and waits; empty if the policy does not count it. */
+    /**
+     * Returns the work that arrived, was started and waits; empty if the policy does not count it.
+     */
     default DemandHistogram demand(long now) {
         return new DemandHistogram();
     }
 
     /**
-     * Sets the load-shedding threshold, for a fleet that lacks capacity for low priorities. Requests
-     * of a lower {@link DemandHistogram#priorityBand} than {@code band} are shed at once, and so is
-     * a random part of those in the band. Never called without fleet control.
+     * Sets the load-shedding threshold, for a fleet that lacks capacity for low priorities.
+     * Requests of a lower {@link DemandHistogram#priorityBand} than {@code band} are shed at once,
+     * and so is a random part of those in the band. Never called without fleet control.
      *
      * @param admittedShare share of the requests in the band that are admitted, from 0 to 1
      */
--- a/src/main/java/firstage/policy/state/EngineState.java
+++ b/src/main/java/firstage/policy/state/EngineState.java
@@ -29,7 +29,9 @@
     /** Start of the engine according to the endpoint list; 0 if long ago. */
     public long startedAt;
 
-    /** This manager's share of the capacity during warm-up; 0 for an equal share of all managers. */
+    /**
+     * This manager's share of the capacity during warm-up; 0 for an equal share of all managers.
+     */
     public double warmUpShare;
 
     /** Time since which the engine has been gone with no attempt in flight; 0 otherwise. */
--- a/src/main/java/firstage/policy/state/LogHistogram.java
+++ b/src/main/java/firstage/policy/state/LogHistogram.java
@@ -14,7 +14,13 @@
     /** Adds a sample. */
     public void add(double ratio) {
         double octaves = Math.log(Math.max(ratio, 1e-9)) / Math.log(2);
-        weights[(int) Math.max(0, Math.min(BIN_COUNT - 1, Math.floor(octaves * 2 + BIN_COUNT / 2.0)))]++;
+        weights[
+                (int)
+                        Math.max(
+                                0,
+                                Math.min(
+                                        BIN_COUNT - 1,
+                                        Math.floor(octaves * 2 + BIN_COUNT / 2.0)))]++;
         totalWeight++;
         cachedShare = -1;
     }
--- a/src/main/java/firstage/policy/state/RequestState.java
+++ b/src/main/java/firstage/policy/state/RequestState.java
@@ -123,8 +123,8 @@
     }
 
     /**
-     * Returns the expected work in ticks on one thread: the estimate times the best latency ratio of
-     * the traffic class, or the work of a typical request if there is no estimate.
+     * Returns the expected work in ticks on one thread: the estimate times the best latency ratio
+     * of the traffic class, or the work of a typical request if there is no estimate.
      */
     public double expectedWork() {
         return incoming.estimatedWork() > 0
--- a/src/main/java/firstage/scale/DecisionCost.java
+++ b/src/main/java/firstage/scale/DecisionCost.java
@@ -88,11 +88,14 @@
         for (int engine = 0; engine < engines; engine++) {
             endpoints.add(new Endpoint(engine, engine + 1L, 0, 0, engine, Lifecycle.ACTIVE, 1, 0));
         }
-        scheduler.onEndpointsUpdated(now, new EndpointUpdate(EndpointUpdate.Kind.INITIAL, endpoints));
+        scheduler.onEndpointsUpdated(
+                now, new EndpointUpdate(EndpointUpdate.Kind.INITIAL, endpoints));
         scheduler.runPendingActions(now);
     }
 
-    /** Advances the time to the next request, ends the attempts that are due and adds the request. */
+    /**
+     * Advances the time to the next request, ends the attempts that are due and adds the request.
+     */
     private void addRequest(int requestId) {
         now += REQUEST_INTERVAL;
         while (!running.isEmpty() && running.peek()[0] <= now) {
@@ -115,13 +118,22 @@
         scheduler.onRequest(
                 now,
                 new IncomingRequest(
-                        requestId, 0, -1, -1, now + 5 * SECOND, WORK, 100, requestId % 20, false, false));
+                        requestId,
+                        0,
+                        -1,
+                        -1,
+                        now + 5 * SECOND,
+                        WORK,
+                        100,
+                        requestId % 20,
+                        false,
+                        false));
         scheduler.runPendingActions(now);
     }
 
     /**
-     * Measures the cost for a number of engines. Returns the figures by name: microseconds, attempts,
-     * and rejections or failures per request.
+     * Measures the cost for a number of engines. Returns the figures by name: microseconds,
+     * attempts, and rejections or failures per request.
      */
     public static Map<String, Double> play(int engines, int managers) {
         DecisionCost run = new DecisionCost(engines, managers);
@@ -131,7 +143,9 @@
         run.attemptsStarted = 0;
         run.rejectedOrFailed = 0;
         long startNs = System.nanoTime();
-        for (int requestId = WARM_UP_REQUESTS; requestId < WARM_UP_REQUESTS + MEASURED_REQUESTS; requestId++) {
+        for (int requestId = WARM_UP_REQUESTS;
+                requestId < WARM_UP_REQUESTS + MEASURED_REQUESTS;
+                requestId++) {
             run.addRequest(requestId);
         }
         Map<String, Double> figures = new LinkedHashMap<>();
--- a/src/main/java/firstage/scale/EmulatedWatches.java
+++ b/src/main/java/firstage/scale/EmulatedWatches.java
@@ -31,7 +31,9 @@
 
     /** A watch: the connection of one manager. */
     private static final class Watch {
-        /** Subscription that the manager sends first: the number of the last event that it knows. */
+        /**
+         * Subscription that the manager sends first: the number of the last event that it knows.
+         */
         private final ByteBuffer subscription = ByteBuffer.allocate(Long.BYTES);
 
         private final Queue<ByteBuffer> unsent = new ArrayDeque<>();
@@ -70,8 +72,8 @@
     }
 
     /**
-     * Sends a change of an engine to all watches. The event gives the current time as the start time
-     * of the engine, so that a receiver can compute the delay of the event.
+     * Sends a change of an engine to all watches. The event gives the current time as the start
+     * time of the engine, so that a receiver can compute the delay of the event.
      */
     void tell(int id, int zone) {
         ByteBuffer frame = ByteBuffer.allocate(4 + HEADER_BYTES + RECORD_BYTES);
@@ -103,7 +105,10 @@
                     events.add(frame);
                 }
                 boolean heartbeatDue = System.currentTimeMillis() >= nextHeartbeatMs;
-                nextHeartbeatMs = heartbeatDue ? System.currentTimeMillis() + HEARTBEAT_INTERVAL_MS : nextHeartbeatMs;
+                nextHeartbeatMs =
+                        heartbeatDue
+                                ? System.currentTimeMillis() + HEARTBEAT_INTERVAL_MS
+                                : nextHeartbeatMs;
                 for (SelectionKey key : selector.keys()) {
                     if (key.attachment() instanceof Watch watch && key.isValid()) {
                         sendEvents(key, watch, heartbeatDue);
@@ -135,7 +140,9 @@
 
     private void onReady(SelectionKey key) throws IOException {
         if (key.isAcceptable()) {
-            for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
+            for (SocketChannel channel = server.accept();
+                    channel != null;
+                    channel = server.accept()) {
                 channel.configureBlocking(false);
                 channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
                 channel.register(selector, SelectionKey.OP_READ, new Watch());
@@ -146,7 +153,10 @@
             try {
                 int bytesRead =
                         ((SocketChannel) key.channel())
-                                .read(watch.nextEvent < 0 ? watch.subscription : ByteBuffer.allocate(64));
+                                .read(
+                                        watch.nextEvent < 0
+                                                ? watch.subscription
+                                                : ByteBuffer.allocate(64));
                 if (bytesRead < 0) {
                     closeWatch(key);
                 } else if (watch.nextEvent < 0 && !watch.subscription.hasRemaining()) {
@@ -164,7 +174,8 @@
         openWatches--;
     }
 
-    private void sendEvents(SelectionKey key, Watch watch, boolean heartbeatDue) throws IOException {
+    private void sendEvents(SelectionKey key, Watch watch, boolean heartbeatDue)
+            throws IOException {
         if (watch.nextEvent < 0) {
             return;
         }
--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -112,6 +112,7 @@
 
     /** Bytes sent, by the ordinal of the message kind; the last entry is for the cell directory. */
     final long[] bytesOut = new long[MembershipMessage.Kind.values().length + 1];
+
     long datagramsOut;
     long bytesIn;
     long listBytes;
@@ -210,7 +211,8 @@
                         plan.period(),
                         new ZoneActions() {
                             @Override
-                            public void setAvoided(long engine, boolean avoided, boolean backoffOver) {
+                            public void setAvoided(
+                                    long engine, boolean avoided, boolean backoffOver) {
                                 // A hollow manager calls no engines.
                             }
 
@@ -224,7 +226,8 @@
         membership =
                 new MembershipProtocol(
                         plan.name(),
-                        new Member(name(), plan.zoneOf(number), startedAtMs, MemberState.ALIVE, "", 1),
+                        new Member(
+                                name(), plan.zoneOf(number), startedAtMs, MemberState.ALIVE, "", 1),
                         plan.together(),
                         plan.period(),
                         MAX_DATAGRAM_BYTES,
@@ -249,7 +252,8 @@
         engineSubset =
                 cellDirectory == null
                         ? null
-                        : new EngineSubset<>(cellDirectory, ListedEngine::id, ListedEngine::zone, e -> false);
+                        : new EngineSubset<>(
+                                cellDirectory, ListedEngine::id, ListedEngine::zone, e -> false);
         datagramChannel = DatagramChannel.open();
         datagramChannel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         datagramChannel.bind(addresses.mail(plan, number));
@@ -271,7 +275,8 @@
 
     /** Adds those of the engines that this manager's cell may use. */
     private void addUsable(List<ListedEngine> entries) {
-        (engineSubset == null ? entries : engineSubset.filter(false, entries)).forEach(engine -> usableEngines.add(engine.id));
+        (engineSubset == null ? entries : engineSubset.filter(false, entries))
+                .forEach(engine -> usableEngines.add(engine.id));
     }
 
     private void connectToCoordinator() throws IOException {
@@ -308,7 +313,9 @@
         if (now >= nextEvaluation) {
             nextEvaluation = now + EVALUATION_INTERVAL;
             for (int band = 0; band < PRIORITY_BANDS; band++) {
-                demand.arrivedWork(DemandHistogram.BANDS / 2 + 2 * band, WORK_PER_TICK * EVALUATION_INTERVAL / PRIORITY_BANDS);
+                demand.arrivedWork(
+                        DemandHistogram.BANDS / 2 + 2 * band,
+                        WORK_PER_TICK * EVALUATION_INTERVAL / PRIORITY_BANDS);
             }
             demand.startedWork(WORK_PER_TICK * EVALUATION_INTERVAL);
             fleetCoordinator.evaluate(now, demand);
@@ -408,7 +415,8 @@
 
     @Override
     public void send(int cell, int slot, byte[] datagram) {
-        sendDatagram(addresses.mail(plan, cell * plan.together() + slot), bytesOut.length - 1, datagram);
+        sendDatagram(
+                addresses.mail(plan, cell * plan.together() + slot), bytesOut.length - 1, datagram);
     }
 
     @Override
@@ -440,7 +448,12 @@
 
     @Override
     public void digestReceived(long now, String sender, byte[] digest) {
-        fleetCoordinator.onDigest(now, sender, cellDirectory == null ? digest : cellDirectory.onDigest(now, lastSenderSlot, digest));
+        fleetCoordinator.onDigest(
+                now,
+                sender,
+                cellDirectory == null
+                        ? digest
+                        : cellDirectory.onDigest(now, lastSenderSlot, digest));
     }
 
     @Override
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -26,9 +26,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Runs a few hundred hollow managers in one process, all on one thread. The worker reads orders from
- * standard input, one a line, and writes a line of JSON with its figures to standard output each
- * second. The process ends when standard input ends. Times are ticks unless their name says ms.
+ * Runs a few hundred hollow managers in one process, all on one thread. The worker reads orders
+ * from standard input, one a line, and writes a line of JSON with its figures to standard output
+ * each second. The process ends when standard input ends. Times are ticks unless their name says
+ * ms.
  */
 public final class HollowWorker implements HollowManager.Witness {
     private static final long TICK_INTERVAL = 200;
@@ -71,20 +72,29 @@
 
     /** Delays of managers' ticks since the last report. */
     private final Histogram tickDelays = new Histogram(MAX_TICK_DELAY, 2);
+
     private final PrintStream out;
     private final long startNs = System.nanoTime();
 
     /** Unix time at which a zone was killed; events of cells are recorded from then on. */
     private long silentSinceMs = Long.MAX_VALUE;
+
     private volatile boolean stopped;
 
-    private HollowWorker(ScalePlan plan, ScaleAddresses addresses, int firstManager, int endManager, PrintStream out)
+    private HollowWorker(
+            ScalePlan plan,
+            ScaleAddresses addresses,
+            int firstManager,
+            int endManager,
+            PrintStream out)
             throws IOException {
         this.plan = plan;
         this.out = out;
         for (int manager = firstManager; manager < endManager; manager++) {
             if (!plan.isReal(manager)) {
-                managers.put(manager, new HollowManager(manager, plan, addresses, selector, this::now, this));
+                managers.put(
+                        manager,
+                        new HollowManager(manager, plan, addresses, selector, this::now, this));
             }
         }
     }
@@ -97,7 +107,8 @@
      * @param firstManager number of the first manager
      * @param endManager one past the last manager
      */
-    public static void run(ScalePlan plan, int port, int firstManager, int endManager) throws IOException {
+    public static void run(ScalePlan plan, int port, int firstManager, int endManager)
+            throws IOException {
         new HollowWorker(
                         plan,
                         new ScaleAddresses(port),
@@ -184,7 +195,14 @@
             case "go" -> {
                 Random random = new Random(managers.keySet().iterator().next());
                 managers.values()
-                        .forEach(m -> startTimes.put(m, now() + (long) (random.nextDouble() * START_WINDOW)));
+                        .forEach(
+                                m ->
+                                        startTimes.put(
+                                                m,
+                                                now()
+                                                        + (long)
+                                                                (random.nextDouble()
+                                                                        * START_WINDOW)));
                 addMilestone(
                         "one view",
                         Long.parseLong(order[1]),
@@ -194,7 +212,9 @@
             case "kill" -> forEach(order[1], HollowManager::kill);
             case "leave" -> forEach(order[1], HollowManager::leave);
             case "start" ->
-                    forEach(order[1], m -> startTimes.put(m, now() + Long.parseLong(order[2]) * 10));
+                    forEach(
+                            order[1],
+                            m -> startTimes.put(m, now() + Long.parseLong(order[2]) * 10));
             case "gone" ->
                     addMilestone(
                             order[1],
@@ -242,17 +262,21 @@
      * @param sinceMs Unix time from which the delays count
      * @param cell cell whose managers are observed; -1 for all managers
      */
-    private void addMilestone(String label, long sinceMs, int cell, Predicate<List<String>> condition) {
+    private void addMilestone(
+            String label, long sinceMs, int cell, Predicate<List<String>> condition) {
         Milestone milestone = new Milestone(label, sinceMs, condition);
         managers.values().stream()
                 .filter(m -> cell < 0 || plan.cellOf(m.number) == cell)
                 .forEach(m -> milestone.waitingManagers.put(m.number, m));
         milestones.add(milestone);
-        List.copyOf(milestone.waitingManagers.values()).forEach(m -> checkMilestone(milestone, m, m.view()));
+        List.copyOf(milestone.waitingManagers.values())
+                .forEach(m -> checkMilestone(milestone, m, m.view()));
     }
 
     private void checkMilestone(Milestone milestone, HollowManager manager, List<String> names) {
-        if (manager.up() && milestone.waitingManagers.containsKey(manager.number) && milestone.condition.test(names)) {
+        if (manager.up()
+                && milestone.waitingManagers.containsKey(manager.number)
+                && milestone.condition.test(names)) {
             milestone.waitingManagers.remove(manager.number);
             recordDelay(milestone.label, System.currentTimeMillis() - milestone.sinceMs);
         }
@@ -313,7 +337,8 @@
                         sum);
             }
             writeFigure(json, "bytes out", totalBytes);
-            writeFigure(json, "bytes in", managers.values().stream().mapToLong(m -> m.bytesIn).sum());
+            writeFigure(
+                    json, "bytes in", managers.values().stream().mapToLong(m -> m.bytesIn).sum());
             writeFigure(
                     json,
                     "datagrams out",
@@ -324,13 +349,18 @@
                     managers.values().stream().mapToLong(m -> m.listBytes).sum());
             writeFigure(json, "late 99th tenths", tickDelays.getValueAtPercentile(99));
             writeFigure(json, "late most tenths", tickDelays.getMaxValue());
-            writeFigure(json, "whole views", up.stream().filter(m -> m.views() == plan.together()).count());
-            json.writeNumberField("in force", up.stream().mapToDouble(HollowManager::inForce).sum());
+            writeFigure(
+                    json,
+                    "whole views",
+                    up.stream().filter(m -> m.views() == plan.together()).count());
+            json.writeNumberField(
+                    "in force", up.stream().mapToDouble(HollowManager::inForce).sum());
             writeFigure(
                     json,
                     "fewest cells heard",
                     up.stream().mapToInt(HollowManager::cellsHeard).min().orElse(0));
-            writeFigure(json, "engines held", up.stream().mapToInt(HollowManager::enginesHeld).sum());
+            writeFigure(
+                    json, "engines held", up.stream().mapToInt(HollowManager::enginesHeld).sum());
             json.writeObjectFieldStart("reached");
             for (Map.Entry<String, List<Long>> entry : delaysByLabel.entrySet()) {
                 json.writeArrayFieldStart(entry.getKey());
@@ -347,7 +377,8 @@
         out.println(line);
     }
 
-    private static void writeFigure(JsonGenerator json, String name, long value) throws IOException {
+    private static void writeFigure(JsonGenerator json, String name, long value)
+            throws IOException {
         json.writeNumberField(name, value);
     }
 }
--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -74,7 +74,8 @@
      * @param endManager one past the last manager
      * @param errorLog file for the standard error of the process
      */
-    HollowWorkerProcess(List<String> command, int firstManager, int endManager, Path errorLog) throws IOException {
+    HollowWorkerProcess(List<String> command, int firstManager, int endManager, Path errorLog)
+            throws IOException {
         this.from = firstManager;
         this.endManager = endManager;
         process = new ProcessBuilder(command).redirectError(errorLog.toFile()).start();
@@ -126,8 +127,8 @@
     }
 
     /**
-     * Returns the last line that is not a report, or the message of a failed read; empty if there is
-     * neither.
+     * Returns the last line that is not a report, or the message of a failed read; empty if there
+     * is neither.
      */
     String lastWords() {
         return lastMessage;
--- a/src/main/java/firstage/scale/LoadClients.java
+++ b/src/main/java/firstage/scale/LoadClients.java
@@ -74,7 +74,12 @@
      * @param tenant tenant of the statements
      */
     LoadClients(InetSocketAddress address, String tenant) throws IOException {
-        managerUri = URI.create("http://" + address.getAddress().getHostAddress() + ":" + address.getPort());
+        managerUri =
+                URI.create(
+                        "http://"
+                                + address.getAddress().getHostAddress()
+                                + ":"
+                                + address.getPort());
         this.tenant = tenant;
         worker =
                 Xnio.getInstance(LoadClients.class.getClassLoader())
@@ -103,7 +108,10 @@
                     for (int i = connectionsBefore; i < connections; i++) {
                         Caller caller = new Caller();
                         callers.add(caller);
-                        caller.scheduleAfter(statementIntervalUs * (i - connectionsBefore) / Math.max(1, connections - connectionsBefore));
+                        caller.scheduleAfter(
+                                statementIntervalUs
+                                        * (i - connectionsBefore)
+                                        / Math.max(1, connections - connectionsBefore));
                     }
                     while (callers.size() > connections) {
                         callers.remove(callers.size() - 1).disconnect();
@@ -149,9 +157,11 @@
 
     private void measureDelay(long dueNs) {
         if (!closed) {
-            threadDelays.recordValue(Math.min(MAX_RECORDED_US, Math.max(0, (System.nanoTime() - dueNs) / 1_000)));
+            threadDelays.recordValue(
+                    Math.min(MAX_RECORDED_US, Math.max(0, (System.nanoTime() - dueNs) / 1_000)));
             long nextNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TICK_INTERVAL_MS);
-            ioThread.executeAfter(() -> measureDelay(nextNs), TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            ioThread.executeAfter(
+                    () -> measureDelay(nextNs), TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -165,8 +175,8 @@
         private boolean disconnected;
 
         /**
-         * Time at which the next statement is due, in us of the monotonic clock. Due times are evenly
-         * spaced, so after a long statement the next one follows sooner.
+         * Time at which the next statement is due, in us of the monotonic clock. Due times are
+         * evenly spaced, so after a long statement the next one follows sooner.
          */
         private long nextStatementUs = System.nanoTime() / 1_000;
 
@@ -236,7 +246,8 @@
                         @Override
                         public void completed(ClientExchange exchange) {
                             if (!body.isEmpty()) {
-                                new StringWriteChannelListener(body).setup(exchange.getRequestChannel());
+                                new StringWriteChannelListener(body)
+                                        .setup(exchange.getRequestChannel());
                             }
                             exchange.setResponseListener(
                                     new ClientCallback<>() {
@@ -294,7 +305,8 @@
                                 .setMethod(Methods.GET)
                                 .setPath(
                                         text.substring(
-                                                POLL_PREFIX.length(), text.indexOf('"', POLL_PREFIX.length())));
+                                                POLL_PREFIX.length(),
+                                                text.indexOf('"', POLL_PREFIX.length())));
                 request.getRequestHeaders().put(Headers.HOST, managerUri.getAuthority());
                 send(request, "");
                 return;
--- a/src/main/java/firstage/scale/ScaleAddresses.java
+++ b/src/main/java/firstage/scale/ScaleAddresses.java
@@ -17,7 +17,8 @@
     private static final int ROWS_PER_SECOND_OCTET = 250;
 
     private InetSocketAddress address(int secondOctet, int thirdOctet, int fourthOctet) {
-        return new InetSocketAddress("127." + secondOctet + "." + thirdOctet + "." + fourthOctet, port);
+        return new InetSocketAddress(
+                "127." + secondOctet + "." + thirdOctet + "." + fourthOctet, port);
     }
 
     /** Returns the address at which a manager receives datagrams. */
--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -44,8 +44,8 @@
      *
      * @param rate statements a second over all connections
      * @param length ticks for which the load is measured
-     * @param counted whether the load is used to fit the slopes; false for a load that only warms up
-     *     the program
+     * @param counted whether the load is used to fit the slopes; false for a load that only warms
+     *     up the program
      */
     public record Load(int connections, double rate, long length, boolean counted) {}
 
@@ -105,7 +105,8 @@
         for (TomlSection section : root.tables("event")) {
             events.add(
                     new Event(
-                            Kind.valueOf(section.oneOf("kind", null, kinds).toUpperCase(Locale.ROOT)),
+                            Kind.valueOf(
+                                    section.oneOf("kind", null, kinds).toUpperCase(Locale.ROOT)),
                             section.duration("at", null),
                             section.line()));
             section.rejectUnknownKeys();
@@ -183,7 +184,8 @@
                             + (managers() / cell + 1) * cell
                             + " managers in all");
         }
-        long minCellsPerZone = IntStream.range(0, zones.size()).map(zone -> cells(zone)).min().orElse(0);
+        long minCellsPerZone =
+                IntStream.range(0, zones.size()).map(zone -> cells(zone)).min().orElse(0);
         if (cell > 0 && spread > minCellsPerZone) {
             throw managers.invalid(
                     "spread",
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -54,8 +54,8 @@
     private static final double REAL_MANAGER_MB = 110;
 
     /**
-     * Limit on the 99th percentile of the tick delay of hollow managers; the figures of a phase over
-     * the limit are void. The membership regards a manager that pauses for 400 ms as stopped.
+     * Limit on the 99th percentile of the tick delay of hollow managers; the figures of a phase
+     * over the limit are void. The membership regards a manager that pauses for 400 ms as stopped.
      */
     private static final double MAX_TICK_DELAY_MS = 100;
 
@@ -143,14 +143,16 @@
     private final Map<String, Double> figures = new LinkedHashMap<>();
 
     /**
-     * Index of the first report line of each phase, by the name of the phase and in the order of the
-     * phases. The figures of a phase are void if hollow managers ticked too late in it.
+     * Index of the first report line of each phase, by the name of the phase and in the order of
+     * the phases. The figures of a phase are void if hollow managers ticked too late in it.
      */
     private final Map<String, Integer> phases = new LinkedHashMap<>();
 
     private final Random random;
     private final Thread shutdownHook =
-            new Thread(() -> hollowProcesses.forEach(HollowWorkerProcess::close), "end of the scale run");
+            new Thread(
+                    () -> hollowProcesses.forEach(HollowWorkerProcess::close),
+                    "end of the scale run");
 
     private ScaleRun(Order parameters) throws IOException {
         this.parameters = parameters;
@@ -242,7 +244,9 @@
         putFigure("real", plan.real());
         putFigure("cell", plan.cell());
         putFigure("engines", plan.engines());
-        putFigure("start: whole views, part of managers", sumOfLast("whole views") / Math.max(1, sumOfLast("up")));
+        putFigure(
+                "start: whole views, part of managers",
+                sumOfLast("whole views") / Math.max(1, sumOfLast("up")));
         putFigure("start: slices in force", sumOfLast("in force") / Math.max(1, sumOfLast("up")));
         putFigure("start: worst second, bytes a manager", worstSecondPerManager("bytes out", 0));
         putFigure("watches", watches.open());
@@ -259,8 +263,8 @@
     }
 
     /**
-     * Records the tick delay of each phase, and marks the figures of a phase as void if its delay is
-     * above {@link #MAX_TICK_DELAY_MS}. Returns a message that names the late phases, or null if
+     * Records the tick delay of each phase, and marks the figures of a phase as void if its delay
+     * is above {@link #MAX_TICK_DELAY_MS}. Returns a message that names the late phases, or null if
      * there are none.
      */
     private String voidLatePhases() {
@@ -271,12 +275,15 @@
             double delayMs =
                     tickDelayMs(
                             phaseStarts.get(i).getValue(),
-                            i + 1 < phaseStarts.size() ? phaseStarts.get(i + 1).getValue() : completeSeconds());
+                            i + 1 < phaseStarts.size()
+                                    ? phaseStarts.get(i + 1).getValue()
+                                    : completeSeconds());
             putFigure("late in " + phase + ", 99th, ms", delayMs);
             if (delayMs > MAX_TICK_DELAY_MS) {
                 latePhases.add(String.format(Locale.ROOT, "%s (%.0f ms)", phase, delayMs));
                 List<String> prefixes =
-                        FIGURE_PREFIXES.getOrDefault(phase.replaceAll(" \\d+$", ""), List.of(phase + ":"));
+                        FIGURE_PREFIXES.getOrDefault(
+                                phase.replaceAll(" \\d+$", ""), List.of(phase + ":"));
                 for (String name : List.copyOf(figures.keySet())) {
                     if (prefixes.stream().anyMatch(name::startsWith)) {
                         figures.put("(void) " + name, figures.remove(name));
@@ -292,8 +299,13 @@
     }
 
     private void startHollowProcesses() throws IOException {
-        double heapMb = HOLLOW_PROCESS_MB + plan.inAProcess() * (HOLLOW_MANAGER_MB + KNOWN_MANAGER_MB * plan.together());
-        for (int firstManager = 0; firstManager < plan.managers(); firstManager += plan.inAProcess()) {
+        double heapMb =
+                HOLLOW_PROCESS_MB
+                        + plan.inAProcess()
+                                * (HOLLOW_MANAGER_MB + KNOWN_MANAGER_MB * plan.together());
+        for (int firstManager = 0;
+                firstManager < plan.managers();
+                firstManager += plan.inAProcess()) {
             int endManager = Math.min(plan.managers(), firstManager + plan.inAProcess());
             List<String> command =
                     List.of(
@@ -315,7 +327,10 @@
                             command,
                             firstManager,
                             endManager,
-                            parameters.folder.resolve("logs").resolve("hollow-" + firstManager + ".log")));
+                            parameters
+                                    .folder
+                                    .resolve("logs")
+                                    .resolve("hollow-" + firstManager + ".log")));
         }
         long deadline = System.currentTimeMillis() + START_TIMEOUT_S * 1_000;
         while (hollowProcesses.stream().anyMatch(h -> h.told() == 0)) {
@@ -327,9 +342,13 @@
                                     + " did not start: "
                                     + process.lastWords()
                                     + Files.readString(
-                                                    parameters.folder
+                                                    parameters
+                                                            .folder
                                                             .resolve("logs")
-                                                            .resolve("hollow-" + process.from + ".log"))
+                                                            .resolve(
+                                                                    "hollow-"
+                                                                            + process.from
+                                                                            + ".log"))
                                             .lines()
                                             .findFirst()
                                             .orElse(""));
@@ -364,7 +383,9 @@
                         place,
                         parameters.seed * 1_009 + manager,
                         socketLimit());
-                Files.write(ManagerProcesses.peersFile(parameters.folder, started), peersFileLines(manager));
+                Files.write(
+                        ManagerProcesses.peersFile(parameters.folder, started),
+                        peersFileLines(manager));
                 realManagers.start(started, true);
                 started++;
             }
@@ -375,13 +396,16 @@
     }
 
     /**
-     * Returns the socket limit of a real manager: clients may hold a third of it, and connections to
-     * engines need the rest.
+     * Returns the socket limit of a real manager: clients may hold a third of it, and connections
+     * to engines need the rest.
      */
     private int socketLimit() {
         return Math.max(
                 BASE_SOCKETS,
-                plan.loads().stream().mapToInt(l -> 3 * l.connections() + BASE_SOCKETS).max().orElse(0));
+                plan.loads().stream()
+                        .mapToInt(l -> 3 * l.connections() + BASE_SOCKETS)
+                        .max()
+                        .orElse(0));
     }
 
     private List<String> peersFileLines(int manager) {
@@ -391,7 +415,9 @@
                                 "fleet = \"" + plan.name() + "\"",
                                 "name = \"m" + manager + "\"",
                                 "zone = \"" + plan.zoneOf(manager) + "\"",
-                                "listen = \"" + LoopbackAddresses.hostPort(addresses.mail(plan, manager)) + "\"",
+                                "listen = \""
+                                        + LoopbackAddresses.hostPort(addresses.mail(plan, manager))
+                                        + "\"",
                                 "probe = \"" + plan.period() / 10 + " ms\""));
         if (plan.cell() == 0) {
             for (int peer = 0; peer < plan.managers(); peer++) {
@@ -448,7 +474,8 @@
 
     private void measureSteadyState() {
         Map<HollowWorkerProcess, HollowWorkerProcess.Line> before =
-                hollowProcesses.stream().collect(Collectors.toMap(h -> h, HollowWorkerProcess::last));
+                hollowProcesses.stream()
+                        .collect(Collectors.toMap(h -> h, HollowWorkerProcess::last));
         double[] cpu = new double[plan.real()];
         for (int i = 0; i < plan.real(); i++) {
             cpu[i] = cpuMs(i);
@@ -474,11 +501,13 @@
             }
         }
         double elapsedS = (System.currentTimeMillis() - startMs) / 1e3;
-        putFigure("steady: coordinator's bytes a s", (watches.bytes() - listBytesBefore) / elapsedS);
+        putFigure(
+                "steady: coordinator's bytes a s", (watches.bytes() - listBytesBefore) / elapsedS);
         for (int i = 0; i < plan.real(); i++) {
             cpu[i] = (cpuMs(i) - cpu[i]) / elapsedS;
         }
-        putFigure("steady: processor of a real one, ms a s", Arrays.stream(cpu).average().orElse(0));
+        putFigure(
+                "steady: processor of a real one, ms a s", Arrays.stream(cpu).average().orElse(0));
         putFigure(
                 "steady: resident MB of a real one",
                 IntStream.range(0, plan.real()).mapToDouble(this::residentMb).average().orElse(0));
@@ -492,8 +521,8 @@
     }
 
     /**
-     * Plays the loads on the first real manager one after another, then fits the manager's cost of a
-     * statement and of a connection.
+     * Plays the loads on the first real manager one after another, then fits the manager's cost of
+     * a statement and of a connection.
      */
     private void playLoads() throws IOException {
         if (plan.loads().isEmpty()) {
@@ -522,8 +551,8 @@
     }
 
     /**
-     * Measures a load that is being played. Returns statements a second, connections, processor time
-     * in ms a second and resident MB, in this order.
+     * Measures a load that is being played. Returns statements a second, connections, processor
+     * time in ms a second and resident MB, in this order.
      */
     private double[] measureLoad(String prefix, LoadClients clients, ScalePlan.Load load) {
         long[] before = {
@@ -546,17 +575,24 @@
         double failed = (clients.failed() - before[2]) / elapsedS;
         putFigure(prefix + "connections", load.connections());
         putFigure(prefix + "statements a s", returned + pushedBack + failed);
-        putFigure(prefix + "returned, part", returned / Math.max(1e-9, returned + pushedBack + failed));
+        putFigure(
+                prefix + "returned, part",
+                returned / Math.max(1e-9, returned + pushedBack + failed));
         putFigure(prefix + "failed a s", failed);
         putFigure(prefix + "connections opened a s", (clients.opened() - before[3]) / elapsedS);
         putFigure(prefix + "dispatches a s", (engines.taken() - before[4]) / elapsedS);
         putFigure(prefix + "probes a s", (engines.probes() - before[5]) / elapsedS);
         putFigure(prefix + "median, ms", clients.latency().getValueAtPercentile(50) / 1e3);
-        putFigure(prefix + "99th, ms", clients.latency().getValueAtPercentile(HIGH_PERCENTILE) / 1e3);
-        putFigure(prefix + "clients late, 99th, ms", clients.late().getValueAtPercentile(HIGH_PERCENTILE) / 1e3);
+        putFigure(
+                prefix + "99th, ms", clients.latency().getValueAtPercentile(HIGH_PERCENTILE) / 1e3);
+        putFigure(
+                prefix + "clients late, 99th, ms",
+                clients.late().getValueAtPercentile(HIGH_PERCENTILE) / 1e3);
         putFigure(prefix + "processor, ms a s", cpu);
         putFigure(prefix + "resident MB", residentMb(0));
-        return new double[] {returned + pushedBack + failed, load.connections(), cpu, residentMb(0)};
+        return new double[] {
+            returned + pushedBack + failed, load.connections(), cpu, residentMb(0)
+        };
     }
 
     /**
@@ -568,7 +604,9 @@
         OLSMultipleLinearRegression cpuFit = new OLSMultipleLinearRegression();
         cpuFit.newSampleData(
                 measured.stream().mapToDouble(row -> row[2]).toArray(),
-                measured.stream().map(row -> new double[] {row[0], row[1]}).toArray(double[][]::new));
+                measured.stream()
+                        .map(row -> new double[] {row[0], row[1]})
+                        .toArray(double[][]::new));
         double[] slopes = cpuFit.estimateRegressionParameters();
         double[] errors = cpuFit.estimateRegressionParametersStandardErrors();
         putFigure("slope: us of processor a statement", slopes[1] * 1e3);
@@ -582,13 +620,21 @@
     }
 
     private double cpuMs(int realManager) {
-        return realManagers.handle(realManager).info().totalCpuDuration().map(d -> (double) d.toMillis()).orElse(0.0);
+        return realManagers
+                .handle(realManager)
+                .info()
+                .totalCpuDuration()
+                .map(d -> (double) d.toMillis())
+                .orElse(0.0);
     }
 
     private double residentMb(int realManager) {
         try {
             return Files.readAllLines(
-                            Path.of("/proc", String.valueOf(realManagers.handle(realManager).pid()), "status"))
+                            Path.of(
+                                    "/proc",
+                                    String.valueOf(realManagers.handle(realManager).pid()),
+                                    "status"))
                     .stream()
                     .filter(line -> line.startsWith("VmRSS"))
                     .mapToDouble(line -> Double.parseDouble(line.replaceAll("[^0-9]", "")) / 1_024)
@@ -609,7 +655,9 @@
         for (ScalePlan.Event event : events) {
             pause(startMs + event.at() / 10 - System.currentTimeMillis());
             parameters.progress.accept(event.kind().name().toLowerCase(Locale.ROOT));
-            phases.put(event.kind().name().toLowerCase(Locale.ROOT) + " " + ++number, completeSeconds());
+            phases.put(
+                    event.kind().name().toLowerCase(Locale.ROOT) + " " + ++number,
+                    completeSeconds());
             playEvent(event.kind(), number);
         }
         pause(startMs + plan.length() / 10 - System.currentTimeMillis());
@@ -693,15 +741,17 @@
     }
 
     /**
-     * Returns the largest increase of a counter in one second, from {@code firstSecond} on, as a mean
-     * over the hollow managers.
+     * Returns the largest increase of a counter in one second, from {@code firstSecond} on, as a
+     * mean over the hollow managers.
      */
     private double worstSecondPerManager(String name, int firstSecond) {
         double worst = 0;
         for (int second = Math.max(1, firstSecond); second < completeSeconds(); second++) {
             double increase = 0;
             for (HollowWorkerProcess process : hollowProcesses) {
-                increase += process.lines().get(second).figure(name) - process.lines().get(second - 1).figure(name);
+                increase +=
+                        process.lines().get(second).figure(name)
+                                - process.lines().get(second - 1).figure(name);
             }
             worst = Math.max(worst, increase / plan.hollow());
         }
@@ -714,7 +764,11 @@
      */
     private double tickDelayMs(int firstSecond, int endSecond) {
         return hollowProcesses.stream()
-                .flatMap(process -> process.lines().stream().skip(firstSecond).limit(Math.max(1, endSecond - firstSecond)))
+                .flatMap(
+                        process ->
+                                process.lines().stream()
+                                        .skip(firstSecond)
+                                        .limit(Math.max(1, endSecond - firstSecond)))
                 .mapToDouble(line -> line.figure("late 99th tenths") / 10)
                 .max()
                 .orElse(0);
@@ -723,17 +777,27 @@
     private static void addDelays(
             Map<String, DescriptiveStatistics> delaysByLabel, String label, List<Double> delaysMs) {
         DescriptiveStatistics statistics =
-                delaysByLabel.computeIfAbsent(label.replace('_', ' '), key -> new DescriptiveStatistics());
+                delaysByLabel.computeIfAbsent(
+                        label.replace('_', ' '), key -> new DescriptiveStatistics());
         delaysMs.forEach(statistics::addValue);
     }
 
     private void recordFinalFigures(int firstEventSecond) throws IOException {
-        putFigure("events: worst second, bytes a manager", worstSecondPerManager("bytes out", firstEventSecond));
+        putFigure(
+                "events: worst second, bytes a manager",
+                worstSecondPerManager("bytes out", firstEventSecond));
         Map<String, DescriptiveStatistics> delaysByLabel = new LinkedHashMap<>();
         for (HollowWorkerProcess process : hollowProcesses) {
             process.lines()
                     .forEach(
-                            line -> line.reached().forEach((label, delaysMs) -> addDelays(delaysByLabel, label, delaysMs)));
+                            line ->
+                                    line.reached()
+                                            .forEach(
+                                                    (label, delaysMs) ->
+                                                            addDelays(
+                                                                    delaysByLabel,
+                                                                    label,
+                                                                    delaysMs)));
         }
         delaysByLabel.forEach(
                 (label, delays) -> {
@@ -743,7 +807,9 @@
                     putFigure(label + ": last, s", delays.getMax() / 1e3);
                 });
         putFigure("end: slices in force", sumOfLast("in force") / Math.max(1, sumOfLast("up")));
-        putFigure("end: whole views, part of managers", sumOfLast("whole views") / Math.max(1, sumOfLast("up")));
+        putFigure(
+                "end: whole views, part of managers",
+                sumOfLast("whole views") / Math.max(1, sumOfLast("up")));
         sendToAll("heap");
         pause(2_000);
         putFigure(
@@ -753,7 +819,10 @@
                         / plan.hollow());
         putFigure(
                 "heap of a process, MB",
-                hollowProcesses.stream().mapToDouble(h -> h.last().figure("heap bytes")).average().orElse(0)
+                hollowProcesses.stream()
+                                .mapToDouble(h -> h.last().figure("heap bytes"))
+                                .average()
+                                .orElse(0)
                         / 1048576);
         double datagramBytes = 0;
         for (int i = 0; i < plan.real(); i++) {
@@ -764,7 +833,9 @@
             Matcher matcher = DATAGRAM_BYTES.matcher(Files.readString(realManagers.logFile(i)));
             datagramBytes += matcher.find() ? Double.parseDouble(matcher.group(1)) : 0;
         }
-        putFigure("a real one: datagrams' bytes in all", plan.real() == 0 ? 0 : datagramBytes / plan.real());
+        putFigure(
+                "a real one: datagrams' bytes in all",
+                plan.real() == 0 ? 0 : datagramBytes / plan.real());
         writeSeconds();
     }
 
--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -46,8 +46,8 @@
 
     /**
      * Returns the heap that the state of a manager takes, in KB, 30 s after the start of the fleet.
-     * The figure is the difference of the whole heap with and without the fleet, so nothing else may
-     * run in the process. The engines that a manager holds are not included.
+     * The figure is the difference of the whole heap with and without the fleet, so nothing else
+     * may run in the process. The engines that a manager holds are not included.
      */
     public static double heap(Shape shape, long seed) {
         double bytesBefore = usedHeapBytes();
@@ -81,7 +81,10 @@
         fleet.advance(10 * SECOND);
         double totalRate = 0;
         for (Map.Entry<MessageKind, Long> entry : fleet.bytesByKind().entrySet()) {
-            double rate = (entry.getValue() - bytesBefore[entry.getKey().ordinal()]) / 10.0 / shape.managers();
+            double rate =
+                    (entry.getValue() - bytesBefore[entry.getKey().ordinal()])
+                            / 10.0
+                            / shape.managers();
             row.put("bytes a s, " + entry.getKey().name().toLowerCase(Locale.ROOT), rate);
             totalRate += rate;
         }
@@ -199,7 +202,8 @@
         fleet.advance(5 * SECOND);
     }
 
-    private static void measureMassRestart(SimulatedCells fleet, Shape shape, Map<String, Double> row) {
+    private static void measureMassRestart(
+            SimulatedCells fleet, Shape shape, Map<String, Double> row) {
         List<ManagerHost> shuffled = new ArrayList<>(fleet.hosts());
         Collections.shuffle(shuffled, new Random(fleet.random().nextLong()));
         List<ManagerHost> killed =
@@ -208,7 +212,9 @@
                         .toList();
         killed.forEach(ManagerHost::kill);
         for (ManagerHost host : killed) {
-            fleet.events().schedule(SECOND / 2 + fleet.random().nextLong(MASS_RESTART_WINDOW), host::start);
+            fleet.events()
+                    .schedule(
+                            SECOND / 2 + fleet.random().nextLong(MASS_RESTART_WINDOW), host::start);
         }
         double worstSecond = 0;
         long bytesBefore = fleet.bytesByKind().values().stream().mapToLong(b -> b).sum();
@@ -219,7 +225,8 @@
             fleet.advance(SECOND / 10);
             if (step % 10 == 0) {
                 long bytes = fleet.bytesByKind().values().stream().mapToLong(b -> b).sum();
-                worstSecond = Math.max(worstSecond, (double) (bytes - bytesBefore) / shape.managers());
+                worstSecond =
+                        Math.max(worstSecond, (double) (bytes - bytesBefore) / shape.managers());
                 bytesBefore = bytes;
             }
             boolean allStarted = fleet.events().now() - killTime > MASS_RESTART_WINDOW + SECOND / 2;
@@ -265,7 +272,8 @@
         long allHeardAfter = -1;
         for (int second = 1; second <= 60; second++) {
             worstSecond = Math.max(worstSecond, bytesPerSecond(fleet, 1) / shape.managers());
-            boolean allHeard = fleet.hosts().stream().allMatch(host -> hearsAll(host, fleet.events().now()));
+            boolean allHeard =
+                    fleet.hosts().stream().allMatch(host -> hearsAll(host, fleet.events().now()));
             allHeardAfter = allHeardAfter < 0 && allHeard ? second : allHeardAfter;
         }
         row.put("worst second after, bytes", worstSecond);
--- a/src/main/java/firstage/scale/TrafficChart.java
+++ b/src/main/java/firstage/scale/TrafficChart.java
@@ -39,7 +39,8 @@
             String[] previousRow = rows.get(i + 1).split(",");
             seconds[i] = i + 1;
             bytesPerManager[i] =
-                    (Double.parseDouble(row[BYTES_COLUMN]) - Double.parseDouble(previousRow[BYTES_COLUMN]))
+                    (Double.parseDouble(row[BYTES_COLUMN])
+                                    - Double.parseDouble(previousRow[BYTES_COLUMN]))
                             / Math.max(1, Double.parseDouble(row[UP_COLUMN]));
         }
         chart.addSeries("sent", seconds, bytesPerManager).setMarker(SeriesMarkers.NONE);
--- a/src/main/java/firstage/server/PeerFleetControl.java
+++ b/src/main/java/firstage/server/PeerFleetControl.java
@@ -110,8 +110,7 @@
     }
 
     private void onSheddingThreshold(long now, int band, double admittedShare) {
-        loop.dispatch(
-                "cut", scheduler -> scheduler.onSheddingThreshold(now, band, admittedShare));
+        loop.dispatch("cut", scheduler -> scheduler.onSheddingThreshold(now, band, admittedShare));
     }
 
     private void reportToFleet() {
--- a/src/main/java/firstage/server/ShutdownSequence.java
+++ b/src/main/java/firstage/server/ShutdownSequence.java
@@ -93,8 +93,7 @@
         loop.dispatch(
                 "shutdown",
                 scheduler ->
-                        scheduler.onShutdown(
-                                clock.now(), killDeadline - LAST_RESPONSES_ALLOWANCE));
+                        scheduler.onShutdown(clock.now(), killDeadline - LAST_RESPONSES_ALLOWANCE));
         loop.runLater(
                 ACCEPT_AFTER_SIGTERM_MS,
                 () -> {
--- a/src/main/java/firstage/server/TickClock.java
+++ b/src/main/java/firstage/server/TickClock.java
@@ -51,9 +51,7 @@
         long unadjusted = Ticks.ofMillis(unixMs);
         long step = Ticks.ofMillis(unixClock.getAsLong()) - now;
         long latest =
-                Math.abs(step) > MIN_STEP
-                        ? Math.max(unadjusted, unadjusted - step)
-                        : unadjusted;
+                Math.abs(step) > MIN_STEP ? Math.max(unadjusted, unadjusted - step) : unadjusted;
         return Math.min(now, latest);
     }
 }
--- a/src/main/java/firstage/server/client/ClientResponses.java
+++ b/src/main/java/firstage/server/client/ClientResponses.java
@@ -41,6 +41,7 @@
 
     /** The same time in the last phase of a shutdown; enough for a client that reads. */
     private static final int MAX_WRITE_CLOSING_MS = 1_000;
+
     private static final int WRITE_SWEEP_PERIOD_MS = 250;
 
     private final XnioIoThread io;
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -200,7 +200,9 @@
                                 () -> {
                                     connectTimeout.remove();
                                     boolean done = future.getStatus() == IoFuture.Status.DONE;
-                                    if (generation != connectionGeneration || closed || connection != null) {
+                                    if (generation != connectionGeneration
+                                            || closed
+                                            || connection != null) {
                                         // The watcher was closed or follows another coordinator,
                                         // or another attempt was faster.
                                         IoUtils.safeClose(done ? result(future) : null);
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -316,7 +316,8 @@
 
     /** Closes connections that were idle so long that the engine might close them during a call. */
     void closeIdleTooLong() {
-        while (!idleConnections.isEmpty() && clock.now() - idleConnections.peekFirst().idleSince > context.maxIdle()) {
+        while (!idleConnections.isEmpty()
+                && clock.now() - idleConnections.peekFirst().idleSince > context.maxIdle()) {
             EngineConnection connection = idleConnections.peekFirst();
             connection.close();
             onClosed(connection);
--- a/src/main/java/firstage/server/engine/EngineResponseReader.java
+++ b/src/main/java/firstage/server/engine/EngineResponseReader.java
@@ -92,7 +92,9 @@
                     String value = text.substring(colon + 1).trim();
                     String name = text.substring(0, colon).trim().toLowerCase(Locale.ROOT);
                     String previous = headers.put(name, value);
-                    if (name.equals("content-length") && previous != null && !previous.equals(value)) {
+                    if (name.equals("content-length")
+                            && previous != null
+                            && !previous.equals(value)) {
                         throw new MalformedResponseException("conflicting content-length headers");
                     }
                 } else if (text.isEmpty()) {
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -55,8 +55,8 @@
 
 /**
  * Transport of membership, cells and fleet coordination over UDP on the one I/O thread: datagrams,
- * ticks and log lines. Answers status requests and zone orders from this machine. Makes no decisions
- * of its own.
+ * ticks and log lines. Answers status requests and zone orders from this machine. Makes no
+ * decisions of its own.
  */
 public final class MembershipTransport implements MembershipActions, CellActions {
     /** Text of a request for this manager's status; answered only if it comes from this machine. */
@@ -140,7 +140,8 @@
                         config.probeInterval(),
                         new ZoneActions() {
                             @Override
-                            public void setAvoided(long engine, boolean avoided, boolean backoffOver) {
+                            public void setAvoided(
+                                    long engine, boolean avoided, boolean backoffOver) {
                                 probeActions.setProbedByOthers(engine, avoided, backoffOver);
                             }
 
@@ -239,8 +240,8 @@
     }
 
     /**
-     * Returns this manager's share of an engine's warm-up budget; 0 if the fleet has no cells, so that
-     * the share from the settings applies.
+     * Returns this manager's share of an engine's warm-up budget; 0 if the fleet has no cells, so
+     * that the share from the settings applies.
      */
     public double warmUpShare(DiscoveredEndpoint endpoint) {
         return cells == null ? 0 : cells.warmUpShare(endpoint.id(), zoneName(endpoint.zone()));
@@ -398,7 +399,8 @@
                                     zoneOrder ->
                                             zoneNames.get(zoneOrder.getKey())
                                                     + " "
-                                                    + zoneOrder.getValue()
+                                                    + zoneOrder
+                                                            .getValue()
                                                             .name()
                                                             .toLowerCase(Locale.ROOT))
                             .collect(Collectors.joining(" ")));
@@ -435,8 +437,8 @@
     }
 
     /**
-     * Writes the totals of the cells and names only the cells with a problem, since a status must fit
-     * into one datagram.
+     * Writes the totals of the cells and names only the cells with a problem, since a status must
+     * fit into one datagram.
      */
     private void writeCells(JsonGenerator out, long now) throws IOException {
         PeerConfig.CellPlacement placement = config.cellPlacement();
@@ -505,7 +507,8 @@
         protocol.rejectedMessages()
                 .forEach((reason, count) -> counters.add("datagrams refused: " + reason, count));
         if (cells != null) {
-            cells.rejectedMessages().forEach((reason, count) -> counters.add("rows refused: " + reason, count));
+            cells.rejectedMessages()
+                    .forEach((reason, count) -> counters.add("rows refused: " + reason, count));
         }
         IoUtils.safeClose(channel);
     }
@@ -609,8 +612,8 @@
     }
 
     /**
-     * Returns the value of a member's state in the status answer, as older versions of {@code peers}
-     * read it.
+     * Returns the value of a member's state in the status answer, as older versions of {@code
+     * peers} read it.
      */
     private static String statusNameOf(MemberState state) {
         return switch (state) {
--- a/src/main/java/firstage/simulation/DeploymentFactory.java
+++ b/src/main/java/firstage/simulation/DeploymentFactory.java
@@ -19,7 +19,8 @@
      * Returns the deployment of one manager.
      *
      * @param rank the manager's number, from 0
-     * @param capacityFactor factor by which the deployment overstates the cores and memory of engines
+     * @param capacityFactor factor by which the deployment overstates the cores and memory of
+     *     engines
      */
     static Deployment of(FleetPlan plan, int rank, long seed, double capacityFactor) {
         List<TrafficClass> trafficClasses = new ArrayList<>();
@@ -50,7 +51,12 @@
                 plan.tenants().size() < 2
                         ? List.of()
                         : plan.tenants().stream()
-                                .map(tenant -> fleetRate / TICKS_PER_SECOND * tenant.share() / totalShare)
+                                .map(
+                                        tenant ->
+                                                fleetRate
+                                                        / TICKS_PER_SECOND
+                                                        * tenant.share()
+                                                        / totalShare)
                                 .toList();
         return new Deployment(
                 seed,
--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -21,8 +21,8 @@
  *   <li>Recently used table groups are warm and save I/O.
  *   <li>A table load blocks the other loads of its table group, and the attempts on that group that
  *       have to wait for loads.
- *   <li>A recently started engine is cold: it has only a part of its capacity, and goes down when it
- *       is overloaded.
+ *   <li>A recently started engine is cold: it has only a part of its capacity, and goes down when
+ *       it is overloaded.
  * </ul>
  */
 public final class EngineModel {
@@ -296,7 +296,10 @@
                                         + " incarnations that had ended, %.0f%% from managers that"
                                         + " knew of its start, %d ms earlier",
                                     100
-                                            * arrivedWork(arrival -> !arrival.attempt.listener.isSenderAlive())
+                                            * arrivedWork(
+                                                    arrival ->
+                                                            !arrival.attempt.listener
+                                                                    .isSenderAlive())
                                             / sentWork,
                                     100 * informedWork / sentWork,
                                     (now - startedAt) / 10));
@@ -321,7 +324,9 @@
             warmTableGroups.remove(warmTableGroups.size() - 1);
         }
         double missingMemoryShare =
-                engineType.grants() ? Math.max(0, 1 - attempt.grantMb / attempt.request.memoryMb) : 0;
+                engineType.grants()
+                        ? Math.max(0, 1 - attempt.grantMb / attempt.request.memoryMb)
+                        : 0;
         double badPlanFactor =
                 random.nextDouble() < attempt.trafficClass.badPlanShare()
                         ? 8 + 17 * random.nextDouble()
@@ -339,7 +344,9 @@
         running.add(attempt);
         if (missingMemoryShare > 0) {
             attempt.listener.onProgress(
-                    attempt, AttemptProgress.Kind.SPILLING, missingMemoryShare * attempt.request.memoryMb);
+                    attempt,
+                    AttemptProgress.Kind.SPILLING,
+                    missingMemoryShare * attempt.request.memoryMb);
         }
     }
 
@@ -388,7 +395,11 @@
         }
         double excessThreads = Math.max(0, threads / (engineType.cores() * threadsPerCoreKnee) - 1);
         double capacity =
-                engineType.cores() * speed * capacityShare() / slowdownFactor / (1 + thrashing * excessThreads);
+                engineType.cores()
+                        * speed
+                        * capacityShare()
+                        / slowdownFactor
+                        / (1 + thrashing * excessThreads);
         distribute(capacity, totalWeight);
         double ioCapacity = engineType.disks() * engineType.cores() * capacityShare();
         double ioDemand = 0;
@@ -414,7 +425,12 @@
         if (ticksToNextEnd < Double.MAX_VALUE) {
             // The capacity of a cold engine grows with its age, so its rates are recomputed at
             // least every 500 ms.
-            long delay = (long) Math.ceil(capacityShare() < 1 ? Math.min(ticksToNextEnd, 5_000) : ticksToNextEnd);
+            long delay =
+                    (long)
+                            Math.ceil(
+                                    capacityShare() < 1
+                                            ? Math.min(ticksToNextEnd, 5_000)
+                                            : ticksToNextEnd);
             events.schedule(
                     Math.max(1, delay),
                     () -> {
@@ -480,7 +496,8 @@
 
     private void release(RunningAttempt attempt) {
         attempt.ended = true;
-        reservedMb = running.isEmpty() ? 0 : reservedMb - (engineType.grants() ? attempt.grantMb : 0);
+        reservedMb =
+                running.isEmpty() ? 0 : reservedMb - (engineType.grants() ? attempt.grantMb : 0);
         tableLoads.remove(attempt.request.tableGroup, attempt);
     }
 
@@ -554,7 +571,8 @@
                                             0,
                                             Math.min(
                                                     1,
-                                                    doneShare * (0.85 + 0.3 * random.nextDouble()))));
+                                                    doneShare
+                                                            * (0.85 + 0.3 * random.nextDouble()))));
                         }
                         reschedule();
                     }
--- a/src/main/java/firstage/simulation/EventQueue.java
+++ b/src/main/java/firstage/simulation/EventQueue.java
@@ -73,7 +73,9 @@
         int level =
                 differingBits < SLOTS
                         ? 0
-                        : differingBits < 1L << 2 * SLOT_BITS ? 1 : differingBits < 1L << 3 * SLOT_BITS ? 2 : LEVELS;
+                        : differingBits < 1L << 2 * SLOT_BITS
+                                ? 1
+                                : differingBits < 1L << 3 * SLOT_BITS ? 2 : LEVELS;
         if (level == LEVELS) {
             event.next = overflow;
             overflow = event;
@@ -112,8 +114,8 @@
     }
 
     /**
-     * Runs all events that are due by {@code until}, then sets the time to it; returns the number of
-     * events that ran.
+     * Runs all events that are due by {@code until}, then sets the time to it; returns the number
+     * of events that ran.
      */
     public long runUntil(long until) {
         long executed = 0;
--- a/src/main/java/firstage/simulation/FaultTarget.java
+++ b/src/main/java/firstage/simulation/FaultTarget.java
@@ -55,7 +55,10 @@
         int zone = matcher.group(2) == null ? -1 : zones.indexOf(matcher.group(2));
         if (matcher.group(2) != null && zone < 0) {
             throw new IllegalArgumentException(
-                    "zone '" + matcher.group(2) + "' is unknown; zones are " + String.join(", ", zones));
+                    "zone '"
+                            + matcher.group(2)
+                            + "' is unknown; zones are "
+                            + String.join(", ", zones));
         }
         List<Integer> numbers =
                 matcher.group(4) == null
@@ -100,7 +103,8 @@
         if (share >= 0) {
             Collections.shuffle(candidates, new Random(random.nextLong()));
             return List.copyOf(
-                    candidates.subList(0, (int) Math.min(count, Math.max(1, Math.round(count * share)))));
+                    candidates.subList(
+                            0, (int) Math.min(count, Math.max(1, Math.round(count * share)))));
         }
         return candidates;
     }
--- a/src/main/java/firstage/simulation/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -42,8 +42,8 @@
      * @param oneWay whether only the direction from {@code source} to {@code target} is affected
      * @param size the strength, as the kind defines it
      * @param interval if above 0, faults of managers hit one of the affected managers after another
-     *     at this interval until the end of the plan, and faults of links start again this long after
-     *     they end; other kinds of faults, and simulations, ignore the interval
+     *     at this interval until the end of the plan, and faults of links start again this long
+     *     after they end; other kinds of faults, and simulations, ignore the interval
      */
     public record Fault(
             int line,
@@ -103,8 +103,8 @@
      * The managers.
      *
      * @param count the number of managers that the plan runs
-     * @param fleetSize the number of managers of the whole fleet according to the settings, at least
-     *     {@code count}
+     * @param fleetSize the number of managers of the whole fleet according to the settings, at
+     *     least {@code count}
      * @param cellSize managers in a cell; 0 where all managers use all engines
      * @param spread the number of cells that serve an engine
      * @param trafficSkew how far the managers' shares of the traffic differ; 0: not at all
@@ -208,8 +208,8 @@
      * The limits of the rules on drains, cold engines and ordering keys.
      *
      * @param drainGrace time for which an engine may get statements after its drain was announced
-     * @param overloadMultiple multiple of its present capacity at which a cold engine is overloaded;
-     *     0 for never
+     * @param overloadMultiple multiple of its present capacity at which a cold engine is
+     *     overloaded; 0 for never
      * @param overloadWindow time over which the work sent to a cold engine is summed up
      * @param keyQuietPeriod pause of a key after an attempt that may still run
      */
--- a/src/main/java/firstage/simulation/FleetPlanReader.java
+++ b/src/main/java/firstage/simulation/FleetPlanReader.java
@@ -94,8 +94,7 @@
                     hasNoTarget
                             ? null
                             : target(section, onLinks ? "from" : "who", zones, managers, engines);
-            FaultTarget target =
-                    onLinks ? target(section, "to", zones, managers, engines) : null;
+            FaultTarget target = onLinks ? target(section, "to", zones, managers, engines) : null;
             boolean affectsEngines =
                     kind == FleetPlan.Fault.Kind.DIE
                             || kind == FleetPlan.Fault.Kind.SILENCE
@@ -156,9 +155,11 @@
         int cellSize = section.integer("cell", 0, 4_000, 0);
         int spread = section.integer("spread", 1, 100, 1);
         if (fleetSize < count) {
-            throw section.invalid("of", fleetSize + " is less than count; write " + count + " or more");
+            throw section.invalid(
+                    "of", fleetSize + " is less than count; write " + count + " or more");
         }
-        if (cellSize > 0 && (count % (cellSize * zones) != 0 || spread > count / cellSize / zones)) {
+        if (cellSize > 0
+                && (count % (cellSize * zones) != 0 || spread > count / cellSize / zones)) {
             throw section.invalid(
                     count % (cellSize * zones) != 0 ? "cell" : "spread",
                     count
@@ -212,7 +213,8 @@
     }
 
     private static FleetPlan.Network network(TomlSection section) {
-        FleetPlan.Network network = new FleetPlan.Network(section.durationRange("way", "0.2 ms to 1 ms"));
+        FleetPlan.Network network =
+                new FleetPlan.Network(section.durationRange("way", "0.2 ms to 1 ms"));
         section.rejectUnknownKeys();
         return network;
     }
@@ -318,7 +320,9 @@
     private static List<FleetPlan.TenantPlan> tenants(List<TomlSection> sections) {
         List<FleetPlan.TenantPlan> tenants = new ArrayList<>();
         for (TomlSection section : sections) {
-            tenants.add(new FleetPlan.TenantPlan(section.text("name", null), section.share("share", null)));
+            tenants.add(
+                    new FleetPlan.TenantPlan(
+                            section.text("name", null), section.share("share", null)));
             section.rejectUnknownKeys();
         }
         return tenants.isEmpty() ? List.of(new FleetPlan.TenantPlan("all", 1)) : tenants;
--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -370,7 +370,11 @@
      * changes, the first one with {@code delayFactor} times the usual discovery delay.
      */
     private void takeDown(
-            int engine, EngineModel.State state, long length, int delayFactor, RandomGenerator random) {
+            int engine,
+            EngineModel.State state,
+            long length,
+            int delayFactor,
+            RandomGenerator random) {
         faultyEngineSeconds += length / 1e4;
         engines.get(engine).setState(state);
         announce(engine, Lifecycle.GONE, 0, delayFactor, random);
@@ -388,7 +392,11 @@
      * a newer one was made in the meantime.
      */
     private void announce(
-            int engine, Lifecycle lifecycle, long startedAt, int delayFactor, RandomGenerator random) {
+            int engine,
+            Lifecycle lifecycle,
+            long startedAt,
+            int delayFactor,
+            RandomGenerator random) {
         int version = ++endpointVersions[engine];
         for (ManagerModel manager : managers) {
             events.schedule(
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -27,7 +27,9 @@
  * policy receives estimates and observations, never the true cost of a request.
  */
 final class ManagerModel implements PolicyActions {
-    /** Time until a connection that is not established, or a probe without answer, fails: 250 ms. */
+    /**
+     * Time until a connection that is not established, or a probe without answer, fails: 250 ms.
+     */
     private static final long CONNECT_TIMEOUT = 2_500;
 
     /** Time between two probes of the membership protocol, which carry the digests: 200 ms. */
@@ -94,8 +96,7 @@
         }
 
         @Override
-        public void onProgress(
-                RunningAttempt attempt, AttemptProgress.Kind kind, double amount) {
+        public void onProgress(RunningAttempt attempt, AttemptProgress.Kind kind, double amount) {
             events.schedule(
                     drawDelay(),
                     () -> {
@@ -426,8 +427,8 @@
     }
 
     /**
-     * Returns a hash of the engine that is the same at every manager, and whose order is unrelated to
-     * that of the engines' numbers.
+     * Returns a hash of the engine that is the same at every manager, and whose order is unrelated
+     * to that of the engines' numbers.
      */
     private static long stableHash(int engine) {
         return (engine + 1) * 2_654_435_761L & 0xFFFFFFFFL;
@@ -441,7 +442,9 @@
         openRequest.grantMb = grantMb;
         openRequest.priority = priority;
         for (ModelledAttempt attempt : openRequest.attemptsInFlight) {
-            events.schedule(drawDelay(), () -> attempt.engine.setPriority(attempt.runningAttempt, priority));
+            events.schedule(
+                    drawDelay(),
+                    () -> attempt.engine.setPriority(attempt.runningAttempt, priority));
         }
     }
 
@@ -457,7 +460,8 @@
         ModelledAttempt attempt =
                 new ModelledAttempt(openRequest, engineModel, openRequest.attemptCount++);
         openRequest.attemptsInFlight.add(attempt);
-        boolean newConnection = engineModel.state() == EngineModel.State.SILENT && random.nextBoolean();
+        boolean newConnection =
+                engineModel.state() == EngineModel.State.SILENT && random.nextBoolean();
         if (newConnection) {
             // A new connection to a machine that is gone is never established; a statement sent
             // on an existing connection is lost.
--- a/src/main/java/firstage/simulation/PairedComparison.java
+++ b/src/main/java/firstage/simulation/PairedComparison.java
@@ -54,7 +54,8 @@
     /** Compares two or more runs of each side, in the same order of seeds. */
     public PairedComparison(List<SimulationResult> left, List<SimulationResult> right) {
         if (left.size() != right.size() || left.size() < 2) {
-            throw new IllegalArgumentException("both sides need two or more runs, on the same seeds");
+            throw new IllegalArgumentException(
+                    "both sides need two or more runs, on the same seeds");
         }
         runs = left.size();
         for (int i = 0; i < runs; i++) {
@@ -123,12 +124,15 @@
                 verdict,
                 significant
                         ? runs
-                        : (int) Math.min(MAX_RUNS_NEEDED, Math.max(runs + 1, Math.ceil(runsNeeded))));
+                        : (int)
+                                Math.min(
+                                        MAX_RUNS_NEEDED,
+                                        Math.max(runs + 1, Math.ceil(runsNeeded))));
     }
 
     /**
-     * Returns whether higher values of a figure are better: true for shares of priority weight, false
-     * for latencies, rejections, errors, late answers and attempts sent to faulty engines.
+     * Returns whether higher values of a figure are better: true for shares of priority weight,
+     * false for latencies, rejections, errors, late answers and attempts sent to faulty engines.
      */
     public static boolean moreIsBetter(String name) {
         return !name.contains(" ms ")
--- a/src/main/java/firstage/simulation/PolicyUnderTest.java
+++ b/src/main/java/firstage/simulation/PolicyUnderTest.java
@@ -94,7 +94,10 @@
             // Reported below.
         }
         throw new InvalidPlanException(
-                "'" + text + "': bounds takes a number above 0 and up to 1000, such as scheduler:bounds=4");
+                "'"
+                        + text
+                        + "': bounds takes a number above 0 and up to 1000, such as"
+                        + " scheduler:bounds=4");
     }
 
     private static InvalidPlanException unknown(String text) {
--- a/src/main/java/firstage/simulation/RandomStreams.java
+++ b/src/main/java/firstage/simulation/RandomStreams.java
@@ -19,7 +19,8 @@
 
     /** Returns a new generator at the start of this actor's stream. */
     public RandomGenerator stream(String kind, long number) {
-        return ALGORITHM.create(mix(mix(seed) ^ kind.hashCode()) ^ mix(number + 0x9E3779B97F4A7C15L));
+        return ALGORITHM.create(
+                mix(mix(seed) ^ kind.hashCode()) ^ mix(number + 0x9E3779B97F4A7C15L));
     }
 
     /** Returns a seed drawn from the stream of this actor. */
@@ -27,7 +28,9 @@
         return stream(kind, number).nextLong();
     }
 
-    /** Applies the finalizer of SplitMix64: each input bit changes about half of the output bits. */
+    /**
+     * Applies the finalizer of SplitMix64: each input bit changes about half of the output bits.
+     */
     private static long mix(long z) {
         long a = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
         long b = (a ^ a >>> 27) * 0x94D049BB133111EBL;
--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -13,8 +13,8 @@
  * managers, engines and clients, and never reads the state of a manager. The rules that it checks:
  *
  * <ol>
- *   <li>Each try is answered once and in time. No attempt of it starts after its answer or after its
- *       client left, or has a later deadline than the client's.
+ *   <li>Each try is answered once and in time. No attempt of it starts after its answer or after
+ *       its client left, or has a later deadline than the client's.
  *   <li>A non-idempotent request is sent again, or rejected, only if no earlier attempt can have
  *       run. A request with an idempotency key is sent again only within its idempotency window.
  *   <li>No statement goes to an engine after the grace period that follows the announcement of its
@@ -205,8 +205,8 @@
      * Records an attempt, when it is sent (in simulations) or when it arrives at its engine (in
      * fault tests).
      *
-     * @param delayed whether the network may have held the statement back, so that the time at which
-     *     it was sent is unknown
+     * @param delayed whether the network may have held the statement back, so that the time at
+     *     which it was sent is unknown
      */
     public void onAttemptSent(long now, ClientTry clientTry, int engine, boolean delayed) {
         Effect effect = plan.trafficClasses().get(clientTry.request.trafficClass).effect();
@@ -287,7 +287,9 @@
                     beganAt,
                     1,
                     clientTry,
-                    "was started " + (beganAt - clientTry.leftAt) / 10 + " ms after its client left");
+                    "was started "
+                            + (beganAt - clientTry.leftAt) / 10
+                            + " ms after its client left");
         }
         if (clientTry.deadlineExact && deadline > clientTry.deadline + DEADLINE_SLACK) {
             recordViolation(
--- a/src/main/java/firstage/simulation/Scoreboard.java
+++ b/src/main/java/firstage/simulation/Scoreboard.java
@@ -9,9 +9,10 @@
 /**
  * The service of a run so far: the priority weight earned by answers, over the priority weight of
  * all requests. An answer within the latency objective earns the whole weight of its request, a
- * late one the late value of the traffic class, and one after the deadline nothing; a request counts
- * once, with all its tries. The share is computed for the whole run, its worst 10 s, and the traffic
- * class and the tenant that are served worst; the service as a whole is their weighted mean.
+ * late one the late value of the traffic class, and one after the deadline nothing; a request
+ * counts once, with all its tries. The share is computed for the whole run, its worst 10 s, and the
+ * traffic class and the tenant that are served worst; the service as a whole is their weighted
+ * mean.
  */
 public final class Scoreboard {
     /** Length of the intervals of which the worst is reported: 10 s. */
@@ -55,7 +56,9 @@
 
     private int interval(TrueRequest request) {
         return (int)
-                Math.min(requestedByInterval.length - 1, (request.firstRequestedAt - start) / INTERVAL);
+                Math.min(
+                        requestedByInterval.length - 1,
+                        (request.firstRequestedAt - start) / INTERVAL);
     }
 
     public void onRequested(TrueRequest request) {
@@ -112,7 +115,9 @@
             worstInterval =
                     i == requestedByInterval.length - 1 && plan.length() % INTERVAL < INTERVAL / 2
                             ? worstInterval
-                            : Math.min(worstInterval, share(earnedByInterval[i], requestedByInterval[i]));
+                            : Math.min(
+                                    worstInterval,
+                                    share(earnedByInterval[i], requestedByInterval[i]));
         }
         Map<String, Double> figures = new LinkedHashMap<>();
         double worstTrafficClass = 1;
--- a/src/main/java/firstage/simulation/TomlSection.java
+++ b/src/main/java/firstage/simulation/TomlSection.java
@@ -58,7 +58,8 @@
                 table == null || table.inputPositionOf(List.of(key)) == null
                         ? line
                         : table.inputPositionOf(List.of(key)).line();
-        return new InvalidPlanException(errorLine, (path.isEmpty() ? "" : path + ".") + key + ": " + problem);
+        return new InvalidPlanException(
+                errorLine, (path.isEmpty() ? "" : path + ".") + key + ": " + problem);
     }
 
     public String text(String key, String defaultValue) {
@@ -95,7 +96,8 @@
             throw invalid(key, value + " is not a whole number");
         }
         if (number < min || number > max) {
-            throw invalid(key, number + " is out of range; " + min + " to " + max + " would be valid");
+            throw invalid(
+                    key, number + " is out of range; " + min + " to " + max + " would be valid");
         }
         return (int) (long) number;
     }
@@ -110,7 +112,8 @@
 
     private double bounded(String key, double value, double min, double max) {
         if (!(value >= min && value <= max)) {
-            throw invalid(key, value + " is out of range; " + min + " to " + max + " would be valid");
+            throw invalid(
+                    key, value + " is out of range; " + min + " to " + max + " would be valid");
         }
         return value;
     }
@@ -142,16 +145,19 @@
     /** Returns a duration in ticks. */
     public long duration(String key, String defaultValue) {
         Object value = value(key, defaultValue, "\"5 s\"");
-        return Math.round(number(key, value, TICKS_BY_UNIT, "\"5 s\", \"200 ms\", \"2 min\" or \"1 h\""));
+        return Math.round(
+                number(key, value, TICKS_BY_UNIT, "\"5 s\", \"200 ms\", \"2 min\" or \"1 h\""));
     }
 
     /** Returns a range of durations in ticks. */
     Range durationRange(String key, String defaultValue) {
-        return range(key, value(key, defaultValue, "\"1 s to 3 s\""), TICKS_BY_UNIT, "\"1 s to 3 s\"");
+        return range(
+                key, value(key, defaultValue, "\"1 s to 3 s\""), TICKS_BY_UNIT, "\"1 s to 3 s\"");
     }
 
     double sizeMb(String key, String defaultValue) {
-        return number(key, value(key, defaultValue, "\"16 GB\""), MB_BY_UNIT, "\"512 MB\" or \"16 GB\"");
+        return number(
+                key, value(key, defaultValue, "\"16 GB\""), MB_BY_UNIT, "\"512 MB\" or \"16 GB\"");
     }
 
     private Range range(String key, Object value, Map<String, Double> units, String example) {
@@ -167,7 +173,8 @@
     private double number(String key, Object value, Map<String, Double> units, String example) {
         Matcher matcher = VALUE_WITH_UNIT.matcher(String.valueOf(value));
         if (!matcher.matches()) {
-            throw invalid(key, "'" + value + "' is not a valid value; " + example + " would be valid");
+            throw invalid(
+                    key, "'" + value + "' is not a valid value; " + example + " would be valid");
         }
         Double factor = units.get(matcher.group(2));
         if (factor == null) {
--- a/src/main/java/firstage/simulation/TrafficSource.java
+++ b/src/main/java/firstage/simulation/TrafficSource.java
@@ -45,7 +45,8 @@
                         zipfWeights(plan.traffic().tableGroups(), plan.traffic().tableGroupSkew()));
         double highestFactor = 0;
         for (int i = 0; i <= 2_000; i++) {
-            highestFactor = Math.max(highestFactor, shape.factor(i / 2_000.0, plan.traffic().swing()));
+            highestFactor =
+                    Math.max(highestFactor, shape.factor(i / 2_000.0, plan.traffic().swing()));
         }
         peakFactor = highestFactor * 1.1;
     }
--- a/src/test/java/firstage/cells/CellDirectoryTest.java
+++ b/src/test/java/firstage/cells/CellDirectoryTest.java
@@ -118,14 +118,18 @@
             managers.get(to)
                     .cells
                     .onDigest(
-                            now, managers.get(from).slot, managers.get(from).cells.encodeDigest(new byte[0]));
+                            now,
+                            managers.get(from).slot,
+                            managers.get(from).cells.encodeDigest(new byte[0]));
         }
 
         /** Delivers the first or the last datagram that a manager has sent. */
         private void deliverDatagram(int from, int to, boolean first) {
             List<byte[]> sentDatagrams = managers.get(from).sentDatagrams;
             if (!sentDatagrams.isEmpty()) {
-                managers.get(to).cells.onDatagram(now, sentDatagrams.get(first ? 0 : sentDatagrams.size() - 1));
+                managers.get(to)
+                        .cells
+                        .onDatagram(now, sentDatagrams.get(first ? 0 : sentDatagrams.size() - 1));
             }
         }
 
@@ -163,7 +167,10 @@
     /** Engines whose cell differs between the two plans. */
     private static final long[] ENGINES =
             LongStream.range(1, 40)
-                    .filter(e -> !OLD_PLAN.servingCells(e, "z").equals(NEW_PLAN.servingCells(e, "z")))
+                    .filter(
+                            e ->
+                                    !OLD_PLAN.servingCells(e, "z")
+                                            .equals(NEW_PLAN.servingCells(e, "z")))
                     .limit(3)
                     .toArray();
 
@@ -212,10 +219,14 @@
      * its shares by the two plans: the limit has to hold whichever plan each manager holds, and
      * whatever messages it has received.
      */
-    private static double warmUpShareSum(CellPlan previousPlan, CellPlan plan, long engine, InjectedDefect defect) {
+    private static double warmUpShareSum(
+            CellPlan previousPlan, CellPlan plan, long engine, InjectedDefect defect) {
         double sum = 0;
         for (int cell = 0; cell < plan.cells().size(); cell++) {
-            double previousShare = previousPlan.serves(cell, engine, "n") ? previousPlan.warmUpShare(null, cell, engine, "n") : 0;
+            double previousShare =
+                    previousPlan.serves(cell, engine, "n")
+                            ? previousPlan.warmUpShare(null, cell, engine, "n")
+                            : 0;
             double newShare = 0;
             if (plan.serves(cell, engine, "n")) {
                 CellDirectory cells =
@@ -247,8 +258,11 @@
             List<Cell> newCells = new ArrayList<>();
             for (int c = 0; c < count; c++) {
                 int slots = 1 + random.nextInt(60);
-                previousCells.add(new Cell("c" + c, "n", slots, c < spread || random.nextInt(4) > 0));
-                newCells.add(new Cell("c" + c, "n", slots, c >= count - spread || random.nextInt(4) > 0));
+                previousCells.add(
+                        new Cell("c" + c, "n", slots, c < spread || random.nextInt(4) > 0));
+                newCells.add(
+                        new Cell(
+                                "c" + c, "n", slots, c >= count - spread || random.nextInt(4) > 0));
             }
             int addedSlots = 1 + random.nextInt(60);
             previousCells.add(new Cell("new", "n", addedSlots, false));
@@ -336,7 +350,8 @@
             List<Integer> servingAfter = after.servingCells(engine, "n");
             if (!servingBefore.containsAll(servingAfter)) {
                 assertThat(servingAfter).contains(8);
-                assertThat(servingAfter.stream().filter(c -> c != 8)).allMatch(servingBefore::contains);
+                assertThat(servingAfter.stream().filter(c -> c != 8))
+                        .allMatch(servingBefore::contains);
                 moved++;
             }
         }
@@ -376,8 +391,13 @@
                         RandomGeneratorFactory.of("L64X128MixRandom").create(1),
                         fleet.managers.get(2),
                         InjectedDefect.NONE);
-        assertThat(holderOfOtherPlan.onDigest(fleet.now, 0, receiver.encodeDigest(new byte[] {7}))).isEmpty();
-        assertThat(receiver.onDigest(fleet.now, 1, fleet.managers.get(1).cells.encodeDigest(new byte[] {7})))
+        assertThat(holderOfOtherPlan.onDigest(fleet.now, 0, receiver.encodeDigest(new byte[] {7})))
+                .isEmpty();
+        assertThat(
+                        receiver.onDigest(
+                                fleet.now,
+                                1,
+                                fleet.managers.get(1).cells.encodeDigest(new byte[] {7})))
                 .containsExactly(7);
     }
 
@@ -389,7 +409,9 @@
         EngineSubset<Long> subset = new EngineSubset<>(gainer.cells, e -> e, e -> "z", e -> false);
         List<Long> engines = LongStream.range(1, 200).boxed().toList();
         List<Long> ownEngines =
-                engines.stream().filter(e -> NEW_PLAN.servingCells(e, "z").equals(List.of(2))).toList();
+                engines.stream()
+                        .filter(e -> NEW_PLAN.servingCells(e, "z").equals(List.of(2)))
+                        .toList();
         assertThat(subset.filter(true, engines)).isEmpty();
         assertThat(subset.awaitedCount()).isEqualTo(ownEngines.size()).isBetween(60, 140);
         for (int e = 0; e < 3; e++) {
--- a/src/test/java/firstage/cells/SimulatedCellsTest.java
+++ b/src/test/java/firstage/cells/SimulatedCellsTest.java
@@ -28,7 +28,8 @@
     private static final long SECOND = 10_000;
 
     private static SimulatedCells startFleet(int managers, int cellSize, InjectedDefect defect) {
-        SimulatedCells fleet = new SimulatedCells(new Shape(managers, cellSize, 2, 1, true, 400, defect), 7);
+        SimulatedCells fleet =
+                new SimulatedCells(new Shape(managers, cellSize, 2, 1, true, 400, defect), 7);
         fleet.start(SECOND);
         assertThat(fleet.timeUntilAgreed(20 * SECOND)).isNotNegative();
         fleet.advance(30 * SECOND);
@@ -48,7 +49,10 @@
         SimulatedCells fleet = startFleet(32, 8, InjectedDefect.NONE);
         for (ManagerHost manager : fleet.hosts()) {
             assertThat(manager.cellDirectory().cells(fleet.events().now()))
-                    .allMatch(status -> status.state() == CellState.ACTIVE && status.aliveManagers() == 8);
+                    .allMatch(
+                            status ->
+                                    status.state() == CellState.ACTIVE
+                                            && status.aliveManagers() == 8);
         }
     }
 
@@ -62,11 +66,14 @@
             names = {"NONE", "FIXED_DELEGATES"})
     void cells_allDelegatesKilled_cellStillHeard(InjectedDefect defect) {
         SimulatedCells fleet = startFleet(32, 8, defect);
-        List<String> names = managersOf(fleet, 1).stream().map(manager -> manager.membership().name()).toList();
+        List<String> names =
+                managersOf(fleet, 1).stream().map(manager -> manager.membership().name()).toList();
         managersOf(fleet, 1).stream()
                 .sorted(
                         Comparator.comparing(
-                                manager -> RendezvousHash.countBefore(1, names, manager.membership().name())))
+                                manager ->
+                                        RendezvousHash.countBefore(
+                                                1, names, manager.membership().name())))
                 .limit(3)
                 .toList()
                 .forEach(ManagerHost::kill);
@@ -95,7 +102,10 @@
             assertThat(others)
                     .anyMatch(
                             manager ->
-                                    manager.cellDirectory().cells(fleet.events().now()).get(1).state()
+                                    manager.cellDirectory()
+                                                    .cells(fleet.events().now())
+                                                    .get(1)
+                                                    .state()
                                             == CellState.ACTIVE);
             return;
         }
@@ -129,13 +139,16 @@
         }
         // Of eight managers, four are enough to keep their whole shares. Fewer keep half of their
         // shares, and the majority takes over the other half as far as it may.
-        assertThat(managersOf(fleet, 0).stream().mapToDouble(ManagerHost::share).sum()).isGreaterThan(0.9);
+        assertThat(managersOf(fleet, 0).stream().mapToDouble(ManagerHost::share).sum())
+                .isGreaterThan(0.9);
         assertThat(managersOf(fleet, 0).get(0).share()).isEqualTo(isolated < 4 ? 0.0625 : 0.125);
-        assertThat(managersOf(fleet, 1).stream().mapToDouble(ManagerHost::share).sum()).isEqualTo(1);
+        assertThat(managersOf(fleet, 1).stream().mapToDouble(ManagerHost::share).sum())
+                .isEqualTo(1);
         fleet.setPartition(manager -> false, false);
         assertThat(fleet.timeUntilAgreed(10 * SECOND)).isNotNegative();
         fleet.advance(20 * SECOND);
-        assertThat(managersOf(fleet, 0).stream().mapToDouble(ManagerHost::share).sum()).isGreaterThan(1 - 1e-9);
+        assertThat(managersOf(fleet, 0).stream().mapToDouble(ManagerHost::share).sum())
+                .isGreaterThan(1 - 1e-9);
     }
 
     /**
@@ -155,7 +168,8 @@
         fleet.setPartition(manager -> false, false);
         assertThat(bytesInSeconds(fleet, 10)).isLessThan(usualBytes * 6 / 5);
         fleet.advance(20 * SECOND);
-        assertThat(IntStream.range(0, 6)).allMatch(c -> statusOf(fleet, 0, c).state() == CellState.ACTIVE);
+        assertThat(IntStream.range(0, 6))
+                .allMatch(c -> statusOf(fleet, 0, c).state() == CellState.ACTIVE);
     }
 
     private static long bytesInSeconds(SimulatedCells fleet, int seconds) {
@@ -176,7 +190,8 @@
         double largestSum = 0;
         double finalSum = 0;
         for (int seed = 0; seed < 4; seed++) {
-            SimulatedCells fleet = new SimulatedCells(new Shape(24, 4, 2, 2, false, 400, defect), seed);
+            SimulatedCells fleet =
+                    new SimulatedCells(new Shape(24, 4, 2, 2, false, 400, defect), seed);
             fleet.start(SECOND);
             fleet.advance(10 * SECOND);
             fleet.setLossProbability(0.2);
@@ -208,7 +223,8 @@
             fleet.advance(90 * SECOND);
             largestSum = Math.max(largestSum, maxShareSum(fleet));
             finalSum = maxShareSum(fleet);
-            assertThat(fleet.hosts()).allMatch(manager -> manager.cellDirectory().cellsBehindPlan().isEmpty());
+            assertThat(fleet.hosts())
+                    .allMatch(manager -> manager.cellDirectory().cellsBehindPlan().isEmpty());
         }
         if (defect == InjectedDefect.NONE) {
             assertThat(largestSum).isLessThanOrEqualTo(1 + 1e-9);
@@ -224,7 +240,10 @@
             String zone = "z" + engine % 2;
             double sum = 0;
             for (ManagerHost manager : fleet.hosts()) {
-                sum += manager.up() && manager.cellDirectory().mayUse(engine, zone) ? manager.share() : 0;
+                sum +=
+                        manager.up() && manager.cellDirectory().mayUse(engine, zone)
+                                ? manager.share()
+                                : 0;
             }
             maxShareSum = Math.max(maxShareSum, sum);
         }
--- a/src/test/java/firstage/failover/ZoneFailoverTest.java
+++ b/src/test/java/firstage/failover/ZoneFailoverTest.java
@@ -108,12 +108,19 @@
         private void step() {
             for (int engine = 0; engine < ENGINES; engine++) {
                 // An ejected engine that this manager does not avoid is probed every two seconds.
-                if (!isAvoided(engine) && (!ejected[engine] || now - lastAttemptAt[engine] >= 2 * SECOND)) {
+                if (!isAvoided(engine)
+                        && (!ejected[engine] || now - lastAttemptAt[engine] >= 2 * SECOND)) {
                     sendRequest(engine);
                 }
-                zoneFailover.updateEngine(engine % ZONES, engine, ejected[engine], lastAttemptAt[engine], lastResponseAt[engine]);
+                zoneFailover.updateEngine(
+                        engine % ZONES,
+                        engine,
+                        ejected[engine],
+                        lastAttemptAt[engine],
+                        lastResponseAt[engine]);
             }
-            sheddingLevel.setZoneObservations(zone, zoneFailover.reportedPercent(now), zoneFailover.ordersToSend());
+            sheddingLevel.setZoneObservations(
+                    zone, zoneFailover.reportedPercent(now), zoneFailover.ordersToSend());
             zoneFailover.evaluate(now, sheddingLevel.freshRows(now));
         }
 
@@ -156,18 +163,23 @@
             if (now / STEP % 2 == 0) {
                 for (ObservingManager manager : managers) {
                     ObservingManager peer = managers.get(random.nextInt(managers.size()));
-                    if (peer != manager && manager.running && peer.running && reachesManagers[manager.zone][peer.zone]) {
+                    if (peer != manager
+                            && manager.running
+                            && peer.running
+                            && reachesManagers[manager.zone][peer.zone]) {
                         peer.sheddingLevel.onRows(
                                 now,
                                 OverloadDigest.decode(
                                                 OverloadDigest.encode(
-                                                        List.of(), manager.sheddingLevel.rowsToSend(now, 20)))
+                                                        List.of(),
+                                                        manager.sheddingLevel.rowsToSend(now, 20)))
                                         .rows());
                         manager.sheddingLevel.onRows(
                                 now,
                                 OverloadDigest.decode(
                                                 OverloadDigest.encode(
-                                                        List.of(), peer.sheddingLevel.rowsToSend(now, 20)))
+                                                        List.of(),
+                                                        peer.sheddingLevel.rowsToSend(now, 20)))
                                         .rows());
                     }
                 }
@@ -177,7 +189,11 @@
 
     private long maxEvacuations() {
         return managers.stream()
-                .mapToLong(manager -> manager.transitions.stream().filter(t -> t.endsWith(" evacuated")).count())
+                .mapToLong(
+                        manager ->
+                                manager.transitions.stream()
+                                        .filter(t -> t.endsWith(" evacuated"))
+                                        .count())
                 .max()
                 .orElse(0);
     }
@@ -193,14 +209,31 @@
         setEnginesHealthy(1, false);
         long failedAt = now;
         advance(5);
-        assertThat(managers).allMatch(manager -> manager.zoneFailover.evacuatedZones().equals(List.of(1)));
-        assertThat(managers.stream().mapToLong(manager -> manager.lastTransitionAt.get(1) - failedAt))
+        assertThat(managers)
+                .allMatch(manager -> manager.zoneFailover.evacuatedZones().equals(List.of(1)));
+        assertThat(
+                        managers.stream()
+                                .mapToLong(manager -> manager.lastTransitionAt.get(1) - failedAt))
                 .allMatch(t -> t <= 2.5 * SECOND);
-        long firstEvacuationAt = managers.stream().mapToLong(manager -> manager.lastTransitionAt.get(1)).min().orElse(0);
-        assertThat(managers.stream().mapToLong(manager -> manager.lastTransitionAt.get(1) - firstEvacuationAt))
+        long firstEvacuationAt =
+                managers.stream()
+                        .mapToLong(manager -> manager.lastTransitionAt.get(1))
+                        .min()
+                        .orElse(0);
+        assertThat(
+                        managers.stream()
+                                .mapToLong(
+                                        manager ->
+                                                manager.lastTransitionAt.get(1)
+                                                        - firstEvacuationAt))
                 .allMatch(t -> t <= 0.7 * SECOND);
-        assertThat(managers.stream().mapToInt(manager -> manager.usableEngines(1)).sum()).isEqualTo(ENGINES / ZONES);
-        assertThat(managers).allMatch(manager -> manager.usableEngines(0) + manager.usableEngines(2) == 2 * ENGINES / ZONES);
+        assertThat(managers.stream().mapToInt(manager -> manager.usableEngines(1)).sum())
+                .isEqualTo(ENGINES / ZONES);
+        assertThat(managers)
+                .allMatch(
+                        manager ->
+                                manager.usableEngines(0) + manager.usableEngines(2)
+                                        == 2 * ENGINES / ZONES);
         advance(10);
         setEnginesHealthy(1, true);
         // The number of managers that use the whole zone, taken once a second, grows over the time
@@ -208,11 +241,18 @@
         Set<Integer> counts = new HashSet<>();
         for (int s = 0; s < 15; s++) {
             advance(1);
-            counts.add((int) managers.stream().filter(manager -> manager.usableEngines(1) == ENGINES / ZONES).count());
+            counts.add(
+                    (int)
+                            managers.stream()
+                                    .filter(manager -> manager.usableEngines(1) == ENGINES / ZONES)
+                                    .count());
         }
         assertThat(counts).hasSizeGreaterThan(4);
         assertThat(managers)
-                .allMatch(manager -> manager.zoneFailover.evacuatedZones().isEmpty() && manager.usableEngines(1) == ENGINES / ZONES);
+                .allMatch(
+                        manager ->
+                                manager.zoneFailover.evacuatedZones().isEmpty()
+                                        && manager.usableEngines(1) == ENGINES / ZONES);
     }
 
     @Test
@@ -318,7 +358,8 @@
      */
     private void pauseTwoZones() {
         advance(5);
-        List<ObservingManager> pausedManagers = managers.stream().filter(manager -> manager.zone != 2).toList();
+        List<ObservingManager> pausedManagers =
+                managers.stream().filter(manager -> manager.zone != 2).toList();
         pausedManagers.forEach(manager -> manager.running = false);
         advance(3);
         pausedManagers.forEach(
@@ -349,12 +390,15 @@
         advance(5);
         managers.get(4).zoneFailover.setOrder(now, 2, ZoneFailover.Order.LEAVE);
         advance(3);
-        assertThat(managers).allMatch(manager -> manager.zoneFailover.evacuatedZones().equals(List.of(2)));
+        assertThat(managers)
+                .allMatch(manager -> manager.zoneFailover.evacuatedZones().equals(List.of(2)));
         restart(4, ZoneFailover.InjectedDefect.NONE);
         advance(3);
-        assertThat(managers).allMatch(manager -> manager.zoneFailover.evacuatedZones().equals(List.of(2)));
+        assertThat(managers)
+                .allMatch(manager -> manager.zoneFailover.evacuatedZones().equals(List.of(2)));
         advance(30);
-        assertThat(managers).allMatch(manager -> manager.zoneFailover.evacuatedZones().equals(List.of(2)));
+        assertThat(managers)
+                .allMatch(manager -> manager.zoneFailover.evacuatedZones().equals(List.of(2)));
         managers.get(7).zoneFailover.setOrder(now, 2, ZoneFailover.Order.HOLD);
         advance(15);
         assertThat(managers).allMatch(manager -> manager.zoneFailover.evacuatedZones().isEmpty());
@@ -363,7 +407,8 @@
         assertThat(managers).allMatch(manager -> manager.zoneFailover.evacuatedZones().isEmpty());
         managers.get(1).zoneFailover.setOrder(now, 2, ZoneFailover.Order.NONE);
         advance(5);
-        assertThat(managers).allMatch(manager -> manager.zoneFailover.evacuatedZones().equals(List.of(2)));
+        assertThat(managers)
+                .allMatch(manager -> manager.zoneFailover.evacuatedZones().equals(List.of(2)));
     }
 
     private void restart(int number, ZoneFailover.InjectedDefect defect) {
@@ -397,7 +442,8 @@
                     setEnginesHealthy(z, false);
                 }
                 advance(10);
-                assertThat(managers).anyMatch(manager -> manager.zoneFailover.evacuatedZones().size() == ZONES);
+                assertThat(managers)
+                        .anyMatch(manager -> manager.zoneFailover.evacuatedZones().size() == ZONES);
             }
             case NO_HOLD -> {
                 for (int s = 0; s < 120; s += 3) {
@@ -411,14 +457,16 @@
                 advance(3);
                 restart(4, defect);
                 advance(3);
-                assertThat(managers).anyMatch(manager -> manager.zoneFailover.evacuatedZones().isEmpty());
+                assertThat(managers)
+                        .anyMatch(manager -> manager.zoneFailover.evacuatedZones().isEmpty());
             }
             case NOBODY_TRIES -> {
                 setEnginesHealthy(1, false);
                 advance(10);
                 setEnginesHealthy(1, true);
                 advance(30);
-                assertThat(managers).anyMatch(manager -> !manager.zoneFailover.evacuatedZones().isEmpty());
+                assertThat(managers)
+                        .anyMatch(manager -> !manager.zoneFailover.evacuatedZones().isEmpty());
             }
             default -> {
                 setEnginesHealthy(1, false);
@@ -427,7 +475,14 @@
                 Set<Integer> counts = new HashSet<>();
                 for (int s = 0; s < 20; s++) {
                     advance(1);
-                    counts.add((int) managers.stream().filter(manager -> manager.usableEngines(1) == ENGINES / ZONES).count());
+                    counts.add(
+                            (int)
+                                    managers.stream()
+                                            .filter(
+                                                    manager ->
+                                                            manager.usableEngines(1)
+                                                                    == ENGINES / ZONES)
+                                            .count());
                 }
                 assertThat(counts).hasSizeLessThan(5);
             }
--- a/src/test/java/firstage/membership/MembershipProtocolTest.java
+++ b/src/test/java/firstage/membership/MembershipProtocolTest.java
@@ -11,13 +11,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests the membership in virtual time: pauses, lost messages, one-way cuts, simultaneous deaths and
- * injected defects.
+ * Tests the membership in virtual time: pauses, lost messages, one-way cuts, simultaneous deaths
+ * and injected defects.
  */
 class MembershipProtocolTest {
     private static final long SECOND = 10_000;
 
-    private static SimulatedMembership settledFleet(int count, MembershipProtocol.InjectedDefect defect) {
+    private static SimulatedMembership settledFleet(
+            int count, MembershipProtocol.InjectedDefect defect) {
         SimulatedMembership fleet =
                 new SimulatedMembership(count, 7, defect, QuotaLeases.InjectedDefect.NONE);
         assertThat(fleet.startAll()).isNotNegative();
@@ -62,7 +63,8 @@
 
     @Test
     void oneWayCut_noIndirectProbes_liveMemberSuspected() {
-        SimulatedMembership fleet = settledFleet(6, MembershipProtocol.InjectedDefect.NO_INDIRECT_PROBES);
+        SimulatedMembership fleet =
+                settledFleet(6, MembershipProtocol.InjectedDefect.NO_INDIRECT_PROBES);
         fleet.setBlocked(1, 0, true);
         fleet.setBlocked(0, 1, true);
         fleet.advance(6 * SECOND);
@@ -116,7 +118,8 @@
                     fleet.hosts().get(0).membership().members().stream()
                             .filter(member -> member.state() == MemberState.DEAD)
                             .count();
-            assertThat(deadCount).isEqualTo(defect == MembershipProtocol.InjectedDefect.NONE ? 0 : 5);
+            assertThat(deadCount)
+                    .isEqualTo(defect == MembershipProtocol.InjectedDefect.NONE ? 0 : 5);
             assertThat(fleet.hosts().get(0).membership().confidence(fleet.events().now())).isZero();
         }
     }
@@ -261,7 +264,9 @@
             }
             manager1.onDatagram(now, 2, truncated);
         }
-        assertThat(manager1.members()).hasSize(3).allMatch(member -> member.state() == MemberState.ALIVE);
+        assertThat(manager1.members())
+                .hasSize(3)
+                .allMatch(member -> member.state() == MemberState.ALIVE);
         assertThat(manager1.rejectedMessages())
                 .containsKeys("an older life", "another fleet", "too long", "spoilt");
     }
--- a/src/test/java/firstage/membership/QuotaLeasesTest.java
+++ b/src/test/java/firstage/membership/QuotaLeasesTest.java
@@ -20,8 +20,8 @@
     private static final long PERIOD = 2_000;
 
     /**
-     * Group of managers, each reduced to its leases and its own clock, which is fast or slow by up to
-     * 2.5 %.
+     * Group of managers, each reduced to its leases and its own clock, which is fast or slow by up
+     * to 2.5 %.
      */
     private static final class LeaseGroup {
         private final int managerCount;
@@ -133,7 +133,10 @@
     /** A depth of 8 (-Dfirstage.leases=8) takes several minutes. */
     @Test
     void share_anyOrderOfSixEvents_atMostTheWhole() {
-        assertThat(maxShareInAllOrders(Integer.getInteger("firstage.leases", 6), QuotaLeases.InjectedDefect.NONE))
+        assertThat(
+                        maxShareInAllOrders(
+                                Integer.getInteger("firstage.leases", 6),
+                                QuotaLeases.InjectedDefect.NONE))
                 .isLessThanOrEqualTo(1 + 1e-9);
     }
 
@@ -153,7 +156,8 @@
                             ? random.nextLong(2 * SECOND)
                             : random.nextLong(SECOND / 10);
             int requester = random.nextInt(group.managerCount);
-            int responder = (requester + 1 + random.nextInt(group.managerCount - 1)) % group.managerCount;
+            int responder =
+                    (requester + 1 + random.nextInt(group.managerCount - 1)) % group.managerCount;
             switch (random.nextInt(12)) {
                 case 0 -> {
                     cutOff = random.nextInt(group.managerCount);
@@ -167,11 +171,20 @@
                 }
                 case 3 -> {
                     // The ack is sent now, but delivered later.
-                    boolean grantsQuota = group.leases[responder].grantTo(group.clock(responder), "m" + requester);
-                    List<String> withdrawn = group.leases[responder].withdrawGrants(group.clock(responder));
+                    boolean grantsQuota =
+                            group.leases[responder].grantTo(
+                                    group.clock(responder), "m" + requester);
+                    List<String> withdrawn =
+                            group.leases[responder].withdrawGrants(group.clock(responder));
                     long requestedAt = group.clock(requester);
                     delayedAcks.add(
-                            () -> group.leases[requester].onResponse(group.clock(requester), requestedAt, "m" + responder, grantsQuota, withdrawn));
+                            () ->
+                                    group.leases[requester].onResponse(
+                                            group.clock(requester),
+                                            requestedAt,
+                                            "m" + responder,
+                                            grantsQuota,
+                                            withdrawn));
                 }
                 case 4 -> {
                     if (!delayedAcks.isEmpty()) {
@@ -180,7 +193,10 @@
                 }
                 default -> {
                     if (requester != cutOff && responder != cutOff || random.nextInt(6) == 0) {
-                        group.deliverAck(requester, responder, random.nextInt(3) == 0 ? random.nextLong(SECOND) : 0);
+                        group.deliverAck(
+                                requester,
+                                responder,
+                                random.nextInt(3) == 0 ? random.nextLong(SECOND) : 0);
                     }
                 }
             }
@@ -199,7 +215,8 @@
 
     @Test
     void share_randomSchedules_atMostTheWhole() {
-        assertThat(maxShareOverSeeds(3_000, QuotaLeases.InjectedDefect.NONE)).isLessThanOrEqualTo(1 + 1e-9);
+        assertThat(maxShareOverSeeds(3_000, QuotaLeases.InjectedDefect.NONE))
+                .isLessThanOrEqualTo(1 + 1e-9);
     }
 
     @ParameterizedTest
@@ -238,6 +255,7 @@
     void share_cutOffFromAll_keepsGuaranteedHalf() {
         assertThat(new LeaseGroup(4, QuotaLeases.InjectedDefect.NONE).leases[0].share(0))
                 .isEqualTo(0.125);
-        assertThat(new LeaseGroup(2, QuotaLeases.InjectedDefect.NONE).leases[0].share(0)).isEqualTo(0.5);
+        assertThat(new LeaseGroup(2, QuotaLeases.InjectedDefect.NONE).leases[0].share(0))
+                .isEqualTo(0.5);
     }
 }
--- a/src/test/java/firstage/overload/LoadSheddingLevelTest.java
+++ b/src/test/java/firstage/overload/LoadSheddingLevelTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Tests the load shedding of a fleet that receives more work than its engines can run: which requests
- * are refused, and how the threshold returns to 0. Work is simulated as a flow.
+ * Tests the load shedding of a fleet that receives more work than its engines can run: which
+ * requests are refused, and how the threshold returns to 0. Work is simulated as a flow.
  */
 class LoadSheddingLevelTest {
     private static final long SECOND = 10_000;
@@ -43,8 +43,8 @@
     private double capacity = CAPACITY;
 
     /**
-     * Simulated manager. Admitted work waits until the engines have capacity; work beyond two seconds
-     * of the manager's share of the capacity is shed from the queue.
+     * Simulated manager. Admitted work waits until the engines have capacity; work beyond two
+     * seconds of the manager's share of the capacity is shed from the queue.
      */
     private final class SheddingManager {
         private final String name;
@@ -79,7 +79,10 @@
         private void receiveWork() {
             for (int band = 0; band < DemandHistogram.BANDS; band++) {
                 demand.arrivedWork(band, arrivalRates[band] * STEP);
-                queue[band] += arrivalRates[band] * STEP * (band < threshold ? 0 : band == threshold ? admittedFraction : 1);
+                queue[band] +=
+                        arrivalRates[band]
+                                * STEP
+                                * (band < threshold ? 0 : band == threshold ? admittedFraction : 1);
                 queue[band] = band < threshold ? 0 : queue[band];
             }
         }
@@ -94,7 +97,8 @@
             }
             demand.startedWork(started);
             double maxQueue = 2 * SECOND * CAPACITY / managers.size();
-            double excessFraction = Math.max(0, queuedWork() - maxQueue) / Math.max(1, queuedWork());
+            double excessFraction =
+                    Math.max(0, queuedWork() - maxQueue) / Math.max(1, queuedWork());
             demand.shedWork(queuedWork() * excessFraction);
             for (int band = 0; band < DemandHistogram.BANDS; band++) {
                 queue[band] *= 1 - excessFraction;
@@ -141,7 +145,11 @@
     }
 
     private void updateViews() {
-        List<String> names = managers.stream().filter(manager -> manager.alive).map(manager -> manager.name).toList();
+        List<String> names =
+                managers.stream()
+                        .filter(manager -> manager.alive)
+                        .map(manager -> manager.name)
+                        .toList();
         managers.forEach(manager -> manager.level.onViewChanged(names));
     }
 
@@ -152,10 +160,13 @@
 
     private void advance(double seconds) {
         for (long until = now + (long) (seconds * SECOND); now < until; now += STEP) {
-            List<SheddingManager> alive = managers.stream().filter(manager -> manager.alive).toList();
+            List<SheddingManager> alive =
+                    managers.stream().filter(manager -> manager.alive).toList();
             alive.forEach(SheddingManager::receiveWork);
             double queuedWork = alive.stream().mapToDouble(SheddingManager::queuedWork).sum();
-            alive.forEach(manager -> manager.serve(Math.min(1, capacity * STEP / Math.max(1, queuedWork))));
+            alive.forEach(
+                    manager ->
+                            manager.serve(Math.min(1, capacity * STEP / Math.max(1, queuedWork))));
             if (now / STEP % 2 == 0) {
                 for (SheddingManager manager : alive) {
                     SheddingManager other = alive.get(random.nextInt(alive.size()));
@@ -195,7 +206,8 @@
         createFleet(12, LoadSheddingLevel.InjectedDefect.NONE);
         startLowLoad();
         advance(20);
-        assertThat(managers).allMatch(manager -> manager.threshold == 0 && manager.admittedFraction == 1);
+        assertThat(managers)
+                .allMatch(manager -> manager.threshold == 0 && manager.admittedFraction == 1);
     }
 
     /**
@@ -213,7 +225,8 @@
         takeServedSeconds(LOW);
         advance(10);
         assertThat(takeServedSeconds(HIGH)).isGreaterThan(0.85 * 10 * CAPACITY);
-        assertThat(managers).allMatch(manager -> manager.threshold > LOW && manager.threshold <= HIGH);
+        assertThat(managers)
+                .allMatch(manager -> manager.threshold > LOW && manager.threshold <= HIGH);
         assertThat(managers.stream().mapToDouble(SheddingManager::queuedWork).sum())
                 .isLessThan(1.2 * SECOND * CAPACITY);
         startLowLoad();
@@ -222,8 +235,8 @@
     }
 
     /**
-     * With 3 to 40 managers, up to 30 % of the exchanges lost, and rows up to 2.5 s late, the threshold
-     * does not oscillate so much that engines idle or high priorities starve.
+     * With 3 to 40 managers, up to 30 % of the exchanges lost, and rows up to 2.5 s late, the
+     * threshold does not oscillate so much that engines idle or high priorities starve.
      */
     @Test
     void evaluate_lateAndLostRows_neitherSwingsNorStarves() {
@@ -267,8 +280,8 @@
     }
 
     /**
-     * If more rows exist than fit into a digest, they must be sent in turn: otherwise the tables of a
-     * large fleet stay incomplete.
+     * If more rows exist than fit into a digest, they must be sent in turn: otherwise the tables of
+     * a large fleet stay incomplete.
      */
     @Test
     void rowsToSend_largeFleet_allByTurns() {
@@ -345,7 +358,12 @@
                 setArrivalRate(LOW, 3 * CAPACITY);
                 managers.get(0).arrivalRates[HIGH] = CAPACITY;
                 advance(10);
-                assertThat(managers.stream().mapToInt(manager -> manager.threshold).distinct().count()).isGreaterThan(1);
+                assertThat(
+                                managers.stream()
+                                        .mapToInt(manager -> manager.threshold)
+                                        .distinct()
+                                        .count())
+                        .isGreaterThan(1);
             }
             case NEVER_OLD -> {
                 startOverload();
