--- a/src/test/java/firstage/overload/ProbeCoordinatorTest.java
+++ b/src/test/java/firstage/overload/ProbeCoordinatorTest.java
@@ -50,7 +50,11 @@
         private void updateAndEvaluate() {
             for (long engine = 0; engine < ENGINES; engine++) {
                 coordinator.updateEngine(
-                        now, engine, ejected.contains(engine), ejected.contains(engine) ? lastAttemptAt : 0, 0);
+                        now,
+                        engine,
+                        ejected.contains(engine),
+                        ejected.contains(engine) ? lastAttemptAt : 0,
+                        0);
             }
             coordinator.evaluate(now);
         }
@@ -80,8 +84,12 @@
                 manager.updateAndEvaluate();
                 ProbingManager other = managers.get(random.nextInt(managers.size()));
                 if (reportsDelivered && other != manager) {
-                    other.coordinator.onReports(now, manager.name, encodeAndDecode(manager.coordinator.localReports(now)));
-                    manager.coordinator.onReports(now, other.name, encodeAndDecode(other.coordinator.localReports(now)));
+                    other.coordinator.onReports(
+                            now,
+                            manager.name,
+                            encodeAndDecode(manager.coordinator.localReports(now)));
+                    manager.coordinator.onReports(
+                            now, other.name, encodeAndDecode(other.coordinator.localReports(now)));
                 }
             }
         }
@@ -148,7 +156,8 @@
             advance(5 * SECOND);
             reportsDelivered = false;
             advance(10 * SECOND);
-            assertThat(countNotWithheld(3) == 8).isEqualTo(defect == ProbeCoordinator.InjectedDefect.NONE);
+            assertThat(countNotWithheld(3) == 8)
+                    .isEqualTo(defect == ProbeCoordinator.InjectedDefect.NONE);
         }
     }
 
@@ -165,13 +174,17 @@
             eject(3, 20);
             advance(8 * SECOND);
             ProbingManager owner =
-                    managers.stream().filter(manager -> !manager.withheld.contains(3L)).findFirst().orElseThrow();
+                    managers.stream()
+                            .filter(manager -> !manager.withheld.contains(3L))
+                            .findFirst()
+                            .orElseThrow();
             owner.ejected.remove(3L);
             managers.forEach(manager -> manager.probesDue = 0);
             int returnedBefore = 0;
             for (int step = 0; step < 100; step++) {
                 advance(PERIOD / 2);
-                int returned = managers.stream().mapToInt(manager -> Math.min(1, manager.probesDue)).sum();
+                int returned =
+                        managers.stream().mapToInt(manager -> Math.min(1, manager.probesDue)).sum();
                 maxReturns[i] = Math.max(maxReturns[i], returned - returnedBefore);
                 returnedBefore = returned;
             }
--- a/src/test/java/firstage/policy/SlowStartBudgetTest.java
+++ b/src/test/java/firstage/policy/SlowStartBudgetTest.java
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Only 160 of 2,600 managers share an engine. With a share of 1/2600 for each manager, as by the
-     * settings, the engine would get too little work to warm up.
+     * Only 160 of 2,600 managers share an engine. With a share of 1/2600 for each manager, as by
+     * the settings, the engine would get too little work to warm up.
      */
     @Test
     void warmUpShare_inCells_isThatOfManagersThatShareTheEngine() {
--- a/src/test/java/firstage/scale/EmulatedWatchesTest.java
+++ b/src/test/java/firstage/scale/EmulatedWatchesTest.java
@@ -9,7 +9,9 @@
 class EmulatedWatchesTest {
     private static final int ROUNDS = 300;
 
-    /** Guards against a listener that stays open after a run; the next could not bind its address. */
+    /**
+     * Guards against a listener that stays open after a run; the next could not bind its address.
+     */
     @Test
     void close_returned_addressIsFree() throws IOException {
         int port;
--- a/src/test/java/firstage/scale/ScaleIT.java
+++ b/src/test/java/firstage/scale/ScaleIT.java
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Returns a figure, even if it is void. On a busy machine a phase may become void, but the counts
-     * and the wide bounds in these tests still hold.
+     * Returns a figure, even if it is void. On a busy machine a phase may become void, but the
+     * counts and the wide bounds in these tests still hold.
      */
     private static double figure(Map<String, Double> figures, String name) {
         assertThat(figures.containsKey(name) || figures.containsKey("(void) " + name))
@@ -153,7 +153,8 @@
                                                 large.events())))
                 .hasMessageContaining("over half of this machine's");
         assertThatThrownBy(() -> ScalePlan.read(small.replace("real = 4", "real = 5")))
-                .hasMessageContaining("101 managers do not fill whole cells of 25; use 125 managers in all");
+                .hasMessageContaining(
+                        "101 managers do not fill whole cells of 25; use 125 managers in all");
         assertThatThrownBy(() -> ScalePlan.read(small.replace("spread = 2", "spread = 3")))
                 .hasMessageContaining("a zone has only 2 cells; use a spread of 2 or less");
         assertThatThrownBy(() -> ScalePlan.read(small.replace("\"kill\"", "\"kil\"")))
--- a/src/test/java/firstage/scale/ScalingSlopesTest.java
+++ b/src/test/java/firstage/scale/ScalingSlopesTest.java
@@ -21,8 +21,8 @@
     private static final double MAX_RATIO = 1.15;
 
     /**
-     * Upper limit for the increase of row bytes a second per thousand managers. The row of a cell is
-     * 12 bytes in the datagrams of three delegates, which makes 58 bytes a second per thousand
+     * Upper limit for the increase of row bytes a second per thousand managers. The row of a cell
+     * is 12 bytes in the datagrams of three delegates, which makes 58 bytes a second per thousand
      * managers.
      */
     private static final double MAX_ROW_BYTES_PER_THOUSAND = 120;
@@ -31,7 +31,9 @@
         return IntStream.of(50, 100, 200)
                 .parallel()
                 .mapToObj(
-                        managers -> ScalingSlopes.play(new Shape(managers, 25, 2, 1, true, 400, defect), 3, false))
+                        managers ->
+                                ScalingSlopes.play(
+                                        new Shape(managers, 25, 2, 1, true, 400, defect), 3, false))
                 .toList();
     }
 
--- a/src/test/java/firstage/server/KeyOrderIT.java
+++ b/src/test/java/firstage/server/KeyOrderIT.java
@@ -132,13 +132,9 @@
                     silentClients.add(newClient());
                 }
                 QueryClient first =
-                        round % 3 == 0
-                                ? newClient()
-                                : round % 3 == 1 ? oldClient : otherOldClient;
+                        round % 3 == 0 ? newClient() : round % 3 == 1 ? oldClient : otherOldClient;
                 QueryClient second =
-                        round % 3 == 2
-                                ? oldClient
-                                : round % 3 == 0 ? otherOldClient : newClient();
+                        round % 3 == 2 ? oldClient : round % 3 == 0 ? otherOldClient : newClient();
                 String key = orderingKey(String.valueOf(round));
                 first.sendRequest(LOAD, key, "INSERT INTO sales_3.t VALUES (1)", 5000);
                 String firstId = jobIds.latest();
--- a/src/test/java/firstage/server/discovery/FrameDecoderTest.java
+++ b/src/test/java/firstage/server/discovery/FrameDecoderTest.java
@@ -29,7 +29,8 @@
             for (int offset = 0; offset < bytes.length; offset += size) {
                 frames.addAll(
                         decoder.decode(
-                                ByteBuffer.wrap(bytes, offset, Math.min(size, bytes.length - offset))));
+                                ByteBuffer.wrap(
+                                        bytes, offset, Math.min(size, bytes.length - offset))));
             }
             assertThat(frames).hasSize(2);
             assertThat(frames.get(1).eventNumber()).isEqualTo(-2);
--- a/src/test/java/firstage/server/engine/EngineResponseReaderTest.java
+++ b/src/test/java/firstage/server/engine/EngineResponseReaderTest.java
@@ -37,7 +37,9 @@
                 assertThat(
                                 reader.read(
                                         ByteBuffer.wrap(
-                                                bytes, offset, Math.min(size, bytes.length - offset))))
+                                                bytes,
+                                                offset,
+                                                Math.min(size, bytes.length - offset))))
                         .isEqualTo(last);
             }
             assertThat(reader.response(false).body())
--- a/src/test/java/firstage/simulation/FleetSimulationTest.java
+++ b/src/test/java/firstage/simulation/FleetSimulationTest.java
@@ -29,17 +29,20 @@
         }
     }
 
-    private static List<SimulationResult> simulate(String planText, String choice, int runs, int firstSeed) {
+    private static List<SimulationResult> simulate(
+            String planText, String choice, int runs, int firstSeed) {
         FleetPlan plan = FleetPlanReader.read(planText);
         return IntStream.range(0, runs)
                 .parallel()
-                .mapToObj(i -> FleetSimulation.play(plan, PolicyUnderTest.of(choice), firstSeed + i))
+                .mapToObj(
+                        i -> FleetSimulation.play(plan, PolicyUnderTest.of(choice), firstSeed + i))
                 .toList();
     }
 
     @Test
     void theSameSeedGivesTheSameResult() {
-        assertThat(simulate(shop(), "scheduler", 3, 1)).isEqualTo(simulate(shop(), "scheduler", 3, 1));
+        assertThat(simulate(shop(), "scheduler", 3, 1))
+                .isEqualTo(simulate(shop(), "scheduler", 3, 1));
         assertThat(simulate(shop(), "scheduler", 2, 1).get(0).figures())
                 .isNotEqualTo(simulate(shop(), "scheduler", 2, 1).get(1).figures());
     }
@@ -163,8 +166,8 @@
 
     /**
      * All engines of a zone of a large fleet become cold. The zone keeps most of its service if
-     * engines are warmed up by the shares of the cells, and loses much of it if they are warmed up by
-     * the share of the settings, which is that of one manager of the whole fleet.
+     * engines are warmed up by the shares of the cells, and loses much of it if they are warmed up
+     * by the share of the settings, which is that of one manager of the whole fleet.
      */
     @Test
     void aColdZoneOfALargeFleetIsWarmedUpByItsCells() throws IOException {
@@ -184,13 +187,15 @@
             delimiter = '|',
             value = {
                 "count = 3 | 'count = 3\n"
-                    + "cell = 2' | managers.cell: 3 managers do not fill 1 or more whole cells of 2",
+                    + "cell = 2' | managers.cell: 3 managers do not fill 1 or more whole cells of"
+                    + " 2",
                 "count = 3 | 'count = 3\n"
                         + "of = 2' | managers.of: 2 is less than count; write 3 or more",
                 "memory = \"16 GB\" | memory = \"16\" | 13: engines.memory: '16' has no unit",
                 "part = \"15%\" | parts = \"15%\" | trouble 1.parts: is unknown; known keys: kind,"
                         + " at",
-                "count = 7 | count = 0 | engines.count: 0 is out of range; 1 to 10000 would be valid",
+                "count = 7 | count = 0 | engines.count: 0 is out of range; 1 to 10000 would be"
+                        + " valid",
                 "effect = \"once-only\" | effect = \"never\" | group 3.effect: 'never' is none of"
                         + " repeatable",
                 "length = \"60 s\" | length = \"60 parsecs\" | 3: length: '60 parsecs' has an"
@@ -199,8 +204,8 @@
                 "kind = \"crash\" | kind = \"quake\" | trouble 1.kind: 'quake' is none of crash",
                 "share = \"79%\" | share = \"179%\" | group 1.share: 1.79 is out of range",
             })
-    void unusableValuesAreRefusedWithLineAndCure(String original, String replacement, String expectedMessage)
-            throws IOException {
+    void unusableValuesAreRefusedWithLineAndCure(
+            String original, String replacement, String expectedMessage) throws IOException {
         String text = Files.readString(Path.of("deploy", "fleet", "shop.toml"));
         assertThat(text).contains(original);
         assertThatThrownBy(() -> FleetPlanReader.read(text.replace(original, replacement)))
