--- a/src/main/java/firstage/policy/EngineRegistry.java
+++ b/src/main/java/firstage/policy/EngineRegistry.java
@@ -32,7 +32,7 @@
     }
 
     /** Returns the engine with this id, which is added if it is not known. */
-    EngineState get(int engineId) {
+    EngineState getOrCreate(int engineId) {
         return engines.computeIfAbsent(
                 engineId,
                 id ->
@@ -51,7 +51,7 @@
     void releaseGone(long now, PolicyActions actions) {
         List<Integer> gone =
                 engines.keySet().stream()
-                        .filter(id -> get(id).goneFor(now) > RETENTION_AFTER_LEAVING)
+                        .filter(id -> getOrCreate(id).goneFor(now) > RETENTION_AFTER_LEAVING)
                         .toList();
         gone.forEach(engines::remove);
         gone.forEach(actions::releaseEngine);
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -264,7 +264,7 @@
         }
         queuePassDue = true;
         for (EndpointUpdate.Endpoint endpoint : update.endpoints()) {
-            EngineState engine = engines.get(endpoint.engineId());
+            EngineState engine = engines.getOrCreate(endpoint.engineId());
             if (engine.applyEndpoint(endpoint)) {
                 outliers.onSignal(now, engine, OutlierDetector.Signal.RESTARTED);
             }
@@ -276,7 +276,7 @@
 
     @Override
     public void onProbeResult(long now, int engineId, AttemptOutcome outcome, LoadReport report) {
-        EngineState engine = engines.get(engineId);
+        EngineState engine = engines.getOrCreate(engineId);
         if (outcome == AttemptOutcome.CONNECT_FAILED) {
             outliers.onSignal(now, engine, OutlierDetector.Signal.UNREACHABLE);
         }
@@ -307,7 +307,7 @@
     @Override
     public void onProbeOwnership(
             long now, int engineId, boolean probedByOthers, boolean mayProbeNow) {
-        outliers.onProbeOwnership(now, engines.get(engineId), probedByOthers, mayProbeNow);
+        outliers.onProbeOwnership(now, engines.getOrCreate(engineId), probedByOthers, mayProbeNow);
         queuePassDue = true;
     }
 
@@ -340,22 +340,22 @@
 
     @Override
     public int attemptsInFlight(int engineId) {
-        return engines.contains(engineId) ? engines.get(engineId).attemptsInFlight.size() : 0;
+        return engines.contains(engineId) ? engines.getOrCreate(engineId).attemptsInFlight.size() : 0;
     }
 
     @Override
     public boolean isUnavailable(int engineId) {
-        return engines.contains(engineId) && OutlierDetector.isUnavailable(engines.get(engineId));
+        return engines.contains(engineId) && OutlierDetector.isUnavailable(engines.getOrCreate(engineId));
     }
 
     @Override
     public long lastAttemptAt(int engineId) {
-        return engines.contains(engineId) ? engines.get(engineId).lastAttemptAt : 0;
+        return engines.contains(engineId) ? engines.getOrCreate(engineId).lastAttemptAt : 0;
     }
 
     @Override
     public long lastResponseAt(int engineId) {
-        return engines.contains(engineId) ? engines.get(engineId).lastResponseAt : 0;
+        return engines.contains(engineId) ? engines.getOrCreate(engineId).lastResponseAt : 0;
     }
 
     // ---- Evaluation and queue passes
