--- a/src/main/java/firstage/policy/SheddingThreshold.java
+++ b/src/main/java/firstage/policy/SheddingThreshold.java
@@ -34,7 +34,7 @@
     /**
      * Returns whether a queued request is shed: it is below the threshold and was never started.
      */
-    boolean isBelow(RequestState request) {
+    boolean shedsInQueue(RequestState request) {
         return request.attemptsStarted == 0 && request.priorityBand < band;
     }
 }
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -452,7 +452,7 @@
         double waitingWork = 0;
         UnplaceableRequests unplaceable = new UnplaceableRequests(trafficClasses.size());
         for (RequestState request : queue.snapshot()) {
-            boolean shed = shedding.isBelow(request);
+            boolean shed = shedding.shedsInQueue(request);
             EngineState engine = null;
             if (!shed && mayStart(now, request)) {
                 long kind = kindOf(request, unplaceable);
