--- a/src/main/java/firstage/policy/KeyOrdering.java
+++ b/src/main/java/firstage/policy/KeyOrdering.java
@@ -35,7 +35,7 @@
      */
     void onRequest(long now, RequestState request, PolicyActions actions) {
         int key = request.incoming.orderingKey();
-        if (isOutOfOrder(request)) {
+        if (isOrderUnknown(request)) {
             KeyQueue queue = queues.computeIfAbsent(request.orderingKey, k -> new KeyQueue());
             queue.quietUntil = Math.max(queue.quietUntil, now + PAUSE_AFTER_UNKNOWN_ORDER);
         } else if (request.orderingKey >= 0) {
@@ -46,7 +46,7 @@
     }
 
     /** Returns whether the request must be rejected, as its position within its key is unknown. */
-    boolean isOutOfOrder(RequestState request) {
+    boolean isOrderUnknown(RequestState request) {
         return request.orderingKey >= 0 && request.incoming.orderUnknown();
     }
 
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -139,7 +139,7 @@
         demand.arrivedWork(request.priorityBand, request.expectedWork());
         // A request of unknown order could violate the order of its key unnoticed; a rejection is
         // safe.
-        if (keys.isOutOfOrder(request) || shedding.shedsOnArrival(request)) {
+        if (keys.isOrderUnknown(request) || shedding.shedsOnArrival(request)) {
             rejectOrFail(request);
         } else {
             queue.add(request);
