--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -144,7 +144,7 @@
         if (!attempt.wasBlocked) {
             stats.recordLatencyRatio(ratio, MAX_CLASS_SAMPLES);
         }
-        stats.work.add(
+        stats.meanWork.add(
                 result.actualWork() > 0
                         ? result.actualWork()
                         : result.duration() * (double) threads);
--- a/src/main/java/firstage/policy/state/TrafficClassStats.java
+++ b/src/main/java/firstage/policy/state/TrafficClassStats.java
@@ -7,7 +7,7 @@
     public final TrafficClass trafficClass;
 
     /** Mean work of successful attempts: reported, or measured as latency times threads. */
-    public final DecayingMean work;
+    public final DecayingMean meanWork;
 
     /** Mean estimated work of all requests, whether they were answered or not. */
     public final DecayingMean estimatedWork;
@@ -39,7 +39,7 @@
         this.trafficClass = trafficClass;
         this.grantMargin = grantMargin;
         this.lowestRatio = lowestLatencyRatio;
-        work = new DecayingMean(samples);
+        meanWork = new DecayingMean(samples);
         estimatedWork = new DecayingMean(samples);
         memoryMb = new DecayingMean(samples);
     }
@@ -80,6 +80,6 @@
 
     /** Returns the work of a typical request; the latency objective if no work is known yet. */
     public double typicalWork() {
-        return work.orElse(trafficClass.latencyObjective());
+        return meanWork.orElse(trafficClass.latencyObjective());
     }
 }
