--- a/src/main/java/firstage/policy/state/TrafficClassStats.java
+++ b/src/main/java/firstage/policy/state/TrafficClassStats.java
@@ -10,7 +10,7 @@
     public final DecayingMean meanWork;
 
     /** Mean estimated work of all requests, whether they were answered or not. */
-    public final DecayingMean estimatedWork;
+    public final DecayingMean meanEstimatedWork;
 
     /** Mean memory that successful attempts needed, where engines report it. */
     public final DecayingMean memoryMb;
@@ -40,7 +40,7 @@
         this.grantMargin = grantMargin;
         this.lowestRatio = lowestLatencyRatio;
         meanWork = new DecayingMean(samples);
-        estimatedWork = new DecayingMean(samples);
+        meanEstimatedWork = new DecayingMean(samples);
         memoryMb = new DecayingMean(samples);
     }
 
@@ -54,7 +54,7 @@
     /** Records the estimated work of a request; 0 if there is no estimate. */
     public void recordEstimate(long work) {
         if (work > 0) {
-            estimatedWork.add(work);
+            meanEstimatedWork.add(work);
         }
     }
 
@@ -75,7 +75,7 @@
      * is at least the mean estimate, as the first successes after a start are short requests.
      */
     public double warmUpWork() {
-        return Math.max(typicalWork(), estimatedWork.orElse(0));
+        return Math.max(typicalWork(), meanEstimatedWork.orElse(0));
     }
 
     /** Returns the work of a typical request; the latency objective if no work is known yet. */
