--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -192,7 +192,7 @@
         double latencyPerWork = latency.recordForClass(attempt, result);
         grants.recordSuccess(attempt, result, limiter.isSaturated(now, engine, latency));
         if (result.actualMemoryMb() > 0) {
-            stats.memoryMb.add(result.actualMemoryMb());
+            stats.meanMemoryMb.add(result.actualMemoryMb());
             latency.onTrueWorkKnown(stats);
             if (GrantEstimator.spilledForLackOfMemory(attempt, result)) {
                 limiter.markSaturated(now, engine);
--- a/src/main/java/firstage/policy/state/RequestState.java
+++ b/src/main/java/firstage/policy/state/RequestState.java
@@ -141,7 +141,7 @@
     public double expectedMemoryMb() {
         return incoming.estimatedMemoryMb() > 0
                 ? incoming.estimatedMemoryMb()
-                : classStats.memoryMb.orElse(0);
+                : classStats.meanMemoryMb.orElse(0);
     }
 
     /** Returns whether all probed engines have reported their load since the probes. */
--- a/src/main/java/firstage/policy/state/TrafficClassStats.java
+++ b/src/main/java/firstage/policy/state/TrafficClassStats.java
@@ -13,7 +13,7 @@
     public final DecayingMean meanEstimatedWork;
 
     /** Mean memory that successful attempts needed, where engines report it. */
-    public final DecayingMean memoryMb;
+    public final DecayingMean meanMemoryMb;
 
     /** Latency ratios: latency times threads, divided by the actual or estimated work. */
     public final LogHistogram latencyRatios = new LogHistogram();
@@ -41,7 +41,7 @@
         this.lowestRatio = lowestLatencyRatio;
         meanWork = new DecayingMean(samples);
         meanEstimatedWork = new DecayingMean(samples);
-        memoryMb = new DecayingMean(samples);
+        meanMemoryMb = new DecayingMean(samples);
     }
 
     /** Returns the lowest median ratio so far, including that of the current samples. */
