--- a/src/main/java/firstage/policy/SlowStartBudget.java
+++ b/src/main/java/firstage/policy/SlowStartBudget.java
@@ -108,7 +108,7 @@
         if (engine.lastStartAt() < startedAt && now < startedAt + rules.overloadWindow()) {
             return false;
         }
-        double work = request.classStats.warmUpWork();
+        double work = request.classStats.expectedWarmUpWork();
         // Quota released by other managers is not used, so that the rule does not depend on them.
         double ownShare =
                 Math.min(quotaShare, engine.warmUpShare > 0 ? engine.warmUpShare : equalShare);
@@ -139,6 +139,6 @@
     /** Records an attempt that was sent to this engine. */
     void recordAttempt(long now, RequestState request, EngineState engine) {
         engine.warmUpWork.add(
-                now, capacityShare(now, engine) < 1 ? request.classStats.warmUpWork() : 0);
+                now, capacityShare(now, engine) < 1 ? request.classStats.expectedWarmUpWork() : 0);
     }
 }
--- a/src/main/java/firstage/policy/state/TrafficClassStats.java
+++ b/src/main/java/firstage/policy/state/TrafficClassStats.java
@@ -74,7 +74,7 @@
      * Returns the work that a typical request takes from the budget of a warming engine. The result
      * is at least the mean estimate, as the first successes after a start are short requests.
      */
-    public double warmUpWork() {
+    public double expectedWarmUpWork() {
         return Math.max(typicalWork(), meanEstimatedWork.orElse(0));
     }
 
