--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -118,7 +118,7 @@
         double totalWork =
                 (now - attempt.sentAt) / attempt.fractionDone * request.trafficClass().threads();
         double ratio =
-                totalWork / request.incoming.estimatedWork() / request.classStats.bestRatio();
+                totalWork / request.incoming.estimatedWork() / request.classStats.bestLatencyRatio();
         record(attempt.engine, ratio, capacityShare);
     }
 
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -199,7 +199,7 @@
                 limiter.shrinkMemorySlice(now, engine);
             }
         }
-        double ratio = latencyPerWork / stats.bestRatio();
+        double ratio = latencyPerWork / stats.bestLatencyRatio();
         latency.recordSuccess(attempt, ratio, slowStart.capacityShare(now, engine));
         if (latency.isCalm(ratio, engine)) {
             limiter.grow(attempt);
--- a/src/main/java/firstage/policy/state/RequestState.java
+++ b/src/main/java/firstage/policy/state/RequestState.java
@@ -128,7 +128,7 @@
      */
     public double expectedWork() {
         return incoming.estimatedWork() > 0
-                ? incoming.estimatedWork() * classStats.bestRatio()
+                ? incoming.estimatedWork() * classStats.bestLatencyRatio()
                 : classStats.typicalWork();
     }
 
--- a/src/main/java/firstage/policy/state/TrafficClassStats.java
+++ b/src/main/java/firstage/policy/state/TrafficClassStats.java
@@ -45,7 +45,7 @@
     }
 
     /** Returns the lowest median ratio so far, including that of the current samples. */
-    public double bestRatio() {
+    public double bestLatencyRatio() {
         return latencyRatios.total() > 0
                 ? Math.min(lowestRatio, latencyRatios.quantile(0.5))
                 : lowestRatio;
@@ -65,7 +65,7 @@
     public void recordLatencyRatio(double ratio, int maxSamples) {
         latencyRatios.add(ratio);
         if (latencyRatios.total() >= maxSamples) {
-            lowestRatio = bestRatio();
+            lowestRatio = bestLatencyRatio();
             latencyRatios.halve();
         }
     }
