--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -153,7 +153,7 @@
 
     /** Caps the best ratio of a class whose engines report the actual work of requests. */
     void onTrueWorkKnown(TrafficClassStats stats) {
-        stats.lowestRatio = Math.min(stats.lowestRatio, MAX_BEST_RATIO_OF_ACTUAL_WORK);
+        stats.lowestLatencyRatio = Math.min(stats.lowestLatencyRatio, MAX_BEST_RATIO_OF_ACTUAL_WORK);
     }
 
     /**
@@ -174,7 +174,7 @@
     void decay(List<TrafficClassStats> classes) {
         allEngineRatios.halve();
         topPriorityRatios.halve();
-        classes.forEach(stats -> stats.lowestRatio *= BEST_RATIO_DRIFT);
+        classes.forEach(stats -> stats.lowestLatencyRatio *= BEST_RATIO_DRIFT);
     }
 
     /** Halves the samples of an engine; called once each {@link #DECAY_INTERVAL}. */
--- a/src/main/java/firstage/policy/state/TrafficClassStats.java
+++ b/src/main/java/firstage/policy/state/TrafficClassStats.java
@@ -19,7 +19,7 @@
     public final LogHistogram latencyRatios = new LogHistogram();
 
     /** Lowest median of the latency ratios so far. */
-    public double lowestRatio;
+    public double lowestLatencyRatio;
 
     /** Margin that a grant adds to the expected memory, as a share of the expected memory. */
     public double grantMargin;
@@ -38,7 +38,7 @@
             TrafficClass trafficClass, double grantMargin, double lowestLatencyRatio, int samples) {
         this.trafficClass = trafficClass;
         this.grantMargin = grantMargin;
-        this.lowestRatio = lowestLatencyRatio;
+        this.lowestLatencyRatio = lowestLatencyRatio;
         meanWork = new DecayingMean(samples);
         meanEstimatedWork = new DecayingMean(samples);
         meanMemoryMb = new DecayingMean(samples);
@@ -47,8 +47,8 @@
     /** Returns the lowest median ratio so far, including that of the current samples. */
     public double bestLatencyRatio() {
         return latencyRatios.total() > 0
-                ? Math.min(lowestRatio, latencyRatios.quantile(0.5))
-                : lowestRatio;
+                ? Math.min(lowestLatencyRatio, latencyRatios.quantile(0.5))
+                : lowestLatencyRatio;
     }
 
     /** Records the estimated work of a request; 0 if there is no estimate. */
@@ -65,7 +65,7 @@
     public void recordLatencyRatio(double ratio, int maxSamples) {
         latencyRatios.add(ratio);
         if (latencyRatios.total() >= maxSamples) {
-            lowestRatio = bestLatencyRatio();
+            lowestLatencyRatio = bestLatencyRatio();
             latencyRatios.halve();
         }
     }
