--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -61,7 +61,7 @@
 
     /** Returns the median ratio of this engine, or of all engines if it has too few samples. */
     double medianRatio(EngineState engine) {
-        boolean enough = engine.latencyRatios.total() >= MIN_ENGINE_SAMPLES;
+        boolean enough = engine.latencyRatios.totalWeight() >= MIN_ENGINE_SAMPLES;
         return (enough ? engine.latencyRatios : allEngineRatios).quantile(0.5);
     }
 
--- a/src/main/java/firstage/policy/state/LogHistogram.java
+++ b/src/main/java/firstage/policy/state/LogHistogram.java
@@ -35,7 +35,7 @@
     }
 
     /** Returns the total weight of the samples; each starts with a weight of 1. */
-    public double total() {
+    public double totalWeight() {
         return totalWeight;
     }
 
--- a/src/main/java/firstage/policy/state/TrafficClassStats.java
+++ b/src/main/java/firstage/policy/state/TrafficClassStats.java
@@ -46,7 +46,7 @@
 
     /** Returns the lowest median ratio so far, including that of the current samples. */
     public double bestLatencyRatio() {
-        return latencyRatios.total() > 0
+        return latencyRatios.totalWeight() > 0
                 ? Math.min(lowestLatencyRatio, latencyRatios.quantile(0.5))
                 : lowestLatencyRatio;
     }
@@ -64,7 +64,7 @@
      */
     public void recordLatencyRatio(double ratio, int maxSamples) {
         latencyRatios.add(ratio);
-        if (latencyRatios.total() >= maxSamples) {
+        if (latencyRatios.totalWeight() >= maxSamples) {
             lowestLatencyRatio = bestLatencyRatio();
             latencyRatios.halve();
         }
