--- a/src/main/java/firstage/policy/EngineSelector.java
+++ b/src/main/java/firstage/policy/EngineSelector.java
@@ -92,7 +92,7 @@
                 return null;
             }
         }
-        boolean topPriority = priorities.of(request) == PriorityClasses.TOP;
+        boolean topPriority = priorities.priorityOf(request) == PriorityClasses.TOP;
         boolean withinTotalLimit = isWithinTotalThreadLimit(request, engines);
         double[] tableLoadOrder = tables.loadOrder(request, engines);
         EngineState best = null;
--- a/src/main/java/firstage/policy/PriorityClasses.java
+++ b/src/main/java/firstage/policy/PriorityClasses.java
@@ -28,7 +28,7 @@
     }
 
     /** Returns the priority of this request, from 0 to {@link #TOP}. */
-    int of(RequestState request) {
+    int priorityOf(RequestState request) {
         double bestWeightPerWork =
                 trafficClasses.stream()
                         .mapToDouble(
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -490,7 +490,7 @@
                         || request.orderingKey >= 0
                         || probing.needsProbes(request)
                 ? UnplaceableRequests.NO_KIND
-                : unplaceable.kindOf(request, priorities.of(request));
+                : unplaceable.kindOf(request, priorities.priorityOf(request));
     }
 
     private void leaveQueue(RequestState request, boolean shed) {
@@ -512,7 +512,7 @@
                         request.attemptsStarted++,
                         now,
                         grants.grantMb(request, engine),
-                        priorities.of(request));
+                        priorities.priorityOf(request));
         retries.recordAttempt(now, attempt);
         int requestId = request.incoming.requestId();
         if (capabilities.grants() || capabilities.priorities()) {
