--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -75,7 +75,7 @@
     }
 
     /** Returns whether both the ratio of a result and the median of its engine are low. */
-    boolean isCalm(double ratio, EngineState engine) {
+    boolean isLatencyLow(double ratio, EngineState engine) {
         return ratio < LOW_LATENCY_RATIO && medianRatio(engine) < LOW_LATENCY_RATIO;
     }
 
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -201,7 +201,7 @@
         }
         double ratio = latencyPerWork / stats.bestLatencyRatio();
         latency.recordSuccess(attempt, ratio, slowStart.capacityShare(now, engine));
-        if (latency.isCalm(ratio, engine)) {
+        if (latency.isLatencyLow(ratio, engine)) {
             limiter.grow(attempt);
         }
     }
