--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -80,7 +80,7 @@
     }
 
     /** Returns whether the median ratio over all engines is low. */
-    boolean isFleetCalm() {
+    boolean isFleetLatencyLow() {
         return medianRatio() < LOW_LATENCY_RATIO;
     }
 
--- a/src/main/java/firstage/policy/LoadProbing.java
+++ b/src/main/java/firstage/policy/LoadProbing.java
@@ -71,7 +71,7 @@
                 && request.trafficClass().priorityWeight() * MAX_COST_SHARE
                         >= probePrice * meanPriorityWeight.orElse(1)
                 && limiter.isShareBelowOneRequest(request.trafficClass())
-                && !latency.isFleetCalm();
+                && !latency.isFleetLatencyLow();
     }
 
     /** Probes engines for this request, unless they were probed recently. */
