--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -152,7 +152,7 @@
     }
 
     /** Caps the best ratio of a class whose engines report the actual work of requests. */
-    void onTrueWorkKnown(TrafficClassStats stats) {
+    void onActualWorkReported(TrafficClassStats stats) {
         stats.lowestLatencyRatio = Math.min(stats.lowestLatencyRatio, MAX_BEST_RATIO_OF_ACTUAL_WORK);
     }
 
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -193,7 +193,7 @@
         grants.recordSuccess(attempt, result, limiter.isSaturated(now, engine, latency));
         if (result.actualMemoryMb() > 0) {
             stats.meanMemoryMb.add(result.actualMemoryMb());
-            latency.onTrueWorkKnown(stats);
+            latency.onActualWorkReported(stats);
             if (GrantEstimator.spilledForLackOfMemory(attempt, result)) {
                 limiter.markSaturated(now, engine);
                 limiter.shrinkMemorySlice(now, engine);
