--- a/src/main/java/firstage/policy/EngineSelector.java
+++ b/src/main/java/firstage/policy/EngineSelector.java
@@ -75,7 +75,7 @@
     }
 
     /** Returns whether the latest selection found an eligible engine, with or without capacity. */
-    boolean metEligibleEngine() {
+    boolean foundEligibleEngine() {
         return foundEligibleEngine;
     }
 
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -461,7 +461,7 @@
                 if (engine == null) {
                     queue.markCongested();
                     unplaceable.add(kind, request);
-                    boolean lacksCapacity = knownUnplaceable || selector.metEligibleEngine();
+                    boolean lacksCapacity = knownUnplaceable || selector.foundEligibleEngine();
                     waitingWork +=
                             lacksCapacity && request.attemptsStarted == 0
                                     ? request.expectedWork()
