--- a/src/main/java/firstage/policy/EngineSelector.java
+++ b/src/main/java/firstage/policy/EngineSelector.java
@@ -47,7 +47,7 @@
      * @param prefersOwnZone whether traffic between zones has a cost
      * @param prioritiesHeeded whether engines run requests by priority
      */
-    record Placement(int zone, boolean prefersOwnZone, boolean prioritiesHeeded) {}
+    record Placement(int zone, boolean prefersOwnZone, boolean enginesHonourPriorities) {}
 
     EngineSelector(
             EngineEligibility eligibility,
@@ -154,7 +154,7 @@
                 engine.attemptsInFlight.isEmpty() && withinTotalLimit
                         || limiter.isShareBelowOneRequest(request.trafficClass())
                                 && onlyTopPriorityAttempt
-                                && settings.prioritiesHeeded
+                                && settings.enginesHonourPriorities
                                 && !latency.isTopPrioritySlow();
         // A fleet probe may exceed the limits, as the recovery of the engine must not wait for
         // capacity of the probe owner.
