--- a/src/main/java/firstage/policy/EngineSelector.java
+++ b/src/main/java/firstage/policy/EngineSelector.java
@@ -94,7 +94,7 @@
         }
         boolean topPriority = priorities.priorityOf(request) == PriorityClasses.TOP;
         boolean withinTotalLimit = isWithinTotalThreadLimit(request, engines);
-        double[] tableLoadOrder = tables.loadOrder(request, engines);
+        double[] tableLoadOrder = tables.tableLoadOrder(request, engines);
         EngineState best = null;
         double bestScore = Double.NEGATIVE_INFINITY;
         for (EngineState engine : needsProbes ? request.probedEngines : engines) {
--- a/src/main/java/firstage/policy/TableAffinity.java
+++ b/src/main/java/firstage/policy/TableAffinity.java
@@ -26,7 +26,7 @@
      */
     private static final double MAX_LOAD_GROUP_SHARE = 0.67;
 
-    /** Result of {@link #loadOrder} for a request that is not a table load. */
+    /** Result of {@link #tableLoadOrder} for a request that is not a table load. */
     private static final double[] NO_ORDER = {};
 
     private final RandomGenerator random;
@@ -43,7 +43,7 @@
      * Returns the affinities of the active engines to the tables of a load, in ascending order;
      * empty if the request is not a table load.
      */
-    double[] loadOrder(RequestState request, Collection<EngineState> engines) {
+    double[] tableLoadOrder(RequestState request, Collection<EngineState> engines) {
         int tableGroup = request.incoming.tableGroup();
         return !isLoadOfTables(request)
                 ? NO_ORDER
@@ -62,7 +62,7 @@
      * Returns the score of this engine: 0 or {@link #OWN_ENGINE_SCORE} for table loads, 0 to 1 for
      * other requests.
      *
-     * @param tableLoadOrder result of {@link #loadOrder} for the same request
+     * @param tableLoadOrder result of {@link #tableLoadOrder} for the same request
      * @param shareBelowOneRequest whether the quota share of an engine is too small for the
      *     request, in which case readers get a random score, so that managers select different
      *     engines
