--- a/src/main/java/firstage/policy/ConcurrencyLimiter.java
+++ b/src/main/java/firstage/policy/ConcurrencyLimiter.java
@@ -126,7 +126,7 @@
     }
 
     /** Returns the free memory of the slice as a share of the initial slice; may be negative. */
-    double freeMemory(EngineState engine, double capacityShare) {
+    double freeMemoryShare(EngineState engine, double capacityShare) {
         return (engine.memorySliceMb * capacityShare - engine.reservedMb)
                 / (engine.memoryMb * RESERVABLE_MEMORY_SHARE * quotaShare);
     }
