--- a/src/main/java/firstage/policy/UnplaceableRequests.java
+++ b/src/main/java/firstage/policy/UnplaceableRequests.java
@@ -37,7 +37,7 @@
      * Returns whether this request cannot be placed, as a request of the same kind that needs no
      * more memory found no engine in this pass.
      */
-    boolean covers(long kind, RequestState request) {
+    boolean isUnplaceable(long kind, RequestState request) {
         return kind >= 0
                 && smallestMemoryMb.getOrDefault(kind, Double.MAX_VALUE)
                         <= request.expectedMemoryMb();
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -456,7 +456,7 @@
             EngineState engine = null;
             if (!shed && mayStart(now, request)) {
                 long kind = kindOf(request, unplaceable);
-                boolean knownUnplaceable = unplaceable.covers(kind, request);
+                boolean knownUnplaceable = unplaceable.isUnplaceable(kind, request);
                 engine = knownUnplaceable ? null : selector.select(now, request, engines.all());
                 if (engine == null) {
                     queue.markCongested();
