--- a/src/main/java/firstage/policy/AdmissionQueue.java
+++ b/src/main/java/firstage/policy/AdmissionQueue.java
@@ -89,7 +89,7 @@
         shutdownAt = endsAt;
     }
 
-    boolean isPastPlannedEnd(long now) {
+    boolean isPastShutdown(long now) {
         return now >= shutdownAt;
     }
 
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -389,7 +389,7 @@
             quotas.refill(LatencyTracker.DECAY_INTERVAL);
             nextDecay = now + LatencyTracker.DECAY_INTERVAL;
         }
-        if (queue.isPastPlannedEnd(now)) {
+        if (queue.isPastShutdown(now)) {
             // Requests without an answer by the shutdown would never get one here; another manager
             // can still run them.
             List.copyOf(requests.values()).stream()
