--- a/src/main/java/firstage/server/ActionGuard.java
+++ b/src/main/java/firstage/server/ActionGuard.java
@@ -153,7 +153,7 @@
      */
     public void onStatementSent(RequestExchange exchange, Knowledge knowledge) {
         long now = clock.now();
-        counters.peak("max age of knowledge at a send, us", (now - knowledge.asOf()) * 100);
+        counters.recordMax("max age of knowledge at a send, us", (now - knowledge.asOf()) * 100);
         if (now - knowledge.asOf() > 2 * SendGuard.MAX_KNOWLEDGE_AGE) {
             counters.count("statements sent on stale knowledge");
         }
--- a/src/main/java/firstage/server/Counters.java
+++ b/src/main/java/firstage/server/Counters.java
@@ -30,7 +30,7 @@
     }
 
     /** Sets a counter to {@code value} if that is larger than all values before. */
-    public void peak(String name, long value) {
+    public void recordMax(String name, long value) {
         counts.merge(name, value, Math::max);
     }
 
--- a/src/main/java/firstage/server/SchedulerLoop.java
+++ b/src/main/java/firstage/server/SchedulerLoop.java
@@ -135,7 +135,7 @@
     /** Records a timer's delay under {@code counter}; returns whether the delay is a stall. */
     boolean recordDelay(String counter, long dueNanos) {
         long delayUs = (System.nanoTime() - dueNanos) / 1_000;
-        counters.peak(counter, delayUs);
+        counters.recordMax(counter, delayUs);
         if (delayUs > STALL_THRESHOLD_US) {
             counters.recorder().record(EventType.STALL, null, delayUs / 1_000, 0);
         }
--- a/src/main/java/firstage/server/client/ClientConnections.java
+++ b/src/main/java/firstage/server/client/ClientConnections.java
@@ -65,7 +65,7 @@
         }
         openedAtMs.put(connection, nowMs());
         silentSinceMs.put(connection, nowMs());
-        counters.peak("max client connections", openedAtMs.size());
+        counters.recordMax("max client connections", openedAtMs.size());
         return true;
     }
 
--- a/src/main/java/firstage/server/client/PendingCalls.java
+++ b/src/main/java/firstage/server/client/PendingCalls.java
@@ -82,7 +82,7 @@
     /** Adds {@code change}, negative if bytes are released, to the number of kept bytes. */
     void addKeptBytes(int change) {
         keptBytes += change;
-        counters.peak("max bytes kept for clients", keptBytes);
+        counters.recordMax("max bytes kept for clients", keptBytes);
         counters.checkInvariant(
                 keptBytes >= 0 && (keptBytes == 0 || !byPollPath.isEmpty()),
                 "bytes are kept for calls that are open");
--- a/src/main/java/firstage/server/engine/ConnectionBudget.java
+++ b/src/main/java/firstage/server/engine/ConnectionBudget.java
@@ -33,7 +33,7 @@
             return false;
         }
         inUse++;
-        counters.peak("max engine connections", inUse);
+        counters.recordMax("max engine connections", inUse);
         return true;
     }
 
