--- a/src/main/java/firstage/server/InterruptedCalls.java
+++ b/src/main/java/firstage/server/InterruptedCalls.java
@@ -19,7 +19,7 @@
     private InterruptedCalls() {}
 
     /** Installs the conduits on a connection; to be called before anything is read or written. */
-    public static void shield(StreamConnection connection) {
+    public static void installOn(StreamConnection connection) {
         connection
                 .getSourceChannel()
                 .setConduit(new InterruptSafeSource(connection.getSourceChannel().getConduit()));
--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -167,7 +167,7 @@
 
     private void onConnectionOpened(StreamConnection connection) {
         if (connections.tryAdd(connection)) {
-            InterruptedCalls.shield(connection);
+            InterruptedCalls.installOn(connection);
             connection
                     .getSinkChannel()
                     .setConduit(new BadRequestResponse(connection.getSinkChannel().getConduit()));
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -240,7 +240,7 @@
 
     private void onConnected(StreamConnection newConnection) {
         connection = newConnection;
-        InterruptedCalls.shield(connection);
+        InterruptedCalls.installOn(connection);
         try {
             frameDecoder = new FrameDecoder();
             ByteBuffer subscription = ByteBuffer.allocate(Long.BYTES).putLong(0, lastEventNumber);
--- a/src/main/java/firstage/server/engine/EngineConnection.java
+++ b/src/main/java/firstage/server/engine/EngineConnection.java
@@ -59,7 +59,7 @@
         this.guard = guard;
         this.readBuffer = readBuffer;
         this.channel = channel;
-        InterruptedCalls.shield(channel);
+        InterruptedCalls.installOn(channel);
         channel.getSourceChannel().setReadListener(this::onReadable);
         channel.getSinkChannel().setWriteListener(this::onWritable);
         channel.getSourceChannel().resumeReads();
