--- a/src/main/java/firstage/lifecycle/PauseDetector.java
+++ b/src/main/java/firstage/lifecycle/PauseDetector.java
@@ -22,7 +22,7 @@
  */
 public final class PauseDetector {
     /** Interval between two heartbeats, in ticks. */
-    public static final long BEAT_INTERVAL = Ticks.ofMillis(30);
+    public static final long HEARTBEAT_INTERVAL = Ticks.ofMillis(30);
 
     /** Delay of a heartbeat above which it shows a pause. */
     private static final long MAX_HEARTBEAT_DELAY = Ticks.ofMillis(20);
@@ -54,7 +54,7 @@
         lastHeartbeat = now;
     }
 
-    /** Records a heartbeat; to be called every {@link #BEAT_INTERVAL}. */
+    /** Records a heartbeat; to be called every {@link #HEARTBEAT_INTERVAL}. */
     public void onBeat(long now) {
         detect(now);
         previousHeartbeat = lastHeartbeat;
@@ -91,7 +91,7 @@
     }
 
     private void detect(long now) {
-        if (now - lastHeartbeat <= BEAT_INTERVAL + MAX_HEARTBEAT_DELAY) {
+        if (now - lastHeartbeat <= HEARTBEAT_INTERVAL + MAX_HEARTBEAT_DELAY) {
             return;
         }
         long pauseStart = previousHeartbeat;
--- a/src/main/java/firstage/server/ActionGuard.java
+++ b/src/main/java/firstage/server/ActionGuard.java
@@ -66,7 +66,7 @@
     /** Starts to detect pauses; called on the I/O thread. */
     public void start() {
         pauseDetector.onBeat(clock.now());
-        io.executeAfter(this::start, PauseDetector.BEAT_INTERVAL / 10, TimeUnit.MILLISECONDS);
+        io.executeAfter(this::start, PauseDetector.HEARTBEAT_INTERVAL / 10, TimeUnit.MILLISECONDS);
     }
 
     /** Returns the earliest moment at which input that is read now can have arrived. */
--- a/src/test/java/firstage/lifecycle/PauseDetectorTest.java
+++ b/src/test/java/firstage/lifecycle/PauseDetectorTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 class PauseDetectorTest implements PauseDetector.PauseActions {
-    private static final long HEARTBEAT = PauseDetector.BEAT_INTERVAL;
+    private static final long HEARTBEAT = PauseDetector.HEARTBEAT_INTERVAL;
     private int barriers;
     private final PauseDetector detector = new PauseDetector(this, 0);
 
