--- a/src/main/java/firstage/lifecycle/PauseDetector.java
+++ b/src/main/java/firstage/lifecycle/PauseDetector.java
@@ -55,7 +55,7 @@
     }
 
     /** Records a heartbeat; to be called every {@link #HEARTBEAT_INTERVAL}. */
-    public void onBeat(long now) {
+    public void onHeartbeat(long now) {
         detect(now);
         previousHeartbeat = lastHeartbeat;
         lastHeartbeat = now;
--- a/src/main/java/firstage/server/ActionGuard.java
+++ b/src/main/java/firstage/server/ActionGuard.java
@@ -65,7 +65,7 @@
 
     /** Starts to detect pauses; called on the I/O thread. */
     public void start() {
-        pauseDetector.onBeat(clock.now());
+        pauseDetector.onHeartbeat(clock.now());
         io.executeAfter(this::start, PauseDetector.HEARTBEAT_INTERVAL / 10, TimeUnit.MILLISECONDS);
     }
 
--- a/src/test/java/firstage/lifecycle/PauseDetectorTest.java
+++ b/src/test/java/firstage/lifecycle/PauseDetectorTest.java
@@ -17,7 +17,7 @@
     @Test
     void earliestArrival_heartbeatsInTime_isNow() {
         for (long now = HEARTBEAT; now < 20 * HEARTBEAT; now += HEARTBEAT) {
-            detector.onBeat(now);
+            detector.onHeartbeat(now);
             assertThat(detector.earliestArrival(now + HEARTBEAT / 2))
                     .isEqualTo(now + HEARTBEAT / 2);
         }
@@ -29,11 +29,11 @@
      */
     @Test
     void earliestArrival_afterPause_isBeforeItUntilBacklogIsRead() {
-        detector.onBeat(HEARTBEAT);
-        detector.onBeat(2 * HEARTBEAT);
+        detector.onHeartbeat(HEARTBEAT);
+        detector.onHeartbeat(2 * HEARTBEAT);
         long resumed = 2 * HEARTBEAT + 4_000;
         assertThat(detector.earliestArrival(resumed)).isEqualTo(HEARTBEAT);
-        detector.onBeat(resumed + 1);
+        detector.onHeartbeat(resumed + 1);
         assertThat(detector.earliestArrival(resumed + 2)).isEqualTo(HEARTBEAT);
         assertThat(barriers).isEqualTo(1);
         detector.onBacklogRead(resumed + 3);
@@ -43,10 +43,10 @@
     /** A connection that can't be accepted for a while may hold an unread request. */
     @Test
     void earliestArrival_readsBlocked_isBeforeThatUntilBacklogIsRead() {
-        detector.onBeat(HEARTBEAT);
+        detector.onHeartbeat(HEARTBEAT);
         detector.onReadsBlocked(HEARTBEAT + 1);
         for (long now = 2 * HEARTBEAT; now < 20 * HEARTBEAT; now += HEARTBEAT) {
-            detector.onBeat(now);
+            detector.onHeartbeat(now);
         }
         assertThat(detector.earliestArrival(20 * HEARTBEAT)).isZero();
         assertThat(barriers).isEqualTo(1);
@@ -60,8 +60,8 @@
      */
     @Test
     void onBacklogRead_pausedAgainMeanwhile_staysPaused() {
-        detector.onBeat(HEARTBEAT);
-        detector.onBeat(2 * HEARTBEAT);
+        detector.onHeartbeat(HEARTBEAT);
+        detector.onHeartbeat(2 * HEARTBEAT);
         assertThat(detector.isCatchingUp(10 * HEARTBEAT)).isTrue();
         detector.onBacklogRead(20 * HEARTBEAT);
         assertThat(barriers).isEqualTo(2);
