--- a/src/main/java/firstage/lifecycle/AttemptStateMachine.java
+++ b/src/main/java/firstage/lifecycle/AttemptStateMachine.java
@@ -130,7 +130,7 @@
          * Returns whether the end of the attempt is awaited: the client has no answer yet, or the
          * program shuts down.
          */
-        boolean isResultAwaited();
+        boolean isEndAwaited();
 
         /** Returns the client's deadline, which was sent to the engine. */
         long deadline();
@@ -487,7 +487,7 @@
                         : actions.deadline() + STATEMENT_TRANSIT_ALLOWANCE;
         long heldFor = Math.max(0, Math.max(lastCallAt + UNPOLLED_EXPIRY, engineDeadline) - now);
         actions.startTimer(heldFor, Timeout.EXPIRY);
-        if (actions.isResultAwaited()) {
+        if (actions.isEndAwaited()) {
             endReported = true;
             actions.reportEnd(outcome, heldFor);
         }
--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -336,7 +336,7 @@
     }
 
     @Override
-    public boolean isResultAwaited() {
+    public boolean isEndAwaited() {
         return !exchange.isSettled() || engines.isShuttingDown();
     }
 
--- a/src/main/java/firstage/simulation/schedule/SimulatedManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -864,7 +864,7 @@
         }
 
         @Override
-        public boolean isResultAwaited() {
+        public boolean isEndAwaited() {
             return !request.completed
                     || defect == InjectedDefect.ABANDONED_IS_OVER
                     || defect == InjectedDefect.UNWRITTEN_END_IS_OVER
--- a/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
+++ b/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
@@ -275,7 +275,7 @@
     }
 
     @Override
-    public boolean isResultAwaited() {
+    public boolean isEndAwaited() {
         return resultAwaited;
     }
 
