--- a/src/main/java/firstage/lifecycle/ArrivalSequencer.java
+++ b/src/main/java/firstage/lifecycle/ArrivalSequencer.java
@@ -76,7 +76,7 @@
     }
 
     /** Returns the number of requests that were read and are not delivered yet. */
-    public int undelivered() {
+    public int undeliveredCount() {
         return firstByKey.size();
     }
 }
--- a/src/main/java/firstage/server/RequestEventHandler.java
+++ b/src/main/java/firstage/server/RequestEventHandler.java
@@ -45,7 +45,7 @@
 
     /** Returns the number of requests that were read and are not delivered to the scheduler yet. */
     int undelivered() {
-        return arrivalSequencer.undelivered();
+        return arrivalSequencer.undeliveredCount();
     }
 
     /** Accepts a request that was read completely. */
--- a/src/main/java/firstage/simulation/schedule/SimulatedManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -544,9 +544,9 @@
         if (!requests.isEmpty()) {
             ruleChecker.recordLeftover(requests.size() + " batches not released");
         }
-        if (arrivalSequencer.undelivered() != 0 || openRequests != 0 || openCalls != 0) {
+        if (arrivalSequencer.undeliveredCount() != 0 || openRequests != 0 || openCalls != 0) {
             ruleChecker.recordLeftover(
-                    arrivalSequencer.undelivered()
+                    arrivalSequencer.undeliveredCount()
                             + " batches waiting for a read barrier, "
                             + openRequests
                             + " open batches, "
--- a/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
+++ b/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
@@ -74,6 +74,6 @@
         sequencer.onRequestRead("c", "k");
         assertThat(effects)
                 .containsExactly("free true", "barrier k", "b false", "a true", "barrier k");
-        assertThat(sequencer.undelivered()).isEqualTo(1);
+        assertThat(sequencer.undeliveredCount()).isEqualTo(1);
     }
 }
