--- a/src/main/java/firstage/server/RequestEventHandler.java
+++ b/src/main/java/firstage/server/RequestEventHandler.java
@@ -114,7 +114,7 @@
         if (exchange.isSettled()) {
             return;
         }
-        exchange.clientGone();
+        exchange.onClientGone();
         requests.onRequestEnded(RequestRegistry.End.CLIENT_GONE, exchange);
         reportClientGone("left", exchange);
         exchange.abandonAttempts(AttemptOutcome.CANCELLED);
--- a/src/main/java/firstage/server/RequestExchange.java
+++ b/src/main/java/firstage/server/RequestExchange.java
@@ -120,7 +120,7 @@
     }
 
     /** Records that the client left; it gets no answer. */
-    public void clientGone() {
+    public void onClientGone() {
         settled = true;
     }
 
