--- a/src/main/java/firstage/server/ActionGuard.java
+++ b/src/main/java/firstage/server/ActionGuard.java
@@ -157,7 +157,7 @@
         if (now - knowledge.asOf() > 2 * SendGuard.MAX_KNOWLEDGE_AGE) {
             counters.count("statements sent on stale knowledge");
         }
-        reportLateness(exchange, exchange.departures.onStatementSent(now));
+        reportLateness(exchange, exchange.departureMonitor.onStatementSent(now));
     }
 
     /**
@@ -168,7 +168,7 @@
      */
     public void onClientLeft(RequestExchange exchange, long notBefore) {
         long earliest = Math.max(earliestArrival(), notBefore);
-        reportLateness(exchange, exchange.departures.onClientLeft(earliest));
+        reportLateness(exchange, exchange.departureMonitor.onClientLeft(earliest));
     }
 
     private void reportLateness(RequestExchange exchange, long lateness) {
--- a/src/main/java/firstage/server/RequestExchange.java
+++ b/src/main/java/firstage/server/RequestExchange.java
@@ -76,7 +76,7 @@
     public boolean clientAbsent;
 
     /** Monitor that checks that nothing is sent for a client that left. */
-    final DepartureMonitor departures = new DepartureMonitor();
+    final DepartureMonitor departureMonitor = new DepartureMonitor();
 
     private final ResponseActions response;
     private final ClientPresence client;
@@ -111,7 +111,7 @@
 
     /** Records that the client polls again, so it has not left. */
     public void onClientReturned() {
-        departures.onClientReturned();
+        departureMonitor.onClientReturned();
     }
 
     /** Confirms the client's presence; see {@link ClientPresence#confirm}. */
