--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -206,7 +206,7 @@
 
     @Override
     public void onClientAbsence(RequestExchange exchange, boolean absent) {
-        requestEvents.onClientPresence(exchange, absent);
+        requestEvents.onClientAbsence(exchange, absent);
     }
 
     @Override
--- a/src/main/java/firstage/server/RequestEventHandler.java
+++ b/src/main/java/firstage/server/RequestEventHandler.java
@@ -91,7 +91,7 @@
                                         false,
                                         !orderKnown)));
         if (exchange.clientAbsent) {
-            onClientPresence(exchange, true);
+            onClientAbsence(exchange, true);
         }
     }
 
@@ -125,7 +125,7 @@
      *
      * @param absent true if the client has no call open and may be gone; false if it polls again
      */
-    void onClientPresence(RequestExchange exchange, boolean absent) {
+    void onClientAbsence(RequestExchange exchange, boolean absent) {
         exchange.clientAbsent = absent;
         if (exchange.requestIndex >= 0 && !exchange.isSettled()) {
             loop.dispatch(
