--- a/src/main/java/firstage/server/RequestEventHandler.java
+++ b/src/main/java/firstage/server/RequestEventHandler.java
@@ -44,7 +44,7 @@
     }
 
     /** Returns the number of requests that were read and are not delivered to the scheduler yet. */
-    int undelivered() {
+    int undeliveredCount() {
         return arrivalSequencer.undeliveredCount();
     }
 
--- a/src/main/java/firstage/server/ShutdownSequence.java
+++ b/src/main/java/firstage/server/ShutdownSequence.java
@@ -116,7 +116,7 @@
 
     private boolean isIdle() {
         return requests.openRequests() == 0
-                && requestEvents.undelivered() == 0
+                && requestEvents.undeliveredCount() == 0
                 && requests.attemptsInFlight() == engines.lingeringAttempts()
                 && clientHandler.isIdle();
     }
