--- a/src/main/java/firstage/server/FleetControl.java
+++ b/src/main/java/firstage/server/FleetControl.java
@@ -37,7 +37,7 @@
     default void updateQuotaShare() {}
 
     /** Returns those endpoints of an update that this manager may use. */
-    default List<DiscoveredEndpoint> served(
+    default List<DiscoveredEndpoint> usableEndpoints(
             EndpointUpdate.Kind kind, List<DiscoveredEndpoint> endpoints) {
         return endpoints;
     }
--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -240,7 +240,7 @@
 
     @Override
     public void onEndpointsUpdated(EndpointUpdate.Kind kind, List<DiscoveredEndpoint> endpoints) {
-        directory.update(kind, fleet.served(kind, endpoints), fleet);
+        directory.update(kind, fleet.usableEndpoints(kind, endpoints), fleet);
     }
 
     @Override
--- a/src/main/java/firstage/server/PeerFleetControl.java
+++ b/src/main/java/firstage/server/PeerFleetControl.java
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public List<DiscoveredEndpoint> served(
+    public List<DiscoveredEndpoint> usableEndpoints(
             EndpointUpdate.Kind kind, List<DiscoveredEndpoint> endpoints) {
         return membership.usableEndpoints(kind, endpoints);
     }
