--- a/src/main/java/firstage/server/ActionGuard.java
+++ b/src/main/java/firstage/server/ActionGuard.java
@@ -43,7 +43,7 @@
     }
 
     private void onBarrierPassed() {
-        if (barrier.acceptsFail()) {
+        if (barrier.isAcceptFailing()) {
             barrier.runAfterPendingReads(this::onBarrierPassed);
         } else {
             pauseDetector.onBacklogRead(clock.now());
--- a/src/main/java/firstage/server/ReadBarrier.java
+++ b/src/main/java/firstage/server/ReadBarrier.java
@@ -93,7 +93,7 @@
     }
 
     /** Returns whether there are pending connections that currently can't be accepted. */
-    boolean acceptsFail() {
+    boolean isAcceptFailing() {
         return acceptFailing.getAsBoolean();
     }
 
