--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -86,7 +86,7 @@
                         engines,
                         clientHandler,
                         this::closeAll);
-        loop.attach(scheduler, fleet::updateQuotaShare, shutdown::endWhenIdle);
+        loop.attach(scheduler, fleet::updateQuotaShare, shutdown::endIfIdle);
     }
 
     private static XnioWorker createWorker() throws IOException {
@@ -170,7 +170,7 @@
         engines.closeIdleConnections();
         directory.checkInvariants();
         requests.removeIdleKeys();
-        shutdown.endWhenIdle();
+        shutdown.endIfIdle();
         loop.runLater(
                 MAINTENANCE_PERIOD_MS,
                 () -> {
--- a/src/main/java/firstage/server/ShutdownSequence.java
+++ b/src/main/java/firstage/server/ShutdownSequence.java
@@ -99,7 +99,7 @@
                 () -> {
                     phase = Phase.DRAINING;
                     clientHandler.onFrontStopped(clock.now());
-                    endWhenIdle();
+                    endIfIdle();
                 });
     }
 
@@ -107,7 +107,7 @@
      * Ends the program if the shutdown is in progress and the manager is idle. Called after each
      * evaluation and periodically.
      */
-    void endWhenIdle() {
+    void endIfIdle() {
         if (phase == Phase.DRAINING && isIdle()) {
             phase = Phase.STOPPING;
             loop.runLater(ABANDONED_ATTEMPTS_GRACE_MS, this::stopAccepting);
