--- a/src/main/java/firstage/server/EngineDirectory.java
+++ b/src/main/java/firstage/server/EngineDirectory.java
@@ -48,7 +48,7 @@
 
     /** Calls {@code action} with the index of each engine that was listed and not released. */
     void forEach(IntConsumer action) {
-        for (int engine = 0; engine < engines.count(); engine++) {
+        for (int engine = 0; engine < engines.indexCount(); engine++) {
             if (engines.isKnown(engine)) {
                 action.accept(engine);
             }
@@ -100,7 +100,7 @@
      * the invariants of the engine connections.
      */
     void checkInvariants() {
-        for (int engine = 0; engine < engines.count(); engine++) {
+        for (int engine = 0; engine < engines.indexCount(); engine++) {
             counters.checkInvariant(
                     engines.attemptsInFlight(engine) == loop.scheduler().attemptsInFlight(engine),
                     "attempts in flight are those that the scheduler counts");
--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -109,7 +109,7 @@
     }
 
     /** Returns the number of assigned engine indices, including those of removed engines. */
-    public int count() {
+    public int indexCount() {
         return poolsByEngine.size();
     }
 
