--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -167,7 +167,7 @@
 
     private void maintain() {
         long dueNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAINTENANCE_PERIOD_MS);
-        engines.closeIdleConnections();
+        engines.closeExpiredConnections();
         directory.checkInvariants();
         requests.removeIdleKeys();
         shutdown.endIfIdle();
--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -197,7 +197,7 @@
     }
 
     /** Closes connections that were idle for too long. */
-    public void closeIdleConnections() {
+    public void closeExpiredConnections() {
         budget.closeIdleTooLong();
     }
 
