--- a/src/main/java/firstage/server/ManagerServer.java
+++ b/src/main/java/firstage/server/ManagerServer.java
@@ -115,7 +115,7 @@
                     guard.start();
                     fleet.start();
                     endpointWatcher.follow(config);
-                    clientHandler.accept();
+                    clientHandler.startAccepting();
                     maintain();
                 });
         LOG.info(() -> "listening manager=" + config.name() + " address=" + config.listenAddress());
--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -96,7 +96,7 @@
     }
 
     /**
-     * Binds the address and listens; connections are accepted once {@link #accept} is called.
+     * Binds the address and listens; connections are accepted once {@link #startAccepting} is called.
      *
      * @throws IOException if the address is in use
      */
@@ -115,7 +115,7 @@
     }
 
     /** Starts to accept connections; called on the I/O thread. */
-    public void accept() {
+    public void startAccepting() {
         listener.resumeAccepts();
         connections.sweep();
         responses.sweepStalledWrites();
