--- a/src/main/java/firstage/server/ShutdownSequence.java
+++ b/src/main/java/firstage/server/ShutdownSequence.java
@@ -128,7 +128,7 @@
      */
     private void stopAccepting() {
         if (isIdle()) {
-            clientHandler.close();
+            clientHandler.stopAccepting();
             barrier.runAfterPendingReads(this::end);
         } else {
             phase = Phase.DRAINING;
--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -189,7 +189,7 @@
     }
 
     /** Accepts the waiting connections and then no more; calls on open ones are still answered. */
-    public void close() {
+    public void stopAccepting() {
         acceptPending();
         IoUtils.safeClose(listener);
     }
