--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -110,7 +110,7 @@
 
     @Override
     public void sendStatement() {
-        pool.startCall(
+        pool.callOnVerifiedConnection(
                 new EngineCall(EngineProtocol.post(), exchange.statement, POLL_TIMEOUT_MS) {
                     @Override
                     Verdict checkSend() {
--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -165,7 +165,7 @@
         context.counters().count("probes");
         poolsByEngine
                 .get(engine)
-                .startCall(
+                .callOnVerifiedConnection(
                         new EngineCall(EngineProtocol.probe(), null, context.connectTimeoutMs()) {
                             @Override
                             void onResponse(EngineResponse response) {
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -78,7 +78,7 @@
      * recently, else on a new one. The connections to a machine that vanished stay open and lose
      * what is written to them, whereas a failure to connect proves that nothing ran.
      */
-    void startCall(EngineCall call) {
+    void callOnVerifiedConnection(EngineCall call) {
         call(call, clock.now() - lastReceivedAt > LIVENESS_PERIOD, true);
     }
 
