--- a/src/main/java/firstage/server/engine/EngineConnection.java
+++ b/src/main/java/firstage/server/engine/EngineConnection.java
@@ -170,7 +170,7 @@
                     fail(EngineCall.Failure.CONNECTION_BROKEN);
                     return;
                 }
-                pool.lastResponseAt();
+                pool.onBytesReceived();
                 readBuffer.flip();
                 if (call == null) {
                     // Bytes without a call: no later response on this connection can be trusted.
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -83,7 +83,7 @@
     }
 
     /** Records that the engine sent bytes. */
-    void lastResponseAt() {
+    void onBytesReceived() {
         lastReceivedAt = clock.now();
     }
 
