--- a/src/main/java/firstage/server/engine/EngineConnection.java
+++ b/src/main/java/firstage/server/engine/EngineConnection.java
@@ -211,7 +211,7 @@
         } else if (suspectedDuplicate && sameAsLast) {
             pool.onSuspectedDuplicate(this);
         } else {
-            pool.idle(this, response.status() == 200);
+            pool.addIdle(this, response.status() == 200);
         }
         completedCall.onResponse(response);
     }
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -141,7 +141,7 @@
             context.guard()
                     .runAfterPendingReads(() -> sendIfAllowed(connection, call, renewals + 1));
         } else {
-            idle(connection, false);
+            addIdle(connection, false);
             refuse(call, verdict == Verdict.RENEW ? Verdict.KNOWLEDGE_STALE : verdict);
         }
     }
@@ -281,10 +281,10 @@
      */
     void onSuspectedDuplicate(EngineConnection connection) {
         connection.doubtUntil = clock.now() + QUARANTINE_PERIOD;
-        idle(connection, false);
+        addIdle(connection, false);
     }
 
-    void idle(EngineConnection connection, boolean mustStayQuiet) {
+    void addIdle(EngineConnection connection, boolean mustStayQuiet) {
         if (closed) {
             connection.close();
             onClosed(connection);
