--- a/src/main/java/firstage/server/engine/ConnectionBudget.java
+++ b/src/main/java/firstage/server/engine/ConnectionBudget.java
@@ -61,7 +61,7 @@
 
     /** Closes connections that were idle for too long. */
     void closeIdleTooLong() {
-        pools.forEach(EngineConnectionPool::closeIdleTooLong);
+        pools.forEach(EngineConnectionPool::closeExpired);
     }
 
     /** Closes all pools. */
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -103,7 +103,7 @@
      *     #QUIET_PERIOD} ago
      */
     void call(EngineCall call, boolean onNewConnection, boolean requireQuiet) {
-        closeIdleTooLong();
+        closeExpired();
         EngineConnection idleConnection = onNewConnection ? null : findUsableIdle(requireQuiet);
         if (idleConnection != null) {
             sendIfAllowed(idleConnection, call, 0);
@@ -315,7 +315,7 @@
     }
 
     /** Closes connections that were idle so long that the engine might close them during a call. */
-    void closeIdleTooLong() {
+    void closeExpired() {
         while (!idleConnections.isEmpty()
                 && clock.now() - idleConnections.peekFirst().idleSince > context.maxIdle()) {
             EngineConnection connection = idleConnections.peekFirst();
