--- a/src/main/java/firstage/server/engine/ConnectionBudget.java
+++ b/src/main/java/firstage/server/engine/ConnectionBudget.java
@@ -60,7 +60,7 @@
     }
 
     /** Closes connections that were idle for too long. */
-    void closeIdleTooLong() {
+    void closeExpired() {
         pools.forEach(EngineConnectionPool::closeExpired);
     }
 
--- a/src/main/java/firstage/server/engine/EngineClients.java
+++ b/src/main/java/firstage/server/engine/EngineClients.java
@@ -198,7 +198,7 @@
 
     /** Closes connections that were idle for too long. */
     public void closeExpiredConnections() {
-        budget.closeIdleTooLong();
+        budget.closeExpired();
     }
 
     /** Closes the idle connections now, and the others when their calls end. */
