--- a/src/main/java/firstage/server/engine/EngineConnection.java
+++ b/src/main/java/firstage/server/engine/EngineConnection.java
@@ -38,7 +38,7 @@
     long quietUntil;
 
     /** Time until which the genuine response may arrive if the last one was a duplicate. */
-    long doubtUntil;
+    long quarantinedUntil;
 
     /** Last complete response; null before the first. */
     private EngineResponse lastResponse;
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -168,7 +168,7 @@
             EngineConnection connection = candidates.next();
             boolean quietLongEnough =
                     !requireQuiet || clock.now() - connection.idleSince >= QUIET_PERIOD;
-            if (clock.now() >= connection.doubtUntil
+            if (clock.now() >= connection.quarantinedUntil
                     && connection.quietUntil <= maxQuietUntil
                     && quietLongEnough) {
                 candidates.remove();
@@ -280,7 +280,7 @@
      * connection.
      */
     void onSuspectedDuplicate(EngineConnection connection) {
-        connection.doubtUntil = clock.now() + QUARANTINE_PERIOD;
+        connection.quarantinedUntil = clock.now() + QUARANTINE_PERIOD;
         addIdle(connection, false);
     }
 
