--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -119,7 +119,7 @@
                     }
 
                     @Override
-                    Verdict checkRest() {
+                    Verdict checkRemainder() {
                         refreshKnowledge(stateMachine.isRunning());
                         return SendGuard.decideRest(now(), knowledge, headBuiltAt);
                     }
--- a/src/main/java/firstage/server/engine/EngineCall.java
+++ b/src/main/java/firstage/server/engine/EngineCall.java
@@ -58,7 +58,7 @@
     }
 
     /** Decides whether the remaining bytes of a partly written call may be written now. */
-    Verdict checkRest() {
+    Verdict checkRemainder() {
         return Verdict.SEND;
     }
 
--- a/src/main/java/firstage/server/engine/EngineConnection.java
+++ b/src/main/java/firstage/server/engine/EngineConnection.java
@@ -121,7 +121,7 @@
             sink.suspendWrites();
             return;
         }
-        Verdict verdict = call.checkRest();
+        Verdict verdict = call.checkRemainder();
         if (verdict == Verdict.SEND) {
             write(sink);
         } else if (verdict == Verdict.RENEW) {
