--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -135,7 +135,7 @@
                     }
 
                     @Override
-                    void onWriting() {
+                    void onWriteStarted() {
                         stateMachine.onStatementWritten(now());
                         countedAsRunning = true;
                         pool.onAttemptRunning();
--- a/src/main/java/firstage/server/engine/EngineCall.java
+++ b/src/main/java/firstage/server/engine/EngineCall.java
@@ -68,7 +68,7 @@
     }
 
     /** Called after the first write, even if that write failed. */
-    void onWriting() {
+    void onWriteStarted() {
         // Most calls do not need this event.
     }
 
--- a/src/main/java/firstage/server/engine/EngineConnection.java
+++ b/src/main/java/firstage/server/engine/EngineConnection.java
@@ -105,7 +105,7 @@
         reader = nextReader;
         unsentBytes = encoded;
         sentAt = pool.now();
-        next.onWriting();
+        next.onWriteStarted();
         if (failure == null) {
             write(sink);
         } else {
