--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -142,7 +142,7 @@
                     }
 
                     @Override
-                    void onWritten() {
+                    void onWriteCompleted() {
                         context.guard().onStatementSent(exchange, knowledge);
                         record(EventType.STATEMENT_WRITTEN, engine);
                     }
--- a/src/main/java/firstage/server/engine/EngineCall.java
+++ b/src/main/java/firstage/server/engine/EngineCall.java
@@ -73,7 +73,7 @@
     }
 
     /** Called when all bytes were passed to the operating system. */
-    void onWritten() {
+    void onWriteCompleted() {
         // Most calls do not need this event.
     }
 
--- a/src/main/java/firstage/server/engine/EngineConnection.java
+++ b/src/main/java/firstage/server/engine/EngineConnection.java
@@ -145,7 +145,7 @@
             sink.flush();
             unsentBytes = null;
             sink.suspendWrites();
-            call.onWritten();
+            call.onWriteCompleted();
         } catch (IOException exception) {
             onWriteFailed(sink);
         }
