--- a/src/main/java/firstage/server/engine/AttemptRunner.java
+++ b/src/main/java/firstage/server/engine/AttemptRunner.java
@@ -102,7 +102,7 @@
             case CONNECTION_REFUSED -> CallFailure.CONNECTION_REFUSED;
             case CONNECT_TIMEOUT -> CallFailure.CONNECT_TIMEOUT;
             case RESET_BEFORE_SEND -> CallFailure.RESET_BEFORE_SEND;
-            case NO_FREE_CONNECTION, NO_LONGER_WANTED -> CallFailure.NOT_SENT;
+            case NO_FREE_CONNECTION, SEND_REFUSED -> CallFailure.NOT_SENT;
             case CONNECTION_BROKEN, RESPONSE_TIMEOUT -> CallFailure.REPLY_LOST;
             case MALFORMED_RESPONSE -> CallFailure.REPLY_UNREADABLE;
         };
--- a/src/main/java/firstage/server/engine/EngineCall.java
+++ b/src/main/java/firstage/server/engine/EngineCall.java
@@ -18,7 +18,7 @@
         CONNECT_TIMEOUT,
         RESET_BEFORE_SEND,
         NO_FREE_CONNECTION,
-        NO_LONGER_WANTED,
+        SEND_REFUSED,
         CONNECTION_BROKEN,
         RESPONSE_TIMEOUT,
         MALFORMED_RESPONSE
@@ -51,7 +51,7 @@
     /**
      * Decides whether the call may be written now. Called before a new connection is opened for the
      * call, and again just before the call is written. A refused call fails with {@link
-     * Failure#NO_LONGER_WANTED}.
+     * Failure#SEND_REFUSED}.
      */
     Verdict checkSend() {
         return Verdict.SEND;
--- a/src/main/java/firstage/server/engine/EngineConnection.java
+++ b/src/main/java/firstage/server/engine/EngineConnection.java
@@ -130,7 +130,7 @@
         } else {
             // The engine never receives the complete statement, so it does not start to run it.
             call.onRefused(verdict);
-            fail(EngineCall.Failure.NO_LONGER_WANTED);
+            fail(EngineCall.Failure.SEND_REFUSED);
         }
     }
 
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -121,7 +121,7 @@
 
     private void refuse(EngineCall call, Verdict reason) {
         call.onRefused(reason);
-        context.io().execute(() -> call.onFailure(EngineCall.Failure.NO_LONGER_WANTED));
+        context.io().execute(() -> call.onFailure(EngineCall.Failure.SEND_REFUSED));
     }
 
     /**
