--- a/src/main/java/firstage/server/engine/EngineResponse.java
+++ b/src/main/java/firstage/server/engine/EngineResponse.java
@@ -21,7 +21,7 @@
      * trailing bytes may be due to a wrong length. An invalid page must not reach a client and is
      * fetched again.
      */
-    boolean isPage() {
+    boolean isValidPage() {
         int tabs = 0;
         for (byte b : body) {
             tabs += b == '\t' ? 1 : 0;
--- a/src/main/java/firstage/server/engine/ResultPages.java
+++ b/src/main/java/firstage/server/engine/ResultPages.java
@@ -22,7 +22,7 @@
         boolean usable =
                 pageCount > 0
                         && pageCount <= MAX_PAGES
-                        && response.isPage()
+                        && response.isValidPage()
                         && pages.size() == page
                         && (page == 0 || EngineProtocol.pageNumber(response) == page);
         if (usable) {
