--- a/src/main/java/firstage/server/engine/EngineProtocol.java
+++ b/src/main/java/firstage/server/engine/EngineProtocol.java
@@ -96,7 +96,7 @@
 
     /** Returns the value of a progress report; 0 without one. */
     static double progressValue(EngineResponse response) {
-        return response.numberHeader(PROGRESS_VALUE, 0);
+        return response.doubleHeader(PROGRESS_VALUE, 0);
     }
 
     /** Returns the kind of a progress report; empty without one or if the kind is unknown. */
--- a/src/main/java/firstage/server/engine/EngineResponse.java
+++ b/src/main/java/firstage/server/engine/EngineResponse.java
@@ -40,10 +40,10 @@
 
     /** Returns an integer header, or {@code defaultValue} if it is missing or malformed. */
     int intHeader(String name, int defaultValue) {
-        return (int) numberHeader(name, defaultValue);
+        return (int) doubleHeader(name, defaultValue);
     }
 
-    double numberHeader(String name, double defaultValue) {
+    double doubleHeader(String name, double defaultValue) {
         try {
             return Double.parseDouble(headers.getOrDefault(name, "").trim());
         } catch (NumberFormatException exception) {
