--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -317,7 +317,7 @@
     /** Closes connections that were idle so long that the engine might close them during a call. */
     void closeExpired() {
         while (!idleConnections.isEmpty()
-                && clock.now() - idleConnections.peekFirst().idleSince > context.maxIdle()) {
+                && clock.now() - idleConnections.peekFirst().idleSince > context.maxIdleTime()) {
             EngineConnection connection = idleConnections.peekFirst();
             connection.close();
             onClosed(connection);
--- a/src/main/java/firstage/server/engine/EngineContext.java
+++ b/src/main/java/firstage/server/engine/EngineContext.java
@@ -12,7 +12,7 @@
  *
  * @param readBuffer buffer shared by all connections; empty between events
  * @param connectTimeoutMs time within which a new connection has to be established
- * @param maxIdle time in ticks after which an idle connection is closed
+ * @param maxIdleTime time in ticks after which an idle connection is closed
  */
 record EngineContext(
         XnioIoThread io,
@@ -22,4 +22,4 @@
         ActionGuard guard,
         ByteBuffer readBuffer,
         long connectTimeoutMs,
-        long maxIdle) {}
+        long maxIdleTime) {}
