--- a/src/main/java/firstage/server/client/ClientProtocol.java
+++ b/src/main/java/firstage/server/client/ClientProtocol.java
@@ -85,7 +85,7 @@
      * Returns the value of a header; null if it is missing, and an empty text, which is not valid
      * for any header of this protocol, if it occurs more than once.
      */
-    static String text(HttpServerExchange exchange, HttpString header) {
+    static String stringHeader(HttpServerExchange exchange, HttpString header) {
         HeaderValues values = exchange.getRequestHeaders().get(header);
         return values == null ? null : values.size() == 1 ? values.getFirst().trim() : "";
     }
@@ -95,7 +95,7 @@
      * NaN if it is malformed.
      */
     static double number(HttpServerExchange exchange, HttpString header, double defaultValue) {
-        String text = text(exchange, header);
+        String text = stringHeader(exchange, header);
         return text == null
                 ? defaultValue
                 : DECIMAL.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
--- a/src/main/java/firstage/server/client/StatementCall.java
+++ b/src/main/java/firstage/server/client/StatementCall.java
@@ -30,11 +30,11 @@
             byte[] statement,
             TrafficClasses classes) {
         return new StatementCall(
-                ClientProtocol.text(exchange, ClientProtocol.REQUEST_ID),
+                ClientProtocol.stringHeader(exchange, ClientProtocol.REQUEST_ID),
                 trafficClass,
                 classes.indexOf(trafficClass),
-                classes.tenantIndex(ClientProtocol.text(exchange, ClientProtocol.TENANT)),
-                ClientProtocol.text(exchange, ClientProtocol.ORDERING_KEY),
+                classes.tenantIndex(ClientProtocol.stringHeader(exchange, ClientProtocol.TENANT)),
+                ClientProtocol.stringHeader(exchange, ClientProtocol.ORDERING_KEY),
                 ClientProtocol.number(exchange, ClientProtocol.TIMEOUT_MS, -1),
                 ClientProtocol.number(exchange, ClientProtocol.ESTIMATE_MS, 0),
                 ClientProtocol.number(exchange, ClientProtocol.MEMORY_MB, 0),
