--- a/src/main/java/firstage/server/client/StatementCall.java
+++ b/src/main/java/firstage/server/client/StatementCall.java
@@ -35,9 +35,9 @@
                 classes.indexOf(trafficClass),
                 classes.tenantIndex(ClientProtocol.stringHeader(exchange, ClientProtocol.TENANT)),
                 ClientProtocol.stringHeader(exchange, ClientProtocol.ORDERING_KEY),
-                ClientProtocol.number(exchange, ClientProtocol.TIMEOUT_MS, -1),
-                ClientProtocol.number(exchange, ClientProtocol.ESTIMATE_MS, 0),
-                ClientProtocol.number(exchange, ClientProtocol.MEMORY_MB, 0),
+                ClientProtocol.doubleHeader(exchange, ClientProtocol.TIMEOUT_MS, -1),
+                ClientProtocol.doubleHeader(exchange, ClientProtocol.ESTIMATE_MS, 0),
+                ClientProtocol.doubleHeader(exchange, ClientProtocol.MEMORY_MB, 0),
                 statement);
     }
 }
