--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -182,7 +182,7 @@
      * whose connection broke must be able to fetch its answer or to cancel.
      */
     public void onFrontStopped(long now) {
-        responses.closing(now);
+        responses.startClosing(now);
         // This manager is responsible for requests on all connections that the kernel has accepted,
         // including those that this thread has not accepted yet.
         acceptPending();
--- a/src/main/java/firstage/server/client/ClientResponses.java
+++ b/src/main/java/firstage/server/client/ClientResponses.java
@@ -70,7 +70,7 @@
     }
 
     /** Starts the last phase of a shutdown, in which each connection ends with its next answer. */
-    void closing(long now) {
+    void startClosing(long now) {
         closeAfterAnswer = true;
         closingSince = now;
     }
