--- a/src/main/java/firstage/server/client/ClientConnections.java
+++ b/src/main/java/firstage/server/client/ClientConnections.java
@@ -114,11 +114,11 @@
     }
 
     /** Sets the listener that is called once when the connection closes; replaces another one. */
-    void onClose(StreamConnection connection, Runnable listener) {
+    void setCloseListener(StreamConnection connection, Runnable listener) {
         closeListeners.put(connection, listener);
     }
 
-    /** Removes the listener that was set with {@link #onClose}, without calling it. */
+    /** Removes the listener that was set with {@link #setCloseListener}, without calling it. */
     void removeCloseListener(StreamConnection connection) {
         closeListeners.remove(connection);
     }
--- a/src/main/java/firstage/server/client/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -254,7 +254,7 @@
         HttpServerExchange exchange = heldCalls.get(0).release();
         pathSentAt = clock.now();
         pathConnection = ClientProtocol.connectionOf(exchange);
-        connections.onClose(pathConnection, this::onPathConnectionClosed);
+        connections.setCloseListener(pathConnection, this::onPathConnectionClosed);
         record(EventType.POLL_PATH_SENT, "");
         responses.send(
                 exchange,
