--- a/src/main/java/firstage/membership/MembershipProtocol.java
+++ b/src/main/java/firstage/membership/MembershipProtocol.java
@@ -32,7 +32,7 @@
     /** Limit of known peers, so that forged names can't exhaust the memory. */
     private static final int MAX_MEMBERS = 2_048;
 
-    /** Maximum age of a member's last sign of life that counts for {@link #confidence}. */
+    /** Maximum age of a member's last sign of life that counts for {@link #recentlyAliveFraction}. */
     private static final long RECENTLY_ALIVE_WINDOW = 5 * Peer.UNHEARD_AFTER;
 
     /** Defects that tests inject one at a time, to prove that the checks detect them. */
@@ -146,7 +146,7 @@
      * Returns the fraction, from 0 to 1, of the other members of the view that were recently known
      * to be alive; 0 if this manager is isolated, 1 if the view has no other members.
      */
-    public double confidence(long now) {
+    public double recentlyAliveFraction(long now) {
         if (detector.isIsolated(now)) {
             return 0;
         }
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -383,7 +383,7 @@
             out.writeStringField("name", config.name());
             out.writeNumberField("view", protocol.view().number());
             out.writeBooleanField("agreed", protocol.viewAgreed());
-            out.writeNumberField("sure", protocol.confidence(now));
+            out.writeNumberField("sure", protocol.recentlyAliveFraction(now));
             out.writeNumberField("share", leases.share(now));
             out.writeNumberField("trials withheld", fleetCoordinator.withheldProbes());
             out.writeNumberField("cut", fleetCoordinator.sheddingThreshold());
