--- a/src/main/java/firstage/failover/FleetCoordinator.java
+++ b/src/main/java/firstage/failover/FleetCoordinator.java
@@ -142,7 +142,7 @@
     public byte[] encodeDigest(long now) {
         List<OverloadDigest.EngineReport> reports = probes.localReports(now);
         return OverloadDigest.encode(
-                reports, level.rowsToSend(now, OverloadDigest.rows(reports.size())));
+                reports, level.rowsToSend(now, OverloadDigest.maxRows(reports.size())));
     }
 
     /** Applies the digest of another manager; a digest that can't be read is ignored. */
--- a/src/main/java/firstage/overload/OverloadDigest.java
+++ b/src/main/java/firstage/overload/OverloadDigest.java
@@ -56,7 +56,7 @@
     }
 
     /** Returns how many load rows fit beside this number of engine reports. */
-    public static int rows(int reports) {
+    public static int maxRows(int reports) {
         return Math.max(
                 MIN_ROWS, (MAX_BYTES - Math.min(MAX_REPORTS, reports) * REPORT_BYTES) / ROW_BYTES);
     }
--- a/src/test/java/firstage/overload/LoadSheddingLevelTest.java
+++ b/src/test/java/firstage/overload/LoadSheddingLevelTest.java
@@ -114,7 +114,7 @@
                     OverloadDigest.decode(
                                     OverloadDigest.encode(
                                             List.of(),
-                                            level.rowsToSend(now, OverloadDigest.rows(0))))
+                                            level.rowsToSend(now, OverloadDigest.maxRows(0))))
                             .rows();
             if (sendsFalseRows) {
                 double[] falseRates = new double[DemandHistogram.BANDS];
