--- a/src/main/java/firstage/membership/MessageSender.java
+++ b/src/main/java/firstage/membership/MessageSender.java
@@ -73,7 +73,7 @@
         byte[] digest = actions.outgoingDigest(now);
         List<Member> records = recordsFor(to, digest.length);
         boolean isAck = kind == MembershipMessage.Kind.ACK;
-        boolean grantsQuota = isAck && to != null && leases.grantTo(now, to.name());
+        boolean grantsQuota = isAck && to != null && leases.tryGrant(now, to.name());
         Member self = table.self();
         MembershipView view = views.view();
         return new MembershipMessage(
--- a/src/main/java/firstage/membership/QuotaLeases.java
+++ b/src/main/java/firstage/membership/QuotaLeases.java
@@ -174,7 +174,7 @@
      * Returns whether the ack that is about to be sent to this member carries a grant, and records
      * the grant. To be called once for each ack.
      */
-    boolean grantTo(long now, String name) {
+    boolean tryGrant(long now, String name) {
         recordStart(now);
         PeerGrant peer = peerGrant(name);
         boolean grants =
--- a/src/test/java/firstage/membership/QuotaLeasesTest.java
+++ b/src/test/java/firstage/membership/QuotaLeasesTest.java
@@ -71,7 +71,7 @@
                     clock(requester),
                     requestedAt,
                     "m" + responder,
-                    leases[responder].grantTo(clock(responder), "m" + requester),
+                    leases[responder].tryGrant(clock(responder), "m" + requester),
                     leases[responder].withdrawGrants(clock(responder)));
         }
 
@@ -172,7 +172,7 @@
                 case 3 -> {
                     // The ack is sent now, but delivered later.
                     boolean grantsQuota =
-                            group.leases[responder].grantTo(
+                            group.leases[responder].tryGrant(
                                     group.clock(responder), "m" + requester);
                     List<String> withdrawn =
                             group.leases[responder].withdrawGrants(group.clock(responder));
