--- a/src/main/java/firstage/membership/FailureDetector.java
+++ b/src/main/java/firstage/membership/FailureDetector.java
@@ -158,7 +158,7 @@
 
     private boolean mustNotReportFailures(long now) {
         return isIsolated(now)
-                && defect != MembershipProtocol.InjectedDefect.ISOLATED_MANAGER_JUDGES;
+                && defect != MembershipProtocol.InjectedDefect.ISOLATED_MANAGER_REPORTS_FAILURES;
     }
 
     /** Raises the local health penalty: others suspected this manager, so it may be slow. */
--- a/src/main/java/firstage/membership/MembershipProtocol.java
+++ b/src/main/java/firstage/membership/MembershipProtocol.java
@@ -43,7 +43,7 @@
         FLAP_DAMPING_OFF,
         PAUSE_NOT_DETECTED,
         NO_INDIRECT_PROBES,
-        ISOLATED_MANAGER_JUDGES
+        ISOLATED_MANAGER_REPORTS_FAILURES
     }
 
     private final String fleet;
--- a/src/test/java/firstage/membership/MembershipProtocolTest.java
+++ b/src/test/java/firstage/membership/MembershipProtocolTest.java
@@ -110,7 +110,7 @@
         for (MembershipProtocol.InjectedDefect defect :
                 List.of(
                         MembershipProtocol.InjectedDefect.NONE,
-                        MembershipProtocol.InjectedDefect.ISOLATED_MANAGER_JUDGES)) {
+                        MembershipProtocol.InjectedDefect.ISOLATED_MANAGER_REPORTS_FAILURES)) {
             SimulatedMembership fleet = settledFleet(6, defect);
             isolate(fleet, 0, true);
             fleet.advance(30 * SECOND);
