--- a/src/main/java/firstage/membership/FailureDetector.java
+++ b/src/main/java/firstage/membership/FailureDetector.java
@@ -249,7 +249,7 @@
         List<Integer> addresses = new ArrayList<>();
         for (int address = 0; address < table.addresses(); address++) {
             Peer peer = table.peerAt(address);
-            if (peer == null || !peer.isJudged()) {
+            if (peer == null || !peer.isAliveOrSuspect()) {
                 addresses.add(address);
             }
         }
@@ -268,7 +268,7 @@
         for (int round = 0; round < 2; round++) {
             while (!probeOrder.isEmpty()) {
                 Peer peer = table.peer(probeOrder.poll());
-                if (peer != null && peer.hasAddress() && peer.isJudged()) {
+                if (peer != null && peer.hasAddress() && peer.isAliveOrSuspect()) {
                     return peer;
                 }
             }
@@ -296,7 +296,7 @@
         }
         long sequence = nextSequence();
         Peer peer = target == null ? null : table.peer(target);
-        boolean aliveOrSuspect = peer != null && peer.isJudged();
+        boolean aliveOrSuspect = peer != null && peer.isAliveOrSuspect();
         probes.put(
                 sequence,
                 aliveOrSuspect || requester != null
--- a/src/main/java/firstage/membership/MembershipProtocol.java
+++ b/src/main/java/firstage/membership/MembershipProtocol.java
@@ -168,7 +168,7 @@
      */
     public String linkState(long now, String name) {
         Peer peer = table.peer(name);
-        return peer == null || !peer.isJudged() ? "none" : peer.linkState(now, name());
+        return peer == null || !peer.isAliveOrSuspect() ? "none" : peer.linkState(now, name());
     }
 
     /** Returns the number of rejected messages by reason. */
--- a/src/main/java/firstage/membership/Peer.java
+++ b/src/main/java/firstage/membership/Peer.java
@@ -48,7 +48,7 @@
     }
 
     /** Returns whether the peer is alive or suspect; a missing ack matters only then. */
-    boolean isJudged() {
+    boolean isAliveOrSuspect() {
         return state() == MemberState.ALIVE || state() == MemberState.SUSPECT;
     }
 
