--- a/src/main/java/firstage/membership/FailureDetector.java
+++ b/src/main/java/firstage/membership/FailureDetector.java
@@ -168,7 +168,7 @@
 
     /** Starts or restarts the time in which the peer may refute the suspicion. */
     void startSuspicion(long now, Peer peer) {
-        peer.suspectSince(now);
+        peer.setSuspectedAt(now);
         suspicions.add(new Suspicion(now + SUSPICION_TIMEOUT, peer.name()));
     }
 
--- a/src/main/java/firstage/membership/Peer.java
+++ b/src/main/java/firstage/membership/Peer.java
@@ -96,7 +96,7 @@
         lastHeardAt += gap;
     }
 
-    void suspectSince(long now) {
+    void setSuspectedAt(long now) {
         suspectedAt = now;
     }
 
