--- a/src/main/java/firstage/membership/MemberTable.java
+++ b/src/main/java/firstage/membership/MemberTable.java
@@ -51,7 +51,7 @@
         return peer;
     }
 
-    void heardAt(int address, String name) {
+    void recordAddress(int address, String name) {
         nameByAddress[address] = name;
     }
 
--- a/src/main/java/firstage/membership/MembershipProtocol.java
+++ b/src/main/java/firstage/membership/MembershipProtocol.java
@@ -305,7 +305,7 @@
     private void accept(long now, int address, Peer peer, MembershipMessage message) {
         boolean wasDead = peer.state() == MemberState.DEAD;
         peer.onMessage(now, address, message);
-        table.heardAt(address, message.from());
+        table.recordAddress(address, message.from());
         message.members().forEach(member -> applyGossip(now, member));
         if (wasDead && peer.state() == MemberState.ALIVE) {
             // Two partitions of the fleet meet again: each sends all its records at once.
