--- a/src/main/java/firstage/membership/FailureDetector.java
+++ b/src/main/java/firstage/membership/FailureDetector.java
@@ -126,7 +126,7 @@
     void start(long now) {
         lastResponseAt = now;
         List<Integer> addresses = new ArrayList<>();
-        for (int address = 0; address < table.addresses(); address++) {
+        for (int address = 0; address < table.addressCount(); address++) {
             addresses.add(address);
         }
         Collections.shuffle(addresses, new Random(random.nextLong()));
@@ -247,7 +247,7 @@
     /** Probes random addresses whose peer is unknown, dead or left. */
     private void reconnect(long now, int count) {
         List<Integer> addresses = new ArrayList<>();
-        for (int address = 0; address < table.addresses(); address++) {
+        for (int address = 0; address < table.addressCount(); address++) {
             Peer peer = table.peerAt(address);
             if (peer == null || !peer.isAliveOrSuspect()) {
                 addresses.add(address);
--- a/src/main/java/firstage/membership/MemberTable.java
+++ b/src/main/java/firstage/membership/MemberTable.java
@@ -60,7 +60,7 @@
         return nameByAddress[address] == null ? null : peers.get(nameByAddress[address]);
     }
 
-    int addresses() {
+    int addressCount() {
         return nameByAddress.length;
     }
 
