--- a/src/main/java/firstage/cli/CommandRunner.java
+++ b/src/main/java/firstage/cli/CommandRunner.java
@@ -34,7 +34,7 @@
         commandLine.setExecutionExceptionHandler(
                 (exception, failedCommand, parseResult) -> {
                     System.err.println(name + ": " + Main.oneLine(exception));
-                    return Main.UNUSABLE_STATUS;
+                    return Main.INVALID_INPUT_STATUS;
                 });
         return commandLine.execute(args);
     }
--- a/src/main/java/firstage/cli/FaultScheduleCommand.java
+++ b/src/main/java/firstage/cli/FaultScheduleCommand.java
@@ -29,7 +29,7 @@
             return runSchedules(arguments);
         } catch (IllegalArgumentException exception) {
             System.err.println("fault-schedule: " + Main.oneLine(exception));
-            return Main.UNUSABLE_STATUS;
+            return Main.INVALID_INPUT_STATUS;
         }
     }
 
--- a/src/main/java/firstage/cli/FleetCommand.java
+++ b/src/main/java/firstage/cli/FleetCommand.java
@@ -32,6 +32,6 @@
     @Override
     public Integer call() {
         CommandLine.usage(this, System.err);
-        return Main.UNUSABLE_STATUS;
+        return Main.INVALID_INPUT_STATUS;
     }
 }
--- a/src/main/java/firstage/cli/Main.java
+++ b/src/main/java/firstage/cli/Main.java
@@ -11,7 +11,7 @@
  */
 public final class Main {
     /** Exit status if a file, an option or an argument can't be used. */
-    static final int UNUSABLE_STATUS = 2;
+    static final int INVALID_INPUT_STATUS = 2;
 
     private static final String USAGE =
             "usage: java -jar firstage.jar benchlink | serve [--peers FILE] | rehearse |"
@@ -62,9 +62,9 @@
         return String.valueOf(exception.getMessage()).lines().findFirst().orElse("");
     }
 
-    /** Prints the reason on standard error and ends the program with {@link #UNUSABLE_STATUS}. */
+    /** Prints the reason on standard error and ends the program with {@link #INVALID_INPUT_STATUS}. */
     static void exitUnusable(String reason) {
         System.err.println(reason);
-        System.exit(UNUSABLE_STATUS);
+        System.exit(INVALID_INPUT_STATUS);
     }
 }
--- a/src/main/java/firstage/cli/ScaleCommand.java
+++ b/src/main/java/firstage/cli/ScaleCommand.java
@@ -36,7 +36,7 @@
     @Override
     public Integer call() {
         CommandLine.usage(this, System.err);
-        return Main.UNUSABLE_STATUS;
+        return Main.INVALID_INPUT_STATUS;
     }
 
     /** Reads a plan; the message of an exception names the file and the line. */
