--- a/src/main/java/firstage/cli/Main.java
+++ b/src/main/java/firstage/cli/Main.java
@@ -47,13 +47,13 @@
             case "scale" -> System.exit(ScaleCommand.run(arguments));
             case "peers" -> System.exit(PeersCommand.run(arguments));
             case "zones" -> System.exit(ZonesCommand.run(arguments));
-            default -> exitUnusable(USAGE);
+            default -> exitWithError(USAGE);
         }
     }
 
     private static void requireArguments(String[] arguments, int min, int max) {
         if (arguments.length < min || arguments.length > max) {
-            exitUnusable(USAGE);
+            exitWithError(USAGE);
         }
     }
 
@@ -63,7 +63,7 @@
     }
 
     /** Prints the reason on standard error and ends the program with {@link #INVALID_INPUT_STATUS}. */
-    static void exitUnusable(String reason) {
+    static void exitWithError(String reason) {
         System.err.println(reason);
         System.exit(INVALID_INPUT_STATUS);
     }
--- a/src/main/java/firstage/cli/ServeCommand.java
+++ b/src/main/java/firstage/cli/ServeCommand.java
@@ -64,7 +64,7 @@
         try {
             fromOptions(options).start();
         } catch (IOException | RuntimeException exception) {
-            Main.exitUnusable("can't serve: " + Main.oneLine(exception));
+            Main.exitWithError("can't serve: " + Main.oneLine(exception));
         }
     }
 
