--- a/src/main/java/firstage/cli/CommandRunner.java
+++ b/src/main/java/firstage/cli/CommandRunner.java
@@ -33,7 +33,7 @@
         CommandLine commandLine = new CommandLine(command);
         commandLine.setExecutionExceptionHandler(
                 (exception, failedCommand, parseResult) -> {
-                    System.err.println(name + ": " + Main.oneLine(exception));
+                    System.err.println(name + ": " + Main.firstLineOfMessage(exception));
                     return Main.INVALID_INPUT_STATUS;
                 });
         return commandLine.execute(args);
--- a/src/main/java/firstage/cli/FaultScheduleCommand.java
+++ b/src/main/java/firstage/cli/FaultScheduleCommand.java
@@ -28,7 +28,7 @@
         try {
             return runSchedules(arguments);
         } catch (IllegalArgumentException exception) {
-            System.err.println("fault-schedule: " + Main.oneLine(exception));
+            System.err.println("fault-schedule: " + Main.firstLineOfMessage(exception));
             return Main.INVALID_INPUT_STATUS;
         }
     }
--- a/src/main/java/firstage/cli/Main.java
+++ b/src/main/java/firstage/cli/Main.java
@@ -58,7 +58,7 @@
     }
 
     /** Returns the first line of an exception's message. */
-    static String oneLine(Exception exception) {
+    static String firstLineOfMessage(Exception exception) {
         return String.valueOf(exception.getMessage()).lines().findFirst().orElse("");
     }
 
--- a/src/main/java/firstage/cli/RehearseCommand.java
+++ b/src/main/java/firstage/cli/RehearseCommand.java
@@ -39,7 +39,7 @@
         try {
             rehearse();
         } catch (IOException | RuntimeException exception) {
-            Main.exitWithError("rehearsal failed: " + Main.oneLine(exception));
+            Main.exitWithError("rehearsal failed: " + Main.firstLineOfMessage(exception));
         }
     }
 
--- a/src/main/java/firstage/cli/ServeCommand.java
+++ b/src/main/java/firstage/cli/ServeCommand.java
@@ -64,7 +64,7 @@
         try {
             fromOptions(options).start();
         } catch (IOException | RuntimeException exception) {
-            Main.exitWithError("can't serve: " + Main.oneLine(exception));
+            Main.exitWithError("can't serve: " + Main.firstLineOfMessage(exception));
         }
     }
 
@@ -159,7 +159,7 @@
                     throw exception;
                 }
                 if (!logged) {
-                    LOG.warning("tried again for " + timeoutMs + " ms: " + Main.oneLine(exception));
+                    LOG.warning("tried again for " + timeoutMs + " ms: " + Main.firstLineOfMessage(exception));
                     logged = true;
                 }
                 sleep(RETRY_DELAY_MS);
