--- a/src/main/java/firstage/cli/CommandRunner.java
+++ b/src/main/java/firstage/cli/CommandRunner.java
@@ -18,7 +18,7 @@
      * Reads the fields of the JSON object at the parser's position as text, up to the end of the
      * object.
      */
-    static Map<String, String> fields(JsonParser parser) throws IOException {
+    static Map<String, String> readFields(JsonParser parser) throws IOException {
         Map<String, String> fields = new LinkedHashMap<>();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String name = parser.currentName();
--- a/src/main/java/firstage/cli/FaultTestShowCommand.java
+++ b/src/main/java/firstage/cli/FaultTestShowCommand.java
@@ -95,7 +95,7 @@
     private static Map<String, String> parseEvent(String line) throws IOException {
         try (JsonParser parser = new JsonFactory().createParser(line)) {
             parser.nextToken();
-            return CommandRunner.fields(parser);
+            return CommandRunner.readFields(parser);
         }
     }
 }
--- a/src/main/java/firstage/cli/PeersCommand.java
+++ b/src/main/java/firstage/cli/PeersCommand.java
@@ -70,7 +70,7 @@
                     System.out.println(fields);
                     printMembers(parser);
                 } else if (value == JsonToken.START_OBJECT) {
-                    System.out.println(name + ": " + CommandRunner.fields(parser));
+                    System.out.println(name + ": " + CommandRunner.readFields(parser));
                 } else {
                     fields.put(name, parser.getText());
                 }
@@ -81,7 +81,7 @@
     private static void printMembers(JsonParser parser) throws IOException {
         printMember("name", "zone", "state", "in view", "link", "since", "version");
         while (parser.nextToken() == JsonToken.START_OBJECT) {
-            Map<String, String> member = CommandRunner.fields(parser);
+            Map<String, String> member = CommandRunner.readFields(parser);
             printMember(
                     member.get("name"),
                     member.get("zone"),
