--- a/src/main/java/firstage/cli/CellsSectionReader.java
+++ b/src/main/java/firstage/cli/CellsSectionReader.java
@@ -96,7 +96,7 @@
 
     private void readCell(TomlTable section, TomlPosition position) {
         requireKnownKeys(section, CELLS, CELL_KEYS);
-        String name = toml.name(section, position, CELLS, CELL_NAME);
+        String name = toml.requireName(section, position, CELLS, CELL_NAME);
         if (cells.stream().anyMatch(cell -> cell.name().equals(name))) {
             throw toml.invalid(
                     position,
@@ -122,7 +122,7 @@
         cells.add(
                 new CellPlan.Cell(
                         name,
-                        toml.name(section, position, CELLS, CELL_ZONE),
+                        toml.requireName(section, position, CELLS, CELL_ZONE),
                         hosts.size(),
                         serves != Boolean.FALSE));
     }
--- a/src/main/java/firstage/cli/PeersFileReader.java
+++ b/src/main/java/firstage/cli/PeersFileReader.java
@@ -85,10 +85,10 @@
         long probeInterval = probeInterval();
         double weight = weight();
         InetSocketAddress listenAddress =
-                toml.address(toml.position(LISTEN), LISTEN, toml.name(LISTEN));
+                toml.address(toml.position(LISTEN), LISTEN, toml.requireName(LISTEN));
         Optional<PeerConfig.CellPlacement> placement = cellPlacement(listenAddress);
         return new PeerConfig(
-                toml.name(FLEET),
+                toml.requireName(FLEET),
                 toml.optionalName(NAME).orElse(defaultName),
                 placement
                         .map(place -> place.plan().cells().get(place.cell()).zone())
--- a/src/main/java/firstage/cli/PeersToml.java
+++ b/src/main/java/firstage/cli/PeersToml.java
@@ -108,7 +108,7 @@
     }
 
     /** Returns the name under a required key. */
-    String name(String key) {
+    String requireName(String key) {
         return optionalName(key)
                 .orElseThrow(
                         () ->
@@ -127,7 +127,7 @@
     }
 
     /** Returns the name under a required key of a section, which starts at {@code position}. */
-    String name(TomlTable section, TomlPosition position, String path, String key) {
+    String requireName(TomlTable section, TomlPosition position, String path, String key) {
         Object value = section.get(List.of(key));
         if (!isName(value)) {
             throw invalid(position, path + "." + key + ": '" + value + NOT_A_NAME);
