--- a/src/main/java/firstage/cells/CellDirectory.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -277,7 +277,7 @@
     }
 
     /** Returns the status of each cell, in the plan's order. */
-    public List<CellStatus> cells(long now) {
+    public List<CellStatus> cellStatuses(long now) {
         List<CellStatus> statuses = new ArrayList<>();
         for (int cell = 0; cell < rows.length; cell++) {
             CellPlan.Cell planned = plan.cells().get(cell);
--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -170,7 +170,7 @@
         return cellDirectory == null
                 ? 0
                 : (int)
-                        cellDirectory.cells(clock.now()).stream()
+                        cellDirectory.cellStatuses(clock.now()).stream()
                                 .filter(cell -> cell.state() == CellDirectory.CellState.ACTIVE)
                                 .count();
     }
--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -149,7 +149,7 @@
         for (ManagerHost host : fleet.hosts()) {
             if (host.up() && host.cellDirectory() != null) {
                 host.cellDirectory()
-                        .cells(fleet.events().now())
+                        .cellStatuses(fleet.events().now())
                         .forEach(cell -> ages.addValue(cell.age() < 0 ? 99 : cell.age() / 1e4));
             }
         }
@@ -284,7 +284,7 @@
 
     private static boolean hearsAll(SimulatedCells.ManagerHost host, long now) {
         return host.cellDirectory() == null
-                || host.cellDirectory().cells(now).stream()
+                || host.cellDirectory().cellStatuses(now).stream()
                         .allMatch(cell -> cell.state() == CellDirectory.CellState.ACTIVE);
     }
 
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -442,7 +442,7 @@
      */
     private void writeCells(JsonGenerator out, long now) throws IOException {
         PeerConfig.CellPlacement placement = config.cellPlacement();
-        List<CellDirectory.CellStatus> known = cells.cells(now);
+        List<CellDirectory.CellStatus> known = cells.cellStatuses(now);
         out.writeStringField("cell", placement.plan().cells().get(placement.cell()).name());
         out.writeNumberField("plan", placement.plan().number());
         out.writeNumberField("cells", known.size());
--- a/src/test/java/firstage/cells/SimulatedCellsTest.java
+++ b/src/test/java/firstage/cells/SimulatedCellsTest.java
@@ -37,7 +37,7 @@
     }
 
     private static CellStatus statusOf(SimulatedCells fleet, int observer, int cell) {
-        return fleet.hosts().get(observer).cellDirectory().cells(fleet.events().now()).get(cell);
+        return fleet.hosts().get(observer).cellDirectory().cellStatuses(fleet.events().now()).get(cell);
     }
 
     private static List<ManagerHost> managersOf(SimulatedCells fleet, int cell) {
@@ -48,7 +48,7 @@
     void cells_calmFleet_allKnownWithAliveManagers() {
         SimulatedCells fleet = startFleet(32, 8, InjectedDefect.NONE);
         for (ManagerHost manager : fleet.hosts()) {
-            assertThat(manager.cellDirectory().cells(fleet.events().now()))
+            assertThat(manager.cellDirectory().cellStatuses(fleet.events().now()))
                     .allMatch(
                             status ->
                                     status.state() == CellState.ACTIVE
@@ -103,7 +103,7 @@
                     .anyMatch(
                             manager ->
                                     manager.cellDirectory()
-                                                    .cells(fleet.events().now())
+                                                    .cellStatuses(fleet.events().now())
                                                     .get(1)
                                                     .state()
                                             == CellState.ACTIVE);
@@ -112,14 +112,14 @@
         assertThat(others)
                 .allMatch(
                         manager ->
-                                manager.cellDirectory().cells(fleet.events().now()).get(1).state()
+                                manager.cellDirectory().cellStatuses(fleet.events().now()).get(1).state()
                                         == CellState.SILENT);
         managersOf(fleet, 1).forEach(ManagerHost::start);
         fleet.advance(20 * SECOND);
         assertThat(others)
                 .allMatch(
                         manager ->
-                                manager.cellDirectory().cells(fleet.events().now()).get(1).state()
+                                manager.cellDirectory().cellStatuses(fleet.events().now()).get(1).state()
                                         == CellState.ACTIVE);
     }
 
--- a/src/test/java/firstage/membership/RecordedDatagramsTest.java
+++ b/src/test/java/firstage/membership/RecordedDatagramsTest.java
@@ -308,7 +308,7 @@
         CellDirectory cells = directory(1, 0, "m9", new SentDatagrams());
         cells.onDatagram(2_000_000, RECORDED.get("cells-to-1.1"));
         assertThat(cells.rejectedMessages()).isEmpty();
-        assertThat(cells.cells(2_000_000).get(0))
+        assertThat(cells.cellStatuses(2_000_000).get(0))
                 .isEqualTo(
                         new CellDirectory.CellStatus(
                                 "a", "north", CellDirectory.CellState.ACTIVE, 0, 0, 2, 3, 9));
@@ -319,6 +319,6 @@
         CellDirectory cells = directory(0, 2, "m2", new SentDatagrams());
         byte[] fleetDigest = cells.onDigest(2_000_000, 1, RECORDED.get("cell-digest"));
         assertThat(fleetDigest).containsExactly(1, 2, 3);
-        assertThat(cells.cells(2_000_000).get(0).aliveManagers()).isEqualTo(2);
+        assertThat(cells.cellStatuses(2_000_000).get(0).aliveManagers()).isEqualTo(2);
     }
 }
