--- a/src/main/java/firstage/cells/CellDirectory.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -246,7 +246,7 @@
      * Returns whether the plan assigns the engine to this cell, but other cells may not have
      * released it yet.
      */
-    public boolean awaits(long engine, String zone) {
+    public boolean awaitsRelease(long engine, String zone) {
         return plan.serves(ownCell, engine, zone) && !mayUse(engine, zone);
     }
 
--- a/src/main/java/firstage/cells/EngineSubset.java
+++ b/src/main/java/firstage/cells/EngineSubset.java
@@ -49,7 +49,7 @@
             long engine = id.applyAsLong(entry);
             if (cells.mayUse(engine, zone.apply(entry))) {
                 usable.add(entry);
-            } else if (!isGone.test(entry) && cells.awaits(engine, zone.apply(entry))) {
+            } else if (!isGone.test(entry) && cells.awaitsRelease(engine, zone.apply(entry))) {
                 awaitedEntries.put(engine, entry);
             } else {
                 awaitedEntries.remove(engine);
--- a/src/test/java/firstage/cells/CellDirectoryTest.java
+++ b/src/test/java/firstage/cells/CellDirectoryTest.java
@@ -303,7 +303,7 @@
             fleet.applyEvent(e);
         }
         assertThat(fleet.managers.get(3).cells.mayUse(movedEngine, "z")).isFalse();
-        assertThat(fleet.managers.get(3).cells.awaits(movedEngine, "z")).isTrue();
+        assertThat(fleet.managers.get(3).cells.awaitsRelease(movedEngine, "z")).isTrue();
         for (int i = 0; i < 3; i++) {
             fleet.applyEvent(4);
             fleet.applyEvent(5);
