--- a/src/main/java/firstage/cells/CellPlan.java
+++ b/src/main/java/firstage/cells/CellPlan.java
@@ -59,7 +59,7 @@
      * Returns the share of each engine that one manager of this cell uses; for every engine the
      * shares of all managers that serve it add up to one.
      */
-    public double share(int cell) {
+    public double sharePerManager(int cell) {
         return 1.0 / (spread * cells.get(cell).slots);
     }
 
@@ -72,11 +72,11 @@
      */
     public double warmUpShare(CellPlan previousPlan, int cell, long engine, String zone) {
         if (previousPlan == null) {
-            return share(cell) * (1 - GAINING_CELLS_FRACTION);
+            return sharePerManager(cell) * (1 - GAINING_CELLS_FRACTION);
         }
         return previousPlan.serves(cell, engine, zone)
-                ? Math.min(share(cell), previousPlan.share(cell)) * (1 - GAINING_CELLS_FRACTION)
-                : share(cell) * GAINING_CELLS_FRACTION;
+                ? Math.min(sharePerManager(cell), previousPlan.sharePerManager(cell)) * (1 - GAINING_CELLS_FRACTION)
+                : sharePerManager(cell) * GAINING_CELLS_FRACTION;
     }
 
     /**
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -200,7 +200,7 @@
                         cellConfig == null ? managers : config.peerAddresses().size(),
                         cellConfig == null
                                 ? 1.0 / managers
-                                : cellConfig.plan().share(cellConfig.cell()),
+                                : cellConfig.plan().sharePerManager(cellConfig.cell()),
                         config.probeInterval(),
                         Files.exists(config.withdrawalMark()),
                         this::storeWithdrawalMark,
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -228,7 +228,7 @@
                         policyUnderTest.capacityFactor());
         policy = policyUnderTest.start(deployment, this);
         if (cells != null) {
-            policy.onQuotaChanged(events.now(), cells.share(plan.cellOf(number)));
+            policy.onQuotaChanged(events.now(), cells.sharePerManager(plan.cellOf(number)));
         }
         if (policyUnderTest.peers() != null) {
             fleetCoordinator =
--- a/src/main/java/firstage/simulation/schedule/SimulatedCells.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedCells.java
@@ -155,7 +155,7 @@
             leases =
                     new QuotaLeases(
                             peers,
-                            shape.cellSize == 0 ? 1.0 / peers : nextPlan.share(cell),
+                            shape.cellSize == 0 ? 1.0 / peers : nextPlan.sharePerManager(cell),
                             PROBE_PERIOD,
                             mayHaveWithdrawnBefore,
                             () -> {
@@ -543,7 +543,7 @@
                         host.share()
                                 / (shape.cellSize == 0
                                         ? 1.0 / hosts.size()
-                                        : plan.share(host.cell));
+                                        : plan.sharePerManager(host.cell));
             }
         }
         return up == 0 ? 0 : sum / up;
--- a/src/test/java/firstage/cells/CellDirectoryTest.java
+++ b/src/test/java/firstage/cells/CellDirectoryTest.java
@@ -158,7 +158,7 @@
         private double shareSum(long engine) {
             double sum = 0;
             for (Manager m : managers) {
-                sum += m.cells.mayUse(engine, "z") ? OLD_PLAN.share(m.cell) : 0;
+                sum += m.cells.mayUse(engine, "z") ? OLD_PLAN.sharePerManager(m.cell) : 0;
             }
             return sum;
         }
@@ -333,7 +333,7 @@
                 assertThat(plan.serves(c, engine, zone)).isEqualTo(serving.contains(c));
                 served[c] += serving.contains(c) ? 1 : 0;
             }
-            assertThat(serving.stream().mapToDouble(c -> 40 * plan.share(c)).sum()).isEqualTo(1);
+            assertThat(serving.stream().mapToDouble(c -> 40 * plan.sharePerManager(c)).sum()).isEqualTo(1);
         }
         // 860 engines in each zone, four cells for each engine, 13 cells in each zone: 265 on
         // average.
