--- a/src/main/java/firstage/bench/BenchEventReader.java
+++ b/src/main/java/firstage/bench/BenchEventReader.java
@@ -52,7 +52,7 @@
     /**
      * Returns the index of the request that an event names, or -1 if the request is closed already.
      */
-    int openRequest(WireFields event) {
+    int findOpenRequest(WireFields event) {
         return ids.requests().findIndex(event.require(BenchWire.REQUEST));
     }
 
--- a/src/main/java/firstage/bench/BenchManager.java
+++ b/src/main/java/firstage/bench/BenchManager.java
@@ -94,14 +94,14 @@
     }
 
     private void onAttemptResult(long now, WireFields event) {
-        int request = reader.openRequest(event);
+        int request = reader.findOpenRequest(event);
         if (request >= 0) {
             policy.onAttemptResult(now, reader.attemptResult(request, event));
         }
     }
 
     private void onAttemptProgress(long now, WireFields event) {
-        int request = reader.openRequest(event);
+        int request = reader.findOpenRequest(event);
         AttemptProgress.Kind kind = reader.progressKind(event);
         if (request >= 0 && kind != null) {
             policy.onAttemptProgress(now, reader.attemptProgress(request, kind, event));
@@ -109,7 +109,7 @@
     }
 
     private void onClientGone(long now, WireFields event) {
-        int request = reader.openRequest(event);
+        int request = reader.findOpenRequest(event);
         if (request >= 0) {
             policy.onClientGone(now, request);
         }
