--- a/src/main/java/firstage/bench/BenchEventReader.java
+++ b/src/main/java/firstage/bench/BenchEventReader.java
@@ -56,7 +56,7 @@
         return ids.requests().findIndex(event.require(BenchWire.REQUEST));
     }
 
-    int engine(WireFields event) {
+    int engineIndex(WireFields event) {
         return ids.engines().indexFor(event.requireLong(BenchWire.ENGINE));
     }
 
@@ -81,7 +81,7 @@
         return new AttemptResult(
                 request,
                 event.getInt(BenchWire.ATTEMPT, 0),
-                engine(event),
+                engineIndex(event),
                 outcome(event),
                 event.getTicks(BenchWire.DURATION),
                 Ticks.ofMillis(actualCost >> COST_MEMORY_BITS),
@@ -108,7 +108,7 @@
         return new AttemptProgress(
                 request,
                 event.getInt(BenchWire.ATTEMPT, 0),
-                engine(event),
+                engineIndex(event),
                 kind,
                 event.getDouble(BenchWire.PROGRESS_AMOUNT, 0));
     }
--- a/src/main/java/firstage/bench/BenchManager.java
+++ b/src/main/java/firstage/bench/BenchManager.java
@@ -69,7 +69,7 @@
             case BenchWire.PROBE_RESULT ->
                     policy.onProbeResult(
                             now,
-                            reader.engine(event),
+                            reader.engineIndex(event),
                             reader.outcome(event),
                             reader.loadReport(event));
             case BenchWire.PEER_MESSAGE -> onPeerMessage(now, event);
