--- a/src/main/java/firstage/failover/FleetCoordinator.java
+++ b/src/main/java/firstage/failover/FleetCoordinator.java
@@ -72,7 +72,7 @@
     }
 
     private final ProbeCoordinator probes;
-    private final LoadSheddingLevel level;
+    private final LoadSheddingLevel sheddingLevel;
     private final ZoneFailover zones;
 
     /**
@@ -94,13 +94,13 @@
         zones = new ZoneFailover(self, zone, zoneCount, warmUpDuration, zoneActions, defects.zones);
         probes =
                 new ProbeCoordinator(self, probeInterval, zones::setProbedByOthers, defects.probes);
-        level = new LoadSheddingLevel(self, latencyObjective, sheddingActions, defects.level);
+        sheddingLevel = new LoadSheddingLevel(self, latencyObjective, sheddingActions, defects.level);
     }
 
     /** Records the names of the alive managers. */
     public void onViewChanged(List<String> names) {
         probes.onViewChanged(names);
-        level.onViewChanged(names);
+        sheddingLevel.onViewChanged(names);
         zones.onViewChanged(names);
     }
 
@@ -131,25 +131,25 @@
      */
     public void evaluate(long now, DemandHistogram demand) {
         probes.evaluate(now);
-        level.measure(now, demand);
-        level.setZoneObservations(
+        sheddingLevel.measure(now, demand);
+        sheddingLevel.setZoneObservations(
                 zones.ownZone(), zones.reportedPercent(now), zones.ordersToSend());
-        level.evaluate(now);
-        zones.evaluate(now, level.freshRows(now));
+        sheddingLevel.evaluate(now);
+        zones.evaluate(now, sheddingLevel.freshRows(now));
     }
 
     /** Returns the digest that this manager sends with each membership message. */
     public byte[] encodeDigest(long now) {
         List<OverloadDigest.EngineReport> reports = probes.localReports(now);
         return OverloadDigest.encode(
-                reports, level.rowsToSend(now, OverloadDigest.maxRows(reports.size())));
+                reports, sheddingLevel.rowsToSend(now, OverloadDigest.maxRows(reports.size())));
     }
 
     /** Applies the digest of another manager; a digest that can't be read is ignored. */
     public void onDigest(long now, String from, byte[] digest) {
         OverloadDigest.Contents contents = OverloadDigest.decode(digest);
         probes.onReports(now, from, contents.reports());
-        level.onRows(now, contents.rows());
+        sheddingLevel.onRows(now, contents.rows());
     }
 
     /** Records an operator's order for a zone. */
@@ -174,6 +174,6 @@
 
     /** Returns the priority band below which all requests are refused; 0 for none. */
     public int sheddingThreshold() {
-        return level.threshold();
+        return sheddingLevel.threshold();
     }
 }
