--- a/src/main/java/firstage/failover/FleetCoordinator.java
+++ b/src/main/java/firstage/failover/FleetCoordinator.java
@@ -20,7 +20,7 @@
     /** Defects that tests inject, one for each part. */
     public record InjectedDefects(
             ProbeCoordinator.InjectedDefect probes,
-            LoadSheddingLevel.InjectedDefect level,
+            LoadSheddingLevel.InjectedDefect sheddingLevel,
             ZoneFailover.InjectedDefect zones) {
         public static final InjectedDefects NONE =
                 new InjectedDefects(
@@ -40,7 +40,7 @@
                                                     defect ->
                                                             new InjectedDefects(
                                                                     defect,
-                                                                    NONE.level,
+                                                                    NONE.sheddingLevel,
                                                                     NONE.zones)),
                                     Arrays.stream(LoadSheddingLevel.InjectedDefect.values())
                                             .map(
@@ -54,7 +54,7 @@
                                                     defect ->
                                                             new InjectedDefects(
                                                                     NONE.probes,
-                                                                    NONE.level,
+                                                                    NONE.sheddingLevel,
                                                                     defect)))
                             .flatMap(part -> part);
             String constantName = name.toUpperCase(Locale.ROOT).replace('-', '_');
@@ -63,7 +63,7 @@
                             defects ->
                                     List.of(
                                                     defects.probes.name(),
-                                                    defects.level.name(),
+                                                    defects.sheddingLevel.name(),
                                                     defects.zones.name())
                                             .contains(constantName))
                     .findFirst()
@@ -94,7 +94,7 @@
         zones = new ZoneFailover(self, zone, zoneCount, warmUpDuration, zoneActions, defects.zones);
         probes =
                 new ProbeCoordinator(self, probeInterval, zones::setProbedByOthers, defects.probes);
-        sheddingLevel = new LoadSheddingLevel(self, latencyObjective, sheddingActions, defects.level);
+        sheddingLevel = new LoadSheddingLevel(self, latencyObjective, sheddingActions, defects.sheddingLevel);
     }
 
     /** Records the names of the alive managers. */
