--- a/src/main/java/firstage/cli/FleetCompareCommand.java
+++ b/src/main/java/firstage/cli/FleetCompareCommand.java
@@ -37,7 +37,7 @@
                     "--seeds " + seeds() + " is too few to compare; use 2 or more");
         }
         List<SimulationResult> results =
-                play(plan, List.of(PolicyUnderTest.of(left), PolicyUnderTest.of(right)));
+                simulate(plan, List.of(PolicyUnderTest.of(left), PolicyUnderTest.of(right)));
         PairedComparison comparison =
                 new PairedComparison(
                         results.subList(0, seeds()), results.subList(seeds(), 2 * seeds()));
--- a/src/main/java/firstage/cli/FleetOptions.java
+++ b/src/main/java/firstage/cli/FleetOptions.java
@@ -55,7 +55,7 @@
      * Simulates each choice with each seed, on all cores. The results are in the order of the
      * choices, and for each choice in the order of the seeds.
      */
-    List<SimulationResult> play(FleetPlan plan, List<PolicyUnderTest> choices) {
+    List<SimulationResult> simulate(FleetPlan plan, List<PolicyUnderTest> choices) {
         AtomicInteger finished = new AtomicInteger();
         int runs = seeds * choices.size();
         boolean interactive = System.console() != null;
