--- a/src/main/java/firstage/cli/FleetCompareCommand.java
+++ b/src/main/java/firstage/cli/FleetCompareCommand.java
@@ -31,7 +31,7 @@
 
     @Override
     public Integer call() throws IOException {
-        FleetPlan plan = plan();
+        FleetPlan plan = readPlan();
         if (seeds() < 2) {
             throw new InvalidPlanException(
                     "--seeds " + seeds() + " is too few to compare; use 2 or more");
--- a/src/main/java/firstage/cli/FleetOptions.java
+++ b/src/main/java/firstage/cli/FleetOptions.java
@@ -38,7 +38,7 @@
     private Path out;
 
     /** Reads the plan from the file. */
-    FleetPlan plan() throws IOException {
+    FleetPlan readPlan() throws IOException {
         if (seeds < 1) {
             throw new InvalidPlanException("--seeds " + seeds + " is out of range; use 1 or more");
         }
--- a/src/main/java/firstage/cli/FleetRunCommand.java
+++ b/src/main/java/firstage/cli/FleetRunCommand.java
@@ -24,7 +24,7 @@
 
     @Override
     public Integer call() throws IOException {
-        FleetPlan plan = plan();
+        FleetPlan plan = readPlan();
         List<SimulationResult> results = simulate(plan, List.of(PolicyUnderTest.of(choice)));
         System.out.println(origin(plan) + ", " + choice + " (engines simulated)");
         FleetTables.print(System.out, results);
