--- a/src/main/java/firstage/cli/FleetOptions.java
+++ b/src/main/java/firstage/cli/FleetOptions.java
@@ -64,7 +64,7 @@
                 .mapToObj(
                         run -> {
                             SimulationResult result =
-                                    FleetSimulation.play(
+                                    FleetSimulation.run(
                                             plan, choices.get(run / seeds), seed + run % seeds);
                             int finishedRuns = finished.incrementAndGet();
                             if (interactive) {
--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -91,12 +91,12 @@
     }
 
     /** Simulates the plan once with this policy and seed. */
-    public static SimulationResult play(
+    public static SimulationResult run(
             FleetPlan plan, PolicyUnderTest policyUnderTest, long seed) {
-        return new FleetSimulation(plan, policyUnderTest, seed).play(policyUnderTest, seed);
+        return new FleetSimulation(plan, policyUnderTest, seed).run(policyUnderTest, seed);
     }
 
-    private SimulationResult play(PolicyUnderTest policyUnderTest, long seed) {
+    private SimulationResult run(PolicyUnderTest policyUnderTest, long seed) {
         managers.forEach(ManagerModel::start);
         if (policyUnderTest.peers() != null) {
             gossip(randomStreams.stream("gossip", 0));
--- a/src/test/java/firstage/simulation/FleetSimulationTest.java
+++ b/src/test/java/firstage/simulation/FleetSimulationTest.java
@@ -35,7 +35,7 @@
         return IntStream.range(0, runs)
                 .parallel()
                 .mapToObj(
-                        i -> FleetSimulation.play(plan, PolicyUnderTest.of(choice), firstSeed + i))
+                        i -> FleetSimulation.run(plan, PolicyUnderTest.of(choice), firstSeed + i))
                 .toList();
     }
 
