--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -98,7 +98,7 @@
 
     private SimulationResult run(PolicyUnderTest policyUnderTest, long seed) {
         managers.forEach(ManagerModel::start);
-        if (policyUnderTest.peers() != null) {
+        if (policyUnderTest.coordinationDefects() != null) {
             gossip(randomStreams.stream("gossip", 0));
         }
         int streamIndex = 0;
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -230,7 +230,7 @@
         if (cells != null) {
             policy.onQuotaChanged(events.now(), cells.sharePerManager(plan.cellOf(number)));
         }
-        if (policyUnderTest.peers() != null) {
+        if (policyUnderTest.coordinationDefects() != null) {
             fleetCoordinator =
                     new FleetCoordinator(
                             name(),
@@ -248,7 +248,7 @@
                                 policy.onSheddingThreshold(now, band, admittedShare);
                                 scheduleActions();
                             },
-                            policyUnderTest.peers());
+                            policyUnderTest.coordinationDefects());
             evaluateFleet(incarnation);
         }
         endpoints
--- a/src/main/java/firstage/simulation/PolicyUnderTest.java
+++ b/src/main/java/firstage/simulation/PolicyUnderTest.java
@@ -15,7 +15,7 @@
  * @param baseline the baseline, or null for the scheduler
  * @param capacityFactor the factor by which the scheduler's settings overstate the cores and memory
  *     of engines, which loosens its limits as a wrong setting would
- * @param peers the defects to inject into the coordination of the managers, which runs over links
+ * @param coordinationDefects the defects to inject into the coordination of the managers, which runs over links
  *     with the plan's delay; null where managers do not know each other
  * @param warmUpBySettings whether cold engines are warmed up by the share of the settings, rather
  *     than by that of the cells
@@ -24,7 +24,7 @@
         String name,
         BaselinePolicy.Kind baseline,
         double capacityFactor,
-        FleetCoordinator.InjectedDefects peers,
+        FleetCoordinator.InjectedDefects coordinationDefects,
         boolean warmUpBySettings) {
     private static final String SCHEDULER = "scheduler";
 
--- a/src/test/java/firstage/simulation/PolicyUnderTestTest.java
+++ b/src/test/java/firstage/simulation/PolicyUnderTestTest.java
@@ -25,7 +25,7 @@
     void of_variants_areParsed() {
         assertThat(PolicyUnderTest.of("scheduler:bounds=4").capacityFactor()).isEqualTo(4);
         assertThat(PolicyUnderTest.of("scheduler:cold=settings").warmUpBySettings()).isTrue();
-        assertThat(PolicyUnderTest.of("scheduler:peers").peers())
+        assertThat(PolicyUnderTest.of("scheduler:peers").coordinationDefects())
                 .isEqualTo(FleetCoordinator.InjectedDefects.NONE);
         assertThat(PolicyUnderTest.of("two-choices").baseline())
                 .isEqualTo(BaselinePolicy.Kind.TWO_CHOICES);
