--- a/src/main/java/firstage/emulator/EmulatedEngine.java
+++ b/src/main/java/firstage/emulator/EmulatedEngine.java
@@ -322,7 +322,7 @@
         }
         if (path.equals("/busy")) {
             observer.onProbe(number);
-            exchange.getResponseHeaders().put(METER, "waiting:" + model.waitingForMemory());
+            exchange.getResponseHeaders().put(METER, "waiting:" + model.memoryQueueLength());
             answer(exchange, 200);
         } else if (method.equals("POST")) {
             exchange.getRequestReceiver().receiveFullBytes((received, body) -> onSubmit(received));
--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -161,7 +161,7 @@
     }
 
     /** Returns the number of attempts that wait for memory. */
-    public int waitingForMemory() {
+    public int memoryQueueLength() {
         return memoryQueue.size();
     }
 
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -527,7 +527,7 @@
         LoadReport report =
                 new LoadReport(
                         Double.NaN,
-                        engineModel.waitingForMemory(),
+                        engineModel.memoryQueueLength(),
                         Double.NaN,
                         Double.NaN,
                         Double.NaN);
