--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -170,7 +170,7 @@
     }
 
     /** Sets the factor by which all work takes longer; 1 is normal. */
-    void slowdown(double factor) {
+    void setSlowdown(double factor) {
         advance();
         slowdownFactor = factor;
         reschedule();
--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -297,9 +297,9 @@
                 events.schedule(disturbance.length(), () -> expensiveWork.remove(disturbance));
             }
             case SLOW -> {
-                engines.forEach(engine -> engine.slowdown(disturbance.size()));
+                engines.forEach(engine -> engine.setSlowdown(disturbance.size()));
                 events.schedule(
-                        disturbance.length(), () -> engines.forEach(engine -> engine.slowdown(1)));
+                        disturbance.length(), () -> engines.forEach(engine -> engine.setSlowdown(1)));
             }
             case LATE_REPORTS -> {
                 managers.forEach(
