--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -304,10 +304,10 @@
             case LATE_REPORTS -> {
                 managers.forEach(
                         manager ->
-                                manager.loadReportDelay(Math.round(disturbance.size() * 10_000)));
+                                manager.setLoadReportDelay(Math.round(disturbance.size() * 10_000)));
                 events.schedule(
                         disturbance.length(),
-                        () -> managers.forEach(manager -> manager.loadReportDelay(0)));
+                        () -> managers.forEach(manager -> manager.setLoadReportDelay(0)));
             }
             case COLD ->
                     drawAffected(engines.size(), disturbance.affectedShare(), random)
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -323,7 +323,7 @@
     }
 
     /** Sets a delay of the load reports in ticks, in addition to that of the network. */
-    void loadReportDelay(long delay) {
+    void setLoadReportDelay(long delay) {
         extraReportDelay = delay;
     }
 
