--- a/src/main/java/firstage/faulttest/EngineFaults.java
+++ b/src/main/java/firstage/faulttest/EngineFaults.java
@@ -184,7 +184,7 @@
                         () -> {
                             rules.onEndpointUpdate(
                                     loop.now(), manager, engine, lifecycle == Lifecycle.ACTIVE);
-                            rules.onEngineStartTold(manager, engine, startedAt);
+                            rules.onEngineStartReported(manager, engine, startedAt);
                         });
         coordinators
                 .get(manager)
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -253,7 +253,7 @@
         }
         endpoints
                 .values()
-                .forEach(e -> rules.onEngineStartTold(number, e.engineId(), e.startedAt()));
+                .forEach(e -> rules.onEngineStartReported(number, e.engineId(), e.startedAt()));
         policy.onEndpointsUpdated(
                 events.now(),
                 new EndpointUpdate(EndpointUpdate.Kind.INITIAL, List.copyOf(endpoints.values())));
@@ -409,7 +409,7 @@
         endpoints.put(engine, entry);
         if (up) {
             rules.onEndpointUpdate(events.now(), number, engine, lifecycle == Lifecycle.ACTIVE);
-            rules.onEngineStartTold(number, engine, startedAt);
+            rules.onEngineStartReported(number, engine, startedAt);
             policy.onEndpointsUpdated(
                     events.now(), new EndpointUpdate(EndpointUpdate.Kind.DELTA, List.of(entry)));
             scheduleActions();
--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -170,7 +170,7 @@
     }
 
     /** Records the start time of an engine that the endpoint list reported to this manager. */
-    public void onEngineStartTold(int manager, int engine, long startedAt) {
+    public void onEngineStartReported(int manager, int engine, long startedAt) {
         engineStartsByManager.get(manager).merge(engine, startedAt, Math::max);
     }
 
