--- a/src/main/java/firstage/emulator/EmulatedEngine.java
+++ b/src/main/java/firstage/emulator/EmulatedEngine.java
@@ -400,7 +400,7 @@
         }
         long startedAt = loop.now() - observer.lateness();
         long maxMs = Long.parseLong(header(exchange, MAX_MS, "0"));
-        rules.onAttemptTimes(startedAt, clientTry, startedAt + Ticks.ofMillis(maxMs));
+        rules.checkAttemptTimes(startedAt, clientTry, startedAt + Ticks.ofMillis(maxMs));
     }
 
     private static String header(
--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -281,7 +281,7 @@
      * @param beganAt the earliest time at which the attempt can have started
      * @param deadline the deadline that the engine received
      */
-    public void onAttemptTimes(long beganAt, ClientTry clientTry, long deadline) {
+    public void checkAttemptTimes(long beganAt, ClientTry clientTry, long deadline) {
         if (clientTry.leftAt >= 0 && beganAt > clientTry.leftAt + DEPARTURE_SLACK) {
             recordViolation(
                     beganAt,
