--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -255,7 +255,7 @@
     }
 
     private void checkDeadline(ClientTry clientTry) {
-        if (clientTry.pauseAllowance() && clientTry.answers() == 0) {
+        if (clientTry.hasPauseAllowance() && clientTry.answers() == 0) {
             // The try timed out while its manager was paused, and its client left.
             rules.onNeverAccepted(clientTry);
         } else {
@@ -430,7 +430,7 @@
             observer.onTryEnded(clientTry, TryOutcome.LOST);
             scoreboard.onFailed();
             if (!clientTry.abandoned()
-                    && !clientTry.pauseAllowance()
+                    && !clientTry.hasPauseAllowance()
                     && !(failure instanceof HttpTimeoutException)) {
                 loop.events()
                         .schedule(
--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -97,7 +97,7 @@
         }
 
         /** Returns whether the answer may be late because the manager was paused. */
-        public boolean pauseAllowance() {
+        public boolean hasPauseAllowance() {
             return extraAnswerSlack > 0;
         }
 
