--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -77,7 +77,7 @@
         /**
          * Records that the client closed its connection or cancelled, at {@code now} at the latest.
          */
-        public void leave(long now) {
+        public void onClientLeft(long now) {
             leftAt = leftAt < 0 ? now : leftAt;
         }
 
--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -384,7 +384,7 @@
         test.loop()
                 .execute(
                         () -> {
-                            clientTry.leave(at);
+                            clientTry.onClientLeft(at);
                             test.record(
                                     "left",
                                     "batch",
