--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -82,7 +82,7 @@
         }
 
         /** Returns whether the client left. */
-        public boolean hasLeft() {
+        public boolean hasClientLeft() {
             return leftAt >= 0;
         }
 
--- a/src/test/java/firstage/soak/SoakClient.java
+++ b/src/test/java/firstage/soak/SoakClient.java
@@ -340,7 +340,7 @@
                         && path == null;
         if (environment.endedSince(script.manager(), connectedAt)) {
             environment.notAccepted(clientTry);
-        } else if (clientTry.hasLeft() || path != null || crossed) {
+        } else if (clientTry.hasClientLeft() || path != null || crossed) {
             // A real client leaves or sends its request again elsewhere: this try must not run.
             environment.left(clientTry, script.departure(), environment.now());
         } else {
