--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -211,14 +211,14 @@
         return loop.now() > endsAt
                 && openTries.stream()
                         .flatMap(Set::stream)
-                        .allMatch(clientTry -> clientTry.answers() > 0 || clientTry.abandoned());
+                        .allMatch(clientTry -> clientTry.answerCount() > 0 || clientTry.abandoned());
     }
 
     /** Records that a manager's process was killed, so that its open tries need no answer. */
     public void onManagerKilled(int manager) {
         List<ClientTry> unanswered = new ArrayList<>();
         openTries.get(manager).stream()
-                .filter(clientTry -> clientTry.answers() == 0)
+                .filter(clientTry -> clientTry.answerCount() == 0)
                 .forEach(unanswered::add);
         rules.onManagerKilled(manager, unanswered);
         killed[manager] = true;
@@ -255,7 +255,7 @@
     }
 
     private void checkDeadline(ClientTry clientTry) {
-        if (clientTry.hasPauseAllowance() && clientTry.answers() == 0) {
+        if (clientTry.hasPauseAllowance() && clientTry.answerCount() == 0) {
             // The try timed out while its manager was paused, and its client left.
             rules.onNeverAccepted(clientTry);
         } else {
--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -43,7 +43,7 @@
         public final TrueRequest request;
         public final int manager;
         public final long deadline;
-        private int answers;
+        private int answerCount;
         private boolean abandoned;
         private int attemptsInFlight;
         private boolean mayHaveRun;
@@ -101,8 +101,8 @@
             return extraAnswerSlack > 0;
         }
 
-        public int answers() {
-            return answers;
+        public int answerCount() {
+            return answerCount;
         }
     }
 
@@ -210,7 +210,7 @@
      */
     public void onAttemptSent(long now, ClientTry clientTry, int engine, boolean delayed) {
         Effect effect = plan.trafficClasses().get(clientTry.request.trafficClass).effect();
-        if (clientTry.answers > 0 && !delayed) {
+        if (clientTry.answerCount > 0 && !delayed) {
             recordViolation(now, 1, clientTry, "was sent after it was answered");
         }
         if (effect == Effect.NON_IDEMPOTENT
@@ -323,7 +323,7 @@
     }
 
     public void onAnswered(long now, ClientTry clientTry, boolean rejected) {
-        if (++clientTry.answers > 1) {
+        if (++clientTry.answerCount > 1) {
             recordViolation(now, 1, clientTry, "was answered twice");
         }
         if (observationDelay > 0
@@ -361,7 +361,7 @@
 
     /** Checks that the try was answered; called once its deadline and the tolerance have passed. */
     public void onDeadlinePassed(long now, ClientTry clientTry) {
-        if (clientTry.answers == 0 && !clientTry.abandoned && clientTry.leftAt < 0) {
+        if (clientTry.answerCount == 0 && !clientTry.abandoned && clientTry.leftAt < 0) {
             recordViolation(now, 1, clientTry, "was never answered");
         }
     }
--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -296,7 +296,7 @@
             killedAt.put(manager, now);
             synchronized (openTries) {
                 openTries.stream()
-                        .filter(openTry -> openTry.manager == manager && openTry.answers() == 0)
+                        .filter(openTry -> openTry.manager == manager && openTry.answerCount() == 0)
                         .forEach(test.rules()::onNeverAccepted);
             }
         }
