--- a/src/main/java/firstage/faulttest/FaultInjector.java
+++ b/src/main/java/firstage/faulttest/FaultInjector.java
@@ -53,7 +53,7 @@
 
     private void inject(Fault fault, RandomGenerator random) {
         List<Integer> affected =
-                fault.source() == null ? List.of() : fault.source().among(plan, random);
+                fault.source() == null ? List.of() : fault.source().select(plan, random);
         recorder.writeEvent(
                 clock.elapsed(),
                 "fault",
@@ -126,8 +126,8 @@
      */
     private void applyToLinks(
             Fault fault, RandomGenerator random, BiConsumer<LinkFaults, Boolean> setActive) {
-        List<Integer> from = fault.source().among(plan, random);
-        List<Integer> to = fault.target().among(plan, random);
+        List<Integer> from = fault.source().select(plan, random);
+        List<Integer> to = fault.target().select(plan, random);
         links.forEach(fault, from, to, link -> setActive.accept(link, true));
         loop.events()
                 .schedule(
--- a/src/main/java/firstage/simulation/FaultTarget.java
+++ b/src/main/java/firstage/simulation/FaultTarget.java
@@ -89,7 +89,7 @@
     }
 
     /** Returns the numbers of the affected managers or engines; those of a share are drawn. */
-    public List<Integer> among(FleetPlan plan, RandomGenerator random) {
+    public List<Integer> select(FleetPlan plan, RandomGenerator random) {
         int count = engines ? plan.engines().count() : plan.managers().count();
         List<Integer> candidates =
                 new ArrayList<>(
--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -321,7 +321,7 @@
 
     private void inject(FleetPlan.Fault fault, RandomGenerator random) {
         List<Integer> targets =
-                fault.source() == null ? List.of() : fault.source().among(plan, random);
+                fault.source() == null ? List.of() : fault.source().select(plan, random);
         switch (fault.kind()) {
             case DIE ->
                     targets.forEach(
