--- a/src/main/java/firstage/faulttest/NetworkLinks.java
+++ b/src/main/java/firstage/faulttest/NetworkLinks.java
@@ -103,8 +103,8 @@
      * reverse links unless the fault is one-way.
      */
     void forEach(Fault fault, List<Integer> from, List<Integer> to, Consumer<LinkFaults> action) {
-        boolean fromEngines = fault.source().isEngines();
-        boolean toEngines = fault.target().isEngines();
+        boolean fromEngines = fault.source().targetsEngines();
+        boolean toEngines = fault.target().targetsEngines();
         boolean betweenPeers = !fromEngines && !toEngines;
         if (fromEngines && toEngines) {
             return;
--- a/src/main/java/firstage/simulation/FaultTarget.java
+++ b/src/main/java/firstage/simulation/FaultTarget.java
@@ -84,7 +84,7 @@
                 numbers);
     }
 
-    public boolean isEngines() {
+    public boolean targetsEngines() {
         return engines;
     }
 
--- a/src/main/java/firstage/simulation/FleetPlanReader.java
+++ b/src/main/java/firstage/simulation/FleetPlanReader.java
@@ -100,7 +100,7 @@
                             || kind == FleetPlan.Fault.Kind.SILENCE
                             || kind == FleetPlan.Fault.Kind.HANG
                             || kind == FleetPlan.Fault.Kind.DRAIN;
-            if (source != null && !onLinks && source.isEngines() != affectsEngines) {
+            if (source != null && !onLinks && source.targetsEngines() != affectsEngines) {
                 throw section.invalid(
                         "who",
                         "the "
