--- a/src/main/java/firstage/simulation/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -87,7 +87,7 @@
         }
 
         /** Returns whether the simulation supports this kind of fault. */
-        public boolean simulated() {
+        public boolean isSimulatable() {
             return kind == Kind.KILL
                     || kind == Kind.DIE
                     || kind == Kind.SILENCE
--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -107,7 +107,7 @@
             events.schedule(disturbance.at(), () -> inject(disturbance, random));
         }
         for (FleetPlan.Fault fault : plan.faults()) {
-            if (!fault.simulated()) {
+            if (!fault.isSimulatable()) {
                 throw new InvalidPlanException(
                         fault.line(),
                         "fault: the simulation does not support "
