--- a/src/main/java/firstage/cli/FaultTestRunCommand.java
+++ b/src/main/java/firstage/cli/FaultTestRunCommand.java
@@ -102,7 +102,7 @@
         try {
             FleetPlan plan = FleetPlanReader.read(planText());
             FaultTestRun.check(plan);
-            if (plan.cells() != null && !peers) {
+            if (plan.cellPlan() != null && !peers) {
                 throw new InvalidPlanException(
                         " managers.cell: cells are configured in the peers files; add --peers");
             }
--- a/src/main/java/firstage/faulttest/ManagerConfigWriter.java
+++ b/src/main/java/firstage/faulttest/ManagerConfigWriter.java
@@ -249,7 +249,7 @@
         lines.add("name = \"m" + manager + "\"");
         lines.add("listen = \"" + LoopbackAddresses.hostPort(addresses.gossip(manager)) + "\"");
         lines.add("probe = \"200 ms\"");
-        CellPlan cells = plan.cells();
+        CellPlan cells = plan.cellPlan();
         if (cells != null) {
             lines.addAll(List.of("plan = " + cells.number(), "spread = " + cells.spread()));
             for (CellPlan.Cell cell : cells.cells()) {
--- a/src/main/java/firstage/simulation/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -128,7 +128,7 @@
      * Returns the cells, which are assigned to the zones in turn; null where all managers use all
      * engines.
      */
-    public CellPlan cells() {
+    public CellPlan cellPlan() {
         int cells = managers.cellSize == 0 ? 0 : managers.count / managers.cellSize;
         return cells == 0
                 ? null
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -192,7 +192,7 @@
         this.engines = engines;
         this.clientListener = clientListener;
         random = randomStreams.stream("manager", number);
-        cells = plan.cells();
+        cells = plan.cellPlan();
         for (EngineModel engineModel : engines) {
             if (servesEngine(engineModel.number())) {
                 endpoints.put(
--- a/src/test/java/firstage/simulation/FleetSimulationTest.java
+++ b/src/test/java/firstage/simulation/FleetSimulationTest.java
@@ -154,9 +154,9 @@
     @Test
     void aFleetInCellsKeepsTheRules() {
         FleetPlan plan = FleetPlanReader.read(cells());
-        assertThat(plan.cells().cells()).hasSize(8).allMatch(c -> c.slots() == 2);
+        assertThat(plan.cellPlan().cells()).hasSize(8).allMatch(c -> c.slots() == 2);
         for (int m = 0; m < 16; m++) {
-            assertThat(plan.cells().cells().get(plan.cellOf(m)).zone())
+            assertThat(plan.cellPlan().cells().get(plan.cellOf(m)).zone())
                     .isEqualTo(plan.zones().get(plan.zoneOf(m)));
         }
         SimulationResult result = simulate(cells(), "scheduler:peers", 1, 1).get(0);
