--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -299,7 +299,7 @@
                                 1,
                                 Math.round(
                                         (request.deadline - request.firstRequestedAt)
-                                                * plan.clients().deadlineShareOfTry())));
+                                                * plan.clients().tryTimeoutShare())));
         ClientTry clientTry = new ClientTry(request, manager, now + tryTimeout);
         String id = String.format(Locale.ROOT, "%08x%08x", idPrefix, ++lastId);
         triesById.put(id, clientTry);
--- a/src/main/java/firstage/simulation/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -201,7 +201,7 @@
     public record Clients(
             int retries,
             Range retryPause,
-            double deadlineShareOfTry,
+            double tryTimeoutShare,
             double retryAfterHonouredShare) {}
 
     /**
--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -184,7 +184,7 @@
         long tryTimeout =
                 Math.round(
                         (request.deadline - request.firstRequestedAt)
-                                * plan.clients().deadlineShareOfTry());
+                                * plan.clients().tryTimeoutShare());
         if (!manager.up()) {
             retryLater(request, 0, true);
         } else {
