--- a/src/main/java/firstage/simulation/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -221,7 +221,7 @@
      * tenant that are served worst.
      */
     public record ScoreWeights(
-            double wholeRun, double worstSpan, double worstTrafficClass, double worstTenant) {}
+            double wholeRun, double worstInterval, double worstTrafficClass, double worstTenant) {}
 
     /**
      * A traffic class.
--- a/src/main/java/firstage/simulation/Scoreboard.java
+++ b/src/main/java/firstage/simulation/Scoreboard.java
@@ -131,13 +131,13 @@
         FleetPlan.ScoreWeights scoreWeights = plan.scoreWeights();
         double totalWeight =
                 scoreWeights.wholeRun()
-                        + scoreWeights.worstSpan()
+                        + scoreWeights.worstInterval()
                         + scoreWeights.worstTrafficClass()
                         + scoreWeights.worstTenant();
         figures.put(
                 "service",
                 (scoreWeights.wholeRun() * share(earnedWeight, requestedWeight)
-                                + scoreWeights.worstSpan() * worstInterval
+                                + scoreWeights.worstInterval() * worstInterval
                                 + scoreWeights.worstTrafficClass() * worstTrafficClass
                                 + scoreWeights.worstTenant() * worstTenant)
                         / totalWeight);
