--- a/src/main/java/firstage/simulation/schedule/ScheduleRuleChecker.java
+++ b/src/main/java/firstage/simulation/schedule/ScheduleRuleChecker.java
@@ -237,7 +237,7 @@
     }
 
     /** Records a broken invariant of the manager, such as state left over at the end. */
-    public void recordLeftover(String leftover) {
+    public void recordInvariantViolation(String leftover) {
         violations.add("invariant not kept: " + leftover);
     }
 
--- a/src/main/java/firstage/simulation/schedule/SimulatedManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -262,7 +262,7 @@
         @Override
         public void respond() {
             if (heldCalls == 0) {
-                ruleChecker.recordLeftover("answer without a held call, batch " + request.id);
+                ruleChecker.recordInvariantViolation("answer without a held call, batch " + request.id);
             }
             heldCalls = 0;
             if (!answered || defect == InjectedDefect.ANSWERED_TWICE) {
@@ -325,7 +325,7 @@
         @Override
         public void release() {
             if (released) {
-                ruleChecker.recordLeftover("call released twice, batch " + request.id);
+                ruleChecker.recordInvariantViolation("call released twice, batch " + request.id);
             }
             released = true;
             openCalls--;
@@ -535,17 +535,17 @@
     void close() {
         for (int engine = 0; engine < engines.size(); engine++) {
             if (scheduler.attemptsInFlight(engine) != 0) {
-                ruleChecker.recordLeftover(
+                ruleChecker.recordInvariantViolation(
                         scheduler.attemptsInFlight(engine)
                                 + " dispatches in flight at engine "
                                 + engine);
             }
         }
         if (!requests.isEmpty()) {
-            ruleChecker.recordLeftover(requests.size() + " batches not released");
+            ruleChecker.recordInvariantViolation(requests.size() + " batches not released");
         }
         if (arrivalSequencer.undeliveredCount() != 0 || openRequests != 0 || openCalls != 0) {
-            ruleChecker.recordLeftover(
+            ruleChecker.recordInvariantViolation(
                     arrivalSequencer.undeliveredCount()
                             + " batches waiting for a read barrier, "
                             + openRequests
