--- a/src/main/java/firstage/simulation/schedule/FaultSchedule.java
+++ b/src/main/java/firstage/simulation/schedule/FaultSchedule.java
@@ -69,7 +69,7 @@
         scheduleManagerEvents(random, events, ruleChecker, manager, startManager);
         events.runUntil(START + 20 * SECOND);
         ruleChecker.checkAllAnswered(events.now());
-        manager[0].close();
+        manager[0].checkAllReleased();
         return ruleChecker.violations();
     }
 
--- a/src/main/java/firstage/simulation/schedule/SimulatedManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -532,7 +532,7 @@
     public void log(String line) {}
 
     /** Reports all state that the manager should have released by the end of the schedule. */
-    void close() {
+    void checkAllReleased() {
         for (int engine = 0; engine < engines.size(); engine++) {
             if (scheduler.attemptsInFlight(engine) != 0) {
                 ruleChecker.recordInvariantViolation(
