--- a/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
@@ -79,7 +79,7 @@
     }
 
     /** Returns the time since the manager's drain notice; negative if there was none. */
-    long sinceDrain(long now) {
+    long timeSinceDrainNotice(long now) {
         return drainNotifiedAt < 0 ? -1 : now - drainNotifiedAt;
     }
 
--- a/src/main/java/firstage/simulation/schedule/SimulatedManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -429,7 +429,7 @@
                         endpoints.add(
                                 endpoint(
                                         engine,
-                                        engines.get(engine).sinceDrain(events.now()) >= 0
+                                        engines.get(engine).timeSinceDrainNotice(events.now()) >= 0
                                                 ? EndpointUpdate.Lifecycle.DRAINING
                                                 : EndpointUpdate.Lifecycle.ACTIVE));
                     }
@@ -620,7 +620,7 @@
                                                     events.now(), CallFailure.RESET_BEFORE_SEND);
                                         } else if (!stateMachine.shouldSendStatement()
                                                 || request.clientAbsent
-                                                || engine.sinceDrain(events.now()) >= 0
+                                                || engine.timeSinceDrainNotice(events.now()) >= 0
                                                         && defect != InjectedDefect.DRAIN_IGNORED) {
                                             stateMachine.onStatementFailed(
                                                     events.now(), CallFailure.NOT_SENT);
@@ -633,7 +633,7 @@
         private void writeStatement() {
             ruleChecker.onStatementSent(events.now(), request.id);
             stateMachine.onStatementWritten(events.now());
-            long sinceDrain = engine.sinceDrain(events.now());
+            long sinceDrain = engine.timeSinceDrainNotice(events.now());
             boolean[] answered = {false};
             boolean connectionBreaks = drawFault();
             boolean reachesEngine = !connectionBreaks || random.nextBoolean();
