--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -115,7 +115,7 @@
                 fleet.advance(SECOND / 10);
                 if (agreedAfter < 0
                         && fleet.events().now() - startTime >= START_WINDOW
-                        && fleet.agreedCells() == shape.cellCount()) {
+                        && fleet.countAgreedCells() == shape.cellCount()) {
                     agreedAfter = fleet.events().now() - startTime;
                 }
             }
@@ -231,7 +231,7 @@
             }
             boolean allStarted = fleet.events().now() - killTime > MASS_RESTART_WINDOW + SECOND / 2;
             agreedAfter =
-                    agreedAfter < 0 && allStarted && fleet.agreedCells() == shape.cellCount()
+                    agreedAfter < 0 && allStarted && fleet.countAgreedCells() == shape.cellCount()
                             ? fleet.events().now() - killTime
                             : agreedAfter;
             fullQuotaAfter =
@@ -278,7 +278,7 @@
         }
         row.put("worst second after, bytes", worstSecond);
         row.put("all cells heard by all after, s", (double) allHeardAfter);
-        row.put("cells of one view after, part", (double) fleet.agreedCells() / shape.cellCount());
+        row.put("cells of one view after, part", (double) fleet.countAgreedCells() / shape.cellCount());
         return row;
     }
 
--- a/src/main/java/firstage/simulation/schedule/SimulatedCells.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedCells.java
@@ -454,7 +454,7 @@
      * Returns the number of cells whose running managers all hold the same view, with exactly these
      * managers in it.
      */
-    public int agreedCells() {
+    public int countAgreedCells() {
         int size = shape.cellSize == 0 ? hosts.size() : shape.cellSize;
         int agreed = 0;
         for (int cell = 0; cell < shape.cellCount(); cell++) {
@@ -489,7 +489,7 @@
      */
     public long timeUntilAgreed(long limit) {
         for (long elapsed = 0; elapsed <= limit; elapsed += 1_000) {
-            if (agreedCells() == shape.cellCount()) {
+            if (countAgreedCells() == shape.cellCount()) {
                 return elapsed;
             }
             advance(1_000);
