--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -122,12 +122,12 @@
             long bytes = fleet.bytesByKind().values().stream().mapToLong(b -> b).sum();
             worstSecond = Math.max(worstSecond, (double) (bytes - bytesBefore) / shape.managers());
             bytesBefore = bytes;
-            quotaAt10s = second == 10 ? fleet.quotaInForce() : quotaAt10s;
+            quotaAt10s = second == 10 ? fleet.quotaFractionInForce() : quotaAt10s;
         }
         row.put("start: worst second, bytes", worstSecond);
         row.put("start: to one view, s", agreedAfter < 0 ? -1 : agreedAfter / 1e4);
         row.put("start: slices in force at 10 s", quotaAt10s);
-        row.put("start: slices in force at 20 s", fleet.quotaInForce());
+        row.put("start: slices in force at 20 s", fleet.quotaFractionInForce());
     }
 
     /** Returns the most bytes that one manager sent in any of the next seconds. */
@@ -192,7 +192,7 @@
                 }
             }
             fleet.advance(SECOND / 2);
-            leastQuota = Math.min(leastQuota, fleet.quotaInForce());
+            leastQuota = Math.min(leastQuota, fleet.quotaFractionInForce());
         }
         long bytesAfter = fleet.bytesByKind().values().stream().mapToLong(b -> b).sum();
         row.put(
@@ -235,7 +235,7 @@
                             ? fleet.events().now() - killTime
                             : agreedAfter;
             fullQuotaAfter =
-                    fullQuotaAfter < 0 && allStarted && fleet.quotaInForce() > 0.999
+                    fullQuotaAfter < 0 && allStarted && fleet.quotaFractionInForce() > 0.999
                             ? fleet.events().now() - killTime
                             : fullQuotaAfter;
         }
@@ -261,7 +261,7 @@
         double leastQuota = 1;
         for (long time = 0; time < length; time += 10 * SECOND) {
             fleet.advance(10 * SECOND);
-            leastQuota = Math.min(leastQuota, fleet.quotaInForce());
+            leastQuota = Math.min(leastQuota, fleet.quotaFractionInForce());
         }
         row.put("cut, min", length / 6e5);
         row.put("bytes a s before", rateBefore);
--- a/src/main/java/firstage/simulation/schedule/SimulatedCells.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedCells.java
@@ -533,7 +533,7 @@
      * Returns the fraction of the running managers' slices that is in force: 1 if each of them uses
      * its whole slice.
      */
-    public double quotaInForce() {
+    public double quotaFractionInForce() {
         double sum = 0;
         int up = 0;
         for (ManagerHost host : hosts) {
--- a/src/test/java/firstage/cells/SimulatedCellsTest.java
+++ b/src/test/java/firstage/cells/SimulatedCellsTest.java
@@ -162,7 +162,7 @@
         // Cells alternate between the two regions, as they do between the zones.
         fleet.setPartition(manager -> manager / 8 % 2 == 0, true);
         fleet.advance(120 * SECOND);
-        assertThat(fleet.quotaInForce()).isEqualTo(1);
+        assertThat(fleet.quotaFractionInForce()).isEqualTo(1);
         assertThat(statusOf(fleet, 0, 1).state()).isEqualTo(CellState.SILENT);
         assertThat(statusOf(fleet, 0, 2).state()).isEqualTo(CellState.ACTIVE);
         fleet.setPartition(manager -> false, false);
