--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -77,7 +77,7 @@
         start(fleet, shape, row);
         long[] bytesBefore = new long[MessageKind.values().length];
         fleet.bytesByKind().forEach((kind, bytes) -> bytesBefore[kind.ordinal()] = bytes);
-        long datagramsBefore = fleet.datagrams();
+        long datagramsBefore = fleet.sentDatagramCount();
         fleet.advance(10 * SECOND);
         double totalRate = 0;
         for (Map.Entry<MessageKind, Long> entry : fleet.bytesByKind().entrySet()) {
@@ -89,7 +89,7 @@
             totalRate += rate;
         }
         row.put("bytes a s", totalRate);
-        row.put("datagrams a s", (fleet.datagrams() - datagramsBefore) / 10.0 / shape.managers());
+        row.put("datagrams a s", (fleet.sentDatagramCount() - datagramsBefore) / 10.0 / shape.managers());
         row.put("most bytes a s of one", mostBytesPerSecond(fleet, 5));
         recordRowAges(fleet, row);
         measureKills(fleet, row);
--- a/src/main/java/firstage/simulation/schedule/SimulatedCells.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedCells.java
@@ -560,7 +560,7 @@
     }
 
     /** Returns the number of datagrams sent so far by all managers. */
-    public long datagrams() {
+    public long sentDatagramCount() {
         return hosts.stream().mapToLong(host -> Arrays.stream(host.datagramsSent).sum()).sum();
     }
 }
