--- a/src/main/java/firstage/simulation/schedule/MembershipFigures.java
+++ b/src/main/java/firstage/simulation/schedule/MembershipFigures.java
@@ -23,7 +23,7 @@
                         QuotaLeases.InjectedDefect.NONE);
         fleet.startAll();
         fleet.advance(5 * SECOND);
-        fleet.viewChanges();
+        fleet.takeViewChanges();
         return fleet;
     }
 
@@ -76,7 +76,7 @@
             neverAgreed += agreedAfter < 0 ? 1 : 0;
             halfKilled.addValue(agreedAfter / 1e4);
             viewChangesPerHost.addValue(
-                    (double) fleet.viewChanges().size() / (managerCount - managerCount / 2));
+                    (double) fleet.takeViewChanges().size() / (managerCount - managerCount / 2));
             fleet = startedFleet(managerCount, seed);
             split(fleet, managerCount, true);
             fleet.advance(20 * SECOND);
--- a/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
@@ -346,7 +346,7 @@
     }
 
     /** Returns the view changes since the last call. */
-    public List<String> viewChanges() {
+    public List<String> takeViewChanges() {
         List<String> changes = List.copyOf(pendingViewChanges);
         pendingViewChanges.clear();
         return changes;
--- a/src/test/java/firstage/membership/MembershipProtocolTest.java
+++ b/src/test/java/firstage/membership/MembershipProtocolTest.java
@@ -23,7 +23,7 @@
                 new SimulatedMembership(count, 7, defect, QuotaLeases.InjectedDefect.NONE);
         assertThat(fleet.startAll()).isNotNegative();
         fleet.advance(5 * SECOND);
-        fleet.viewChanges();
+        fleet.takeViewChanges();
         return fleet;
     }
 
@@ -68,7 +68,7 @@
         fleet.setBlocked(1, 0, true);
         fleet.setBlocked(0, 1, true);
         fleet.advance(6 * SECOND);
-        assertThat(fleet.viewChanges()).isNotEmpty();
+        assertThat(fleet.takeViewChanges()).isNotEmpty();
     }
 
     @Test
