--- a/src/main/java/firstage/simulation/schedule/MembershipFigures.java
+++ b/src/main/java/firstage/simulation/schedule/MembershipFigures.java
@@ -113,7 +113,7 @@
      * which a random manager is paused every 2 s for up to {@code maxPause} ticks and 20% of the
      * datagrams are lost.
      */
-    public static int falselyDead(int managerCount, long seed, int minutes, long maxPause) {
+    public static int countFalselyDead(int managerCount, long seed, int minutes, long maxPause) {
         SimulatedMembership fleet = startedFleet(managerCount, seed);
         fleet.setLossProbability(0.2);
         for (int i = 0; i < minutes * 30; i++) {
--- a/src/test/java/firstage/membership/MembershipProtocolTest.java
+++ b/src/test/java/firstage/membership/MembershipProtocolTest.java
@@ -41,7 +41,7 @@
 
     @Test
     void detection_shortPausesAndLoss_nobodyFalselyDead() {
-        assertThat(MembershipFigures.falselyDead(8, 3, 4, SECOND)).isZero();
+        assertThat(MembershipFigures.countFalselyDead(8, 3, 4, SECOND)).isZero();
     }
 
     @Test
