--- a/src/main/java/firstage/emulator/LinkFaults.java
+++ b/src/main/java/firstage/emulator/LinkFaults.java
@@ -42,7 +42,7 @@
     }
 
     /** Returns whether the link is faulty, or changed within the last {@code duration} ticks. */
-    public boolean faultyWithin(long duration) {
+    public boolean wasFaultyWithin(long duration) {
         return cut || loss > 0 || delay > 0 || System.nanoTime() / 100_000 - changedAt < duration;
     }
 
--- a/src/main/java/firstage/faulttest/NetworkLinks.java
+++ b/src/main/java/firstage/faulttest/NetworkLinks.java
@@ -95,7 +95,7 @@
 
     /** Returns whether the link to the engine is faulty or was within the last {@code ticks}. */
     boolean toEngineFaultyWithin(int manager, int engine, long ticks) {
-        return toEngine[manager][engine].faultyWithin(ticks);
+        return toEngine[manager][engine].wasFaultyWithin(ticks);
     }
 
     /**
