--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -207,7 +207,7 @@
     }
 
     /** Returns whether the traffic has ended and no try is open. */
-    public boolean idle() {
+    public boolean isIdle() {
         return loop.now() > endsAt
                 && openTries.stream()
                         .flatMap(Set::stream)
--- a/src/main/java/firstage/faulttest/FaultTestRun.java
+++ b/src/main/java/firstage/faulttest/FaultTestRun.java
@@ -145,7 +145,7 @@
     }
 
     private boolean isFinishedEarly() throws IOException {
-        return clock.elapsed() > plan.length() + EARLIEST_END && loop.call(generator::idle);
+        return clock.elapsed() > plan.length() + EARLIEST_END && loop.call(generator::isIdle);
     }
 
     private static void pause(long ms) {
