--- a/src/main/java/firstage/emulator/RealTimeLoop.java
+++ b/src/main/java/firstage/emulator/RealTimeLoop.java
@@ -30,7 +30,7 @@
     private final EventQueue events = new EventQueue(START);
     private final long startNs = System.nanoTime();
     private final long startMs = System.currentTimeMillis();
-    private final Histogram lateness = new Histogram(MAX_LATENESS_US, 2);
+    private final Histogram latenessHistogram = new Histogram(MAX_LATENESS_US, 2);
     private volatile boolean closed;
     private volatile long lastRoundNs = System.nanoTime();
     private final RecentPeak peakLateness = new RecentPeak();
@@ -107,7 +107,7 @@
         if (closed) {
             return;
         }
-        lateness.recordValue(
+        latenessHistogram.recordValue(
                 Math.min(MAX_LATENESS_US, Math.max(0, (System.nanoTime() - scheduledNs) / 1_000)));
         events.runUntil(now());
         recordPeak(scheduledNs);
@@ -133,8 +133,8 @@
      * Returns the distribution of the delays of the loop's thread, in microseconds. Long delays
      * show that the machine was overloaded, which invalidates the results of a run.
      */
-    public Histogram lateness() {
-        return lateness;
+    public Histogram latenessHistogram() {
+        return latenessHistogram;
     }
 
     @Override
--- a/src/main/java/firstage/faulttest/ResultEvaluator.java
+++ b/src/main/java/firstage/faulttest/ResultEvaluator.java
@@ -111,7 +111,7 @@
         figures.put("quiet after s", recoverySeconds());
         figures.put("processor s a manager", processorSeconds / plan.managers().count());
         figures.put("late 99th ms", lateness99thMs());
-        figures.put("late most ms", loop.lateness().getMaxValue() / 1e3);
+        figures.put("late most ms", loop.latenessHistogram().getMaxValue() / 1e3);
         return figures;
     }
 
@@ -152,7 +152,7 @@
     }
 
     private double lateness99thMs() {
-        return loop.lateness().getValueAtPercentile(99) / 1e3;
+        return loop.latenessHistogram().getValueAtPercentile(99) / 1e3;
     }
 
     /**
