--- a/src/main/java/firstage/emulator/EmulatedEngine.java
+++ b/src/main/java/firstage/emulator/EmulatedEngine.java
@@ -69,7 +69,7 @@
          * Returns the longest time, in ticks, for which data that is read now may have waited in
          * this process.
          */
-        long lateness();
+        long recentLateness();
     }
 
     private final class Statement implements EngineModel.Listener {
@@ -398,7 +398,7 @@
         if (observer.mayBeDelayed(clientTry.manager, number)) {
             return;
         }
-        long startedAt = loop.now() - observer.lateness();
+        long startedAt = loop.now() - observer.recentLateness();
         long maxMs = Long.parseLong(header(exchange, MAX_MS, "0"));
         rules.checkAttemptTimes(startedAt, clientTry, startedAt + Ticks.ofMillis(maxMs));
     }
--- a/src/main/java/firstage/faulttest/RunObserver.java
+++ b/src/main/java/firstage/faulttest/RunObserver.java
@@ -126,7 +126,7 @@
     }
 
     @Override
-    public long lateness() {
+    public long recentLateness() {
         return loop.recentLateness() + links.recentLateness();
     }
 
