--- a/src/main/java/firstage/faulttest/FaultTestExtension.java
+++ b/src/main/java/firstage/faulttest/FaultTestExtension.java
@@ -78,7 +78,7 @@
     default void onManagerEnding(int manager, boolean killed) {}
 
     /** Called on the loop's thread when a restarted manager serves again. */
-    default void onManagerUp(int manager) {}
+    default void onManagerRestarted(int manager) {}
 
     /** Waits until the extension's clients have finished; not called on the loop's thread. */
     default void awaitEnd() {}
--- a/src/main/java/firstage/faulttest/ManagerController.java
+++ b/src/main/java/firstage/faulttest/ManagerController.java
@@ -177,7 +177,7 @@
     private void onRestarted(int manager) {
         endExpected[manager] = false;
         generator.onManagerStateChanged(manager, true);
-        extension.onManagerUp(manager);
+        extension.onManagerRestarted(manager);
         recorder.writeEvent(
                 clock.elapsed(),
                 "serves",
--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -303,7 +303,7 @@
     }
 
     @Override
-    public void onManagerUp(int manager) {
+    public void onManagerRestarted(int manager) {
         endingSince.remove(manager);
         killedManagers.remove(manager);
     }
