--- a/src/main/java/firstage/faulttest/FaultTestExtension.java
+++ b/src/main/java/firstage/faulttest/FaultTestExtension.java
@@ -81,7 +81,7 @@
     default void onManagerRestarted(int manager) {}
 
     /** Waits until the extension's clients have finished; not called on the loop's thread. */
-    default void awaitEnd() {}
+    default void awaitClients() {}
 
     /** Returns violations other than those that the rule checker found. */
     default List<String> violations() {
--- a/src/main/java/firstage/faulttest/FaultTestRun.java
+++ b/src/main/java/firstage/faulttest/FaultTestRun.java
@@ -139,7 +139,7 @@
                                     clock.elapsed() / 1e4,
                                     plan.length() / 1e4));
         }
-        extension.awaitEnd();
+        extension.awaitClients();
         double processorSeconds = managers.shutDownAll();
         return loop.call(() -> conclude(processorSeconds));
     }
--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -309,7 +309,7 @@
     }
 
     @Override
-    public void awaitEnd() {
+    public void awaitClients() {
         long deadlineNs = System.nanoTime() + CLIENT_TIMEOUT_MS * 1_000_000L;
         for (Thread thread : List.copyOf(threads)) {
             try {
