--- a/src/test/java/firstage/server/CancellationIT.java
+++ b/src/test/java/firstage/server/CancellationIT.java
@@ -146,7 +146,7 @@
         Thread.sleep(130);
         ScriptedEngine secondEngine = newEngine();
         coordinator.publish(3, endpoint(2, secondEngine.port(), READY));
-        awaitUse(secondEngine);
+        sendRequestsUntilUsed(secondEngine);
         Thread.sleep(200);
         assertThat(secondEngine.calls().stream().map(HttpMessage::ticket))
                 .doesNotContain(JobIds.of(1));
@@ -247,7 +247,7 @@
         }
         Thread.sleep(400);
         manager.resume();
-        awaitUse(secondEngine);
+        sendRequestsUntilUsed(secondEngine);
         Thread.sleep(200);
         List<String> leftIds = new ArrayList<>();
         for (int i = 1; i <= 8; i++) {
--- a/src/test/java/firstage/server/DiscoveryIT.java
+++ b/src/test/java/firstage/server/DiscoveryIT.java
@@ -22,7 +22,7 @@
         ScriptedEngine secondEngine = newEngine();
         coordinator.publish(2, endpoint(1, engine.port(), DRAINING));
         coordinator.publish(3, endpoint(2, secondEngine.port(), READY));
-        awaitUse(secondEngine);
+        sendRequestsUntilUsed(secondEngine);
         coordinator.breakWatch();
         assertThat(coordinator.watchStarts().take()).isEqualTo(3L);
         coordinator.setUnresponsive(true);
--- a/src/test/java/firstage/server/ProcessPauseIT.java
+++ b/src/test/java/firstage/server/ProcessPauseIT.java
@@ -47,7 +47,7 @@
 
     /** Asserts that no request with these ids, whose clients left, is sent to the second engine. */
     private void assertNotSent(List<String> leftIds) throws Exception {
-        awaitUse(secondEngine);
+        sendRequestsUntilUsed(secondEngine);
         Thread.sleep(300);
         assertThat(secondEngine.calls().stream().map(HttpMessage::ticket))
                 .doesNotContainAnyElementsOf(leftIds);
--- a/src/test/java/firstage/server/ReloadIT.java
+++ b/src/test/java/firstage/server/ReloadIT.java
@@ -65,7 +65,7 @@
             assertThat(nextCoordinator.watchStarts().take()).isEqualTo(2L);
         }
         nextCoordinator.publish(3, endpoint(2, secondEngine.port(), READY));
-        awaitUse(secondEngine);
+        sendRequestsUntilUsed(secondEngine);
         assertThat(coordinator.watchStarts()).isEmpty();
     }
 
@@ -81,7 +81,7 @@
         manager.reload(configWithCoordinator(nextCoordinator.port()));
         assertThat(nextCoordinator.watchStarts().take()).isEqualTo(1L);
         nextCoordinator.publish(2, endpoint(2, secondEngine.port(), READY));
-        awaitUse(secondEngine);
+        sendRequestsUntilUsed(secondEngine);
         manager.awaitLog("SIGHUP ignored");
     }
 
