--- a/src/test/java/firstage/server/CancellationIT.java
+++ b/src/test/java/firstage/server/CancellationIT.java
@@ -2,7 +2,7 @@
 
 import static firstage.fixtures.EngineWire.DELETE;
 import static firstage.fixtures.EngineWire.DELETED;
-import static firstage.fixtures.EngineWire.NO_NEWS;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.EngineWire.POST_STATEMENT;
 import static firstage.fixtures.EngineWire.SHED;
@@ -39,13 +39,13 @@
 class CancellationIT extends ManagerFixture {
     @Test
     void request_closedOrDeletedByClient_isDeletedAtEngine() throws Exception {
-        engine.respondWith(call -> call.isGet() ? NO_NEWS : call.isDelete() ? DELETED : SILENCE);
+        engine.respondWith(call -> call.isGet() ? STILL_RUNNING : call.isDelete() ? DELETED : SILENCE);
         try (QueryClient client = newClient()) {
             client.sendRequest(REPORT, "", "SELECT 1", 9000);
             engine.awaitCall(POST_STATEMENT);
         }
         assertThat(engine.awaitCall(DELETE).startLine()).endsWith(JobIds.of(1));
-        engine.respondWith(call -> call.isDelete() ? DELETED : NO_NEWS);
+        engine.respondWith(call -> call.isDelete() ? DELETED : STILL_RUNNING);
         try (QueryClient client = newClient();
                 QueryClient otherClient = newClient()) {
             String path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
@@ -74,7 +74,7 @@
     /** The call that the client holds open must not end without a response. */
     @Test
     void heldCall_deletedOnAnotherConnection_isAnsweredAsFailed() throws Exception {
-        engine.respondWith(call -> call.isDelete() ? DELETED : NO_NEWS);
+        engine.respondWith(call -> call.isDelete() ? DELETED : STILL_RUNNING);
         try (QueryClient client = newClient();
                 QueryClient otherClient = newClient()) {
             String path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
--- a/src/test/java/firstage/server/ClientErrorsIT.java
+++ b/src/test/java/firstage/server/ClientErrorsIT.java
@@ -1,6 +1,6 @@
 package firstage.server;
 
-import static firstage.fixtures.EngineWire.NO_NEWS;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.ManagerSettings.LOOKUP;
 import static firstage.fixtures.ManagerSettings.REPORT;
@@ -31,7 +31,7 @@
 
     @Test
     void jobId_ofOpenRequest_isRefused() throws Exception {
-        engine.respondWith(call -> NO_NEWS);
+        engine.respondWith(call -> STILL_RUNNING);
         try (QueryClient client = newClient();
                 QueryClient otherClient = newClient()) {
             HttpMessage first = client.request(REPORT, "", "SELECT 1", 9000);
@@ -53,7 +53,7 @@
                 "Transfer-Encoding: chunked\r\n\r\nffffff\r\n"
             })
     void ambiguousBody_isAnswered_andConnectionClosed(String body) throws Exception {
-        engine.respondWith(call -> NO_NEWS);
+        engine.respondWith(call -> STILL_RUNNING);
         try (QueryClient client = newClient()) {
             String head = "POST /ops/lookup HTTP/1.1\r\nHost: h\r\n" + client.requestHeaders(5000);
             client.sendBytes((head + body).getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/firstage/server/ConnectionsIT.java
+++ b/src/test/java/firstage/server/ConnectionsIT.java
@@ -2,7 +2,7 @@
 
 import static firstage.fixtures.ClientWire.ALIVE_PATH;
 import static firstage.fixtures.ClientWire.ONE_ROW_JSON;
-import static firstage.fixtures.EngineWire.NO_NEWS;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.EngineWire.POST_STATEMENT;
 import static firstage.fixtures.EngineWire.TICKET;
@@ -46,7 +46,7 @@
     @Test
     void requests_noSpareDescriptors_areStillAnswered() throws Exception {
         manager.restart(withSockets(config(), 99));
-        engine.respondWith(call -> call.isGet() ? ONE_ROW : NO_NEWS);
+        engine.respondWith(call -> call.isGet() ? ONE_ROW : STILL_RUNNING);
         List<QueryClient> clients = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             clients.add(newClient());
--- a/src/test/java/firstage/server/KeyOrderIT.java
+++ b/src/test/java/firstage/server/KeyOrderIT.java
@@ -5,7 +5,7 @@
 import static firstage.fixtures.EngineWire.DELETE;
 import static firstage.fixtures.EngineWire.DELETED;
 import static firstage.fixtures.EngineWire.GET_STATEMENT;
-import static firstage.fixtures.EngineWire.NO_NEWS;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.EngineWire.POST_STATEMENT;
 import static firstage.fixtures.EngineWire.SILENCE;
@@ -29,7 +29,7 @@
 class KeyOrderIT extends ManagerFixture {
     @Test
     void nextOfKey_cancelUnconfirmed_waits() throws Exception {
-        engine.respondWith(call -> call.isDelete() ? SILENCE : NO_NEWS);
+        engine.respondWith(call -> call.isDelete() ? SILENCE : STILL_RUNNING);
         try (QueryClient first = newClient()) {
             first.sendRequest(LOAD, orderingKey("7f"), "INSERT INTO sales_3.t", 9000);
             engine.awaitCall(POST_STATEMENT);
@@ -61,7 +61,7 @@
                     if (call.isGet()) {
                         heldPoll.await();
                     }
-                    return call.isDelete() ? DELETED : NO_NEWS;
+                    return call.isDelete() ? DELETED : STILL_RUNNING;
                 });
         ScriptedEngine secondEngine = newEngine();
         try (QueryClient first = newClient()) {
--- a/src/test/java/firstage/server/ReloadIT.java
+++ b/src/test/java/firstage/server/ReloadIT.java
@@ -1,6 +1,6 @@
 package firstage.server;
 
-import static firstage.fixtures.EngineWire.NO_NEWS;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.ManagerSettings.LOOKUP;
 import static firstage.fixtures.ManagerSettings.REPORT;
@@ -29,7 +29,7 @@
         coordinator.watchStarts().take();
         ScriptedCoordinator nextCoordinator = newCoordinator();
         ScriptedEngine secondEngine = newEngine();
-        engine.respondWith(call -> NO_NEWS);
+        engine.respondWith(call -> STILL_RUNNING);
         try (QueryClient reportClient = newClient();
                 QueryClient client = newClient()) {
             String path = reportClient.request(REPORT, "", "SELECT 1", 9000).pollPath();
--- a/src/test/java/firstage/server/RequestsIT.java
+++ b/src/test/java/firstage/server/RequestsIT.java
@@ -5,7 +5,7 @@
 import static firstage.fixtures.ClientWire.orderingKey;
 import static firstage.fixtures.EngineWire.GRANT_MB;
 import static firstage.fixtures.EngineWire.MAX_MS;
-import static firstage.fixtures.EngineWire.NO_NEWS;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.EngineWire.POST_STATEMENT;
 import static firstage.fixtures.EngineWire.QUEUE;
@@ -89,7 +89,7 @@
 
     @Test
     void heldCall_brokenByClient_isAnsweredOnNextCall() throws Exception {
-        engine.respondWith(call -> NO_NEWS);
+        engine.respondWith(call -> STILL_RUNNING);
         String path;
         try (QueryClient client = newClient()) {
             path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
--- a/src/test/java/firstage/server/RetriesIT.java
+++ b/src/test/java/firstage/server/RetriesIT.java
@@ -4,7 +4,7 @@
 import static firstage.fixtures.ClientWire.orderingKey;
 import static firstage.fixtures.EngineWire.ENDLESS;
 import static firstage.fixtures.EngineWire.GET_STATEMENT;
-import static firstage.fixtures.EngineWire.NO_NEWS;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.EngineWire.RESET;
 import static firstage.fixtures.EngineWire.SILENCE;
@@ -59,7 +59,7 @@
                             ? page("Page-No: 1", "")
                             : JobIds.of(2).equals(call.ticket())
                                     ? page("Page-Count: 2", "a\tb\tc\n")
-                                    : NO_NEWS;
+                                    : STILL_RUNNING;
                 });
         try (QueryClient client = newClient();
                 QueryClient otherClient = newClient()) {
--- a/src/test/java/firstage/server/ShutdownIT.java
+++ b/src/test/java/firstage/server/ShutdownIT.java
@@ -3,7 +3,7 @@
 import static firstage.fixtures.ClientWire.ONE_ROW_JSON;
 import static firstage.fixtures.EngineWire.DELETE;
 import static firstage.fixtures.EngineWire.DELETED;
-import static firstage.fixtures.EngineWire.NO_NEWS;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.EngineWire.POST_STATEMENT;
 import static firstage.fixtures.EngineWire.page;
@@ -30,7 +30,7 @@
 class ShutdownIT extends ManagerFixture {
     @Test
     void sigterm_requestsOpen_allAnsweredAndExitStatusZero() throws Exception {
-        engine.respondWith(call -> NO_NEWS);
+        engine.respondWith(call -> STILL_RUNNING);
         try (QueryClient client = newClient()) {
             String path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
             client.sendGet(path);
@@ -49,7 +49,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void sigterm_requestRunsTooLong_isRejectedBeforeKill(boolean repeatSignal) throws Exception {
-        engine.respondWith(call -> call.isDelete() ? DELETED : NO_NEWS);
+        engine.respondWith(call -> call.isDelete() ? DELETED : STILL_RUNNING);
         try (QueryClient client = newClient()) {
             String path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
             client.sendGet(path);
@@ -76,7 +76,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"GET ", "DELETE "})
     void sigterm_clientReconnects_isServed(String method) throws Exception {
-        engine.respondWith(call -> call.isDelete() ? DELETED : NO_NEWS);
+        engine.respondWith(call -> call.isDelete() ? DELETED : STILL_RUNNING);
         String path;
         try (QueryClient client = newClient()) {
             path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
@@ -117,7 +117,7 @@
     /** The last answer is lost with its connection, and its client polls again at once. */
     @Test
     void sigterm_lastAnswerLost_isGivenAgain() throws Exception {
-        engine.respondWith(call -> NO_NEWS);
+        engine.respondWith(call -> STILL_RUNNING);
         String path;
         try (QueryClient client = newClient()) {
             path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
--- a/src/test/java/firstage/server/SystemCallFaultsIT.java
+++ b/src/test/java/firstage/server/SystemCallFaultsIT.java
@@ -1,7 +1,7 @@
 package firstage.server;
 
 import static firstage.fixtures.EngineWire.MAX_MS;
-import static firstage.fixtures.EngineWire.NO_NEWS;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.EngineWire.POST_STATEMENT;
 import static firstage.fixtures.ManagerSettings.LOOKUP;
@@ -91,7 +91,7 @@
     @Test
     void engineConnections_break_attemptGoesOn() throws Exception {
         engine.calls().clear();
-        engine.respondWith(call -> NO_NEWS);
+        engine.respondWith(call -> STILL_RUNNING);
         try (QueryClient client = newClient()) {
             client.sendRequest(REPORT, "", "SELECT 1", 9000);
             Thread.sleep(200);
