--- a/src/test/java/firstage/server/RetriesIT.java
+++ b/src/test/java/firstage/server/RetriesIT.java
@@ -2,7 +2,7 @@
 
 import static firstage.fixtures.ClientWire.ONE_ROW_JSON;
 import static firstage.fixtures.ClientWire.orderingKey;
-import static firstage.fixtures.EngineWire.ENDLESS;
+import static firstage.fixtures.EngineWire.ENDLESS_HEAD;
 import static firstage.fixtures.EngineWire.GET_STATEMENT;
 import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.ONE_ROW;
@@ -187,7 +187,7 @@
                 "HTTP/1.1 200 OK\r\n",
                 RESET,
                 SILENCE,
-                ENDLESS,
+                ENDLESS_HEAD,
                 "HTTP/1.1 2",
                 "HTTP/1.1 200 OK\r\nPage-Co",
                 "HTTP/1.1 200 OK\r\nPage-Count: 1\r\n\r\na\tb\tc\n",
