--- a/src/test/java/firstage/server/DiscoveryIT.java
+++ b/src/test/java/firstage/server/DiscoveryIT.java
@@ -61,7 +61,7 @@
         ScriptedEngine secondEngine = newEngine();
         ScriptedEngine thirdEngine = newEngine();
         coordinator.setSendingInPieces(true);
-        coordinator.publishLater(2, FULL_LIST, endpoint(2, secondEngine.port(), READY));
+        coordinator.publishToLaterWatches(2, FULL_LIST, endpoint(2, secondEngine.port(), READY));
         manager.start(config());
         manager.awaitAlive();
         try (QueryClient client = newClient()) {
@@ -87,8 +87,8 @@
     void start_listUnconfirmedByCoordinator_nothingIsSent() throws Exception {
         manager.kill();
         ScriptedEngine secondEngine = newEngine();
-        coordinator.publishLater(2, CHANGE, endpoint(1, engine.port(), DRAINING));
-        coordinator.publishLater(3, CHANGE, endpoint(2, secondEngine.port(), READY));
+        coordinator.publishToLaterWatches(2, CHANGE, endpoint(1, engine.port(), DRAINING));
+        coordinator.publishToLaterWatches(3, CHANGE, endpoint(2, secondEngine.port(), READY));
         CountDownLatch heldWatches = coordinator.holdNewWatches();
         manager.start(config());
         manager.awaitAlive();
--- a/src/test/java/firstage/server/ReloadIT.java
+++ b/src/test/java/firstage/server/ReloadIT.java
@@ -34,8 +34,8 @@
                 QueryClient client = newClient()) {
             String path = reportClient.request(REPORT, "", "SELECT 1", 9000).pollPath();
             reportClient.sendGet(path);
-            nextCoordinator.publishLater(2, CHANGE, endpoint(2, secondEngine.port(), READY));
-            nextCoordinator.publishLater(3, CHANGE, endpoint(1, engine.port(), DRAINING));
+            nextCoordinator.publishToLaterWatches(2, CHANGE, endpoint(2, secondEngine.port(), READY));
+            nextCoordinator.publishToLaterWatches(3, CHANGE, endpoint(1, engine.port(), DRAINING));
             manager.reload(configWithCoordinator(nextCoordinator.port()));
             manager.awaitLog("event=3");
             for (int i = 0; i < 10; i++) {
