--- a/src/test/java/firstage/server/ConnectionsIT.java
+++ b/src/test/java/firstage/server/ConnectionsIT.java
@@ -80,7 +80,7 @@
                 assertThat(client.get(ALIVE_PATH).status()).isEqualTo(200);
             }
         }
-        coordinator.breakWatch();
+        coordinator.closeWatch();
         ScriptedEngine secondEngine = newEngine();
         coordinator.publish(2, endpoint(2, secondEngine.port(), READY));
         coordinator.publish(3, endpoint(1, engine.port(), DRAINING));
--- a/src/test/java/firstage/server/DiscoveryIT.java
+++ b/src/test/java/firstage/server/DiscoveryIT.java
@@ -23,7 +23,7 @@
         coordinator.publish(2, endpoint(1, engine.port(), DRAINING));
         coordinator.publish(3, endpoint(2, secondEngine.port(), READY));
         sendRequestsUntilUsed(secondEngine);
-        coordinator.breakWatch();
+        coordinator.closeWatch();
         assertThat(coordinator.watchStarts().take()).isEqualTo(3L);
         coordinator.setUnresponsive(true);
         assertThat(coordinator.watchStarts().take()).isEqualTo(3L);
