--- a/src/test/java/firstage/server/DiscoveryIT.java
+++ b/src/test/java/firstage/server/DiscoveryIT.java
@@ -25,7 +25,7 @@
         sendRequestsUntilUsed(secondEngine);
         coordinator.closeWatch();
         assertThat(coordinator.watchStarts().take()).isEqualTo(3L);
-        coordinator.setUnresponsive(true);
+        coordinator.setHeartbeatsSuppressed(true);
         assertThat(coordinator.watchStarts().take()).isEqualTo(3L);
     }
 
@@ -38,9 +38,9 @@
         assertThat(coordinator.watchStarts().take()).isEqualTo(1L);
         ScriptedEngine secondEngine = newEngine();
         coordinator.publishPart(2, CHANGE, endpoint(2, secondEngine.port(), READY), 20);
-        coordinator.setUnresponsive(true);
+        coordinator.setHeartbeatsSuppressed(true);
         assertThat(coordinator.watchStarts().take()).isEqualTo(1L);
-        coordinator.setUnresponsive(false);
+        coordinator.setHeartbeatsSuppressed(false);
         coordinator.publish(3, endpoint(1, engine.port(), DRAINING));
         manager.awaitLog("event=3");
         assertThat(manager.log()).contains("event=2").doesNotContain("malformed");
@@ -106,7 +106,7 @@
     @Test
     void start_coordinatorUnresponsive_waitsNotLongerThanOneSecond() throws Exception {
         manager.kill();
-        coordinator.setUnresponsive(true);
+        coordinator.setHeartbeatsSuppressed(true);
         manager.start(config());
         manager.awaitAlive();
         try (QueryClient client = newClient()) {
