--- a/src/test/java/firstage/soak/ClientScript.java
+++ b/src/test/java/firstage/soak/ClientScript.java
@@ -13,7 +13,7 @@
  * @param leaveAfterMs time from the sending of the first request until the client leaves
  * @param bodyDelayMs pause between head and body of the first request; 0 to send it in one piece
  * @param repeats number of further requests on the connection, while it stays open
- * @param restMs pause before each further request
+ * @param idleMs pause before each further request
  */
 record ClientScript(
         int number,
@@ -26,7 +26,7 @@
         long leaveAfterMs,
         long bodyDelayMs,
         int repeats,
-        long restMs) {
+        long idleMs) {
     /** Ways in which a client leaves. */
     enum Departure {
         /** Stays until it has its answer. */
--- a/src/test/java/firstage/soak/SoakClient.java
+++ b/src/test/java/firstage/soak/SoakClient.java
@@ -102,7 +102,7 @@
         try {
             boolean connectionUsable = runRequest(script.departure(), false);
             for (int i = 0; i < script.repeats() && connectionUsable; i++) {
-                sleep(script.restMs());
+                sleep(script.idleMs());
                 connectionUsable = runRequest(Departure.STAYS, true);
             }
         } finally {
