--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -351,7 +351,7 @@
     }
 
     @Override
-    public ClientTry open(ClientScript script, String id, long deadline) {
+    public ClientTry registerTry(ClientScript script, String id, long deadline) {
         int number = requests.incrementAndGet();
         RandomGenerator random = new RandomStreams(seed).stream("work", number);
         TrueRequest request =
--- a/src/test/java/firstage/soak/SoakClient.java
+++ b/src/test/java/firstage/soak/SoakClient.java
@@ -45,7 +45,7 @@
         Socket connect(int manager, int timeoutMs, boolean forRequest) throws IOException;
 
         /** Registers a request just before its last byte is sent. */
-        ClientTry open(ClientScript script, String id, long deadline);
+        ClientTry registerTry(ClientScript script, String id, long deadline);
 
         /** Reports that a client left, at the time {@code at} or before. */
         void left(ClientTry clientTry, Departure departure, long at);
@@ -166,7 +166,7 @@
             sleep(script.bodyDelayMs());
         }
         deadline = environment.now() + Ticks.ofMillis(script.timeoutMs());
-        clientTry = environment.open(script, id, deadline);
+        clientTry = environment.registerTry(script, id, deadline);
         send(inPieces ? statement : head + statement);
         sentAt = environment.now();
     }
