--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -377,7 +377,7 @@
     }
 
     @Override
-    public void left(ClientTry clientTry, Departure departure, long at) {
+    public void onClientLeft(ClientTry clientTry, Departure departure, long at) {
         if (departure != Departure.STAYS) {
             departures.incrementAndGet();
         }
--- a/src/test/java/firstage/soak/SoakClient.java
+++ b/src/test/java/firstage/soak/SoakClient.java
@@ -48,7 +48,7 @@
         ClientTry registerTry(ClientScript script, String id, long deadline);
 
         /** Reports that a client left, at the time {@code at} or before. */
-        void left(ClientTry clientTry, Departure departure, long at);
+        void onClientLeft(ClientTry clientTry, Departure departure, long at);
 
         /** Reports the final answer to a request. */
         void answered(ClientTry clientTry, HttpMessage answer);
@@ -280,7 +280,7 @@
             case DELETES_ON_NEW_CONNECTION -> deleteOnNewConnection();
             case CLOSES_AND_DELETES -> {
                 socket.close();
-                environment.left(clientTry, departure, environment.now());
+                environment.onClientLeft(clientTry, departure, environment.now());
                 deleteOnNewConnection();
             }
             case VANISHES -> {
@@ -289,7 +289,7 @@
             }
             case STAYS -> throw new IllegalStateException("a client that stays does not leave");
         }
-        environment.left(clientTry, departure, environment.now());
+        environment.onClientLeft(clientTry, departure, environment.now());
         if (departure == Departure.DELETES_ON_NEW_CONNECTION
                 || departure == Departure.DELETES_ON_SAME_CONNECTION
                 || departure == Departure.HALF_CLOSES) {
@@ -317,7 +317,7 @@
         }
         Socket cancelSocket = environment.connect(script.manager(), CONNECT_TIMEOUT_MS, false);
         sendDelete(cancelSocket);
-        environment.left(clientTry, script.departure(), environment.now());
+        environment.onClientLeft(clientTry, script.departure(), environment.now());
         cancelSocket.setSoTimeout(CONNECT_TIMEOUT_MS);
         try {
             HttpMessage.read(cancelSocket.getInputStream());
@@ -342,7 +342,7 @@
             environment.notAccepted(clientTry);
         } else if (clientTry.hasClientLeft() || path != null || crossed) {
             // A real client leaves or sends its request again elsewhere: this try must not run.
-            environment.left(clientTry, script.departure(), environment.now());
+            environment.onClientLeft(clientTry, script.departure(), environment.now());
         } else {
             environment.violation(clientTry, "closed without an answer: " + failure);
         }
