--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -397,7 +397,7 @@
     }
 
     @Override
-    public void answered(ClientTry clientTry, HttpMessage answer) {
+    public void onAnswered(ClientTry clientTry, HttpMessage answer) {
         boolean rejected = answer.status() == 503 || answer.status() == 429;
         long at = now();
         long pauseAfterDeadline = Math.max(0, pausedUntil(clientTry.manager) - clientTry.deadline);
--- a/src/test/java/firstage/soak/SoakClient.java
+++ b/src/test/java/firstage/soak/SoakClient.java
@@ -51,7 +51,7 @@
         void onClientLeft(ClientTry clientTry, Departure departure, long at);
 
         /** Reports the final answer to a request. */
-        void answered(ClientTry clientTry, HttpMessage answer);
+        void onAnswered(ClientTry clientTry, HttpMessage answer);
 
         /** Reports a request that its manager did not accept, or whose manager ended. */
         void notAccepted(ClientTry clientTry);
@@ -222,7 +222,7 @@
                 return false;
             }
             if (!response.hasPollPath()) {
-                environment.answered(clientTry, response);
+                environment.onAnswered(clientTry, response);
                 return !"close".equalsIgnoreCase(response.headers().get("connection"));
             }
             path = response.pollPath();
@@ -255,7 +255,7 @@
                 break;
             }
             if (!response.hasPollPath()) {
-                environment.answered(clientTry, response);
+                environment.onAnswered(clientTry, response);
                 return false;
             }
             path = response.pollPath();
