--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -412,7 +412,7 @@
     }
 
     @Override
-    public void notAccepted(ClientTry clientTry) {
+    public void onNotAccepted(ClientTry clientTry) {
         test.loop().execute(() -> test.rules().onNeverAccepted(clientTry));
     }
 
--- a/src/test/java/firstage/soak/SoakClient.java
+++ b/src/test/java/firstage/soak/SoakClient.java
@@ -54,7 +54,7 @@
         void onAnswered(ClientTry clientTry, HttpMessage answer);
 
         /** Reports a request that its manager did not accept, or whose manager ended. */
-        void notAccepted(ClientTry clientTry);
+        void onNotAccepted(ClientTry clientTry);
 
         /** Reports a violation that the client detected. */
         void violation(ClientTry clientTry, String description);
@@ -118,7 +118,7 @@
             sendRequest();
         } catch (IOException closed) {
             if (clientTry != null) {
-                environment.notAccepted(clientTry);
+                environment.onNotAccepted(clientTry);
             }
             return false;
         }
@@ -339,7 +339,7 @@
                         && Ticks.toMillis(environment.now() - sentAt) <= CROSSING_MS
                         && path == null;
         if (environment.endedSince(script.manager(), connectedAt)) {
-            environment.notAccepted(clientTry);
+            environment.onNotAccepted(clientTry);
         } else if (clientTry.hasClientLeft() || path != null || crossed) {
             // A real client leaves or sends its request again elsewhere: this try must not run.
             environment.onClientLeft(clientTry, script.departure(), environment.now());
