--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -417,7 +417,7 @@
     }
 
     @Override
-    public void violation(ClientTry clientTry, String description) {
+    public void onViolation(ClientTry clientTry, String description) {
         long at = test.elapsed();
         test.loop()
                 .execute(
--- a/src/test/java/firstage/soak/SoakClient.java
+++ b/src/test/java/firstage/soak/SoakClient.java
@@ -57,7 +57,7 @@
         void onNotAccepted(ClientTry clientTry);
 
         /** Reports a violation that the client detected. */
-        void violation(ClientTry clientTry, String description);
+        void onViolation(ClientTry clientTry, String description);
 
         /** Returns the end of the manager's latest pause, in ticks; 0 if it was never paused. */
         long pausedUntil(int manager);
@@ -217,7 +217,7 @@
                     continue;
                 }
                 if (!environment.endedSince(script.manager(), connectedAt)) {
-                    environment.violation(clientTry, "never answered");
+                    environment.onViolation(clientTry, "never answered");
                 }
                 return false;
             }
@@ -344,7 +344,7 @@
             // A real client leaves or sends its request again elsewhere: this try must not run.
             environment.onClientLeft(clientTry, script.departure(), environment.now());
         } else {
-            environment.violation(clientTry, "closed without an answer: " + failure);
+            environment.onViolation(clientTry, "closed without an answer: " + failure);
         }
         return false;
     }
