--- a/src/main/java/firstage/cli/ScaleRunCommand.java
+++ b/src/main/java/firstage/cli/ScaleRunCommand.java
@@ -76,8 +76,8 @@
         ScaleRun.Result result = runPlan(plan, effectivePlan, folder, command);
         ScaleFigures.writeJson(folder.resolve("figures.json"), result.figures());
         ScaleFigures.writeCsv(folder.resolve("figures.csv"), List.of(result.figures()));
-        boolean completed = result.isVoid() == null;
-        System.out.println(completed ? "completed" : "void: " + result.isVoid());
+        boolean completed = result.voidReason() == null;
+        System.out.println(completed ? "completed" : "void: " + result.voidReason());
         result.figures()
                 .forEach(
                         (figure, value) ->
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -130,7 +130,7 @@
      *
      * @param isVoid reason why some figures are void, or null if all figures are valid
      */
-    public record Result(Map<String, Double> figures, String isVoid) {}
+    public record Result(Map<String, Double> figures, String voidReason) {}
 
     private final Order parameters;
     private final ScalePlan plan;
