--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -15,7 +15,7 @@
  * The plan of a scale run, read from TOML in the same way as fleet and fault-test plans. All times
  * are ticks.
  *
- * @param settle time from the start of the managers to the first measurement
+ * @param settlingTime time from the start of the managers to the first measurement
  * @param length time from the end of the loads to the end of the run, in which the events happen
  * @param hollow number of hollow managers
  * @param real number of real managers
@@ -27,7 +27,7 @@
  */
 public record ScalePlan(
         String name,
-        long settle,
+        long settlingTime,
         long length,
         List<String> zones,
         int hollow,
@@ -195,7 +195,7 @@
                             + Math.max(1, minCellsPerZone)
                             + " or less");
         }
-        if (length > MAX_LENGTH || settle > MAX_LENGTH) {
+        if (length > MAX_LENGTH || settlingTime > MAX_LENGTH) {
             throw root.invalid(
                     "length",
                     "length or settle is over "
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -236,7 +236,7 @@
         long startedAt = System.currentTimeMillis();
         sendToAll("go " + startedAt);
         phases.put("start", completeSeconds());
-        long settledAt = startedAt + plan.settle() / 10;
+        long settledAt = startedAt + plan.settlingTime() / 10;
         while (System.currentTimeMillis() < settledAt) {
             pause();
         }
--- a/src/test/java/firstage/scale/ScaleIT.java
+++ b/src/test/java/firstage/scale/ScaleIT.java
@@ -139,7 +139,7 @@
                                 ScaleRun.check(
                                         new ScalePlan(
                                                 large.name(),
-                                                large.settle(),
+                                                large.settlingTime(),
                                                 large.length(),
                                                 large.zones(),
                                                 400_000,
