--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -17,7 +17,7 @@
  *
  * @param settlingTime time from the start of the managers to the first measurement
  * @param length time from the end of the loads to the end of the run, in which the events happen
- * @param hollow number of hollow managers
+ * @param hollowManagers number of hollow managers
  * @param real number of real managers
  * @param cell managers in a cell; 0 for a fleet without cells
  * @param spread number of cells that share an engine
@@ -30,7 +30,7 @@
         long settlingTime,
         long length,
         List<String> zones,
-        int hollow,
+        int hollowManagers,
         int real,
         int cell,
         int spread,
@@ -215,7 +215,7 @@
 
     /** Returns the number of managers, hollow and real. */
     public int managers() {
-        return hollow + real;
+        return hollowManagers + real;
     }
 
     /** Returns the number of cells; 1 for a fleet without cells. */
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -177,7 +177,7 @@
     public static double estimatedMemoryMb(ScalePlan plan) {
         int processCount = processCount(plan);
         return processCount * HOLLOW_PROCESS_MB
-                + plan.hollow() * (HOLLOW_MANAGER_MB + KNOWN_MANAGER_MB * plan.together())
+                + plan.hollowManagers() * (HOLLOW_MANAGER_MB + KNOWN_MANAGER_MB * plan.together())
                 + plan.real() * REAL_MANAGER_MB;
     }
 
@@ -753,7 +753,7 @@
                         process.lines().get(second).figure(name)
                                 - process.lines().get(second - 1).figure(name);
             }
-            worst = Math.max(worst, increase / plan.hollow());
+            worst = Math.max(worst, increase / plan.hollowManagers());
         }
         return worst;
     }
@@ -816,7 +816,7 @@
                 "heap of a manager, KB",
                 hollowProcesses.stream().mapToDouble(h -> h.last().figure("heap bytes")).sum()
                         / 1_024
-                        / plan.hollow());
+                        / plan.hollowManagers());
         putFigure(
                 "heap of a process, MB",
                 hollowProcesses.stream()
