--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -18,7 +18,7 @@
  * @param settlingTime time from the start of the managers to the first measurement
  * @param length time from the end of the loads to the end of the run, in which the events happen
  * @param hollowManagers number of hollow managers
- * @param real number of real managers
+ * @param realManagers number of real managers
  * @param cell managers in a cell; 0 for a fleet without cells
  * @param spread number of cells that share an engine
  * @param engines number of engines
@@ -31,7 +31,7 @@
         long length,
         List<String> zones,
         int hollowManagers,
-        int real,
+        int realManagers,
         int cell,
         int spread,
         int engines,
@@ -171,7 +171,7 @@
     }
 
     private void check(TomlSection managers, TomlSection root) {
-        if (!loads.isEmpty() && real == 0) {
+        if (!loads.isEmpty() && realManagers == 0) {
             throw managers.invalid("real", "a load needs a real manager; use at least 1");
         }
         if (cell > 0 && managers() % cell != 0) {
@@ -215,7 +215,7 @@
 
     /** Returns the number of managers, hollow and real. */
     public int managers() {
-        return hollowManagers + real;
+        return hollowManagers + realManagers;
     }
 
     /** Returns the number of cells; 1 for a fleet without cells. */
@@ -247,7 +247,7 @@
      * turn, then slot 1, and so on.
      */
     public boolean isReal(int manager) {
-        return slotOf(manager) * cells() + cellOf(manager) < real;
+        return slotOf(manager) * cells() + cellOf(manager) < realManagers;
     }
 
     public String zoneOf(int manager) {
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -169,7 +169,7 @@
                         ManagerProcesses.processListFolder()
                                 .resolve("scale-" + addresses.port() + ".held"),
                         ManagerProcesses.command(parameters.serveCommand, parameters.jar),
-                        Math.max(1, plan.real()));
+                        Math.max(1, plan.realManagers()));
         Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
@@ -178,7 +178,7 @@
         int processCount = processCount(plan);
         return processCount * HOLLOW_PROCESS_MB
                 + plan.hollowManagers() * (HOLLOW_MANAGER_MB + KNOWN_MANAGER_MB * plan.together())
-                + plan.real() * REAL_MANAGER_MB;
+                + plan.realManagers() * REAL_MANAGER_MB;
     }
 
     /** Returns the number of hollow processes. */
@@ -211,11 +211,11 @@
                             estimatedMemoryMb(plan),
                             machineMb));
         }
-        if (processCount(plan) + plan.real() > MAX_PROCESSES) {
+        if (processCount(plan) + plan.realManagers() > MAX_PROCESSES) {
             throw new InvalidPlanException(
                     0,
                     processCount(plan)
-                            + plan.real()
+                            + plan.realManagers()
                             + " processes are over the limit of "
                             + MAX_PROCESSES
                             + "; raise managers.in_a_process");
@@ -241,7 +241,7 @@
             pause();
         }
         putFigure("managers", plan.managers());
-        putFigure("real", plan.real());
+        putFigure("real", plan.realManagers());
         putFigure("cell", plan.cell());
         putFigure("engines", plan.engines());
         putFigure(
@@ -476,8 +476,8 @@
         Map<HollowWorkerProcess, HollowWorkerProcess.Line> before =
                 hollowProcesses.stream()
                         .collect(Collectors.toMap(h -> h, HollowWorkerProcess::last));
-        double[] cpu = new double[plan.real()];
-        for (int i = 0; i < plan.real(); i++) {
+        double[] cpu = new double[plan.realManagers()];
+        for (int i = 0; i < plan.realManagers(); i++) {
             cpu[i] = cpuMs(i);
         }
         long startMs = System.currentTimeMillis();
@@ -503,14 +503,14 @@
         double elapsedS = (System.currentTimeMillis() - startMs) / 1e3;
         putFigure(
                 "steady: coordinator's bytes a s", (watches.bytes() - listBytesBefore) / elapsedS);
-        for (int i = 0; i < plan.real(); i++) {
+        for (int i = 0; i < plan.realManagers(); i++) {
             cpu[i] = (cpuMs(i) - cpu[i]) / elapsedS;
         }
         putFigure(
                 "steady: processor of a real one, ms a s", Arrays.stream(cpu).average().orElse(0));
         putFigure(
                 "steady: resident MB of a real one",
-                IntStream.range(0, plan.real()).mapToDouble(this::residentMb).average().orElse(0));
+                IntStream.range(0, plan.realManagers()).mapToDouble(this::residentMb).average().orElse(0));
         putFigure("steady: engines held", sumOfLast("engines held") / managersUp);
         putFigure(
                 "steady: fewest cells heard",
@@ -825,17 +825,17 @@
                                 .orElse(0)
                         / 1048576);
         double datagramBytes = 0;
-        for (int i = 0; i < plan.real(); i++) {
+        for (int i = 0; i < plan.realManagers(); i++) {
             realManagers.signal(i, "TERM");
         }
-        for (int i = 0; i < plan.real(); i++) {
+        for (int i = 0; i < plan.realManagers(); i++) {
             realManagers.awaitExit(i, 10_000);
             Matcher matcher = DATAGRAM_BYTES.matcher(Files.readString(realManagers.logFile(i)));
             datagramBytes += matcher.find() ? Double.parseDouble(matcher.group(1)) : 0;
         }
         putFigure(
                 "a real one: datagrams' bytes in all",
-                plan.real() == 0 ? 0 : datagramBytes / plan.real());
+                plan.realManagers() == 0 ? 0 : datagramBytes / plan.realManagers());
         writeSeconds();
     }
 
