--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -19,7 +19,7 @@
  * @param length time from the end of the loads to the end of the run, in which the events happen
  * @param hollowManagers number of hollow managers
  * @param realManagers number of real managers
- * @param cell managers in a cell; 0 for a fleet without cells
+ * @param cellSize managers in a cell; 0 for a fleet without cells
  * @param spread number of cells that share an engine
  * @param engines number of engines
  * @param inAProcess maximum number of managers in a hollow process
@@ -32,7 +32,7 @@
         List<String> zones,
         int hollowManagers,
         int realManagers,
-        int cell,
+        int cellSize,
         int spread,
         int engines,
         int inAProcess,
@@ -174,19 +174,19 @@
         if (!loads.isEmpty() && realManagers == 0) {
             throw managers.invalid("real", "a load needs a real manager; use at least 1");
         }
-        if (cell > 0 && managers() % cell != 0) {
+        if (cellSize > 0 && managers() % cellSize != 0) {
             throw managers.invalid(
                     "hollow",
                     managers()
                             + " managers do not fill whole cells of "
-                            + cell
+                            + cellSize
                             + "; use "
-                            + (managers() / cell + 1) * cell
+                            + (managers() / cellSize + 1) * cellSize
                             + " managers in all");
         }
         long minCellsPerZone =
                 IntStream.range(0, zones.size()).map(zone -> cells(zone)).min().orElse(0);
-        if (cell > 0 && spread > minCellsPerZone) {
+        if (cellSize > 0 && spread > minCellsPerZone) {
             throw managers.invalid(
                     "spread",
                     "a zone has only "
@@ -220,7 +220,7 @@
 
     /** Returns the number of cells; 1 for a fleet without cells. */
     public int cells() {
-        return cell == 0 ? 1 : managers() / cell;
+        return cellSize == 0 ? 1 : managers() / cellSize;
     }
 
     private int cells(int zone) {
@@ -229,7 +229,7 @@
 
     /** Returns the number of managers in one membership: a cell, or the fleet without cells. */
     public int together() {
-        return cell == 0 ? managers() : cell;
+        return cellSize == 0 ? managers() : cellSize;
     }
 
     /** Returns the index of the manager's cell; 0 for a fleet without cells. */
@@ -251,14 +251,14 @@
     }
 
     public String zoneOf(int manager) {
-        return cell == 0
+        return cellSize == 0
                 ? zones.get(manager % zones.size())
                 : zones.get(cellOf(manager) % zones.size());
     }
 
     /** Returns the plan of the cells, or null for a fleet without cells. */
     public CellPlan cellPlan() {
-        return cell == 0
+        return cellSize == 0
                 ? null
                 : new CellPlan(
                         1,
@@ -269,13 +269,13 @@
                                                 new CellPlan.Cell(
                                                         "c" + c,
                                                         zones.get(c % zones.size()),
-                                                        cell,
+                                                        cellSize,
                                                         true))
                                 .toList());
     }
 
     /** Returns the share of each engine that belongs to one manager. */
     public double part() {
-        return cell == 0 ? 1.0 / managers() : 1.0 / (spread * cell);
+        return cellSize == 0 ? 1.0 / managers() : 1.0 / (spread * cellSize);
     }
 }
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -242,7 +242,7 @@
         }
         putFigure("managers", plan.managers());
         putFigure("real", plan.realManagers());
-        putFigure("cell", plan.cell());
+        putFigure("cell", plan.cellSize());
         putFigure("engines", plan.engines());
         putFigure(
                 "start: whole views, part of managers",
@@ -419,7 +419,7 @@
                                         + LoopbackAddresses.hostPort(addresses.mail(plan, manager))
                                         + "\"",
                                 "probe = \"" + plan.period() / 10 + " ms\""));
-        if (plan.cell() == 0) {
+        if (plan.cellSize() == 0) {
             for (int peer = 0; peer < plan.managers(); peer++) {
                 if (peer != manager) {
                     lines.addAll(
@@ -434,7 +434,7 @@
         }
         lines.addAll(List.of("plan = 1", "spread = " + plan.spread()));
         for (int cell = 0; cell < plan.cells(); cell++) {
-            InetSocketAddress firstSlot = addresses.mail(plan, cell * plan.cell());
+            InetSocketAddress firstSlot = addresses.mail(plan, cell * plan.cellSize());
             String host = firstSlot.getAddress().getHostAddress();
             lines.addAll(
                     List.of(
@@ -444,7 +444,7 @@
                             "hosts = [\""
                                     + host
                                     + "-"
-                                    + plan.cell()
+                                    + plan.cellSize()
                                     + ":"
                                     + firstSlot.getPort()
                                     + "\"]"));
