--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -185,7 +185,7 @@
                             + " managers in all");
         }
         long minCellsPerZone =
-                IntStream.range(0, zones.size()).map(zone -> cells(zone)).min().orElse(0);
+                IntStream.range(0, zones.size()).map(zone -> cellCount(zone)).min().orElse(0);
         if (cellSize > 0 && spread > minCellsPerZone) {
             throw managers.invalid(
                     "spread",
@@ -219,12 +219,12 @@
     }
 
     /** Returns the number of cells; 1 for a fleet without cells. */
-    public int cells() {
+    public int cellCount() {
         return cellSize == 0 ? 1 : managers() / cellSize;
     }
 
-    private int cells(int zone) {
-        return cells() / zones.size() + (zone < cells() % zones.size() ? 1 : 0);
+    private int cellCount(int zone) {
+        return cellCount() / zones.size() + (zone < cellCount() % zones.size() ? 1 : 0);
     }
 
     /** Returns the number of managers in one membership: a cell, or the fleet without cells. */
@@ -247,7 +247,7 @@
      * turn, then slot 1, and so on.
      */
     public boolean isReal(int manager) {
-        return slotOf(manager) * cells() + cellOf(manager) < realManagers;
+        return slotOf(manager) * cellCount() + cellOf(manager) < realManagers;
     }
 
     public String zoneOf(int manager) {
@@ -263,7 +263,7 @@
                 : new CellPlan(
                         1,
                         spread,
-                        IntStream.range(0, cells())
+                        IntStream.range(0, cellCount())
                                 .mapToObj(
                                         c ->
                                                 new CellPlan.Cell(
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -433,7 +433,7 @@
             return lines;
         }
         lines.addAll(List.of("plan = 1", "spread = " + plan.spread()));
-        for (int cell = 0; cell < plan.cells(); cell++) {
+        for (int cell = 0; cell < plan.cellCount(); cell++) {
             InetSocketAddress firstSlot = addresses.mail(plan, cell * plan.cellSize());
             String host = firstSlot.getAddress().getHostAddress();
             lines.addAll(
