--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -22,7 +22,7 @@
  * @param cellSize managers in a cell; 0 for a fleet without cells
  * @param spread number of cells that share an engine
  * @param engines number of engines
- * @param inAProcess maximum number of managers in a hollow process
+ * @param managersPerProcess maximum number of managers in a hollow process
  * @param period probe period of the membership protocol
  */
 public record ScalePlan(
@@ -35,7 +35,7 @@
         int cellSize,
         int spread,
         int engines,
-        int inAProcess,
+        int managersPerProcess,
         long period,
         List<Load> loads,
         List<Event> events) {
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -183,7 +183,7 @@
 
     /** Returns the number of hollow processes. */
     private static int processCount(ScalePlan plan) {
-        return (plan.managers() + plan.inAProcess() - 1) / plan.inAProcess();
+        return (plan.managers() + plan.managersPerProcess() - 1) / plan.managersPerProcess();
     }
 
     /**
@@ -301,12 +301,12 @@
     private void startHollowProcesses() throws IOException {
         double heapMb =
                 HOLLOW_PROCESS_MB
-                        + plan.inAProcess()
+                        + plan.managersPerProcess()
                                 * (HOLLOW_MANAGER_MB + KNOWN_MANAGER_MB * plan.together());
         for (int firstManager = 0;
                 firstManager < plan.managers();
-                firstManager += plan.inAProcess()) {
-            int endManager = Math.min(plan.managers(), firstManager + plan.inAProcess());
+                firstManager += plan.managersPerProcess()) {
+            int endManager = Math.min(plan.managers(), firstManager + plan.managersPerProcess());
             List<String> command =
                     List.of(
                             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
