--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -191,7 +191,7 @@
                 new QuotaLeases(
                         plan.together(),
                         plan.part(),
-                        plan.period(),
+                        plan.probePeriod(),
                         mayHaveWithdrawnBefore,
                         () -> {
                             mayHaveWithdrawnBefore = true;
@@ -208,7 +208,7 @@
                         plan.zones().size(),
                         LATENCY_OBJECTIVE,
                         WARM_UP,
-                        plan.period(),
+                        plan.probePeriod(),
                         new ZoneActions() {
                             @Override
                             public void setAvoided(
@@ -229,7 +229,7 @@
                         new Member(
                                 name(), plan.zoneOf(number), startedAtMs, MemberState.ALIVE, "", 1),
                         plan.together(),
-                        plan.period(),
+                        plan.probePeriod(),
                         MAX_DATAGRAM_BYTES,
                         randomFactory.create(seed),
                         leases,
--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -23,7 +23,7 @@
  * @param spread number of cells that share an engine
  * @param engines number of engines
  * @param managersPerProcess maximum number of managers in a hollow process
- * @param period probe period of the membership protocol
+ * @param probePeriod probe period of the membership protocol
  */
 public record ScalePlan(
         String name,
@@ -36,7 +36,7 @@
         int spread,
         int engines,
         int managersPerProcess,
-        long period,
+        long probePeriod,
         List<Load> loads,
         List<Event> events) {
     /**
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -418,7 +418,7 @@
                                 "listen = \""
                                         + LoopbackAddresses.hostPort(addresses.mail(plan, manager))
                                         + "\"",
-                                "probe = \"" + plan.period() / 10 + " ms\""));
+                                "probe = \"" + plan.probePeriod() / 10 + " ms\""));
         if (plan.cellSize() == 0) {
             for (int peer = 0; peer < plan.managers(); peer++) {
                 if (peer != manager) {
--- a/src/test/java/firstage/scale/ScaleIT.java
+++ b/src/test/java/firstage/scale/ScaleIT.java
@@ -148,7 +148,7 @@
                                                 1,
                                                 430,
                                                 400,
-                                                large.period(),
+                                                large.probePeriod(),
                                                 List.of(),
                                                 large.events())))
                 .hasMessageContaining("over half of this machine's");
