--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -135,8 +135,8 @@
         this.selector = selector;
         this.clock = clock;
         this.observer = observer;
-        int firstManager = plan.cellOf(number) * plan.together();
-        for (int slot = 0; slot < plan.together(); slot++) {
+        int firstManager = plan.cellOf(number) * plan.membershipSize();
+        for (int slot = 0; slot < plan.membershipSize(); slot++) {
             slotsByAddress.put(addresses.mail(plan, firstManager + slot), slot);
             addressesBySlot.put(slot, addresses.mail(plan, firstManager + slot));
         }
@@ -189,7 +189,7 @@
         long seed = number * 1_000_003L + startedIncarnation;
         leases =
                 new QuotaLeases(
-                        plan.together(),
+                        plan.membershipSize(),
                         plan.part(),
                         plan.probePeriod(),
                         mayHaveWithdrawnBefore,
@@ -228,7 +228,7 @@
                         plan.name(),
                         new Member(
                                 name(), plan.zoneOf(number), startedAtMs, MemberState.ALIVE, "", 1),
-                        plan.together(),
+                        plan.membershipSize(),
                         plan.probePeriod(),
                         MAX_DATAGRAM_BYTES,
                         randomFactory.create(seed),
@@ -416,7 +416,7 @@
     @Override
     public void send(int cell, int slot, byte[] datagram) {
         sendDatagram(
-                addresses.mail(plan, cell * plan.together() + slot), bytesOut.length - 1, datagram);
+                addresses.mail(plan, cell * plan.membershipSize() + slot), bytesOut.length - 1, datagram);
     }
 
     @Override
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -207,7 +207,7 @@
                         "one view",
                         Long.parseLong(order[1]),
                         -1,
-                        names -> names.size() == plan.together());
+                        names -> names.size() == plan.membershipSize());
             }
             case "kill" -> forEach(order[1], HollowManager::kill);
             case "leave" -> forEach(order[1], HollowManager::leave);
@@ -232,7 +232,7 @@
                             order[1],
                             Long.parseLong(order[2]),
                             -1,
-                            names -> names.size() == plan.together());
+                            names -> names.size() == plan.membershipSize());
             case "silent" -> silentSinceMs = Long.parseLong(order[1]);
             case "heap" -> {
                 System.gc();
@@ -352,7 +352,7 @@
             writeFigure(
                     json,
                     "whole views",
-                    up.stream().filter(m -> m.views() == plan.together()).count());
+                    up.stream().filter(m -> m.views() == plan.membershipSize()).count());
             json.writeNumberField(
                     "in force", up.stream().mapToDouble(HollowManager::inForce).sum());
             writeFigure(
--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -228,18 +228,18 @@
     }
 
     /** Returns the number of managers in one membership: a cell, or the fleet without cells. */
-    public int together() {
+    public int membershipSize() {
         return cellSize == 0 ? managers() : cellSize;
     }
 
     /** Returns the index of the manager's cell; 0 for a fleet without cells. */
     public int cellOf(int manager) {
-        return manager / together();
+        return manager / membershipSize();
     }
 
     /** Returns the manager's index in its cell, or in a fleet without cells. */
     public int slotOf(int manager) {
-        return manager % together();
+        return manager % membershipSize();
     }
 
     /**
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -177,7 +177,7 @@
     public static double estimatedMemoryMb(ScalePlan plan) {
         int processCount = processCount(plan);
         return processCount * HOLLOW_PROCESS_MB
-                + plan.hollowManagers() * (HOLLOW_MANAGER_MB + KNOWN_MANAGER_MB * plan.together())
+                + plan.hollowManagers() * (HOLLOW_MANAGER_MB + KNOWN_MANAGER_MB * plan.membershipSize())
                 + plan.realManagers() * REAL_MANAGER_MB;
     }
 
@@ -207,7 +207,7 @@
                                     + " over half of this machine's %.0f MB; use fewer managers"
                                     + " or divide them into cells",
                             plan.managers(),
-                            plan.together(),
+                            plan.membershipSize(),
                             estimatedMemoryMb(plan),
                             machineMb));
         }
@@ -302,7 +302,7 @@
         double heapMb =
                 HOLLOW_PROCESS_MB
                         + plan.managersPerProcess()
-                                * (HOLLOW_MANAGER_MB + KNOWN_MANAGER_MB * plan.together());
+                                * (HOLLOW_MANAGER_MB + KNOWN_MANAGER_MB * plan.membershipSize());
         for (int firstManager = 0;
                 firstManager < plan.managers();
                 firstManager += plan.managersPerProcess()) {
