--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -162,7 +162,7 @@
 
     /** Returns the share of the manager's own slice that is in force. */
     double inForce() {
-        return up() ? leases.share(clock.now()) / plan.part() : 0;
+        return up() ? leases.share(clock.now()) / plan.managerShare() : 0;
     }
 
     /** Returns the number of active cells; 0 in a fleet without cells. */
@@ -190,7 +190,7 @@
         leases =
                 new QuotaLeases(
                         plan.membershipSize(),
-                        plan.part(),
+                        plan.managerShare(),
                         plan.probePeriod(),
                         mayHaveWithdrawnBefore,
                         () -> {
--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -275,7 +275,7 @@
     }
 
     /** Returns the share of each engine that belongs to one manager. */
-    public double part() {
+    public double managerShare() {
         return cellSize == 0 ? 1.0 / managers() : 1.0 / (spread * cellSize);
     }
 }
