--- a/src/main/java/firstage/cli/ScaleSlopesCommand.java
+++ b/src/main/java/firstage/cli/ScaleSlopesCommand.java
@@ -133,7 +133,7 @@
         }
         return region != null
                 ? ScalingSlopes.region(shape, seed, region * TICKS_PER_MINUTE)
-                : ScalingSlopes.play(shape, seed, deep);
+                : ScalingSlopes.measure(shape, seed, deep);
     }
 
     private Map<String, Double> heap(Shape shape) {
--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -70,7 +70,7 @@
      *
      * @param includeRestarts whether to measure a day's restarts and a mass restart as well
      */
-    public static Map<String, Double> play(Shape shape, long seed, boolean includeRestarts) {
+    public static Map<String, Double> measure(Shape shape, long seed, boolean includeRestarts) {
         Map<String, Double> row = new LinkedHashMap<>();
         row.put("managers", (double) shape.managers());
         SimulatedCells fleet = new SimulatedCells(shape, seed);
--- a/src/test/java/firstage/scale/ScalingSlopesTest.java
+++ b/src/test/java/firstage/scale/ScalingSlopesTest.java
@@ -32,7 +32,7 @@
                 .parallel()
                 .mapToObj(
                         managers ->
-                                ScalingSlopes.play(
+                                ScalingSlopes.measure(
                                         new Shape(managers, 25, 2, 1, true, 400, defect), 3, false))
                 .toList();
     }
