--- a/src/main/java/firstage/cli/ScaleSlopesCommand.java
+++ b/src/main/java/firstage/cli/ScaleSlopesCommand.java
@@ -139,7 +139,7 @@
     private Map<String, Double> heap(Shape shape) {
         Map<String, Double> row = new LinkedHashMap<>();
         row.put("managers", (double) shape.managers());
-        row.put("heap of a manager, KB", ScalingSlopes.heap(shape, seed));
+        row.put("heap of a manager, KB", ScalingSlopes.heapPerManagerKb(shape, seed));
         return row;
     }
 
--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -49,7 +49,7 @@
      * The figure is the difference of the whole heap with and without the fleet, so nothing else
      * may run in the process. The engines that a manager holds are not included.
      */
-    public static double heap(Shape shape, long seed) {
+    public static double heapPerManagerKb(Shape shape, long seed) {
         double bytesBefore = usedHeapBytes();
         SimulatedCells fleet = new SimulatedCells(shape, seed);
         start(fleet, shape, new LinkedHashMap<>());
