--- a/src/main/java/firstage/cli/ScaleSlopesCommand.java
+++ b/src/main/java/firstage/cli/ScaleSlopesCommand.java
@@ -132,7 +132,7 @@
             return heap(shape);
         }
         return region != null
-                ? ScalingSlopes.region(shape, seed, region * TICKS_PER_MINUTE)
+                ? ScalingSlopes.measureRegionPartition(shape, seed, region * TICKS_PER_MINUTE)
                 : ScalingSlopes.measure(shape, seed, deep);
     }
 
--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -250,7 +250,7 @@
      *
      * @param length duration of the partition
      */
-    public static Map<String, Double> region(Shape shape, long seed, long length) {
+    public static Map<String, Double> measureRegionPartition(Shape shape, long seed, long length) {
         Map<String, Double> row = new LinkedHashMap<>();
         row.put("managers", (double) shape.managers());
         SimulatedCells fleet = new SimulatedCells(shape, seed);
