--- a/src/main/java/firstage/cli/ScaleChoicesCommand.java
+++ b/src/main/java/firstage/cli/ScaleChoicesCommand.java
@@ -44,7 +44,7 @@
                                 + MAX_COUNT
                                 + " for both");
             }
-            System.out.println(DecisionCost.play(engineCount, managers));
+            System.out.println(DecisionCost.measure(engineCount, managers));
         }
         return 0;
     }
--- a/src/main/java/firstage/scale/DecisionCost.java
+++ b/src/main/java/firstage/scale/DecisionCost.java
@@ -135,7 +135,7 @@
      * Measures the cost for a number of engines. Returns the figures by name: microseconds,
      * attempts, and rejections or failures per request.
      */
-    public static Map<String, Double> play(int engines, int managers) {
+    public static Map<String, Double> measure(int engines, int managers) {
         DecisionCost run = new DecisionCost(engines, managers);
         for (int requestId = 0; requestId < WARM_UP_REQUESTS; requestId++) {
             run.addRequest(requestId);
