--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -62,7 +62,7 @@
     /** Receives the events of a hollow manager while it runs. */
     interface Witness {
         /** Called when the manager has a new view. */
-        void viewed(HollowManager manager, MembershipView view);
+        void onViewChanged(HollowManager manager, MembershipView view);
 
         /**
          * Called when the manager receives a change of the endpoint list.
@@ -425,7 +425,7 @@
         if (cellDirectory != null) {
             cellDirectory.onViewChanged(view.memberNames());
         }
-        observer.viewed(this, view);
+        observer.onViewChanged(this, view);
     }
 
     @Override
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -287,7 +287,7 @@
     }
 
     @Override
-    public void viewed(HollowManager manager, MembershipView view) {
+    public void onViewChanged(HollowManager manager, MembershipView view) {
         milestones.forEach(milestone -> checkMilestone(milestone, manager, view.memberNames()));
         milestones.removeIf(milestone -> milestone.waitingManagers.isEmpty());
     }
