--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -69,7 +69,7 @@
          *
          * @param sentAt Unix time in ms at which the coordinator sent the change
          */
-        void listed(HollowManager manager, long sentAt);
+        void onEndpointListChanged(HollowManager manager, long sentAt);
 
         /** Called when a cell becomes silent or is heard again. */
         void noted(HollowManager manager, String event, String cell);
@@ -371,7 +371,7 @@
             // Changes from before the start of this incarnation arrive when it connects; their age
             // is not the delay of a change.
             if (payload.getLong(record + STARTED_AT_OFFSET) >= incarnationStartMs) {
-                observer.listed(this, payload.getLong(record + STARTED_AT_OFFSET));
+                observer.onEndpointListChanged(this, payload.getLong(record + STARTED_AT_OFFSET));
             }
         }
     }
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -293,7 +293,7 @@
     }
 
     @Override
-    public void listed(HollowManager manager, long sentAt) {
+    public void onEndpointListChanged(HollowManager manager, long sentAt) {
         recordDelay("a change of the list", System.currentTimeMillis() - sentAt);
     }
 
