--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -72,7 +72,7 @@
         void onEndpointListChanged(HollowManager manager, long sentAt);
 
         /** Called when a cell becomes silent or is heard again. */
-        void noted(HollowManager manager, String event, String cell);
+        void onCellEvent(HollowManager manager, String event, String cell);
     }
 
     /** An engine of the endpoint list. */
@@ -436,7 +436,7 @@
     @Override
     public void logCellEvent(long now, String event, String cell, String reason) {
         if (event.equals("silent") || event.equals("heard again")) {
-            observer.noted(this, event, cell);
+            observer.onCellEvent(this, event, cell);
         }
     }
 
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -298,7 +298,7 @@
     }
 
     @Override
-    public void noted(HollowManager manager, String event, String cell) {
+    public void onCellEvent(HollowManager manager, String event, String cell) {
         if (System.currentTimeMillis() >= silentSinceMs) {
             recordDelay("a dead cell " + event, System.currentTimeMillis() - silentSinceMs);
         }
