--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -151,7 +151,7 @@
     }
 
     /** Returns the number of managers in the view. */
-    int views() {
+    int viewSize() {
         return membership == null ? 0 : membership.view().memberNames().size();
     }
 
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -352,7 +352,7 @@
             writeFigure(
                     json,
                     "whole views",
-                    up.stream().filter(m -> m.views() == plan.membershipSize()).count());
+                    up.stream().filter(m -> m.viewSize() == plan.membershipSize()).count());
             json.writeNumberField(
                     "in force", up.stream().mapToDouble(HollowManager::inForce).sum());
             writeFigure(
