--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -156,7 +156,7 @@
     }
 
     /** Returns the names of the managers in the view. */
-    List<String> view() {
+    List<String> viewMembers() {
         return membership == null ? List.of() : membership.view().memberNames();
     }
 
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -270,7 +270,7 @@
                 .forEach(m -> milestone.waitingManagers.put(m.number, m));
         milestones.add(milestone);
         List.copyOf(milestone.waitingManagers.values())
-                .forEach(m -> checkMilestone(milestone, m, m.view()));
+                .forEach(m -> checkMilestone(milestone, m, m.viewMembers()));
     }
 
     private void checkMilestone(Milestone milestone, HollowManager manager, List<String> names) {
