--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -161,7 +161,7 @@
     }
 
     /** Returns the share of the manager's own slice that is in force. */
-    double inForce() {
+    double sliceInForce() {
         return up() ? leases.share(clock.now()) / plan.managerShare() : 0;
     }
 
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -354,7 +354,7 @@
                     "whole views",
                     up.stream().filter(m -> m.viewSize() == plan.membershipSize()).count());
             json.writeNumberField(
-                    "in force", up.stream().mapToDouble(HollowManager::inForce).sum());
+                    "in force", up.stream().mapToDouble(HollowManager::sliceInForce).sum());
             writeFigure(
                     json,
                     "fewest cells heard",
