--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -108,7 +108,7 @@
     private long incarnationStartMs;
 
     /** Time in ticks at which {@link #tick} is to be called next. */
-    long tickAt;
+    long nextTick;
 
     /** Bytes sent, by the ordinal of the message kind; the last entry is for the cell directory. */
     final long[] bytesOut = new long[MembershipMessage.Kind.values().length + 1];
@@ -261,8 +261,8 @@
         datagramChannel.register(selector, SelectionKey.OP_READ, this);
         connectToCoordinator();
         loadConfiguredEngines();
-        tickAt = clock.now();
-        nextEvaluation = tickAt;
+        nextTick = clock.now();
+        nextEvaluation = nextTick;
     }
 
     /** Sets the usable engines to those of the plan, as a configuration file would name them. */
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -181,9 +181,9 @@
     private void tickManagers() throws IOException {
         for (HollowManager manager : managers.values()) {
             long now = now();
-            if (manager.up() && now >= manager.tickAt) {
-                tickDelays.recordValue(Math.min(MAX_TICK_DELAY, now - manager.tickAt));
-                manager.tickAt = Math.max(manager.tickAt + TICK_INTERVAL, now + TICK_INTERVAL / 2);
+            if (manager.up() && now >= manager.nextTick) {
+                tickDelays.recordValue(Math.min(MAX_TICK_DELAY, now - manager.nextTick));
+                manager.nextTick = Math.max(manager.nextTick + TICK_INTERVAL, now + TICK_INTERVAL / 2);
                 manager.tick(now);
             }
         }
