--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -327,7 +327,7 @@
     }
 
     /** Handles a socket of this manager that is ready. */
-    void ready(SelectionKey key) throws IOException {
+    void onReady(SelectionKey key) throws IOException {
         if (key.channel() == datagramChannel) {
             receive();
         } else if (key.channel() == coordinatorChannel && key.isConnectable()) {
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -133,7 +133,7 @@
             selector.select(2);
             for (SelectionKey key : selector.selectedKeys()) {
                 if (key.isValid()) {
-                    ((HollowManager) key.attachment()).ready(key);
+                    ((HollowManager) key.attachment()).onReady(key);
                 }
             }
             selector.selectedKeys().clear();
