--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -115,7 +115,7 @@
 
     long datagramsOut;
     long bytesIn;
-    long listBytes;
+    long listBytesIn;
 
     /** Clock of the process, in ticks. */
     interface Clock {
@@ -346,7 +346,7 @@
                     onCoordinatorLost();
                     return;
                 }
-                listBytes += bytesRead;
+                listBytesIn += bytesRead;
                 frameDecoder.decode(buffer.flip()).stream()
                         .filter(frame -> frame.type() != 0)
                         .forEach(frame -> onEndpointChange(frame.payload()));
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -346,7 +346,7 @@
             writeFigure(
                     json,
                     "list bytes in",
-                    managers.values().stream().mapToLong(m -> m.listBytes).sum());
+                    managers.values().stream().mapToLong(m -> m.listBytesIn).sum());
             writeFigure(json, "late 99th tenths", tickDelays.getValueAtPercentile(99));
             writeFigure(json, "late most tenths", tickDelays.getMaxValue());
             writeFigure(
