--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -26,7 +26,7 @@
      * @param figures figures by name
      * @param reached delays in ms of the managers that met a condition, by the condition's label
      */
-    record Line(Map<String, Double> figures, Map<String, List<Double>> reached) {
+    record Line(Map<String, Double> figures, Map<String, List<Double>> delaysByLabel) {
         double figure(String name) {
             return figures.getOrDefault(name, 0.0);
         }
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -791,7 +791,7 @@
             process.lines()
                     .forEach(
                             line ->
-                                    line.reached()
+                                    line.delaysByLabel()
                                             .forEach(
                                                     (label, delaysMs) ->
                                                             addDelays(
