--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -108,7 +108,7 @@
     }
 
     /** Returns the number of reports so far. */
-    synchronized int told() {
+    synchronized int reportCount() {
         return reports.size();
     }
 
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -333,7 +333,7 @@
                                     .resolve("hollow-" + firstManager + ".log")));
         }
         long deadline = System.currentTimeMillis() + START_TIMEOUT_S * 1_000;
-        while (hollowProcesses.stream().anyMatch(h -> h.told() == 0)) {
+        while (hollowProcesses.stream().anyMatch(h -> h.reportCount() == 0)) {
             for (HollowWorkerProcess process : hollowProcesses) {
                 if (!process.lives() || System.currentTimeMillis() > deadline) {
                     throw new IOException(
@@ -737,7 +737,7 @@
 
     /** Returns the number of reports, one a second, that every hollow process has written. */
     private int completeSeconds() {
-        return hollowProcesses.stream().mapToInt(HollowWorkerProcess::told).min().orElse(0);
+        return hollowProcesses.stream().mapToInt(HollowWorkerProcess::reportCount).min().orElse(0);
     }
 
     /**
