--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -113,7 +113,7 @@
     }
 
     /** Returns the last report; there must be one. */
-    synchronized Line last() {
+    synchronized Line lastReport() {
         return reports.get(reports.size() - 1);
     }
 
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -475,7 +475,7 @@
     private void measureSteadyState() {
         Map<HollowWorkerProcess, HollowWorkerProcess.Line> before =
                 hollowProcesses.stream()
-                        .collect(Collectors.toMap(h -> h, HollowWorkerProcess::last));
+                        .collect(Collectors.toMap(h -> h, HollowWorkerProcess::lastReport));
         double[] cpu = new double[plan.realManagers()];
         for (int i = 0; i < plan.realManagers(); i++) {
             cpu[i] = cpuMs(i);
@@ -491,7 +491,7 @@
                     || name.equals("cpu ms")) {
                 double sumOfRates = 0;
                 for (HollowWorkerProcess process : hollowProcesses) {
-                    HollowWorkerProcess.Line last = process.last();
+                    HollowWorkerProcess.Line last = process.lastReport();
                     double seconds = (last.figure("at") - before.get(process).figure("at")) / 1e3;
                     sumOfRates += (last.figure(name) - before.get(process).figure(name)) / seconds;
                 }
@@ -515,7 +515,7 @@
         putFigure(
                 "steady: fewest cells heard",
                 hollowProcesses.stream()
-                        .mapToDouble(h -> h.last().figure("fewest cells heard"))
+                        .mapToDouble(h -> h.lastReport().figure("fewest cells heard"))
                         .min()
                         .orElse(0));
     }
@@ -732,7 +732,7 @@
 
     /** Returns the sum of a figure over the last report lines of all hollow processes. */
     private double sumOfLast(String name) {
-        return hollowProcesses.stream().mapToDouble(h -> h.last().figure(name)).sum();
+        return hollowProcesses.stream().mapToDouble(h -> h.lastReport().figure(name)).sum();
     }
 
     /** Returns the number of reports, one a second, that every hollow process has written. */
@@ -814,13 +814,13 @@
         pause(2_000);
         putFigure(
                 "heap of a manager, KB",
-                hollowProcesses.stream().mapToDouble(h -> h.last().figure("heap bytes")).sum()
+                hollowProcesses.stream().mapToDouble(h -> h.lastReport().figure("heap bytes")).sum()
                         / 1_024
                         / plan.hollowManagers());
         putFigure(
                 "heap of a process, MB",
                 hollowProcesses.stream()
-                                .mapToDouble(h -> h.last().figure("heap bytes"))
+                                .mapToDouble(h -> h.lastReport().figure("heap bytes"))
                                 .average()
                                 .orElse(0)
                         / 1048576);
