--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -118,7 +118,7 @@
     }
 
     /** Returns all reports so far: one a second, and one for each {@code heap} order. */
-    synchronized List<Line> lines() {
+    synchronized List<Line> reports() {
         return List.copyOf(reports);
     }
 
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -750,8 +750,8 @@
             double increase = 0;
             for (HollowWorkerProcess process : hollowProcesses) {
                 increase +=
-                        process.lines().get(second).figure(name)
-                                - process.lines().get(second - 1).figure(name);
+                        process.reports().get(second).figure(name)
+                                - process.reports().get(second - 1).figure(name);
             }
             worst = Math.max(worst, increase / plan.hollowManagers());
         }
@@ -766,7 +766,7 @@
         return hollowProcesses.stream()
                 .flatMap(
                         process ->
-                                process.lines().stream()
+                                process.reports().stream()
                                         .skip(firstSecond)
                                         .limit(Math.max(1, endSecond - firstSecond)))
                 .mapToDouble(line -> line.figure("late 99th tenths") / 10)
@@ -788,7 +788,7 @@
                 worstSecondPerManager("bytes out", firstEventSecond));
         Map<String, DescriptiveStatistics> delaysByLabel = new LinkedHashMap<>();
         for (HollowWorkerProcess process : hollowProcesses) {
-            process.lines()
+            process.reports()
                     .forEach(
                             line ->
                                     line.delaysByLabel()
@@ -853,7 +853,7 @@
             for (ToDoubleFunction<HollowWorkerProcess.Line> column : columns.values()) {
                 double sum = 0;
                 for (HollowWorkerProcess process : hollowProcesses) {
-                    sum += column.applyAsDouble(process.lines().get(second));
+                    sum += column.applyAsDouble(process.reports().get(second));
                 }
                 row.append(',').append(String.format(Locale.ROOT, "%.1f", sum));
             }
