--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -122,7 +122,7 @@
         return List.copyOf(reports);
     }
 
-    boolean lives() {
+    boolean isAlive() {
         return process.isAlive();
     }
 
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -335,7 +335,7 @@
         long deadline = System.currentTimeMillis() + START_TIMEOUT_S * 1_000;
         while (hollowProcesses.stream().anyMatch(h -> h.reportCount() == 0)) {
             for (HollowWorkerProcess process : hollowProcesses) {
-                if (!process.lives() || System.currentTimeMillis() > deadline) {
+                if (!process.isAlive() || System.currentTimeMillis() > deadline) {
                     throw new IOException(
                             "hollow managers from "
                                     + process.from
