--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -130,7 +130,7 @@
      * Returns the last line that is not a report, or the message of a failed read; empty if there
      * is neither.
      */
-    String lastWords() {
+    String lastMessage() {
         return lastMessage;
     }
 
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -340,7 +340,7 @@
                             "hollow managers from "
                                     + process.from
                                     + " did not start: "
-                                    + process.lastWords()
+                                    + process.lastMessage()
                                     + Files.readString(
                                                     parameters
                                                             .folder
