--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -56,7 +56,7 @@
         }
     }
 
-    final int from;
+    final int firstManager;
     final int endManager;
     private final Process process;
     private final PrintStream orders;
@@ -76,7 +76,7 @@
      */
     HollowWorkerProcess(List<String> command, int firstManager, int endManager, Path errorLog)
             throws IOException {
-        this.from = firstManager;
+        this.firstManager = firstManager;
         this.endManager = endManager;
         process = new ProcessBuilder(command).redirectError(errorLog.toFile()).start();
         orders = new PrintStream(process.getOutputStream(), true, StandardCharsets.UTF_8);
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -338,7 +338,7 @@
                 if (!process.isAlive() || System.currentTimeMillis() > deadline) {
                     throw new IOException(
                             "hollow managers from "
-                                    + process.from
+                                    + process.firstManager
                                     + " did not start: "
                                     + process.lastMessage()
                                     + Files.readString(
@@ -347,7 +347,7 @@
                                                             .resolve("logs")
                                                             .resolve(
                                                                     "hollow-"
-                                                                            + process.from
+                                                                            + process.firstManager
                                                                             + ".log"))
                                             .lines()
                                             .findFirst()
