--- a/src/main/java/firstage/scale/LoadClients.java
+++ b/src/main/java/firstage/scale/LoadClients.java
@@ -35,7 +35,7 @@
  */
 final class LoadClients implements AutoCloseable {
     /** Longest idle time of a connection, in seconds; clients close one that is idle for longer. */
-    static final double MOST_REST_S = 4;
+    static final double MAX_IDLE_S = 4;
 
     private static final int DEADLINE_MS = 4_000;
 
@@ -187,7 +187,7 @@
             long delayMs = Math.max(0, nextStatementUs - System.nanoTime() / 1_000) / 1_000;
             ioThread.executeAfter(
                     this::startStatement,
-                    Math.min(delayMs, (long) (MOST_REST_S * 1_000)),
+                    Math.min(delayMs, (long) (MAX_IDLE_S * 1_000)),
                     TimeUnit.MILLISECONDS);
         }
 
--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -144,7 +144,7 @@
                         section.number("rate", 0.1, MAX_RATE, null),
                         section.duration("length", "10 s"),
                         section.flag("counted", true));
-        if (load.connections > load.rate * LoadClients.MOST_REST_S) {
+        if (load.connections > load.rate * LoadClients.MAX_IDLE_S) {
             throw section.invalid(
                     "rate",
                     String.format(
@@ -154,8 +154,8 @@
                                     + " such connections; use a rate of at least %.1f",
                             load.connections,
                             load.rate,
-                            LoadClients.MOST_REST_S,
-                            load.connections / LoadClients.MOST_REST_S));
+                            LoadClients.MAX_IDLE_S,
+                            load.connections / LoadClients.MAX_IDLE_S));
         }
         if (load.length < MIN_LOAD_LENGTH || load.length > MAX_LENGTH) {
             throw section.invalid(
