--- a/src/main/java/firstage/scale/LoadClients.java
+++ b/src/main/java/firstage/scale/LoadClients.java
@@ -100,7 +100,7 @@
      *
      * @param rate statements a second over all connections
      */
-    void play(int connections, double rate) {
+    void setLoad(int connections, double rate) {
         statementIntervalUs = (long) (connections / rate * 1e6);
         ioThread.execute(
                 () -> {
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -534,7 +534,7 @@
             for (ScalePlan.Load load : plan.loads()) {
                 String name = "load " + ++number;
                 parameters.progress.accept(name);
-                clients.play(load.connections(), load.rate());
+                clients.setLoad(load.connections(), load.rate());
                 pause((long) (LOAD_RAMP_MS + load.connections() / load.rate() * 1_000));
                 phases.put(name, completeSeconds());
                 double[] measurement = measureLoad(name + ": ", clients, load);
