--- a/src/main/java/firstage/scale/LoadClients.java
+++ b/src/main/java/firstage/scale/LoadClients.java
@@ -125,7 +125,7 @@
     }
 
     /** Returns the number of statements that the manager rejected. */
-    long pushedBack() {
+    long rejected() {
         return rejected.get();
     }
 
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -557,7 +557,7 @@
     private double[] measureLoad(String prefix, LoadClients clients, ScalePlan.Load load) {
         long[] before = {
             clients.returned(),
-            clients.pushedBack(),
+            clients.rejected(),
             clients.failed(),
             clients.opened(),
             engines.taken(),
@@ -571,7 +571,7 @@
         double elapsedS = (System.nanoTime() - startNs) / 1e9;
         cpu = (cpuMs(0) - cpu) / elapsedS;
         double returned = (clients.returned() - before[0]) / elapsedS;
-        double pushedBack = (clients.pushedBack() - before[1]) / elapsedS;
+        double pushedBack = (clients.rejected() - before[1]) / elapsedS;
         double failed = (clients.failed() - before[2]) / elapsedS;
         putFigure(prefix + "connections", load.connections());
         putFigure(prefix + "statements a s", returned + pushedBack + failed);
