--- a/src/main/java/firstage/scale/LoadClients.java
+++ b/src/main/java/firstage/scale/LoadClients.java
@@ -151,7 +151,7 @@
      * Returns the delays of the clients' thread, in us. If they are long, the measured latencies
      * contain them and say nothing about the manager.
      */
-    Histogram late() {
+    Histogram threadDelays() {
         return threadDelays;
     }
 
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -566,7 +566,7 @@
         double cpu = cpuMs(0);
         long startNs = System.nanoTime();
         clients.latency().reset();
-        clients.late().reset();
+        clients.threadDelays().reset();
         pause(load.length() / 10);
         double elapsedS = (System.nanoTime() - startNs) / 1e9;
         cpu = (cpuMs(0) - cpu) / elapsedS;
@@ -587,7 +587,7 @@
                 prefix + "99th, ms", clients.latency().getValueAtPercentile(HIGH_PERCENTILE) / 1e3);
         putFigure(
                 prefix + "clients late, 99th, ms",
-                clients.late().getValueAtPercentile(HIGH_PERCENTILE) / 1e3);
+                clients.threadDelays().getValueAtPercentile(HIGH_PERCENTILE) / 1e3);
         putFigure(prefix + "processor, ms a s", cpu);
         putFigure(prefix + "resident MB", residentMb(0));
         return new double[] {
