--- a/src/main/java/firstage/scale/LoadClients.java
+++ b/src/main/java/firstage/scale/LoadClients.java
@@ -143,7 +143,7 @@
     }
 
     /** Returns the times from the start of a statement to its final answer, in us. */
-    Histogram latency() {
+    Histogram latencies() {
         return latencies;
     }
 
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -565,7 +565,7 @@
         };
         double cpu = cpuMs(0);
         long startNs = System.nanoTime();
-        clients.latency().reset();
+        clients.latencies().reset();
         clients.threadDelays().reset();
         pause(load.length() / 10);
         double elapsedS = (System.nanoTime() - startNs) / 1e9;
@@ -582,9 +582,9 @@
         putFigure(prefix + "connections opened a s", (clients.opened() - before[3]) / elapsedS);
         putFigure(prefix + "dispatches a s", (engines.taken() - before[4]) / elapsedS);
         putFigure(prefix + "probes a s", (engines.probes() - before[5]) / elapsedS);
-        putFigure(prefix + "median, ms", clients.latency().getValueAtPercentile(50) / 1e3);
+        putFigure(prefix + "median, ms", clients.latencies().getValueAtPercentile(50) / 1e3);
         putFigure(
-                prefix + "99th, ms", clients.latency().getValueAtPercentile(HIGH_PERCENTILE) / 1e3);
+                prefix + "99th, ms", clients.latencies().getValueAtPercentile(HIGH_PERCENTILE) / 1e3);
         putFigure(
                 prefix + "clients late, 99th, ms",
                 clients.threadDelays().getValueAtPercentile(HIGH_PERCENTILE) / 1e3);
