--- a/src/main/java/firstage/scale/HollowEngines.java
+++ b/src/main/java/firstage/scale/HollowEngines.java
@@ -58,7 +58,7 @@
     }
 
     /** Returns the number of statements received so far. Any thread may call it. */
-    long taken() {
+    long statementsReceived() {
         return statementsReceived.get();
     }
 
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -560,7 +560,7 @@
             clients.rejected(),
             clients.failed(),
             clients.opened(),
-            engines.taken(),
+            engines.statementsReceived(),
             engines.probes()
         };
         double cpu = cpuMs(0);
@@ -580,7 +580,7 @@
                 returned / Math.max(1e-9, returned + pushedBack + failed));
         putFigure(prefix + "failed a s", failed);
         putFigure(prefix + "connections opened a s", (clients.opened() - before[3]) / elapsedS);
-        putFigure(prefix + "dispatches a s", (engines.taken() - before[4]) / elapsedS);
+        putFigure(prefix + "dispatches a s", (engines.statementsReceived() - before[4]) / elapsedS);
         putFigure(prefix + "probes a s", (engines.probes() - before[5]) / elapsedS);
         putFigure(prefix + "median, ms", clients.latencies().getValueAtPercentile(50) / 1e3);
         putFigure(
