--- a/src/main/java/firstage/scale/EmulatedWatches.java
+++ b/src/main/java/firstage/scale/EmulatedWatches.java
@@ -62,7 +62,7 @@
     }
 
     /** Returns the number of open watches. */
-    int open() {
+    int openWatches() {
         return openWatches;
     }
 
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -249,7 +249,7 @@
                 sumOfLast("whole views") / Math.max(1, sumOfLast("up")));
         putFigure("start: slices in force", sumOfLast("in force") / Math.max(1, sumOfLast("up")));
         putFigure("start: worst second, bytes a manager", worstSecondPerManager("bytes out", 0));
-        putFigure("watches", watches.open());
+        putFigure("watches", watches.openWatches());
         phases.put("steady", completeSeconds());
         measureSteadyState();
         playLoads();
