--- a/src/main/java/firstage/scale/EmulatedWatches.java
+++ b/src/main/java/firstage/scale/EmulatedWatches.java
@@ -67,7 +67,7 @@
     }
 
     /** Returns the number of bytes written so far. */
-    long bytes() {
+    long bytesWritten() {
         return bytesWritten;
     }
 
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -481,7 +481,7 @@
             cpu[i] = cpuMs(i);
         }
         long startMs = System.currentTimeMillis();
-        long listBytesBefore = watches.bytes();
+        long listBytesBefore = watches.bytesWritten();
         pause(STEADY_MEASUREMENT_S * 1_000);
         double managersUp = sumOfLast("up");
         for (String name : before.values().iterator().next().figures().keySet()) {
@@ -502,7 +502,7 @@
         }
         double elapsedS = (System.currentTimeMillis() - startMs) / 1e3;
         putFigure(
-                "steady: coordinator's bytes a s", (watches.bytes() - listBytesBefore) / elapsedS);
+                "steady: coordinator's bytes a s", (watches.bytesWritten() - listBytesBefore) / elapsedS);
         for (int i = 0; i < plan.realManagers(); i++) {
             cpu[i] = (cpuMs(i) - cpu[i]) / elapsedS;
         }
