--- a/src/main/java/firstage/scale/EmulatedWatches.java
+++ b/src/main/java/firstage/scale/EmulatedWatches.java
@@ -75,7 +75,7 @@
      * Sends a change of an engine to all watches. The event gives the current time as the start
      * time of the engine, so that a receiver can compute the delay of the event.
      */
-    void tell(int id, int zone) {
+    void sendEngineChange(int id, int zone) {
         ByteBuffer frame = ByteBuffer.allocate(4 + HEADER_BYTES + RECORD_BYTES);
         frame.putInt(HEADER_BYTES + RECORD_BYTES).putLong(0).put((byte) 2);
         frame.putInt(id)
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -693,7 +693,7 @@
                                 + " "
                                 + System.currentTimeMillis());
             }
-            case LIST -> watches.tell(100_000 + number, number % plan.zones().size());
+            case LIST -> watches.sendEngineChange(100_000 + number, number % plan.zones().size());
             case ZONE -> {
                 String zone = plan.zones().get(plan.zones().size() - 1);
                 List<String> zoneManagers = new ArrayList<>();
