--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -137,8 +137,8 @@
         this.observer = observer;
         int firstManager = plan.cellOf(number) * plan.membershipSize();
         for (int slot = 0; slot < plan.membershipSize(); slot++) {
-            slotsByAddress.put(addresses.mail(plan, firstManager + slot), slot);
-            addressesBySlot.put(slot, addresses.mail(plan, firstManager + slot));
+            slotsByAddress.put(addresses.datagramAddress(plan, firstManager + slot), slot);
+            addressesBySlot.put(slot, addresses.datagramAddress(plan, firstManager + slot));
         }
     }
 
@@ -256,7 +256,7 @@
                                 cellDirectory, ListedEngine::id, ListedEngine::zone, e -> false);
         datagramChannel = DatagramChannel.open();
         datagramChannel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        datagramChannel.bind(addresses.mail(plan, number));
+        datagramChannel.bind(addresses.datagramAddress(plan, number));
         datagramChannel.configureBlocking(false);
         datagramChannel.register(selector, SelectionKey.OP_READ, this);
         connectToCoordinator();
@@ -416,7 +416,7 @@
     @Override
     public void send(int cell, int slot, byte[] datagram) {
         sendDatagram(
-                addresses.mail(plan, cell * plan.membershipSize() + slot), bytesOut.length - 1, datagram);
+                addresses.datagramAddress(plan, cell * plan.membershipSize() + slot), bytesOut.length - 1, datagram);
     }
 
     @Override
--- a/src/main/java/firstage/scale/ScaleAddresses.java
+++ b/src/main/java/firstage/scale/ScaleAddresses.java
@@ -22,7 +22,7 @@
     }
 
     /** Returns the address at which a manager receives datagrams. */
-    InetSocketAddress mail(ScalePlan plan, int manager) {
+    InetSocketAddress datagramAddress(ScalePlan plan, int manager) {
         int row = plan.cellSize() == 0 ? manager / MANAGERS_PER_ROW : plan.cellOf(manager);
         int slot = plan.cellSize() == 0 ? manager % MANAGERS_PER_ROW : plan.slotOf(manager);
         return address(64 + row / ROWS_PER_SECOND_OCTET, row % ROWS_PER_SECOND_OCTET, 1 + slot);
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -416,7 +416,7 @@
                                 "name = \"m" + manager + "\"",
                                 "zone = \"" + plan.zoneOf(manager) + "\"",
                                 "listen = \""
-                                        + LoopbackAddresses.hostPort(addresses.mail(plan, manager))
+                                        + LoopbackAddresses.hostPort(addresses.datagramAddress(plan, manager))
                                         + "\"",
                                 "probe = \"" + plan.probePeriod() / 10 + " ms\""));
         if (plan.cellSize() == 0) {
@@ -426,7 +426,7 @@
                             List.of(
                                     "[[peer]]",
                                     "address = \""
-                                            + LoopbackAddresses.hostPort(addresses.mail(plan, peer))
+                                            + LoopbackAddresses.hostPort(addresses.datagramAddress(plan, peer))
                                             + "\""));
                 }
             }
@@ -434,7 +434,7 @@
         }
         lines.addAll(List.of("plan = 1", "spread = " + plan.spread()));
         for (int cell = 0; cell < plan.cellCount(); cell++) {
-            InetSocketAddress firstSlot = addresses.mail(plan, cell * plan.cellSize());
+            InetSocketAddress firstSlot = addresses.datagramAddress(plan, cell * plan.cellSize());
             String host = firstSlot.getAddress().getHostAddress();
             lines.addAll(
                     List.of(
