--- a/src/main/java/firstage/scale/ScaleAddresses.java
+++ b/src/main/java/firstage/scale/ScaleAddresses.java
@@ -29,7 +29,7 @@
     }
 
     /** Returns the address at which a real manager listens for clients. */
-    InetSocketAddress manager(int realManager) {
+    InetSocketAddress clientAddress(int realManager) {
         return address(60, 0, 1 + realManager);
     }
 
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -372,7 +372,7 @@
                 ManagerConfigWriter.ManagerPlace place =
                         new ManagerConfigWriter.ManagerPlace(
                                 "m" + manager,
-                                addresses.manager(started),
+                                addresses.clientAddress(started),
                                 addresses.coordinator(),
                                 manager,
                                 plan.zones().indexOf(plan.zoneOf(manager)),
@@ -391,7 +391,7 @@
             }
         }
         for (int i = 0; i < started; i++) {
-            realManagers.awaitReady(i, addresses.manager(i));
+            realManagers.awaitReady(i, addresses.clientAddress(i));
         }
     }
 
@@ -529,7 +529,7 @@
             return;
         }
         List<double[]> measured = new ArrayList<>();
-        try (LoadClients clients = new LoadClients(addresses.manager(0), TENANT)) {
+        try (LoadClients clients = new LoadClients(addresses.clientAddress(0), TENANT)) {
             int number = 0;
             for (ScalePlan.Load load : plan.loads()) {
                 String name = "load " + ++number;
