--- a/src/main/java/firstage/policy/KeyOrdering.java
+++ b/src/main/java/firstage/policy/KeyOrdering.java
@@ -39,7 +39,7 @@
             KeyQueue queue = queues.computeIfAbsent(request.orderingKey, k -> new KeyQueue());
             queue.quietUntil = Math.max(queue.quietUntil, now + PAUSE_AFTER_UNKNOWN_ORDER);
         } else if (request.orderingKey >= 0) {
-            queues.computeIfAbsent(request.orderingKey, k -> new KeyQueue()).waiting.add(request);
+            queues.computeIfAbsent(request.orderingKey, k -> new KeyQueue()).openRequests.add(request);
         } else if (key >= 0 && !queues.containsKey(key)) {
             actions.releaseKey(key);
         }
@@ -54,7 +54,7 @@
     boolean isNext(long now, RequestState request) {
         KeyQueue queue = queues.get(request.orderingKey);
         return queue == null
-                || queue.waiting.peek() == request
+                || queue.openRequests.peek() == request
                         && (request.attemptsStarted > 0 || now >= queue.quietUntil);
     }
 
@@ -77,7 +77,7 @@
     void remove(RequestState request) {
         KeyQueue queue = queues.get(request.orderingKey);
         if (queue != null) {
-            queue.waiting.remove(request);
+            queue.openRequests.remove(request);
         }
     }
 
--- a/src/main/java/firstage/policy/state/KeyQueue.java
+++ b/src/main/java/firstage/policy/state/KeyQueue.java
@@ -4,13 +4,13 @@
 
 /** Open requests of one ordering key, in their order of arrival. */
 public final class KeyQueue {
-    public final ArrayDeque<RequestState> waiting = new ArrayDeque<>();
+    public final ArrayDeque<RequestState> openRequests = new ArrayDeque<>();
 
     /** Time until which no new request of the key may start, in ticks. */
     public long quietUntil;
 
     /** Returns whether the key has no open request and its pause is over. */
     public boolean isIdle(long now) {
-        return waiting.isEmpty() && now >= quietUntil;
+        return openRequests.isEmpty() && now >= quietUntil;
     }
 }
