--- a/src/main/java/firstage/server/client/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -266,7 +266,7 @@
     public void respond() {
         if (!answerSent) {
             answerSent = true;
-            pendingCalls.onAnswerSent(this);
+            pendingCalls.onSettled(this);
         }
         answerHeldCalls(answer, !responses.isClosing());
     }
--- a/src/main/java/firstage/server/client/PendingCalls.java
+++ b/src/main/java/firstage/server/client/PendingCalls.java
@@ -64,7 +64,7 @@
     }
 
     /** Records that the answer was sent, or that the client needs none any more. */
-    void onAnswerSent(PendingCall call) {
+    void onSettled(PendingCall call) {
         openRequestIds.remove(call.id());
         unansweredCount--;
     }
@@ -74,7 +74,7 @@
         if (byPollPath.remove(call.path(), call)) {
             addKeptBytes(-call.keptBytes());
             if (!answerSent) {
-                onAnswerSent(call);
+                onSettled(call);
             }
         }
     }
