--- a/src/main/java/firstage/membership/FailureDetector.java
+++ b/src/main/java/firstage/membership/FailureDetector.java
@@ -214,7 +214,7 @@
         Peer target = table.peer(probe.target);
         boolean heardSince = target.lastAliveAt() > probe.sentAt;
         if (mayReport && !heardSince) {
-            actions.peerUnanswered(
+            actions.peerUnresponsive(
                     now,
                     target,
                     "no ack to direct pings or to " + INDIRECT_PROBERS + " indirect probes");
--- a/src/main/java/firstage/membership/FailureDetectorActions.java
+++ b/src/main/java/firstage/membership/FailureDetectorActions.java
@@ -12,7 +12,7 @@
     void sendPingRequest(long now, Peer prober, long sequence, String target);
 
     /** Reports that a peer answered neither a direct nor an indirect probe. */
-    void peerUnanswered(long now, Peer peer, String reason);
+    void peerUnresponsive(long now, Peer peer, String reason);
 
     /** Reports that a suspect did not refute the suspicion in time. */
     void suspicionTimedOut(long now, Peer peer, String reason);
--- a/src/main/java/firstage/membership/MembershipProtocol.java
+++ b/src/main/java/firstage/membership/MembershipProtocol.java
@@ -110,7 +110,7 @@
         }
 
         @Override
-        public void peerUnanswered(long now, Peer peer, String reason) {
+        public void peerUnresponsive(long now, Peer peer, String reason) {
             Member suspect = peer.member().withState(MemberState.SUSPECT);
             applyEvent(now, peer, MemberTransition.Event.UNANSWERED, suspect, reason);
         }
