--- a/src/main/java/firstage/membership/MemberTransition.java
+++ b/src/main/java/firstage/membership/MemberTransition.java
@@ -10,7 +10,7 @@
 record MemberTransition(MemberState state, Event event, MemberState next, Effect effect) {
     /** An observation of this manager, or gossip, about a member. */
     enum Event {
-        UNANSWERED,
+        PROBE_UNANSWERED,
         SUSPECT_GOSSIP,
         DEAD_GOSSIP,
         LEFT_GOSSIP,
@@ -30,7 +30,7 @@
     }
 
     private static final MemberTransition[] TABLE = {
-        of(MemberState.ALIVE, Event.UNANSWERED, MemberState.SUSPECT, Effect.SUSPECT),
+        of(MemberState.ALIVE, Event.PROBE_UNANSWERED, MemberState.SUSPECT, Effect.SUSPECT),
         of(MemberState.ALIVE, Event.SUSPECT_GOSSIP, MemberState.SUSPECT, Effect.SUSPECT),
         of(MemberState.ALIVE, Event.DEAD_GOSSIP, MemberState.DEAD, Effect.GOSSIP),
         of(MemberState.ALIVE, Event.LEFT_GOSSIP, MemberState.LEFT, Effect.GOSSIP),
--- a/src/main/java/firstage/membership/MembershipProtocol.java
+++ b/src/main/java/firstage/membership/MembershipProtocol.java
@@ -112,7 +112,7 @@
         @Override
         public void peerUnresponsive(long now, Peer peer, String reason) {
             Member suspect = peer.member().withState(MemberState.SUSPECT);
-            applyEvent(now, peer, MemberTransition.Event.UNANSWERED, suspect, reason);
+            applyEvent(now, peer, MemberTransition.Event.PROBE_UNANSWERED, suspect, reason);
         }
 
         @Override
