--- a/src/main/java/firstage/membership/FlapDamping.java
+++ b/src/main/java/firstage/membership/FlapDamping.java
@@ -44,7 +44,7 @@
     }
 
     /** Ends a hold-down that has expired; returns whether one has. */
-    boolean endIfOver(long now) {
+    boolean endIfExpired(long now) {
         boolean expired = heldOutUntil > 0 && heldOutUntil <= now;
         heldOutUntil = expired ? 0 : heldOutUntil;
         return expired;
--- a/src/main/java/firstage/membership/ViewAgreement.java
+++ b/src/main/java/firstage/membership/ViewAgreement.java
@@ -86,7 +86,7 @@
     private void endHoldDowns(long now) {
         boolean ended = false;
         for (Peer peer : table.peers()) {
-            ended |= peer.damping().endIfOver(now);
+            ended |= peer.damping().endIfExpired(now);
         }
         if (ended) {
             onMemberChanged(now);
