--- a/src/main/java/firstage/cells/CellActions.java
+++ b/src/main/java/firstage/cells/CellActions.java
@@ -12,7 +12,7 @@
      * Reports that engines which could not be used may be usable now; {@link CellDirectory#mayUse}
      * tells which.
      */
-    void enginesReleased(long now);
+    void onEnginesReleased(long now);
 
     /** Logs an event of a cell and its reason. */
     void logCellEvent(long now, String event, String cell, String reason);
--- a/src/main/java/firstage/cells/CellDirectory.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -438,7 +438,7 @@
                         "follows",
                         plan.cells().get(cell).name(),
                         "all managers of the cell hold plan " + plan.number());
-                actions.enginesReleased(now);
+                actions.onEnginesReleased(now);
             }
         } else if (defect == InjectedDefect.OLDER_ROW_WINS) {
             row.planNumber = planNumber;
--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -457,7 +457,7 @@
     }
 
     @Override
-    public void enginesReleased(long now) {
+    public void onEnginesReleased(long now) {
         engineSubset.takeReleased().forEach(engine -> usableEngines.add(engine.id));
     }
 
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -538,7 +538,7 @@
     }
 
     @Override
-    public void enginesReleased(long now) {
+    public void onEnginesReleased(long now) {
         List<DiscoveredEndpoint> released = engineSubset.takeReleased();
         if (!released.isEmpty()) {
             LOG.info(() -> "cell {\"engines taken over\":" + released.size() + "}");
--- a/src/main/java/firstage/simulation/schedule/SimulatedCells.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedCells.java
@@ -355,7 +355,7 @@
         }
 
         @Override
-        public void enginesReleased(long now) {
+        public void onEnginesReleased(long now) {
             // Not recorded: callers query the cell directory.
         }
 
--- a/src/test/java/firstage/cells/CellDirectoryTest.java
+++ b/src/test/java/firstage/cells/CellDirectoryTest.java
@@ -77,7 +77,7 @@
         }
 
         @Override
-        public void enginesReleased(long now) {
+        public void onEnginesReleased(long now) {
             releaseCalls++;
         }
 
--- a/src/test/java/firstage/membership/RecordedDatagramsTest.java
+++ b/src/test/java/firstage/membership/RecordedDatagramsTest.java
@@ -255,7 +255,7 @@
         }
 
         @Override
-        public void enginesReleased(long now) {}
+        public void onEnginesReleased(long now) {}
 
         @Override
         public void logCellEvent(long now, String event, String cell, String reason) {}
