--- a/src/main/java/firstage/cli/CellsSectionReader.java
+++ b/src/main/java/firstage/cli/CellsSectionReader.java
@@ -60,7 +60,7 @@
      *
      * @param listenKey the key under which the file gives this address
      */
-    PeerConfig.CellPlacement placement(String listenKey, InetSocketAddress listenAddress) {
+    PeerConfig.CellPlacement readPlacement(String listenKey, InetSocketAddress listenAddress) {
         if (!(toml.value(CELLS) instanceof TomlArray sections) || sections.size() > MAX_CELLS) {
             throw toml.invalid(
                     CELLS,
--- a/src/main/java/firstage/cli/PeersFileReader.java
+++ b/src/main/java/firstage/cli/PeersFileReader.java
@@ -150,7 +150,7 @@
             return Optional.empty();
         }
         PeerConfig.CellPlacement placement =
-                new CellsSectionReader(toml).placement(LISTEN, listenAddress);
+                new CellsSectionReader(toml).readPlacement(LISTEN, listenAddress);
         if (toml.has(PEERS)) {
             throw toml.invalid(
                     PEERS, "the hosts of the cells list the peers already; remove [[peer]]");
