--- a/src/main/java/firstage/config/SettingsKeys.java
+++ b/src/main/java/firstage/config/SettingsKeys.java
@@ -73,7 +73,7 @@
     /** Effect of grants that exceed an engine's memory: wait, shrink or page. */
     public static final String MEMORY_OVERCOMMIT = "family_info.out_of_memory";
 
-    public static final String GRANTS_HEEDED = "family_info.takes_grants";
+    public static final String GRANTS_SUPPORTED = "family_info.takes_grants";
     public static final String PRIORITIES_HEEDED = "family_info.lanes_count";
 
     /** Channel of load reports: inline, on_probe or off. */
