--- a/src/main/java/firstage/config/SettingsKeys.java
+++ b/src/main/java/firstage/config/SettingsKeys.java
@@ -74,7 +74,7 @@
     public static final String MEMORY_OVERCOMMIT = "family_info.out_of_memory";
 
     public static final String GRANTS_SUPPORTED = "family_info.takes_grants";
-    public static final String PRIORITIES_HEEDED = "family_info.lanes_count";
+    public static final String PRIORITIES_SUPPORTED = "family_info.lanes_count";
 
     /** Channel of load reports: inline, on_probe or off. */
     public static final String LOAD_REPORT_CHANNEL = "report.via";
--- a/src/main/java/firstage/config/SettingsParser.java
+++ b/src/main/java/firstage/config/SettingsParser.java
@@ -143,7 +143,7 @@
                 settings.getBoolean(SettingsKeys.MAY_HEDGE),
                 settings.getBoolean(SettingsKeys.CLIENTS_HEED_RETRY_AFTER),
                 settings.getBoolean(SettingsKeys.GRANTS_SUPPORTED),
-                settings.getBoolean(SettingsKeys.PRIORITIES_HEEDED),
+                settings.getBoolean(SettingsKeys.PRIORITIES_SUPPORTED),
                 settings.getInt(SettingsKeys.MAX_ATTEMPTS, 1),
                 settings.getTicks(SettingsKeys.MAX_RETRY_AFTER));
     }
