--- a/src/main/java/firstage/config/SettingsKeys.java
+++ b/src/main/java/firstage/config/SettingsKeys.java
@@ -93,7 +93,7 @@
     public static final String MAY_HEDGE = "limits.second_copies";
     public static final String MAY_PROBE = "limits.probing";
     public static final String MAY_MESSAGE_PEERS = "limits.peers";
-    public static final String CLIENTS_HEED_RETRY_AFTER = "limits.retry_after";
+    public static final String CLIENTS_HONOR_RETRY_AFTER = "limits.retry_after";
 
     /** Longest retry-after time that a client observes, in seconds. */
     public static final String MAX_RETRY_AFTER = "limits.max_retry_after";
--- a/src/main/java/firstage/config/SettingsParser.java
+++ b/src/main/java/firstage/config/SettingsParser.java
@@ -141,7 +141,7 @@
         return new Deployment.Capabilities(
                 settings.getBoolean(SettingsKeys.MAY_CANCEL),
                 settings.getBoolean(SettingsKeys.MAY_HEDGE),
-                settings.getBoolean(SettingsKeys.CLIENTS_HEED_RETRY_AFTER),
+                settings.getBoolean(SettingsKeys.CLIENTS_HONOR_RETRY_AFTER),
                 settings.getBoolean(SettingsKeys.GRANTS_SUPPORTED),
                 settings.getBoolean(SettingsKeys.PRIORITIES_SUPPORTED),
                 settings.getInt(SettingsKeys.MAX_ATTEMPTS, 1),
