--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -226,7 +226,7 @@
                         number,
                         randomStreams.seed("manager-life", number * 1_000L + incarnation),
                         policyUnderTest.capacityFactor());
-        policy = policyUnderTest.start(deployment, this);
+        policy = policyUnderTest.createPolicy(deployment, this);
         if (cells != null) {
             policy.onQuotaChanged(events.now(), cells.sharePerManager(plan.cellOf(number)));
         }
--- a/src/main/java/firstage/simulation/PolicyUnderTest.java
+++ b/src/main/java/firstage/simulation/PolicyUnderTest.java
@@ -119,7 +119,7 @@
                 "two-choices");
     }
 
-    SchedulingPolicy start(Deployment deployment, PolicyActions actions) {
+    SchedulingPolicy createPolicy(Deployment deployment, PolicyActions actions) {
         return baseline == null
                 ? new WorkloadScheduler(deployment, actions)
                 : new BaselinePolicy(baseline, deployment, actions);
