--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -210,7 +210,7 @@
     }
 
     /** Makes the engine cold as of now; its attempts go on. */
-    void restartCold() {
+    void makeCold() {
         advance();
         startedAt = events.now();
         recentArrivals.clear();
--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -313,7 +313,7 @@
                     drawAffected(engines.size(), disturbance.affectedShare(), random)
                             .forEach(
                                     engine -> {
-                                        engines.get(engine).restartCold();
+                                        engines.get(engine).makeCold();
                                         announce(engine, Lifecycle.ACTIVE, events.now(), 1, random);
                                     });
         }
