--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -133,7 +133,7 @@
                 seed,
                 figures,
                 rules.violations(),
-                scoreboard.requests(),
+                scoreboard.requestCount(),
                 executedEvents);
     }
 
--- a/src/main/java/firstage/simulation/Scoreboard.java
+++ b/src/main/java/firstage/simulation/Scoreboard.java
@@ -166,7 +166,7 @@
         return figures;
     }
 
-    long requests() {
+    long requestCount() {
         return requestCount;
     }
 }
