--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -103,7 +103,7 @@
         }
     }
 
-    void order(String line) {
+    void sendOrder(String line) {
         orders.println(line);
     }
 
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -453,7 +453,7 @@
     }
 
     private void sendToAll(String line) {
-        hollowProcesses.forEach(h -> h.order(line));
+        hollowProcesses.forEach(h -> h.sendOrder(line));
     }
 
     private static void pause() {
