--- a/src/main/java/firstage/policy/EngineSelector.java
+++ b/src/main/java/firstage/policy/EngineSelector.java
@@ -32,7 +32,7 @@
     private final LatencyTracker latency;
     private final SlowStartBudget slowStart;
     private final GrantEstimator grants;
-    private final PriorityClasses priorities;
+    private final PriorityAssigner priorities;
     private final LoadProbing probing;
     private final LoadReportTracker loadReports;
     private final TableAffinity tables;
@@ -56,7 +56,7 @@
             LatencyTracker latency,
             SlowStartBudget slowStart,
             GrantEstimator grants,
-            PriorityClasses priorities,
+            PriorityAssigner priorities,
             LoadProbing probing,
             LoadReportTracker loadReports,
             TableAffinity tables,
@@ -92,7 +92,7 @@
                 return null;
             }
         }
-        boolean topPriority = priorities.priorityOf(request) == PriorityClasses.TOP;
+        boolean topPriority = priorities.priorityOf(request) == PriorityAssigner.TOP;
         boolean withinTotalLimit = isWithinTotalThreadLimit(request, engines);
         double[] tableLoadOrder = tables.tableLoadOrder(request, engines);
         EngineState best = null;
@@ -149,7 +149,7 @@
         // One request of the top priority may exceed the thread limit, as short requests would
         // otherwise starve behind long ones.
         boolean onlyTopPriorityAttempt =
-                topPriority && !engine.hasAttemptOfPriority(PriorityClasses.TOP);
+                topPriority && !engine.hasAttemptOfPriority(PriorityAssigner.TOP);
         boolean mayExceedLimits =
                 engine.attemptsInFlight.isEmpty() && withinTotalLimit
                         || limiter.isShareBelowOneRequest(request.trafficClass())
--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -165,7 +165,7 @@
         if (!attempt.wasBlocked) {
             record(attempt.engine, ratio, capacityShare);
         }
-        if (attempt.priority == PriorityClasses.TOP) {
+        if (attempt.priority == PriorityAssigner.TOP) {
             topPriorityRatios.add(ratio);
         }
     }
--- a/src/main/java/firstage/policy/PriorityClasses.java
+++ b/src/main/java/firstage/policy/PriorityAssigner.java
@@ -8,7 +8,7 @@
  * Assigns the priority of a request at its engine, by the priority weight per unit of expected work
  * relative to that of the best traffic class.
  */
-final class PriorityClasses {
+final class PriorityAssigner {
     /** Highest priority, for requests with the most priority weight per unit of work. */
     static final int TOP = 3;
 
@@ -23,7 +23,7 @@
 
     private final List<TrafficClassStats> trafficClasses;
 
-    PriorityClasses(List<TrafficClassStats> trafficClasses) {
+    PriorityAssigner(List<TrafficClassStats> trafficClasses) {
         this.trafficClasses = trafficClasses;
     }
 
--- a/src/main/java/firstage/policy/UnplaceableRequests.java
+++ b/src/main/java/firstage/policy/UnplaceableRequests.java
@@ -29,7 +29,7 @@
                 request.trafficClass().blockedByTableLoads() || request.trafficClass().tableLoad();
         long tables = byTables ? request.incoming.tableGroup() + 1L : 0;
         return (tables * trafficClassCount + request.incoming.trafficClass())
-                        * (PriorityClasses.TOP + 1)
+                        * (PriorityAssigner.TOP + 1)
                 + priority;
     }
 
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -53,7 +53,7 @@
     private final AdmissionQueue queue;
     private final RetryPolicy retries;
     private final StuckAttemptDetector stuckAttempts;
-    private final PriorityClasses priorities;
+    private final PriorityAssigner priorities;
     private final LatencyTracker latency = new LatencyTracker();
     private final ConcurrencyLimiter limiter;
     private final GrantEstimator grants;
@@ -98,7 +98,7 @@
         queue = new AdmissionQueue(latency);
         retries = new RetryPolicy(capabilities, rules);
         stuckAttempts = new StuckAttemptDetector(capabilities, retries, progressInterval);
-        priorities = new PriorityClasses(trafficClasses);
+        priorities = new PriorityAssigner(trafficClasses);
         grants = new GrantEstimator(deployment.maxGrantShare());
         slowStart = new SlowStartBudget(rules, rank, managers);
         EngineEligibility eligibility = new EngineEligibility(slowStart, limiter);
