--- a/src/main/java/firstage/policy/EngineSelector.java
+++ b/src/main/java/firstage/policy/EngineSelector.java
@@ -36,7 +36,7 @@
     private final LoadProbing probing;
     private final LoadReportTracker loadReports;
     private final TableAffinity tables;
-    private final Placement settings;
+    private final SelectionSettings settings;
 
     private boolean foundEligibleEngine;
 
@@ -47,7 +47,7 @@
      * @param prefersOwnZone whether traffic between zones has a cost
      * @param prioritiesHeeded whether engines run requests by priority
      */
-    record Placement(int zone, boolean prefersOwnZone, boolean enginesHonourPriorities) {}
+    record SelectionSettings(int zone, boolean prefersOwnZone, boolean enginesHonourPriorities) {}
 
     EngineSelector(
             EngineEligibility eligibility,
@@ -60,7 +60,7 @@
             LoadProbing probing,
             LoadReportTracker loadReports,
             TableAffinity tables,
-            Placement settings) {
+            SelectionSettings settings) {
         this.eligibility = eligibility;
         this.retries = retries;
         this.limiter = limiter;
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -115,7 +115,7 @@
                         probing,
                         loadReports,
                         new TableAffinity(random, rank, managers),
-                        new EngineSelector.Placement(
+                        new EngineSelector.SelectionSettings(
                                 deployment.zone(),
                                 deployment.crossZoneCosts(),
                                 capabilities.priorities()));
