--- a/src/main/java/firstage/server/InterruptedCalls.java
+++ b/src/main/java/firstage/server/InterruptSafeConduits.java
@@ -13,10 +13,10 @@
  * bytes. On a non-blocking channel the JDK returns -3 for an interrupted call. Neither XNIO nor
  * Undertow handles that value; both would stop reading for good.
  */
-public final class InterruptedCalls {
+public final class InterruptSafeConduits {
     private static final int END_OF_STREAM = -1;
 
-    private InterruptedCalls() {}
+    private InterruptSafeConduits() {}
 
     /** Installs the conduits on a connection; to be called before anything is read or written. */
     public static void installOn(StreamConnection connection) {
--- a/src/main/java/firstage/server/ReadBarrier.java
+++ b/src/main/java/firstage/server/ReadBarrier.java
@@ -72,8 +72,8 @@
                 io.createFullDuplexPipeConnection(io);
         wakeUpWriter = pipe.getLeftSide();
         wakeUpReader = pipe.getRightSide();
-        InterruptedCalls.installOn(wakeUpWriter);
-        InterruptedCalls.installOn(wakeUpReader);
+        InterruptSafeConduits.installOn(wakeUpWriter);
+        InterruptSafeConduits.installOn(wakeUpReader);
     }
 
     /**
--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -3,7 +3,7 @@
 import firstage.config.ManagerConfig;
 import firstage.server.ActionGuard;
 import firstage.server.Counters;
-import firstage.server.InterruptedCalls;
+import firstage.server.InterruptSafeConduits;
 import firstage.server.RequestExchange;
 import firstage.server.ServerEvents;
 import firstage.server.TickClock;
@@ -167,7 +167,7 @@
 
     private void onConnectionOpened(StreamConnection connection) {
         if (connections.tryAdd(connection)) {
-            InterruptedCalls.installOn(connection);
+            InterruptSafeConduits.installOn(connection);
             connection
                     .getSinkChannel()
                     .setConduit(new BadRequestResponse(connection.getSinkChannel().getConduit()));
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -4,7 +4,7 @@
 import firstage.policy.api.EndpointUpdate.Kind;
 import firstage.server.ActionGuard;
 import firstage.server.Counters;
-import firstage.server.InterruptedCalls;
+import firstage.server.InterruptSafeConduits;
 import firstage.server.ServerEvents;
 import firstage.server.TickClock;
 import java.io.IOException;
@@ -240,7 +240,7 @@
 
     private void onConnected(StreamConnection newConnection) {
         connection = newConnection;
-        InterruptedCalls.installOn(connection);
+        InterruptSafeConduits.installOn(connection);
         try {
             frameDecoder = new FrameDecoder();
             ByteBuffer subscription = ByteBuffer.allocate(Long.BYTES).putLong(0, lastEventNumber);
--- a/src/main/java/firstage/server/engine/EngineConnection.java
+++ b/src/main/java/firstage/server/engine/EngineConnection.java
@@ -2,7 +2,7 @@
 
 import firstage.lifecycle.SendGuard.Verdict;
 import firstage.server.ActionGuard;
-import firstage.server.InterruptedCalls;
+import firstage.server.InterruptSafeConduits;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -59,7 +59,7 @@
         this.guard = guard;
         this.readBuffer = readBuffer;
         this.channel = channel;
-        InterruptedCalls.installOn(channel);
+        InterruptSafeConduits.installOn(channel);
         channel.getSourceChannel().setReadListener(this::onReadable);
         channel.getSinkChannel().setWriteListener(this::onWritable);
         channel.getSourceChannel().resumeReads();
