--- a/src/main/java/firstage/server/DecisionExecutor.java
+++ b/src/main/java/firstage/server/DecisionExecutor.java
@@ -73,7 +73,7 @@
     public void reject(int request, long retryAfter) {
         RequestExchange exchange = requests.find(request);
         if (exchange.reject(retryAfter)) {
-            requests.onRequestEnded(RequestRegistry.End.REJECTED, exchange);
+            requests.onRequestEnded(RequestRegistry.RequestOutcome.REJECTED, exchange);
         }
         exchange.abandonAttempts(AttemptOutcome.CANCELLED);
     }
@@ -82,7 +82,7 @@
     public void fail(int request) {
         RequestExchange exchange = requests.find(request);
         if (exchange.fail()) {
-            requests.onRequestEnded(RequestRegistry.End.FAILED, exchange);
+            requests.onRequestEnded(RequestRegistry.RequestOutcome.FAILED, exchange);
         }
     }
 
--- a/src/main/java/firstage/server/RequestEventHandler.java
+++ b/src/main/java/firstage/server/RequestEventHandler.java
@@ -103,7 +103,7 @@
                 DEADLINE_GRACE_MS,
                 () -> {
                     if (exchange.fail()) {
-                        requests.onRequestEnded(RequestRegistry.End.FAILED_AT_DEADLINE, exchange);
+                        requests.onRequestEnded(RequestRegistry.RequestOutcome.FAILED_AT_DEADLINE, exchange);
                         reportClientGone("deadline passed", exchange);
                     }
                 });
@@ -115,7 +115,7 @@
             return;
         }
         exchange.onClientGone();
-        requests.onRequestEnded(RequestRegistry.End.CLIENT_GONE, exchange);
+        requests.onRequestEnded(RequestRegistry.RequestOutcome.CLIENT_GONE, exchange);
         reportClientGone("left", exchange);
         exchange.abandonAttempts(AttemptOutcome.CANCELLED);
     }
@@ -173,7 +173,7 @@
             long heldFor) {
         requests.onAttemptEnded(exchange, attempt, outcome, heldFor);
         if (outcome == AttemptOutcome.SUCCEEDED && exchange.succeed(pages)) {
-            requests.onRequestEnded(RequestRegistry.End.SUCCEEDED, exchange);
+            requests.onRequestEnded(RequestRegistry.RequestOutcome.SUCCEEDED, exchange);
         }
         loop.dispatch(
                 "ended",
--- a/src/main/java/firstage/server/RequestRegistry.java
+++ b/src/main/java/firstage/server/RequestRegistry.java
@@ -12,7 +12,7 @@
  */
 final class RequestRegistry {
     /** Outcomes of requests, each with the name of its counter. */
-    enum End {
+    enum RequestOutcome {
         SUCCEEDED("requests succeeded"),
         REJECTED("requests rejected"),
         FAILED("requests failed"),
@@ -21,7 +21,7 @@
 
         private final String counter;
 
-        End(String counter) {
+        RequestOutcome(String counter) {
             this.counter = counter;
         }
     }
@@ -112,7 +112,7 @@
     }
 
     /** Records that the client has its answer, or gets none. Called once for each request. */
-    void onRequestEnded(End end, RequestExchange exchange) {
+    void onRequestEnded(RequestOutcome end, RequestExchange exchange) {
         counters.count(end.counter);
         openRequests--;
         counters.recorder().record(EventType.REQUEST_ENDED, exchange.id, end.name(), 0, 0);
@@ -144,7 +144,7 @@
     /** Checks, at the end of the program, that each accepted request ended once. */
     void checkAllEnded() {
         long ended = 0;
-        for (End end : End.values()) {
+        for (RequestOutcome end : RequestOutcome.values()) {
             ended += counters.sum(end.counter);
         }
         counters.checkInvariant(counters.sum(ACCEPTED_COUNTER) == ended, "each request ends once");
