--- a/src/main/java/firstage/bench/BenchAdapter.java
+++ b/src/main/java/firstage/bench/BenchAdapter.java
@@ -1,6 +1,6 @@
 package firstage.bench;
 
-import firstage.config.MalformedLineException;
+import firstage.config.InvalidInputException;
 import firstage.config.WireFields;
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
@@ -66,13 +66,13 @@
             }
             try {
                 readLine(line);
-            } catch (MalformedLineException exception) {
+            } catch (InvalidInputException exception) {
                 reportSkipped(line, exception);
             }
         }
     }
 
-    private void reportSkipped(String line, MalformedLineException exception) {
+    private void reportSkipped(String line, InvalidInputException exception) {
         String shown =
                 line.length() > MAX_REPORTED_CHARS
                         ? line.substring(0, MAX_REPORTED_CHARS) + "..."
@@ -107,7 +107,7 @@
 
     private void addListEntry(WireFields entry) {
         if (openList == null || openList.size() == openListSize) {
-            throw new MalformedLineException(
+            throw new InvalidInputException(
                     "list entry without a list, or beyond the size of its list");
         }
         openList.add(entry);
@@ -127,13 +127,13 @@
             }
             BenchManager manager = managers.get(number);
             if (manager == null) {
-                throw new MalformedLineException("no manager is running with number " + number);
+                throw new InvalidInputException("no manager is running with number " + number);
             }
             managersInRound.put(number, manager);
             if (!kind.equals(BenchWire.MANAGER_STARTED)) {
                 manager.onEvent(now, kind, event, endpointLists);
             }
-        } catch (MalformedLineException exception) {
+        } catch (InvalidInputException exception) {
             throw exception;
         } catch (RuntimeException failure) {
             addFailure(number, failure);
--- a/src/main/java/firstage/bench/BenchEventReader.java
+++ b/src/main/java/firstage/bench/BenchEventReader.java
@@ -1,6 +1,6 @@
 package firstage.bench;
 
-import firstage.config.MalformedLineException;
+import firstage.config.InvalidInputException;
 import firstage.config.WireFields;
 import firstage.policy.api.AttemptOutcome;
 import firstage.policy.api.AttemptProgress;
@@ -16,7 +16,7 @@
 
 /**
  * Translates the fields of the simulator's events into the messages of the scheduling policy.
- * Throws {@link MalformedLineException} if a field can't be read.
+ * Throws {@link InvalidInputException} if a field can't be read.
  */
 final class BenchEventReader {
     private static final Map<String, AttemptOutcome> OUTCOMES =
@@ -127,7 +127,7 @@
             int number = event.getInt(BenchWire.LIST_NUMBER, 0);
             List<WireFields> entries = lists.get(number);
             if (entries == null) {
-                throw new MalformedLineException("list " + number + " was not declared");
+                throw new InvalidInputException("list " + number + " was not declared");
             }
             for (WireFields entry : entries) {
                 endpoints.add(endpoint(entry));
@@ -158,7 +158,7 @@
     AttemptOutcome outcome(WireFields event) {
         AttemptOutcome outcome = OUTCOMES.get(event.require(BenchWire.OUTCOME));
         if (outcome == null) {
-            throw new MalformedLineException("unknown outcome " + event.require(BenchWire.OUTCOME));
+            throw new InvalidInputException("unknown outcome " + event.require(BenchWire.OUTCOME));
         }
         return outcome;
     }
--- a/src/main/java/firstage/bench/BenchManager.java
+++ b/src/main/java/firstage/bench/BenchManager.java
@@ -1,6 +1,6 @@
 package firstage.bench;
 
-import firstage.config.MalformedLineException;
+import firstage.config.InvalidInputException;
 import firstage.config.SettingsKeys;
 import firstage.config.SettingsParser;
 import firstage.config.WireFields;
@@ -56,7 +56,7 @@
      * @param now the clock of the round, in ticks
      * @param kind the kind of line
      * @param lists the endpoint lists declared so far, by number
-     * @throws MalformedLineException if the kind is unknown or a field can't be read
+     * @throws InvalidInputException if the kind is unknown or a field can't be read
      */
     void onEvent(long now, String kind, WireFields event, Map<Integer, List<WireFields>> lists) {
         switch (kind) {
@@ -75,7 +75,7 @@
             case BenchWire.PEER_MESSAGE -> onPeerMessage(now, event);
             case BenchWire.WAKE_UP -> onWakeUp(now, event.getLong(BenchWire.TIMER_TOKEN, 0));
             case BenchWire.STREAM_STARTED -> {}
-            default -> throw new MalformedLineException("unknown event " + kind);
+            default -> throw new InvalidInputException("unknown event " + kind);
         }
     }
 
--- a/src/main/java/firstage/cli/PeersToml.java
+++ b/src/main/java/firstage/cli/PeersToml.java
@@ -1,7 +1,7 @@
 package firstage.cli;
 
 import firstage.config.InvalidConfigException;
-import firstage.config.MalformedLineException;
+import firstage.config.InvalidInputException;
 import firstage.config.ManagerConfig;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -151,7 +151,7 @@
     InetSocketAddress address(TomlPosition position, String key, Object value) {
         try {
             return ManagerConfig.parseAddress(String.valueOf(value));
-        } catch (MalformedLineException exception) {
+        } catch (InvalidInputException exception) {
             throw invalid(
                     position, key + ": '" + value + "' is no address; \"127.0.0.1:7946\" would do");
         }
--- a/src/main/java/firstage/cli/ServeCommand.java
+++ b/src/main/java/firstage/cli/ServeCommand.java
@@ -1,7 +1,7 @@
 package firstage.cli;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
-import firstage.config.MalformedLineException;
+import firstage.config.InvalidInputException;
 import firstage.config.ManagerConfig;
 import firstage.config.PeerConfig;
 import firstage.server.ManagerServer;
@@ -71,12 +71,12 @@
     private static ServeCommand fromOptions(List<String> options) {
         boolean hasPeersOption = options.size() == 2 && options.get(0).equals(PEERS_OPTION);
         if (!options.isEmpty() && !hasPeersOption) {
-            throw new MalformedLineException(
+            throw new InvalidInputException(
                     "serve takes only --peers FILE, not " + String.join(" ", options));
         }
         String configFile = System.getenv(CONFIG_FILE_VARIABLE);
         if (configFile == null) {
-            throw new MalformedLineException(
+            throw new InvalidInputException(
                     "no configuration: " + CONFIG_FILE_VARIABLE + " is not set");
         }
         return new ServeCommand(
--- a/src/main/java/firstage/config/MalformedLineException.java
+++ b/src/main/java/firstage/config/InvalidInputException.java
@@ -5,7 +5,7 @@
  * The message names the field and what is wrong; a reader of lines skips the line and reports the
  * message.
  */
-public final class MalformedLineException extends RuntimeException {
+public final class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
     /**
@@ -13,7 +13,7 @@
      *
      * @param problem the field or its value, and what is wrong with it
      */
-    public MalformedLineException(String problem) {
+    public InvalidInputException(String problem) {
         super(problem);
     }
 }
--- a/src/main/java/firstage/config/ManagerConfig.java
+++ b/src/main/java/firstage/config/ManagerConfig.java
@@ -100,19 +100,19 @@
      * Parses an address of the form HOST:PORT. The host has to be numeric, since names are not
      * resolved.
      *
-     * @throws MalformedLineException if the text is not such an address; the message names it
+     * @throws InvalidInputException if the text is not such an address; the message names it
      */
     public static InetSocketAddress parseAddress(String hostPort) {
         int colon = hostPort.lastIndexOf(':');
         try {
             String host = hostPort.substring(0, colon);
             if (!host.matches("[0-9.]+|[0-9a-fA-F:\\[\\]]+")) {
-                throw new MalformedLineException(
+                throw new InvalidInputException(
                         "not an address HOST:PORT with a numeric host: " + hostPort);
             }
             return new InetSocketAddress(host, Integer.parseInt(hostPort.substring(colon + 1)));
         } catch (IndexOutOfBoundsException | IllegalArgumentException exception) {
-            throw new MalformedLineException(
+            throw new InvalidInputException(
                     "not an address HOST:PORT with a numeric host: " + hostPort);
         }
     }
--- a/src/main/java/firstage/config/ManagerConfigReader.java
+++ b/src/main/java/firstage/config/ManagerConfigReader.java
@@ -40,7 +40,7 @@
         Map<?, ?> root = readObject(file);
         try {
             return config(root);
-        } catch (MalformedLineException exception) {
+        } catch (InvalidInputException exception) {
             throw new InvalidConfigException(
                     file.toString(), InvalidConfigException.NO_LINE, exception.getMessage());
         }
@@ -57,7 +57,7 @@
 
     private static ManagerConfig config(Map<?, ?> root) {
         if (!(root.get(SETTINGS) instanceof Map<?, ?> settingsObject)) {
-            throw new MalformedLineException("settings are missing or not an object");
+            throw new InvalidInputException("settings are missing or not an object");
         }
         WireFields fields = new WireFields(root);
         WireFields settings = settings(settingsObject, fields.getString(SEED, "0"));
--- a/src/main/java/firstage/config/SettingsParser.java
+++ b/src/main/java/firstage/config/SettingsParser.java
@@ -32,7 +32,7 @@
     /**
      * Reads a deployment's settings.
      *
-     * @throws MalformedLineException if a value can't be read or two values contradict each other;
+     * @throws InvalidInputException if a value can't be read or two values contradict each other;
      *     the message names the keys
      */
     public static Deployment parse(WireFields settings) {
@@ -73,7 +73,7 @@
         if (off && !settings.getString(SettingsKeys.LOAD_REPORT_FIELDS, "").isEmpty()) {
             // Engines would count as unresponsive: values are announced, but no report ever
             // arrives.
-            throw new MalformedLineException(
+            throw new InvalidInputException(
                     "report.fields names values, but report.via = off; leave report.fields empty or"
                             + " set report.via to inline or on_probe");
         }
@@ -167,7 +167,7 @@
     private String oneOf(String key, String defaultValue, Set<String> known) {
         String value = settings.getString(key, defaultValue);
         if (!known.contains(value)) {
-            throw new MalformedLineException(
+            throw new InvalidInputException(
                     key + " = " + value + " is none of " + new TreeSet<>(known));
         }
         return value;
@@ -201,7 +201,7 @@
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException exception) {
-            throw new MalformedLineException("not a number in the settings: " + text);
+            throw new InvalidInputException("not a number in the settings: " + text);
         }
     }
 
--- a/src/main/java/firstage/config/WireFields.java
+++ b/src/main/java/firstage/config/WireFields.java
@@ -11,7 +11,7 @@
  * the wire and in ticks here.
  *
  * <p>Getters take the value to return if the field is absent. All of them throw {@link
- * MalformedLineException}, whose message names the field, if its value can't be read.
+ * InvalidInputException}, whose message names the field, if its value can't be read.
  */
 public final class WireFields {
     /**
@@ -81,7 +81,7 @@
     public String require(String name) {
         String value = values.get(name);
         if (value == null) {
-            throw new MalformedLineException("missing " + name);
+            throw new InvalidInputException("missing " + name);
         }
         return value;
     }
@@ -91,7 +91,7 @@
         try {
             return Long.parseLong(require(name));
         } catch (NumberFormatException exception) {
-            throw new MalformedLineException(name + " is not a whole number");
+            throw new InvalidInputException(name + " is not a whole number");
         }
     }
 
@@ -100,7 +100,7 @@
         try {
             return Double.parseDouble(require(name));
         } catch (NumberFormatException exception) {
-            throw new MalformedLineException(name + " is not a number");
+            throw new InvalidInputException(name + " is not a number");
         }
     }
 
--- a/src/main/java/firstage/server/discovery/EndpointParser.java
+++ b/src/main/java/firstage/server/discovery/EndpointParser.java
@@ -1,6 +1,6 @@
 package firstage.server.discovery;
 
-import firstage.config.MalformedLineException;
+import firstage.config.InvalidInputException;
 import firstage.config.ManagerConfig;
 import firstage.config.SettingsKeys;
 import firstage.config.WireFields;
@@ -126,7 +126,7 @@
         try {
             return Long.parseLong(text.substring(text.indexOf('-') + 1), 16);
         } catch (NumberFormatException exception) {
-            throw new MalformedLineException("no engine's id: " + text);
+            throw new InvalidInputException("no engine's id: " + text);
         }
     }
 }
--- a/src/test/java/firstage/config/SettingsParserTest.java
+++ b/src/test/java/firstage/config/SettingsParserTest.java
@@ -34,18 +34,18 @@
 
     @Test
     void parse_contradictoryKeys_isRefusedNamingTheKey() {
-        MalformedLineException exception =
+        InvalidInputException exception =
                 assertThrows(
-                        MalformedLineException.class,
+                        InvalidInputException.class,
                         () -> read("report.via=off report.fields=waiting"));
         assertTrue(exception.getMessage().startsWith("report.fields"));
     }
 
     @Test
     void parse_unknownValue_isRefusedNamingTheKey() {
-        MalformedLineException exception =
+        InvalidInputException exception =
                 assertThrows(
-                        MalformedLineException.class, () -> read("family_info.out_of_memory=swap"));
+                        InvalidInputException.class, () -> read("family_info.out_of_memory=swap"));
         assertEquals(
                 "family_info.out_of_memory = swap is none of [page, shrink, wait]",
                 exception.getMessage());
--- a/src/test/java/firstage/config/WireFieldsTest.java
+++ b/src/test/java/firstage/config/WireFieldsTest.java
@@ -40,13 +40,13 @@
     void require_missingOrUnreadable_namesTheField() {
         WireFields fields = new WireFields("X n=1.5 t=soon");
         assertThatThrownBy(() -> fields.require("none"))
-                .isInstanceOf(MalformedLineException.class)
+                .isInstanceOf(InvalidInputException.class)
                 .hasMessage("missing none");
         assertThatThrownBy(() -> fields.getLong("n", 0))
-                .isInstanceOf(MalformedLineException.class)
+                .isInstanceOf(InvalidInputException.class)
                 .hasMessage("n is not a whole number");
         assertThatThrownBy(() -> fields.getTicks("t"))
-                .isInstanceOf(MalformedLineException.class)
+                .isInstanceOf(InvalidInputException.class)
                 .hasMessage("t is not a number");
     }
 
