--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -8,7 +8,7 @@
 import firstage.simulation.RuleChecker.ClientTry;
 import firstage.simulation.Scoreboard;
 import firstage.simulation.TrafficSource;
-import firstage.simulation.TrueRequest;
+import firstage.simulation.GeneratedRequest;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
@@ -87,7 +87,7 @@
 
     /** Receives the events of requests; called on the loop's thread. */
     public interface Observer {
-        void onRequest(TrueRequest request, int manager);
+        void onRequest(GeneratedRequest request, int manager);
 
         void onTry(ClientTry clientTry);
 
@@ -195,7 +195,7 @@
                         trafficSource.nextArrival(now, startedAt, trafficFactor) - now,
                         () -> {
                             if (loop.events().now() < endsAt) {
-                                TrueRequest request =
+                                GeneratedRequest request =
                                         trafficSource.draw(loop.events().now(), List.of());
                                 scoreboard.onRequested(request);
                                 int manager = chooseManager(request);
@@ -263,7 +263,7 @@
         }
     }
 
-    private int chooseManager(TrueRequest request) {
+    private int chooseManager(GeneratedRequest request) {
         int manager = clientBehavior.managerFor(request);
         // Failing over to the next manager in order keeps the requests of one key together.
         for (int i = 0; i < managers.size() && !aliveManagers.contains(manager); i++) {
@@ -272,7 +272,7 @@
         return manager;
     }
 
-    private void sendInKeyOrder(TrueRequest request, int manager) {
+    private void sendInKeyOrder(GeneratedRequest request, int manager) {
         long now = loop.events().now();
         if (request.orderingKey >= 0) {
             long sendAt = Math.max(now, nextSendAtByKey.getOrDefault(request.orderingKey, 0L));
@@ -285,7 +285,7 @@
         send(request, manager);
     }
 
-    private void send(TrueRequest request, int manager) {
+    private void send(GeneratedRequest request, int manager) {
         long now = loop.events().now();
         long remaining = request.deadline - now;
         if (remaining <= 0) {
@@ -489,7 +489,7 @@
         }
     }
 
-    private void retry(TrueRequest request, long retryAfter, boolean mayRetry) {
+    private void retry(GeneratedRequest request, long retryAfter, boolean mayRetry) {
         long delay = clientBehavior.retryDelay(request, loop.now(), retryAfter, mayRetry);
         if (delay >= 0) {
             loop.events().schedule(delay, () -> sendInKeyOrder(request, chooseManager(request)));
--- a/src/main/java/firstage/faulttest/RunObserver.java
+++ b/src/main/java/firstage/faulttest/RunObserver.java
@@ -5,7 +5,7 @@
 import firstage.emulator.RealTimeLoop;
 import firstage.simulation.FleetPlan;
 import firstage.simulation.RuleChecker.ClientTry;
-import firstage.simulation.TrueRequest;
+import firstage.simulation.GeneratedRequest;
 import firstage.util.Ticks;
 
 /**
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void onRequest(TrueRequest request, int manager) {
+    public void onRequest(GeneratedRequest request, int manager) {
         double priorityWeight = plan.trafficClasses().get(request.trafficClass).priorityWeight();
         recorder.add(clock.elapsed(), "asked " + zoneName(manager), priorityWeight);
         recorder.add(clock.elapsed(), "asked", priorityWeight);
--- a/src/main/java/firstage/simulation/ClientBehavior.java
+++ b/src/main/java/firstage/simulation/ClientBehavior.java
@@ -26,7 +26,7 @@
     }
 
     /** Returns the manager that gets the request; requests of one ordering key share a manager. */
-    public int managerFor(TrueRequest request) {
+    public int managerFor(GeneratedRequest request) {
         double position =
                 request.orderingKey >= 0
                         ? Math.floorMod(request.orderingKey * 0x9E3779B97F4A7C15L, 1L << 40)
@@ -46,7 +46,7 @@
      * @param retryAfter the delay that the manager asked for; 0 for none
      * @param safeToRetry whether the request may run twice, or cannot have run yet
      */
-    public long retryDelay(TrueRequest request, long now, long retryAfter, boolean safeToRetry) {
+    public long retryDelay(GeneratedRequest request, long now, long retryAfter, boolean safeToRetry) {
         FleetPlan.Clients clients = plan.clients();
         long delay = clients.retryPause().drawTime(random);
         if (retryAfter > 0 && random.nextDouble() < clients.retryAfterHonouredShare()) {
--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -70,7 +70,7 @@
 
     /** An attempt at an engine. Work is in ticks of one thread on one core at speed 1. */
     public static final class RunningAttempt {
-        public final TrueRequest request;
+        public final GeneratedRequest request;
         final FleetPlan.TrafficClassPlan trafficClass;
         final Listener listener;
         final int manager;
@@ -86,7 +86,7 @@
         private boolean ended;
 
         public RunningAttempt(
-                TrueRequest request,
+                GeneratedRequest request,
                 FleetPlan.TrafficClassPlan trafficClass,
                 Listener listener,
                 int manager,
--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -171,13 +171,13 @@
         if (now >= START + plan.length()) {
             return;
         }
-        TrueRequest request = traffic.draw(now, expensiveWork);
+        GeneratedRequest request = traffic.draw(now, expensiveWork);
         scoreboard.onRequested(request);
         sendToManager(request);
         events.schedule(traffic.nextArrival(now, START, trafficFactor) - now, this::onArrival);
     }
 
-    private void sendToManager(TrueRequest request) {
+    private void sendToManager(GeneratedRequest request) {
         long now = events.now();
         request.tries++;
         ManagerModel manager = managers.get(clients.managerFor(request));
@@ -192,7 +192,7 @@
         }
     }
 
-    private void retryLater(TrueRequest request, long retryAfter, boolean safeToRetry) {
+    private void retryLater(GeneratedRequest request, long retryAfter, boolean safeToRetry) {
         boolean retryAllowed =
                 safeToRetry
                         || plan.trafficClasses().get(request.trafficClass).effect()
@@ -204,7 +204,7 @@
     }
 
     @Override
-    public void onSucceeded(TrueRequest request) {
+    public void onSucceeded(GeneratedRequest request) {
         if (!request.succeeded) {
             request.succeeded = true;
             scoreboard.onSucceeded(events.now(), request);
@@ -212,13 +212,13 @@
     }
 
     @Override
-    public void onRejected(TrueRequest request, long retryAfter) {
+    public void onRejected(GeneratedRequest request, long retryAfter) {
         scoreboard.onRejected();
         retryLater(request, retryAfter, true);
     }
 
     @Override
-    public void onFailed(TrueRequest request) {
+    public void onFailed(GeneratedRequest request) {
         scoreboard.onFailed();
         retryLater(request, 0, false);
     }
--- a/src/main/java/firstage/simulation/TrueRequest.java
+++ b/src/main/java/firstage/simulation/GeneratedRequest.java
@@ -4,7 +4,7 @@
  * A request with its true cost, which scheduling policies never see: {@link ManagerModel} passes
  * them estimates and observations only. Indices are -1 where there is none; times are in ticks.
  */
-public final class TrueRequest {
+public final class GeneratedRequest {
     public final long id;
     public final int trafficClass;
     public final int tenant;
@@ -38,7 +38,7 @@
      * Creates a request. Times are in ticks; {@code estimatedWork} and {@code estimatedMemoryMb}
      * are what the client sends.
      */
-    public TrueRequest(
+    public GeneratedRequest(
             long id,
             int trafficClass,
             int tenant,
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -40,11 +40,11 @@
 
     /** Callbacks with the outcomes of tries, for the clients. */
     interface ClientActions {
-        void onSucceeded(TrueRequest request);
+        void onSucceeded(GeneratedRequest request);
 
-        void onRejected(TrueRequest request, long retryAfter);
+        void onRejected(GeneratedRequest request, long retryAfter);
 
-        void onFailed(TrueRequest request);
+        void onFailed(GeneratedRequest request);
 
         /** Called for each attempt that is sent to an engine that is down, silent or hanging. */
         void onSentToFaultyEngine();
@@ -347,7 +347,7 @@
     }
 
     /** Accepts a try of a request from its client. */
-    void onRequest(TrueRequest request, long deadline) {
+    void onRequest(GeneratedRequest request, long deadline) {
         OpenRequest openRequest =
                 new OpenRequest(new RuleChecker.ClientTry(request, number, deadline));
         openRequest.requestId = requestIds.indexFor(openRequest);
--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -40,7 +40,7 @@
 
     /** One try of a request at one manager. */
     public static final class ClientTry {
-        public final TrueRequest request;
+        public final GeneratedRequest request;
         public final int manager;
         public final long deadline;
         private int answerCount;
@@ -54,7 +54,7 @@
         private long leftAt = -1;
         private boolean deadlineExact;
 
-        public ClientTry(TrueRequest request, int manager, long deadline) {
+        public ClientTry(GeneratedRequest request, int manager, long deadline) {
             this.request = request;
             this.manager = manager;
             this.deadline = deadline;
@@ -367,7 +367,7 @@
     }
 
     /** Records that an engine starts to run the request. */
-    void onRunStarted(TrueRequest request, long now) {
+    void onRunStarted(GeneratedRequest request, long now) {
         if (runsByRequest.merge(request.id, 1, Integer::sum) > 1
                 && plan.trafficClasses().get(request.trafficClass).effect()
                         == Effect.NON_IDEMPOTENT) {
@@ -376,7 +376,7 @@
     }
 
     /** Records that a run of the request ended. */
-    public void onRunEnded(TrueRequest request) {
+    public void onRunEnded(GeneratedRequest request) {
         if (plan.trafficClasses().get(request.trafficClass).effect() != Effect.NON_IDEMPOTENT) {
             runsByRequest.remove(request.id);
         }
--- a/src/main/java/firstage/simulation/Scoreboard.java
+++ b/src/main/java/firstage/simulation/Scoreboard.java
@@ -54,14 +54,14 @@
         plan.trafficClasses().forEach(trafficClass -> latencies.add(new Histogram(MAX_LATENCY, 2)));
     }
 
-    private int interval(TrueRequest request) {
+    private int interval(GeneratedRequest request) {
         return (int)
                 Math.min(
                         requestedByInterval.length - 1,
                         (request.firstRequestedAt - start) / INTERVAL);
     }
 
-    public void onRequested(TrueRequest request) {
+    public void onRequested(GeneratedRequest request) {
         double weight = plan.trafficClasses().get(request.trafficClass).priorityWeight();
         requestCount++;
         requestedByInterval[interval(request)] += weight;
@@ -69,7 +69,7 @@
         weightsByTenant[request.tenant][0] += weight;
     }
 
-    public void onSucceeded(long now, TrueRequest request) {
+    public void onSucceeded(long now, GeneratedRequest request) {
         FleetPlan.TrafficClassPlan trafficClass = plan.trafficClasses().get(request.trafficClass);
         long latencyTicks = now - request.firstRequestedAt;
         boolean inTime =
--- a/src/main/java/firstage/simulation/TrafficSource.java
+++ b/src/main/java/firstage/simulation/TrafficSource.java
@@ -105,7 +105,7 @@
      *
      * @param activeDisturbances the present disturbances that make requests more expensive
      */
-    public TrueRequest draw(long now, List<FleetPlan.Disturbance> activeDisturbances) {
+    public GeneratedRequest draw(long now, List<FleetPlan.Disturbance> activeDisturbances) {
         int classIndex = drawIndex(trafficClassBounds);
         FleetPlan.TrafficClassPlan trafficClass = plan.trafficClasses().get(classIndex);
         double normal = random.nextGaussian();
@@ -135,7 +135,7 @@
         int tenant = drawIndex(tenantBounds);
         int orderingKey =
                 trafficClass.ordered() && plan.traffic().keys() > 0 ? drawIndex(keyBounds) : -1;
-        return new TrueRequest(
+        return new GeneratedRequest(
                 nextId++,
                 classIndex,
                 tenant,
--- a/src/test/java/firstage/emulator/LoadGeneratorTest.java
+++ b/src/test/java/firstage/emulator/LoadGeneratorTest.java
@@ -9,7 +9,7 @@
 import firstage.simulation.RuleChecker;
 import firstage.simulation.RuleChecker.ClientTry;
 import firstage.simulation.Scoreboard;
-import firstage.simulation.TrueRequest;
+import firstage.simulation.GeneratedRequest;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -28,11 +28,11 @@
 /** Clients of the load generator retry only requests that the protocol lets them retry. */
 @Timeout(30)
 class LoadGeneratorTest {
-    private final Map<TrueRequest, Integer> tries = new ConcurrentHashMap<>();
+    private final Map<GeneratedRequest, Integer> tries = new ConcurrentHashMap<>();
     private final LoadGenerator.Observer observer =
             new LoadGenerator.Observer() {
                 @Override
-                public void onRequest(TrueRequest request, int manager) {
+                public void onRequest(GeneratedRequest request, int manager) {
                     // Only tries are counted.
                 }
 
--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -8,7 +8,7 @@
 import firstage.fixtures.SystemCallFaults;
 import firstage.simulation.RandomStreams;
 import firstage.simulation.RuleChecker.ClientTry;
-import firstage.simulation.TrueRequest;
+import firstage.simulation.GeneratedRequest;
 import firstage.soak.ClientScript.Departure;
 import firstage.soak.SoakPlan.ExtraFault;
 import firstage.util.Ticks;
@@ -354,8 +354,8 @@
     public ClientTry registerTry(ClientScript script, String id, long deadline) {
         int number = requests.incrementAndGet();
         RandomGenerator random = new RandomStreams(seed).stream("work", number);
-        TrueRequest request =
-                new TrueRequest(
+        GeneratedRequest request =
+                new GeneratedRequest(
                         FIRST_REQUEST_ID + number,
                         script.trafficClass(),
                         0,
