--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -18,7 +18,7 @@
  * A simulated run of a fleet. The same plan, policy and seed give the same result; two policies
  * with the same seed get the same traffic, engines and faults.
  */
-public final class FleetSimulation implements ManagerModel.ClientActions {
+public final class FleetSimulation implements ManagerModel.ClientListener {
     /** Time at which a run starts, in ticks; above 0, which stands for "long ago" in the models. */
     private static final long START = 1_000_000;
 
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -39,7 +39,7 @@
     private static final long EVALUATION_INTERVAL = 1_000;
 
     /** Callbacks with the outcomes of tries, for the clients. */
-    interface ClientActions {
+    interface ClientListener {
         void onSucceeded(GeneratedRequest request);
 
         void onRejected(GeneratedRequest request, long retryAfter);
@@ -155,7 +155,7 @@
     private final RandomStreams randomStreams;
     private final RuleChecker rules;
     private final List<EngineModel> engines;
-    private final ClientActions clientListener;
+    private final ClientListener clientListener;
     private final RandomGenerator random;
 
     /** Plan of the cells; null where all managers use all engines. */
@@ -182,7 +182,7 @@
             RandomStreams randomStreams,
             RuleChecker rules,
             List<EngineModel> engines,
-            ClientActions clientListener) {
+            ClientListener clientListener) {
         this.number = number;
         this.plan = plan;
         this.policyUnderTest = policyUnderTest;
