--- a/src/main/java/firstage/cli/ScaleSlopesCommand.java
+++ b/src/main/java/firstage/cli/ScaleSlopesCommand.java
@@ -3,7 +3,7 @@
 import firstage.cells.CellDirectory;
 import firstage.scale.ScalingSlopes;
 import firstage.simulation.InvalidPlanException;
-import firstage.simulation.schedule.SimulatedCells.Shape;
+import firstage.simulation.schedule.SimulatedCells.FleetShape;
 import firstage.util.Ticks;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -119,8 +119,8 @@
     }
 
     private Map<String, Double> simulate(int size) {
-        Shape shape =
-                new Shape(
+        FleetShape shape =
+                new FleetShape(
                         size,
                         cell,
                         zones,
@@ -136,7 +136,7 @@
                 : ScalingSlopes.measure(shape, seed, deep);
     }
 
-    private Map<String, Double> heap(Shape shape) {
+    private Map<String, Double> heap(FleetShape shape) {
         Map<String, Double> row = new LinkedHashMap<>();
         row.put("managers", (double) shape.managers());
         row.put("heap of a manager, KB", ScalingSlopes.heapPerManagerKb(shape, seed));
--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -4,7 +4,7 @@
 import firstage.simulation.schedule.SimulatedCells;
 import firstage.simulation.schedule.SimulatedCells.ManagerHost;
 import firstage.simulation.schedule.SimulatedCells.MessageKind;
-import firstage.simulation.schedule.SimulatedCells.Shape;
+import firstage.simulation.schedule.SimulatedCells.FleetShape;
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryMXBean;
 import java.util.ArrayList;
@@ -49,7 +49,7 @@
      * The figure is the difference of the whole heap with and without the fleet, so nothing else
      * may run in the process. The engines that a manager holds are not included.
      */
-    public static double heapPerManagerKb(Shape shape, long seed) {
+    public static double heapPerManagerKb(FleetShape shape, long seed) {
         double bytesBefore = usedHeapBytes();
         SimulatedCells fleet = new SimulatedCells(shape, seed);
         start(fleet, shape, new LinkedHashMap<>());
@@ -70,7 +70,7 @@
      *
      * @param includeRestarts whether to measure a day's restarts and a mass restart as well
      */
-    public static Map<String, Double> measure(Shape shape, long seed, boolean includeRestarts) {
+    public static Map<String, Double> measure(FleetShape shape, long seed, boolean includeRestarts) {
         Map<String, Double> row = new LinkedHashMap<>();
         row.put("managers", (double) shape.managers());
         SimulatedCells fleet = new SimulatedCells(shape, seed);
@@ -101,7 +101,7 @@
     }
 
     /** Starts the fleet, plays 20 s and records the figures of the start. */
-    private static void start(SimulatedCells fleet, Shape shape, Map<String, Double> row) {
+    private static void start(SimulatedCells fleet, FleetShape shape, Map<String, Double> row) {
         for (ManagerHost host : fleet.hosts()) {
             fleet.events().schedule(fleet.random().nextLong(START_WINDOW), host::start);
         }
@@ -176,7 +176,7 @@
 
     /** Plays the restarts of an ordinary day for 60 s, {@code speedUp} times as fast. */
     private static void measureRestarts(
-            SimulatedCells fleet, Shape shape, Map<String, Double> row, int speedUp) {
+            SimulatedCells fleet, FleetShape shape, Map<String, Double> row, int speedUp) {
         // RESTART_INTERVAL is for 2,600 managers; a smaller fleet has fewer restarts in proportion.
         long interval = Math.round((double) RESTART_INTERVAL / speedUp * 2_600 / shape.managers());
         long bytesBefore = fleet.bytesByKind().values().stream().mapToLong(b -> b).sum();
@@ -203,7 +203,7 @@
     }
 
     private static void measureMassRestart(
-            SimulatedCells fleet, Shape shape, Map<String, Double> row) {
+            SimulatedCells fleet, FleetShape shape, Map<String, Double> row) {
         List<ManagerHost> shuffled = new ArrayList<>(fleet.hosts());
         Collections.shuffle(shuffled, new Random(fleet.random().nextLong()));
         List<ManagerHost> killed =
@@ -250,7 +250,7 @@
      *
      * @param length duration of the partition
      */
-    public static Map<String, Double> measureRegionPartition(Shape shape, long seed, long length) {
+    public static Map<String, Double> measureRegionPartition(FleetShape shape, long seed, long length) {
         Map<String, Double> row = new LinkedHashMap<>();
         row.put("managers", (double) shape.managers());
         SimulatedCells fleet = new SimulatedCells(shape, seed);
--- a/src/main/java/firstage/simulation/schedule/SimulatedCells.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedCells.java
@@ -65,7 +65,7 @@
      * @param tickInterval ticks between two periodic runs of a manager's protocols
      * @param defect defect of the cell directories
      */
-    public record Shape(
+    public record FleetShape(
             int managers,
             int cellSize,
             int zones,
@@ -367,14 +367,14 @@
 
     private final EventQueue events = new EventQueue(START);
     private final RandomGenerator random;
-    private final Shape shape;
+    private final FleetShape shape;
     private final CellPlan plan;
     private final List<ManagerHost> hosts = new ArrayList<>();
     private double lossProbability;
     private boolean partitioned;
     private IntPredicate partitionSide = host -> false;
 
-    public SimulatedCells(Shape shape, long seed) {
+    public SimulatedCells(FleetShape shape, long seed) {
         this.shape = shape;
         random = RANDOM_FACTORY.create(seed);
         plan =
--- a/src/test/java/firstage/cells/SimulatedCellsTest.java
+++ b/src/test/java/firstage/cells/SimulatedCellsTest.java
@@ -8,7 +8,7 @@
 import firstage.overload.RendezvousHash;
 import firstage.simulation.schedule.SimulatedCells;
 import firstage.simulation.schedule.SimulatedCells.ManagerHost;
-import firstage.simulation.schedule.SimulatedCells.Shape;
+import firstage.simulation.schedule.SimulatedCells.FleetShape;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
@@ -29,7 +29,7 @@
 
     private static SimulatedCells startFleet(int managers, int cellSize, InjectedDefect defect) {
         SimulatedCells fleet =
-                new SimulatedCells(new Shape(managers, cellSize, 2, 1, true, 400, defect), 7);
+                new SimulatedCells(new FleetShape(managers, cellSize, 2, 1, true, 400, defect), 7);
         fleet.start(SECOND);
         assertThat(fleet.timeUntilAgreed(20 * SECOND)).isNotNegative();
         fleet.advance(30 * SECOND);
@@ -191,7 +191,7 @@
         double finalSum = 0;
         for (int seed = 0; seed < 4; seed++) {
             SimulatedCells fleet =
-                    new SimulatedCells(new Shape(24, 4, 2, 2, false, 400, defect), seed);
+                    new SimulatedCells(new FleetShape(24, 4, 2, 2, false, 400, defect), seed);
             fleet.start(SECOND);
             fleet.advance(10 * SECOND);
             fleet.setLossProbability(0.2);
--- a/src/test/java/firstage/scale/ScalingSlopesTest.java
+++ b/src/test/java/firstage/scale/ScalingSlopesTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import firstage.cells.CellDirectory.InjectedDefect;
-import firstage.simulation.schedule.SimulatedCells.Shape;
+import firstage.simulation.schedule.SimulatedCells.FleetShape;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
@@ -33,7 +33,7 @@
                 .mapToObj(
                         managers ->
                                 ScalingSlopes.measure(
-                                        new Shape(managers, 25, 2, 1, true, 400, defect), 3, false))
+                                        new FleetShape(managers, 25, 2, 1, true, 400, defect), 3, false))
                 .toList();
     }
 
