--- a/src/main/java/firstage/faulttest/ManagerConfigWriter.java
+++ b/src/main/java/firstage/faulttest/ManagerConfigWriter.java
@@ -32,7 +32,7 @@
         writeConfig(
                 file,
                 plan,
-                new ManagerPlace(
+                new ManagerSpec(
                         "m" + manager,
                         addresses.manager(manager),
                         addresses.coordinator(manager),
@@ -46,7 +46,7 @@
      * Settings in which managers differ: name, listening address, coordinator (null for none),
      * rank, zone index, and the address at which the manager reaches each engine.
      */
-    public record ManagerPlace(
+    public record ManagerSpec(
             String name,
             InetSocketAddress listenAddress,
             InetSocketAddress coordinatorAddress,
@@ -55,14 +55,14 @@
             IntFunction<InetSocketAddress> engineAddress) {}
 
     /** Writes a manager's configuration, with a limit of 1,024 open sockets. */
-    public static void writeConfig(Path file, FleetPlan plan, ManagerPlace spec, long seed)
+    public static void writeConfig(Path file, FleetPlan plan, ManagerSpec spec, long seed)
             throws IOException {
         writeConfig(file, plan, spec, seed, 1_024);
     }
 
     /** Writes a manager's configuration, with the given limit of open sockets. */
     public static void writeConfig(
-            Path file, FleetPlan plan, ManagerPlace spec, long seed, int sockets)
+            Path file, FleetPlan plan, ManagerSpec spec, long seed, int sockets)
             throws IOException {
         try (JsonGenerator out = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
             out.writeStartObject();
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -369,8 +369,8 @@
         int started = 0;
         for (int manager = 0; manager < plan.managers(); manager++) {
             if (plan.isReal(manager)) {
-                ManagerConfigWriter.ManagerPlace place =
-                        new ManagerConfigWriter.ManagerPlace(
+                ManagerConfigWriter.ManagerSpec place =
+                        new ManagerConfigWriter.ManagerSpec(
                                 "m" + manager,
                                 addresses.clientAddress(started),
                                 addresses.coordinator(),
--- a/src/test/java/firstage/server/CellsIT.java
+++ b/src/test/java/firstage/server/CellsIT.java
@@ -73,7 +73,7 @@
         ManagerConfigWriter.writeConfig(
                 file,
                 plan,
-                new ManagerConfigWriter.ManagerPlace(
+                new ManagerConfigWriter.ManagerSpec(
                         cell,
                         ManagerConfig.parseAddress(address(cell, HTTP_OCTET)),
                         null,
