--- a/src/main/java/firstage/cli/ScaleRunCommand.java
+++ b/src/main/java/firstage/cli/ScaleRunCommand.java
@@ -128,7 +128,7 @@
             throws IOException {
         boolean interactive = System.console() != null;
         return ScaleRun.play(
-                new ScaleRun.Order(
+                new ScaleRun.Parameters(
                         plan,
                         effectivePlan,
                         seed,
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -116,7 +116,7 @@
      * @param serveCommand command of the deployment file that starts a manager
      * @param progress receives a line for each step of the run
      */
-    public record Order(
+    public record Parameters(
             ScalePlan plan,
             Path planFile,
             long seed,
@@ -132,7 +132,7 @@
      */
     public record Result(Map<String, Double> figures, String voidReason) {}
 
-    private final Order parameters;
+    private final Parameters parameters;
     private final ScalePlan plan;
     private final ServerSocket portReservation;
     private final ScaleAddresses addresses;
@@ -154,7 +154,7 @@
                     () -> hollowProcesses.forEach(HollowWorkerProcess::close),
                     "end of the scale run");
 
-    private ScaleRun(Order parameters) throws IOException {
+    private ScaleRun(Parameters parameters) throws IOException {
         this.parameters = parameters;
         plan = parameters.plan;
         random = new Random(parameters.seed);
@@ -223,7 +223,7 @@
     }
 
     /** Plays a run to its end. All processes of the run have ended when the method returns. */
-    public static Result play(Order parameters) throws IOException {
+    public static Result play(Parameters parameters) throws IOException {
         check(parameters.plan);
         try (ScaleRun run = new ScaleRun(parameters)) {
             return run.play();
--- a/src/test/java/firstage/scale/ScaleIT.java
+++ b/src/test/java/firstage/scale/ScaleIT.java
@@ -28,7 +28,7 @@
         Path plan = Path.of("deploy", "scale", "small.toml").toAbsolutePath();
         Map<String, Double> figures =
                 ScaleRun.play(
-                                new ScaleRun.Order(
+                                new ScaleRun.Parameters(
                                         ScalePlan.read(Files.readString(plan)),
                                         plan,
                                         1,
@@ -92,7 +92,7 @@
                         """);
         Map<String, Double> figures =
                 ScaleRun.play(
-                                new ScaleRun.Order(
+                                new ScaleRun.Parameters(
                                         ScalePlan.read(Files.readString(plan)),
                                         plan,
                                         1,
