--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -60,7 +60,7 @@
     private static final int STARTED_AT_OFFSET = 19;
 
     /** Receives the events of a hollow manager while it runs. */
-    interface Witness {
+    interface Observer {
         /** Called when the manager has a new view. */
         void onViewChanged(HollowManager manager, MembershipView view);
 
@@ -83,7 +83,7 @@
     private final ScaleAddresses addresses;
     private final Selector selector;
     private final Clock clock;
-    private final Witness observer;
+    private final Observer observer;
     private final Map<InetSocketAddress, Integer> slotsByAddress = new HashMap<>();
     private final Map<Integer, InetSocketAddress> addressesBySlot = new HashMap<>();
     private final DemandHistogram demand = new DemandHistogram();
@@ -128,7 +128,7 @@
             ScaleAddresses addresses,
             Selector selector,
             Clock clock,
-            Witness observer) {
+            Observer observer) {
         this.number = number;
         this.plan = plan;
         this.addresses = addresses;
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -31,7 +31,7 @@
  * each second. The process ends when standard input ends. Times are ticks unless their name says
  * ms.
  */
-public final class HollowWorker implements HollowManager.Witness {
+public final class HollowWorker implements HollowManager.Observer {
     private static final long TICK_INTERVAL = 200;
 
     /** Time within which all managers start. */
