--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -26,12 +26,12 @@
      * @param figures figures by name
      * @param reached delays in ms of the managers that met a condition, by the condition's label
      */
-    record Line(Map<String, Double> figures, Map<String, List<Double>> delaysByLabel) {
+    record Report(Map<String, Double> figures, Map<String, List<Double>> delaysByLabel) {
         double figure(String name) {
             return figures.getOrDefault(name, 0.0);
         }
 
-        static Line read(String text) throws IOException {
+        static Report read(String text) throws IOException {
             Map<String, Double> figures = new TreeMap<>();
             Map<String, List<Double>> reached = new TreeMap<>();
             try (JsonParser in = new JsonFactory().createParser(text)) {
@@ -52,7 +52,7 @@
                     }
                 }
             }
-            return new Line(figures, reached);
+            return new Report(figures, reached);
         }
     }
 
@@ -62,7 +62,7 @@
     private final PrintStream orders;
 
     /** Reports so far; guarded by this object. */
-    private final List<Line> reports = new ArrayList<>();
+    private final List<Report> reports = new ArrayList<>();
 
     /** Last line that is not a report, or the message of a failed read. */
     private String lastMessage = "";
@@ -92,7 +92,7 @@
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 if (line.startsWith("{")) {
                     synchronized (this) {
-                        reports.add(Line.read(line));
+                        reports.add(Report.read(line));
                     }
                 } else {
                     lastMessage = line;
@@ -113,12 +113,12 @@
     }
 
     /** Returns the last report; there must be one. */
-    synchronized Line lastReport() {
+    synchronized Report lastReport() {
         return reports.get(reports.size() - 1);
     }
 
     /** Returns all reports so far: one a second, and one for each {@code heap} order. */
-    synchronized List<Line> reports() {
+    synchronized List<Report> reports() {
         return List.copyOf(reports);
     }
 
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -473,7 +473,7 @@
     }
 
     private void measureSteadyState() {
-        Map<HollowWorkerProcess, HollowWorkerProcess.Line> before =
+        Map<HollowWorkerProcess, HollowWorkerProcess.Report> before =
                 hollowProcesses.stream()
                         .collect(Collectors.toMap(h -> h, HollowWorkerProcess::lastReport));
         double[] cpu = new double[plan.realManagers()];
@@ -491,7 +491,7 @@
                     || name.equals("cpu ms")) {
                 double sumOfRates = 0;
                 for (HollowWorkerProcess process : hollowProcesses) {
-                    HollowWorkerProcess.Line last = process.lastReport();
+                    HollowWorkerProcess.Report last = process.lastReport();
                     double seconds = (last.figure("at") - before.get(process).figure("at")) / 1e3;
                     sumOfRates += (last.figure(name) - before.get(process).figure(name)) / seconds;
                 }
@@ -841,7 +841,7 @@
 
     /** Writes the figures of each second, summed over the hollow processes, and their chart. */
     private void writeSeconds() throws IOException {
-        Map<String, ToDoubleFunction<HollowWorkerProcess.Line>> columns = new LinkedHashMap<>();
+        Map<String, ToDoubleFunction<HollowWorkerProcess.Report>> columns = new LinkedHashMap<>();
         for (String name :
                 List.of("up", "bytes out", "datagrams out", "cpu ms", "whole views", "in force")) {
             columns.put(name, line -> line.figure(name));
@@ -850,7 +850,7 @@
                 new ArrayList<>(List.of("second," + String.join(",", columns.keySet())));
         for (int second = 0; second < completeSeconds(); second++) {
             StringBuilder row = new StringBuilder(String.valueOf(second));
-            for (ToDoubleFunction<HollowWorkerProcess.Line> column : columns.values()) {
+            for (ToDoubleFunction<HollowWorkerProcess.Report> column : columns.values()) {
                 double sum = 0;
                 for (HollowWorkerProcess process : hollowProcesses) {
                     sum += column.applyAsDouble(process.reports().get(second));
