--- a/src/main/java/firstage/cells/CellPlan.java
+++ b/src/main/java/firstage/cells/CellPlan.java
@@ -75,7 +75,8 @@
             return sharePerManager(cell) * (1 - GAINING_CELLS_FRACTION);
         }
         return previousPlan.serves(cell, engine, zone)
-                ? Math.min(sharePerManager(cell), previousPlan.sharePerManager(cell)) * (1 - GAINING_CELLS_FRACTION)
+                ? Math.min(sharePerManager(cell), previousPlan.sharePerManager(cell))
+                        * (1 - GAINING_CELLS_FRACTION)
                 : sharePerManager(cell) * GAINING_CELLS_FRACTION;
     }
 
--- a/src/main/java/firstage/cli/ConfigReloader.java
+++ b/src/main/java/firstage/cli/ConfigReloader.java
@@ -112,7 +112,9 @@
             try {
                 reload(server, current);
             } catch (IOException | RuntimeException exception) {
-                LOG.warning("the new configuration can't be read: " + Main.firstLineOfMessage(exception));
+                LOG.warning(
+                        "the new configuration can't be read: "
+                                + Main.firstLineOfMessage(exception));
             }
         }
     }
--- a/src/main/java/firstage/cli/Main.java
+++ b/src/main/java/firstage/cli/Main.java
@@ -62,7 +62,9 @@
         return String.valueOf(exception.getMessage()).lines().findFirst().orElse("");
     }
 
-    /** Prints the reason on standard error and ends the program with {@link #INVALID_INPUT_STATUS}. */
+    /**
+     * Prints the reason on standard error and ends the program with {@link #INVALID_INPUT_STATUS}.
+     */
     static void exitWithError(String reason) {
         System.err.println(reason);
         System.exit(INVALID_INPUT_STATUS);
--- a/src/main/java/firstage/cli/ServeCommand.java
+++ b/src/main/java/firstage/cli/ServeCommand.java
@@ -159,7 +159,11 @@
                     throw exception;
                 }
                 if (!logged) {
-                    LOG.warning("tried again for " + timeoutMs + " ms: " + Main.firstLineOfMessage(exception));
+                    LOG.warning(
+                            "tried again for "
+                                    + timeoutMs
+                                    + " ms: "
+                                    + Main.firstLineOfMessage(exception));
                     logged = true;
                 }
                 sleep(RETRY_DELAY_MS);
--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -3,12 +3,12 @@
 import firstage.policy.api.TrafficClass.Effect;
 import firstage.simulation.ClientBehavior;
 import firstage.simulation.FleetPlan;
+import firstage.simulation.GeneratedRequest;
 import firstage.simulation.RandomStreams;
 import firstage.simulation.RuleChecker;
 import firstage.simulation.RuleChecker.ClientTry;
 import firstage.simulation.Scoreboard;
 import firstage.simulation.TrafficSource;
-import firstage.simulation.GeneratedRequest;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
@@ -211,7 +211,8 @@
         return loop.now() > endsAt
                 && openTries.stream()
                         .flatMap(Set::stream)
-                        .allMatch(clientTry -> clientTry.answerCount() > 0 || clientTry.abandoned());
+                        .allMatch(
+                                clientTry -> clientTry.answerCount() > 0 || clientTry.abandoned());
     }
 
     /** Records that a manager's process was killed, so that its open tries need no answer. */
--- a/src/main/java/firstage/failover/FleetCoordinator.java
+++ b/src/main/java/firstage/failover/FleetCoordinator.java
@@ -94,7 +94,9 @@
         zones = new ZoneFailover(self, zone, zoneCount, warmUpDuration, zoneActions, defects.zones);
         probes =
                 new ProbeCoordinator(self, probeInterval, zones::setProbedByOthers, defects.probes);
-        sheddingLevel = new LoadSheddingLevel(self, latencyObjective, sheddingActions, defects.sheddingLevel);
+        sheddingLevel =
+                new LoadSheddingLevel(
+                        self, latencyObjective, sheddingActions, defects.sheddingLevel);
     }
 
     /** Records the names of the alive managers. */
--- a/src/main/java/firstage/faulttest/RunObserver.java
+++ b/src/main/java/firstage/faulttest/RunObserver.java
@@ -4,8 +4,8 @@
 import firstage.emulator.LoadGenerator;
 import firstage.emulator.RealTimeLoop;
 import firstage.simulation.FleetPlan;
-import firstage.simulation.RuleChecker.ClientTry;
 import firstage.simulation.GeneratedRequest;
+import firstage.simulation.RuleChecker.ClientTry;
 import firstage.util.Ticks;
 
 /**
--- a/src/main/java/firstage/membership/MembershipProtocol.java
+++ b/src/main/java/firstage/membership/MembershipProtocol.java
@@ -32,7 +32,9 @@
     /** Limit of known peers, so that forged names can't exhaust the memory. */
     private static final int MAX_MEMBERS = 2_048;
 
-    /** Maximum age of a member's last sign of life that counts for {@link #recentlyAliveFraction}. */
+    /**
+     * Maximum age of a member's last sign of life that counts for {@link #recentlyAliveFraction}.
+     */
     private static final long RECENTLY_ALIVE_WINDOW = 5 * Peer.UNHEARD_AFTER;
 
     /** Defects that tests inject one at a time, to prove that the checks detect them. */
--- a/src/main/java/firstage/policy/EngineSelector.java
+++ b/src/main/java/firstage/policy/EngineSelector.java
@@ -190,7 +190,9 @@
             double[] tableLoadOrder) {
         boolean shareBelowOneRequest = limiter.isShareBelowOneRequest(request.trafficClass());
         double freeMemorySteps =
-                Math.floor(limiter.freeMemoryShare(engine, capacityShare) * FREE_MEMORY_STEPS_PER_SLICE);
+                Math.floor(
+                        limiter.freeMemoryShare(engine, capacityShare)
+                                * FREE_MEMORY_STEPS_PER_SLICE);
         boolean sameZone = settings.prefersOwnZone && engine.zone == settings.zone;
         return (OutlierDetector.isFleetProbe(engine) ? FLEET_PROBE_SCORE : 0)
                 + (fits ? CAPACITY_SCORE : 0)
--- a/src/main/java/firstage/policy/KeyOrdering.java
+++ b/src/main/java/firstage/policy/KeyOrdering.java
@@ -39,7 +39,9 @@
             KeyQueue queue = queues.computeIfAbsent(request.orderingKey, k -> new KeyQueue());
             queue.quietUntil = Math.max(queue.quietUntil, now + PAUSE_AFTER_UNKNOWN_ORDER);
         } else if (request.orderingKey >= 0) {
-            queues.computeIfAbsent(request.orderingKey, k -> new KeyQueue()).openRequests.add(request);
+            queues.computeIfAbsent(request.orderingKey, k -> new KeyQueue())
+                    .openRequests
+                    .add(request);
         } else if (key >= 0 && !queues.containsKey(key)) {
             actions.releaseKey(key);
         }
--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -118,7 +118,9 @@
         double totalWork =
                 (now - attempt.sentAt) / attempt.fractionDone * request.trafficClass().threads();
         double ratio =
-                totalWork / request.incoming.estimatedWork() / request.classStats.bestLatencyRatio();
+                totalWork
+                        / request.incoming.estimatedWork()
+                        / request.classStats.bestLatencyRatio();
         record(attempt.engine, ratio, capacityShare);
     }
 
@@ -153,7 +155,8 @@
 
     /** Caps the best ratio of a class whose engines report the actual work of requests. */
     void onActualWorkReported(TrafficClassStats stats) {
-        stats.lowestLatencyRatio = Math.min(stats.lowestLatencyRatio, MAX_BEST_RATIO_OF_ACTUAL_WORK);
+        stats.lowestLatencyRatio =
+                Math.min(stats.lowestLatencyRatio, MAX_BEST_RATIO_OF_ACTUAL_WORK);
     }
 
     /**
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -340,12 +340,15 @@
 
     @Override
     public int attemptsInFlight(int engineId) {
-        return engines.contains(engineId) ? engines.getOrCreate(engineId).attemptsInFlight.size() : 0;
+        return engines.contains(engineId)
+                ? engines.getOrCreate(engineId).attemptsInFlight.size()
+                : 0;
     }
 
     @Override
     public boolean isUnavailable(int engineId) {
-        return engines.contains(engineId) && OutlierDetector.isUnavailable(engines.getOrCreate(engineId));
+        return engines.contains(engineId)
+                && OutlierDetector.isUnavailable(engines.getOrCreate(engineId));
     }
 
     @Override
--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -416,7 +416,9 @@
     @Override
     public void send(int cell, int slot, byte[] datagram) {
         sendDatagram(
-                addresses.datagramAddress(plan, cell * plan.membershipSize() + slot), bytesOut.length - 1, datagram);
+                addresses.datagramAddress(plan, cell * plan.membershipSize() + slot),
+                bytesOut.length - 1,
+                datagram);
     }
 
     @Override
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -183,7 +183,8 @@
             long now = now();
             if (manager.up() && now >= manager.nextTick) {
                 tickDelays.recordValue(Math.min(MAX_TICK_DELAY, now - manager.nextTick));
-                manager.nextTick = Math.max(manager.nextTick + TICK_INTERVAL, now + TICK_INTERVAL / 2);
+                manager.nextTick =
+                        Math.max(manager.nextTick + TICK_INTERVAL, now + TICK_INTERVAL / 2);
                 manager.tick(now);
             }
         }
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -177,7 +177,8 @@
     public static double estimatedMemoryMb(ScalePlan plan) {
         int processCount = processCount(plan);
         return processCount * HOLLOW_PROCESS_MB
-                + plan.hollowManagers() * (HOLLOW_MANAGER_MB + KNOWN_MANAGER_MB * plan.membershipSize())
+                + plan.hollowManagers()
+                        * (HOLLOW_MANAGER_MB + KNOWN_MANAGER_MB * plan.membershipSize())
                 + plan.realManagers() * REAL_MANAGER_MB;
     }
 
@@ -416,7 +417,8 @@
                                 "name = \"m" + manager + "\"",
                                 "zone = \"" + plan.zoneOf(manager) + "\"",
                                 "listen = \""
-                                        + LoopbackAddresses.hostPort(addresses.datagramAddress(plan, manager))
+                                        + LoopbackAddresses.hostPort(
+                                                addresses.datagramAddress(plan, manager))
                                         + "\"",
                                 "probe = \"" + plan.probePeriod() / 10 + " ms\""));
         if (plan.cellSize() == 0) {
@@ -426,7 +428,8 @@
                             List.of(
                                     "[[peer]]",
                                     "address = \""
-                                            + LoopbackAddresses.hostPort(addresses.datagramAddress(plan, peer))
+                                            + LoopbackAddresses.hostPort(
+                                                    addresses.datagramAddress(plan, peer))
                                             + "\""));
                 }
             }
@@ -502,7 +505,8 @@
         }
         double elapsedS = (System.currentTimeMillis() - startMs) / 1e3;
         putFigure(
-                "steady: coordinator's bytes a s", (watches.bytesWritten() - listBytesBefore) / elapsedS);
+                "steady: coordinator's bytes a s",
+                (watches.bytesWritten() - listBytesBefore) / elapsedS);
         for (int i = 0; i < plan.realManagers(); i++) {
             cpu[i] = (cpuMs(i) - cpu[i]) / elapsedS;
         }
@@ -510,7 +514,10 @@
                 "steady: processor of a real one, ms a s", Arrays.stream(cpu).average().orElse(0));
         putFigure(
                 "steady: resident MB of a real one",
-                IntStream.range(0, plan.realManagers()).mapToDouble(this::residentMb).average().orElse(0));
+                IntStream.range(0, plan.realManagers())
+                        .mapToDouble(this::residentMb)
+                        .average()
+                        .orElse(0));
         putFigure("steady: engines held", sumOfLast("engines held") / managersUp);
         putFigure(
                 "steady: fewest cells heard",
@@ -584,7 +591,8 @@
         putFigure(prefix + "probes a s", (engines.probes() - before[5]) / elapsedS);
         putFigure(prefix + "median, ms", clients.latencies().getValueAtPercentile(50) / 1e3);
         putFigure(
-                prefix + "99th, ms", clients.latencies().getValueAtPercentile(HIGH_PERCENTILE) / 1e3);
+                prefix + "99th, ms",
+                clients.latencies().getValueAtPercentile(HIGH_PERCENTILE) / 1e3);
         putFigure(
                 prefix + "clients late, 99th, ms",
                 clients.threadDelays().getValueAtPercentile(HIGH_PERCENTILE) / 1e3);
--- a/src/main/java/firstage/scale/ScalingSlopes.java
+++ b/src/main/java/firstage/scale/ScalingSlopes.java
@@ -2,9 +2,9 @@
 
 import firstage.cells.CellDirectory;
 import firstage.simulation.schedule.SimulatedCells;
+import firstage.simulation.schedule.SimulatedCells.FleetShape;
 import firstage.simulation.schedule.SimulatedCells.ManagerHost;
 import firstage.simulation.schedule.SimulatedCells.MessageKind;
-import firstage.simulation.schedule.SimulatedCells.FleetShape;
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryMXBean;
 import java.util.ArrayList;
@@ -70,7 +70,8 @@
      *
      * @param includeRestarts whether to measure a day's restarts and a mass restart as well
      */
-    public static Map<String, Double> measure(FleetShape shape, long seed, boolean includeRestarts) {
+    public static Map<String, Double> measure(
+            FleetShape shape, long seed, boolean includeRestarts) {
         Map<String, Double> row = new LinkedHashMap<>();
         row.put("managers", (double) shape.managers());
         SimulatedCells fleet = new SimulatedCells(shape, seed);
@@ -89,7 +90,9 @@
             totalRate += rate;
         }
         row.put("bytes a s", totalRate);
-        row.put("datagrams a s", (fleet.sentDatagramCount() - datagramsBefore) / 10.0 / shape.managers());
+        row.put(
+                "datagrams a s",
+                (fleet.sentDatagramCount() - datagramsBefore) / 10.0 / shape.managers());
         row.put("most bytes a s of one", mostBytesPerSecond(fleet, 5));
         recordRowAges(fleet, row);
         measureKills(fleet, row);
@@ -250,7 +253,8 @@
      *
      * @param length duration of the partition
      */
-    public static Map<String, Double> measureRegionPartition(FleetShape shape, long seed, long length) {
+    public static Map<String, Double> measureRegionPartition(
+            FleetShape shape, long seed, long length) {
         Map<String, Double> row = new LinkedHashMap<>();
         row.put("managers", (double) shape.managers());
         SimulatedCells fleet = new SimulatedCells(shape, seed);
@@ -278,7 +282,9 @@
         }
         row.put("worst second after, bytes", worstSecond);
         row.put("all cells heard by all after, s", (double) allHeardAfter);
-        row.put("cells of one view after, part", (double) fleet.countAgreedCells() / shape.cellCount());
+        row.put(
+                "cells of one view after, part",
+                (double) fleet.countAgreedCells() / shape.cellCount());
         return row;
     }
 
--- a/src/main/java/firstage/server/RequestEventHandler.java
+++ b/src/main/java/firstage/server/RequestEventHandler.java
@@ -103,7 +103,8 @@
                 DEADLINE_GRACE_MS,
                 () -> {
                     if (exchange.fail()) {
-                        requests.onRequestEnded(RequestRegistry.RequestOutcome.FAILED_AT_DEADLINE, exchange);
+                        requests.onRequestEnded(
+                                RequestRegistry.RequestOutcome.FAILED_AT_DEADLINE, exchange);
                         reportClientGone("deadline passed", exchange);
                     }
                 });
--- a/src/main/java/firstage/server/client/ClientHandler.java
+++ b/src/main/java/firstage/server/client/ClientHandler.java
@@ -96,7 +96,8 @@
     }
 
     /**
-     * Binds the address and listens; connections are accepted once {@link #startAccepting} is called.
+     * Binds the address and listens; connections are accepted once {@link #startAccepting} is
+     * called.
      *
      * @throws IOException if the address is in use
      */
--- a/src/main/java/firstage/server/client/ClientProtocol.java
+++ b/src/main/java/firstage/server/client/ClientProtocol.java
@@ -94,7 +94,8 @@
      * Returns a decimal number from a header; {@code defaultValue} if the header is missing, and
      * NaN if it is malformed.
      */
-    static double doubleHeader(HttpServerExchange exchange, HttpString header, double defaultValue) {
+    static double doubleHeader(
+            HttpServerExchange exchange, HttpString header, double defaultValue) {
         String text = stringHeader(exchange, header);
         return text == null
                 ? defaultValue
--- a/src/main/java/firstage/simulation/ClientBehavior.java
+++ b/src/main/java/firstage/simulation/ClientBehavior.java
@@ -46,7 +46,8 @@
      * @param retryAfter the delay that the manager asked for; 0 for none
      * @param safeToRetry whether the request may run twice, or cannot have run yet
      */
-    public long retryDelay(GeneratedRequest request, long now, long retryAfter, boolean safeToRetry) {
+    public long retryDelay(
+            GeneratedRequest request, long now, long retryAfter, boolean safeToRetry) {
         FleetPlan.Clients clients = plan.clients();
         long delay = clients.retryPause().drawTime(random);
         if (retryAfter > 0 && random.nextDouble() < clients.retryAfterHonouredShare()) {
--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -91,8 +91,7 @@
     }
 
     /** Simulates the plan once with this policy and seed. */
-    public static SimulationResult run(
-            FleetPlan plan, PolicyUnderTest policyUnderTest, long seed) {
+    public static SimulationResult run(FleetPlan plan, PolicyUnderTest policyUnderTest, long seed) {
         return new FleetSimulation(plan, policyUnderTest, seed).run(policyUnderTest, seed);
     }
 
@@ -299,12 +298,14 @@
             case SLOW -> {
                 engines.forEach(engine -> engine.setSlowdown(disturbance.size()));
                 events.schedule(
-                        disturbance.length(), () -> engines.forEach(engine -> engine.setSlowdown(1)));
+                        disturbance.length(),
+                        () -> engines.forEach(engine -> engine.setSlowdown(1)));
             }
             case LATE_REPORTS -> {
                 managers.forEach(
                         manager ->
-                                manager.setLoadReportDelay(Math.round(disturbance.size() * 10_000)));
+                                manager.setLoadReportDelay(
+                                        Math.round(disturbance.size() * 10_000)));
                 events.schedule(
                         disturbance.length(),
                         () -> managers.forEach(manager -> manager.setLoadReportDelay(0)));
--- a/src/main/java/firstage/simulation/PolicyUnderTest.java
+++ b/src/main/java/firstage/simulation/PolicyUnderTest.java
@@ -15,8 +15,8 @@
  * @param baseline the baseline, or null for the scheduler
  * @param capacityFactor the factor by which the scheduler's settings overstate the cores and memory
  *     of engines, which loosens its limits as a wrong setting would
- * @param coordinationDefects the defects to inject into the coordination of the managers, which runs over links
- *     with the plan's delay; null where managers do not know each other
+ * @param coordinationDefects the defects to inject into the coordination of the managers, which
+ *     runs over links with the plan's delay; null where managers do not know each other
  * @param warmUpBySettings whether cold engines are warmed up by the share of the settings, rather
  *     than by that of the cells
  */
--- a/src/main/java/firstage/simulation/schedule/SimulatedManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -262,7 +262,8 @@
         @Override
         public void respond() {
             if (heldCalls == 0) {
-                ruleChecker.recordInvariantViolation("answer without a held call, batch " + request.id);
+                ruleChecker.recordInvariantViolation(
+                        "answer without a held call, batch " + request.id);
             }
             heldCalls = 0;
             if (!answered || defect == InjectedDefect.ANSWERED_TWICE) {
--- a/src/test/java/firstage/cells/CellDirectoryTest.java
+++ b/src/test/java/firstage/cells/CellDirectoryTest.java
@@ -333,7 +333,8 @@
                 assertThat(plan.serves(c, engine, zone)).isEqualTo(serving.contains(c));
                 served[c] += serving.contains(c) ? 1 : 0;
             }
-            assertThat(serving.stream().mapToDouble(c -> 40 * plan.sharePerManager(c)).sum()).isEqualTo(1);
+            assertThat(serving.stream().mapToDouble(c -> 40 * plan.sharePerManager(c)).sum())
+                    .isEqualTo(1);
         }
         // 860 engines in each zone, four cells for each engine, 13 cells in each zone: 265 on
         // average.
--- a/src/test/java/firstage/cells/SimulatedCellsTest.java
+++ b/src/test/java/firstage/cells/SimulatedCellsTest.java
@@ -7,8 +7,8 @@
 import firstage.cells.CellDirectory.InjectedDefect;
 import firstage.overload.RendezvousHash;
 import firstage.simulation.schedule.SimulatedCells;
-import firstage.simulation.schedule.SimulatedCells.ManagerHost;
 import firstage.simulation.schedule.SimulatedCells.FleetShape;
+import firstage.simulation.schedule.SimulatedCells.ManagerHost;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
@@ -37,7 +37,11 @@
     }
 
     private static CellStatus statusOf(SimulatedCells fleet, int observer, int cell) {
-        return fleet.hosts().get(observer).cellDirectory().cellStatuses(fleet.events().now()).get(cell);
+        return fleet.hosts()
+                .get(observer)
+                .cellDirectory()
+                .cellStatuses(fleet.events().now())
+                .get(cell);
     }
 
     private static List<ManagerHost> managersOf(SimulatedCells fleet, int cell) {
@@ -112,14 +116,20 @@
         assertThat(others)
                 .allMatch(
                         manager ->
-                                manager.cellDirectory().cellStatuses(fleet.events().now()).get(1).state()
+                                manager.cellDirectory()
+                                                .cellStatuses(fleet.events().now())
+                                                .get(1)
+                                                .state()
                                         == CellState.SILENT);
         managersOf(fleet, 1).forEach(ManagerHost::start);
         fleet.advance(20 * SECOND);
         assertThat(others)
                 .allMatch(
                         manager ->
-                                manager.cellDirectory().cellStatuses(fleet.events().now()).get(1).state()
+                                manager.cellDirectory()
+                                                .cellStatuses(fleet.events().now())
+                                                .get(1)
+                                                .state()
                                         == CellState.ACTIVE);
     }
 
--- a/src/test/java/firstage/membership/MembershipProtocolTest.java
+++ b/src/test/java/firstage/membership/MembershipProtocolTest.java
@@ -120,7 +120,12 @@
                             .count();
             assertThat(deadCount)
                     .isEqualTo(defect == MembershipProtocol.InjectedDefect.NONE ? 0 : 5);
-            assertThat(fleet.hosts().get(0).membership().recentlyAliveFraction(fleet.events().now())).isZero();
+            assertThat(
+                            fleet.hosts()
+                                    .get(0)
+                                    .membership()
+                                    .recentlyAliveFraction(fleet.events().now()))
+                    .isZero();
         }
     }
 
--- a/src/test/java/firstage/scale/ScalingSlopesTest.java
+++ b/src/test/java/firstage/scale/ScalingSlopesTest.java
@@ -33,7 +33,9 @@
                 .mapToObj(
                         managers ->
                                 ScalingSlopes.measure(
-                                        new FleetShape(managers, 25, 2, 1, true, 400, defect), 3, false))
+                                        new FleetShape(managers, 25, 2, 1, true, 400, defect),
+                                        3,
+                                        false))
                 .toList();
     }
 
--- a/src/test/java/firstage/server/CancellationIT.java
+++ b/src/test/java/firstage/server/CancellationIT.java
@@ -2,11 +2,11 @@
 
 import static firstage.fixtures.EngineWire.DELETE;
 import static firstage.fixtures.EngineWire.DELETED;
-import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.EngineWire.POST_STATEMENT;
 import static firstage.fixtures.EngineWire.SHED;
 import static firstage.fixtures.EngineWire.SILENCE;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.TICKET;
 import static firstage.fixtures.ManagerSettings.LOOKUP;
 import static firstage.fixtures.ManagerSettings.REPORT;
@@ -39,7 +39,8 @@
 class CancellationIT extends ManagerFixture {
     @Test
     void request_closedOrDeletedByClient_isDeletedAtEngine() throws Exception {
-        engine.respondWith(call -> call.isGet() ? STILL_RUNNING : call.isDelete() ? DELETED : SILENCE);
+        engine.respondWith(
+                call -> call.isGet() ? STILL_RUNNING : call.isDelete() ? DELETED : SILENCE);
         try (QueryClient client = newClient()) {
             client.sendRequest(REPORT, "", "SELECT 1", 9000);
             engine.awaitCall(POST_STATEMENT);
--- a/src/test/java/firstage/server/ClientErrorsIT.java
+++ b/src/test/java/firstage/server/ClientErrorsIT.java
@@ -1,7 +1,7 @@
 package firstage.server;
 
-import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.ONE_ROW;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.ManagerSettings.LOOKUP;
 import static firstage.fixtures.ManagerSettings.REPORT;
 import static org.assertj.core.api.Assertions.assertThat;
--- a/src/test/java/firstage/server/ConnectionsIT.java
+++ b/src/test/java/firstage/server/ConnectionsIT.java
@@ -2,9 +2,9 @@
 
 import static firstage.fixtures.ClientWire.ALIVE_PATH;
 import static firstage.fixtures.ClientWire.ONE_ROW_JSON;
-import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.EngineWire.POST_STATEMENT;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.TICKET;
 import static firstage.fixtures.ManagerSettings.LOOKUP;
 import static firstage.fixtures.ManagerSettings.withSockets;
--- a/src/test/java/firstage/server/ReloadIT.java
+++ b/src/test/java/firstage/server/ReloadIT.java
@@ -1,7 +1,7 @@
 package firstage.server;
 
-import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.ONE_ROW;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.ManagerSettings.LOOKUP;
 import static firstage.fixtures.ManagerSettings.REPORT;
 import static firstage.fixtures.ScriptedCoordinator.CHANGE;
@@ -34,7 +34,8 @@
                 QueryClient client = newClient()) {
             String path = reportClient.request(REPORT, "", "SELECT 1", 9000).pollPath();
             reportClient.sendGet(path);
-            nextCoordinator.publishToLaterWatches(2, CHANGE, endpoint(2, secondEngine.port(), READY));
+            nextCoordinator.publishToLaterWatches(
+                    2, CHANGE, endpoint(2, secondEngine.port(), READY));
             nextCoordinator.publishToLaterWatches(3, CHANGE, endpoint(1, engine.port(), DRAINING));
             manager.reload(configWithCoordinator(nextCoordinator.port()));
             manager.awaitLog("event=3");
--- a/src/test/java/firstage/server/SystemCallFaultsIT.java
+++ b/src/test/java/firstage/server/SystemCallFaultsIT.java
@@ -1,9 +1,9 @@
 package firstage.server;
 
 import static firstage.fixtures.EngineWire.MAX_MS;
-import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.EngineWire.POST_STATEMENT;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.ManagerSettings.LOOKUP;
 import static firstage.fixtures.ManagerSettings.REPORT;
 import static org.assertj.core.api.Assertions.assertThat;
--- a/src/test/java/firstage/simulation/FleetSimulationTest.java
+++ b/src/test/java/firstage/simulation/FleetSimulationTest.java
@@ -34,8 +34,7 @@
         FleetPlan plan = FleetPlanReader.read(planText);
         return IntStream.range(0, runs)
                 .parallel()
-                .mapToObj(
-                        i -> FleetSimulation.run(plan, PolicyUnderTest.of(choice), firstSeed + i))
+                .mapToObj(i -> FleetSimulation.run(plan, PolicyUnderTest.of(choice), firstSeed + i))
                 .toList();
     }
 
