--- a/src/main/java/firstage/cli/FaultTestShowCommand.java
+++ b/src/main/java/firstage/cli/FaultTestShowCommand.java
@@ -13,12 +13,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code fault-test show}. */
+/** {@code fault-test show}: prints selected events of a run. */
 @Command(
         name = "show",
         mixinStandardHelpOptions = true,
         description =
-                "Prints the events of a request, an engine, a manager or a moment over all"
+                "Prints the events of a request, an engine, a manager or a point in time, from all"
                         + " processes.")
 final class FaultTestShowCommand implements Callable<Integer> {
     // Fields of the timeline's events.
@@ -44,7 +44,7 @@
             names = "--at",
             paramLabel = "S",
             description = "events within half a second of this second")
-    private Double at;
+    private Double atSecond;
 
     @Override
     public Integer call() throws IOException {
@@ -53,29 +53,33 @@
             throw new InvalidPlanException(
                     file + " does not exist; name the folder that fault-test run printed");
         }
-        int shown = 0;
+        int matchingEvents = 0;
         for (String line : Files.readAllLines(file)) {
-            Map<String, String> event = event(line);
-            if (isWanted(event)) {
-                shown++;
+            Map<String, String> event = parseEvent(line);
+            if (matchesOptions(event)) {
+                matchingEvents++;
                 print(event);
             }
         }
-        if (shown == 0) {
-            throw new InvalidPlanException("nothing of that kind in " + file);
+        if (matchingEvents == 0) {
+            throw new InvalidPlanException("no event matches the options in " + file);
         }
         return 0;
     }
 
-    /** Without options all events but those of single requests are wanted. */
-    private boolean isWanted(Map<String, String> event) {
-        if (request == null && engine == null && manager == null && at == null) {
+    /**
+     * Returns whether an event matches the options. Without options, all events match but those of
+     * single requests.
+     */
+    private boolean matchesOptions(Map<String, String> event) {
+        if (request == null && engine == null && manager == null && atSecond == null) {
             return !event.containsKey(REQUEST);
         }
         return (request == null || request.equals(event.get(REQUEST)))
                 && (engine == null || engine.equals(event.get("engine")))
                 && (manager == null || manager.equals(event.get("manager")))
-                && (at == null || Math.abs(timeMs(event) - at * 1_000) <= MAX_DISTANCE_MS);
+                && (atSecond == null
+                        || Math.abs(timeMs(event) - atSecond * 1_000) <= MAX_DISTANCE_MS);
     }
 
     private static double timeMs(Map<String, String> event) {
@@ -88,10 +92,10 @@
         System.out.printf(Locale.ROOT, "%10.1f ms  %-12s %s%n", timeMs, event.remove(KIND), event);
     }
 
-    private static Map<String, String> event(String line) throws IOException {
+    private static Map<String, String> parseEvent(String line) throws IOException {
         try (JsonParser parser = new JsonFactory().createParser(line)) {
             parser.nextToken();
-            return CommandRunner.fields(parser);
+            return CommandRunner.readFields(parser);
         }
     }
 }
--- a/src/main/java/firstage/emulator/EmulatedEngine.java
+++ b/src/main/java/firstage/emulator/EmulatedEngine.java
@@ -29,9 +29,9 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * An engine behind a socket: the simulation's engine model on the wall clock, serving the
- * platform's protocol. A statement runs until it ends, is deleted, or was not polled for 2 s; a
- * poll without news is answered after 250 ms. Runs on the loop's thread.
+ * An emulated engine: runs the simulation's engine model in real time and serves the engines' HTTP
+ * protocol. A statement runs until it ends, is deleted, or was not polled for 2 s; a poll without
+ * anything to report is answered after 250 ms. Calls are served on the loop's thread.
  */
 public final class EmulatedEngine implements AutoCloseable {
     private static final long LONG_POLL_TIMEOUT = 2_500;
@@ -46,24 +46,36 @@
     private static final HttpString FIGURE = new HttpString("Figure");
     private static final HttpString METER = new HttpString("X-Meter");
 
-    /** Receives what an engine sees; on the loop's thread. */
+    /**
+     * Receives the events of engines, and estimates the delay with which they are read; called on
+     * the loop's thread.
+     */
     public interface Observer {
-        /** An attempt arrived; {@code retry}: not the first of its try. */
+        /**
+         * Records an attempt that arrived; {@code retry} is false for the first attempt of a client
+         * try.
+         */
         void onAttempt(ClientTry clientTry, int engine, boolean retry);
 
+        /** Records a probe that arrived. */
         void onProbe(int engine);
 
-        /** Whether the link from this manager to this engine may have delayed data recently. */
+        /**
+         * Returns whether the link from this manager to this engine may have delayed data recently.
+         */
         boolean mayBeDelayed(int manager, int engine);
 
-        /** How late what arrives just now may be seen, in ticks. */
-        long lateness();
+        /**
+         * Returns the longest time, in ticks, for which data that is read now may have waited in
+         * this process.
+         */
+        long recentLateness();
     }
 
     private final class Statement implements EngineModel.Listener {
         private final String id;
         private final ClientTry clientTry;
-        private RunningAttempt job;
+        private RunningAttempt runningAttempt;
         private long lastPolledAt;
         private boolean outcomeReported;
         private AttemptOutcome result;
@@ -95,10 +107,10 @@
             return !clientTry.abandoned();
         }
 
-        /** A poll: answered at once if there is news. */
+        /** Answers a poll at once if there is something to report, and holds it otherwise. */
         private void onPoll(HttpServerExchange exchange) {
             lastPolledAt = loop.now();
-            int ownPoll = ++pollCount;
+            int pollNumber = ++pollCount;
             if (waitingPoll != null) {
                 answer(waitingPoll, 202);
             }
@@ -112,11 +124,11 @@
                     .schedule(
                             LONG_POLL_TIMEOUT,
                             () -> {
-                                if (ownPoll == pollCount && waitingPoll != null) {
+                                if (pollNumber == pollCount && waitingPoll != null) {
                                     lastPolledAt = loop.now();
-                                    HttpServerExchange empty = waitingPoll;
+                                    HttpServerExchange unanswered = waitingPoll;
                                     waitingPoll = null;
-                                    answer(empty, 202);
+                                    answer(unanswered, 202);
                                 }
                             });
         }
@@ -197,8 +209,8 @@
 
         private void discard(AttemptOutcome outcome) {
             statements.remove(id, this);
-            if (job != null) {
-                model.cancel(job);
+            if (runningAttempt != null) {
+                model.cancel(runningAttempt);
             }
             reportOutcome(outcome);
             if (waitingPoll != null) {
@@ -218,7 +230,10 @@
     private final AcceptingChannel<StreamConnection> server;
     private final Map<String, Statement> statements = new HashMap<>();
 
-    /** Starts to listen. {@code triesById}: the try with an id; null if no client sent it. */
+    /**
+     * Creates an engine that listens at {@code address}; {@code triesById} returns the client try
+     * with an id, or null if no client sent one.
+     */
     public EmulatedEngine(
             RealTimeLoop loop,
             FleetPlan plan,
@@ -260,7 +275,7 @@
                                                         connection = channel.accept()) {
                                                     http.handleEvent(connection);
                                                 }
-                                            } catch (IOException gone) {
+                                            } catch (IOException acceptFailed) {
                                                 // The next connection may succeed.
                                             }
                                         },
@@ -276,10 +291,13 @@
         return model;
     }
 
-    /** Sets the state; one that is down or silent loses its statements. On the loop's thread. */
-    public void setState(State next) {
-        boolean losesStatements = next == State.DOWN || next == State.SILENT;
-        model.setState(next);
+    /**
+     * Sets the state; an engine that goes down or silent loses its statements. Must be called on
+     * the loop's thread.
+     */
+    public void setState(State newState) {
+        boolean losesStatements = newState == State.DOWN || newState == State.SILENT;
+        model.setState(newState);
         if (losesStatements) {
             statements
                     .values()
@@ -298,13 +316,13 @@
         String method = exchange.getRequestMethod().toString();
         if (model.state() == State.SILENT
                 || model.state() == State.HANGING && !method.equals("POST")) {
-            // The connection stays open without an answer.
+            // Keeps the connection open and never answers.
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {});
             return;
         }
         if (path.equals("/busy")) {
             observer.onProbe(number);
-            exchange.getResponseHeaders().put(METER, "waiting:" + model.waitingForMemory());
+            exchange.getResponseHeaders().put(METER, "waiting:" + model.memoryQueueLength());
             answer(exchange, 200);
         } else if (method.equals("POST")) {
             exchange.getRequestReceiver().receiveFullBytes((received, body) -> onSubmit(received));
@@ -322,9 +340,10 @@
                         exchange.getRequestReceiver()
                                 .receiveFullString(
                                         (received, priority) -> {
-                                            if (statement != null && statement.job != null) {
+                                            if (statement != null
+                                                    && statement.runningAttempt != null) {
                                                 model.setPriority(
-                                                        statement.job,
+                                                        statement.runningAttempt,
                                                         Integer.parseInt(priority.trim()));
                                             }
                                             answer(received, 204);
@@ -351,38 +370,43 @@
         observer.onAttempt(clientTry, number, retry);
         rules.onAttemptSent(
                 loop.now(), clientTry, number, observer.mayBeDelayed(clientTry.manager, number));
-        observeTimes(exchange, clientTry);
+        checkTimes(exchange, clientTry);
         Statement statement = new Statement(id, clientTry);
         statements.put(id, statement);
         double grant = Double.parseDouble(header(exchange, GRANT, "0"));
-        FleetPlan.TrafficClassPlan group =
+        FleetPlan.TrafficClassPlan trafficClass =
                 plan.trafficClasses().get(clientTry.request.trafficClass);
-        statement.job =
+        statement.runningAttempt =
                 new RunningAttempt(
                         clientTry.request,
-                        group,
+                        trafficClass,
                         statement,
                         clientTry.manager,
                         grant > 0 ? grant : clientTry.request.estimatedMemoryMb * 1.25,
                         Integer.parseInt(header(exchange, RANK, "1")));
         statement.onPoll(exchange);
         statement.scheduleExpiry();
-        model.start(statement.job);
+        model.start(statement.runningAttempt);
     }
 
-    /** Only where no delay on the way and no lateness of this process can explain them. */
-    private void observeTimes(HttpServerExchange exchange, ClientTry clientTry) {
+    /**
+     * Checks the start and the deadline of an attempt. A delay on the link or by this process is
+     * not counted as a violation: attempts on links that may be delayed are not checked, and the
+     * lateness of this process is deducted.
+     */
+    private void checkTimes(HttpServerExchange exchange, ClientTry clientTry) {
         if (observer.mayBeDelayed(clientTry.manager, number)) {
             return;
         }
-        long beganAt = loop.now() - observer.lateness();
-        long toldMs = Long.parseLong(header(exchange, MAX_MS, "0"));
-        rules.onAttemptTimes(beganAt, clientTry, beganAt + Ticks.ofMillis(toldMs));
+        long startedAt = loop.now() - observer.recentLateness();
+        long maxMs = Long.parseLong(header(exchange, MAX_MS, "0"));
+        rules.checkAttemptTimes(startedAt, clientTry, startedAt + Ticks.ofMillis(maxMs));
     }
 
-    private static String header(HttpServerExchange exchange, HttpString name, String absent) {
+    private static String header(
+            HttpServerExchange exchange, HttpString name, String defaultValue) {
         String value = exchange.getRequestHeaders().getFirst(name);
-        return value == null ? absent : value;
+        return value == null ? defaultValue : value;
     }
 
     @Override
--- a/src/main/java/firstage/emulator/FaultInjectingProxy.java
+++ b/src/main/java/firstage/emulator/FaultInjectingProxy.java
@@ -24,39 +24,43 @@
 
 /**
  * A proxy for connections and datagrams with an address for each pair of parties, so that each
- * direction of each pair can be cut, delayed or made lossy on its own. Runs on one thread. A
- * connection to a dead party is refused; to an unresponsive or cut-off one it is never established:
- * the listener's backlog is kept full, so that the kernel drops further connection attempts.
+ * direction of each pair can be cut, delayed or made lossy independently. All data is forwarded by
+ * one thread. Connections to a dead party are refused. Connections to an unresponsive or cut-off
+ * party are never established: the listener's backlog is kept full, so that the kernel drops
+ * further connection attempts. Times are ticks.
  */
 public final class FaultInjectingProxy implements AutoCloseable {
     private static final int BACKLOG = 256;
     private static final int BUFFER_BYTES = 16 * 1024;
 
-    /** Above this a source is not read, so that its TCP window fills. */
+    /**
+     * Number of queued chunks from which a source is not read any more, so that its TCP window
+     * fills.
+     */
     private static final int MAX_QUEUED_CHUNKS = 64;
 
-    /** Connections that fill the backlog of an unresponsive endpoint's listener. */
+    /** Number of connections that fill the backlog of an unresponsive endpoint's listener. */
     private static final int BACKLOG_FILLERS = 4;
 
     private final Selector selector;
     private final RandomGenerator random;
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final PriorityQueue<TimedTask> timers =
-            new PriorityQueue<>(Comparator.comparingLong(timer -> timer.due));
+            new PriorityQueue<>(Comparator.comparingLong(timer -> timer.dueAt));
     private final ByteBuffer buffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
     private final List<Endpoint> endpoints = new ArrayList<>();
     private final Thread thread;
     private volatile boolean closed;
     private volatile Exception failure;
 
-    /** When this thread began what it does now; 0 while it waits. */
+    /** Time at which the current round began; 0 while the thread waits for events. */
     private volatile long busySince;
 
     private final RecentPeak longestRound = new RecentPeak();
 
-    private record TimedTask(long due, Runnable task) {}
+    private record TimedTask(long dueAt, Runnable task) {}
 
-    /** How an endpoint answers new connections. */
+    /** Treatment of new connections by an endpoint. */
     public enum EndpointMode {
         OPEN,
         REFUSING,
@@ -74,7 +78,7 @@
         thread.start();
     }
 
-    /** Adds one direction between two parties; call it before {@link #start()}. */
+    /** Creates one direction of a link; must be called before {@link #start()}. */
     public LinkFaults newLink() {
         return new LinkFaults(random);
     }
@@ -96,9 +100,10 @@
     private void run() {
         while (!closed) {
             try {
-                long wait = timers.isEmpty() ? 100 : Math.max(0, (timers.peek().due - now()) / 10);
-                if (wait > 0) {
-                    selector.select(wait);
+                long waitMs =
+                        timers.isEmpty() ? 100 : Math.max(0, (timers.peek().dueAt - now()) / 10);
+                if (waitMs > 0) {
+                    selector.select(waitMs);
                 } else {
                     selector.selectNow();
                 }
@@ -106,7 +111,7 @@
                 for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
                     task.run();
                 }
-                while (!timers.isEmpty() && timers.peek().due <= now()) {
+                while (!timers.isEmpty() && timers.peek().dueAt <= now()) {
                     timers.poll().task.run();
                 }
                 Set<SelectionKey> ready = selector.selectedKeys();
@@ -115,11 +120,11 @@
                 }
                 ready.clear();
                 recordRound();
-            } catch (CancelledKeyException gone) {
+            } catch (CancelledKeyException alreadyClosed) {
                 selector.selectedKeys().clear();
-            } catch (IOException | RuntimeException ended) {
-                // Nothing is forwarded from here on, so the run proves nothing: see failure().
-                failure = ended;
+            } catch (IOException | RuntimeException exception) {
+                // Nothing is forwarded any more, so the run's results are invalid: see failure().
+                failure = exception;
                 return;
             }
         }
@@ -130,13 +135,13 @@
         busySince = 0;
     }
 
-    /** How long a round took at most in the last quarter of a second, in ticks. */
+    /** Returns the longest round of the last quarter of a second, in ticks; from any thread. */
     public long recentLateness() {
         long since = busySince;
         return Math.max(since == 0 ? 0 : now() - since, longestRound.value());
     }
 
-    /** What ended the proxy prematurely; null if it works. */
+    /** Returns the exception that ended the proxy prematurely, or null; from any thread. */
     public Exception failure() {
         return failure;
     }
@@ -151,18 +156,21 @@
                 resource.close();
             }
         } catch (Exception nothingToDo) {
-            // Closed either way.
+            // The resource counts as closed either way.
         }
     }
 
-    /** A listening address at which one party reaches another. */
+    /**
+     * A listening address at which one party reaches another. The public methods may be called from
+     * any thread.
+     */
     public final class Endpoint {
         private final InetSocketAddress listenAddress;
         private final InetSocketAddress targetAddress;
         private final LinkFaults forwardFaults;
         private final LinkFaults returnFaults;
         private final Set<Connection> connections = new HashSet<>();
-        private final List<SocketChannel> fillers = new ArrayList<>();
+        private final List<SocketChannel> backlogFillers = new ArrayList<>();
         private ServerSocketChannel listener;
         private EndpointMode mode = EndpointMode.REFUSING;
         private EndpointMode requestedMode = EndpointMode.OPEN;
@@ -179,13 +187,13 @@
         }
 
         /**
-         * Sets the state of the party behind this address; {@code resetConnections} resets open
-         * connections, as a dying process does.
+         * Sets how new connections are treated; {@code resetConnections} also resets the open ones,
+         * as the death of a process does.
          */
-        public void setMode(EndpointMode next, boolean resetConnections) {
+        public void setMode(EndpointMode newMode, boolean resetConnections) {
             execute(
                     () -> {
-                        requestedMode = next;
+                        requestedMode = newMode;
                         if (resetConnections) {
                             List.copyOf(connections).forEach(Connection::reset);
                         }
@@ -193,12 +201,12 @@
                     });
         }
 
-        /** Resets all connections that are open; new ones are accepted as before. */
+        /** Resets all open connections; new ones are accepted as before. */
         public void resetConnections() {
             execute(() -> List.copyOf(connections).forEach(Connection::reset));
         }
 
-        /** To be called after one of its links was cut or repaired. */
+        /** Takes a cut or repair of one of this endpoint's links into account. */
         public void onLinkChanged() {
             execute(
                     () -> {
@@ -209,17 +217,17 @@
 
         private void applyMode() {
             boolean cut = forwardFaults.isCut() || returnFaults.isCut();
-            EndpointMode next =
+            EndpointMode effectiveMode =
                     requestedMode == EndpointMode.OPEN && cut
                             ? EndpointMode.UNRESPONSIVE
                             : requestedMode;
-            if (next != mode) {
+            if (effectiveMode != mode) {
                 close();
-                mode = next;
+                mode = effectiveMode;
                 try {
                     listen();
-                } catch (IOException fault) {
-                    throw new IllegalStateException("can't listen at " + listenAddress, fault);
+                } catch (IOException exception) {
+                    throw new IllegalStateException("can't listen at " + listenAddress, exception);
                 }
             }
         }
@@ -239,7 +247,7 @@
                     SocketChannel filler = SocketChannel.open();
                     filler.configureBlocking(false);
                     filler.connect(listenAddress);
-                    fillers.add(filler);
+                    backlogFillers.add(filler);
                 }
             }
         }
@@ -247,13 +255,13 @@
         private void close() {
             closeQuietly(listener);
             listener = null;
-            fillers.forEach(FaultInjectingProxy::closeQuietly);
-            fillers.clear();
+            backlogFillers.forEach(FaultInjectingProxy::closeQuietly);
+            backlogFillers.clear();
             try {
                 // A closed channel frees its address only once its key is deregistered.
                 selector.selectNow();
-            } catch (IOException fault) {
-                throw new IllegalStateException(fault);
+            } catch (IOException exception) {
+                throw new IllegalStateException(exception);
             }
         }
 
@@ -266,7 +274,7 @@
         }
     }
 
-    /** A proxied connection: a client's, and the one to the target. */
+    /** A proxied connection: the client's connection, and the one to the target. */
     private final class Connection {
         private final Endpoint endpoint;
         private final SocketChannel clientSide;
@@ -301,12 +309,12 @@
                     (key.channel() == clientSide ? outbound : inbound).read();
                 }
                 transfer();
-            } catch (IOException | CancelledKeyException fault) {
+            } catch (IOException | CancelledKeyException exception) {
                 reset();
             }
         }
 
-        /** Writes what is due and registers interest in what comes next. */
+        /** Writes the chunks that are due and registers interest in the next events. */
         private void transfer() {
             if (closed || !connected) {
                 return;
@@ -324,7 +332,7 @@
                 targetSide
                         .keyFor(selector)
                         .interestOps(inbound.readInterest() | outbound.writeInterest());
-            } catch (IOException | CancelledKeyException fault) {
+            } catch (IOException | CancelledKeyException exception) {
                 reset();
             }
         }
@@ -334,8 +342,8 @@
                 try {
                     clientSide.setOption(StandardSocketOptions.SO_LINGER, 0);
                     targetSide.setOption(StandardSocketOptions.SO_LINGER, 0);
-                } catch (IOException gone) {
-                    // Already disconnected.
+                } catch (IOException alreadyClosed) {
+                    // The connection is already closed.
                 }
                 close();
             }
@@ -349,16 +357,16 @@
         }
     }
 
-    /** One direction of a connection. */
+    /** One direction of a proxied connection. */
     private final class Direction {
-        private record Chunk(long due, ByteBuffer bytes) {}
+        private record Chunk(long dueAt, ByteBuffer bytes) {}
 
         private final Connection connection;
         private final SocketChannel source;
         private final SocketChannel sink;
         private final LinkFaults faults;
         private final ArrayDeque<Chunk> queue = new ArrayDeque<>();
-        private long lastDue;
+        private long lastDueAt;
         private boolean endOfInput;
         private boolean outputShutDown;
         private boolean sinkFull;
@@ -381,18 +389,18 @@
                 endOfInput = true;
             } else if (length > 0) {
                 ByteBuffer copy = ByteBuffer.allocate(length).put(buffer.flip()).flip();
-                long due = Math.max(lastDue, now() + faults.drawDelay(false));
-                lastDue = due;
-                queue.add(new Chunk(due, copy));
-                if (due > now()) {
-                    schedule(due - now(), connection::transfer);
+                long dueAt = Math.max(lastDueAt, now() + faults.drawDelay(false));
+                lastDueAt = dueAt;
+                queue.add(new Chunk(dueAt, copy));
+                if (dueAt > now()) {
+                    schedule(dueAt - now(), connection::transfer);
                 }
             }
         }
 
         private void write() throws IOException {
             sinkFull = false;
-            while (!queue.isEmpty() && !faults.isCut() && queue.peek().due <= now()) {
+            while (!queue.isEmpty() && !faults.isCut() && queue.peek().dueAt <= now()) {
                 ByteBuffer next = queue.peek().bytes;
                 sink.write(next);
                 if (next.hasRemaining()) {
@@ -417,8 +425,8 @@
     }
 
     /**
-     * Forwards connections made to {@code listenAddress} to {@code targetAddress}. Open from the
-     * start.
+     * Forwards connections made to {@code listenAddress} to {@code targetAddress}. The endpoint is
+     * open from the start.
      */
     public Endpoint addEndpoint(
             InetSocketAddress listenAddress,
@@ -432,9 +440,9 @@
     }
 
     /**
-     * Forwards datagrams between two parties: {@code first} reaches the second at {@code
-     * secondSeenByFirst}; the second sees them as coming from {@code firstSeenBySecond}, where it
-     * reaches the first.
+     * Forwards datagrams between two parties. The first sends to the second at {@code
+     * secondSeenByFirst}; the second receives these datagrams from {@code firstSeenBySecond}, and
+     * sends to the first at that address.
      */
     public void forwardDatagrams(
             InetSocketAddress first,
@@ -444,19 +452,19 @@
             LinkFaults forwardFaults,
             LinkFaults returnFaults)
             throws IOException {
-        DatagramChannel one = DatagramChannel.open().bind(secondSeenByFirst);
-        DatagramChannel two = DatagramChannel.open().bind(firstSeenBySecond);
-        one.configureBlocking(false);
-        two.configureBlocking(false);
+        DatagramChannel firstChannel = DatagramChannel.open().bind(secondSeenByFirst);
+        DatagramChannel secondChannel = DatagramChannel.open().bind(firstSeenBySecond);
+        firstChannel.configureBlocking(false);
+        secondChannel.configureBlocking(false);
         execute(
                 () -> {
-                    forward(one, two, second, forwardFaults);
-                    forward(two, one, first, returnFaults);
+                    forward(firstChannel, secondChannel, second, forwardFaults);
+                    forward(secondChannel, firstChannel, first, returnFaults);
                 });
     }
 
     private void forward(
-            DatagramChannel in, DatagramChannel out, SocketAddress to, LinkFaults faults) {
+            DatagramChannel in, DatagramChannel out, SocketAddress target, LinkFaults faults) {
         try {
             in.register(
                     selector,
@@ -464,9 +472,9 @@
                     (ReadyHandler)
                             key -> {
                                 buffer.clear();
-                                for (SocketAddress from = receive(in);
-                                        from != null;
-                                        from = receive(in)) {
+                                for (SocketAddress sender = receive(in);
+                                        sender != null;
+                                        sender = receive(in)) {
                                     buffer.flip();
                                     if (faults.passes()) {
                                         ByteBuffer copy =
@@ -475,16 +483,16 @@
                                                         .flip();
                                         long delay = faults.drawDelay(true);
                                         if (delay > 0) {
-                                            schedule(delay, () -> send(out, copy, to));
+                                            schedule(delay, () -> send(out, copy, target));
                                         } else {
-                                            send(out, copy, to);
+                                            send(out, copy, target);
                                         }
                                     }
                                     buffer.clear();
                                 }
                             });
-        } catch (IOException fault) {
-            throw new IllegalStateException(fault);
+        } catch (IOException exception) {
+            throw new IllegalStateException(exception);
         }
     }
 
@@ -496,11 +504,11 @@
         }
     }
 
-    private void send(DatagramChannel out, ByteBuffer bytes, SocketAddress to) {
+    private void send(DatagramChannel out, ByteBuffer bytes, SocketAddress target) {
         try {
-            out.send(bytes, to);
+            out.send(bytes, target);
         } catch (IOException unreachable) {
-            // Lost, as on any network.
+            // The datagram is lost, as on any network.
         }
     }
 
@@ -510,13 +518,14 @@
         selector.wakeup();
         try {
             thread.join(1_000);
-        } catch (InterruptedException fault) {
+        } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
         }
         for (SelectionKey key : selector.keys()) {
             closeQuietly(key.channel());
         }
-        endpoints.forEach(endpoint -> endpoint.fillers.forEach(FaultInjectingProxy::closeQuietly));
+        endpoints.forEach(
+                endpoint -> endpoint.backlogFillers.forEach(FaultInjectingProxy::closeQuietly));
         closeQuietly(selector);
     }
 }
--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -3,12 +3,12 @@
 import firstage.policy.api.TrafficClass.Effect;
 import firstage.simulation.ClientBehavior;
 import firstage.simulation.FleetPlan;
+import firstage.simulation.GeneratedRequest;
 import firstage.simulation.RandomStreams;
 import firstage.simulation.RuleChecker;
 import firstage.simulation.RuleChecker.ClientTry;
 import firstage.simulation.Scoreboard;
 import firstage.simulation.TrafficSource;
-import firstage.simulation.TrueRequest;
 import java.io.IOException;
 import java.net.ConnectException;
 import java.net.InetSocketAddress;
@@ -35,34 +35,36 @@
 import java.util.regex.Pattern;
 
 /**
- * An open-loop load generator: clients that keep to their schedule whatever is answered, behind a
+ * An open-loop load generator: clients that send on schedule, whatever the responses, through a
  * load balancer that keeps sending to a dead manager until it detects the failure. Clients retry as
- * the plan says; requests of one ordering key are sent apart from each other. Runs on the loop's
- * thread; times are ticks.
+ * the plan configures; requests of one ordering key are sent at a minimum distance. Runs on the
+ * loop's thread; times are ticks.
  */
 public final class LoadGenerator implements AutoCloseable {
     private static final Pattern POLL_PATH = Pattern.compile("\"poll\":\"([^\"]+)\"");
 
     /**
-     * Minimum time between requests of one ordering key: each may open a new connection, and the
-     * protocol requires this distance then.
+     * Minimum time between requests of one ordering key. Each request may open a new connection,
+     * after which the protocol requires this distance.
      */
     private static final long KEY_GAP = 3_000;
 
     /**
-     * How long a client waits beyond the deadline: a response in it is late, none at all is lost.
+     * Time for which a client waits beyond the deadline. A response within this time is late; a
+     * request without any is lost.
      */
     private static final long RESPONSE_GRACE = 5_000;
 
     /**
-     * The load balancer detects a failed manager after half of this to one and a half times this.
+     * Mean time after which the load balancer detects a failed manager; the actual time is 0.5 to
+     * 1.5 times this value.
      */
     private static final long DETECTION_DELAY = 15_000;
 
     private static final int MAX_POLL_ATTEMPTS = 3;
     private static final int CONNECT_TIMEOUT_MS = 1_000;
 
-    /** How one try of a client ended. */
+    /** Outcome of one try of a client. */
     public enum TryOutcome {
         SUCCEEDED("returned"),
         SUCCEEDED_LATE("late"),
@@ -77,15 +79,15 @@
             this.recordedName = recordedName;
         }
 
-        /** The name in recorded files and in the figures of plans. */
+        /** Returns the name in recorded files and in the figures of plans. */
         public String recordedName() {
             return recordedName;
         }
     }
 
-    /** Receives what happens to requests; on the loop's thread. */
+    /** Receives the events of requests; called on the loop's thread. */
     public interface Observer {
-        void onRequest(TrueRequest request, int manager);
+        void onRequest(GeneratedRequest request, int manager);
 
         void onTry(ClientTry clientTry);
 
@@ -102,13 +104,16 @@
     private final List<InetSocketAddress> managers;
     private final ClientBehavior clientBehavior;
     private final Map<String, ClientTry> triesById = new HashMap<>();
-    private final Map<Integer, Long> keyFreeAt = new HashMap<>();
+    private final Map<Integer, Long> nextSendAtByKey = new HashMap<>();
     private final List<Set<ClientTry>> openTries = new ArrayList<>();
     private final Set<Integer> aliveManagers = new HashSet<>();
-    private final long[] stateChanges;
+    private final long[] stateChangeCounts;
     private final boolean[] killed;
 
-    /** Until when each manager is paused: what times out meanwhile is not its violation. */
+    /**
+     * Time until which each manager is paused; tries that time out during a pause do not count as
+     * violations by the manager.
+     */
     private final long[] pausedUntil;
 
     private final ExecutorService executor =
@@ -151,7 +156,7 @@
                         .connectTimeout(Duration.ofMillis(CONNECT_TIMEOUT_MS))
                         .build();
         clientBehavior = new ClientBehavior(plan, random);
-        stateChanges = new long[managers.size()];
+        stateChangeCounts = new long[managers.size()];
         killed = new boolean[managers.size()];
         pausedUntil = new long[managers.size()];
         for (int manager = 0; manager < managers.size(); manager++) {
@@ -160,19 +165,25 @@
         }
     }
 
-    /** The try with this id, or null; on the loop's thread. */
+    /** Returns the try with this id, or null; must be called on the loop's thread. */
     public ClientTry tryById(String id) {
         return triesById.get(id);
     }
 
-    /** Starts the traffic, which lasts for the plan's length; on the loop's thread. */
+    /**
+     * Starts the traffic, which lasts for the length of the plan; must be called on the loop's
+     * thread.
+     */
     public void start() {
         endsAt = loop.now() + plan.length();
         startedAt = loop.now();
         scheduleNext();
     }
 
-    /** Multiplies the rate of requests from the next one on; on the loop's thread. */
+    /**
+     * Sets the factor by which the request rate is multiplied, effective after the request that is
+     * scheduled next; must be called on the loop's thread.
+     */
     public void setTrafficFactor(double factor) {
         trafficFactor = factor;
     }
@@ -184,7 +195,7 @@
                         trafficSource.nextArrival(now, startedAt, trafficFactor) - now,
                         () -> {
                             if (loop.events().now() < endsAt) {
-                                TrueRequest request =
+                                GeneratedRequest request =
                                         trafficSource.draw(loop.events().now(), List.of());
                                 scoreboard.onRequested(request);
                                 int manager = chooseManager(request);
@@ -195,42 +206,46 @@
                         });
     }
 
-    /** Whether traffic has ended and no try is open. */
-    public boolean idle() {
+    /** Returns whether the traffic has ended and no try is open. */
+    public boolean isIdle() {
         return loop.now() > endsAt
                 && openTries.stream()
                         .flatMap(Set::stream)
-                        .allMatch(clientTry -> clientTry.answers() > 0 || clientTry.abandoned());
+                        .allMatch(
+                                clientTry -> clientTry.answerCount() > 0 || clientTry.abandoned());
     }
 
-    /** A manager's process was killed: its open tries need no answer. */
+    /** Records that a manager's process was killed, so that its open tries need no answer. */
     public void onManagerKilled(int manager) {
-        List<ClientTry> held = new ArrayList<>();
+        List<ClientTry> unanswered = new ArrayList<>();
         openTries.get(manager).stream()
-                .filter(clientTry -> clientTry.answers() == 0)
-                .forEach(held::add);
-        rules.onManagerKilled(manager, held);
+                .filter(clientTry -> clientTry.answerCount() == 0)
+                .forEach(unanswered::add);
+        rules.onManagerKilled(manager, unanswered);
         killed[manager] = true;
         onManagerStateChanged(manager, false);
     }
 
-    /** A manager's process serves again, or is shutting down. */
+    /**
+     * Records that a manager's process serves again, which the load balancer sees at once, or that
+     * it is down or shutting down, which the load balancer detects later.
+     */
     public void onManagerStateChanged(int manager, boolean up) {
         killed[manager] &= !up;
-        long ownChange = ++stateChanges[manager];
+        long changeNumber = ++stateChangeCounts[manager];
         loop.events()
                 .schedule(
                         up ? 0 : DETECTION_DELAY / 2 + random.nextLong(DETECTION_DELAY),
                         () -> {
-                            if (stateChanges[manager] == ownChange && up) {
+                            if (stateChangeCounts[manager] == changeNumber && up) {
                                 aliveManagers.add(manager);
-                            } else if (stateChanges[manager] == ownChange) {
+                            } else if (stateChangeCounts[manager] == changeNumber) {
                                 aliveManagers.remove(manager);
                             }
                         });
     }
 
-    /** A manager's process is paused until then. */
+    /** Records that a manager's process is paused until {@code until}. */
     public void onManagerPaused(int manager, long until) {
         pausedUntil[manager] = until;
         openTries.get(manager).forEach(clientTry -> allowPause(clientTry, until));
@@ -241,52 +256,52 @@
     }
 
     private void checkDeadline(ClientTry clientTry) {
-        if (clientTry.pauseAllowance() && clientTry.answers() == 0) {
-            // It timed out while its manager was paused, and its client left.
+        if (clientTry.hasPauseAllowance() && clientTry.answerCount() == 0) {
+            // The try timed out while its manager was paused, and its client left.
             rules.onNeverAccepted(clientTry);
         } else {
             rules.onDeadlinePassed(loop.now(), clientTry);
         }
     }
 
-    private int chooseManager(TrueRequest request) {
+    private int chooseManager(GeneratedRequest request) {
         int manager = clientBehavior.managerFor(request);
-        // Failover to the next one in order keeps the requests of one key together.
+        // Failing over to the next manager in order keeps the requests of one key together.
         for (int i = 0; i < managers.size() && !aliveManagers.contains(manager); i++) {
             manager = (manager + 1) % managers.size();
         }
         return manager;
     }
 
-    private void sendInKeyOrder(TrueRequest request, int manager) {
+    private void sendInKeyOrder(GeneratedRequest request, int manager) {
         long now = loop.events().now();
         if (request.orderingKey >= 0) {
-            long freeAt = Math.max(now, keyFreeAt.getOrDefault(request.orderingKey, 0L));
-            keyFreeAt.put(request.orderingKey, freeAt + KEY_GAP);
-            if (freeAt > now) {
-                loop.events().schedule(freeAt - now, () -> send(request, manager));
+            long sendAt = Math.max(now, nextSendAtByKey.getOrDefault(request.orderingKey, 0L));
+            nextSendAtByKey.put(request.orderingKey, sendAt + KEY_GAP);
+            if (sendAt > now) {
+                loop.events().schedule(sendAt - now, () -> send(request, manager));
                 return;
             }
         }
         send(request, manager);
     }
 
-    private void send(TrueRequest request, int manager) {
+    private void send(GeneratedRequest request, int manager) {
         long now = loop.events().now();
         long remaining = request.deadline - now;
         if (remaining <= 0) {
             return;
         }
         request.tries++;
-        long patience =
+        long tryTimeout =
                 Math.min(
                         remaining,
                         Math.max(
                                 1,
                                 Math.round(
                                         (request.deadline - request.firstRequestedAt)
-                                                * plan.clients().deadlineShareOfTry())));
-        ClientTry clientTry = new ClientTry(request, manager, now + patience);
+                                                * plan.clients().tryTimeoutShare())));
+        ClientTry clientTry = new ClientTry(request, manager, now + tryTimeout);
         String id = String.format(Locale.ROOT, "%08x%08x", idPrefix, ++lastId);
         triesById.put(id, clientTry);
         openTries.get(manager).add(clientTry);
@@ -295,9 +310,9 @@
         FleetPlan.TrafficClassPlan trafficClass = plan.trafficClasses().get(request.trafficClass);
         HttpRequest.Builder httpRequest =
                 HttpRequest.newBuilder(uri(manager, "/ops/" + trafficClass.name()))
-                        .timeout(Duration.ofMillis((patience + RESPONSE_GRACE) / 10))
+                        .timeout(Duration.ofMillis((tryTimeout + RESPONSE_GRACE) / 10))
                         .header("X-Job-Id", id)
-                        .header("X-Allow-Ms", String.valueOf(Math.max(1, patience / 10)))
+                        .header("X-Allow-Ms", String.valueOf(Math.max(1, tryTimeout / 10)))
                         .header("X-Team", plan.tenants().get(request.tenant).name())
                         .header(
                                 "X-Size-Ms",
@@ -313,12 +328,13 @@
                                 + request.tableGroup
                                 + ".orders"));
         call(clientTry, id, httpRequest.build(), MAX_POLL_ATTEMPTS, true);
-        // A paused manager can't know how long the request waited: it counts from when it reads it.
+        // A paused manager can't know how long the request waited: it counts the deadline from when
+        // it reads the request.
         clientTry.allowPause(Math.max(0, pausedUntil[manager] - now));
-        loop.events().schedule(patience + RESPONSE_GRACE / 2, () -> checkDeadline(clientTry));
+        loop.events().schedule(tryTimeout + RESPONSE_GRACE / 2, () -> checkDeadline(clientTry));
         loop.events()
                 .schedule(
-                        patience + 2 * RESPONSE_GRACE,
+                        tryTimeout + 2 * RESPONSE_GRACE,
                         () -> {
                             openTries.get(manager).remove(clientTry);
                             triesById.remove(id);
@@ -336,26 +352,26 @@
             String id,
             HttpRequest httpRequest,
             int attemptsLeft,
-            boolean first) {
+            boolean firstCall) {
         http.sendAsync(httpRequest, HttpResponse.BodyHandlers.ofString())
                 .whenComplete(
-                        (response, fault) ->
+                        (response, failure) ->
                                 loop.execute(
                                         () -> {
-                                            if (fault != null) {
+                                            if (failure != null) {
                                                 onFailure(
                                                         clientTry,
                                                         id,
                                                         httpRequest,
                                                         attemptsLeft,
-                                                        first,
-                                                        fault instanceof CompletionException
-                                                                ? fault.getCause()
-                                                                : fault);
+                                                        firstCall,
+                                                        failure instanceof CompletionException
+                                                                ? failure.getCause()
+                                                                : failure);
                                                 return;
                                             }
-                                            Matcher poll = POLL_PATH.matcher(response.body());
-                                            if (response.statusCode() == 200 && poll.find()) {
+                                            Matcher pollPath = POLL_PATH.matcher(response.body());
+                                            if (response.statusCode() == 200 && pollPath.find()) {
                                                 long remainingMs =
                                                         Math.max(
                                                                         10,
@@ -369,7 +385,7 @@
                                                         HttpRequest.newBuilder(
                                                                         uri(
                                                                                 clientTry.manager,
-                                                                                poll.group(1)))
+                                                                                pollPath.group(1)))
                                                                 .timeout(
                                                                         Duration.ofMillis(
                                                                                 remainingMs))
@@ -387,35 +403,36 @@
             String id,
             HttpRequest httpRequest,
             int attemptsLeft,
-            boolean first,
-            Throwable fault) {
+            boolean firstCall,
+            Throwable failure) {
         boolean unreachable =
-                fault instanceof ConnectException || fault instanceof HttpConnectTimeoutException;
-        // What was sent to a process that is being killed was never accepted.
-        if (first && (unreachable || killed[clientTry.manager])) {
+                failure instanceof ConnectException
+                        || failure instanceof HttpConnectTimeoutException;
+        // A request sent to a process that is being killed counts as never accepted.
+        if (firstCall && (unreachable || killed[clientTry.manager])) {
             rules.onNeverAccepted(clientTry);
             observer.onTryEnded(clientTry, TryOutcome.NEVER_ACCEPTED);
             scoreboard.onFailed();
-            // The protocol allows a retry of non-idempotent requests only after a rejection or if
-            // the manager was unreachable: on a broken connection it may have run.
+            // The protocol allows a retry of a non-idempotent request only after a rejection or if
+            // the manager was unreachable: if the connection broke, the request may have run.
             retry(
                     clientTry.request,
                     0,
                     unreachable
                             || plan.trafficClasses().get(clientTry.request.trafficClass).effect()
                                     == Effect.IDEMPOTENT);
-        } else if (!first
+        } else if (!firstCall
                 && attemptsLeft > 1
                 && loop.now() < clientTry.deadline
-                && fault instanceof IOException) {
+                && failure instanceof IOException) {
             call(clientTry, id, httpRequest, attemptsLeft - 1, false);
         } else {
             // Rule 1 is checked at the deadline; a killed manager's open tries are exempt.
             observer.onTryEnded(clientTry, TryOutcome.LOST);
             scoreboard.onFailed();
             if (!clientTry.abandoned()
-                    && !clientTry.pauseAllowance()
-                    && !(fault instanceof HttpTimeoutException)) {
+                    && !clientTry.hasPauseAllowance()
+                    && !(failure instanceof HttpTimeoutException)) {
                 loop.events()
                         .schedule(
                                 2_000,
@@ -426,8 +443,8 @@
                                                         + clientTry.request.id
                                                         + " at manager "
                                                         + clientTry.manager
-                                                        + " got no answer that can be read: "
-                                                        + fault);
+                                                        + " received no readable answer: "
+                                                        + failure);
                                     }
                                 });
             }
@@ -460,8 +477,8 @@
         } else if (rejected) {
             observer.onTryEnded(clientTry, TryOutcome.REJECTED);
             scoreboard.onRejected();
-            long wait = response.headers().firstValueAsLong("X-Wait-Ms").orElse(0) * 10;
-            retry(clientTry.request, wait, true);
+            long retryAfter = response.headers().firstValueAsLong("X-Wait-Ms").orElse(0) * 10;
+            retry(clientTry.request, retryAfter, true);
         } else {
             observer.onTryEnded(clientTry, TryOutcome.FAILED);
             scoreboard.onFailed();
@@ -473,10 +490,10 @@
         }
     }
 
-    private void retry(TrueRequest request, long retryAfter, boolean mayRetry) {
-        long wait = clientBehavior.retryDelay(request, loop.now(), retryAfter, mayRetry);
-        if (wait >= 0) {
-            loop.events().schedule(wait, () -> sendInKeyOrder(request, chooseManager(request)));
+    private void retry(GeneratedRequest request, long retryAfter, boolean mayRetry) {
+        long delay = clientBehavior.retryDelay(request, loop.now(), retryAfter, mayRetry);
+        if (delay >= 0) {
+            loop.events().schedule(delay, () -> sendInKeyOrder(request, chooseManager(request)));
         }
     }
 
--- a/src/main/java/firstage/emulator/RealTimeLoop.java
+++ b/src/main/java/firstage/emulator/RealTimeLoop.java
@@ -15,24 +15,24 @@
 import org.xnio.XnioWorker;
 
 /**
- * The one thread of all emulators, and the simulation's event queue advanced by the wall clock:
- * what is modelled in virtual time runs here in real time. Times are ticks; {@link #START} is when
- * the loop was created.
+ * The single thread of all emulators, with the simulation's event queue advanced by the wall clock,
+ * so that models of the simulation run in real time. Times are ticks, and count from {@link #START}
+ * at the creation of the loop.
  */
 public final class RealTimeLoop implements AutoCloseable {
-    /** Time at creation: above 0, which stands for "long ago" in the models. */
+    /** Time at the creation of the loop; not 0, which means "long ago" in the models. */
     public static final long START = 1_000_000;
 
-    private static final long TICK_MS = 1;
+    private static final long ROUND_INTERVAL_MS = 1;
     private static final long MAX_LATENESS_US = 60_000_000;
     private final XnioWorker worker;
     private final XnioIoThread ioThread;
     private final EventQueue events = new EventQueue(START);
     private final long startNs = System.nanoTime();
     private final long startMs = System.currentTimeMillis();
-    private final Histogram lateness = new Histogram(MAX_LATENESS_US, 2);
+    private final Histogram latenessHistogram = new Histogram(MAX_LATENESS_US, 2);
     private volatile boolean closed;
-    private volatile long lastTickNs = System.nanoTime();
+    private volatile long lastRoundNs = System.nanoTime();
     private final RecentPeak peakLateness = new RecentPeak();
 
     public RealTimeLoop() throws IOException {
@@ -46,29 +46,29 @@
                                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                                         .getMap());
         ioThread = worker.getIoThread();
-        tick(System.nanoTime());
+        runRound(System.nanoTime());
     }
 
     public XnioWorker worker() {
         return worker;
     }
 
-    /** The present time in ticks; from any thread. */
+    /** Returns the current time in ticks; from any thread. */
     public long now() {
         return START + (System.nanoTime() - startNs) / 100_000;
     }
 
-    /** Unix time in ms of a time of this loop. */
+    /** Returns the Unix time in ms for a time of this loop. */
     public long unixMs(long time) {
         return startMs + (time - START) / 10;
     }
 
-    /** The event queue; only for use on this thread. */
+    /** Returns the event queue; only for use on this loop's thread. */
     public EventQueue events() {
         return events;
     }
 
-    /** Runs the task on this thread, after all events that are due. */
+    /** Runs the task on this loop's thread, after all due events; from any thread. */
     public void execute(Runnable task) {
         ioThread.execute(
                 () -> {
@@ -78,9 +78,9 @@
     }
 
     /**
-     * Runs the call on this thread and waits for its result.
+     * Runs the task on this loop's thread and waits for its result; from any other thread.
      *
-     * @throws IOException if the call fails or the wait is interrupted
+     * @throws IOException if the task fails or the wait is interrupted
      */
     public <T> T call(Callable<T> task) throws IOException {
         CompletableFuture<T> done = new CompletableFuture<>();
@@ -98,36 +98,43 @@
             throw new IOException(failure.getCause());
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", interrupted);
+            throw new IOException(
+                    "interrupted while waiting for the emulators' thread", interrupted);
         }
     }
 
-    private void tick(long scheduledNs) {
+    private void runRound(long scheduledNs) {
         if (closed) {
             return;
         }
-        lateness.recordValue(
+        latenessHistogram.recordValue(
                 Math.min(MAX_LATENESS_US, Math.max(0, (System.nanoTime() - scheduledNs) / 1_000)));
         events.runUntil(now());
         recordPeak(scheduledNs);
-        long nextNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TICK_MS);
-        ioThread.executeAfter(() -> tick(nextNs), TICK_MS, TimeUnit.MILLISECONDS);
+        long nextNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(ROUND_INTERVAL_MS);
+        ioThread.executeAfter(() -> runRound(nextNs), ROUND_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void recordPeak(long scheduledNs) {
         long nowNs = System.nanoTime();
         peakLateness.record(Ticks.ofNanos(nowNs - scheduledNs));
-        lastTickNs = nowNs;
+        lastRoundNs = nowNs;
     }
 
-    /** How late this thread ran at most in the last quarter of a second, in ticks. */
+    /**
+     * Returns the longest delay of the loop's thread in the last quarter of a second, in ticks;
+     * from any thread.
+     */
     public long recentLateness() {
-        return Math.max(Ticks.ofNanos(System.nanoTime() - lastTickNs), peakLateness.value());
+        return Math.max(Ticks.ofNanos(System.nanoTime() - lastRoundNs), peakLateness.value());
     }
 
-    /** How late this thread ran, in microseconds. A run on an overloaded machine proves nothing. */
-    public Histogram lateness() {
-        return lateness;
+    /**
+     * Returns the distribution of the delays of the loop's thread, in microseconds. Long delays
+     * show that the machine was overloaded, which invalidates the results of a run.
+     */
+    public Histogram latenessHistogram() {
+        return latenessHistogram;
     }
 
     @Override
--- a/src/main/java/firstage/faulttest/EngineFaults.java
+++ b/src/main/java/firstage/faulttest/EngineFaults.java
@@ -13,17 +13,24 @@
 import java.util.Locale;
 import java.util.random.RandomGenerator;
 
-/** Fails, drains and revives emulated engines, and announces it through the coordinators. */
+/**
+ * Takes emulated engines down, drains and restores them, and announces each change through the
+ * coordinators.
+ */
 final class EngineFaults {
-    /** How long a drained engine is down. */
+    /** Time that an engine is down after its drain. */
     private static final long DOWN_AFTER_DRAIN = Ticks.ofSeconds(1);
 
-    /** An unresponsive engine leaves the endpoint list this many times later than a dead one. */
+    /**
+     * Factor by which the removal of an unresponsive engine from the endpoint list takes longer
+     * than that of an engine whose process died.
+     */
     private static final int SILENCE_DETECTION_FACTOR = 3;
 
+    /** Longest silence of a coordinator: the longest delay allowed for endpoint updates. */
     private static final long MAX_SILENCE = Ticks.ofSeconds(7);
 
-    /** Until when the coordinator of each manager says nothing. */
+    /** Time until which a manager's coordinator sends nothing, by manager. */
     private final long[] silentUntil;
 
     private final FleetPlan plan;
@@ -59,13 +66,17 @@
     }
 
     /**
-     * A manager's coordinator says nothing for so many ticks.
+     * Makes a manager's coordinator send nothing for {@code ticks}.
      *
-     * @throws IllegalArgumentException where that is longer than what it has to tell may be late
+     * @throws IllegalArgumentException if {@code ticks} exceeds the 7 s by which an endpoint update
+     *     may be delayed
      */
     void silenceCoordinator(int manager, long ticks) {
         if (ticks > MAX_SILENCE) {
-            throw new IllegalArgumentException("silent for " + ticks + " ticks");
+            throw new IllegalArgumentException(
+                    "a coordinator can't be silent for "
+                            + ticks
+                            + " ticks: endpoint updates may be delayed by 7 s at most");
         }
         coordinators.get(manager).setSilent(true);
         silentUntil[manager] = Math.max(silentUntil[manager], loop.events().now() + ticks);
@@ -79,23 +90,26 @@
                         });
     }
 
-    /** The process dies: connections break, new ones are refused. */
+    /** Ends an engine's process for {@code ticks}: connections are reset, new ones refused. */
     void die(int engine, long ticks, RandomGenerator random) {
         takeDown(engine, EngineModel.State.DOWN, ticks, 1, random);
     }
 
-    /** The machine is gone without a word: nothing is answered, nothing is reset. */
+    /**
+     * Makes an engine's machine unreachable for {@code ticks}: nothing is answered and no
+     * connection is reset.
+     */
     void silence(int engine, long ticks, RandomGenerator random) {
         takeDown(engine, EngineModel.State.SILENT, ticks, SILENCE_DETECTION_FACTOR, random);
     }
 
-    /** The process accepts statements and makes no progress. */
+    /** Makes an engine accept statements without making progress for {@code ticks}. */
     void hang(int engine, long ticks) {
         engines.get(engine).setState(EngineModel.State.HANGING);
         loop.events().schedule(ticks, () -> engines.get(engine).setState(EngineModel.State.UP));
     }
 
-    /** Drains for {@code ticks}, then is down for a second. */
+    /** Drains an engine for {@code ticks}, then takes it down for a second. */
     void drain(int engine, long ticks, RandomGenerator random) {
         engines.get(engine).setState(EngineModel.State.DRAINING);
         links.setEngineMode(engine, EndpointMode.REFUSING, false);
@@ -130,17 +144,17 @@
         links.setEngineMode(
                 engine, silent ? EndpointMode.UNRESPONSIVE : EndpointMode.REFUSING, !silent);
         announce(engine, Lifecycle.GONE, 0, detectionFactor, random);
-        loop.events().schedule(ticks, () -> revive(engine, silent, random));
+        loop.events().schedule(ticks, () -> restore(engine, silent, random));
     }
 
-    private void revive(int engine, boolean wasSilent, RandomGenerator random) {
+    private void restore(int engine, boolean wasSilent, RandomGenerator random) {
         engines.get(engine).setState(EngineModel.State.UP);
         recorder.writeEvent(clock.elapsed(), "engine", "engine", engine, "is", "up");
         links.setEngineMode(engine, EndpointMode.OPEN, wasSilent);
         announce(engine, Lifecycle.ACTIVE, loop.events().now(), 1, random);
     }
 
-    /** Tells each manager after a discovery delay of its own. */
+    /** Announces a change to every manager, each after a discovery delay of its own. */
     private void announce(
             int engine,
             Lifecycle lifecycle,
@@ -157,20 +171,20 @@
     }
 
     private void announceTo(int manager, int engine, Lifecycle lifecycle, long startedAt) {
-        boolean stale =
+        boolean restoredMeanwhile =
                 lifecycle == Lifecycle.GONE
                         && engines.get(engine).model().state() == EngineModel.State.UP;
-        if (stale) {
+        if (restoredMeanwhile) {
             return;
         }
-        // What a coordinator has to tell counts as told when it tells it, 7 s later at the latest.
+        // An update counts as sent once its coordinator is no longer silent, at most 7 s later.
         loop.events()
                 .schedule(
                         Math.max(0, silentUntil[manager] - loop.events().now()),
                         () -> {
                             rules.onEndpointUpdate(
                                     loop.now(), manager, engine, lifecycle == Lifecycle.ACTIVE);
-                            rules.onEngineStartTold(manager, engine, startedAt);
+                            rules.onEngineStartReported(manager, engine, startedAt);
                         });
         coordinators
                 .get(manager)
--- a/src/main/java/firstage/faulttest/FaultInjector.java
+++ b/src/main/java/firstage/faulttest/FaultInjector.java
@@ -12,7 +12,7 @@
 import java.util.function.IntConsumer;
 import java.util.random.RandomGenerator;
 
-/** Plays the faults of a plan at their times; on the loop's thread. */
+/** Injects the faults of a plan at their times. Runs on the loop's thread. */
 final class FaultInjector {
     private final FleetPlan plan;
     private final RealTimeLoop loop;
@@ -42,18 +42,18 @@
         this.generator = generator;
     }
 
-    /** Schedules all faults; each draws from a random stream of its own. */
+    /** Schedules all faults, each with a random number generator of its own. */
     void scheduleAll(RandomStreams randomStreams) {
-        int number = 0;
+        int index = 0;
         for (Fault fault : plan.faults()) {
-            RandomGenerator random = randomStreams.stream("fault", number++);
+            RandomGenerator random = randomStreams.stream("fault", index++);
             loop.events().schedule(fault.at(), () -> inject(fault, random));
         }
     }
 
     private void inject(Fault fault, RandomGenerator random) {
         List<Integer> affected =
-                fault.source() == null ? List.of() : fault.source().among(plan, random);
+                fault.source() == null ? List.of() : fault.source().select(plan, random);
         recorder.writeEvent(
                 clock.elapsed(),
                 "fault",
@@ -66,22 +66,22 @@
                 "length_ms",
                 fault.length() / 10);
         switch (fault.kind()) {
-            case KILL -> repeat(fault, affected, m -> managers.kill(m, random));
-            case STOP -> repeat(fault, affected, m -> managers.stop(m, random));
-            case PAUSE -> repeat(fault, affected, m -> managers.pause(m, fault.length()));
-            case RELOAD -> repeat(fault, affected, m -> managers.signal(m, "HUP"));
+            case KILL -> applyToManagers(fault, affected, m -> managers.kill(m, random));
+            case STOP -> applyToManagers(fault, affected, m -> managers.stop(m, random));
+            case PAUSE -> applyToManagers(fault, affected, m -> managers.pause(m, fault.length()));
+            case RELOAD -> applyToManagers(fault, affected, m -> managers.signal(m, "HUP"));
             case DIE -> affected.forEach(e -> engines.die(e, fault.length(), random));
             case SILENCE -> affected.forEach(e -> engines.silence(e, fault.length(), random));
             case HANG -> affected.forEach(e -> engines.hang(e, fault.length()));
             case DRAIN -> affected.forEach(e -> engines.drain(e, fault.length(), random));
-            case CUT -> onLinks(fault, random, (link, active) -> link.setCut(active));
+            case CUT -> applyToLinks(fault, random, (link, active) -> link.setCut(active));
             case LOSS ->
-                    onLinks(
+                    applyToLinks(
                             fault,
                             random,
                             (link, active) -> link.setLoss(active ? fault.size() : 0));
             case DELAY ->
-                    onLinks(
+                    applyToLinks(
                             fault,
                             random,
                             (link, active) ->
@@ -97,8 +97,11 @@
         return fault.kind().name().toLowerCase(Locale.ROOT);
     }
 
-    /** All at once; with an interval one after another, round and round until the plan's end. */
-    private void repeat(Fault fault, List<Integer> affected, IntConsumer action) {
+    /**
+     * Applies an action to all affected managers at once or, if the fault has an interval, to one
+     * after another in turn until the plan's end.
+     */
+    private void applyToManagers(Fault fault, List<Integer> affected, IntConsumer action) {
         if (fault.interval() <= 0) {
             affected.forEach(action::accept);
         } else {
@@ -117,11 +120,14 @@
         }
     }
 
-    /** Sets a fault on links, repairs it after its length, and repeats it at its interval. */
-    private void onLinks(
+    /**
+     * Sets a fault on links, clears it after its length, and sets it again after its interval, if
+     * there is one.
+     */
+    private void applyToLinks(
             Fault fault, RandomGenerator random, BiConsumer<LinkFaults, Boolean> setActive) {
-        List<Integer> from = fault.source().among(plan, random);
-        List<Integer> to = fault.target().among(plan, random);
+        List<Integer> from = fault.source().select(plan, random);
+        List<Integer> to = fault.target().select(plan, random);
         links.forEach(fault, from, to, link -> setActive.accept(link, true));
         loop.events()
                 .schedule(
@@ -135,7 +141,7 @@
                                 loop.events()
                                         .schedule(
                                                 fault.interval(),
-                                                () -> onLinks(fault, random, setActive));
+                                                () -> applyToLinks(fault, random, setActive));
                             }
                         });
     }
--- a/src/main/java/firstage/faulttest/ManagerConfigWriter.java
+++ b/src/main/java/firstage/faulttest/ManagerConfigWriter.java
@@ -32,7 +32,7 @@
         writeConfig(
                 file,
                 plan,
-                new ManagerPlace(
+                new ManagerSpec(
                         "m" + manager,
                         addresses.manager(manager),
                         addresses.coordinator(manager),
@@ -43,10 +43,10 @@
     }
 
     /**
-     * What distinguishes a manager: its name, listening address, coordinator (null for none),
-     * number, zone index, and the address at which it reaches each engine.
+     * Settings in which managers differ: name, listening address, coordinator (null for none),
+     * rank, zone index, and the address at which the manager reaches each engine.
      */
-    public record ManagerPlace(
+    public record ManagerSpec(
             String name,
             InetSocketAddress listenAddress,
             InetSocketAddress coordinatorAddress,
@@ -54,31 +54,31 @@
             int zone,
             IntFunction<InetSocketAddress> engineAddress) {}
 
-    /** Writes the configuration of the manager at this place. */
-    public static void writeConfig(Path file, FleetPlan plan, ManagerPlace place, long seed)
+    /** Writes a manager's configuration, with a limit of 1,024 open sockets. */
+    public static void writeConfig(Path file, FleetPlan plan, ManagerSpec spec, long seed)
             throws IOException {
-        writeConfig(file, plan, place, seed, 1_024);
+        writeConfig(file, plan, spec, seed, 1_024);
     }
 
-    /** The same with a limit of open sockets. */
+    /** Writes a manager's configuration, with the given limit of open sockets. */
     public static void writeConfig(
-            Path file, FleetPlan plan, ManagerPlace place, long seed, int sockets)
+            Path file, FleetPlan plan, ManagerSpec spec, long seed, int sockets)
             throws IOException {
         try (JsonGenerator out = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
             out.writeStartObject();
-            out.writeStringField("name", place.name);
-            out.writeStringField("listen", LoopbackAddresses.hostPort(place.listenAddress));
+            out.writeStringField("name", spec.name);
+            out.writeStringField("listen", LoopbackAddresses.hostPort(spec.listenAddress));
             out.writeStringField("seed", Long.toHexString(seed));
             out.writeObjectFieldStart("limits");
             out.writeNumberField("memory_mb", 192);
             out.writeNumberField("sockets", sockets);
             out.writeEndObject();
-            if (place.coordinatorAddress != null) {
+            if (spec.coordinatorAddress != null) {
                 out.writeStringField(
-                        "coordinator", LoopbackAddresses.hostPort(place.coordinatorAddress));
+                        "coordinator", LoopbackAddresses.hostPort(spec.coordinatorAddress));
             }
-            writeEndpoints(out, plan, place.engineAddress);
-            writeSettings(out, plan, place.rank, place.zone);
+            writeEndpoints(out, plan, spec.engineAddress);
+            writeSettings(out, plan, spec.rank, spec.zone);
             out.writeEndObject();
         }
     }
@@ -167,7 +167,7 @@
 
     private static void writeTenants(JsonGenerator out, FleetPlan plan) throws IOException {
         out.writeArrayFieldStart("tenants");
-        double shares = plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).sum();
+        double totalShare = plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).sum();
         for (FleetPlan.TenantPlan tenant : plan.tenants()) {
             out.writeStartObject();
             out.writeStringField("name", tenant.name());
@@ -179,7 +179,7 @@
                                     * plan.managers().fleetSize()
                                     / plan.managers().count()
                                     * tenant.share()
-                                    / shares);
+                                    / totalShare);
             out.writeEndObject();
         }
         out.writeEndArray();
@@ -241,7 +241,7 @@
         out.writeEndObject();
     }
 
-    /** Writes the peers file, each peer with the address at which this manager reaches it. */
+    /** Writes the peers file with the address at which this manager reaches each peer. */
     static void writePeers(Path file, FleetPlan plan, LoopbackAddresses addresses, int manager)
             throws IOException {
         List<String> lines = new ArrayList<>();
@@ -249,7 +249,7 @@
         lines.add("name = \"m" + manager + "\"");
         lines.add("listen = \"" + LoopbackAddresses.hostPort(addresses.gossip(manager)) + "\"");
         lines.add("probe = \"200 ms\"");
-        CellPlan cells = plan.cells();
+        CellPlan cells = plan.cellPlan();
         if (cells != null) {
             lines.addAll(List.of("plan = " + cells.number(), "spread = " + cells.spread()));
             for (CellPlan.Cell cell : cells.cells()) {
@@ -285,7 +285,10 @@
         Files.write(file, lines);
     }
 
-    /** The managers of a cell, each with the address at which this one reaches it. */
+    /**
+     * Returns the gossip addresses at which a manager reaches the managers of a cell, quoted and
+     * separated by commas.
+     */
     private static String hostList(
             FleetPlan plan, LoopbackAddresses addresses, int manager, int cell) {
         return IntStream.range(0, plan.managers().count())
--- a/src/main/java/firstage/faulttest/NetworkLinks.java
+++ b/src/main/java/firstage/faulttest/NetworkLinks.java
@@ -30,7 +30,11 @@
         toPeer = new LinkFaults[managers][managers];
     }
 
-    /** Creates all links, those between peers with {@code withPeers}; before the proxy starts. */
+    /**
+     * Creates all links; must be called before the proxy starts.
+     *
+     * @param withPeers whether datagrams between managers are forwarded
+     */
     void open(boolean withPeers) throws IOException {
         int managers = plan.managers().count();
         for (int manager = 0; manager < managers; manager++) {
@@ -66,35 +70,41 @@
         endpoints[manager][engine].setMode(FaultInjectingProxy.EndpointMode.OPEN, false);
     }
 
-    /** How an engine's address answers to all managers from now on. */
+    /** Sets how the proxy's addresses of an engine respond to the managers. */
     void setEngineMode(
             int engine, FaultInjectingProxy.EndpointMode mode, boolean resetConnections) {
-        for (FaultInjectingProxy.Endpoint[] ofManager : endpoints) {
-            ofManager[engine].setMode(mode, resetConnections);
+        for (FaultInjectingProxy.Endpoint[] managerEndpoints : endpoints) {
+            managerEndpoints[engine].setMode(mode, resetConnections);
         }
     }
 
     /** Resets the connections of all managers to an engine. */
     void resetConnections(int engine) {
-        for (FaultInjectingProxy.Endpoint[] ofManager : endpoints) {
-            ofManager[engine].resetConnections();
+        for (FaultInjectingProxy.Endpoint[] managerEndpoints : endpoints) {
+            managerEndpoints[engine].resetConnections();
         }
     }
 
-    /** How late the proxy passed data on at most in the last quarter of a second, in ticks. */
+    /**
+     * Returns the longest duration of a round of the proxy's loop in the last quarter of a second,
+     * in ticks.
+     */
     long recentLateness() {
         return proxy.recentLateness();
     }
 
-    /** Whether the link to the engine is or was faulty within the last {@code ticks}. */
+    /** Returns whether the link to the engine is faulty or was within the last {@code ticks}. */
     boolean toEngineFaultyWithin(int manager, int engine, long ticks) {
-        return toEngine[manager][engine].faultyWithin(ticks);
+        return toEngine[manager][engine].wasFaultyWithin(ticks);
     }
 
-    /** Applies the action to each link from one of {@code from} to one of {@code to}. */
+    /**
+     * Applies an action to each link from one of {@code from} to one of {@code to}, and to the
+     * reverse links unless the fault is one-way.
+     */
     void forEach(Fault fault, List<Integer> from, List<Integer> to, Consumer<LinkFaults> action) {
-        boolean fromEngines = fault.source().isEngines();
-        boolean toEngines = fault.target().isEngines();
+        boolean fromEngines = fault.source().targetsEngines();
+        boolean toEngines = fault.target().targetsEngines();
         boolean betweenPeers = !fromEngines && !toEngines;
         if (fromEngines && toEngines) {
             return;
@@ -128,11 +138,11 @@
             int engine,
             boolean fromEngineFirst,
             Consumer<LinkFaults> action) {
-        LinkFaults there = toEngine[manager][engine];
-        LinkFaults back = fromEngine[manager][engine];
-        action.accept(fromEngineFirst ? back : there);
+        LinkFaults managerToEngine = toEngine[manager][engine];
+        LinkFaults engineToManager = fromEngine[manager][engine];
+        action.accept(fromEngineFirst ? engineToManager : managerToEngine);
         if (!fault.oneWay()) {
-            action.accept(fromEngineFirst ? there : back);
+            action.accept(fromEngineFirst ? managerToEngine : engineToManager);
         }
         endpoints[manager][engine].onLinkChanged();
     }
--- a/src/main/java/firstage/faulttest/ResultEvaluator.java
+++ b/src/main/java/firstage/faulttest/ResultEvaluator.java
@@ -13,18 +13,21 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Computes a run's figures, compares them with the plan's expectations and gives the verdict. */
+/** Computes a run's figures, compares them with the plan's expectations and builds the result. */
 final class ResultEvaluator {
-    /** A run whose loop was later than this (99th percentile) is void. */
+    /** Limit of the loop's lateness (99th percentile); a run that exceeds it is void. */
     private static final double MAX_LATENESS_99TH_MS = 25;
 
-    /** Share of the offered weight that a recovered second earns at least. */
+    /**
+     * Least earned share of the priority weight requested in a second for the second to count as
+     * recovered.
+     */
     private static final double RECOVERED_SHARE = 0.9;
 
     private static final int RECOVERED_SECONDS = 3;
     private static final int TICKS_PER_SECOND = 10_000;
 
-    /** The names by which plans set expectations on the figures computed here. */
+    /** Names of the figures computed here, as plans write them in expectations. */
     private static final List<String> FIGURES =
             List.of(
                     "further a first",
@@ -57,9 +60,9 @@
     }
 
     /**
-     * Refuses a plan that expects a figure which a fault test does not have.
+     * Checks that a plan has expectations only on figures that a fault test computes.
      *
-     * @throws InvalidPlanException naming the line and the known figures
+     * @throws InvalidPlanException if not; its message names the line and the known figures
      */
     static void checkExpectations(FleetPlan plan) {
         List<String> known = new ArrayList<>(new Scoreboard(plan, 0).figures().keySet());
@@ -77,7 +80,11 @@
         }
     }
 
-    /** The result; {@code processorSeconds}: used by all managers together. */
+    /**
+     * Returns the result of the run.
+     *
+     * @param processorSeconds processor time that all managers used together
+     */
     FaultTestResult evaluate(double processorSeconds, List<String> violations) {
         Map<String, Double> figures = figures(processorSeconds);
         return new FaultTestResult(figures, violations, missedExpectations(figures), voidReason());
@@ -104,7 +111,7 @@
         figures.put("quiet after s", recoverySeconds());
         figures.put("processor s a manager", processorSeconds / plan.managers().count());
         figures.put("late 99th ms", lateness99thMs());
-        figures.put("late most ms", loop.lateness().getMaxValue() / 1e3);
+        figures.put("late most ms", loop.latenessHistogram().getMaxValue() / 1e3);
         return figures;
     }
 
@@ -116,7 +123,7 @@
                 missed.add(
                         String.format(
                                 Locale.ROOT,
-                                "%s is %.4f, wanted %s",
+                                "%s is %.4f, expected %s",
                                 expectation.figure(),
                                 value,
                                 value < expectation.min()
@@ -137,19 +144,20 @@
                 : Optional.of(
                         String.format(
                                 Locale.ROOT,
-                                "the emulators came %.0f ms late (99th); %.0f would do:"
-                                        + " fewer managers, or a machine with more time",
+                                "the emulators were %.0f ms late (99th percentile), at most %.0f"
+                                        + " are allowed: run fewer managers, or use a machine with"
+                                        + " more free processor time",
                                 lateness,
                                 MAX_LATENESS_99TH_MS));
     }
 
     private double lateness99thMs() {
-        return loop.lateness().getValueAtPercentile(99) / 1e3;
+        return loop.latenessHistogram().getValueAtPercentile(99) / 1e3;
     }
 
     /**
-     * Seconds from the last fault's end until three seconds in a row earn nine tenths; -1 if they
-     * never do.
+     * Returns the seconds from the last fault's end until three consecutive seconds are recovered;
+     * -1 if that never happens, 0 if fewer than three seconds remain.
      */
     private double recoverySeconds() {
         long lastFaultEnd = 0;
--- a/src/main/java/firstage/membership/MemberTable.java
+++ b/src/main/java/firstage/membership/MemberTable.java
@@ -10,14 +10,14 @@
 final class MemberTable {
     private final TreeMap<String, Peer> peers = new TreeMap<>();
 
-    /** By index of the address, who was last heard there. */
+    /** Name of the peer last heard at each address, by index of the address. */
     private final String[] nameByAddress;
 
     private Member self;
 
-    MemberTable(Member self, int addresses) {
+    MemberTable(Member self, int addressCount) {
         this.self = self;
-        nameByAddress = new String[addresses];
+        nameByAddress = new String[addressCount];
     }
 
     Member self() {
@@ -28,7 +28,7 @@
         self = next;
     }
 
-    /** The peer of this name, or null. */
+    /** Returns the peer of this name, or null. */
     Peer peer(String name) {
         return peers.get(name);
     }
@@ -51,27 +51,30 @@
         return peer;
     }
 
-    void heardAt(int address, String name) {
+    void recordAddress(int address, String name) {
         nameByAddress[address] = name;
     }
 
-    /** Who was last heard at an address, or null. */
+    /** Returns the peer last heard at an address, or null. */
     Peer peerAt(int address) {
         return nameByAddress[address] == null ? null : peers.get(nameByAddress[address]);
     }
 
-    int addresses() {
+    int addressCount() {
         return nameByAddress.length;
     }
 
-    /** All that is known, this manager first. */
+    /** Returns the records of all known members, this manager first. */
     List<Member> members() {
         List<Member> all = new ArrayList<>(List.of(self));
         peers.values().forEach(peer -> all.add(peer.member()));
         return all;
     }
 
-    /** So many alive peers by random choice, but the one of the name {@code except}. */
+    /**
+     * Returns up to {@code count} random alive peers with known addresses, other than the peer
+     * named {@code except}.
+     */
     List<Peer> randomAlive(RandomGenerator random, int count, String except) {
         List<Peer> candidates =
                 new ArrayList<>(
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -25,19 +25,18 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * The entry to all decisions of one workload manager. It receives events, hands them to the rules
- * in a fixed order, and carries out what they decide; each rule is a class of this package. Callers
- * end each moment's events with {@link #runPendingActions}. Times are in ticks.
+ * Scheduling policy of one workload manager. Passes events to the other classes of this package in
+ * a fixed order and executes their decisions. Callers call {@link #runPendingActions} after all
+ * events of one point in time. Times are in ticks.
  *
- * <p>On the ordinary path (docs/design.md) a request reserves its memory grant and its threads
- * within this manager's limits at one engine, or waits in a bounded FIFO queue until there is
- * capacity.
+ * <p>In the normal case (docs/design.md) a request reserves its memory grant and its threads within
+ * this manager's limits at one engine, or waits in a bounded FIFO queue until there is capacity.
  */
 public final class WorkloadScheduler implements SchedulingPolicy {
-    /** Between evaluations of what no event tells. */
+    /** Time between evaluations of conditions that no event reports. */
     private static final long EVALUATION_INTERVAL = Ticks.ofMillis(10);
 
-    /** Between passes over the queue without an event. */
+    /** Maximum time between passes over the queue if there are no events. */
     private static final long QUEUE_PASS_INTERVAL = Ticks.ofMillis(50);
 
     private final PolicyActions actions;
@@ -54,7 +53,7 @@
     private final AdmissionQueue queue;
     private final RetryPolicy retries;
     private final StuckAttemptDetector stuckAttempts;
-    private final PriorityClasses priorities;
+    private final PriorityAssigner priorities;
     private final LatencyTracker latency = new LatencyTracker();
     private final ConcurrencyLimiter limiter;
     private final GrantEstimator grants;
@@ -65,15 +64,18 @@
     private final EngineSelector selector;
 
     private long acceptedRequests;
+
+    /** Time of the next evaluation, in ticks; 0 if one is due. */
     private long nextEvaluation;
+
     private long nextQueuePass;
     private long nextDecay;
     private boolean subscriptionDue;
     private boolean queuePassDue;
 
     /**
-     * @param deployment what is known of the deployment at start
-     * @param actions carries out what is decided
+     * @param deployment configuration of the deployment at start
+     * @param actions executes the decisions
      */
     public WorkloadScheduler(Deployment deployment, PolicyActions actions) {
         this.actions = actions;
@@ -96,7 +98,7 @@
         queue = new AdmissionQueue(latency);
         retries = new RetryPolicy(capabilities, rules);
         stuckAttempts = new StuckAttemptDetector(capabilities, retries, progressInterval);
-        priorities = new PriorityClasses(trafficClasses);
+        priorities = new PriorityAssigner(trafficClasses);
         grants = new GrantEstimator(deployment.maxGrantShare());
         slowStart = new SlowStartBudget(rules, rank, managers);
         EngineEligibility eligibility = new EngineEligibility(slowStart, limiter);
@@ -113,13 +115,13 @@
                         probing,
                         loadReports,
                         new TableAffinity(random, rank, managers),
-                        new EngineSelector.Placement(
+                        new EngineSelector.SelectionSettings(
                                 deployment.zone(),
                                 deployment.crossZoneCosts(),
                                 capabilities.priorities()));
     }
 
-    // ---- Events of requests and attempts.
+    // ---- Events of requests and attempts
 
     @Override
     public void onRequest(long now, IncomingRequest incoming) {
@@ -135,8 +137,9 @@
         retries.recordAccepted(now);
         request.setPriorityBand();
         demand.arrivedWork(request.priorityBand, request.expectedWork());
-        // Run out of order it would break its key's order unseen; rejected it harms nobody.
-        if (keys.isOutOfOrder(request) || shedding.shedsOnArrival(request)) {
+        // A request of unknown order could violate the order of its key unnoticed; a rejection is
+        // safe.
+        if (keys.isOrderUnknown(request) || shedding.shedsOnArrival(request)) {
             rejectOrFail(request);
         } else {
             queue.add(request);
@@ -162,14 +165,14 @@
         if (outcome == AttemptOutcome.REFUSED) {
             limiter.markSaturated(now, engine);
         } else if (outcome == AttemptOutcome.TIMED_OUT && OutlierDetector.isUsable(engine)) {
-            // Where nothing comes back no result tells of saturation.
+            // Timeouts are the only sign of saturation if an engine returns no results.
             latency.recordTimeout(now, attempt, slowStart.capacityShare(now, engine));
         } else if (outcome == AttemptOutcome.SUCCEEDED) {
             engine.recordProgress(now, attempt);
             learnFromSuccess(now, attempt, result);
         }
         recordLoad(now, engine, result.loadReport());
-        // A failure may stand for an attempt that was cancelled, and runs on.
+        // A failure may be reported for a cancelled attempt that still runs.
         boolean mayStillRun = outcome.mayHaveRun && outcome != AttemptOutcome.SUCCEEDED;
         keys.onAttemptEnded(now, request, mayStillRun, result.mayStillRunFor());
         if (result.requestClosed() || request.closed) {
@@ -189,16 +192,16 @@
         double latencyPerWork = latency.recordForClass(attempt, result);
         grants.recordSuccess(attempt, result, limiter.isSaturated(now, engine, latency));
         if (result.actualMemoryMb() > 0) {
-            stats.memoryMb.add(result.actualMemoryMb());
-            latency.onTrueWorkKnown(stats);
+            stats.meanMemoryMb.add(result.actualMemoryMb());
+            latency.onActualWorkReported(stats);
             if (GrantEstimator.spilledForLackOfMemory(attempt, result)) {
                 limiter.markSaturated(now, engine);
                 limiter.shrinkMemorySlice(now, engine);
             }
         }
-        double ratio = latencyPerWork / stats.bestRatio();
+        double ratio = latencyPerWork / stats.bestLatencyRatio();
         latency.recordSuccess(attempt, ratio, slowStart.capacityShare(now, engine));
-        if (latency.isCalm(ratio, engine)) {
+        if (latency.isLatencyLow(ratio, engine)) {
             limiter.grow(attempt);
         }
     }
@@ -220,7 +223,7 @@
             case FRACTION_DONE -> {
                 attempt.fractionDone = Math.max(progress.amount(), attempt.fractionDone);
                 latency.recordProgress(now, attempt, slowStart.capacityShare(now, engine));
-                rescueIfStuck(now, attempt);
+                applyRemedyIfStuck(now, attempt);
             }
             case SPILLING -> attempt.spilled = true;
             case WAITING_FOR_MEMORY -> {
@@ -249,7 +252,7 @@
         queuePassDue = true;
     }
 
-    // ---- Events of engines.
+    // ---- Events of engines
 
     @Override
     public void onEndpointsUpdated(long now, EndpointUpdate update) {
@@ -261,7 +264,7 @@
         }
         queuePassDue = true;
         for (EndpointUpdate.Endpoint endpoint : update.endpoints()) {
-            EngineState engine = engines.get(endpoint.engineId());
+            EngineState engine = engines.getOrCreate(endpoint.engineId());
             if (engine.applyEndpoint(endpoint)) {
                 outliers.onSignal(now, engine, OutlierDetector.Signal.RESTARTED);
             }
@@ -273,7 +276,7 @@
 
     @Override
     public void onProbeResult(long now, int engineId, AttemptOutcome outcome, LoadReport report) {
-        EngineState engine = engines.get(engineId);
+        EngineState engine = engines.getOrCreate(engineId);
         if (outcome == AttemptOutcome.CONNECT_FAILED) {
             outliers.onSignal(now, engine, OutlierDetector.Signal.UNREACHABLE);
         }
@@ -287,7 +290,7 @@
         }
     }
 
-    // ---- Events of the fleet's control.
+    // ---- Events of fleet control
 
     @Override
     public void onQuotaChanged(long now, double share) {
@@ -304,7 +307,7 @@
     @Override
     public void onProbeOwnership(
             long now, int engineId, boolean probedByOthers, boolean mayProbeNow) {
-        outliers.onProbeOwnership(now, engines.get(engineId), probedByOthers, mayProbeNow);
+        outliers.onProbeOwnership(now, engines.getOrCreate(engineId), probedByOthers, mayProbeNow);
         queuePassDue = true;
     }
 
@@ -318,7 +321,7 @@
         nextEvaluation = 0;
     }
 
-    // ---- What others ask.
+    // ---- Queries
 
     @Override
     public DemandHistogram demand(long now) {
@@ -337,25 +340,28 @@
 
     @Override
     public int attemptsInFlight(int engineId) {
-        return engines.contains(engineId) ? engines.get(engineId).attemptsInFlight.size() : 0;
+        return engines.contains(engineId)
+                ? engines.getOrCreate(engineId).attemptsInFlight.size()
+                : 0;
     }
 
     @Override
     public boolean isUnavailable(int engineId) {
-        return engines.contains(engineId) && OutlierDetector.isUnavailable(engines.get(engineId));
+        return engines.contains(engineId)
+                && OutlierDetector.isUnavailable(engines.getOrCreate(engineId));
     }
 
     @Override
     public long lastAttemptAt(int engineId) {
-        return engines.contains(engineId) ? engines.get(engineId).lastAttemptAt : 0;
+        return engines.contains(engineId) ? engines.getOrCreate(engineId).lastAttemptAt : 0;
     }
 
     @Override
     public long lastResponseAt(int engineId) {
-        return engines.contains(engineId) ? engines.get(engineId).lastResponseAt : 0;
+        return engines.contains(engineId) ? engines.getOrCreate(engineId).lastResponseAt : 0;
     }
 
-    // ---- Steps.
+    // ---- Evaluation and queue passes
 
     @Override
     public void runPendingActions(long now) {
@@ -366,7 +372,8 @@
         if (nextEvaluation == 0) {
             evaluate(now);
         }
-        // A pass may scan all engines for each request: only after an event, and now and then.
+        // A pass may scan all engines for each request, so it runs only after events and at
+        // intervals.
         if (queuePassDue || now >= nextQueuePass) {
             runQueuePass(now);
         }
@@ -377,7 +384,7 @@
         queuePassDue = false;
     }
 
-    /** What no event tells: silent engines, backoffs that are over, stuck attempts. */
+    /** Checks conditions that no event reports: silent engines, ended backoffs, stuck attempts. */
     private void evaluate(long now) {
         boolean decay = now >= nextDecay;
         if (decay) {
@@ -385,8 +392,9 @@
             quotas.refill(LatencyTracker.DECAY_INTERVAL);
             nextDecay = now + LatencyTracker.DECAY_INTERVAL;
         }
-        if (queue.isPastPlannedEnd(now)) {
-            // Later it would get no answer here, and another manager can still run it.
+        if (queue.isPastShutdown(now)) {
+            // Requests without an answer by the shutdown would never get one here; another manager
+            // can still run them.
             List.copyOf(requests.values()).stream()
                     .filter(request -> !request.closed && retries.mayReject(request))
                     .forEach(this::rejectOrFail);
@@ -402,7 +410,7 @@
                 if (stuckAttempts.isEngineSilent(now, attempt)) {
                     outliers.onSignal(now, engine, OutlierDetector.Signal.SILENCE);
                 }
-                rescueIfStuck(now, attempt);
+                applyRemedyIfStuck(now, attempt);
             }
         }
         engines.releaseGone(now, actions);
@@ -414,13 +422,13 @@
             limiter.markSaturated(now, engine);
             limiter.shrinkThreadLimit(now, engine);
         } else if (queue.isCongested() && limiter.isSaturated(now, engine, latency)) {
-            // While requests wait the limits end this by growing: opened at once, the queue would
-            // flood the engine.
+            // While requests wait, the engine stays saturated and its limits grow step by step. If
+            // the limits were lifted at once, the queue would flood the engine.
             limiter.markSaturated(now, engine);
         }
     }
 
-    private void rescueIfStuck(long now, Attempt attempt) {
+    private void applyRemedyIfStuck(long now, Attempt attempt) {
         RequestState request = attempt.request;
         switch (stuckAttempts.remedyFor(now, attempt)) {
             case CANCEL -> {
@@ -434,12 +442,12 @@
                 }
             }
             case NONE -> {
-                // It goes on.
+                // The attempt continues.
             }
         }
     }
 
-    /** Starts what may start of the queue, and gives up what has waited too long. */
+    /** Starts queued requests that may start, and answers those that have waited too long. */
     private void runQueuePass(long now) {
         nextQueuePass = now + QUEUE_PASS_INTERVAL;
         queue.beginPass();
@@ -447,16 +455,16 @@
         double waitingWork = 0;
         UnplaceableRequests unplaceable = new UnplaceableRequests(trafficClasses.size());
         for (RequestState request : queue.snapshot()) {
-            boolean shed = shedding.isBelow(request);
+            boolean shed = shedding.shedsInQueue(request);
             EngineState engine = null;
             if (!shed && mayStart(now, request)) {
                 long kind = kindOf(request, unplaceable);
-                boolean vain = unplaceable.covers(kind, request);
-                engine = vain ? null : selector.select(now, request, engines.all());
+                boolean knownUnplaceable = unplaceable.isUnplaceable(kind, request);
+                engine = knownUnplaceable ? null : selector.select(now, request, engines.all());
                 if (engine == null) {
                     queue.markCongested();
                     unplaceable.add(kind, request);
-                    boolean lacksCapacity = vain || selector.metEligibleEngine();
+                    boolean lacksCapacity = knownUnplaceable || selector.foundEligibleEngine();
                     waitingWork +=
                             lacksCapacity && request.attemptsStarted == 0
                                     ? request.expectedWork()
@@ -485,13 +493,13 @@
                         || request.orderingKey >= 0
                         || probing.needsProbes(request)
                 ? UnplaceableRequests.NO_KIND
-                : unplaceable.kindOf(request, priorities.of(request));
+                : unplaceable.kindOf(request, priorities.priorityOf(request));
     }
 
     private void leaveQueue(RequestState request, boolean shed) {
         queue.remove(request);
         if (request.attemptsInFlight.isEmpty()) {
-            // Work below the threshold is counted by the fleet's control already.
+            // Fleet control already counts the work below the shedding threshold.
             demand.shedWork(shed ? 0 : request.expectedWork());
             rejectOrFail(request);
         }
@@ -507,7 +515,7 @@
                         request.attemptsStarted++,
                         now,
                         grants.grantMb(request, engine),
-                        priorities.of(request));
+                        priorities.priorityOf(request));
         retries.recordAttempt(now, attempt);
         int requestId = request.incoming.requestId();
         if (capabilities.grants() || capabilities.priorities()) {
@@ -521,7 +529,7 @@
         slowStart.recordAttempt(now, request, engine);
     }
 
-    /** Answers the client at once; a rejection only where trying again is harmless. */
+    /** Answers the client at once, with a rejection only if sending the request again is safe. */
     private void rejectOrFail(RequestState request) {
         if (retries.rejectsRatherThanFails(request)) {
             actions.reject(request.incoming.requestId(), retries.retryAfter());
--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -16,20 +16,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process of hollow managers as the run sees it: orders go in, a line of figures comes out each
- * second.
+ * A process of hollow managers, seen from the scale run: writes orders to the process and reads the
+ * line of figures that the process reports each second.
  */
 final class HollowWorkerProcess implements AutoCloseable {
     /**
-     * One line: figures by name, and by label how long each manager took to come to a moment, in
-     * ms.
+     * A line that the process reported.
+     *
+     * @param figures figures by name
+     * @param reached delays in ms of the managers that met a condition, by the condition's label
      */
-    record Line(Map<String, Double> figures, Map<String, List<Double>> reached) {
+    record Report(Map<String, Double> figures, Map<String, List<Double>> delaysByLabel) {
         double figure(String name) {
             return figures.getOrDefault(name, 0.0);
         }
 
-        static Line read(String text) throws IOException {
+        static Report read(String text) throws IOException {
             Map<String, Double> figures = new TreeMap<>();
             Map<String, List<Double>> reached = new TreeMap<>();
             try (JsonParser in = new JsonFactory().createParser(text)) {
@@ -41,78 +43,95 @@
                         continue;
                     }
                     while (in.nextToken() == JsonToken.FIELD_NAME) {
-                        List<Double> all =
+                        List<Double> delays =
                                 reached.computeIfAbsent(in.currentName(), l -> new ArrayList<>());
                         in.nextToken();
                         while (in.nextToken() != JsonToken.END_ARRAY) {
-                            all.add(in.getDoubleValue());
+                            delays.add(in.getDoubleValue());
                         }
                     }
                 }
             }
-            return new Line(figures, reached);
+            return new Report(figures, reached);
         }
     }
 
-    final int from;
-    final int to;
+    final int firstManager;
+    final int endManager;
     private final Process process;
     private final PrintStream orders;
-    private final List<Line> lines = new ArrayList<>();
-    private String words = "";
 
-    HollowWorkerProcess(List<String> command, int from, int to, Path log) throws IOException {
-        this.from = from;
-        this.to = to;
-        process = new ProcessBuilder(command).redirectError(log.toFile()).start();
+    /** Reports so far; guarded by this object. */
+    private final List<Report> reports = new ArrayList<>();
+
+    /** Last line that is not a report, or the message of a failed read. */
+    private String lastMessage = "";
+
+    /**
+     * Starts the process.
+     *
+     * @param firstManager number of the first manager in the process
+     * @param endManager one past the last manager
+     * @param errorLog file for the standard error of the process
+     */
+    HollowWorkerProcess(List<String> command, int firstManager, int endManager, Path errorLog)
+            throws IOException {
+        this.firstManager = firstManager;
+        this.endManager = endManager;
+        process = new ProcessBuilder(command).redirectError(errorLog.toFile()).start();
         orders = new PrintStream(process.getOutputStream(), true, StandardCharsets.UTF_8);
-        Thread reader = new Thread(this::read, "hollow " + from);
+        Thread reader = new Thread(this::readOutput, "hollow " + firstManager);
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void read() {
+    private void readOutput() {
         try (BufferedReader in =
                 new BufferedReader(
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 if (line.startsWith("{")) {
                     synchronized (this) {
-                        lines.add(Line.read(line));
+                        reports.add(Report.read(line));
                     }
                 } else {
-                    words = line;
+                    lastMessage = line;
                 }
             }
-        } catch (IOException over) {
-            words = String.valueOf(over.getMessage());
+        } catch (IOException readFailed) {
+            lastMessage = String.valueOf(readFailed.getMessage());
         }
     }
 
-    void order(String line) {
+    void sendOrder(String line) {
         orders.println(line);
     }
 
-    synchronized int told() {
-        return lines.size();
+    /** Returns the number of reports so far. */
+    synchronized int reportCount() {
+        return reports.size();
     }
 
-    /** The last line so far. */
-    synchronized Line last() {
-        return lines.get(lines.size() - 1);
+    /** Returns the last report; there must be one. */
+    synchronized Report lastReport() {
+        return reports.get(reports.size() - 1);
     }
 
-    /** All lines so far, one a second. */
-    synchronized List<Line> lines() {
-        return List.copyOf(lines);
+    /** Returns all reports so far: one a second, and one for each {@code heap} order. */
+    synchronized List<Report> reports() {
+        return List.copyOf(reports);
     }
 
-    boolean lives() {
+    boolean isAlive() {
         return process.isAlive();
     }
 
-    String lastWords() {
-        return words;
+    /**
+     * Returns the last line that is not a report, or the message of a failed read; empty if there
+     * is neither.
+     */
+    String lastMessage() {
+        return lastMessage;
     }
 
     @Override
@@ -122,7 +141,7 @@
             if (!process.waitFor(3, TimeUnit.SECONDS)) {
                 process.destroyForcibly().waitFor();
             }
-        } catch (InterruptedException fault) {
+        } catch (InterruptedException interrupted) {
             process.destroyForcibly();
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/firstage/server/DecisionExecutor.java
+++ b/src/main/java/firstage/server/DecisionExecutor.java
@@ -8,7 +8,7 @@
 import java.util.logging.Logger;
 
 /**
- * Carries the scheduler's decisions out at engines and clients. It decides nothing itself. Owned by
+ * Carries out the scheduler's decisions at engines and clients. Makes no decisions itself. Owned by
  * the I/O thread.
  */
 final class DecisionExecutor implements PolicyActions {
@@ -17,18 +17,20 @@
     private final SchedulerLoop loop;
     private final RequestRegistry requests;
     private final EngineClients engines;
-    private final IntConsumer engineReleased;
+    private final IntConsumer onEngineReleased;
 
-    /** {@code engineReleased}: told of each engine that the scheduler knows no more. */
+    /**
+     * @param onEngineReleased called with the index of each engine that the scheduler has released
+     */
     DecisionExecutor(
             SchedulerLoop loop,
             RequestRegistry requests,
             EngineClients engines,
-            IntConsumer engineReleased) {
+            IntConsumer onEngineReleased) {
         this.loop = loop;
         this.requests = requests;
         this.engines = engines;
-        this.engineReleased = engineReleased;
+        this.onEngineReleased = onEngineReleased;
     }
 
     @Override
@@ -71,7 +73,7 @@
     public void reject(int request, long retryAfter) {
         RequestExchange exchange = requests.find(request);
         if (exchange.reject(retryAfter)) {
-            requests.onRequestEnded(RequestRegistry.End.REJECTED, exchange);
+            requests.onRequestEnded(RequestRegistry.RequestOutcome.REJECTED, exchange);
         }
         exchange.abandonAttempts(AttemptOutcome.CANCELLED);
     }
@@ -80,7 +82,7 @@
     public void fail(int request) {
         RequestExchange exchange = requests.find(request);
         if (exchange.fail()) {
-            requests.onRequestEnded(RequestRegistry.End.FAILED, exchange);
+            requests.onRequestEnded(RequestRegistry.RequestOutcome.FAILED, exchange);
         }
     }
 
@@ -96,7 +98,7 @@
 
     @Override
     public void releaseEngine(int engine) {
-        engineReleased.accept(engine);
+        onEngineReleased.accept(engine);
     }
 
     @Override
--- a/src/main/java/firstage/server/client/BadRequestResponse.java
+++ b/src/main/java/firstage/server/client/BadRequestResponse.java
@@ -7,9 +7,9 @@
 import org.xnio.conduits.StreamSinkConduit;
 
 /**
- * Undertow's parser answers what is not HTTP by itself, with a 400 without a body, before any
- * handler is called. Here that answer gets the JSON body which all other refusals have; all else is
- * passed through.
+ * Gives the answer to input that is not HTTP a JSON body like that of all other refusals.
+ * Undertow's parser sends this answer, a 400 without a body, before any handler is called. All
+ * other output passes unchanged.
  */
 final class BadRequestResponse extends AbstractStreamSinkConduit<StreamSinkConduit> {
     private static final byte[] EMPTY_BAD_REQUEST =
@@ -28,22 +28,22 @@
     }
 
     @Override
-    public int write(ByteBuffer from) throws IOException {
-        if (!isEmptyBadRequest(from)) {
-            return super.write(from);
+    public int write(ByteBuffer source) throws IOException {
+        if (!isEmptyBadRequest(source)) {
+            return super.write(source);
         }
-        int size = from.remaining();
-        // The first bytes on a connection fit its buffer; else the client gets what went, and the
-        // close.
+        int size = source.remaining();
+        // The answer fits the socket buffer if it is the first output on the connection. Otherwise
+        // the client may get only a part of it before the connection is closed.
         super.write(ByteBuffer.wrap(FULL_BAD_REQUEST));
-        from.position(from.limit());
+        source.position(source.limit());
         return size;
     }
 
-    private static boolean isEmptyBadRequest(ByteBuffer from) {
-        return from.remaining() >= EMPTY_BAD_REQUEST.length
+    private static boolean isEmptyBadRequest(ByteBuffer source) {
+        return source.remaining() >= EMPTY_BAD_REQUEST.length
                 && ByteBuffer.wrap(EMPTY_BAD_REQUEST)
-                        .equals(from.slice(from.position(), EMPTY_BAD_REQUEST.length));
+                        .equals(source.slice(source.position(), EMPTY_BAD_REQUEST.length));
     }
 
     private static byte[] bytes(String text) {
--- a/src/main/java/firstage/server/discovery/EndpointParser.java
+++ b/src/main/java/firstage/server/discovery/EndpointParser.java
@@ -1,6 +1,6 @@
 package firstage.server.discovery;
 
-import firstage.config.MalformedLineException;
+import firstage.config.InvalidInputException;
 import firstage.config.ManagerConfig;
 import firstage.config.SettingsKeys;
 import firstage.config.WireFields;
@@ -17,18 +17,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** Parses the engines of one event, from a binary frame or from the JSON of a configuration. */
+/**
+ * Parses the endpoints of one update, from the payload of a binary frame or from the JSON of a
+ * configuration.
+ */
 final class EndpointParser {
     private static final int RECORD_BYTES = 27;
     private static final double WEIGHT_SCALE = 1_000;
 
-    /** When an engine started, as listed and in ticks. */
-    private record Start(long unixMs, long at) {}
+    /** Start time of an engine, as listed (Unix time in ms) and in ticks. */
+    private record StartTime(long unixMs, long ticks) {}
 
     private final TickClock clock;
 
-    /** By the engine's id, of those that are not gone. */
-    private final Map<Long, Start> starts = new HashMap<>();
+    /** Start times by engine id, of the engines that are not gone. */
+    private final Map<Long, StartTime> startTimes = new HashMap<>();
 
     private final List<String> zones;
     private final List<String> machineTypes;
@@ -42,7 +45,7 @@
 
     List<DiscoveredEndpoint> parse(ByteBuffer payload) throws IOException {
         if (payload.remaining() % RECORD_BYTES != 0) {
-            throw new IOException("a piece of a record");
+            throw new IOException("endpoint record is truncated");
         }
         List<DiscoveredEndpoint> endpoints = new ArrayList<>();
         while (payload.hasRemaining()) {
@@ -55,39 +58,42 @@
                         case 0 -> Lifecycle.ACTIVE;
                         case 1 -> Lifecycle.DRAINING;
                         case 2 -> Lifecycle.GONE;
-                        default -> throw new IOException("an unknown state");
+                        default -> throw new IOException("unknown endpoint state");
                     };
             int zone = payload.get() & 0xFF;
-            int kind = payload.get() & 0xFF;
+            int machineType = payload.get() & 0xFF;
             int cell = payload.getShort() & 0xFFFF;
             double weight = (payload.getInt() & 0xFFFFFFFFL) / WEIGHT_SCALE;
-            long started = payload.getLong();
+            long startedAtMs = payload.getLong();
             endpoints.add(
                     new DiscoveredEndpoint(
                             id,
                             new InetSocketAddress(InetAddress.getByAddress(address), port),
                             zone,
-                            kind,
+                            machineType,
                             cell,
                             lifecycle,
                             weight,
-                            startOf(id, lifecycle, started)));
+                            startTicks(id, lifecycle, startedAtMs)));
         }
         return endpoints;
     }
 
-    /** The same for each event that names the engine and its start, whatever the clocks do. */
-    private long startOf(long id, Lifecycle lifecycle, long startedAtMs) {
+    /**
+     * Returns the start time of an engine in ticks. The result is the same for each event with the
+     * same engine and start time, even if the system clock is adjusted in between.
+     */
+    private long startTicks(long id, Lifecycle lifecycle, long startedAtMs) {
         if (lifecycle == Lifecycle.GONE) {
-            starts.remove(id);
+            startTimes.remove(id);
             return clock.fromUnixMillis(startedAtMs);
         }
-        Start known = starts.get(id);
+        StartTime known = startTimes.get(id);
         if (known == null || known.unixMs != startedAtMs) {
-            known = new Start(startedAtMs, clock.fromUnixMillis(startedAtMs));
-            starts.put(id, known);
+            known = new StartTime(startedAtMs, clock.fromUnixMillis(startedAtMs));
+            startTimes.put(id, known);
         }
-        return known.at;
+        return known.ticks;
     }
 
     List<DiscoveredEndpoint> parse(List<?> instances) {
@@ -111,7 +117,7 @@
                             fields.getInt("cell", 0),
                             lifecycle,
                             fields.getDouble("weight", 1),
-                            startOf(id, lifecycle, fields.getLong("startedAtMs", 0))));
+                            startTicks(id, lifecycle, fields.getLong("startedAtMs", 0))));
         }
         return endpoints;
     }
@@ -120,7 +126,7 @@
         try {
             return Long.parseLong(text.substring(text.indexOf('-') + 1), 16);
         } catch (NumberFormatException exception) {
-            throw new MalformedLineException("no engine's id: " + text);
+            throw new InvalidInputException("no engine's id: " + text);
         }
     }
 }
--- a/src/main/java/firstage/server/discovery/EndpointWatcher.java
+++ b/src/main/java/firstage/server/discovery/EndpointWatcher.java
@@ -4,7 +4,7 @@
 import firstage.policy.api.EndpointUpdate.Kind;
 import firstage.server.ActionGuard;
 import firstage.server.Counters;
-import firstage.server.InterruptedCalls;
+import firstage.server.InterruptSafeConduits;
 import firstage.server.ServerEvents;
 import firstage.server.TickClock;
 import java.io.IOException;
@@ -24,39 +24,42 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Watches the endpoint list: keeps a connection to the coordinator, asks for the events after the
- * last one it has, and passes them on. A connection that is silent is closed and opened again.
- * Owned by the I/O thread.
+ * Watches the endpoint list: keeps a connection to the coordinator, subscribes to the events after
+ * the last known one, and passes them on. A silent connection is closed and opened again. Owned by
+ * the I/O thread.
  */
 public final class EndpointWatcher {
     private static final Logger LOG = Logger.getLogger(EndpointWatcher.class.getName());
 
     /**
-     * An empty frame comes each second: with two missing, another connection is opened. Updates
-     * must be in force within 7 s.
+     * Time without input after which the connection is replaced. The coordinator sends an empty
+     * frame each second, so two are missing by then. Updates must be in force within 7 s.
      */
     private static final long SILENCE_TIMEOUT_MS = 2_300;
 
     private static final long CONNECT_TIMEOUT_MS = 1_000;
 
     /**
-     * A connection is established in a few ms; a first packet that is lost is sent again only after
-     * 1 s.
+     * Delay before another connection attempt is started in parallel. A connection is established
+     * in a few ms, but a lost first packet is sent again only after 1 s.
      */
-    private static final long NEXT_ATTEMPT_MS = 150;
+    private static final long PARALLEL_ATTEMPT_DELAY_MS = 150;
 
     private static final long RECONNECT_DELAY_MS = 200;
 
-    /** At most so many at once: started well before the first is cancelled, and few descriptors. */
+    /**
+     * Maximum number of parallel connection attempts. All of them start well before the first is
+     * cancelled, and they use few file descriptors.
+     */
     private static final int MAX_PARALLEL_ATTEMPTS = 5;
 
     /**
-     * From the start until the configuration's own list is acted on, where the coordinator sends
-     * nothing: it does so at once.
+     * Time after the start at which the configuration's own list is acted on if the coordinator has
+     * sent nothing. A working coordinator sends its events at once.
      */
     private static final long CONFIRM_TIMEOUT_MS = 1_000;
 
-    /** Engines that a line of the log names. */
+    /** Maximum number of endpoints that are listed in a log line. */
     private static final int MAX_LOGGED_ENDPOINTS = 8;
 
     private final XnioIoThread io;
@@ -67,15 +70,15 @@
     private final TickClock clock;
     private InetSocketAddress coordinator;
 
-    /** When the configuration in force named its coordinator; for the log. */
+    /** Time at which the current configuration was applied; used in the log only. */
     private long configuredAt;
 
     private boolean dataReceived;
 
-    /** The list was confirmed since the start, or is acted on as it is. */
+    /** Whether the coordinator confirmed the list since the start, or failed to do so in time. */
     private boolean confirmed;
 
-    private final ByteBuffer buffer = ByteBuffer.allocate(16 * 1024);
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(16 * 1024);
     private long lastEventNumber;
     private StreamConnection connection;
     private FrameDecoder frameDecoder;
@@ -83,10 +86,10 @@
     private XnioExecutor.Key reconnectTimer;
 
     /**
-     * Grows with each connection that is closed: only an attempt to connect of the present round
-     * counts, and only the first of those that succeeds.
+     * Incremented when a connection is closed and when a reconnect is scheduled. Only connection
+     * attempts of the current generation count, and only the first successful one is used.
      */
-    private long connectionRound;
+    private long connectionGeneration;
 
     private boolean closed;
 
@@ -106,9 +109,9 @@
     }
 
     /**
-     * Passes on the endpoints that a configuration names and that are not known yet, then follows
-     * its coordinator. Another configuration may come later: its coordinator may be elsewhere, so
-     * the old connection is closed at once. Event numbers go on.
+     * Passes on the updates in a configuration that are not known yet, then follows its
+     * coordinator. After a reload of the configuration the coordinator may be another one, so the
+     * old connection is closed at once; the numbering of events continues.
      */
     public void follow(ManagerConfig config) {
         configuredAt = clock.now();
@@ -116,7 +119,7 @@
         try {
             if (config.initialEndpoints().get("updates") instanceof List<?> updates) {
                 for (Object update : updates) {
-                    applyKnownUpdate((Map<?, ?>) update);
+                    applyInitialUpdate((Map<?, ?>) update);
                 }
             }
             Object index = config.initialEndpoints().get("index");
@@ -137,8 +140,8 @@
     }
 
     /**
-     * Whether the list may be acted on. A manager that was down starts with a list from before
-     * that, and would send to engines that were told to drain meanwhile.
+     * Returns whether the list may be acted on. A manager that was down starts with an outdated
+     * list, and would send statements to engines that began to drain in the meantime.
      */
     public boolean isConfirmed() {
         return confirmed || coordinator == null;
@@ -151,7 +154,7 @@
         }
     }
 
-    private void applyKnownUpdate(Map<?, ?> update) {
+    private void applyInitialUpdate(Map<?, ?> update) {
         if (Long.parseLong(String.valueOf(update.get("index"))) <= lastEventNumber) {
             return;
         }
@@ -168,16 +171,16 @@
         if (closed || coordinator == null) {
             return;
         }
-        openConnection(connectionRound, 1);
+        openConnection(connectionGeneration, 1);
     }
 
     /**
-     * Opens a connection, and another beside it where the first is slow to come up: a first packet
-     * that is lost is sent again only after a second, in which this manager would send to engines
-     * that drain.
+     * Starts a connection attempt, and another one in parallel if it is slow: a lost first packet
+     * is sent again only after 1 s, in which this manager would send statements to draining
+     * engines.
      */
-    private void openConnection(long round, int attempt) {
-        if (round != connectionRound || connection != null) {
+    private void openConnection(long generation, int attempt) {
+        if (generation != connectionGeneration || connection != null) {
             return;
         }
         IoFuture<? extends StreamConnection> connectFuture =
@@ -188,18 +191,20 @@
                 attempt >= MAX_PARALLEL_ATTEMPTS
                         ? null
                         : io.executeAfter(
-                                () -> openConnection(round, attempt + 1),
-                                NEXT_ATTEMPT_MS,
+                                () -> openConnection(generation, attempt + 1),
+                                PARALLEL_ATTEMPT_DELAY_MS,
                                 TimeUnit.MILLISECONDS);
         connectFuture.addNotifier(
-                (future, none) ->
+                (future, attachment) ->
                         io.execute(
                                 () -> {
                                     connectTimeout.remove();
                                     boolean done = future.getStatus() == IoFuture.Status.DONE;
-                                    if (round != connectionRound || closed || connection != null) {
-                                        // Another coordinator is followed meanwhile, or another
-                                        // attempt was faster.
+                                    if (generation != connectionGeneration
+                                            || closed
+                                            || connection != null) {
+                                        // The watcher was closed or follows another coordinator,
+                                        // or another attempt was faster.
                                         IoUtils.safeClose(done ? result(future) : null);
                                     } else if (done) {
                                         onConnected(result(future));
@@ -221,11 +226,11 @@
     }
 
     private void scheduleReconnect() {
-        long round = ++connectionRound;
+        long generation = ++connectionGeneration;
         reconnectTimer =
                 io.executeAfter(
                         () -> {
-                            if (round == connectionRound) {
+                            if (generation == connectionGeneration) {
                                 connect();
                             }
                         },
@@ -235,12 +240,12 @@
 
     private void onConnected(StreamConnection newConnection) {
         connection = newConnection;
-        InterruptedCalls.shield(connection);
+        InterruptSafeConduits.installOn(connection);
         try {
             frameDecoder = new FrameDecoder();
             ByteBuffer subscription = ByteBuffer.allocate(Long.BYTES).putLong(0, lastEventNumber);
             while (subscription.hasRemaining()) {
-                // Eight bytes on a new connection always fit.
+                // Eight bytes always fit the send buffer of a new connection.
                 connection.getSinkChannel().write(subscription);
             }
             connection.getSinkChannel().flush();
@@ -273,7 +278,7 @@
 
     /** Closes the connection, and cancels its timers. */
     private void closeConnection() {
-        connectionRound++;
+        connectionGeneration++;
         for (XnioExecutor.Key timer : Arrays.asList(silenceTimer, reconnectTimer)) {
             if (timer != null) {
                 timer.remove();
@@ -288,8 +293,8 @@
     private void onReadable(ConduitStreamSourceChannel source) {
         try {
             while (source.isOpen()) {
-                buffer.clear();
-                int bytesRead = source.read(buffer);
+                readBuffer.clear();
+                int bytesRead = source.read(readBuffer);
                 if (bytesRead == 0) {
                     return;
                 }
@@ -308,7 +313,7 @@
                                             + " sinceConfiguredMs="
                                             + sinceConfigured / 10);
                 }
-                for (FrameDecoder.Frame frame : frameDecoder.decode(buffer.flip())) {
+                for (FrameDecoder.Frame frame : frameDecoder.decode(readBuffer.flip())) {
                     applyFrame(frame);
                 }
                 if (!frameDecoder.hasPartialFrame()) {
@@ -327,10 +332,10 @@
             return;
         }
         if (frame.type() > 2) {
-            throw new IOException("a frame of kind " + frame.type());
+            throw new IOException("unknown frame type " + frame.type());
         }
         List<ServerEvents.DiscoveredEndpoint> endpoints = parser.parse(frame.payload());
-        // Few in a run, and what a drain that was not kept is traced by.
+        // Updates are rare; the log shows which drain was known when a statement was sent.
         LOG.info(() -> describe(frame.eventNumber(), endpoints));
         events.onEndpointsUpdated(frame.type() == 1 ? Kind.SNAPSHOT : Kind.DELTA, endpoints);
         lastEventNumber = frame.eventNumber();
@@ -350,7 +355,7 @@
                         .toList();
     }
 
-    /** Ends the connection for good. */
+    /** Closes the connection and opens no other. */
     public void close() {
         closed = true;
         closeConnection();
--- a/src/main/java/firstage/server/discovery/FrameDecoder.java
+++ b/src/main/java/firstage/server/discovery/FrameDecoder.java
@@ -7,12 +7,13 @@
 import java.util.List;
 
 /**
- * Decodes the coordinator's frames from bytes that come in any pieces: a length of 4 bytes, the
- * event number of 8 bytes, a type of 1 byte, and the payload.
+ * Incremental decoder of the coordinator's frames, whose bytes may arrive in pieces of any size. A
+ * frame consists of the length of the rest (4 bytes), the event number (8 bytes), the type (1 byte)
+ * and the payload.
  */
 public final class FrameDecoder {
     /**
-     * One frame.
+     * A decoded frame.
      *
      * @param type 0 for a heartbeat, 1 for a snapshot, 2 for a delta
      */
@@ -21,31 +22,31 @@
     private static final int LENGTH_BYTES = 4;
     private static final int MIN_LENGTH = 9;
 
-    /** Some 38,000 endpoints: well over any list. */
+    /** Limit on the length of a frame: some 38,000 endpoints, well above the size of any list. */
     private static final int MAX_LENGTH = 1 << 20;
 
     private final ByteArrayOutputStream unconsumed = new ByteArrayOutputStream();
 
-    /** Whether a frame has begun and its end is missing. */
+    /** Returns whether a frame was received in part. */
     public boolean hasPartialFrame() {
         return unconsumed.size() > 0;
     }
 
     /**
-     * Adds these bytes and returns the frames that are complete.
+     * Adds bytes and returns the frames that they complete.
      *
-     * @throws IOException where a length is impossible
+     * @throws IOException if a length is out of range
      */
     public List<Frame> decode(ByteBuffer in) throws IOException {
-        byte[] piece = new byte[in.remaining()];
-        in.get(piece);
-        unconsumed.write(piece, 0, piece.length);
+        byte[] bytes = new byte[in.remaining()];
+        in.get(bytes);
+        unconsumed.write(bytes, 0, bytes.length);
         ByteBuffer available = ByteBuffer.wrap(unconsumed.toByteArray());
         List<Frame> frames = new ArrayList<>();
         while (available.remaining() >= LENGTH_BYTES) {
             int length = available.getInt(available.position());
             if (length < MIN_LENGTH || length > MAX_LENGTH) {
-                throw new IOException("a frame of " + (length & 0xFFFFFFFFL) + " bytes");
+                throw new IOException("invalid frame length: " + (length & 0xFFFFFFFFL) + " bytes");
             }
             if (available.remaining() < LENGTH_BYTES + length) {
                 break;
--- a/src/main/java/firstage/simulation/ClientBehavior.java
+++ b/src/main/java/firstage/simulation/ClientBehavior.java
@@ -3,12 +3,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How clients spread over the managers and ask again: for the model's in virtual time and the fault
- * tests' on sockets.
+ * The clients' choice of a manager and their retries, for simulated clients in virtual time and for
+ * the load generator of the fault tests, which uses sockets.
  */
 public final class ClientBehavior {
     private final FleetPlan plan;
     private final RandomGenerator random;
+
+    /** Cumulative traffic weights of the managers: the upper bound of each manager's range. */
     private final double[] managerBounds;
 
     public ClientBehavior(FleetPlan plan, RandomGenerator random) {
@@ -23,8 +25,8 @@
         }
     }
 
-    /** The manager of a request; those of one key have one. */
-    public int managerFor(TrueRequest request) {
+    /** Returns the manager that gets the request; requests of one ordering key share a manager. */
+    public int managerFor(GeneratedRequest request) {
         double position =
                 request.orderingKey >= 0
                         ? Math.floorMod(request.orderingKey * 0x9E3779B97F4A7C15L, 1L << 40)
@@ -39,20 +41,23 @@
     }
 
     /**
-     * After how long it is asked for again, told to come back after {@code comeBack}, 0 for
-     * nothing; -1 for never.
+     * Returns the delay in ticks after which the client sends a request again; -1 if it gives up.
+     *
+     * @param retryAfter the delay that the manager asked for; 0 for none
+     * @param safeToRetry whether the request may run twice, or cannot have run yet
      */
-    public long retryDelay(TrueRequest request, long now, long retryAfter, boolean harmless) {
-        FleetPlan.Clients behavior = plan.clients();
-        long wait = behavior.retryPause().drawTime(random);
-        if (retryAfter > 0 && random.nextDouble() < behavior.retryAfterHonouredShare()) {
-            wait = Math.max(wait, retryAfter);
+    public long retryDelay(
+            GeneratedRequest request, long now, long retryAfter, boolean safeToRetry) {
+        FleetPlan.Clients clients = plan.clients();
+        long delay = clients.retryPause().drawTime(random);
+        if (retryAfter > 0 && random.nextDouble() < clients.retryAfterHonouredShare()) {
+            delay = Math.max(delay, retryAfter);
         }
         return !request.succeeded
-                        && harmless
-                        && request.tries <= behavior.retries()
-                        && now + wait < request.deadline
-                ? wait
+                        && safeToRetry
+                        && request.tries <= clients.retries()
+                        && now + delay < request.deadline
+                ? delay
                 : -1;
     }
 }
--- a/src/main/java/firstage/simulation/DeploymentFactory.java
+++ b/src/main/java/firstage/simulation/DeploymentFactory.java
@@ -7,15 +7,21 @@
 import java.util.Set;
 
 /**
- * What a manager of the fleet is told of its deployment: what a fleet file states, nothing that a
- * run drew.
+ * Factory of the deployment that a simulated manager is started with. A deployment contains what
+ * the fleet file states, and nothing that a run draws at random.
  */
 final class DeploymentFactory {
-    private static final double SECOND = 10_000;
+    private static final double TICKS_PER_SECOND = 10_000;
 
     private DeploymentFactory() {}
 
-    /** {@code bounds}: engines are told to have so many times their cores and memory. */
+    /**
+     * Returns the deployment of one manager.
+     *
+     * @param rank the manager's number, from 0
+     * @param capacityFactor factor by which the deployment overstates the cores and memory of
+     *     engines
+     */
     static Deployment of(FleetPlan plan, int rank, long seed, double capacityFactor) {
         List<TrafficClass> trafficClasses = new ArrayList<>();
         for (FleetPlan.TrafficClassPlan trafficClass : plan.trafficClasses()) {
@@ -38,14 +44,19 @@
         }
         FleetPlan.Engines engines = plan.engines();
         FleetPlan.Managers managers = plan.managers();
-        // Tenants' rates are of the whole fleet, of which so much is played.
-        double mean = plan.traffic().rate() * managers.fleetSize() / managers.count();
-        double shares = plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).sum();
+        // Tenant rates apply to the whole fleet, of which the plan simulates a part.
+        double fleetRate = plan.traffic().rate() * managers.fleetSize() / managers.count();
+        double totalShare = plan.tenants().stream().mapToDouble(FleetPlan.TenantPlan::share).sum();
         List<Double> rates =
                 plan.tenants().size() < 2
                         ? List.of()
                         : plan.tenants().stream()
-                                .map(c -> mean / SECOND * c.share() / shares)
+                                .map(
+                                        tenant ->
+                                                fleetRate
+                                                        / TICKS_PER_SECOND
+                                                        * tenant.share()
+                                                        / totalShare)
                                 .toList();
         return new Deployment(
                 seed,
@@ -65,7 +76,7 @@
                         engines.grants(),
                         engines.priorities(),
                         managers.maxAttempts(),
-                        2 * (long) SECOND),
+                        2 * (long) TICKS_PER_SECOND),
                 new Deployment.Rules(
                         engines.initialCapacityShare(),
                         Math.round(engines.warmUpDuration().high()),
@@ -74,7 +85,7 @@
                         plan.rules().keyQuietPeriod(),
                         -1,
                         0,
-                        (long) SECOND),
+                        (long) TICKS_PER_SECOND),
                 0.4,
                 engines.progressInterval(),
                 false,
--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -12,26 +12,44 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A modelled engine: all that it is sent runs at once and shares cores, disks and memory. Less gets
- * done in total past a number of threads; what is short of memory spills; what passes the memory
- * waits in line; tables last read are warm; loads hold theirs; one that has started is cold, and
- * falls over when pushed.
+ * A simulated engine. The attempts that it runs share its cores, disks and memory:
+ *
+ * <ul>
+ *   <li>Beyond a number of threads per core, total throughput falls (thrashing).
+ *   <li>An attempt whose grant is below its need spills to disk, which costs further work.
+ *   <li>An attempt whose grant exceeds the free memory waits in a queue.
+ *   <li>Recently used table groups are warm and save I/O.
+ *   <li>A table load blocks the other loads of its table group, and the attempts on that group that
+ *       have to wait for loads.
+ *   <li>A recently started engine is cold: it has only a part of its capacity, and goes down when
+ *       it is overloaded.
+ * </ul>
  */
 public final class EngineModel {
+    /** Weights by which attempts share the cores, by priority. */
     private static final double[] PRIORITY_WEIGHTS = {1, 4, 8, 16};
+
+    /** Share of the time of all cores that counts as full capacity in the overload check. */
     private static final double BUSY_SHARE_AT_CAPACITY = 0.85;
 
     /**
-     * Slack for chance on the cold budget, and the part of the work that must come from managers
-     * that were told.
+     * Factor by which the work sent to a cold engine may exceed the limit of the overload check: a
+     * tolerance for random variation.
      */
     private static final double OVERLOAD_TOLERANCE = 1.1;
 
+    /**
+     * Minimum share of the work sent to an overloaded cold engine that has to come from managers
+     * that knew of the engine's start: with less, the overload does not break rule 4.
+     */
     private static final double MIN_SHARE_OF_INFORMED_MANAGERS = 2.0 / 3;
 
     private record Arrival(long at, RunningAttempt attempt, boolean managerKnewOfStart) {}
 
-    /** How it stands. */
+    /**
+     * Condition of an engine. {@code SILENT}: attempts are lost without a reply; {@code HANGING}:
+     * attempts are accepted and never end.
+     */
     public enum State {
         UP,
         DRAINING,
@@ -40,42 +58,45 @@
         HANGING
     }
 
-    /** Told of a job that is out; the way back is the listener's. */
+    /** Callbacks about attempts; the listener adds the network delay of the way back. */
     public interface Listener {
-        void onEnded(RunningAttempt job, AttemptOutcome how);
+        void onEnded(RunningAttempt attempt, AttemptOutcome outcome);
 
-        void onProgress(RunningAttempt job, AttemptProgress.Kind kind, double amount);
+        void onProgress(RunningAttempt attempt, AttemptProgress.Kind kind, double amount);
 
-        /** Whether the manager that sent it still lives the life it sent it in. */
+        /** Returns whether the incarnation of the manager that sent the attempt still runs. */
         boolean isSenderAlive();
     }
 
-    /** An attempt that is here. */
+    /** An attempt at an engine. Work is in ticks of one thread on one core at speed 1. */
     public static final class RunningAttempt {
-        public final TrueRequest request;
+        public final GeneratedRequest request;
         final FleetPlan.TrafficClassPlan trafficClass;
         final Listener listener;
         final int manager;
-        final double grant;
+        final double grantMb;
         int priority;
         private double totalWork;
         private double remainingWork;
+
+        /** Work done per tick; below 0 marks blocked attempts while the rates are computed. */
         private double rate;
+
         private boolean waitingForMemory;
         private boolean ended;
 
         public RunningAttempt(
-                TrueRequest request,
+                GeneratedRequest request,
                 FleetPlan.TrafficClassPlan trafficClass,
                 Listener listener,
                 int manager,
-                double grant,
+                double grantMb,
                 int priority) {
             this.request = request;
             this.manager = manager;
             this.trafficClass = trafficClass;
             this.listener = listener;
-            this.grant = grant;
+            this.grantMb = grantMb;
             this.priority = priority;
         }
     }
@@ -85,7 +106,7 @@
     private final EventQueue events;
     private final RandomGenerator random;
     private final RuleChecker rules;
-    private final FleetPlan.Rules rulesOfPlan;
+    private final FleetPlan.Rules planRules;
     private final double speed;
     private final double threadsPerCoreKnee;
     private final double thrashing;
@@ -96,15 +117,15 @@
     private final Map<Integer, RunningAttempt> tableLoads = new LinkedHashMap<>();
     private final List<Integer> warmTableGroups = new ArrayList<>();
 
-    /** What was sent of late, within the fall window. */
+    /** Attempts that arrived within the overload window. */
     private final ArrayDeque<Arrival> recentArrivals = new ArrayDeque<>();
 
     private State state = State.UP;
     private double reservedMb;
     private long advancedTo;
     private long startedAt;
-    private int schedule;
-    private double slowdown = 1;
+    private int scheduleVersion;
+    private double slowdownFactor = 1;
 
     public EngineModel(
             int number,
@@ -116,14 +137,14 @@
         this.engineType = plan.engines();
         this.events = events;
         this.rules = rules;
-        rulesOfPlan = plan.rules();
+        planRules = plan.rules();
         random = streams.stream("engine", number);
-        RandomGenerator nature = streams.stream("engine-nature", number);
-        speed = engineType.speed().draw(nature);
-        threadsPerCoreKnee = engineType.threadsPerCoreKnee().draw(nature);
-        thrashing = engineType.thrashing().draw(nature);
-        spillCost = engineType.spillCost().draw(nature);
-        warmUpDuration = engineType.warmUpDuration().drawTime(nature);
+        RandomGenerator traitRandom = streams.stream("engine-nature", number);
+        speed = engineType.speed().draw(traitRandom);
+        threadsPerCoreKnee = engineType.threadsPerCoreKnee().draw(traitRandom);
+        thrashing = engineType.thrashing().draw(traitRandom);
+        spillCost = engineType.spillCost().draw(traitRandom);
+        warmUpDuration = engineType.warmUpDuration().drawTime(traitRandom);
     }
 
     public int number() {
@@ -134,13 +155,13 @@
         return state;
     }
 
-    /** When it last started; 0 for long ago. */
+    /** Returns the time of the last start in ticks; 0 stands for long ago. */
     public long startedAt() {
         return startedAt;
     }
 
-    /** Queries that wait for memory. */
-    public int waitingForMemory() {
+    /** Returns the number of attempts that wait for memory. */
+    public int memoryQueueLength() {
         return memoryQueue.size();
     }
 
@@ -148,46 +169,48 @@
         return running.size() + memoryQueue.size();
     }
 
-    void slowdown(double times) {
+    /** Sets the factor by which all work takes longer; 1 is normal. */
+    void setSlowdown(double factor) {
         advance();
-        slowdown = times;
+        slowdownFactor = factor;
         reschedule();
     }
 
     /**
-     * Dies, goes silent, drains or is back; with a death all that it had ends, unseen where it went
-     * silent.
+     * Changes the state. An engine that goes down or silent loses all its attempts; only in the
+     * first case do their senders learn of it, by a lost connection. An engine that comes up again
+     * is cold, unless it only hung.
      */
-    public void setState(State next) {
+    public void setState(State newState) {
         advance();
-        boolean dies = next == State.DOWN || next == State.SILENT;
-        boolean starts = next == State.UP && state != State.UP && state != State.HANGING;
-        state = next;
-        if (dies) {
-            List<RunningAttempt> all = new ArrayList<>(running);
-            all.addAll(memoryQueue);
+        boolean losesAttempts = newState == State.DOWN || newState == State.SILENT;
+        boolean restarts = newState == State.UP && state != State.UP && state != State.HANGING;
+        state = newState;
+        if (losesAttempts) {
+            List<RunningAttempt> lostAttempts = new ArrayList<>(running);
+            lostAttempts.addAll(memoryQueue);
             running.clear();
             memoryQueue.clear();
             tableLoads.clear();
             warmTableGroups.clear();
             reservedMb = 0;
-            for (RunningAttempt attempt : all) {
+            for (RunningAttempt attempt : lostAttempts) {
                 attempt.ended = true;
                 rules.onRunEnded(attempt.request);
-                if (next == State.DOWN) {
+                if (newState == State.DOWN) {
                     attempt.listener.onEnded(attempt, AttemptOutcome.CONNECTION_LOST);
                 }
             }
         }
-        if (starts) {
+        if (restarts) {
             startedAt = events.now();
             recentArrivals.clear();
         }
         reschedule();
     }
 
-    /** Cold at this moment, with nothing else changed. */
-    void restartCold() {
+    /** Makes the engine cold as of now; its attempts go on. */
+    void makeCold() {
         advance();
         startedAt = events.now();
         recentArrivals.clear();
@@ -195,7 +218,7 @@
         reschedule();
     }
 
-    /** The share of its capacity that it has. */
+    /** Returns the share of its full capacity that the engine has at its present age. */
     private double capacityShare() {
         long age = events.now() - startedAt;
         return startedAt == 0 || age >= warmUpDuration
@@ -204,7 +227,10 @@
                         + (1 - engineType.initialCapacityShare()) * age / warmUpDuration;
     }
 
-    /** An attempt comes in. */
+    /**
+     * Accepts an attempt, which runs at once or waits for memory. An engine that is down, draining
+     * or out of sessions ends the attempt at once; a silent or hanging one never reports on it.
+     */
     public void start(RunningAttempt attempt) {
         recordArrival(attempt);
         if (state == State.SILENT || state == State.HANGING) {
@@ -223,7 +249,7 @@
         }
         rules.onRunStarted(attempt.request, events.now());
         advance();
-        if (engineType.grants() && reservedMb + attempt.grant > engineType.memoryMb()) {
+        if (engineType.grants() && reservedMb + attempt.grantMb > engineType.memoryMb()) {
             attempt.waitingForMemory = true;
             memoryQueue.add(attempt);
         } else {
@@ -234,43 +260,48 @@
     }
 
     /**
-     * All work that comes here counts, also what is refused; work that came before the start does
-     * not.
+     * Records the work of an arriving attempt, and takes a cold engine down if the work of the
+     * overload window is too much for it. Refused attempts count too; attempts from before the
+     * engine's start do not.
      */
     private void recordArrival(RunningAttempt attempt) {
         long now = events.now();
         recentArrivals.add(
                 new Arrival(
                         now, attempt, rules.knowsEngineStart(attempt.manager, number, startedAt)));
-        while (recentArrivals.peek().at < now - rulesOfPlan.overloadWindow()) {
+        while (recentArrivals.peek().at < now - planRules.overloadWindow()) {
             recentArrivals.poll();
         }
         double share = capacityShare();
-        if (share < 1 && rulesOfPlan.overloadMultiple() > 0 && state == State.UP) {
-            double sent = arrivedWork(p -> true);
-            double told = arrivedWork(Arrival::managerKnewOfStart);
-            if (sent
-                    > rulesOfPlan.overloadMultiple()
+        if (share < 1 && planRules.overloadMultiple() > 0 && state == State.UP) {
+            double sentWork = arrivedWork(arrival -> true);
+            double informedWork = arrivedWork(Arrival::managerKnewOfStart);
+            if (sentWork
+                    > planRules.overloadMultiple()
                             * share
                             * engineType.cores()
                             * speed
                             * BUSY_SHARE_AT_CAPACITY
-                            * rulesOfPlan.overloadWindow()
+                            * planRules.overloadWindow()
                             * OVERLOAD_TOLERANCE) {
-                if (told >= sent * MIN_SHARE_OF_INFORMED_MANAGERS) {
-                    // Who pushed it: what to look for in a report of this rule.
+                if (informedWork >= sentWork * MIN_SHARE_OF_INFORMED_MANAGERS) {
+                    // The report says how much of the work came from managers killed in the
+                    // meantime, and how much from managers that knew of the start.
                     rules.onColdEngineOverloaded(
                             number,
                             now,
                             String.format(
                                     Locale.ROOT,
-                                    "of the work in the window %.0f%% came from lives of managers"
-                                        + " that had ended, %.0f%% from managers told of its start,"
-                                        + " %d ms before",
+                                    "%.0f%% of the work in the window came from manager"
+                                        + " incarnations that had ended, %.0f%% from managers that"
+                                        + " knew of its start, %d ms earlier",
                                     100
-                                            * arrivedWork(p -> !p.attempt.listener.isSenderAlive())
-                                            / sent,
-                                    100 * told / sent,
+                                            * arrivedWork(
+                                                    arrival ->
+                                                            !arrival.attempt.listener
+                                                                    .isSenderAlive())
+                                            / sentWork,
+                                    100 * informedWork / sentWork,
                                     (now - startedAt) / 10));
                 }
                 setState(State.DOWN);
@@ -278,30 +309,32 @@
         }
     }
 
-    private double arrivedWork(Predicate<Arrival> which) {
+    private double arrivedWork(Predicate<Arrival> included) {
         return recentArrivals.stream()
-                .filter(which)
-                .mapToDouble(p -> p.attempt.trafficClass.work())
+                .filter(included)
+                .mapToDouble(arrival -> arrival.attempt.trafficClass.work())
                 .sum();
     }
 
     private void begin(RunningAttempt attempt) {
-        reservedMb += engineType.grants() ? attempt.grant : 0;
+        reservedMb += engineType.grants() ? attempt.grantMb : 0;
         boolean isWarm = warmTableGroups.remove((Integer) attempt.request.tableGroup);
         warmTableGroups.add(0, attempt.request.tableGroup);
         while (warmTableGroups.size() > engineType.warmTableGroups()) {
             warmTableGroups.remove(warmTableGroups.size() - 1);
         }
-        double missing =
-                engineType.grants() ? Math.max(0, 1 - attempt.grant / attempt.request.memoryMb) : 0;
-        double bad =
+        double missingMemoryShare =
+                engineType.grants()
+                        ? Math.max(0, 1 - attempt.grantMb / attempt.request.memoryMb)
+                        : 0;
+        double badPlanFactor =
                 random.nextDouble() < attempt.trafficClass.badPlanShare()
                         ? 8 + 17 * random.nextDouble()
                         : 1;
         attempt.totalWork =
                 attempt.request.work
-                        * bad
-                        * (1 + spillCost * missing)
+                        * badPlanFactor
+                        * (1 + spillCost * missingMemoryShare)
                         * (1
                                 - (isWarm
                                         ? attempt.trafficClass.ioShare()
@@ -309,36 +342,42 @@
                                         : 0));
         attempt.remainingWork = attempt.totalWork;
         running.add(attempt);
-        if (missing > 0) {
+        if (missingMemoryShare > 0) {
             attempt.listener.onProgress(
-                    attempt, AttemptProgress.Kind.SPILLING, missing * attempt.request.memoryMb);
+                    attempt,
+                    AttemptProgress.Kind.SPILLING,
+                    missingMemoryShare * attempt.request.memoryMb);
         }
     }
 
+    /** Returns whether the attempt has to wait while another one loads its table group. */
     private boolean isBlockedByTableLoad(RunningAttempt attempt) {
         if (!attempt.trafficClass.blockedByTableLoads() && !attempt.trafficClass.tableLoad()) {
             return false;
         }
-        RunningAttempt holder = tableLoads.get(attempt.request.tableGroup);
-        return holder != null && holder != attempt;
+        RunningAttempt load = tableLoads.get(attempt.request.tableGroup);
+        return load != null && load != attempt;
     }
 
-    /** Lets what runs get on by the time since. */
+    /** Advances all running attempts to the present time at their current rates. */
     private void advance() {
-        long passed = events.now() - advancedTo;
+        long elapsed = events.now() - advancedTo;
         advancedTo = events.now();
-        if (passed > 0) {
+        if (elapsed > 0) {
             for (RunningAttempt attempt : running) {
-                attempt.remainingWork -= attempt.rate * passed;
+                attempt.remainingWork -= attempt.rate * elapsed;
             }
         }
     }
 
-    /** What came or went changes everybody's pace: works it out again and sets the next end. */
+    /**
+     * Ends finished attempts, recomputes the rates of all others and schedules the next end. Called
+     * after every change that affects the rates.
+     */
     private void reschedule() {
         endFinished();
         if (state == State.HANGING || state == State.SILENT || state == State.DOWN) {
-            schedule++;
+            scheduleVersion++;
             return;
         }
         for (RunningAttempt attempt : running) {
@@ -347,24 +386,28 @@
             }
         }
         double threads = 0;
-        double weights = 0;
+        double totalWeight = 0;
         for (RunningAttempt attempt : running) {
-            boolean stands = isBlockedByTableLoad(attempt);
-            attempt.rate = stands ? -1 : 0;
-            threads += stands ? 0 : attempt.trafficClass.threads();
-            weights += stands ? 0 : weight(attempt) * attempt.trafficClass.threads();
+            boolean blocked = isBlockedByTableLoad(attempt);
+            attempt.rate = blocked ? -1 : 0;
+            threads += blocked ? 0 : attempt.trafficClass.threads();
+            totalWeight += blocked ? 0 : weight(attempt) * attempt.trafficClass.threads();
         }
-        double over = Math.max(0, threads / (engineType.cores() * threadsPerCoreKnee) - 1);
-        double left =
-                engineType.cores() * speed * capacityShare() / slowdown / (1 + thrashing * over);
-        distribute(left, weights);
-        double disks = engineType.disks() * engineType.cores() * capacityShare();
-        double reading = 0;
+        double excessThreads = Math.max(0, threads / (engineType.cores() * threadsPerCoreKnee) - 1);
+        double capacity =
+                engineType.cores()
+                        * speed
+                        * capacityShare()
+                        / slowdownFactor
+                        / (1 + thrashing * excessThreads);
+        distribute(capacity, totalWeight);
+        double ioCapacity = engineType.disks() * engineType.cores() * capacityShare();
+        double ioDemand = 0;
         for (RunningAttempt attempt : running) {
-            reading += attempt.rate > 0 ? attempt.rate * attempt.trafficClass.ioShare() : 0;
+            ioDemand += attempt.rate > 0 ? attempt.rate * attempt.trafficClass.ioShare() : 0;
         }
-        double wait = Math.max(1, reading / disks);
-        double first = Double.MAX_VALUE;
+        double ioSlowdown = Math.max(1, ioDemand / ioCapacity);
+        double ticksToNextEnd = Double.MAX_VALUE;
         for (RunningAttempt attempt : running) {
             attempt.rate =
                     attempt.rate <= 0
@@ -372,20 +415,26 @@
                             : attempt.rate
                                     / (1
                                             - attempt.trafficClass.ioShare()
-                                            + attempt.trafficClass.ioShare() * wait);
-            first =
+                                            + attempt.trafficClass.ioShare() * ioSlowdown);
+            ticksToNextEnd =
                     attempt.rate > 0
-                            ? Math.min(first, attempt.remainingWork / attempt.rate)
-                            : first;
+                            ? Math.min(ticksToNextEnd, attempt.remainingWork / attempt.rate)
+                            : ticksToNextEnd;
         }
-        int mine = ++schedule;
-        if (first < Double.MAX_VALUE) {
-            // A cold engine gets faster by itself: it is looked at again before long.
-            long due = (long) Math.ceil(capacityShare() < 1 ? Math.min(first, 5_000) : first);
+        int ownVersion = ++scheduleVersion;
+        if (ticksToNextEnd < Double.MAX_VALUE) {
+            // The capacity of a cold engine grows with its age, so its rates are recomputed at
+            // least every 500 ms.
+            long delay =
+                    (long)
+                            Math.ceil(
+                                    capacityShare() < 1
+                                            ? Math.min(ticksToNextEnd, 5_000)
+                                            : ticksToNextEnd);
             events.schedule(
-                    Math.max(1, due),
+                    Math.max(1, delay),
                     () -> {
-                        if (mine == schedule) {
+                        if (ownVersion == scheduleVersion) {
                             advance();
                             reschedule();
                         }
@@ -393,31 +442,34 @@
         }
     }
 
-    /** By weight, each no more than its threads; what is left over goes round once more. */
-    private void distribute(double capacity, double weights) {
-        double left = capacity;
-        for (int round = 0; round < 2 && left > 1e-9 && weights > 0; round++) {
-            double given = 0;
-            double open = 0;
+    /**
+     * Distributes the capacity to the unblocked attempts by weight, to each at most its number of
+     * threads. A second round distributes what attempts at their maximum could not use.
+     */
+    private void distribute(double capacity, double totalWeight) {
+        double remaining = capacity;
+        for (int round = 0; round < 2 && remaining > 1e-9 && totalWeight > 0; round++) {
+            double assigned = 0;
+            double openWeight = 0;
             for (RunningAttempt attempt : running) {
                 if (attempt.rate >= 0 && attempt.rate < attempt.trafficClass.threads()) {
-                    double part =
+                    double share =
                             Math.min(
                                     attempt.trafficClass.threads() - attempt.rate,
-                                    left
+                                    remaining
                                             * weight(attempt)
                                             * attempt.trafficClass.threads()
-                                            / weights);
-                    attempt.rate += part;
-                    given += part;
-                    open +=
+                                            / totalWeight);
+                    attempt.rate += share;
+                    assigned += share;
+                    openWeight +=
                             attempt.rate < attempt.trafficClass.threads()
                                     ? weight(attempt) * attempt.trafficClass.threads()
                                     : 0;
                 }
             }
-            left -= given;
-            weights = open;
+            remaining -= assigned;
+            totalWeight = openWeight;
         }
     }
 
@@ -444,18 +496,22 @@
 
     private void release(RunningAttempt attempt) {
         attempt.ended = true;
-        reservedMb = running.isEmpty() ? 0 : reservedMb - (engineType.grants() ? attempt.grant : 0);
+        reservedMb =
+                running.isEmpty() ? 0 : reservedMb - (engineType.grants() ? attempt.grantMb : 0);
         tableLoads.remove(attempt.request.tableGroup, attempt);
     }
 
-    /** From the line, by priority and then in turn. */
+    /**
+     * Starts attempts that waited for memory while their grants fit, by priority and then in order
+     * of arrival. An idle engine starts the first one even if its grant exceeds the memory.
+     */
     private void admit() {
         while (!memoryQueue.isEmpty()) {
             RunningAttempt next = memoryQueue.get(0);
             for (RunningAttempt attempt : memoryQueue) {
                 next = attempt.priority > next.priority ? attempt : next;
             }
-            if (reservedMb + next.grant > engineType.memoryMb() && !running.isEmpty()) {
+            if (reservedMb + next.grantMb > engineType.memoryMb() && !running.isEmpty()) {
                 return;
             }
             memoryQueue.remove(next);
@@ -464,7 +520,7 @@
         }
     }
 
-    /** Sets a job's priority while it is here. */
+    /** Sets the priority of an attempt that has not ended. */
     public void setPriority(RunningAttempt attempt, int priority) {
         if (!attempt.ended && attempt.priority != priority) {
             advance();
@@ -473,7 +529,7 @@
         }
     }
 
-    /** Ends it, its work lost. */
+    /** Cancels an attempt; the work done for it is lost. */
     public void cancel(RunningAttempt attempt) {
         if (attempt.ended) {
             return;
@@ -507,7 +563,7 @@
                             attempt.listener.onProgress(
                                     attempt, AttemptProgress.Kind.WAITING_FOR_TABLE_LOAD, 0);
                         } else {
-                            double share = 1 - attempt.remainingWork / attempt.totalWork;
+                            double doneShare = 1 - attempt.remainingWork / attempt.totalWork;
                             attempt.listener.onProgress(
                                     attempt,
                                     AttemptProgress.Kind.FRACTION_DONE,
@@ -515,7 +571,8 @@
                                             0,
                                             Math.min(
                                                     1,
-                                                    share * (0.85 + 0.3 * random.nextDouble()))));
+                                                    doneShare
+                                                            * (0.85 + 0.3 * random.nextDouble()))));
                         }
                         reschedule();
                     }
--- a/src/main/java/firstage/simulation/EventQueue.java
+++ b/src/main/java/firstage/simulation/EventQueue.java
@@ -5,18 +5,20 @@
 import java.util.List;
 
 /**
- * Virtual time in ticks: what is due first happens first; of two due at once, the one set first.
+ * A queue of events in virtual time, in ticks. Events run in the order of their due times; events
+ * with the same due time run in the order in which they were scheduled.
  *
- * <p>A wheel of three levels of 1,024 slots (a slot of the first is one tenth, of the second a
- * tenth of a second, of the third 105 s), with a bit for each slot that is filled, so that setting
- * costs the same however much is set, and empty time costs next to nothing. A fleet sets mostly
- * what is due within a few seconds, and most of that happens: there a heap pays the logarithm
- * twice. What is due beyond 30 hours waits in a list.
+ * <p>The queue is a timing wheel of three levels with 1,024 slots each (a slot spans one tick in
+ * the first level, 0.1 s in the second and 105 s in the third) and a bit for each filled slot.
+ * Scheduling thus costs the same for any number of events, and empty time costs next to nothing.
+ * Most events of a fleet are due within a few seconds and do run: a heap would pay its logarithmic
+ * cost twice for each, to add and to remove it. Events that are due in more than 30 hours wait in a
+ * list.
  */
 public final class EventQueue {
-    private static final int BITS = 10;
-    private static final int SLOTS = 1 << BITS;
-    private static final int MASK = SLOTS - 1;
+    private static final int SLOT_BITS = 10;
+    private static final int SLOTS = 1 << SLOT_BITS;
+    private static final int SLOT_MASK = SLOTS - 1;
     private static final int LEVELS = 3;
 
     private static final class ScheduledEvent {
@@ -32,12 +34,12 @@
         }
     }
 
-    private final ScheduledEvent[][] first = new ScheduledEvent[LEVELS][SLOTS];
-    private final ScheduledEvent[][] last = new ScheduledEvent[LEVELS][SLOTS];
-    private final long[][] filled = new long[LEVELS][SLOTS / Long.SIZE];
+    private final ScheduledEvent[][] slotHeads = new ScheduledEvent[LEVELS][SLOTS];
+    private final ScheduledEvent[][] slotTails = new ScheduledEvent[LEVELS][SLOTS];
+    private final long[][] filledSlots = new long[LEVELS][SLOTS / Long.SIZE];
     private ScheduledEvent overflow;
 
-    /** All slots before this moment are empty. */
+    /** Time before which all slots are empty. */
     private long wheelPosition;
 
     private long now;
@@ -53,12 +55,12 @@
         return now;
     }
 
-    /** How much is set and has not happened. */
+    /** Returns the number of scheduled events that have not run. */
     public int size() {
         return size;
     }
 
-    /** Sets what is due after {@code delay}; a negative one counts as none. */
+    /** Schedules an action after {@code delay} ticks; a negative delay counts as 0. */
     public void schedule(long delay, Runnable action) {
         insert(new ScheduledEvent(now + Math.max(0, delay), order++, action));
         size++;
@@ -66,40 +68,41 @@
 
     private void insert(ScheduledEvent event) {
         event.next = null;
-        // The level whose slot holds it and no slot of now's turn before it: what differs from `at`
-        // decides.
-        long differs = event.due ^ wheelPosition;
+        // The highest bit in which the due time differs from the wheel position gives the level.
+        long differingBits = event.due ^ wheelPosition;
         int level =
-                differs < SLOTS
+                differingBits < SLOTS
                         ? 0
-                        : differs < 1L << 2 * BITS ? 1 : differs < 1L << 3 * BITS ? 2 : LEVELS;
+                        : differingBits < 1L << 2 * SLOT_BITS
+                                ? 1
+                                : differingBits < 1L << 3 * SLOT_BITS ? 2 : LEVELS;
         if (level == LEVELS) {
             event.next = overflow;
             overflow = event;
             return;
         }
-        int slot = (int) (event.due >> level * BITS) & MASK;
-        if (first[level][slot] == null) {
-            first[level][slot] = event;
-            filled[level][slot / Long.SIZE] |= 1L << slot;
+        int slot = (int) (event.due >> level * SLOT_BITS) & SLOT_MASK;
+        if (slotHeads[level][slot] == null) {
+            slotHeads[level][slot] = event;
+            filledSlots[level][slot / Long.SIZE] |= 1L << slot;
         } else {
-            last[level][slot].next = event;
+            slotTails[level][slot].next = event;
         }
-        last[level][slot] = event;
+        slotTails[level][slot] = event;
     }
 
     private ScheduledEvent takeSlot(int level, int slot) {
-        ScheduledEvent all = first[level][slot];
-        first[level][slot] = null;
-        last[level][slot] = null;
-        filled[level][slot / Long.SIZE] &= ~(1L << slot);
-        return all;
+        ScheduledEvent head = slotHeads[level][slot];
+        slotHeads[level][slot] = null;
+        slotTails[level][slot] = null;
+        filledSlots[level][slot / Long.SIZE] &= ~(1L << slot);
+        return head;
     }
 
-    /** The first filled slot from this one on, or -1. */
+    /** Returns the first filled slot at or after {@code from}, or -1. */
     private int nextFilledSlot(int level, int from) {
         for (int word = from / Long.SIZE; word < SLOTS / Long.SIZE; word++) {
-            long bits = filled[level][word];
+            long bits = filledSlots[level][word];
             if (word == from / Long.SIZE) {
                 bits &= -1L << from;
             }
@@ -110,22 +113,25 @@
         return -1;
     }
 
-    /** Plays until this moment, or until nothing is due; returns how much happened. */
+    /**
+     * Runs all events that are due by {@code until}, then sets the time to it; returns the number
+     * of events that ran.
+     */
     public long runUntil(long until) {
         long executed = 0;
         while (size > 0 && advance(until)) {
-            int slot = (int) wheelPosition & MASK;
+            int slot = (int) wheelPosition & SLOT_MASK;
             now = wheelPosition;
-            // What is set for this very moment while it is played comes behind it, in the same
-            // slot.
-            while (first[0][slot] != null) {
-                ScheduledEvent event = inOrder(takeSlot(0, slot));
+            // Events that the running ones schedule for the same tick go into the same slot and run
+            // after them.
+            while (slotHeads[0][slot] != null) {
+                ScheduledEvent event = inSchedulingOrder(takeSlot(0, slot));
                 while (event != null) {
-                    ScheduledEvent after = event.next;
+                    ScheduledEvent next = event.next;
                     size--;
                     executed++;
                     event.action.run();
-                    event = after;
+                    event = next;
                 }
             }
         }
@@ -133,12 +139,15 @@
         return executed;
     }
 
-    /** Moves to the next filled slot of the first level; false where nothing is due by then. */
+    /**
+     * Moves the wheel to the next filled slot of the first level; returns false if no event is due
+     * by {@code until}.
+     */
     private boolean advance(long until) {
         while (true) {
-            int slot = nextFilledSlot(0, (int) wheelPosition & MASK);
+            int slot = nextFilledSlot(0, (int) wheelPosition & SLOT_MASK);
             if (slot >= 0) {
-                long due = wheelPosition & ~(long) MASK | slot;
+                long due = wheelPosition & ~(long) SLOT_MASK | slot;
                 if (due > until) {
                     return false;
                 }
@@ -151,19 +160,22 @@
         }
     }
 
-    /** The first level is empty: its next turn is filled from the levels above. */
+    /**
+     * Refills the first level, which is empty, with the next events of the levels above or of the
+     * overflow list; returns false if none of those are due by {@code until}.
+     */
     private boolean refillFirstLevel(long until) {
         for (int level = 1; level < LEVELS; level++) {
-            int currentSlot = (int) (wheelPosition >> level * BITS) & MASK;
+            int currentSlot = (int) (wheelPosition >> level * SLOT_BITS) & SLOT_MASK;
             int slot = nextFilledSlot(level, currentSlot);
             if (slot >= 0) {
-                long begins =
-                        wheelPosition >> (level + 1) * BITS << (level + 1) * BITS
-                                | (long) slot << level * BITS;
-                if (begins > until) {
+                long slotStart =
+                        wheelPosition >> (level + 1) * SLOT_BITS << (level + 1) * SLOT_BITS
+                                | (long) slot << level * SLOT_BITS;
+                if (slotStart > until) {
                     return false;
                 }
-                wheelPosition = Math.max(wheelPosition, begins);
+                wheelPosition = Math.max(wheelPosition, slotStart);
                 insertAll(takeSlot(level, slot));
                 return true;
             }
@@ -179,31 +191,34 @@
             return false;
         }
         wheelPosition = earliest;
-        ScheduledEvent all = overflow;
+        ScheduledEvent head = overflow;
         overflow = null;
-        insertAll(all);
+        insertAll(head);
         return true;
     }
 
-    private void insertAll(ScheduledEvent all) {
-        for (ScheduledEvent event = all; event != null; ) {
-            ScheduledEvent after = event.next;
+    private void insertAll(ScheduledEvent head) {
+        for (ScheduledEvent event = head; event != null; ) {
+            ScheduledEvent next = event.next;
             insert(event);
-            event = after;
+            event = next;
         }
     }
 
-    /** What fell into one slot from two levels may stand out of order. */
-    private static ScheduledEvent inOrder(ScheduledEvent all) {
-        boolean inOrder = true;
-        for (ScheduledEvent event = all; event.next != null; event = event.next) {
-            inOrder &= event.order < event.next.order;
+    /**
+     * Returns the events of a slot in the order in which they were scheduled: events that came from
+     * different levels can be out of order.
+     */
+    private static ScheduledEvent inSchedulingOrder(ScheduledEvent head) {
+        boolean sorted = true;
+        for (ScheduledEvent event = head; event.next != null; event = event.next) {
+            sorted &= event.order < event.next.order;
         }
-        if (inOrder) {
-            return all;
+        if (sorted) {
+            return head;
         }
         List<ScheduledEvent> list = new ArrayList<>();
-        for (ScheduledEvent event = all; event != null; event = event.next) {
+        for (ScheduledEvent event = head; event != null; event = event.next) {
             list.add(event);
         }
         list.sort(Comparator.comparingLong(event -> event.order));
--- a/src/main/java/firstage/simulation/FaultTarget.java
+++ b/src/main/java/firstage/simulation/FaultTarget.java
@@ -10,12 +10,12 @@
 import java.util.stream.IntStream;
 
 /**
- * Whom a fault strikes, as a plan writes it: {@code managers} or {@code engines}, then nothing
- * (all), numbers from 0 ({@code managers 1, 4}), a share drawn by the seed ({@code engines 25%}),
- * or a zone ({@code managers of north}).
+ * The managers or engines that a fault affects. Plans write {@code managers} or {@code engines},
+ * followed by nothing (all of them), numbers from 0 ({@code managers 1, 4}), a share that is drawn
+ * at random ({@code engines 25%}), or a zone ({@code managers of north}).
  */
 public final class FaultTarget {
-    private static final Pattern FORM =
+    private static final Pattern SYNTAX =
             Pattern.compile(
                     "(managers|engines)\\s*"
                             + "(?:of\\s+(\\S+)|(\\d+(?:\\.\\d+)?)%|(\\d+(?:\\s*,\\s*\\d+)*))?");
@@ -34,29 +34,37 @@
         this.numbers = numbers;
     }
 
-    /** Reads it; the exception's message says what is wrong and what would do. */
+    /**
+     * Parses a target.
+     *
+     * @throws IllegalArgumentException if the target is malformed or not part of the plan; the
+     *     message says what is wrong and gives valid values
+     */
     static FaultTarget of(String text, List<String> zones, int managers, int engineCount) {
-        Matcher m = FORM.matcher(text.trim());
-        if (!m.matches()) {
+        Matcher matcher = SYNTAX.matcher(text.trim());
+        if (!matcher.matches()) {
             throw new IllegalArgumentException(
                     "'"
                             + text
-                            + "' names nobody; \"managers 1, 4\", \"engines 25%\", "
+                            + "' is not a fault target; write \"managers 1, 4\", \"engines 25%\", "
                             + "\"managers of "
                             + zones.get(0)
-                            + "\" or \"engines\" would do");
+                            + "\" or \"engines\"");
         }
-        boolean engines = m.group(1).equals("engines");
-        int zone = m.group(2) == null ? -1 : zones.indexOf(m.group(2));
-        if (m.group(2) != null && zone < 0) {
+        boolean engines = matcher.group(1).equals("engines");
+        int zone = matcher.group(2) == null ? -1 : zones.indexOf(matcher.group(2));
+        if (matcher.group(2) != null && zone < 0) {
             throw new IllegalArgumentException(
-                    "zone '" + m.group(2) + "' is unknown; zones are " + String.join(", ", zones));
+                    "zone '"
+                            + matcher.group(2)
+                            + "' is unknown; zones are "
+                            + String.join(", ", zones));
         }
         List<Integer> numbers =
-                m.group(4) == null
+                matcher.group(4) == null
                         ? null
                         : Pattern.compile(",")
-                                .splitAsStream(m.group(4))
+                                .splitAsStream(matcher.group(4))
                                 .map(n -> Integer.valueOf(n.trim()))
                                 .toList();
         int count = engines ? engineCount : managers;
@@ -72,18 +80,18 @@
                 text.trim(),
                 engines,
                 zone,
-                m.group(3) == null ? -1 : Double.parseDouble(m.group(3)) / 100,
+                matcher.group(3) == null ? -1 : Double.parseDouble(matcher.group(3)) / 100,
                 numbers);
     }
 
-    public boolean isEngines() {
+    public boolean targetsEngines() {
         return engines;
     }
 
-    /** Those it names, of so many; a share is drawn. */
-    public List<Integer> among(FleetPlan plan, RandomGenerator chance) {
+    /** Returns the numbers of the affected managers or engines; those of a share are drawn. */
+    public List<Integer> select(FleetPlan plan, RandomGenerator random) {
         int count = engines ? plan.engines().count() : plan.managers().count();
-        List<Integer> all =
+        List<Integer> candidates =
                 new ArrayList<>(
                         IntStream.range(0, count)
                                 .filter(n -> zone < 0 || plan.zoneOf(n) == zone)
@@ -93,11 +101,12 @@
             return numbers.stream().filter(n -> n < count).toList();
         }
         if (share >= 0) {
-            Collections.shuffle(all, new Random(chance.nextLong()));
+            Collections.shuffle(candidates, new Random(random.nextLong()));
             return List.copyOf(
-                    all.subList(0, (int) Math.min(count, Math.max(1, Math.round(count * share)))));
+                    candidates.subList(
+                            0, (int) Math.min(count, Math.max(1, Math.round(count * share)))));
         }
-        return all;
+        return candidates;
     }
 
     @Override
