--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -23,37 +23,38 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One manager of the fleet: the decisions behind their door, and what carries them in virtual time.
- * It hands the decisions estimates and what is observed, never what a request truly costs.
+ * A simulated manager: runs a scheduling policy in virtual time and carries out its actions. The
+ * policy receives estimates and observations, never the true cost of a request.
  */
 final class ManagerModel implements PolicyActions {
-    private static final long CONNECT_TIMEOUT = 2_500;
-
     /**
-     * Between two probes of the membership that would carry the words, and between looks at what is
-     * sick.
+     * Time until a connection that is not established, or a probe without answer, fails: 250 ms.
      */
+    private static final long CONNECT_TIMEOUT = 2_500;
+
+    /** Time between two probes of the membership protocol, which carry the digests: 200 ms. */
     static final long GOSSIP_PERIOD = 2_000;
 
+    /** Time between two evaluations by the fleet coordinator: 100 ms. */
     private static final long EVALUATION_INTERVAL = 1_000;
 
-    /** What becomes of a try, told to its client. */
-    interface ClientActions {
-        void onSucceeded(TrueRequest is);
+    /** Callbacks with the outcomes of tries, for the clients. */
+    interface ClientListener {
+        void onSucceeded(GeneratedRequest request);
 
-        void onRejected(TrueRequest is, long comeBack);
+        void onRejected(GeneratedRequest request, long retryAfter);
 
-        void onFailed(TrueRequest is);
+        void onFailed(GeneratedRequest request);
 
-        /** An attempt goes to an engine that is down, silent or hangs. */
+        /** Called for each attempt that is sent to an engine that is down, silent or hanging. */
         void onSentToFaultyEngine();
     }
 
     private static final class OpenRequest {
         private final RuleChecker.ClientTry clientTry;
-        private int index = -1;
+        private int requestId = -1;
         private boolean answered;
-        private int attempts;
+        private int attemptCount;
         private int grantMb;
         private int priority = 1;
         private final List<ModelledAttempt> attemptsInFlight = new ArrayList<>();
@@ -63,21 +64,21 @@
         }
     }
 
-    /** An attempt that is out, from here to its outcome. */
+    /** An attempt in flight, as the manager sees it. */
     private final class ModelledAttempt implements EngineModel.Listener {
         private final OpenRequest openRequest;
         private final EngineModel engine;
-        private final int number;
+        private final int attemptNumber;
         private final long sentAt = events.now();
         private final int ownIncarnation = incarnation;
-        private final RunningAttempt job;
+        private final RunningAttempt runningAttempt;
         private boolean ended;
 
-        private ModelledAttempt(OpenRequest openRequest, EngineModel engine, int number) {
+        private ModelledAttempt(OpenRequest openRequest, EngineModel engine, int attemptNumber) {
             this.openRequest = openRequest;
             this.engine = engine;
-            this.number = number;
-            job =
+            this.attemptNumber = attemptNumber;
+            runningAttempt =
                     new RunningAttempt(
                             openRequest.clientTry.request,
                             plan.trafficClasses().get(openRequest.clientTry.request.trafficClass),
@@ -90,12 +91,12 @@
         }
 
         @Override
-        public void onEnded(RunningAttempt ended, AttemptOutcome outcome) {
-            events.schedule(drawDelay(), () -> ended(outcome));
+        public void onEnded(RunningAttempt attempt, AttemptOutcome outcome) {
+            events.schedule(drawDelay(), () -> end(outcome));
         }
 
         @Override
-        public void onProgress(RunningAttempt noted, AttemptProgress.Kind what, double amount) {
+        public void onProgress(RunningAttempt attempt, AttemptProgress.Kind kind, double amount) {
             events.schedule(
                     drawDelay(),
                     () -> {
@@ -103,10 +104,10 @@
                             policy.onAttemptProgress(
                                     events.now(),
                                     new AttemptProgress(
-                                            openRequest.index,
-                                            number,
+                                            openRequest.requestId,
+                                            attemptNumber,
                                             engine.number(),
-                                            what,
+                                            kind,
                                             amount));
                             scheduleActions();
                         }
@@ -118,7 +119,7 @@
             return ownIncarnation == incarnation;
         }
 
-        private void ended(AttemptOutcome outcome) {
+        private void end(AttemptOutcome outcome) {
             if (ended || ownIncarnation != incarnation) {
                 return;
             }
@@ -128,13 +129,13 @@
             if (outcome == AttemptOutcome.SUCCEEDED && !openRequest.answered) {
                 openRequest.answered = true;
                 rules.onAnswered(events.now(), openRequest.clientTry, false);
-                clientActions.onSucceeded(openRequest.clientTry.request);
+                clientListener.onSucceeded(openRequest.clientTry.request);
             }
             policy.onAttemptResult(
                     events.now(),
                     new AttemptResult(
-                            openRequest.index,
-                            number,
+                            openRequest.requestId,
+                            attemptNumber,
                             engine.number(),
                             outcome,
                             events.now() - sentAt,
@@ -154,10 +155,10 @@
     private final RandomStreams randomStreams;
     private final RuleChecker rules;
     private final List<EngineModel> engines;
-    private final ClientActions clientActions;
+    private final ClientListener clientListener;
     private final RandomGenerator random;
 
-    /** Null where all managers use all engines. */
+    /** Plan of the cells; null where all managers use all engines. */
     private final CellPlan cells;
 
     private SchedulingPolicy policy;
@@ -167,10 +168,10 @@
     private boolean up;
     private boolean actionsScheduled;
     private FleetCoordinator fleetCoordinator;
-    private long loadReportDelay;
+    private long extraReportDelay;
     private final Set<OpenRequest> openRequests = new LinkedHashSet<>();
 
-    /** The list as it last had it: by engine, standing and start. */
+    /** The last received entry of the endpoint list for each engine; kept across restarts. */
     private final Map<Integer, EndpointUpdate.Endpoint> endpoints = new HashMap<>();
 
     ManagerModel(
@@ -181,7 +182,7 @@
             RandomStreams randomStreams,
             RuleChecker rules,
             List<EngineModel> engines,
-            ClientActions clientActions) {
+            ClientListener clientListener) {
         this.number = number;
         this.plan = plan;
         this.policyUnderTest = policyUnderTest;
@@ -189,9 +190,9 @@
         this.randomStreams = randomStreams;
         this.rules = rules;
         this.engines = engines;
-        this.clientActions = clientActions;
+        this.clientListener = clientListener;
         random = randomStreams.stream("manager", number);
-        cells = plan.cells();
+        cells = plan.cellPlan();
         for (EngineModel engineModel : engines) {
             if (servesEngine(engineModel.number())) {
                 endpoints.put(
@@ -213,7 +214,7 @@
         return up;
     }
 
-    /** Starts with nothing but its last list. */
+    /** Starts a new incarnation, which knows nothing but the last endpoint list. */
     void start() {
         incarnation++;
         up = true;
@@ -225,11 +226,11 @@
                         number,
                         randomStreams.seed("manager-life", number * 1_000L + incarnation),
                         policyUnderTest.capacityFactor());
-        policy = policyUnderTest.start(deployment, this);
+        policy = policyUnderTest.createPolicy(deployment, this);
         if (cells != null) {
-            policy.onQuotaChanged(events.now(), cells.share(plan.cellOf(number)));
+            policy.onQuotaChanged(events.now(), cells.sharePerManager(plan.cellOf(number)));
         }
-        if (policyUnderTest.peers() != null) {
+        if (policyUnderTest.coordinationDefects() != null) {
             fleetCoordinator =
                     new FleetCoordinator(
                             name(),
@@ -238,21 +239,21 @@
                             deployment.shortestLatencyObjective(),
                             deployment.rules().warmUpDuration(),
                             GOSSIP_PERIOD,
-                            (engine, away, restIsOver) -> {
+                            (engine, avoided, backoffOver) -> {
                                 policy.onProbeOwnership(
-                                        events.now(), (int) engine, away, restIsOver);
+                                        events.now(), (int) engine, avoided, backoffOver);
                                 scheduleActions();
                             },
-                            (now, band, part) -> {
-                                policy.onSheddingThreshold(now, band, part);
+                            (now, band, admittedShare) -> {
+                                policy.onSheddingThreshold(now, band, admittedShare);
                                 scheduleActions();
                             },
-                            policyUnderTest.peers());
+                            policyUnderTest.coordinationDefects());
             evaluateFleet(incarnation);
         }
         endpoints
                 .values()
-                .forEach(e -> rules.onEngineStartTold(number, e.engineId(), e.startedAt()));
+                .forEach(e -> rules.onEngineStartReported(number, e.engineId(), e.startedAt()));
         policy.onEndpointsUpdated(
                 events.now(),
                 new EndpointUpdate(EndpointUpdate.Kind.INITIAL, List.copyOf(endpoints.values())));
@@ -265,21 +266,24 @@
 
     private void evaluateFleet(int ownIncarnation) {
         if (ownIncarnation == incarnation && up) {
-            for (int e : endpoints.keySet()) {
+            for (int engine : endpoints.keySet()) {
                 fleetCoordinator.updateEngine(
                         events.now(),
-                        plan.zoneOf(e),
-                        e,
-                        policy.isUnavailable(e),
-                        policy.lastAttemptAt(e),
-                        policy.lastResponseAt(e));
+                        plan.zoneOf(engine),
+                        engine,
+                        policy.isUnavailable(engine),
+                        policy.lastAttemptAt(engine),
+                        policy.lastResponseAt(engine));
             }
             fleetCoordinator.evaluate(events.now(), policy.demand(events.now()));
             events.schedule(EVALUATION_INTERVAL, () -> evaluateFleet(ownIncarnation));
         }
     }
 
-    /** Words of one are with the other after their way; nothing where either is down by then. */
+    /**
+     * Sends this manager's digest to another one, with a network delay. Nothing is sent while this
+     * manager is down, and nothing is received while the other one is.
+     */
     void sendDigest(ManagerModel other) {
         if (fleetCoordinator != null && up) {
             byte[] digest = fleetCoordinator.encodeDigest(events.now());
@@ -293,33 +297,34 @@
         }
     }
 
-    /** Who is up. */
+    /** Passes the names of the managers that are up to the fleet coordinator. */
     void onViewChanged(List<String> names) {
         if (fleetCoordinator != null) {
             fleetCoordinator.onViewChanged(names);
         }
     }
 
-    /** Killed: its clients must ask again, what it had out goes on at the engines. */
+    /** Kills the manager: its open requests fail, and its attempts go on at the engines. */
     void kill() {
-        List<RuleChecker.ClientTry> held = new ArrayList<>();
+        List<RuleChecker.ClientTry> unansweredTries = new ArrayList<>();
         for (OpenRequest openRequest : openRequests) {
             if (!openRequest.answered) {
-                held.add(openRequest.clientTry);
+                unansweredTries.add(openRequest.clientTry);
             }
         }
-        rules.onManagerKilled(number, held);
-        List<OpenRequest> lost = new ArrayList<>(openRequests);
+        rules.onManagerKilled(number, unansweredTries);
+        List<OpenRequest> droppedRequests = new ArrayList<>(openRequests);
         openRequests.clear();
         up = false;
         incarnation++;
-        lost.stream()
+        droppedRequests.stream()
                 .filter(openRequest -> !openRequest.answered)
-                .forEach(openRequest -> clientActions.onFailed(openRequest.clientTry.request));
+                .forEach(openRequest -> clientListener.onFailed(openRequest.clientTry.request));
     }
 
-    void loadReportDelay(long delay) {
-        loadReportDelay = delay;
+    /** Sets a delay of the load reports in ticks, in addition to that of the network. */
+    void setLoadReportDelay(long delay) {
+        extraReportDelay = delay;
     }
 
     private long drawDelay() {
@@ -341,22 +346,23 @@
         }
     }
 
-    /** A client's try is here. */
-    void onRequest(TrueRequest request, long deadline) {
+    /** Accepts a try of a request from its client. */
+    void onRequest(GeneratedRequest request, long deadline) {
         OpenRequest openRequest =
                 new OpenRequest(new RuleChecker.ClientTry(request, number, deadline));
-        openRequest.index = requestIds.indexFor(openRequest);
+        openRequest.requestId = requestIds.indexFor(openRequest);
         openRequests.add(openRequest);
         rules.onAccepted(openRequest.clientTry);
         int ownIncarnation = incarnation;
         events.schedule(deadline - events.now(), () -> onDeadline(openRequest, ownIncarnation));
+        // The checker's tolerance for late answers is over by then.
         events.schedule(
                 deadline - events.now() + 250,
                 () -> rules.onDeadlinePassed(events.now(), openRequest.clientTry));
         policy.onRequest(
                 events.now(),
                 new IncomingRequest(
-                        openRequest.index,
+                        openRequest.requestId,
                         request.trafficClass,
                         plan.tenants().size() > 1 ? request.tenant : 0,
                         request.orderingKey < 0 ? -1 : keyIds.indexFor(request.orderingKey),
@@ -369,28 +375,32 @@
         scheduleActions();
     }
 
+    /**
+     * Ends the attempts in flight, and fails the request if the policy has not answered it 10 ms
+     * later.
+     */
     private void onDeadline(OpenRequest openRequest, int ownIncarnation) {
         if (ownIncarnation != incarnation) {
             return;
         }
         for (ModelledAttempt attempt : List.copyOf(openRequest.attemptsInFlight)) {
             if (plan.managers().cancel()) {
-                attempt.engine.cancel(attempt.job);
+                attempt.engine.cancel(attempt.runningAttempt);
             }
-            attempt.ended(AttemptOutcome.TIMED_OUT);
+            attempt.end(AttemptOutcome.TIMED_OUT);
         }
         events.schedule(
                 100,
                 () -> {
                     if (ownIncarnation == incarnation && !openRequest.answered) {
-                        fail(openRequest.index);
-                        policy.onClientGone(events.now(), openRequest.index);
+                        fail(openRequest.requestId);
+                        policy.onClientGone(events.now(), openRequest.requestId);
                         scheduleActions();
                     }
                 });
     }
 
-    /** What the list service says of an engine, as it comes here. */
+    /** Receives an update of the endpoint list for one engine. */
     void onEndpointUpdate(int engine, Lifecycle lifecycle, long startedAt) {
         if (!servesEngine(engine)) {
             return;
@@ -399,7 +409,7 @@
         endpoints.put(engine, entry);
         if (up) {
             rules.onEndpointUpdate(events.now(), number, engine, lifecycle == Lifecycle.ACTIVE);
-            rules.onEngineStartTold(number, engine, startedAt);
+            rules.onEngineStartReported(number, engine, startedAt);
             policy.onEndpointsUpdated(
                     events.now(), new EndpointUpdate(EndpointUpdate.Kind.DELTA, List.of(entry)));
             scheduleActions();
@@ -416,78 +426,85 @@
                 engine, stableHash(engine), 0, 0, 0, lifecycle, 1, startedAt, warmUpShare);
     }
 
-    /** The same at every manager, and tells nothing of the engine's number. */
+    /**
+     * Returns a hash of the engine that is the same at every manager, and whose order is unrelated
+     * to that of the engines' numbers.
+     */
     private static long stableHash(int engine) {
         return (engine + 1) * 2_654_435_761L & 0xFFFFFFFFL;
     }
 
-    // ---- What is decided.
+    // Actions of the policy.
+
     @Override
-    public void setGrantAndPriority(int request, int grantMb, int priority) {
-        OpenRequest openRequest = requestIds.idOf(request);
+    public void setGrantAndPriority(int requestId, int grantMb, int priority) {
+        OpenRequest openRequest = requestIds.idOf(requestId);
         openRequest.grantMb = grantMb;
         openRequest.priority = priority;
         for (ModelledAttempt attempt : openRequest.attemptsInFlight) {
-            events.schedule(drawDelay(), () -> attempt.engine.setPriority(attempt.job, priority));
+            events.schedule(
+                    drawDelay(),
+                    () -> attempt.engine.setPriority(attempt.runningAttempt, priority));
         }
     }
 
     @Override
-    public void startAttempt(int request, int engine, long within) {
-        OpenRequest openRequest = requestIds.idOf(request);
+    public void startAttempt(int requestId, int engine, long timeout) {
+        OpenRequest openRequest = requestIds.idOf(requestId);
         EngineModel engineModel = engines.get(engine);
         rules.onAttemptSent(events.now(), openRequest.clientTry, engine);
         if (engineModel.state() != EngineModel.State.UP
                 && engineModel.state() != EngineModel.State.DRAINING) {
-            clientActions.onSentToFaultyEngine();
+            clientListener.onSentToFaultyEngine();
         }
         ModelledAttempt attempt =
-                new ModelledAttempt(openRequest, engineModel, openRequest.attempts++);
+                new ModelledAttempt(openRequest, engineModel, openRequest.attemptCount++);
         openRequest.attemptsInFlight.add(attempt);
-        boolean fresh = engineModel.state() == EngineModel.State.SILENT && random.nextBoolean();
-        if (fresh) {
-            // A new connection to a machine that is gone never comes up; what goes out on an old
-            // one is lost.
-            events.schedule(CONNECT_TIMEOUT, () -> attempt.ended(AttemptOutcome.CONNECT_FAILED));
+        boolean newConnection =
+                engineModel.state() == EngineModel.State.SILENT && random.nextBoolean();
+        if (newConnection) {
+            // A new connection to a machine that is gone is never established; a statement sent
+            // on an existing connection is lost.
+            events.schedule(CONNECT_TIMEOUT, () -> attempt.end(AttemptOutcome.CONNECT_FAILED));
         } else {
-            events.schedule(drawDelay(), () -> engineModel.start(attempt.job));
+            events.schedule(drawDelay(), () -> engineModel.start(attempt.runningAttempt));
         }
     }
 
     @Override
-    public void cancelAttempt(int request, int attemptNumber) {
-        for (ModelledAttempt attempt : List.copyOf(requestIds.idOf(request).attemptsInFlight)) {
-            if (attempt.number == attemptNumber) {
-                events.schedule(drawDelay(), () -> attempt.engine.cancel(attempt.job));
-                events.schedule(1, () -> attempt.ended(AttemptOutcome.CANCELLED));
+    public void cancelAttempt(int requestId, int attemptNumber) {
+        for (ModelledAttempt attempt : List.copyOf(requestIds.idOf(requestId).attemptsInFlight)) {
+            if (attempt.attemptNumber == attemptNumber) {
+                events.schedule(drawDelay(), () -> attempt.engine.cancel(attempt.runningAttempt));
+                events.schedule(1, () -> attempt.end(AttemptOutcome.CANCELLED));
             }
         }
     }
 
     @Override
-    public void reject(int request, long retryAfter) {
-        OpenRequest openRequest = requestIds.idOf(request);
+    public void reject(int requestId, long retryAfter) {
+        OpenRequest openRequest = requestIds.idOf(requestId);
         if (!openRequest.answered) {
             openRequest.answered = true;
             rules.onAnswered(events.now(), openRequest.clientTry, true);
-            clientActions.onRejected(openRequest.clientTry.request, retryAfter);
+            clientListener.onRejected(openRequest.clientTry.request, retryAfter);
         }
     }
 
     @Override
-    public void fail(int request) {
-        OpenRequest openRequest = requestIds.idOf(request);
+    public void fail(int requestId) {
+        OpenRequest openRequest = requestIds.idOf(requestId);
         if (!openRequest.answered) {
             openRequest.answered = true;
             rules.onAnswered(events.now(), openRequest.clientTry, false);
-            clientActions.onFailed(openRequest.clientTry.request);
+            clientListener.onFailed(openRequest.clientTry.request);
         }
     }
 
     @Override
-    public void releaseRequest(int request) {
-        openRequests.remove(requestIds.idOf(request));
-        requestIds.release(request);
+    public void releaseRequest(int requestId) {
+        openRequests.remove(requestIds.idOf(requestId));
+        requestIds.release(requestId);
     }
 
     @Override
@@ -504,25 +521,25 @@
     public void probeEngine(int engine) {
         EngineModel engineModel = engines.get(engine);
         int ownIncarnation = incarnation;
-        boolean answers =
+        boolean answering =
                 engineModel.state() == EngineModel.State.UP
                         || engineModel.state() == EngineModel.State.DRAINING;
         LoadReport report =
                 new LoadReport(
                         Double.NaN,
-                        engineModel.waitingForMemory(),
+                        engineModel.memoryQueueLength(),
                         Double.NaN,
                         Double.NaN,
                         Double.NaN);
         events.schedule(
-                answers ? 2 * drawDelay() + loadReportDelay : CONNECT_TIMEOUT,
+                answering ? 2 * drawDelay() + extraReportDelay : CONNECT_TIMEOUT,
                 () -> {
                     if (ownIncarnation == incarnation) {
                         policy.onProbeResult(
                                 events.now(),
                                 engine,
-                                answers ? AttemptOutcome.SUCCEEDED : AttemptOutcome.TIMED_OUT,
-                                answers ? report : null);
+                                answering ? AttemptOutcome.SUCCEEDED : AttemptOutcome.TIMED_OUT,
+                                answering ? report : null);
                         scheduleActions();
                     }
                 });
@@ -543,6 +560,6 @@
 
     @Override
     public void log(String line) {
-        // A model's managers have nobody on call.
+        // A simulated manager keeps no log.
     }
 }
--- a/src/main/java/firstage/simulation/PairedComparison.java
+++ b/src/main/java/firstage/simulation/PairedComparison.java
@@ -6,16 +6,21 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * Two choices on the same seeds. For each figure the difference is taken seed by seed, and its
- * interval is Student's at 95%, widened for the many figures shown (Bonferroni): all the bars of a
- * table hold together. A verdict is given where the bar does not touch zero; else nobody can tell,
- * and it is said how many runs would be likely to.
+ * A comparison of two policies on the same seeds. The difference of each figure is taken seed by
+ * seed, with a confidence interval by Student's t distribution at 95%, widened for the number of
+ * figures (Bonferroni): all intervals of a table hold together. A figure has a verdict where the
+ * interval excludes zero; otherwise the comparison estimates how many runs would be needed.
  */
 public final class PairedComparison {
     private static final double CONFIDENCE = 0.95;
-    private static final int MAX_RUNS = 100_000;
 
-    /** Who is better by a figure. */
+    /** Highest estimate of the runs that are needed for a significant difference. */
+    private static final int MAX_RUNS_NEEDED = 100_000;
+
+    /**
+     * The side that is better by a figure. {@code NONE}: the difference is not significant; {@code
+     * BROKEN}: a run broke a rule.
+     */
     public enum Verdict {
         LEFT,
         RIGHT,
@@ -24,8 +29,14 @@
     }
 
     /**
-     * {@code halfInterval}: half the width of the interval round {@code difference} (right less
-     * left).
+     * The comparison by one figure.
+     *
+     * @param left the mean of the left side
+     * @param right the mean of the right side
+     * @param difference the mean of right minus left
+     * @param halfInterval half the width of the confidence interval around {@code difference}
+     * @param runsNeeded the runs that would probably be needed for a significant difference; the
+     *     runs made if it is significant
      */
     public record Row(
             String figure,
@@ -40,18 +51,19 @@
     private final List<String> violations = new ArrayList<>();
     private final int runs;
 
-    /** Both sides in the order of the same seeds, at least two. */
+    /** Compares two or more runs of each side, in the same order of seeds. */
     public PairedComparison(List<SimulationResult> left, List<SimulationResult> right) {
         if (left.size() != right.size() || left.size() < 2) {
-            throw new IllegalArgumentException("two runs or more of each, on the same seeds");
+            throw new IllegalArgumentException(
+                    "both sides need two or more runs, on the same seeds");
         }
         runs = left.size();
         for (int i = 0; i < runs; i++) {
             if (left.get(i).seed() != right.get(i).seed()) {
-                throw new IllegalArgumentException("pairs are of one seed");
+                throw new IllegalArgumentException("both runs of a pair need the same seed");
             }
-            add(left.get(i));
-            add(right.get(i));
+            addViolation(left.get(i));
+            addViolation(right.get(i));
         }
         List<String> names = List.copyOf(left.get(0).figures().keySet());
         double quantile =
@@ -62,17 +74,17 @@
         }
     }
 
-    private void add(SimulationResult result) {
+    private void addViolation(SimulationResult result) {
         result.violations().stream()
                 .limit(1)
                 .forEach(
-                        what ->
+                        violation ->
                                 violations.add(
                                         result.policyName()
                                                 + ", seed "
                                                 + result.seed()
                                                 + ": "
-                                                + what));
+                                                + violation));
     }
 
     private Row row(
@@ -80,15 +92,15 @@
             List<SimulationResult> left,
             List<SimulationResult> right,
             double quantile) {
-        SummaryStatistics lefts = new SummaryStatistics();
-        SummaryStatistics rights = new SummaryStatistics();
+        SummaryStatistics leftStatistics = new SummaryStatistics();
+        SummaryStatistics rightStatistics = new SummaryStatistics();
         SummaryStatistics differences = new SummaryStatistics();
         for (int i = 0; i < runs; i++) {
-            double l = left.get(i).figures().get(name);
-            double r = right.get(i).figures().get(name);
-            lefts.addValue(l);
-            rights.addValue(r);
-            differences.addValue(r - l);
+            double leftValue = left.get(i).figures().get(name);
+            double rightValue = right.get(i).figures().get(name);
+            leftStatistics.addValue(leftValue);
+            rightStatistics.addValue(rightValue);
+            differences.addValue(rightValue - leftValue);
         }
         double mean = differences.getMean();
         double halfInterval = quantile * differences.getStandardDeviation() / Math.sqrt(runs);
@@ -99,25 +111,28 @@
                         : !significant
                                 ? Verdict.NONE
                                 : mean > 0 == moreIsBetter(name) ? Verdict.RIGHT : Verdict.LEFT;
-        double needed =
+        double runsNeeded =
                 mean == 0
-                        ? MAX_RUNS
+                        ? MAX_RUNS_NEEDED
                         : Math.pow(quantile * differences.getStandardDeviation() / mean, 2);
         return new Row(
                 name,
-                lefts.getMean(),
-                rights.getMean(),
+                leftStatistics.getMean(),
+                rightStatistics.getMean(),
                 mean,
                 halfInterval,
                 verdict,
                 significant
                         ? runs
-                        : (int) Math.min(MAX_RUNS, Math.max(runs + 1, Math.ceil(needed))));
+                        : (int)
+                                Math.min(
+                                        MAX_RUNS_NEEDED,
+                                        Math.max(runs + 1, Math.ceil(runsNeeded))));
     }
 
     /**
-     * Shares of priority weight, of which more is better; of latencies, rejections, errors and late
-     * answers less is.
+     * Returns whether higher values of a figure are better: true for shares of priority weight,
+     * false for latencies, rejections, errors, late answers and attempts sent to faulty engines.
      */
     public static boolean moreIsBetter(String name) {
         return !name.contains(" ms ")
@@ -131,7 +146,10 @@
         return rows;
     }
 
-    /** The first that broke in each run that broke one: such a comparison has no verdict. */
+    /**
+     * Returns the first violation of each run that broke a rule. With violations, all verdicts of
+     * the comparison are {@link Verdict#BROKEN}.
+     */
     public List<String> violations() {
         return violations;
     }
@@ -140,7 +158,7 @@
         return runs;
     }
 
-    /** By the first figure, service as a whole. */
+    /** Returns the verdict on the first figure, the service as a whole. */
     public Verdict verdict() {
         return violations.isEmpty() ? rows.get(0).verdict() : Verdict.BROKEN;
     }
--- a/src/main/java/firstage/simulation/Scoreboard.java
+++ b/src/main/java/firstage/simulation/Scoreboard.java
@@ -7,53 +7,69 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Service as the brief counts it: the priority weight answered within each latency objective over
- * the priority weight asked for, a client's retries with its first try, a late answer at its
- * group's late value; over the whole run, its worst 10 s, the worst-served group and tenant, and
- * all of them by the goal's weights.
+ * The service of a run so far: the priority weight earned by answers, over the priority weight of
+ * all requests. An answer within the latency objective earns the whole weight of its request, a
+ * late one the late value of the traffic class, and one after the deadline nothing; a request
+ * counts once, with all its tries. The share is computed for the whole run, its worst 10 s, and the
+ * traffic class and the tenant that are served worst; the service as a whole is their weighted
+ * mean.
  */
 public final class Scoreboard {
+    /** Length of the intervals of which the worst is reported: 10 s. */
     private static final long INTERVAL = 100_000;
+
+    /** Highest latency that the histograms record, 1 hour; higher ones are recorded as this one. */
     private static final long MAX_LATENCY = 36_000_000;
 
     private final FleetPlan plan;
     private final long start;
-    private final double[] onRequested;
-    private final double[] served;
-    private final double[][] byTrafficClass;
-    private final double[][] byTenant;
-    private final List<Histogram> latency = new ArrayList<>();
-    private long requests;
-    private long onSucceeded;
-    private long late;
-    private long onRejected;
-    private long onFailed;
+
+    /** Priority weight of the requests of each interval. */
+    private final double[] requestedByInterval;
+
+    /** Priority weight earned by the requests of each interval. */
+    private final double[] earnedByInterval;
+
+    /** For each traffic class, its requested and its earned weight. */
+    private final double[][] weightsByTrafficClass;
+
+    /** For each tenant, its requested and its earned weight. */
+    private final double[][] weightsByTenant;
+
+    private final List<Histogram> latencies = new ArrayList<>();
+    private long requestCount;
+    private long successCount;
+    private long lateCount;
+    private long rejectionCount;
+    private long failureCount;
 
     public Scoreboard(FleetPlan plan, long start) {
         this.plan = plan;
         this.start = start;
-        int spans = (int) (plan.length() / INTERVAL) + 1;
-        onRequested = new double[spans];
-        served = new double[spans];
-        byTrafficClass = new double[plan.trafficClasses().size()][2];
-        byTenant = new double[plan.tenants().size()][2];
-        plan.trafficClasses().forEach(g -> latency.add(new Histogram(MAX_LATENCY, 2)));
+        int intervals = (int) (plan.length() / INTERVAL) + 1;
+        requestedByInterval = new double[intervals];
+        earnedByInterval = new double[intervals];
+        weightsByTrafficClass = new double[plan.trafficClasses().size()][2];
+        weightsByTenant = new double[plan.tenants().size()][2];
+        plan.trafficClasses().forEach(trafficClass -> latencies.add(new Histogram(MAX_LATENCY, 2)));
     }
 
-    private int interval(TrueRequest request) {
+    private int interval(GeneratedRequest request) {
         return (int)
-                Math.min(onRequested.length - 1, (request.firstRequestedAt - start) / INTERVAL);
+                Math.min(
+                        requestedByInterval.length - 1,
+                        (request.firstRequestedAt - start) / INTERVAL);
     }
 
-    public void onRequested(TrueRequest request) {
+    public void onRequested(GeneratedRequest request) {
         double weight = plan.trafficClasses().get(request.trafficClass).priorityWeight();
-        requests++;
-        onRequested[interval(request)] += weight;
-        byTrafficClass[request.trafficClass][0] += weight;
-        byTenant[request.tenant][0] += weight;
+        requestCount++;
+        requestedByInterval[interval(request)] += weight;
+        weightsByTrafficClass[request.trafficClass][0] += weight;
+        weightsByTenant[request.tenant][0] += weight;
     }
 
-    public void onSucceeded(long now, TrueRequest request) {
+    public void onSucceeded(long now, GeneratedRequest request) {
         FleetPlan.TrafficClassPlan trafficClass = plan.trafficClasses().get(request.trafficClass);
         long latencyTicks = now - request.firstRequestedAt;
         boolean inTime =
@@ -67,88 +83,90 @@
                         ? 0
                         : trafficClass.priorityWeight()
                                 * (inTime ? 1 : trafficClass.lateValueShare());
-        onSucceeded++;
-        late += inTime ? 0 : 1;
-        served[interval(request)] += earned;
-        byTrafficClass[request.trafficClass][1] += earned;
-        byTenant[request.tenant][1] += earned;
-        latency.get(request.trafficClass).recordValue(Math.min(latencyTicks, MAX_LATENCY));
+        successCount++;
+        lateCount += inTime ? 0 : 1;
+        earnedByInterval[interval(request)] += earned;
+        weightsByTrafficClass[request.trafficClass][1] += earned;
+        weightsByTenant[request.tenant][1] += earned;
+        latencies.get(request.trafficClass).recordValue(Math.min(latencyTicks, MAX_LATENCY));
     }
 
     public void onRejected() {
-        onRejected++;
+        rejectionCount++;
     }
 
     public void onFailed() {
-        onFailed++;
+        failureCount++;
     }
 
     private static double share(double part, double whole) {
         return whole > 0 ? part / whole : 1;
     }
 
-    /** The run's figures by name, in a stated order. */
+    /** Returns the figures of the run by name; the service as a whole comes first. */
     public Map<String, Double> figures() {
         double requestedWeight = 0;
-        double servedWeight = 0;
-        double worst = 1;
-        for (int i = 0; i < onRequested.length; i++) {
-            requestedWeight += onRequested[i];
-            servedWeight += served[i];
-            // A last piece of a span has too few requests to be anybody's worst.
-            worst =
-                    i == onRequested.length - 1 && plan.length() % INTERVAL < INTERVAL / 2
-                            ? worst
-                            : Math.min(worst, share(served[i], onRequested[i]));
+        double earnedWeight = 0;
+        double worstInterval = 1;
+        for (int i = 0; i < requestedByInterval.length; i++) {
+            requestedWeight += requestedByInterval[i];
+            earnedWeight += earnedByInterval[i];
+            // A last interval of less than half the length has too few requests to be the worst.
+            worstInterval =
+                    i == requestedByInterval.length - 1 && plan.length() % INTERVAL < INTERVAL / 2
+                            ? worstInterval
+                            : Math.min(
+                                    worstInterval,
+                                    share(earnedByInterval[i], requestedByInterval[i]));
         }
         Map<String, Double> figures = new LinkedHashMap<>();
         double worstTrafficClass = 1;
         double worstTenant = 1;
-        for (double[] g : byTrafficClass) {
-            worstTrafficClass = Math.min(worstTrafficClass, share(g[1], g[0]));
+        for (double[] weights : weightsByTrafficClass) {
+            worstTrafficClass = Math.min(worstTrafficClass, share(weights[1], weights[0]));
         }
-        for (double[] c : byTenant) {
-            worstTenant = Math.min(worstTenant, share(c[1], c[0]));
+        for (double[] weights : weightsByTenant) {
+            worstTenant = Math.min(worstTenant, share(weights[1], weights[0]));
         }
         FleetPlan.ScoreWeights scoreWeights = plan.scoreWeights();
-        double weights =
+        double totalWeight =
                 scoreWeights.wholeRun()
-                        + scoreWeights.worstSpan()
+                        + scoreWeights.worstInterval()
                         + scoreWeights.worstTrafficClass()
                         + scoreWeights.worstTenant();
         figures.put(
                 "service",
-                (scoreWeights.wholeRun() * share(servedWeight, requestedWeight)
-                                + scoreWeights.worstSpan() * worst
+                (scoreWeights.wholeRun() * share(earnedWeight, requestedWeight)
+                                + scoreWeights.worstInterval() * worstInterval
                                 + scoreWeights.worstTrafficClass() * worstTrafficClass
                                 + scoreWeights.worstTenant() * worstTenant)
-                        / weights);
-        figures.put("whole run", share(servedWeight, requestedWeight));
-        figures.put("worst 10 s", worst);
+                        / totalWeight);
+        figures.put("whole run", share(earnedWeight, requestedWeight));
+        figures.put("worst 10 s", worstInterval);
         figures.put("worst group", worstTrafficClass);
         figures.put("worst customer", worstTenant);
-        for (int g = 0; g < byTrafficClass.length; g++) {
+        for (int i = 0; i < weightsByTrafficClass.length; i++) {
             figures.put(
-                    "group " + plan.trafficClasses().get(g).name(),
-                    share(byTrafficClass[g][1], byTrafficClass[g][0]));
+                    "group " + plan.trafficClasses().get(i).name(),
+                    share(weightsByTrafficClass[i][1], weightsByTrafficClass[i][0]));
         }
-        for (int c = 0; c < byTenant.length; c++) {
+        for (int i = 0; i < weightsByTenant.length; i++) {
             figures.put(
-                    "customer " + plan.tenants().get(c).name(),
-                    share(byTenant[c][1], byTenant[c][0]));
+                    "customer " + plan.tenants().get(i).name(),
+                    share(weightsByTenant[i][1], weightsByTenant[i][0]));
         }
-        for (int g = 0; g < byTrafficClass.length; g++) {
-            String name = plan.trafficClasses().get(g).name();
-            figures.put("median ms " + name, latency.get(g).getValueAtPercentile(50) / 10.0);
-            figures.put("99th ms " + name, latency.get(g).getValueAtPercentile(99) / 10.0);
+        for (int i = 0; i < weightsByTrafficClass.length; i++) {
+            String name = plan.trafficClasses().get(i).name();
+            figures.put("median ms " + name, latencies.get(i).getValueAtPercentile(50) / 10.0);
+            figures.put("99th ms " + name, latencies.get(i).getValueAtPercentile(99) / 10.0);
         }
-        figures.put("pushed back a batch", share(onRejected, Math.max(1, requests)));
-        figures.put("errored a batch", share(onFailed, Math.max(1, requests)));
-        figures.put("late of returned", share(late, Math.max(1, onSucceeded)));
+        figures.put("pushed back a batch", share(rejectionCount, Math.max(1, requestCount)));
+        figures.put("errored a batch", share(failureCount, Math.max(1, requestCount)));
+        figures.put("late of returned", share(lateCount, Math.max(1, successCount)));
         return figures;
     }
 
-    long requests() {
-        return requests;
+    long requestCount() {
+        return requestCount;
     }
 }
--- a/src/main/java/firstage/simulation/TomlSection.java
+++ b/src/main/java/firstage/simulation/TomlSection.java
@@ -10,13 +10,16 @@
 import org.tomlj.TomlArray;
 import org.tomlj.TomlTable;
 
-/** One table of the file, and which of its keys were asked for. */
+/**
+ * A table of a TOML file with typed access to its values. It remembers the keys that were read, so
+ * that unknown keys can be refused. Keys without a default value (null) are required.
+ */
 public final class TomlSection {
-    private static final Pattern FIGURE =
+    private static final Pattern VALUE_WITH_UNIT =
             Pattern.compile("\\s*([0-9]+(?:\\.[0-9]+)?)\\s*([a-zA-Z%]*)\\s*");
-    private static final Map<String, Double> TIMES =
+    private static final Map<String, Double> TICKS_BY_UNIT =
             Map.of("ms", 10.0, "s", 10_000.0, "min", 600_000.0, "h", 3.6e7);
-    private static final Map<String, Double> SIZES = Map.of("MB", 1.0, "GB", 1_024.0);
+    private static final Map<String, Double> MB_BY_UNIT = Map.of("MB", 1.0, "GB", 1_024.0);
     private final TomlTable table;
     private final String path;
     private final int line;
@@ -32,7 +35,7 @@
         return line;
     }
 
-    private Object value(String key, Object defaultValue, String unit) {
+    private Object value(String key, Object defaultValue, String example) {
         knownKeys.add(key);
         Object value = table == null ? null : table.get(List.of(key));
         if (value == null && defaultValue == null) {
@@ -44,17 +47,19 @@
                             + "; write "
                             + key
                             + " = "
-                            + unit);
+                            + example);
         }
         return value == null ? defaultValue : value;
     }
 
-    public InvalidPlanException invalid(String key, String what) {
-        int at =
+    /** Returns an exception for the value of a key, with the line of that key. */
+    public InvalidPlanException invalid(String key, String problem) {
+        int errorLine =
                 table == null || table.inputPositionOf(List.of(key)) == null
                         ? line
                         : table.inputPositionOf(List.of(key)).line();
-        return new InvalidPlanException(at, (path.isEmpty() ? "" : path + ".") + key + ": " + what);
+        return new InvalidPlanException(
+                errorLine, (path.isEmpty() ? "" : path + ".") + key + ": " + problem);
     }
 
     public String text(String key, String defaultValue) {
@@ -62,13 +67,13 @@
         if (value instanceof String text) {
             return text;
         }
-        throw invalid(key, value + " is no text; write " + key + " = \"" + value + "\"");
+        throw invalid(key, value + " is not a string; write " + key + " = \"" + value + "\"");
     }
 
-    public String oneOf(String key, String defaultValue, List<String> words) {
+    public String oneOf(String key, String defaultValue, List<String> allowed) {
         String text = text(key, defaultValue);
-        if (!words.contains(text)) {
-            throw invalid(key, "'" + text + "' is none of " + String.join(", ", words));
+        if (!allowed.contains(text)) {
+            throw invalid(key, "'" + text + "' is none of " + String.join(", ", allowed));
         }
         return text;
     }
@@ -87,31 +92,33 @@
                         key,
                         defaultValue == null ? null : (Object) Long.valueOf(defaultValue),
                         String.valueOf(min));
-        if (!(value instanceof Long whole)) {
-            throw invalid(key, value + " is no whole number");
+        if (!(value instanceof Long number)) {
+            throw invalid(key, value + " is not a whole number");
         }
-        if (whole < min || whole > max) {
-            throw invalid(key, whole + " is impossible; " + min + " to " + max + " would do");
+        if (number < min || number > max) {
+            throw invalid(
+                    key, number + " is out of range; " + min + " to " + max + " would be valid");
         }
-        return (int) (long) whole;
+        return (int) (long) number;
     }
 
     public double number(String key, double min, double max, Double defaultValue) {
         Object value = value(key, defaultValue, "a number");
         if (!(value instanceof Number number)) {
-            throw invalid(key, value + " is no number");
+            throw invalid(key, value + " is not a number");
         }
         return bounded(key, number.doubleValue(), min, max);
     }
 
-    private double bounded(String key, double figure, double min, double max) {
-        if (!(figure >= min && figure <= max)) {
-            throw invalid(key, figure + " is impossible; " + min + " to " + max + " would do");
+    private double bounded(String key, double value, double min, double max) {
+        if (!(value >= min && value <= max)) {
+            throw invalid(
+                    key, value + " is out of range; " + min + " to " + max + " would be valid");
         }
-        return figure;
+        return value;
     }
 
-    /** From 0 to 1, or as "12%". */
+    /** Returns a share from 0 to 1, which may be written as a percentage ("12%"). */
     double share(String key, Double defaultValue) {
         Object value = value(key, defaultValue, "\"10%\"");
         double share;
@@ -120,7 +127,7 @@
         } else if (value instanceof Number number) {
             share = number.doubleValue();
         } else {
-            throw invalid(key, "'" + value + "' is no share; write 0.12 or \"12%\"");
+            throw invalid(key, "'" + value + "' is not a share; write 0.12 or \"12%\"");
         }
         return bounded(key, share, 0, 1);
     }
@@ -135,17 +142,22 @@
         return range;
     }
 
+    /** Returns a duration in ticks. */
     public long duration(String key, String defaultValue) {
         Object value = value(key, defaultValue, "\"5 s\"");
-        return Math.round(number(key, value, TIMES, "\"5 s\", \"200 ms\", \"2 min\" or \"1 h\""));
+        return Math.round(
+                number(key, value, TICKS_BY_UNIT, "\"5 s\", \"200 ms\", \"2 min\" or \"1 h\""));
     }
 
+    /** Returns a range of durations in ticks. */
     Range durationRange(String key, String defaultValue) {
-        return range(key, value(key, defaultValue, "\"1 s to 3 s\""), TIMES, "\"1 s to 3 s\"");
+        return range(
+                key, value(key, defaultValue, "\"1 s to 3 s\""), TICKS_BY_UNIT, "\"1 s to 3 s\"");
     }
 
     double sizeMb(String key, String defaultValue) {
-        return number(key, value(key, defaultValue, "\"16 GB\""), SIZES, "\"512 MB\" or \"16 GB\"");
+        return number(
+                key, value(key, defaultValue, "\"16 GB\""), MB_BY_UNIT, "\"512 MB\" or \"16 GB\"");
     }
 
     private Range range(String key, Object value, Map<String, Double> units, String example) {
@@ -153,36 +165,37 @@
         double low = number(key, parts[0], units, example);
         double high = parts.length > 1 ? number(key, parts[1], units, example) : low;
         if (high < low) {
-            throw invalid(key, "'" + value + "' runs backwards; the lesser figure comes first");
+            throw invalid(key, "'" + value + "' is reversed; write the lower value first");
         }
         return new Range(low, high);
     }
 
     private double number(String key, Object value, Map<String, Double> units, String example) {
-        Matcher m = FIGURE.matcher(String.valueOf(value));
-        if (!m.matches()) {
-            throw invalid(key, "'" + value + "' is no figure; " + example + " would do");
+        Matcher matcher = VALUE_WITH_UNIT.matcher(String.valueOf(value));
+        if (!matcher.matches()) {
+            throw invalid(
+                    key, "'" + value + "' is not a valid value; " + example + " would be valid");
         }
-        Double unit = units.get(m.group(2));
-        if (unit == null) {
+        Double factor = units.get(matcher.group(2));
+        if (factor == null) {
             throw invalid(
                     key,
                     "'"
                             + value
                             + "' "
-                            + (m.group(2).isEmpty() ? "has no unit" : "has an unknown unit")
+                            + (matcher.group(2).isEmpty() ? "has no unit" : "has an unknown unit")
                             + "; "
                             + example
-                            + " would do");
+                            + " would be valid");
         }
-        return Double.parseDouble(m.group(1)) * unit;
+        return Double.parseDouble(matcher.group(1)) * factor;
     }
 
     public TomlSection table(String key) {
         knownKeys.add(key);
         Object value = table.get(List.of(key));
         if (value != null && !(value instanceof TomlTable)) {
-            throw invalid(key, "is no section; write [" + key + "]");
+            throw invalid(key, "is not a section; write [" + key + "]");
         }
         return new TomlSection(
                 (TomlTable) value,
@@ -198,27 +211,27 @@
         }
         if (!(value instanceof TomlArray array)
                 || !array.toList().stream().allMatch(TomlTable.class::isInstance)) {
-            throw invalid(key, "is no list of sections; write [[" + key + "]]");
+            throw invalid(key, "is not a list of sections; write [[" + key + "]]");
         }
-        List<TomlSection> all = new ArrayList<>();
+        List<TomlSection> sections = new ArrayList<>();
         for (int i = 0; i < array.size(); i++) {
-            all.add(
+            sections.add(
                     new TomlSection(
                             array.getTable(i),
                             key + " " + (i + 1),
                             array.inputPositionOf(i).line()));
         }
-        return all;
+        return sections;
     }
 
-    /** All that was written must have been asked for. */
+    /** Refuses the section if it contains a key that was never read. */
     public void rejectUnknownKeys() {
         if (table == null) {
             return;
         }
         for (String key : table.keySet()) {
             if (!knownKeys.contains(key)) {
-                throw invalid(key, "is unknown; known here: " + String.join(", ", knownKeys));
+                throw invalid(key, "is unknown; known keys: " + String.join(", ", knownKeys));
             }
         }
     }
--- a/src/test/java/firstage/config/SettingsParserTest.java
+++ b/src/test/java/firstage/config/SettingsParserTest.java
@@ -8,21 +8,24 @@
 import firstage.policy.api.Deployment;
 import org.junit.jupiter.api.Test;
 
-/** Old shape and new are told apart by settings alone; a mix of them is refused, naming the key. */
+/**
+ * Tests that settings without the newer keys select the earlier report and memory modes, and that
+ * contradictory or unknown values are rejected with the name of the key.
+ */
 class SettingsParserTest {
     private static Deployment read(String settings) {
         return SettingsParser.parse(new WireFields("POWER_ON " + settings));
     }
 
     @Test
-    void parse_withoutTheNewKeys_keepsTheEarlierShape() {
+    void parse_withoutTheNewerKeys_keepsTheEarlierModes() {
         Deployment deployment = read("limits.probing=true deductions.probe=0.01");
         assertTrue(deployment.probesReportLoad());
         assertFalse(deployment.memoryOvercommitPages());
     }
 
     @Test
-    void parse_newKeys_givesTheNewShape() {
+    void parse_newerKeys_selectsTheNewerModes() {
         Deployment deployment =
                 read("report.via=off report.fields= family_info.out_of_memory=page");
         assertFalse(deployment.probesReportLoad());
@@ -30,21 +33,21 @@
     }
 
     @Test
-    void parse_mixOfShapes_isRefusedNamingTheKey() {
-        MalformedLineException fault =
+    void parse_contradictoryKeys_isRefusedNamingTheKey() {
+        InvalidInputException exception =
                 assertThrows(
-                        MalformedLineException.class,
+                        InvalidInputException.class,
                         () -> read("report.via=off report.fields=waiting"));
-        assertTrue(fault.getMessage().startsWith("report.fields"));
+        assertTrue(exception.getMessage().startsWith("report.fields"));
     }
 
     @Test
-    void parse_unknownWord_isRefusedNamingTheKey() {
-        MalformedLineException fault =
+    void parse_unknownValue_isRefusedNamingTheKey() {
+        InvalidInputException exception =
                 assertThrows(
-                        MalformedLineException.class, () -> read("family_info.out_of_memory=swap"));
+                        InvalidInputException.class, () -> read("family_info.out_of_memory=swap"));
         assertEquals(
                 "family_info.out_of_memory = swap is none of [page, shrink, wait]",
-                fault.getMessage());
+                exception.getMessage());
     }
 }
--- a/src/test/java/firstage/config/WireFieldsTest.java
+++ b/src/test/java/firstage/config/WireFieldsTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Fields of lines and of JSON objects, and the wire's seconds. */
+/** Tests fields of lines and of JSON objects, and the wire's seconds. */
 class WireFieldsTest {
     @Test
     void line_fieldsAfterTheFirstWord_areRead() {
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void object_nestedValues_standUnderPathsWithDots() {
+    void object_nestedValues_areHeldUnderDottedPaths() {
         WireFields fields =
                 new WireFields(
                         Map.of(
@@ -40,14 +40,14 @@
     void require_missingOrUnreadable_namesTheField() {
         WireFields fields = new WireFields("X n=1.5 t=soon");
         assertThatThrownBy(() -> fields.require("none"))
-                .isInstanceOf(MalformedLineException.class)
+                .isInstanceOf(InvalidInputException.class)
                 .hasMessage("missing none");
         assertThatThrownBy(() -> fields.getLong("n", 0))
-                .isInstanceOf(MalformedLineException.class)
-                .hasMessage("n is no whole number");
+                .isInstanceOf(InvalidInputException.class)
+                .hasMessage("n is not a whole number");
         assertThatThrownBy(() -> fields.getTicks("t"))
-                .isInstanceOf(MalformedLineException.class)
-                .hasMessage("t is no number");
+                .isInstanceOf(InvalidInputException.class)
+                .hasMessage("t is not a number");
     }
 
     @Test
--- a/src/test/java/firstage/faulttest/FaultTestIT.java
+++ b/src/test/java/firstage/faulttest/FaultTestIT.java
@@ -17,9 +17,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Several processes of the packaged program with injected faults. Checks rules, crashes and what
- * the members log about each other; no figure that depends on the machine's load. A run whose
- * emulators came too late is void: it passes and says so.
+ * Runs several processes of the packaged program with injected faults. Checks the rules, unexpected
+ * ends of processes and what members log about each other, but no figure that depends on the
+ * machine's load. A run is void if its emulators were too late; the test then prints the reason and
+ * still checks the rules.
  */
 @Timeout(120)
 class FaultTestIT {
@@ -28,22 +29,23 @@
                     + " -jar target/firstage.jar serve";
     @TempDir private Path folder;
 
-    private static String text(String plan) throws IOException {
-        return Files.readString(Path.of("deploy", "fault-tests", plan + ".toml"))
+    private static String planText(String planName) throws IOException {
+        return Files.readString(Path.of("deploy", "fault-tests", planName + ".toml"))
                 .replaceFirst("(?s)\\[\\[expect.*", "")
                 .replace("rate = 50.0", "rate = 25.0");
     }
 
-    private FaultTestResult play(String plan, boolean peers, String more) throws IOException {
-        return playText(text(plan) + more, peers);
+    private FaultTestResult play(String planName, boolean peers, String additionalFaults)
+            throws IOException {
+        return playText(planText(planName) + additionalFaults, peers);
     }
 
-    private FaultTestResult playText(String plan, boolean peers) throws IOException {
-        FleetPlan read = FleetPlanReader.read(plan);
-        FaultTestRun.check(read);
+    private FaultTestResult playText(String planText, boolean peers) throws IOException {
+        FleetPlan plan = FleetPlanReader.read(planText);
+        FaultTestRun.check(plan);
         return FaultTestRun.play(
                 new FaultTestSpec(
-                        read,
+                        plan,
                         1,
                         folder,
                         Path.of("target", "firstage.jar").toAbsolutePath(),
@@ -57,9 +59,9 @@
         assertThat(result.violations()).isEmpty();
     }
 
-    private List<String> logLines(int manager, String what) throws IOException {
+    private List<String> logLines(int manager, String text) throws IOException {
         return Files.readAllLines(folder.resolve("logs").resolve("m" + manager + ".log")).stream()
-                .filter(line -> line.contains(what))
+                .filter(line -> line.contains(text))
                 .toList();
     }
 
@@ -90,7 +92,7 @@
 who = "managers 3"
 """));
         assertThat(logLines(0, "member {\"is\":\"suspect\",\"name\":\"m3\"")).isNotEmpty();
-        // Restarted under a new incarnation, it rejoins.
+        // The restarted manager rejoins under a new incarnation.
         List<String> views = logLines(0, "view {");
         assertThat(views).anyMatch(line -> line.contains("\"m0 m1 m2\""));
         assertThat(views.subList(2, views.size())).anyMatch(line -> line.contains("m0 m1 m2 m3"));
@@ -98,14 +100,14 @@
     }
 
     /**
-     * Twelve processes in four cells: engines restart, a cell is cut off from another, managers are
-     * killed.
+     * Runs twelve managers in four cells while engines restart, a cell is cut off from another and
+     * managers are killed.
      */
     @Test
     void play_cellsWithFaults_noViolationAndAttemptsStayInTheirZone() throws IOException {
         assertNoViolation(
                 playText(
-                        text("cells")
+                        planText("cells")
                                 .replace("length = \"26 s\"", "length = \"14 s\"")
                                 .replace("at = \"5 s\"", "at = \"3 s\"")
                                 .replace("at = \"13 s\"", "at = \"7 s\"")
--- a/src/test/java/firstage/server/CancellationIT.java
+++ b/src/test/java/firstage/server/CancellationIT.java
@@ -2,11 +2,11 @@
 
 import static firstage.fixtures.EngineWire.DELETE;
 import static firstage.fixtures.EngineWire.DELETED;
-import static firstage.fixtures.EngineWire.NO_NEWS;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.EngineWire.POST_STATEMENT;
 import static firstage.fixtures.EngineWire.SHED;
 import static firstage.fixtures.EngineWire.SILENCE;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.TICKET;
 import static firstage.fixtures.ManagerSettings.LOOKUP;
 import static firstage.fixtures.ManagerSettings.REPORT;
@@ -35,17 +35,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that leave, cancel or come back while their request waits or runs. */
+/** Tests clients that leave, cancel or come back while their request waits or runs. */
 class CancellationIT extends ManagerFixture {
     @Test
     void request_closedOrDeletedByClient_isDeletedAtEngine() throws Exception {
-        engine.respondWith(call -> call.isGet() ? NO_NEWS : call.isDelete() ? DELETED : SILENCE);
+        engine.respondWith(
+                call -> call.isGet() ? STILL_RUNNING : call.isDelete() ? DELETED : SILENCE);
         try (QueryClient client = newClient()) {
             client.sendRequest(REPORT, "", "SELECT 1", 9000);
             engine.awaitCall(POST_STATEMENT);
         }
         assertThat(engine.awaitCall(DELETE).startLine()).endsWith(JobIds.of(1));
-        engine.respondWith(call -> call.isDelete() ? DELETED : NO_NEWS);
+        engine.respondWith(call -> call.isDelete() ? DELETED : STILL_RUNNING);
         try (QueryClient client = newClient();
                 QueryClient otherClient = newClient()) {
             String path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
@@ -56,7 +57,8 @@
     }
 
     /**
-     * A client that ends its own side only waits still: its call must not end without an answer.
+     * A client that closes only its own side of the connection still waits, so its call must not
+     * end without an answer.
      */
     @Test
     void firstCall_halfClosedByClient_isAnsweredAsFailed() throws Exception {
@@ -73,22 +75,22 @@
     /** The call that the client holds open must not end without a response. */
     @Test
     void heldCall_deletedOnAnotherConnection_isAnsweredAsFailed() throws Exception {
-        engine.respondWith(call -> call.isDelete() ? DELETED : NO_NEWS);
+        engine.respondWith(call -> call.isDelete() ? DELETED : STILL_RUNNING);
         try (QueryClient client = newClient();
                 QueryClient otherClient = newClient()) {
             String path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
             client.sendGet(path);
             Thread.sleep(50);
             assertThat(otherClient.delete(path).status()).isEqualTo(204);
-            HttpMessage last = client.read();
-            assertThat(last.status()).isEqualTo(500);
-            assertThat(last.body()).contains("\"err\":\"Failed\"");
+            HttpMessage response = client.read();
+            assertThat(response.status()).isEqualTo(500);
+            assertThat(response.body()).contains("\"err\":\"Failed\"");
             assertThat(otherClient.get(path).status()).isEqualTo(404);
         }
         assertThat(engine.awaitCall(DELETE).startLine()).endsWith(JobIds.of(1));
     }
 
-    /** Every way in which a client leaves, for each attempt that its request may wait for. */
+    /** Covers each way in which a client leaves, for each attempt that its request may wait for. */
     @ParameterizedTest
     @CsvSource({
         "first attempt, closes",
@@ -108,9 +110,8 @@
         if (waitsFor.equals("hedged request")) {
             manager.restart(withHedgedRequests(config()));
         }
-        // Refused, the request waits for its retry; without a response, for its hedged request;
-        // with
-        // the only engine draining, for its first attempt.
+        // A refused request waits for its retry. A request without a response waits for its hedged
+        // request. A request whose only engine drains waits for its first attempt.
         engine.respondWith(call -> waitsFor.equals("retry") ? SHED : SILENCE);
         if (waitsFor.equals("first attempt")) {
             coordinator.publish(2, endpoint(1, engine.port(), DRAINING));
@@ -123,7 +124,8 @@
             if (holdsCall) {
                 client.sendGet(path);
             }
-            // Longer than the wait before a hedged request, shorter than that for a silent client.
+            // Longer than the delay of a hedged request, but shorter than the time after which a
+            // silent client counts as absent.
             Thread.sleep(1_600);
         }
         switch (departure) {
@@ -145,7 +147,7 @@
         Thread.sleep(130);
         ScriptedEngine secondEngine = newEngine();
         coordinator.publish(3, endpoint(2, secondEngine.port(), READY));
-        awaitUse(secondEngine);
+        sendRequestsUntilUsed(secondEngine);
         Thread.sleep(200);
         assertThat(secondEngine.calls().stream().map(HttpMessage::ticket))
                 .doesNotContain(JobIds.of(1));
@@ -156,40 +158,45 @@
     }
 
     /**
-     * The engine's accept queue is full, so the connection to it comes up a second late. Where the
-     * client has left by then, the connection stays and nothing is written on it.
+     * The engine's accept queue is full, so the connection to it is established a second late. If
+     * the client has left by then, the connection stays open and nothing is written to it.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void lateEngineConnection_isUsed_unlessClientLeft(boolean leaves) throws Exception {
+    void lateEngineConnection_isUsed_unlessClientLeft(boolean clientLeaves) throws Exception {
         coordinator.watchStarts().take();
         manager.restart(withConnectTimeout(config(), 3));
-        // Until the new process watches, events would be written to the killed one's connection.
+        // Before the new process watches, events would be written to the killed process's
+        // connection.
         coordinator.watchStarts().take();
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                Socket firstQueued = new Socket(full.getInetAddress(), full.getLocalPort());
-                Socket secondQueued = new Socket(full.getInetAddress(), full.getLocalPort());
+        try (ServerSocket fullServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                Socket firstQueued =
+                        new Socket(fullServer.getInetAddress(), fullServer.getLocalPort());
+                Socket secondQueued =
+                        new Socket(fullServer.getInetAddress(), fullServer.getLocalPort());
                 QueryClient client = newClient()) {
-            coordinator.publish(2, endpoint(2, full.getLocalPort(), READY));
+            coordinator.publish(2, endpoint(2, fullServer.getLocalPort(), READY));
             coordinator.publish(3, endpoint(1, engine.port(), DRAINING));
             manager.awaitLog("event=3");
             client.sendGet(client.request(LOOKUP, "", "SELECT 1", 5000).pollPath());
             Thread.sleep(200);
-            if (leaves) {
+            if (clientLeaves) {
                 client.close();
             }
-            full.accept().close();
-            full.accept().close();
-            full.setSoTimeout(5_000);
-            try (Socket late = full.accept()) {
-                late.setSoTimeout(1_000);
-                if (leaves) {
-                    assertThatThrownBy(() -> late.getInputStream().read())
+            fullServer.accept().close();
+            fullServer.accept().close();
+            fullServer.setSoTimeout(5_000);
+            try (Socket engineConnection = fullServer.accept()) {
+                engineConnection.setSoTimeout(1_000);
+                if (clientLeaves) {
+                    assertThatThrownBy(() -> engineConnection.getInputStream().read())
                             .isInstanceOf(SocketTimeoutException.class);
                 } else {
-                    assertThat(HttpMessage.read(late.getInputStream()).headers())
+                    assertThat(HttpMessage.read(engineConnection.getInputStream()).headers())
                             .containsEntry(TICKET, JobIds.of(1));
-                    late.getOutputStream().write(ONE_ROW.getBytes(StandardCharsets.UTF_8));
+                    engineConnection
+                            .getOutputStream()
+                            .write(ONE_ROW.getBytes(StandardCharsets.UTF_8));
                     assertThat(client.read().status()).isEqualTo(200);
                 }
             }
@@ -220,34 +227,34 @@
     }
 
     /**
-     * While the process is stopped, clients leave and an engine with capacity is published; after
-     * it, the order in which the manager reads the two must not matter.
+     * While the process is stopped, clients leave and an engine with capacity is published. The
+     * order in which the manager reads the two afterwards must not matter.
      */
     @Test
     void waitingRequest_clientLeftDuringStall_isNotSent() throws Exception {
         coordinator.publish(2, endpoint(1, engine.port(), DRAINING));
         manager.awaitLog("event=2");
         ScriptedEngine secondEngine = newEngine();
-        List<QueryClient> all = new ArrayList<>();
+        List<QueryClient> clients = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             QueryClient client = newClient();
             client.sendGet(client.request(REPORT, "", "SELECT 1", 9000).pollPath());
-            all.add(client);
+            clients.add(client);
         }
         manager.pause();
         coordinator.publish(3, endpoint(2, secondEngine.port(), READY));
-        for (QueryClient client : all) {
+        for (QueryClient client : clients) {
             client.close();
         }
         Thread.sleep(400);
         manager.resume();
-        awaitUse(secondEngine);
+        sendRequestsUntilUsed(secondEngine);
         Thread.sleep(200);
-        List<String> left = new ArrayList<>();
+        List<String> leftIds = new ArrayList<>();
         for (int i = 1; i <= 8; i++) {
-            left.add(JobIds.of(i));
+            leftIds.add(JobIds.of(i));
         }
         assertThat(secondEngine.calls().stream().map(HttpMessage::ticket))
-                .doesNotContainAnyElementsOf(left);
+                .doesNotContainAnyElementsOf(leftIds);
     }
 }
--- a/src/test/java/firstage/server/DiscoveryIT.java
+++ b/src/test/java/firstage/server/DiscoveryIT.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** The watch on the coordinator's endpoint list. */
+/** Tests the watch on the coordinator's endpoint list. */
 class DiscoveryIT extends ManagerFixture {
     @Test
     void brokenWatch_reconnected_continuesAfterLastEvent() throws Exception {
@@ -22,22 +22,25 @@
         ScriptedEngine secondEngine = newEngine();
         coordinator.publish(2, endpoint(1, engine.port(), DRAINING));
         coordinator.publish(3, endpoint(2, secondEngine.port(), READY));
-        awaitUse(secondEngine);
-        coordinator.breakWatch();
+        sendRequestsUntilUsed(secondEngine);
+        coordinator.closeWatch();
         assertThat(coordinator.watchStarts().take()).isEqualTo(3L);
-        coordinator.setUnresponsive(true);
+        coordinator.setHeartbeatsSuppressed(true);
         assertThat(coordinator.watchStarts().take()).isEqualTo(3L);
     }
 
-    /** The next watch is sent the event that the first one held a part of, and applies it. */
+    /**
+     * The first watch receives only a part of an event. The next watch receives the whole event,
+     * which is then applied.
+     */
     @Test
     void watch_unresponsiveWithinEvent_restartsBeforeThatEvent() throws Exception {
         assertThat(coordinator.watchStarts().take()).isEqualTo(1L);
         ScriptedEngine secondEngine = newEngine();
         coordinator.publishPart(2, CHANGE, endpoint(2, secondEngine.port(), READY), 20);
-        coordinator.setUnresponsive(true);
+        coordinator.setHeartbeatsSuppressed(true);
         assertThat(coordinator.watchStarts().take()).isEqualTo(1L);
-        coordinator.setUnresponsive(false);
+        coordinator.setHeartbeatsSuppressed(false);
         coordinator.publish(3, endpoint(1, engine.port(), DRAINING));
         manager.awaitLog("event=3");
         assertThat(manager.log()).contains("event=2").doesNotContain("malformed");
@@ -48,20 +51,23 @@
         assertThat(secondEngine.calls()).isNotEmpty();
     }
 
-    /** Nothing is sent by a part of a full list, neither after a start nor later. */
+    /**
+     * A full list takes effect only once it is complete, both after a start and later; nothing is
+     * sent on the basis of a part.
+     */
     @Test
     void fullList_inPieces_countsOnceWhole() throws Exception {
         manager.kill();
         ScriptedEngine secondEngine = newEngine();
         ScriptedEngine thirdEngine = newEngine();
         coordinator.setSendingInPieces(true);
-        coordinator.publishLater(2, FULL_LIST, endpoint(2, secondEngine.port(), READY));
+        coordinator.publishToLaterWatches(2, FULL_LIST, endpoint(2, secondEngine.port(), READY));
         manager.start(config());
         manager.awaitAlive();
         try (QueryClient client = newClient()) {
             assertThat(client.requestToEnd(LOOKUP, "", "SELECT 1", 5000).status()).isEqualTo(200);
             assertThat(secondEngine.calls()).isNotEmpty();
-            // A full list removes the engines that it does not name.
+            // A full list removes the engines that it does not contain.
             coordinator.setSendingInPieces(false);
             coordinator.publish(3, FULL_LIST, endpoint(3, thirdEngine.port(), READY));
             manager.awaitLog("event=3");
@@ -74,15 +80,15 @@
     }
 
     /**
-     * The configuration's list is older than a drain that was published while the manager was down:
-     * it waits for its coordinator.
+     * The list in the configuration is older than a drain that was published while the manager was
+     * down, so the manager waits for its coordinator.
      */
     @Test
     void start_listUnconfirmedByCoordinator_nothingIsSent() throws Exception {
         manager.kill();
         ScriptedEngine secondEngine = newEngine();
-        coordinator.publishLater(2, CHANGE, endpoint(1, engine.port(), DRAINING));
-        coordinator.publishLater(3, CHANGE, endpoint(2, secondEngine.port(), READY));
+        coordinator.publishToLaterWatches(2, CHANGE, endpoint(1, engine.port(), DRAINING));
+        coordinator.publishToLaterWatches(3, CHANGE, endpoint(2, secondEngine.port(), READY));
         CountDownLatch heldWatches = coordinator.holdNewWatches();
         manager.start(config());
         manager.awaitAlive();
@@ -96,11 +102,11 @@
         assertThat(secondEngine.calls()).isNotEmpty();
     }
 
-    /** The coordinator accepts watches and sends nothing: the configuration's list is used. */
+    /** The coordinator accepts watches but sends nothing, so the configuration's list is used. */
     @Test
     void start_coordinatorUnresponsive_waitsNotLongerThanOneSecond() throws Exception {
         manager.kill();
-        coordinator.setUnresponsive(true);
+        coordinator.setHeartbeatsSuppressed(true);
         manager.start(config());
         manager.awaitAlive();
         try (QueryClient client = newClient()) {
--- a/src/test/java/firstage/server/KeyOrderIT.java
+++ b/src/test/java/firstage/server/KeyOrderIT.java
@@ -5,10 +5,10 @@
 import static firstage.fixtures.EngineWire.DELETE;
 import static firstage.fixtures.EngineWire.DELETED;
 import static firstage.fixtures.EngineWire.GET_STATEMENT;
-import static firstage.fixtures.EngineWire.NO_NEWS;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.EngineWire.POST_STATEMENT;
 import static firstage.fixtures.EngineWire.SILENCE;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.UNKNOWN;
 import static firstage.fixtures.ManagerSettings.LOAD;
 import static firstage.fixtures.ScriptedCoordinator.READY;
@@ -25,11 +25,11 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** Requests with an ordering key run one at a time, in the order of their arrival. */
+/** Tests that requests with an ordering key run one at a time, in the order of their arrival. */
 class KeyOrderIT extends ManagerFixture {
     @Test
     void nextOfKey_cancelUnconfirmed_waits() throws Exception {
-        engine.respondWith(call -> call.isDelete() ? SILENCE : NO_NEWS);
+        engine.respondWith(call -> call.isDelete() ? SILENCE : STILL_RUNNING);
         try (QueryClient first = newClient()) {
             first.sendRequest(LOAD, orderingKey("7f"), "INSERT INTO sales_3.t", 9000);
             engine.awaitCall(POST_STATEMENT);
@@ -48,9 +48,9 @@
     }
 
     /**
-     * A client leaves while the only connection to its engine carries a poll, and no other comes
-     * up: the cancellation goes out on that one once it is free, and the key's next request after
-     * it, not before.
+     * A client leaves while the only connection to its engine carries a poll, and no other
+     * connection can be established. The cancellation must be sent on that connection once it is
+     * free, and the next request of the key only after the cancellation.
      */
     @Test
     void cancel_noOtherConnection_isSentAfterHeldPoll() throws Exception {
@@ -61,7 +61,7 @@
                     if (call.isGet()) {
                         heldPoll.await();
                     }
-                    return call.isDelete() ? DELETED : NO_NEWS;
+                    return call.isDelete() ? DELETED : STILL_RUNNING;
                 });
         ScriptedEngine secondEngine = newEngine();
         try (QueryClient first = newClient()) {
@@ -72,16 +72,15 @@
         manager.awaitLog("event=2");
         try (QueryClient client = newClient()) {
             client.sendRequest(LOAD, orderingKey("7f"), "INSERT INTO sales_3.t", 9000);
-            // Well past the 20 ms in which the engine would have got the cancellation; the held
-            // poll
-            // is answered only now.
+            // Well past the 20 ms for which the manager waits for the answer to a DELETE; the held
+            // poll is answered only now.
             Thread.sleep(100);
             assertThat(secondEngine.calls()).isEmpty();
             heldPoll.countDown();
             assertThat(engine.awaitCall(DELETE).startLine()).endsWith(JobIds.of(1));
             long start = System.nanoTime();
             assertThat(client.readToEnd().status()).isEqualTo(200);
-            // The end of the first is proven, so its key needs no quiet time.
+            // The end of the first request is proven, so its key has no quiet period.
             assertThat(millisecondsSince(start)).isLessThan(2_000);
         }
         assertThat(secondEngine.posts()).hasSize(1);
@@ -105,7 +104,7 @@
             assertThat(client.readToEnd().status()).isEqualTo(500);
             assertThat(otherClient.readToEnd().status()).isEqualTo(200);
         }
-        // Cancelled each half second, in case the engine reads the statement late.
+        // The DELETE is repeated every 0.5 s in case the engine reads the statement late.
         List<String> calls =
                 engine.calls().stream().map(call -> call.startLine().substring(0, 4)).toList();
         assertThat(calls.stream().distinct()).containsExactly("GET ", "DELE", "POST");
@@ -116,27 +115,30 @@
 
     /**
      * While the process is stopped, two requests of one key arrive, on a new and an old connection
-     * or on two old ones. Nothing tells which came first; they must not run in the wrong order.
+     * or on two old ones. The manager can't tell which came first; the two must not run in the
+     * wrong order.
      */
     @Test
     void requestsOfKey_readAfterStall_keepTheirOrder() throws Exception {
         int executed = 0;
         for (int round = 0; round < 12; round++) {
-            try (QueryClient old = newClient();
-                    QueryClient older = newClient()) {
-                old.get(ALIVE_PATH);
-                older.get(ALIVE_PATH);
+            try (QueryClient oldClient = newClient();
+                    QueryClient otherOldClient = newClient()) {
+                oldClient.get(ALIVE_PATH);
+                otherOldClient.get(ALIVE_PATH);
                 manager.pause();
                 List<QueryClient> silentClients = new ArrayList<>();
                 for (int i = 0; i < 8; i++) {
                     silentClients.add(newClient());
                 }
-                QueryClient first = round % 3 == 0 ? newClient() : round % 3 == 1 ? old : older;
-                QueryClient second = round % 3 == 2 ? old : round % 3 == 0 ? older : newClient();
+                QueryClient first =
+                        round % 3 == 0 ? newClient() : round % 3 == 1 ? oldClient : otherOldClient;
+                QueryClient second =
+                        round % 3 == 2 ? oldClient : round % 3 == 0 ? otherOldClient : newClient();
                 String key = orderingKey(String.valueOf(round));
                 first.sendRequest(LOAD, key, "INSERT INTO sales_3.t VALUES (1)", 5000);
                 String firstId = jobIds.latest();
-                Thread.sleep(first == old || first == older ? 60 : 250);
+                Thread.sleep(first == oldClient || first == otherOldClient ? 60 : 250);
                 second.sendRequest(LOAD, key, "INSERT INTO sales_3.t VALUES (2)", 5000);
                 String secondId = jobIds.latest();
                 manager.resume();
@@ -154,8 +156,8 @@
                         .hasSize((firstStatus == 200 ? 1 : 0) + (secondStatus == 200 ? 1 : 0));
                 assertThat(posts.equals(List.of(secondId, firstId))).as("order reversed").isFalse();
                 executed += posts.size();
-                for (QueryClient each : silentClients) {
-                    each.close();
+                for (QueryClient silentClient : silentClients) {
+                    silentClient.close();
                 }
                 first.close();
                 second.close();
--- a/src/test/java/firstage/server/PeersIT.java
+++ b/src/test/java/firstage/server/PeersIT.java
@@ -14,14 +14,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a manager without peers loads, and how one ends whose peers file cannot be used. */
+/** Tests the classes that a manager without peers loads, and the errors of unusable peers files. */
 @Timeout(60)
 class PeersIT {
     private static final String JAR = "target/firstage.jar";
     @TempDir private Path folder;
 
-    /** A Java process with these arguments; what it writes goes to the file {@code out}. */
-    private ProcessBuilder java(String... arguments) {
+    /** Returns a builder of a Java process, whose output is written to the file {@code out}. */
+    private ProcessBuilder javaProcess(String... arguments) {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(List.of(arguments));
@@ -33,7 +33,8 @@
     @Test
     void start_withoutPeers_loadsNoFleetControl() throws Exception {
         Path loaded = folder.resolve("loaded");
-        Process process = java("-Xlog:class+load:file=" + loaded, "-jar", JAR, "rehearse").start();
+        Process process =
+                javaProcess("-Xlog:class+load:file=" + loaded, "-jar", JAR, "rehearse").start();
         assertThat(process.waitFor(30, TimeUnit.SECONDS)).isTrue();
         String classes = Files.readString(loaded);
         assertThat(classes)
@@ -60,25 +61,29 @@
                 .allMatch(line -> line.contains(" serve\"") && !line.contains("--peers"));
     }
 
-    /** Starts the program with this peers file ({@code ~} is a line end); it must end with 2. */
-    private void assertEndsWithTwo(String text) throws Exception {
-        Path peers = Files.writeString(folder.resolve("peers.toml"), text.replace('~', '\n'));
+    /**
+     * Starts the program with this peers file and asserts that it exits with status 2.
+     *
+     * @param peersFile the text of the file, with {@code ~} for a line end
+     */
+    private void assertExitsWithStatusTwo(String peersFile) throws Exception {
+        Path peers = Files.writeString(folder.resolve("peers.toml"), peersFile.replace('~', '\n'));
         Path config =
                 Files.writeString(
                         folder.resolve("c.json"),
                         "{\"name\":\"m\",\"listen\":\"127.0.0.1:1\",\"settings\":{}}");
-        ProcessBuilder builder = java("-jar", JAR, "serve", "--peers", peers.toString());
+        ProcessBuilder builder = javaProcess("-jar", JAR, "serve", "--peers", peers.toString());
         builder.environment().put("ROUTER_CONFIG", config.toString());
         Process process = builder.start();
         assertThat(process.waitFor(30, TimeUnit.SECONDS)).isTrue();
         assertThat(process.exitValue()).isEqualTo(2);
     }
 
-    /** With an older plan the manager would use engines again that it has released. */
+    /** With an older plan, the manager would use engines again that it has released. */
     @Test
     void peersFile_planOlderThanHeld_isRefused() throws Exception {
         Files.writeString(folder.resolve("peers.toml.plan"), "8\n");
-        assertEndsWithTwo(
+        assertExitsWithStatusTwo(
                 "fleet = 'a'~listen = '127.0.0.1:9'~plan = 7~[[cell]]~name = 'c'~zone = 'z'~"
                         + "hosts = ['127.0.0.1:9']");
         assertThat(Files.readAllLines(folder.resolve("out")))
@@ -120,10 +125,11 @@
                         + " before plan 2",
                 "fleet = [|:1:"
             })
-    void peersFile_unusable_endsProgramWithOneLine(String text, String line) throws Exception {
-        assertEndsWithTwo(text);
+    void peersFile_unusable_endsProgramWithOneLine(String peersFile, String message)
+            throws Exception {
+        assertExitsWithStatusTwo(peersFile);
         assertThat(Files.readString(folder.resolve("out")))
-                .contains("can't serve: ", line)
+                .contains("can't serve: ", message)
                 .contains("peers.toml");
     }
 }
--- a/src/test/java/firstage/server/RequestsIT.java
+++ b/src/test/java/firstage/server/RequestsIT.java
@@ -5,12 +5,12 @@
 import static firstage.fixtures.ClientWire.orderingKey;
 import static firstage.fixtures.EngineWire.GRANT_MB;
 import static firstage.fixtures.EngineWire.MAX_MS;
-import static firstage.fixtures.EngineWire.NO_NEWS;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.EngineWire.POST_STATEMENT;
 import static firstage.fixtures.EngineWire.QUEUE;
 import static firstage.fixtures.EngineWire.RANK;
 import static firstage.fixtures.EngineWire.SHED;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.TICKET;
 import static firstage.fixtures.EngineWire.page;
 import static firstage.fixtures.ManagerSettings.LOAD;
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Requests from a client to an engine and back. */
+/** Tests the path of requests from a client to an engine and back. */
 class RequestsIT extends ManagerFixture {
     private static final int PIECE_BYTES = 7;
     private static final int PAUSE_MS = 5;
@@ -89,7 +89,7 @@
 
     @Test
     void heldCall_brokenByClient_isAnsweredOnNextCall() throws Exception {
-        engine.respondWith(call -> NO_NEWS);
+        engine.respondWith(call -> STILL_RUNNING);
         String path;
         try (QueryClient client = newClient()) {
             path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
@@ -107,7 +107,7 @@
         }
     }
 
-    /** A slow client writes some bytes at a time, with a length or in chunks. */
+    /** A slow client sends a few bytes at a time, with a content length or in chunks. */
     @ParameterizedTest
     @ValueSource(
             strings = {
--- a/src/test/java/firstage/server/RetriesIT.java
+++ b/src/test/java/firstage/server/RetriesIT.java
@@ -2,12 +2,12 @@
 
 import static firstage.fixtures.ClientWire.ONE_ROW_JSON;
 import static firstage.fixtures.ClientWire.orderingKey;
-import static firstage.fixtures.EngineWire.ENDLESS;
+import static firstage.fixtures.EngineWire.ENDLESS_HEAD;
 import static firstage.fixtures.EngineWire.GET_STATEMENT;
-import static firstage.fixtures.EngineWire.NO_NEWS;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.EngineWire.RESET;
 import static firstage.fixtures.EngineWire.SILENCE;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.getPage;
 import static firstage.fixtures.EngineWire.page;
 import static firstage.fixtures.ManagerSettings.LOAD;
@@ -29,7 +29,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which failures of an attempt let the manager retry, poll again or fail the request. */
+/**
+ * Tests after which failures of an attempt the manager retries, polls again or fails the request.
+ */
 class RetriesIT extends ManagerFixture {
     @Test
     void nonIdempotentRequest_mayHaveRun_isNotRetried() throws Exception {
@@ -46,18 +48,18 @@
 
     @Test
     void refusedPoll_otherConnectionUp_provesNothing() throws Exception {
-        String page = getPage(JobIds.of(2), 1);
+        String secondPageCall = getPage(JobIds.of(2), 1);
         engine.respondWith(
                 call -> {
-                    if (call.startLine().equals(page) && engine.isAccepting()) {
+                    if (call.startLine().equals(secondPageCall) && engine.isAccepting()) {
                         engine.stopAccepting();
                         return RESET;
                     }
-                    return call.startLine().equals(page)
+                    return call.startLine().equals(secondPageCall)
                             ? page("Page-No: 1", "")
                             : JobIds.of(2).equals(call.ticket())
                                     ? page("Page-Count: 2", "a\tb\tc\n")
-                                    : NO_NEWS;
+                                    : STILL_RUNNING;
                 });
         try (QueryClient client = newClient();
                 QueryClient otherClient = newClient()) {
@@ -72,8 +74,8 @@
     }
 
     /**
-     * An engine drains before the endpoint list says so: it takes no new connections, and its
-     * progress reports come at once, identical or not.
+     * An engine drains before the endpoint list reports it: the engine accepts no new connections,
+     * and answers polls at once, with identical or changing progress.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
@@ -167,8 +169,8 @@
             assertThat(response.status()).isEqualTo(500);
         }
         engine.respondWith(call -> ONE_ROW);
-        // Until its DELETE is answered the first attempt is in flight, and a half-open engine gets
-        // no other.
+        // The first attempt is in flight until its DELETE is answered, and a half-open engine gets
+        // no other attempt.
         try (QueryClient client = newClient()) {
             int status = 503;
             while (status == 503) {
@@ -185,7 +187,7 @@
                 "HTTP/1.1 200 OK\r\n",
                 RESET,
                 SILENCE,
-                ENDLESS,
+                ENDLESS_HEAD,
                 "HTTP/1.1 2",
                 "HTTP/1.1 200 OK\r\nPage-Co",
                 "HTTP/1.1 200 OK\r\nPage-Count: 1\r\n\r\na\tb\tc\n",
--- a/src/test/java/firstage/server/ShutdownIT.java
+++ b/src/test/java/firstage/server/ShutdownIT.java
@@ -3,9 +3,9 @@
 import static firstage.fixtures.ClientWire.ONE_ROW_JSON;
 import static firstage.fixtures.EngineWire.DELETE;
 import static firstage.fixtures.EngineWire.DELETED;
-import static firstage.fixtures.EngineWire.NO_NEWS;
 import static firstage.fixtures.EngineWire.ONE_ROW;
 import static firstage.fixtures.EngineWire.POST_STATEMENT;
+import static firstage.fixtures.EngineWire.STILL_RUNNING;
 import static firstage.fixtures.EngineWire.page;
 import static firstage.fixtures.ManagerSettings.LOOKUP;
 import static firstage.fixtures.ManagerSettings.REPORT;
@@ -26,11 +26,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** From SIGTERM to the end of the process. */
+/** Tests the shutdown, from SIGTERM to the end of the process. */
 class ShutdownIT extends ManagerFixture {
     @Test
     void sigterm_requestsOpen_allAnsweredAndExitStatusZero() throws Exception {
-        engine.respondWith(call -> NO_NEWS);
+        engine.respondWith(call -> STILL_RUNNING);
         try (QueryClient client = newClient()) {
             String path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
             client.sendGet(path);
@@ -48,14 +48,14 @@
     /** A second SIGTERM must not restart the time until the planned end. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void sigterm_requestRunsTooLong_isRejectedBeforeKill(boolean again) throws Exception {
-        engine.respondWith(call -> call.isDelete() ? DELETED : NO_NEWS);
+    void sigterm_requestRunsTooLong_isRejectedBeforeKill(boolean repeatSignal) throws Exception {
+        engine.respondWith(call -> call.isDelete() ? DELETED : STILL_RUNNING);
         try (QueryClient client = newClient()) {
             String path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
             client.sendGet(path);
             long start = System.nanoTime();
             manager.terminate();
-            if (again) {
+            if (repeatSignal) {
                 Thread.sleep(1_500);
                 manager.terminateAgain();
             }
@@ -64,19 +64,19 @@
         }
         assertThat(engine.awaitCall(DELETE).startLine()).endsWith(JobIds.of(1));
         assertThat(manager.awaitExit()).isZero();
-        if (again) {
+        if (repeatSignal) {
             assertThat(manager.log()).contains("repeated shutdown signals=1");
         }
     }
 
     /**
-     * The client's connection breaks long after new traffic has stopped; it polls on a new one, or
-     * cancels there.
+     * The client's connection breaks long after new traffic has stopped; the client polls or
+     * cancels on a new connection.
      */
     @ParameterizedTest
     @ValueSource(strings = {"GET ", "DELETE "})
     void sigterm_clientReconnects_isServed(String method) throws Exception {
-        engine.respondWith(call -> call.isDelete() ? DELETED : NO_NEWS);
+        engine.respondWith(call -> call.isDelete() ? DELETED : STILL_RUNNING);
         String path;
         try (QueryClient client = newClient()) {
             path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
@@ -94,12 +94,15 @@
         assertThat(manager.awaitExit()).isZero();
     }
 
-    /** The process is stopped from its signal until long after its listener would close. */
+    /**
+     * The process is stopped from the signal, or shortly after it, until long after the listener
+     * would have been closed.
+     */
     @ParameterizedTest
     @ValueSource(ints = {0, 400})
-    void sigterm_callArrivesDuringStall_isAnswered(int runsOnMs) throws Exception {
+    void sigterm_callArrivesDuringStall_isAnswered(int pauseDelayMs) throws Exception {
         manager.terminate();
-        Thread.sleep(runsOnMs);
+        Thread.sleep(pauseDelayMs);
         manager.pause();
         try (QueryClient client = newClient()) {
             client.sendRequest(LOOKUP, "X-Size-Ms: 20\r\n", "SELECT 1", 5000);
@@ -111,10 +114,10 @@
         assertThat(manager.log()).contains("requests succeeded=1").doesNotContain("broken:");
     }
 
-    /** The last answer of all is lost with its connection, and its client polls again at once. */
+    /** The last answer is lost with its connection, and its client polls again at once. */
     @Test
     void sigterm_lastAnswerLost_isGivenAgain() throws Exception {
-        engine.respondWith(call -> NO_NEWS);
+        engine.respondWith(call -> STILL_RUNNING);
         String path;
         try (QueryClient client = newClient()) {
             path = client.request(REPORT, "", "SELECT 1", 9000).pollPath();
@@ -125,8 +128,8 @@
             assertThat(client.readByte()).isPositive();
         }
         try (QueryClient client = newClient()) {
-            HttpMessage again = client.get(path);
-            assertThat(again.body()).isEqualTo(ONE_ROW_JSON);
+            HttpMessage repeatedAnswer = client.get(path);
+            assertThat(repeatedAnswer.body()).isEqualTo(ONE_ROW_JSON);
         }
         assertThat(manager.awaitExit()).isZero();
     }
@@ -145,7 +148,7 @@
         }
     }
 
-    /** The program waits for a client that reads late, not for one that never reads. */
+    /** The program waits for a client that reads late, but not for one that never reads. */
     @Test
     void sigterm_clientNeverReads_delaysNobody() throws Exception {
         String rows = "\u0001".repeat(5_990) + "\t\t\n";
@@ -154,15 +157,15 @@
                         call.startLine().equals(POST_STATEMENT)
                                 ? page("Page-Count: 40", rows)
                                 : page("Page-No: " + call.startLine().replaceAll(".*/", ""), rows));
-        try (QueryClient silent = newClient(4_096);
-                QueryClient late = newClient()) {
-            silent.sendRequest(REPORT, "", "SELECT 1", 9_000);
-            late.sendRequest(REPORT, "", "SELECT 1", 9_000);
+        try (QueryClient silentClient = newClient(4_096);
+                QueryClient lateClient = newClient()) {
+            silentClient.sendRequest(REPORT, "", "SELECT 1", 9_000);
+            lateClient.sendRequest(REPORT, "", "SELECT 1", 9_000);
             Thread.sleep(700);
             long start = System.nanoTime();
             manager.terminate();
             Thread.sleep(300);
-            assertThat(late.readToEnd().body().length()).isGreaterThan(1_000_000);
+            assertThat(lateClient.readToEnd().body().length()).isGreaterThan(1_000_000);
             assertThat(manager.awaitExit()).isZero();
             assertThat(millisecondsSince(start)).isLessThan(3_600);
         }
@@ -170,8 +173,8 @@
     }
 
     /**
-     * Requests on open connections that are read while the process ends are forwarded and lost:
-     * each is answered, or crosses the close of its connection unread.
+     * Guards against requests on open connections that are read while the process ends, forwarded,
+     * and lost. Each request must be answered, or stay unread because its connection is closed.
      */
     @Test
     void sigterm_requestsOnIdleConnectionsAsItEnds_noneIsForwardedAndLost() throws Exception {
@@ -192,7 +195,7 @@
                 clients.get(i).sendRequest(LOOKUP, "", "SELECT 1", 5000);
                 unanswered.add(jobIds.latest());
             } catch (IOException closed) {
-                // Closed before it was sent.
+                // The connection was closed before the request was sent.
             }
         }
         for (int i = 0; i < count; i++) {
@@ -200,7 +203,7 @@
                 client.readToEnd();
                 unanswered.remove(JobIds.of(i + 1));
             } catch (IOException closed) {
-                // Closed without an answer.
+                // The connection was closed without an answer.
             }
         }
         assertThat(manager.awaitExit()).isZero();
--- a/src/test/java/firstage/server/StartupIT.java
+++ b/src/test/java/firstage/server/StartupIT.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** From the start of the process until it serves. */
+/** Tests the start of the process, until it serves. */
 class StartupIT extends ManagerFixture {
     @ParameterizedTest
     @CsvSource({
@@ -28,31 +28,35 @@
         "'{\"settings\":{}}'",
         "'{\"settings\":{},\"listen\":\"nowhere\"}'"
     })
-    void start_brokenConfiguration_endsWithOneLine(String broken) throws Exception {
-        // The first process would write to the same log.
+    void start_brokenConfiguration_endsWithOneLine(String brokenConfig) throws Exception {
+        // The first process is killed, as it would write to the same log.
         manager.kill();
-        manager.start(broken);
+        manager.start(brokenConfig);
         assertThat(manager.awaitExit()).isEqualTo(2);
         List<String> log = Files.readAllLines(folder.resolve("log"));
         assertThat(log.get(log.size() - 1)).startsWith("can't serve: ");
         assertThat(log.stream().filter(line -> line.contains("tried again"))).hasSizeLessThan(2);
     }
 
-    /** Writers truncate a file and fill it in pieces, or remove it first. */
+    /** Programs that rewrite a file truncate it and fill it in pieces, or remove it first. */
     @ParameterizedTest
     @ValueSource(strings = {"missing", "empty", "truncated"})
     void start_configurationBeingReplaced_isReadAgain(String state) throws Exception {
         manager.kill();
-        String whole = config();
-        manager.start(state.equals("truncated") ? whole.substring(0, whole.length() / 2) : "");
+        String wholeConfig = config();
+        manager.start(
+                state.equals("truncated")
+                        ? wholeConfig.substring(0, wholeConfig.length() / 2)
+                        : "");
         if (state.equals("missing")) {
             Files.delete(manager.configFile());
         }
-        // A busy machine may take longer to read the file than it is unusable here.
+        // On a busy machine, the first read of the file may take longer than the file stays
+        // unusable in this test.
         manager.awaitLog("tried again");
         Thread.sleep(1_200);
         assertThat(manager.isAlive()).isTrue();
-        Files.writeString(manager.configFile(), whole);
+        Files.writeString(manager.configFile(), wholeConfig);
         manager.awaitAlive();
         assertThat(manager.log()).containsOnlyOnce("tried again");
     }
@@ -64,7 +68,8 @@
             holder.setReuseAddress(true);
             holder.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), manager.port()));
             manager.start(config());
-            // A busy machine may take longer to bind the address than it is held here.
+            // On a busy machine, the first attempt to bind may take longer than the address stays
+            // in use in this test.
             manager.awaitLog("tried again");
             Thread.sleep(1_500);
             assertThat(manager.isAlive()).isTrue();
@@ -74,14 +79,14 @@
     }
 
     /**
-     * Restarts under load, killed and terminated by turns, while the configuration is rewritten in
-     * pieces. Six by default; {@code -Dfirstage.restarts=200} for the long form.
+     * Restarts the process under load, killed and terminated in turn, while the configuration is
+     * rewritten in pieces. Six restarts by default; {@code -Dfirstage.restarts=200} for a long run.
      */
     @Test
     @Timeout(600)
     void restart_underLoad_neverFails() throws Exception {
         int restarts = Integer.getInteger("firstage.restarts", 6);
-        String whole = config();
+        String wholeConfig = config();
         boolean[] stopped = {false};
         BackgroundTasks.start(
                 () -> {
@@ -95,15 +100,16 @@
                         }
                     }
                 });
-        Path rewritten = Files.writeString(folder.resolve("rewritten.json"), whole);
+        Path rewritten = Files.writeString(folder.resolve("rewritten.json"), wholeConfig);
         BackgroundTasks.start(
                 () -> {
                     while (!stopped[0]) {
                         Files.writeString(rewritten, "");
                         Thread.sleep(1);
-                        Files.writeString(rewritten, whole.substring(0, whole.length() / 3));
+                        Files.writeString(
+                                rewritten, wholeConfig.substring(0, wholeConfig.length() / 3));
                         Thread.sleep(1);
-                        Files.writeString(rewritten, whole);
+                        Files.writeString(rewritten, wholeConfig);
                         Thread.sleep(3);
                     }
                 });
--- a/src/test/java/firstage/simulation/PolicyUnderTestTest.java
+++ b/src/test/java/firstage/simulation/PolicyUnderTestTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The names by which operators choose what decides in a simulation. */
+/** Tests the names by which operators choose the policy of a simulation. */
 class PolicyUnderTestTest {
     @ParameterizedTest
     @ValueSource(strings = {"", ":cold=settings", ":peers", ":peers=no-peers", ":bounds=4"})
@@ -22,10 +22,10 @@
     }
 
     @Test
-    void of_variants_areRead() {
+    void of_variants_areParsed() {
         assertThat(PolicyUnderTest.of("scheduler:bounds=4").capacityFactor()).isEqualTo(4);
         assertThat(PolicyUnderTest.of("scheduler:cold=settings").warmUpBySettings()).isTrue();
-        assertThat(PolicyUnderTest.of("scheduler:peers").peers())
+        assertThat(PolicyUnderTest.of("scheduler:peers").coordinationDefects())
                 .isEqualTo(FleetCoordinator.InjectedDefects.NONE);
         assertThat(PolicyUnderTest.of("two-choices").baseline())
                 .isEqualTo(BaselinePolicy.Kind.TWO_CHOICES);
@@ -33,15 +33,15 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"brains", "scheduler:peers=no-such", "scheduler:bound=4", "best"})
-    void of_unknownChoice_isRefusedNamingAll(String text) {
+    void of_unknownChoice_isRefusedWithAllChoices(String text) {
         assertThatThrownBy(() -> PolicyUnderTest.of(text))
                 .isInstanceOf(InvalidPlanException.class)
-                .hasMessageContaining("'" + text + "' is no choice; there are scheduler, ");
+                .hasMessageContaining("'" + text + "' is not a choice; choices are scheduler, ");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"scheduler:bounds=0", "brain:bounds=1001", "scheduler:bounds=many"})
-    void of_impossibleBounds_isRefusedWithACure(String text) {
+    void of_invalidBounds_isRefusedWithAnExample(String text) {
         assertThatThrownBy(() -> PolicyUnderTest.of(text))
                 .isInstanceOf(InvalidPlanException.class)
                 .hasMessageContaining("such as scheduler:bounds=4");
--- a/src/test/java/firstage/soak/SoakClient.java
+++ b/src/test/java/firstage/soak/SoakClient.java
@@ -12,61 +12,77 @@
 import java.util.Locale;
 
 /**
- * Plays one script on sockets of its own. What it notes are its own times: when its request's last
- * byte was written, and when it had left at the latest.
+ * Runs one client script on sockets of its own. The times that the client reports are measured by
+ * itself: when the last byte of its request was written, and a time by which it had left.
  */
 final class SoakClient implements Runnable {
     private static final int CONNECT_TIMEOUT_MS = 2_000;
 
-    /** After its time an answer earns nothing, and after this more it is lost. */
+    /** Time after its deadline from which a missing answer counts as lost, rather than as late. */
     private static final long LOST_AFTER_MS = 500;
 
-    /** A request that crosses the close of its resting connection this soon is sent again. */
+    /**
+     * Time after the sending of a request on an idle connection within which the manager may close
+     * the connection because it has not seen the request yet, which is no violation.
+     */
     private static final long CROSSING_MS = 50;
 
-    private static final int MAX_POLLS_AGAIN = 3;
+    private static final int MAX_POLL_RECONNECTS = 3;
+
+    /** Time for which a client that vanished keeps its connection open. */
     private static final long VANISHED_FOR_MS = 3_000;
 
-    /** What a soak gives its clients. */
+    /** The soak as its clients see it. */
     interface Environment {
         long now();
 
-        /** Connects; {@code anew}: for a request, which no manager that ends is sent. */
-        Socket connect(int manager, int timeoutMs, boolean anew) throws IOException;
+        /**
+         * Connects to a manager.
+         *
+         * @param forRequest whether the connection is for a new request, which the front does not
+         *     send to a manager that is shutting down
+         */
+        Socket connect(int manager, int timeoutMs, boolean forRequest) throws IOException;
 
         /** Registers a request just before its last byte is sent. */
-        ClientTry open(ClientScript script, String id, long deadline);
+        ClientTry registerTry(ClientScript script, String id, long deadline);
 
-        void left(ClientTry clientTry, Departure departure, long at);
+        /** Reports that a client left, at the time {@code at} or before. */
+        void onClientLeft(ClientTry clientTry, Departure departure, long at);
 
-        /** It has its final answer. */
-        void answered(ClientTry clientTry, HttpMessage answer);
+        /** Reports the final answer to a request. */
+        void onAnswered(ClientTry clientTry, HttpMessage answer);
 
-        /** Its request never came to a manager that lives. */
-        void notAccepted(ClientTry clientTry);
+        /** Reports a request that its manager did not accept, or whose manager ended. */
+        void onNotAccepted(ClientTry clientTry);
 
-        void violation(ClientTry clientTry, String how);
+        /** Reports a violation that the client detected. */
+        void onViolation(ClientTry clientTry, String description);
 
-        /** Until when the manager stands still, in ticks; past or present. */
+        /** Returns the end of the manager's latest pause, in ticks; 0 if it was never paused. */
         long pausedUntil(int manager);
 
-        /** Whether the manager was killed, or ended, since then. */
+        /** Returns whether the manager was killed, or ended unexpectedly, since {@code since}. */
         boolean endedSince(int manager, long since);
     }
 
     private final Environment environment;
     private final ClientScript script;
     private final String idPrefix;
-    private int requests;
+    private int requestCount;
     private Socket socket;
     private ClientTry clientTry;
+
+    /** Path at which the current request is polled; null until the manager gives one. */
     private String path;
+
+    /** Time at which the current request was sent, in ticks. */
     private long sentAt;
 
-    /** When its connection was made at the earliest. */
+    /** Time just before the first connection was opened, in ticks. */
     private long connectedAt;
 
-    /** Ticks. */
+    /** Deadline of the current request, in ticks. */
     private long deadline;
 
     SoakClient(Environment environment, ClientScript script, String idPrefix) {
@@ -84,40 +100,46 @@
             return;
         }
         try {
-            boolean goesOn = request(script.departure(), false);
-            for (int i = 0; i < script.repeats() && goesOn; i++) {
-                sleep(script.restMs());
-                goesOn = request(Departure.STAYS, true);
+            boolean connectionUsable = runRequest(script.departure(), false);
+            for (int i = 0; i < script.repeats() && connectionUsable; i++) {
+                sleep(script.idleMs());
+                connectionUsable = runRequest(Departure.STAYS, true);
             }
         } finally {
             closeQuietly(socket);
         }
     }
 
-    /** Sends a request and follows it; whether its connection can be used again. */
-    private boolean request(Departure departure, boolean rested) {
+    /** Sends a request and follows it; returns whether its connection can be used again. */
+    private boolean runRequest(Departure departure, boolean connectionReused) {
         path = null;
         clientTry = null;
         try {
-            write();
+            sendRequest();
         } catch (IOException closed) {
             if (clientTry != null) {
-                environment.notAccepted(clientTry);
+                environment.onNotAccepted(clientTry);
             }
             return false;
         }
         try {
-            return departure == Departure.STAYS ? stay(rested) : leave(departure);
-        } catch (IOException fault) {
-            return onBroken(rested, fault);
+            return departure == Departure.STAYS
+                    ? awaitAnswer(connectionReused)
+                    : pollUntilLeaving(departure);
+        } catch (IOException failure) {
+            return onBroken(connectionReused, failure);
         }
     }
 
-    /** Its time counts from its last byte. */
-    private void write() throws IOException {
+    /** Writes a request; its deadline counts from its last byte. */
+    private void sendRequest() throws IOException {
         String id =
                 String.format(
-                        Locale.ROOT, "%s%06x%02x", idPrefix, script.number(), requests++ & 0xFF);
+                        Locale.ROOT,
+                        "%s%06x%02x",
+                        idPrefix,
+                        script.number(),
+                        requestCount++ & 0xFF);
         String statement = "SELECT a FROM sales_1.orders";
         String head =
                 "POST "
@@ -138,13 +160,13 @@
                         + ".0\r\nX-Memory: 200\r\nContent-Length: "
                         + statement.length()
                         + "\r\n\r\n";
-        boolean inPieces = script.bodyDelayMs() > 0 && requests == 1;
+        boolean inPieces = script.bodyDelayMs() > 0 && requestCount == 1;
         if (inPieces) {
             send(head);
             sleep(script.bodyDelayMs());
         }
         deadline = environment.now() + Ticks.ofMillis(script.timeoutMs());
-        clientTry = environment.open(script, id, deadline);
+        clientTry = environment.registerTry(script, id, deadline);
         send(inPieces ? statement : head + statement);
         sentAt = environment.now();
     }
@@ -157,34 +179,34 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Reads the next response, at most until then (ticks); null where none came by then. */
-    private HttpMessage readUntil(long until) throws IOException {
-        long leftMs = Ticks.toMillis(until - environment.now());
-        if (leftMs <= 0) {
+    /** Reads the next response; returns null if none comes by {@code until}, in ticks. */
+    private HttpMessage readResponse(long until) throws IOException {
+        long remainingMs = Ticks.toMillis(until - environment.now());
+        if (remainingMs <= 0) {
             return null;
         }
         try {
-            socket.setSoTimeout((int) leftMs);
+            socket.setSoTimeout((int) remainingMs);
             return HttpMessage.read(socket.getInputStream());
-        } catch (SocketTimeoutException nothing) {
+        } catch (SocketTimeoutException timedOut) {
             return null;
         }
     }
 
-    /** When an answer that has not come is lost, by what is known now. */
+    /** Returns the time at which a missing answer counts as lost, given the pauses so far. */
     private long lostAt() {
         return Math.max(deadline, environment.pausedUntil(script.manager()))
                 + Ticks.ofMillis(LOST_AFTER_MS);
     }
 
-    private boolean stay(boolean rested) throws IOException {
-        int pollsAgain = 0;
+    private boolean awaitAnswer(boolean connectionReused) throws IOException {
+        int reconnects = 0;
         while (true) {
             HttpMessage response;
             try {
-                response = readUntil(lostAt());
+                response = readResponse(lostAt());
             } catch (IOException broken) {
-                if (path == null || ++pollsAgain > MAX_POLLS_AGAIN) {
+                if (path == null || ++reconnects > MAX_POLL_RECONNECTS) {
                     throw broken;
                 }
                 pollOnNewConnection();
@@ -195,12 +217,12 @@
                     continue;
                 }
                 if (!environment.endedSince(script.manager(), connectedAt)) {
-                    environment.violation(clientTry, "never answered");
+                    environment.onViolation(clientTry, "never answered");
                 }
                 return false;
             }
             if (!response.hasPollPath()) {
-                environment.answered(clientTry, response);
+                environment.onAnswered(clientTry, response);
                 return !"close".equalsIgnoreCase(response.headers().get("connection"));
             }
             path = response.pollPath();
@@ -214,7 +236,7 @@
         send("GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n");
     }
 
-    private boolean leave(Departure departure) throws IOException {
+    private boolean pollUntilLeaving(Departure departure) throws IOException {
         long leavesAt = sentAt + Ticks.ofMillis(script.leaveAfterMs());
         boolean needsPath =
                 departure == Departure.DELETES_ON_NEW_CONNECTION
@@ -225,15 +247,15 @@
                 departure != Departure.DELETES_ON_SAME_CONNECTION
                         && departure != Departure.CLOSES_WITH_PATH;
         while (true) {
-            HttpMessage response = readUntil(needsPath && path == null ? lostAt() : leavesAt);
+            HttpMessage response = readResponse(needsPath && path == null ? lostAt() : leavesAt);
             if (response == null && needsPath && path == null) {
-                return stay(false);
+                return awaitAnswer(false);
             }
             if (response == null) {
                 break;
             }
             if (!response.hasPollPath()) {
-                environment.answered(clientTry, response);
+                environment.onAnswered(clientTry, response);
                 return false;
             }
             path = response.pollPath();
@@ -258,30 +280,31 @@
             case DELETES_ON_NEW_CONNECTION -> deleteOnNewConnection();
             case CLOSES_AND_DELETES -> {
                 socket.close();
-                environment.left(clientTry, departure, environment.now());
+                environment.onClientLeft(clientTry, departure, environment.now());
                 deleteOnNewConnection();
             }
             case VANISHES -> {
                 sleep(VANISHED_FOR_MS);
                 socket.close();
             }
-            case STAYS -> throw new IllegalStateException("it stays");
+            case STAYS -> throw new IllegalStateException("a client that stays does not leave");
         }
-        environment.left(clientTry, departure, environment.now());
+        environment.onClientLeft(clientTry, departure, environment.now());
         if (departure == Departure.DELETES_ON_NEW_CONNECTION
                 || departure == Departure.DELETES_ON_SAME_CONNECTION
                 || departure == Departure.HALF_CLOSES) {
-            // It stays connected for a while, so that nothing but its word tells that it left.
+            // The client stays connected, so that only the DELETE or the half-close shows that it
+            // left.
             sleep(VANISHED_FOR_MS / 2);
         }
     }
 
-    private void sendDelete(Socket to) throws IOException {
+    private void sendDelete(Socket target) throws IOException {
         if (path == null) {
-            to.close();
+            target.close();
             return;
         }
-        to.getOutputStream()
+        target.getOutputStream()
                 .write(
                         ("DELETE " + path + " HTTP/1.1\r\nHost: h\r\n\r\n")
                                 .getBytes(StandardCharsets.ISO_8859_1));
@@ -292,30 +315,36 @@
             socket.close();
             return;
         }
-        Socket other = environment.connect(script.manager(), CONNECT_TIMEOUT_MS, false);
-        sendDelete(other);
-        environment.left(clientTry, script.departure(), environment.now());
-        other.setSoTimeout(CONNECT_TIMEOUT_MS);
+        Socket cancelSocket = environment.connect(script.manager(), CONNECT_TIMEOUT_MS, false);
+        sendDelete(cancelSocket);
+        environment.onClientLeft(clientTry, script.departure(), environment.now());
+        cancelSocket.setSoTimeout(CONNECT_TIMEOUT_MS);
         try {
-            HttpMessage.read(other.getInputStream());
+            HttpMessage.read(cancelSocket.getInputStream());
         } catch (IOException noAnswer) {
-            // It was cancelled when it was written.
+            // The cancellation counts from when the DELETE was written.
         } finally {
-            closeQuietly(other);
+            closeQuietly(cancelSocket);
         }
     }
 
-    /** The connection ended with no answer: never right over a request that was read. */
-    private boolean onBroken(boolean rested, IOException fault) {
+    /**
+     * Handles a connection that ended without an answer. The missing answer is a violation unless
+     * the manager ended, the client had left or has a path to poll, or the manager closed the idle
+     * connection while the request was on its way.
+     */
+    private boolean onBroken(boolean connectionReused, IOException failure) {
         boolean crossed =
-                rested && Ticks.toMillis(environment.now() - sentAt) <= CROSSING_MS && path == null;
+                connectionReused
+                        && Ticks.toMillis(environment.now() - sentAt) <= CROSSING_MS
+                        && path == null;
         if (environment.endedSince(script.manager(), connectedAt)) {
-            environment.notAccepted(clientTry);
-        } else if (clientTry.hasLeft() || path != null || crossed) {
-            // It goes, or sends its request again elsewhere: this one must not run.
-            environment.left(clientTry, script.departure(), environment.now());
+            environment.onNotAccepted(clientTry);
+        } else if (clientTry.hasClientLeft() || path != null || crossed) {
+            // A real client leaves or sends its request again elsewhere: this try must not run.
+            environment.onClientLeft(clientTry, script.departure(), environment.now());
         } else {
-            environment.violation(clientTry, "closed without an answer: " + fault);
+            environment.onViolation(clientTry, "closed without an answer: " + failure);
         }
         return false;
     }
@@ -332,7 +361,7 @@
         try {
             socket.close();
         } catch (IOException closed) {
-            // Closed either way.
+            // The socket is closed either way.
         }
     }
 }
