--- a/src/main/java/firstage/simulation/schedule/FaultSchedule.java
+++ b/src/main/java/firstage/simulation/schedule/FaultSchedule.java
@@ -102,6 +102,8 @@
 
     private static Deployment deployment(RandomGenerator random) {
         boolean hedging = random.nextBoolean();
+        // Requests without an ordering key are of class 0; all requests of one key are of class 1
+        // or all of class 2. Only class 1 is non-idempotent.
         List<TrafficClass> trafficClasses =
                 List.of(
                         trafficClass(Effect.IDEMPOTENT, false, 1),
--- a/src/main/java/firstage/simulation/schedule/InjectedDefect.java
+++ b/src/main/java/firstage/simulation/schedule/InjectedDefect.java
@@ -14,7 +14,9 @@
      * barrier.
      */
     ONE_ACCEPTED_PER_ROUND,
-    /** A poll whose connection is refused ends the attempt, even at a draining engine. */
+    /**
+     * A poll or page fetch whose connection is refused ends the attempt, even at a draining engine.
+     */
     REFUSED_IS_OVER,
     /**
      * An attempt that its engine does not know counts as ended, although its statement was never
--- a/src/main/java/firstage/simulation/schedule/MembershipFigures.java
+++ b/src/main/java/firstage/simulation/schedule/MembershipFigures.java
@@ -64,6 +64,7 @@
                             / 10.0
                             / managerCount);
             fleet.hosts().get(0).kill();
+            // A manager that never noticed the death counts as 99 s.
             fleet.timesUntilNotAlive(0, 20 * SECOND)
                     .forEach(elapsed -> detection.addValue(elapsed < 0 ? 99 : elapsed / 1e4));
             fleet = startedFleet(managerCount, seed);
--- a/src/main/java/firstage/simulation/schedule/ScheduleRuleChecker.java
+++ b/src/main/java/firstage/simulation/schedule/ScheduleRuleChecker.java
@@ -7,7 +7,8 @@
 
 /**
  * Checks the messages between clients, one manager and engines against the rules, without reading
- * any state of the manager. Times are ticks.
+ * any state of the manager. The rules have the numbers of {@link firstage.simulation.RuleChecker};
+ * rule 4 (cold engines) is not checked. Times are ticks.
  *
  * <ul>
  *   <li>Rule 1: each request gets one final answer, in time.
@@ -71,8 +72,8 @@
     private int incarnation;
 
     /**
-     * Total time for which the manager's thread was stalled. All time limits are extended by it,
-     * because a stalled manager can't answer.
+     * Total time for which the manager's thread was stalled. {@link #ANSWER_SLACK} and {@link
+     * #MAX_SEND_DELAY_AFTER_ABSENCE} are extended by it, because a stalled manager can't act.
      */
     private long totalStall;
 
@@ -227,7 +228,7 @@
         }
     }
 
-    /** Reports each request that still lacks an answer at the end of the schedule. */
+    /** Records a violation for each request that lacks an answer at the end of the schedule. */
     public void checkAllAnswered(long now) {
         for (ObservedRequest request : requests.values()) {
             if (request.answerCount == 0 && !request.answerWaived) {
@@ -237,8 +238,8 @@
     }
 
     /** Records a broken invariant of the manager, such as state left over at the end. */
-    public void recordInvariantViolation(String leftover) {
-        violations.add("invariant not kept: " + leftover);
+    public void recordInvariantViolation(String description) {
+        violations.add("invariant not kept: " + description);
     }
 
     private void recordViolation(long now, int rule, ObservedRequest request, String description) {
--- a/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
@@ -13,7 +13,10 @@
  */
 final class SimulatedEngine {
     private static final long MAX_POLL_HOLD = 2_500;
+
+    /** Time for which the engine keeps a run that is not polled, and an unread result. */
     private static final long RETENTION = 20_000;
+
     private static final double FAILURE_PROBABILITY = 0.02;
     private static final double TWO_PAGES_PROBABILITY = 0.2;
 
@@ -78,7 +81,10 @@
         drainNotifiedAt = now;
     }
 
-    /** Returns the time since the manager's drain notice; negative if there was none. */
+    /**
+     * Returns the time since the manager was notified that this engine drains; negative if it was
+     * not.
+     */
     long timeSinceDrainNotice(long now) {
         return drainNotifiedAt < 0 ? -1 : now - drainNotifiedAt;
     }
--- a/src/main/java/firstage/simulation/schedule/SimulatedManager.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedManager.java
@@ -30,16 +30,22 @@
         implements PolicyActions,
                 ArrivalSequencer.ArrivalActions<SimulatedManager.SimulatedRequest> {
     private static final long DRAIN_GRACE = 1_000;
+
+    /** Time after its deadline at which a request is answered if no attempt has completed it. */
     private static final long DEADLINE_ANSWER_DELAY = 350;
+
     private static final long POLL_TIMEOUT = 6_000;
     private static final long DELETE_TIMEOUT = 2_000;
     private static final long CONNECT_TIMEOUT = 2_500;
+
+    /** Limit of the delivery delay of a statement whose connection breaks. */
     private static final long MAX_LATE_DELIVERY = 1_500;
+
     private static final int ATTEMPT_IDS_PER_INCARNATION = 100_000;
 
     /**
      * Time by which {@link InjectedDefect#UNWRITTEN_END_IS_OVER} shortens the quiet period of an
-     * ordering key: a little more than the time for which an engine keeps an unread result.
+     * ordering key: a little more than an engine's retention time of 2 s.
      */
     private static final long QUIET_PERIOD_SHORTFALL = 20_500;
 
@@ -235,7 +241,7 @@
             }
         }
 
-        /** Breaks the connection of a held poll with the fault probability. */
+        /** Breaks the connection of a held poll after a while, with the fault probability. */
         private void breakConnectionLater() {
             if (random.nextDouble() < faultProbability) {
                 runOnThreadAfter(
@@ -532,7 +538,7 @@
     @Override
     public void log(String line) {}
 
-    /** Reports all state that the manager should have released by the end of the schedule. */
+    /** Records a violation for all state that the manager has not released by the end. */
     void checkAllReleased() {
         for (int engine = 0; engine < engines.size(); engine++) {
             if (scheduler.attemptsInFlight(engine) != 0) {
--- a/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedMembership.java
@@ -200,7 +200,7 @@
         }
 
         @Override
-        public void digestReceived(long now, String senderSlot, byte[] digest) {
+        public void digestReceived(long now, String member, byte[] digest) {
             // No part of this simulation sends digests.
         }
     }
--- a/src/main/java/firstage/simulation/schedule/SimulatedThread.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedThread.java
@@ -37,7 +37,7 @@
     /** Barriers requested before the current round began; they count this round. */
     private final List<ReadBarrier> currentBarriers = new ArrayList<>();
 
-    /** Barriers requested since then; they count from the next round on. */
+    /** Barriers requested since the current round began; they count from the next round on. */
     private final List<ReadBarrier> nextBarriers = new ArrayList<>();
 
     private boolean roundScheduled;
@@ -104,6 +104,10 @@
         }
     }
 
+    /**
+     * Returns whether the action must not run now. If the thread is paused, schedules the action
+     * for the end of the pause; if it was killed, drops the action.
+     */
     private boolean deferIfPaused(Runnable action) {
         if (killed) {
             return true;
