--- a/src/main/java/firstage/emulator/EmulatedCoordinator.java
+++ b/src/main/java/firstage/emulator/EmulatedCoordinator.java
@@ -109,6 +109,10 @@
         notifyAll();
     }
 
+    /**
+     * Serves a manager: reads the number of the last event that the manager knows, then sends the
+     * later events, and heartbeats while there are none.
+     */
     private void serve(Socket socket) throws Exception {
         long nextIndex =
                 Math.max(1, new DataInputStream(socket.getInputStream()).readLong() + 1) - 2;
--- a/src/main/java/firstage/emulator/FaultInjectingProxy.java
+++ b/src/main/java/firstage/emulator/FaultInjectingProxy.java
@@ -34,8 +34,8 @@
     private static final int BUFFER_BYTES = 16 * 1024;
 
     /**
-     * Number of queued chunks from which a source is not read any more, so that its TCP window
-     * fills.
+     * Number of queued chunks at which the proxy stops reading from a source, so that the source's
+     * TCP window fills.
      */
     private static final int MAX_QUEUED_CHUNKS = 64;
 
@@ -135,7 +135,10 @@
         busySince = 0;
     }
 
-    /** Returns the longest round of the last quarter of a second, in ticks; from any thread. */
+    /**
+     * Returns the longest round of at least the last quarter of a second, in ticks; from any
+     * thread.
+     */
     public long recentLateness() {
         long since = busySince;
         return Math.max(since == 0 ? 0 : now() - since, longestRound.value());
@@ -206,7 +209,10 @@
             execute(() -> List.copyOf(connections).forEach(Connection::reset));
         }
 
-        /** Takes a cut or repair of one of this endpoint's links into account. */
+        /**
+         * Adapts the listener and the open connections after one of this endpoint's links was cut
+         * or repaired.
+         */
         public void onLinkChanged() {
             execute(
                     () -> {
--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -45,13 +45,13 @@
 
     /**
      * Minimum time between requests of one ordering key. Each request may open a new connection,
-     * after which the protocol requires this distance.
+     * after which the protocol requires a longer distance than on an open one.
      */
     private static final long KEY_GAP = 3_000;
 
     /**
-     * Time for which a client waits beyond the deadline. A response within this time is late; a
-     * request without any is lost.
+     * Time for which a client waits beyond the deadline. A response within this time is late; a try
+     * without any response is lost.
      */
     private static final long RESPONSE_GRACE = 5_000;
 
--- a/src/main/java/firstage/emulator/RealTimeLoop.java
+++ b/src/main/java/firstage/emulator/RealTimeLoop.java
@@ -122,8 +122,8 @@
     }
 
     /**
-     * Returns the longest delay of the loop's thread in the last quarter of a second, in ticks;
-     * from any thread.
+     * Returns the longest delay of the loop's thread in at least the last quarter of a second, in
+     * ticks; from any thread.
      */
     public long recentLateness() {
         return Math.max(Ticks.ofNanos(System.nanoTime() - lastRoundNs), peakLateness.value());
