--- a/src/main/java/firstage/lifecycle/ArrivalSequencer.java
+++ b/src/main/java/firstage/lifecycle/ArrivalSequencer.java
@@ -6,10 +6,10 @@
 /**
  * Determines the order in which requests with the same ordering key arrived, as far as it can be
  * known. A request arrives when its last byte reaches this machine, not when that byte is read. A
- * request with a key is held back until a read barrier is passed: until everything that had arrived
- * by the time it was read has been read, too. Another request of the key that is read in the
- * meantime may have arrived before or after the first one. It is delivered at once, ahead of the
- * first one, and marked as of unknown order, so that at most one of the two ever runs.
+ * request with a key is held back until a read barrier is passed, that is, until everything that
+ * had arrived when the request was read has been read, too. Another request of the key that is read
+ * in the meantime may have arrived before or after the first one. It is delivered at once, ahead of
+ * the first one, and marked as of unknown order, so that at most one of the two ever runs.
  *
  * <table>
  * <caption>State of a key, event, next state, action</caption>
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Delivers the request that waited for the read barrier of this key, which is passed. */
+    /** Delivers the request that waited for this key's read barrier, which has been passed. */
     public void onReadBarrierPassed(Object key) {
         R first = firstByKey.remove(key);
         if (first != null) {
--- a/src/main/java/firstage/lifecycle/AttemptStateMachine.java
+++ b/src/main/java/firstage/lifecycle/AttemptStateMachine.java
@@ -26,8 +26,8 @@
  * <tr><td>ABANDONING</td><td>abandoned after a reply; a DELETE was sent</td></tr>
  * <tr><td>ABANDONING_UNACKNOWLEDGED</td><td>like ABANDONING, but without a reply to the
  *     statement</td></tr>
- * <tr><td>LINGERING</td><td>abandoned, and the DELETE was not answered in time; only the next
- *     request of the ordering key still waits for the end</td></tr>
+ * <tr><td>LINGERING</td><td>abandoned, and the end was not proven within the abandon timeout; only
+ *     the next request of the ordering key still waits for the end</td></tr>
  * <tr><td>LINGERING_UNACKNOWLEDGED</td><td>like LINGERING, but without a reply to the
  *     statement</td></tr>
  * <tr><td>ENDED</td><td>final</td></tr>
@@ -37,9 +37,10 @@
  * once each, in this order. The end of an attempt is proven by the engine's own final reply, or by
  * its answer to a DELETE that arrived after the statement. An attempt whose end is not proven is
  * reported with the time for which the engine may still hold the statement: until {@link
- * #UNPOLLED_EXPIRY} after the last call and, if the engine answered no DELETE either, until the
- * client's deadline, which the engine knows. For a request with an ordering key, the DELETE is
- * repeated and the next request of the key waits until the end is proven, while the request's own
+ * #UNPOLLED_EXPIRY} after the last call and, for an abandoned request with an ordering key whose
+ * engine neither answered a DELETE nor reported a failure, also until the client's deadline, which
+ * the engine knows. For a request with an ordering key, the DELETE is repeated, and the next
+ * request of the key waits until the end is proven or that time is over, while the request's own
  * client is answered at once.
  *
  * <p>Times are ticks. Every method call is an event; actions go out through {@link AttemptActions}.
@@ -47,7 +48,7 @@
  */
 public final class AttemptStateMachine {
     /**
-     * Time after the last call to an engine at which the engine no longer holds the statement. An
+     * Time from the last call to an engine until the engine no longer holds the statement. An
      * engine ends a statement that nobody polled for in 2 s. The last call may have been held there
      * for 250 ms first. A statement that completes in the meantime leaves a result, which the
      * engine keeps for another 2 s because nobody polls for it. The rest allows for calls that are
@@ -330,8 +331,8 @@
 
     /**
      * Abandons the attempt, which ends with this outcome once the engine has answered the DELETE or
-     * did not do so in time; until then the attempt is in flight. Does nothing if the outcome is
-     * already settled.
+     * has failed to do so in time; until then the attempt is in flight. Does nothing if the outcome
+     * is already settled.
      */
     public void abandon(long now, AttemptOutcome requestedOutcome) {
         if (state != State.ENDED && outcome == null) {
@@ -343,8 +344,8 @@
     /** Handles the engine's answer to the DELETE. */
     public void onDeleteAcknowledged(long now) {
         deleteAcknowledged = true;
-        // A statement that was still unread after this time does not arrive any more, and one that
-        // arrived before this DELETE is ended by it.
+        // A statement that the engine had not read by the expiry does not arrive any more, and one
+        // that arrived before this DELETE is ended by it.
         boolean expired =
                 state == State.LINGERING_UNACKNOWLEDGED && now >= lastCallAt + UNPOLLED_EXPIRY;
         handle(now, expired ? Event.EXPIRED : Event.DELETE_ACKNOWLEDGED);
--- a/src/main/java/firstage/lifecycle/AttemptTransitions.java
+++ b/src/main/java/firstage/lifecycle/AttemptTransitions.java
@@ -213,9 +213,10 @@
                 Action.DELETE,
                 AttemptOutcome.FAILED);
         on(State.FETCHING_PAGES, Event.ABANDON, State.ABANDONING, Action.DELETE);
-        // Abandoned after a reply to the statement: the answer to the DELETE, or any final reply,
-        // proves the end. After PROGRESS the DELETE is sent again on the connection that carried
-        // it, as the connection for the first DELETE may never be established.
+        // The attempt was abandoned after a reply to the statement: the answer to the DELETE, or
+        // any final reply, proves the end. After PROGRESS the DELETE is sent again on the
+        // connection that carried this reply, as the connection for the first DELETE may never be
+        // established.
         on(State.ABANDONING, Event.DELETE_ACKNOWLEDGED, State.ENDED, Action.END_PROVEN);
         on(State.ABANDONING, Event.REFUSED, State.ENDED, Action.END_PROVEN);
         on(State.ABANDONING, Event.FAILED, State.ENDED, Action.END_PROVEN);
@@ -225,8 +226,8 @@
         on(State.ABANDONING, Event.DELETE_FAILED, State.ABANDONING, Action.RETRY_DELETE);
         on(State.ABANDONING, Event.ABANDON_TIMEOUT, State.ENDED, Action.END_UNPROVEN);
         on(State.ABANDONING, Event.ABANDON_TIMEOUT_KEYED, State.LINGERING, Action.LINGER);
-        // Abandoned without a reply to the statement, which the DELETE may have overtaken: only a
-        // reply to the statement itself proves the end.
+        // The attempt was abandoned without a reply to the statement, which the DELETE may have
+        // overtaken: only a reply to the statement itself proves the end.
         on(
                 State.ABANDONING_UNACKNOWLEDGED,
                 Event.PROGRESS,
@@ -256,9 +257,9 @@
                 Event.ABANDON_TIMEOUT_KEYED,
                 State.LINGERING_UNACKNOWLEDGED,
                 Action.LINGER);
-        // Abandoned, the abandon timeout is over, and other requests of the ordering key wait. An
-        // engine that received no DELETE may still run the statement, and holds a result that
-        // nobody fetches until the deadline.
+        // The attempt was abandoned, the abandon timeout is over, and other requests of the
+        // ordering key wait. An engine that received no DELETE may still run the statement, and
+        // holds a result that nobody fetches until the deadline.
         on(State.LINGERING, Event.DELETE_ACKNOWLEDGED, State.ENDED, Action.END_PROVEN);
         on(State.LINGERING, Event.REFUSED, State.ENDED, Action.END_PROVEN);
         on(State.LINGERING, Event.FAILED, State.ENDED, Action.END_PROVEN);
--- a/src/main/java/firstage/lifecycle/KeyOrderMonitor.java
+++ b/src/main/java/firstage/lifecycle/KeyOrderMonitor.java
@@ -20,6 +20,10 @@
         /** Times until which engines may hold a statement, by request. */
         private final Map<Object, Long> heldUntil = new HashMap<>();
 
+        /**
+         * Removes the holds that have expired, and returns whether no request is open, no attempt
+         * in flight and no statement held.
+         */
         private boolean isIdle(long now) {
             heldUntil.values().removeIf(until -> until <= now);
             return openRequests.isEmpty() && attemptsInFlight.isEmpty() && heldUntil.isEmpty();
@@ -74,7 +78,7 @@
         }
     }
 
-    /** Removes keys without open requests, attempts and held statements; called periodically. */
+    /** Removes keys without open requests, attempts or held statements; called periodically. */
     public void removeIdleKeys(long now) {
         for (Iterator<KeyState> iterator = keys.values().iterator(); iterator.hasNext(); ) {
             if (iterator.next().isIdle(now)) {
--- a/src/main/java/firstage/lifecycle/PauseDetector.java
+++ b/src/main/java/firstage/lifecycle/PauseDetector.java
@@ -24,7 +24,7 @@
     /** Interval between two heartbeats, in ticks. */
     public static final long HEARTBEAT_INTERVAL = Ticks.ofMillis(30);
 
-    /** Delay of a heartbeat above which it shows a pause. */
+    /** Lateness of a heartbeat, in ticks, above which the thread counts as paused. */
     private static final long MAX_HEARTBEAT_DELAY = Ticks.ofMillis(20);
 
     private static final long NOT_PAUSED = -1;
@@ -40,7 +40,10 @@
 
     private final PauseActions actions;
 
-    /** Time of the heartbeat before the last; input up to this time was read by the last one. */
+    /**
+     * Time of the heartbeat before the last; input that had arrived by then was read by the time of
+     * the last heartbeat.
+     */
     private long previousHeartbeat;
 
     private long lastHeartbeat;
@@ -62,8 +65,8 @@
     }
 
     /**
-     * Records that input is not read, from now on or since the last heartbeats, until a read
-     * barrier is passed.
+     * Records that some input is not read until a read barrier is passed; such input may have
+     * arrived since the heartbeat before the last.
      */
     public void onReadsBlocked(long now) {
         detect(now);
--- a/src/main/java/firstage/server/ActionGuard.java
+++ b/src/main/java/firstage/server/ActionGuard.java
@@ -161,7 +161,7 @@
     }
 
     /**
-     * Records that the client closed its connection or cancelled, which was read just now.
+     * Records that the client closed its connection or cancelled; the event was read just now.
      *
      * @param notBefore the time before which the client can't have left, as its connection was open
      *     or it could not cancel yet
--- a/src/main/java/firstage/server/ReadBarrier.java
+++ b/src/main/java/firstage/server/ReadBarrier.java
@@ -15,7 +15,7 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Runs callbacks once all input that had reached this machine at the time of the request has been
+ * Runs a callback once all input that had reached this machine when the callback was added has been
  * read. The I/O thread writes a byte to a pipe to itself. The selector pass that finds this byte
  * also finds all input that arrived before it, which has been read once the thread has handled the
  * ready channels of that pass. A barrier takes two such passes: the first finds new connections,
--- a/src/main/java/firstage/server/RequestEventHandler.java
+++ b/src/main/java/firstage/server/RequestEventHandler.java
@@ -16,7 +16,10 @@
  */
 final class RequestEventHandler
         implements ArrivalSequencer.ArrivalActions<RequestEventHandler.UnsequencedRequest> {
-    /** Time after a client's deadline until it is answered; it must get an answer within 50 ms. */
+    /**
+     * Time after a client's deadline at which a request without an answer is failed; the client
+     * must get an answer within 50 ms of its deadline.
+     */
     private static final long DEADLINE_GRACE_MS = 35;
 
     /** A request that was read and is not delivered to the scheduler yet. */
--- a/src/main/java/firstage/server/ShutdownSequence.java
+++ b/src/main/java/firstage/server/ShutdownSequence.java
@@ -51,7 +51,7 @@
     private Phase phase = Phase.SERVING;
 
     /**
-     * @param closeAll closes all resources of the manager and checks that none is still in use
+     * @param closeAll closes all resources of the manager and checks their invariants
      */
     ShutdownSequence(
             TickClock clock,
@@ -104,8 +104,8 @@
     }
 
     /**
-     * Ends the program if the shutdown is in progress and the manager is idle. Called after each
-     * evaluation and periodically.
+     * Starts the last phase if the manager drains and is idle. Called after each evaluation and
+     * periodically.
      */
     void endIfIdle() {
         if (phase == Phase.DRAINING && isIdle()) {
--- a/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
+++ b/src/test/java/firstage/lifecycle/KeyOrderMonitorTest.java
@@ -8,7 +8,7 @@
 
 /**
  * Tests the violations that the monitor reports, and the order of arrivals that the sequencer
- * determines for it.
+ * determines.
  */
 class KeyOrderMonitorTest {
     private final KeyOrderMonitor monitor = new KeyOrderMonitor();
--- a/src/test/java/firstage/server/CancellationIT.java
+++ b/src/test/java/firstage/server/CancellationIT.java
@@ -166,8 +166,8 @@
     void lateEngineConnection_isUsed_unlessClientLeft(boolean clientLeaves) throws Exception {
         coordinator.watchStarts().take();
         manager.restart(withConnectTimeout(config(), 3));
-        // Before the new process watches, events would be written to the killed process's
-        // connection.
+        // Waits until the new process watches: events that are published earlier would be written
+        // to the killed process's connection.
         coordinator.watchStarts().take();
         try (ServerSocket fullServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket firstQueued =
--- a/src/test/java/firstage/server/KeyOrderIT.java
+++ b/src/test/java/firstage/server/KeyOrderIT.java
@@ -80,7 +80,7 @@
             assertThat(engine.awaitCall(DELETE).startLine()).endsWith(JobIds.of(1));
             long start = System.nanoTime();
             assertThat(client.readToEnd().status()).isEqualTo(200);
-            // The end of the first request is proven, so its key has no quiet period.
+            // The end of the first request is proven, so the next one waits for no quiet period.
             assertThat(millisecondsSince(start)).isLessThan(2_000);
         }
         assertThat(secondEngine.posts()).hasSize(1);
--- a/src/test/java/firstage/server/ProcessPauseIT.java
+++ b/src/test/java/firstage/server/ProcessPauseIT.java
@@ -66,7 +66,8 @@
     }
 
     /**
-     * A client without a path closes its connection; its request must not be sent after the pause.
+     * A client without a path to poll closes its connection; its request must not be sent after the
+     * pause.
      */
     @ParameterizedTest
     @ValueSource(ints = {5, 15, 25, 35})
@@ -87,8 +88,8 @@
     }
 
     /**
-     * A client with a path closes its connection and never polls; the pause is longer than the poll
-     * grace.
+     * A client with a path to poll closes its connection and never polls; the pause is longer than
+     * the poll grace.
      */
     @ParameterizedTest
     @ValueSource(ints = {-1, 0, 5, 15, 35})
--- a/src/test/java/firstage/server/TickClockTest.java
+++ b/src/test/java/firstage/server/TickClockTest.java
@@ -28,7 +28,7 @@
         assertThat(clock.fromUnixMillis(0)).isZero();
     }
 
-    /** Otherwise an engine that just started would count as warm and be overloaded. */
+    /** An engine that just started must not count as warm, as it would be overloaded. */
     @Test
     void fromUnixMillis_clockSteppedForward_engineIsNotOlder() {
         advance(10_000);
