--- a/src/main/java/firstage/lifecycle/KeyOrderMonitor.java
+++ b/src/main/java/firstage/lifecycle/KeyOrderMonitor.java
@@ -24,7 +24,7 @@
          * Removes the holds that have expired, and returns whether no request is open, no attempt
          * in flight and no statement held.
          */
-        private boolean isIdle(long now) {
+        private boolean expireHoldsAndCheckIdle(long now) {
             heldUntil.values().removeIf(until -> until <= now);
             return openRequests.isEmpty() && attemptsInFlight.isEmpty() && heldUntil.isEmpty();
         }
@@ -44,7 +44,7 @@
      */
     public boolean onAttemptStarted(long now, Object key, Object request) {
         KeyState keyState = keys.computeIfAbsent(key, k -> new KeyState());
-        keyState.isIdle(now);
+        keyState.expireHoldsAndCheckIdle(now);
         boolean first =
                 keyState.openRequests.isEmpty() || keyState.openRequests.get(0).equals(request);
         boolean alone =
@@ -81,7 +81,7 @@
     /** Removes keys without open requests, attempts or held statements; called periodically. */
     public void removeIdleKeys(long now) {
         for (Iterator<KeyState> iterator = keys.values().iterator(); iterator.hasNext(); ) {
-            if (iterator.next().isIdle(now)) {
+            if (iterator.next().expireHoldsAndCheckIdle(now)) {
                 iterator.remove();
             }
         }
--- a/src/main/java/firstage/server/RequestRegistry.java
+++ b/src/main/java/firstage/server/RequestRegistry.java
@@ -112,10 +112,10 @@
     }
 
     /** Records that the client has its answer, or gets none. Called once for each request. */
-    void onRequestEnded(RequestOutcome end, RequestExchange exchange) {
-        counters.count(end.counter);
+    void onRequestEnded(RequestOutcome outcome, RequestExchange exchange) {
+        counters.count(outcome.counter);
         openRequests--;
-        counters.recorder().record(EventType.REQUEST_ENDED, exchange.id, end.name(), 0, 0);
+        counters.recorder().record(EventType.REQUEST_ENDED, exchange.id, outcome.name(), 0, 0);
         if (exchange.orderingKey != null) {
             keyOrder.onRequestEnded(exchange.orderingKey, exchange.id);
         }
@@ -144,8 +144,8 @@
     /** Checks, at the end of the program, that each accepted request ended once. */
     void checkAllEnded() {
         long ended = 0;
-        for (RequestOutcome end : RequestOutcome.values()) {
-            ended += counters.sum(end.counter);
+        for (RequestOutcome outcome : RequestOutcome.values()) {
+            ended += counters.sum(outcome.counter);
         }
         counters.checkInvariant(counters.sum(ACCEPTED_COUNTER) == ended, "each request ends once");
     }
--- a/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
+++ b/src/test/java/firstage/lifecycle/AttemptStateMachineTest.java
@@ -18,7 +18,7 @@
     private final List<String> actions = new ArrayList<>();
     private AttemptStateMachine attempt = new AttemptStateMachine(this, true);
     private boolean connectionOpen;
-    private boolean resultAwaited = true;
+    private boolean endAwaited = true;
     private long deadline;
     private int releases;
     private long now = 1_000_000;
@@ -87,7 +87,7 @@
     void delete_connectionNeverEstablished_isSentOnPollConnection() {
         writeStatement();
         attempt.onStatementReply(now, EngineReply.PROGRESS);
-        resultAwaited = false;
+        endAwaited = false;
         attempt.abandon(now + 10, AttemptOutcome.CANCELLED);
         attempt.onReply(now + 80, EngineReply.PROGRESS);
         attempt.onTimeout(now + 200, Timeout.RETRY_DELETE);
@@ -106,7 +106,7 @@
     void reportEnd_nobodyWaits_onlyOnceProven() {
         writeStatement();
         attempt.onStatementReply(now, EngineReply.PROGRESS);
-        resultAwaited = false;
+        endAwaited = false;
         deadline = now + 200_000;
         attempt.abandon(now + 10, AttemptOutcome.CANCELLED);
         attempt.onTimeout(now + 210, Timeout.ABANDON);
@@ -142,7 +142,7 @@
     @Test
     void delete_afterUnpolledExpiry_provesEnd() {
         writeStatement();
-        resultAwaited = false;
+        endAwaited = false;
         deadline = now + 200_000;
         attempt.abandon(now + 10, AttemptOutcome.CANCELLED);
         attempt.onTimeout(now + 210, Timeout.ABANDON);
@@ -157,7 +157,7 @@
         attempt = new AttemptStateMachine(this, false);
         writeStatement();
         attempt.onStatementReply(now, EngineReply.PROGRESS);
-        resultAwaited = false;
+        endAwaited = false;
         attempt.abandon(now + 10, AttemptOutcome.CANCELLED);
         attempt.onTimeout(now + 210, Timeout.ABANDON);
         assertThat(actions)
@@ -276,7 +276,7 @@
 
     @Override
     public boolean isEndAwaited() {
-        return resultAwaited;
+        return endAwaited;
     }
 
     @Override
