--- a/src/main/java/firstage/cli/Main.java
+++ b/src/main/java/firstage/cli/Main.java
@@ -7,7 +7,7 @@
 /**
  * The command line: the first argument names a sub-command, and each sub-command has a class. Input
  * that can't be used is reported in one line on standard error, with status {@link
- * #UNUSABLE_STATUS}.
+ * #INVALID_INPUT_STATUS}.
  */
 public final class Main {
     /** Exit status if a file, an option or an argument can't be used. */
--- a/src/main/java/firstage/policy/EngineSelector.java
+++ b/src/main/java/firstage/policy/EngineSelector.java
@@ -45,7 +45,7 @@
      *
      * @param zone zone of this manager
      * @param prefersOwnZone whether traffic between zones has a cost
-     * @param prioritiesHeeded whether engines run requests by priority
+     * @param enginesHonourPriorities whether engines run requests by priority
      */
     record SelectionSettings(int zone, boolean prefersOwnZone, boolean enginesHonourPriorities) {}
 
--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -24,7 +24,7 @@
      * A line that the process reported.
      *
      * @param figures figures by name
-     * @param reached delays in ms of the managers that met a condition, by the condition's label
+     * @param delaysByLabel delays in ms of the managers that met a condition, by its label
      */
     record Report(Map<String, Double> figures, Map<String, List<Double>> delaysByLabel) {
         double figure(String name) {
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -128,7 +128,7 @@
     /**
      * The outcome of a run.
      *
-     * @param isVoid reason why some figures are void, or null if all figures are valid
+     * @param voidReason reason why some figures are void, or null if all figures are valid
      */
     public record Result(Map<String, Double> figures, String voidReason) {}
 
--- a/src/main/java/firstage/simulation/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -195,7 +195,7 @@
      * The clients.
      *
      * @param retryPause time between two tries of a request
-     * @param deadlineShareOfTry timeout of a try, as a share of the request's whole time
+     * @param tryTimeoutShare timeout of a try, as a share of the request's whole time
      * @param retryAfterHonouredShare share of retries that wait as long as the manager asked for
      */
     public record Clients(
