--- a/src/main/java/firstage/cells/CellActions.java
+++ b/src/main/java/firstage/cells/CellActions.java
@@ -10,7 +10,7 @@
 
     /**
      * Reports that engines which could not be used may be usable now; {@link CellDirectory#mayUse}
-     * tells which.
+     * returns whether a given engine is.
      */
     void onEnginesReleased(long now);
 
--- a/src/main/java/firstage/cells/CellDirectory.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -64,8 +64,8 @@
     private static final int SENDS_PER_NEW_ROW = 2;
 
     /**
-     * Number of rows on a message that are taken in turn, new or not, so that none remains unknown
-     * to a manager by chance.
+     * Number of rows on a message that are taken in turn, new or not, so that every manager
+     * receives every row even if random losses affect the new ones.
      */
     private static final int ROWS_IN_TURN = 2;
 
@@ -82,7 +82,7 @@
     private static final int MAX_UNSIGNED_BYTE = 255;
     private static final long NEVER = Long.MIN_VALUE / 4;
 
-    /** Defects that tests inject one at a time, to show that they are found. */
+    /** Defects that tests inject one at a time, to prove that the checks detect them. */
     public enum InjectedDefect {
         NONE,
         /** A delegate sends its rows to all cells instead of one. */
@@ -132,8 +132,12 @@
     };
 
     /**
-     * Status of a cell as this manager knows it. {@code age}: ticks since a newer row was received,
-     * -1 for never; {@code planNumber}: the lowest number that the managers of the cell hold.
+     * Status of a cell as known to this manager.
+     *
+     * @param age ticks since a newer row was received, -1 for never
+     * @param planNumber lowest plan number that the managers of the cell hold
+     * @param slots number of managers that the plan assigns to the cell
+     * @param sheddingThreshold priority band below which the cell refuses requests; 0 for none
      */
     public record CellStatus(
             String name,
@@ -188,10 +192,14 @@
     private boolean planConflictLogged;
 
     /**
-     * {@code previousPlan}: the plan that {@code plan} replaces, or null; {@code ownCell}, {@code
-     * ownSlot}: this manager's cell and its slot there; {@code name}: this manager's name; {@code
-     * fleet}: the fleet's name; {@code startedAtUnixMs}: when this process started, in milliseconds
-     * of Unix time.
+     * Creates the directory of one manager.
+     *
+     * @param previousPlan the plan that {@code plan} replaces, or null
+     * @param ownCell index of this manager's cell
+     * @param ownSlot this manager's slot in its cell
+     * @param name name of this manager
+     * @param fleet name of the fleet
+     * @param startedAtUnixMs Unix time in ms at which this process started
      */
     public CellDirectory(
             CellPlan plan,
--- a/src/main/java/firstage/cells/CellPlan.java
+++ b/src/main/java/firstage/cells/CellPlan.java
@@ -12,19 +12,21 @@
  * assignment without a message, and a cell that is added or removed moves no engine between two
  * others.
  *
- * <p>{@code number}: the number of the plan, higher than that of the plan before it; {@code
- * spread}: the number of cells that serve each engine.
+ * @param number number of the plan, higher than that of the plan before it
+ * @param spread number of cells that serve each engine
  */
 public record CellPlan(int number, int spread, List<Cell> cells) {
     /**
-     * Fraction of the warm-up budget for cells that gain an engine: only messages tell them whether
-     * others have released it.
+     * Fraction of the warm-up budget for cells that gain an engine; they learn only from messages
+     * whether the other cells have released it.
      */
     private static final double GAINING_CELLS_FRACTION = 0.125;
 
     /**
-     * A cell of the plan. {@code slots}: the number of its managers; {@code serves}: false for a
-     * cell whose engines are taken over by others.
+     * A cell of the plan.
+     *
+     * @param slots number of its managers
+     * @param serves false for a cell whose engines are taken over by others
      */
     public record Cell(String name, String zone, int slots, boolean serves) {}
 
@@ -68,7 +70,9 @@
      * the engine. The share depends on the two plans alone, so that the rule on engines that are
      * warming up depends on no message: cells that serve the engine by the previous plan divide
      * seven eighths, including those that lose it and do not know the new plan yet; cells that gain
-     * it divide the rest. {@code previousPlan}: the plan that this one replaces, or null.
+     * it divide the rest.
+     *
+     * @param previousPlan the plan that this one replaces, or null
      */
     public double warmUpShare(CellPlan previousPlan, int cell, long engine, String zone) {
         if (previousPlan == null) {
--- a/src/main/java/firstage/cells/EngineSubset.java
+++ b/src/main/java/firstage/cells/EngineSubset.java
@@ -22,8 +22,11 @@
     private final Map<Long, T> awaitedEntries = new LinkedHashMap<>();
 
     /**
-     * {@code id}, {@code zone}: return the id and the zone of the engine of an entry; {@code
-     * isGone}: returns whether the engine is gone.
+     * Creates the filter for one kind of entry.
+     *
+     * @param id returns the id of an entry's engine
+     * @param zone returns the zone of an entry's engine
+     * @param isGone returns whether an entry reports its engine as gone
      */
     public EngineSubset(
             CellDirectory cells,
@@ -37,8 +40,9 @@
     }
 
     /**
-     * Returns those of the entries that this manager may use now. {@code replacesAll}: whether the
-     * entries replace all earlier ones.
+     * Returns those of the entries that this manager may use now.
+     *
+     * @param replacesAll whether the entries replace all earlier ones
      */
     public List<T> filter(boolean replacesAll, List<T> entries) {
         if (replacesAll) {
--- a/src/main/java/firstage/cli/FleetCommand.java
+++ b/src/main/java/firstage/cli/FleetCommand.java
@@ -24,7 +24,7 @@
     /** Exit status if a run violated a rule that the simulation checks. */
     static final int RULE_BROKEN_STATUS = 3;
 
-    /** Runs the command and returns the exit code, which stands for the verdict. */
+    /** Runs the command and returns the exit code, which indicates the verdict. */
     static int run(String[] args) {
         return CommandRunner.run(new FleetCommand(), "fleet", args);
     }
--- a/src/main/java/firstage/cli/PeersCommand.java
+++ b/src/main/java/firstage/cli/PeersCommand.java
@@ -39,7 +39,8 @@
     private boolean json;
 
     /**
-     * Runs the command and returns the exit code, which tells whether the manager's view is agreed.
+     * Runs the command and returns the exit code, which indicates whether the manager's view is
+     * agreed.
      */
     static int run(String[] args) {
         return CommandRunner.run(new PeersCommand(), "peers", args);
--- a/src/main/java/firstage/cli/ZonesCommand.java
+++ b/src/main/java/firstage/cli/ZonesCommand.java
@@ -49,7 +49,7 @@
     private String zone;
 
     /**
-     * Runs the command and returns the exit code, which tells whether the manager accepted the
+     * Runs the command and returns the exit code, which indicates whether the manager accepted the
      * order.
      */
     static int run(String[] args) {
--- a/src/main/java/firstage/failover/FleetCoordinator.java
+++ b/src/main/java/firstage/failover/FleetCoordinator.java
@@ -76,10 +76,13 @@
     private final ZoneFailover zones;
 
     /**
-     * {@code zone}: this manager's zone, of {@code zoneCount}; {@code latencyObjective}: the
-     * shortest latency objective of the traffic classes; {@code warmUpDuration}: how long engines
-     * take to warm up; {@code probeInterval}: the time between two probes of the membership, which
-     * carries the digests.
+     * Creates the coordinator of one manager.
+     *
+     * @param self name of this manager
+     * @param zone index of this manager's zone, below {@code zoneCount}
+     * @param latencyObjective shortest latency objective of the traffic classes
+     * @param warmUpDuration time that engines take to warm up
+     * @param probeInterval time between two probes of the membership, which carries the digests
      */
     public FleetCoordinator(
             String self,
--- a/src/main/java/firstage/failover/ZoneFailover.java
+++ b/src/main/java/firstage/failover/ZoneFailover.java
@@ -61,15 +61,15 @@
     private static final int HEALTHY_PERCENT = 50;
 
     /**
-     * Minimum number of observed engines for a report: one engine alone says nothing about its
-     * zone.
+     * Minimum number of observed engines for a report: the state of a single engine is no evidence
+     * about its zone.
      */
     private static final int MIN_OBSERVED_ENGINES = 2;
 
     /** Maximum age of an engine's last response for it to count as observed. */
     private static final long MAX_OBSERVATION_AGE = Ticks.ofSeconds(3);
 
-    /** Time in which a typical request returns; a younger attempt says nothing of its engine. */
+    /** Time in which a typical request returns; a younger attempt is no sign of a failure. */
     private static final long RESPONSE_TIME = Ticks.ofSeconds(2);
 
     /** Time for which a failure must be reported before the zone is evacuated. */
@@ -153,7 +153,7 @@
                     State.EVACUATED, EVACUATED_MARK,
                     State.RETURNING, RETURNING_MARK);
 
-    /** Defects that tests inject one at a time, to show that they are found. */
+    /** Defects that tests inject one at a time, to prove that the checks detect them. */
     public enum InjectedDefect {
         NONE,
         /** One report of a failure is enough to evacuate a zone. */
@@ -166,7 +166,7 @@
         NO_HOLD,
         /** Observations from before a pause are reported. */
         STILL_COUNTS,
-        /** Nobody probes the engines of an evacuated zone. */
+        /** No manager probes the engines of an evacuated zone. */
         NOBODY_TRIES,
         /** Orders in the rows of managers are ignored. */
         ORDER_FORGOTTEN
@@ -212,8 +212,11 @@
     private long observationsStaleUntil = Long.MIN_VALUE / 4;
 
     /**
-     * {@code ownZone}: this manager's zone; {@code warmUpDuration}: how long engines take to warm
-     * up, in ticks.
+     * Creates the failover logic of one manager; all zones are in use at first.
+     *
+     * @param self name of this manager
+     * @param ownZone index of this manager's zone
+     * @param warmUpDuration time that engines take to warm up, in ticks
      */
     public ZoneFailover(
             String self,
@@ -258,8 +261,9 @@
 
     /**
      * Records whether other managers probe this engine because of its own health ({@link
-     * firstage.overload.ProbeCoordinator}). {@code backoffOver}: whether the engine may be probed
-     * now, without waiting for its backoff.
+     * firstage.overload.ProbeCoordinator}).
+     *
+     * @param backoffOver whether the engine may be probed now, without waiting for its backoff
      */
     public void setProbedByOthers(long engine, boolean probedByOthers, boolean backoffOver) {
         EngineObservation observation = engines.get(engine);
@@ -295,8 +299,8 @@
     }
 
     /**
-     * Applies the orders in the rows. The latest order wins, so that a manager that restarts learns
-     * its own order again.
+     * Applies the orders in the rows. For each zone the latest order wins, so that a manager that
+     * restarts recovers the order that it had received.
      */
     private void applyOrders(List<LoadRow> rows) {
         for (LoadRow row : rows) {
--- a/src/main/java/firstage/membership/MembershipProtocol.java
+++ b/src/main/java/firstage/membership/MembershipProtocol.java
@@ -164,9 +164,9 @@
     }
 
     /**
-     * Returns the state of the link to a member: ok, deaf (this manager does not hear the member),
-     * unheard (the member does not hear this manager), cut (both), or none if the member is
-     * unknown, dead or left.
+     * Returns the state of the link to a member: ok, deaf (this manager receives nothing from the
+     * member), unheard (the member receives nothing from this manager), cut (both), or none if the
+     * member is unknown, dead or left.
      */
     public String linkState(long now, String name) {
         Peer peer = table.peer(name);
--- a/src/main/java/firstage/membership/MessageSender.java
+++ b/src/main/java/firstage/membership/MessageSender.java
@@ -108,7 +108,7 @@
         return records;
     }
 
-    /** Returns alive members that this manager does not hear although others do. */
+    /** Returns alive members from which other managers receive messages but this one does not. */
     private List<String> unheardMembers(long now) {
         List<String> names = new ArrayList<>();
         for (Peer peer : table.peers()) {
--- a/src/main/java/firstage/membership/Peer.java
+++ b/src/main/java/firstage/membership/Peer.java
@@ -123,8 +123,8 @@
     }
 
     /**
-     * Returns the state of the link to the peer: ok, deaf (this manager does not hear the peer),
-     * unheard (the peer does not hear this manager) or cut (both).
+     * Returns the state of the link to the peer: ok, deaf (this manager receives nothing from the
+     * peer), unheard (the peer receives nothing from this manager) or cut (both).
      *
      * @param self name of this manager
      */
--- a/src/main/java/firstage/overload/ProbeCoordinator.java
+++ b/src/main/java/firstage/overload/ProbeCoordinator.java
@@ -36,7 +36,7 @@
     /** Minimum lifetime of a report: several probe rounds of a small fleet. */
     private static final long MIN_REPORT_LIFETIME = Ticks.ofSeconds(3);
 
-    /** Lifetime of a report in probe rounds; in a round each manager hears every other. */
+    /** Lifetime of a report in probe rounds; a round exchanges messages with every manager. */
     private static final double REPORT_PROBE_ROUNDS = 1.5;
 
     /** Interval between two probes of an engine by its owner, regardless of the fleet size. */
@@ -115,7 +115,7 @@
         /** All managers return in the first step. */
         ALL_AT_ONCE,
 
-        /** The report of a single manager suffices, and nobody owns the probes. */
+        /** The report of a single manager suffices, and no manager owns the probes. */
         ALONE_IS_SHARED
     }
 
@@ -193,7 +193,7 @@
         engineState.lastResponseAt = Math.max(engineState.lastResponseAt, lastResponseAt);
     }
 
-    /** Forgets an engine that is no longer in the endpoint list. */
+    /** Removes an engine that is no longer in the endpoint list. */
     public void removeEngine(long engine) {
         engines.remove(engine);
     }
--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -71,7 +71,7 @@
          */
         void onEndpointListChanged(HollowManager manager, long sentAt);
 
-        /** Called when a cell becomes silent or is heard again. */
+        /** Called when a cell becomes silent or sends rows again. */
         void onCellEvent(HollowManager manager, String event, String cell);
     }
 
--- a/src/main/java/firstage/server/client/ClientResponses.java
+++ b/src/main/java/firstage/server/client/ClientResponses.java
@@ -30,7 +30,7 @@
      */
     private static final int DRAIN_MS = 300;
 
-    /** Limit on the input that is discarded in that time. */
+    /** Maximum amount of input that is discarded before the connection is closed. */
     private static final int MAX_DRAIN_BYTES = 256 * 1024;
 
     /**
@@ -39,7 +39,10 @@
      */
     private static final int MAX_WRITE_MS = 10_000;
 
-    /** The same time in the last phase of a shutdown; enough for a client that reads. */
+    /**
+     * Time to read an answer in the last phase of a shutdown; enough for a client that reads at
+     * all.
+     */
     private static final int MAX_WRITE_CLOSING_MS = 1_000;
 
     private static final int WRITE_SWEEP_PERIOD_MS = 250;
--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -155,7 +155,7 @@
         return state;
     }
 
-    /** Returns the time of the last start in ticks; 0 stands for long ago. */
+    /** Returns the time of the last start in ticks; 0 if long ago. */
     public long startedAt() {
         return startedAt;
     }
--- a/src/main/java/firstage/simulation/FleetSimulation.java
+++ b/src/main/java/firstage/simulation/FleetSimulation.java
@@ -19,7 +19,7 @@
  * with the same seed get the same traffic, engines and faults.
  */
 public final class FleetSimulation implements ManagerModel.ClientListener {
-    /** Time at which a run starts, in ticks; above 0, which stands for "long ago" in the models. */
+    /** Time at which a run starts, in ticks; above 0, which means "long ago" in the models. */
     private static final long START = 1_000_000;
 
     /** Time from the last possible deadline to the end of a run, for late answers: 1 s. */
--- a/src/test/java/firstage/ArchitectureTest.java
+++ b/src/test/java/firstage/ArchitectureTest.java
@@ -15,7 +15,10 @@
 import java.io.OutputStream;
 import java.io.Serializable;
 
-/** What decides knows no socket, file, thread or clock; what serves loads no tool. */
+/**
+ * Checks the dependencies between packages: decision logic uses no sockets, files, threads or
+ * clocks, and the classes that serve requests do not depend on tools.
+ */
 @AnalyzeClasses(packages = "firstage", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
     private static final String[] FREE = {
