--- a/src/main/java/firstage/faulttest/FaultTestExtension.java
+++ b/src/main/java/firstage/faulttest/FaultTestExtension.java
@@ -56,7 +56,7 @@
         return Map.of();
     }
 
-    /** Called on the loop's thread when traffic begins. */
+    /** Starts the extension; called on the loop's thread when traffic begins. */
     default void begin(RunningTest test) {}
 
     /**
--- a/src/main/java/firstage/membership/FailureDetector.java
+++ b/src/main/java/firstage/membership/FailureDetector.java
@@ -56,7 +56,7 @@
      */
     private static final int STARTUP_PROBES = 32;
 
-    /** Limit of pending probes, both this manager's own and those on behalf of others. */
+    /** Maximum number of pending probes, both this manager's own and those on behalf of others. */
     private static final int MAX_PENDING_PROBES = 256;
 
     /**
--- a/src/main/java/firstage/membership/GossipQueue.java
+++ b/src/main/java/firstage/membership/GossipQueue.java
@@ -15,7 +15,7 @@
     /** Sends of one change as a multiple of the binary logarithm of the fleet size. */
     private static final int GOSSIP_FACTOR = 4;
 
-    /** Limit of queued changes, so that forged member names can't exhaust the memory. */
+    /** Maximum number of queued changes, so that forged member names can't exhaust the memory. */
     private static final int MAX_PENDING = 4_096;
 
     private static final class Pending {
--- a/src/main/java/firstage/membership/MemberTable.java
+++ b/src/main/java/firstage/membership/MemberTable.java
@@ -10,7 +10,7 @@
 final class MemberTable {
     private final TreeMap<String, Peer> peers = new TreeMap<>();
 
-    /** Name of the peer last heard at each address, by index of the address. */
+    /** Name of the peer that last sent a message from each address, by index of the address. */
     private final String[] nameByAddress;
 
     private Member self;
@@ -55,7 +55,7 @@
         nameByAddress[address] = name;
     }
 
-    /** Returns the peer last heard at an address, or null. */
+    /** Returns the peer that last sent a message from an address, or null. */
     Peer peerAt(int address) {
         return nameByAddress[address] == null ? null : peers.get(nameByAddress[address]);
     }
--- a/src/main/java/firstage/membership/MembershipMessage.java
+++ b/src/main/java/firstage/membership/MembershipMessage.java
@@ -7,11 +7,11 @@
  *
  * @param target in a PING_REQUEST the member to ping, in an INDIRECT_ACK the member that answered;
  *     not used in other kinds
- * @param lastHeardAgo ticks since the sender last heard the receiver, -1 for never; reveals a link
- *     that is broken in one direction
+ * @param lastHeardAgo ticks since the sender last received a message from the receiver of this
+ *     one, -1 for never; reveals a link that is broken in one direction
  * @param grantsQuota whether this ack grants the receiver its full share
  * @param withdrawnGrants members from which the sender has withdrawn its grant
- * @param unheardMembers members that others hear but the sender does not
+ * @param unheardMembers alive members from which others receive messages but the sender does not
  * @param members gossiped member records
  * @param digest data of the fleet coordinator and the cells
  */
@@ -31,7 +31,7 @@
         List<Member> members,
         byte[] digest) {
     /**
-     * Kind of a message. PING asks for an ACK. PING_REQUEST asks another manager to ping the
+     * Kind of a message. PING requests an ACK. PING_REQUEST asks another manager to ping the
      * target, and INDIRECT_ACK reports that the target answered. SYNC and SYNC_REPLY carry all
      * known member records. The ordinal is on the wire.
      */
--- a/src/main/java/firstage/membership/MessageSender.java
+++ b/src/main/java/firstage/membership/MessageSender.java
@@ -36,7 +36,7 @@
         gossip.add(name);
     }
 
-    /** Sends a message to a peer, at the address where it was last heard. */
+    /** Sends a message to a peer, at the address that its last message came from. */
     void send(long now, Peer to, MembershipMessage.Kind kind, long sequence, String target) {
         send(to.address(), newMessage(now, to, kind, sequence, target));
     }
--- a/src/main/java/firstage/membership/Peer.java
+++ b/src/main/java/firstage/membership/Peer.java
@@ -3,7 +3,7 @@
 import firstage.util.Ticks;
 import java.util.List;
 
-/** State of another manager: its member record, and when and how it was last heard. */
+/** State of another manager: its member record, and the time and header of its last message. */
 final class Peer {
     /**
      * Time without a message after which the link counts as broken: six probe periods of the usual
@@ -19,7 +19,10 @@
     private long lastHeardAt = NEVER;
     private long indirectlyHeardAt = NEVER;
 
-    /** Ticks since the peer last heard this manager, as its last message reports; -1 for never. */
+    /**
+     * Ticks since the peer last received a message from this manager, as its own last message
+     * reports; -1 for never.
+     */
     private long reportedLastHeardAgo = -1;
 
     private long viewNumber;
@@ -56,7 +59,7 @@
         return address >= 0;
     }
 
-    /** Returns the index of the peer's address; -1 if the peer has not been heard yet. */
+    /** Returns the index of the peer's address; -1 before its first message. */
     int address() {
         return address;
     }
@@ -90,7 +93,7 @@
 
     /**
      * Excludes a pause of this process, which lasted {@code gap} ticks, from the time since the
-     * peer was last heard.
+     * peer's last message.
      */
     void onPause(long gap) {
         lastHeardAt += gap;
@@ -117,7 +120,7 @@
         return Math.max(lastHeardAt, indirectlyHeardAt);
     }
 
-    /** Returns the ticks since the peer was last heard, as sent to the peer; -1 for never. */
+    /** Returns the ticks since the peer's last message, as sent to the peer; -1 for never. */
     long lastHeardAgo(long now) {
         return lastHeardAt < 0 ? -1 : Math.max(0, now - lastHeardAt);
     }
--- a/src/main/java/firstage/overload/BroadcastLoadShedding.java
+++ b/src/main/java/firstage/overload/BroadcastLoadShedding.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Load shedding without a membership: each message goes to all managers, a manager that was heard
- * recently counts as alive, and each manager sends only its own row. Times are in ticks.
+ * Load shedding without a membership: each message goes to all managers, a manager that sent a
+ * message recently counts as alive, and each manager sends only its own row. Times are in ticks.
  */
 public final class BroadcastLoadShedding {
     /** Interval between two evaluations. */
--- a/src/main/java/firstage/policy/EngineRegistry.java
+++ b/src/main/java/firstage/policy/EngineRegistry.java
@@ -12,7 +12,7 @@
 
 /** Registry of the engines known to this manager, in the order in which they became known. */
 final class EngineRegistry {
-    /** Time for which an engine is remembered after it left; it may come back, but rarely does. */
+    /** Time for which an engine is kept after it left the list; it may return, but rarely does. */
     private static final long RETENTION_AFTER_LEAVING = Ticks.ofSeconds(60);
 
     private final Map<Integer, EngineState> engines = new LinkedHashMap<>();
--- a/src/main/java/firstage/policy/GrantEstimator.java
+++ b/src/main/java/firstage/policy/GrantEstimator.java
@@ -33,6 +33,8 @@
     private final double maxGrantShare;
 
     /**
+     * Creates an estimator.
+     *
      * @param maxGrantShare largest grant, as a share of the engine's memory
      */
     GrantEstimator(double maxGrantShare) {
--- a/src/main/java/firstage/policy/LoadProbing.java
+++ b/src/main/java/firstage/policy/LoadProbing.java
@@ -15,7 +15,7 @@
 /**
  * Probes some random engines for their load before a request of high priority weight is sent to one
  * of them. This is done if latencies are high and this manager's share of an engine is too small to
- * know the engine's load otherwise.
+ * infer the engine's load from its own requests.
  */
 final class LoadProbing {
     /** Number of engines probed for a request: two to choose from, and a spare. */
--- a/src/main/java/firstage/policy/RetryPolicy.java
+++ b/src/main/java/firstage/policy/RetryPolicy.java
@@ -18,7 +18,7 @@
     private static final int MAX_FAILED_ENGINES = 2;
 
     /**
-     * Wait that rejected clients are asked for; a full queue shrinks to about half in this time.
+     * Time after which rejected clients should retry; a full queue shrinks to about half in it.
      */
     private static final long RETRY_AFTER = Ticks.ofMillis(500);
 
@@ -93,7 +93,8 @@
     }
 
     /**
-     * Returns whether the client is told to send the request again, not that the request failed.
+     * Returns whether a request that can't be served is rejected, so that its client may send it
+     * again; otherwise it is failed.
      */
     boolean rejectsRatherThanFails(RequestState request) {
         TrafficClass trafficClass = request.trafficClass();
--- a/src/main/java/firstage/policy/SlowStartBudget.java
+++ b/src/main/java/firstage/policy/SlowStartBudget.java
@@ -56,6 +56,8 @@
     private long startedAt = -1;
 
     /**
+     * Creates the budget of one manager.
+     *
      * @param rank index of this manager among all
      * @param managers number of managers that share the engines
      */
--- a/src/main/java/firstage/policy/StuckAttemptDetector.java
+++ b/src/main/java/firstage/policy/StuckAttemptDetector.java
@@ -40,6 +40,8 @@
     private final long progressInterval;
 
     /**
+     * Creates a detector.
+     *
      * @param progressInterval ticks between progress reports; 0 if engines send none
      */
     StuckAttemptDetector(
--- a/src/main/java/firstage/policy/TableAffinity.java
+++ b/src/main/java/firstage/policy/TableAffinity.java
@@ -22,7 +22,7 @@
 
     /**
      * Maximum number of groups into which the engines are divided for loads, as a share of the
-     * active engines; meant to leave the rest to readers.
+     * active engines; the other engines are left to readers.
      */
     private static final double MAX_LOAD_GROUP_SHARE = 0.67;
 
--- a/src/main/java/firstage/policy/api/Deployment.java
+++ b/src/main/java/firstage/policy/api/Deployment.java
@@ -51,7 +51,7 @@
      *
      * @param cancel whether attempts can be cancelled
      * @param hedging whether a request may have several attempts in flight
-     * @param retryAfter whether a rejection can tell the client how long to wait
+     * @param retryAfter whether a rejection can state how long the client has to wait
      * @param grants whether engines accept memory grants
      * @param priorities whether engines run requests by priority
      * @param maxAttempts maximum number of attempts of one request
--- a/src/main/java/firstage/policy/api/PolicyActions.java
+++ b/src/main/java/firstage/policy/api/PolicyActions.java
@@ -22,14 +22,14 @@
     void cancelAttempt(int requestId, int attemptNumber);
 
     /**
-     * Rejects the request, which tells the client that it may safely send the request again.
+     * Rejects the request: its client may safely send the request again.
      *
      * @param retryAfter ticks for which the client has to wait before it does so; 0 if the protocol
      *     cannot express a wait
      */
     void reject(int requestId, long retryAfter);
 
-    /** Tells the client that its request failed. */
+    /** Answers the request as failed. */
     void fail(int requestId);
 
     /** Releases the id of a request that is closed and has no attempt in flight. */
--- a/src/main/java/firstage/scale/DecisionCost.java
+++ b/src/main/java/firstage/scale/DecisionCost.java
@@ -31,7 +31,9 @@
     /** Time between requests. In two years, a manager is expected to receive 462 a second. */
     private static final long REQUEST_INTERVAL = SECOND / 462;
 
+    /** Work of each request and duration of its attempt, in ticks. */
     private static final long WORK = 2_000;
+
     private static final int WARM_UP_REQUESTS = 6_000;
     private static final int MEASURED_REQUESTS = 6_000;
     private static final int CORES = 8;
--- a/src/test/java/firstage/simulation/FleetSimulationTest.java
+++ b/src/test/java/firstage/simulation/FleetSimulationTest.java
@@ -86,14 +86,14 @@
             List<SimulationResult> left = all.subList(8 * i, 8 * i + 4);
             List<SimulationResult> right = new ArrayList<>();
             for (int k = 0; k < 4; k++) {
-                SimulationResult r = all.get(8 * i + 4 + k);
+                SimulationResult result = all.get(8 * i + 4 + k);
                 right.add(
                         new SimulationResult(
-                                r.policyName(),
+                                result.policyName(),
                                 left.get(k).seed(),
-                                r.figures(),
-                                r.violations(),
-                                r.requests(),
+                                result.figures(),
+                                result.violations(),
+                                result.requests(),
                                 0));
             }
             differences +=
