--- a/src/main/java/firstage/cli/FaultTestCommand.java
+++ b/src/main/java/firstage/cli/FaultTestCommand.java
@@ -24,7 +24,7 @@
             "2:a file or an option can't be used"
         })
 final class FaultTestCommand implements Callable<Integer> {
-    /** Runs the command and returns the exit code, which stands for the verdict. */
+    /** Runs the command and returns the exit code, which indicates the verdict. */
     static int run(String[] args) {
         return CommandRunner.run(new FaultTestCommand(), "fault-test", args);
     }
--- a/src/main/java/firstage/faulttest/FaultTestRun.java
+++ b/src/main/java/firstage/faulttest/FaultTestRun.java
@@ -98,7 +98,7 @@
     /**
      * Checks that a plan can be run as a fault test.
      *
-     * @throws InvalidPlanException if not; its message names the line and the cure
+     * @throws InvalidPlanException if not; the message names the line and how to correct the plan
      */
     public static void check(FleetPlan plan) {
         if (!plan.disturbances().isEmpty()) {
--- a/src/main/java/firstage/policy/AdmissionQueue.java
+++ b/src/main/java/firstage/policy/AdmissionQueue.java
@@ -59,8 +59,8 @@
 
     /**
      * Returns whether the queue is too long to keep this request; a request that was started before
-     * always stays. Callers ask in order of arrival, so that a queue that is too long drops its
-     * oldest requests, which have the least time left.
+     * always stays. Callers check requests in order of arrival, so that a queue that is too long
+     * drops its oldest requests, which have the least time left.
      *
      * @param shedding whether the fleet sheds load, which takes the place of the tenants' quotas
      */
--- a/src/main/java/firstage/policy/ConcurrencyLimiter.java
+++ b/src/main/java/firstage/policy/ConcurrencyLimiter.java
@@ -48,6 +48,8 @@
     private double largestMachineThreadShare;
 
     /**
+     * Creates the limiter of one manager.
+     *
      * @param managers number of managers that share the engines
      */
     ConcurrencyLimiter(List<Deployment.MachineType> machineTypes, int managers) {
--- a/src/main/java/firstage/policy/KeyOrdering.java
+++ b/src/main/java/firstage/policy/KeyOrdering.java
@@ -22,6 +22,8 @@
     private final long quietPeriod;
 
     /**
+     * Creates an order without keys.
+     *
      * @param quietPeriod pause of a key after an attempt that may still run, in ticks
      */
     KeyOrdering(long quietPeriod) {
--- a/src/main/java/firstage/policy/LatencyTracker.java
+++ b/src/main/java/firstage/policy/LatencyTracker.java
@@ -24,7 +24,7 @@
     /** Weight of an engine's samples below which the median of all engines is used instead. */
     private static final double MIN_ENGINE_SAMPLES = 12;
 
-    /** Ratio to the best latency below which the latency of an engine is low. */
+    /** Ratio to the best latency below which the latency of an engine counts as low. */
     private static final double LOW_LATENCY_RATIO = 1.25;
 
     /** Ratio to the best latency above which an engine is slow. */
@@ -48,7 +48,7 @@
      */
     private static final double BEST_RATIO_DRIFT = 1.002;
 
-    /** Fraction done up to which a progress report says too little about the total duration. */
+    /** Fraction done up to which a progress report is too early to estimate the total duration. */
     private static final double MIN_FRACTION_DONE = 0.05;
 
     private final LogHistogram allEngineRatios = new LogHistogram();
--- a/src/main/java/firstage/policy/OutlierDetector.java
+++ b/src/main/java/firstage/policy/OutlierDetector.java
@@ -64,8 +64,8 @@
     };
 
     /**
-     * Signals of attempt outcomes. A timeout, a cancellation and an attempt that was not sent say
-     * nothing about the engine.
+     * Signals of attempt outcomes. A timeout, a cancellation and an attempt that was not sent are
+     * no evidence about the engine and have no signal.
      */
     private static final Map<AttemptOutcome, Signal> SIGNALS =
             Map.of(
@@ -132,7 +132,7 @@
      * Counts the failures of engines and ejects an engine after a few in a row. An engine that
      * fails requests at once is always free and would otherwise attract all requests. The failure
      * of an idempotent request counts only when a retry succeeds at another engine, as a request
-     * that fails everywhere says nothing about engines.
+     * that fails everywhere is no evidence against any engine.
      */
     private void countFailure(
             long now, RequestState request, EngineState engine, AttemptOutcome outcome) {
--- a/src/main/java/firstage/policy/TenantQuotas.java
+++ b/src/main/java/firstage/policy/TenantQuotas.java
@@ -12,6 +12,8 @@
     private final List<TokenBucket> buckets;
 
     /**
+     * Creates quotas that allow a full burst at once.
+     *
      * @param rates quota of each tenant in requests per tick, over all managers
      * @param share this manager's share of the quotas
      */
--- a/src/main/java/firstage/policy/WorkloadScheduler.java
+++ b/src/main/java/firstage/policy/WorkloadScheduler.java
@@ -74,6 +74,8 @@
     private boolean queuePassDue;
 
     /**
+     * Creates the scheduler of one manager, which knows no engines yet.
+     *
      * @param deployment configuration of the deployment at start
      * @param actions executes the decisions
      */
@@ -384,7 +386,10 @@
         queuePassDue = false;
     }
 
-    /** Checks conditions that no event reports: silent engines, ended backoffs, stuck attempts. */
+    /**
+     * Checks conditions that no event reports: unresponsive engines, expired backoffs, stuck
+     * attempts.
+     */
     private void evaluate(long now) {
         boolean decay = now >= nextDecay;
         if (decay) {
--- a/src/main/java/firstage/policy/state/Attempt.java
+++ b/src/main/java/firstage/policy/state/Attempt.java
@@ -24,8 +24,8 @@
     public boolean spilled;
 
     /**
-     * Whether the attempt ever waited for memory or a table load, in which case its latency says
-     * nothing about its engine.
+     * Whether the attempt ever waited for memory or a table load, in which case its latency does
+     * not indicate how fast its engine is.
      */
     public boolean wasBlocked;
 
--- a/src/main/java/firstage/policy/state/EngineState.java
+++ b/src/main/java/firstage/policy/state/EngineState.java
@@ -101,7 +101,7 @@
     /** Load according to the latest report: 0 is idle, 1 or more is full. */
     public double reportedLoad;
 
-    /** Whether the latest report says that no request waits for memory. */
+    /** Whether no request waits for memory at the engine, by the latest report. */
     public boolean memoryQueueEmpty;
 
     // ---- Latency (LatencyTracker) and table loads
--- a/src/main/java/firstage/scale/HollowEngines.java
+++ b/src/main/java/firstage/scale/HollowEngines.java
@@ -13,7 +13,7 @@
 
 /**
  * Emulates all engines of a scale run behind one listener. Each statement takes the same time and
- * returns one row, whatever else runs. The engines answer probes, and hold the answer to a
+ * returns one row, regardless of the load. The engines answer probes, and hold the answer to a
  * statement or a poll until the statement ends or the hold time is over.
  */
 final class HollowEngines implements AutoCloseable {
--- a/src/main/java/firstage/scale/LoadClients.java
+++ b/src/main/java/firstage/scale/LoadClients.java
@@ -148,8 +148,8 @@
     }
 
     /**
-     * Returns the delays of the clients' thread, in us. If they are long, the measured latencies
-     * contain them and say nothing about the manager.
+     * Returns the delays of the clients' thread, in us. The measured latencies contain them, and
+     * are no measure of the manager if the delays are long.
      */
     Histogram threadDelays() {
         return threadDelays;
--- a/src/main/java/firstage/server/client/PendingCall.java
+++ b/src/main/java/firstage/server/client/PendingCall.java
@@ -35,7 +35,7 @@
     private static final byte[] BUSY_BODY =
             "{\"err\":\"Busy\"}\n".getBytes(StandardCharsets.US_ASCII);
 
-    /** Answer to the request; {@code retryAfter} is 0 if the client is not told when to retry. */
+    /** Answer to the request; {@code retryAfter} is 0 if the answer contains no retry delay. */
     private record Answer(int status, long retryAfter, ByteBuffer body) {}
 
     private static final Answer FAILED = new Answer(500, 0, ByteBuffer.wrap(FAILED_BODY));
--- a/src/main/java/firstage/server/client/StatementTables.java
+++ b/src/main/java/firstage/server/client/StatementTables.java
@@ -140,7 +140,7 @@
         return Character.isUnicodeIdentifierPart(character) || character == '$';
     }
 
-    /** Reads quoted text and returns its content, in which a doubled quote stands for one. */
+    /** Reads quoted text and returns its content, in which a doubled quote is one quote. */
     private String readQuoted(char quote) {
         StringBuilder content = new StringBuilder();
         for (position++; position < text.length(); position++) {
--- a/src/main/java/firstage/server/discovery/FrameDecoder.java
+++ b/src/main/java/firstage/server/discovery/FrameDecoder.java
@@ -22,7 +22,7 @@
     private static final int LENGTH_BYTES = 4;
     private static final int MIN_LENGTH = 9;
 
-    /** Limit on the length of a frame: some 38,000 endpoints, well above the size of any list. */
+    /** Maximum length of a frame: some 38,000 endpoints, well above the size of any list. */
     private static final int MAX_LENGTH = 1 << 20;
 
     private final ByteArrayOutputStream unconsumed = new ByteArrayOutputStream();
--- a/src/main/java/firstage/server/engine/EngineResponseReader.java
+++ b/src/main/java/firstage/server/engine/EngineResponseReader.java
@@ -9,7 +9,7 @@
 
 /** Incremental reader of one HTTP/1.1 response, whose bytes may arrive in pieces of any size. */
 final class EngineResponseReader {
-    /** Limit on the body of a response, well above the 6,000 bytes that a page may hold. */
+    /** Maximum length of a response body, well above the 6,000 bytes that a page may hold. */
     private static final int MAX_BODY_BYTES = 64 * 1024;
 
     private static final int MAX_HEAD_BYTES = 16 * 1024;
--- a/src/main/java/firstage/simulation/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -67,13 +67,13 @@
             RELOAD,
             /** Engines die, which resets connections; they are back, cold, after {@code length}. */
             DIE,
-            /** Engines send nothing and accept no connections; they come back cold. */
+            /** Engines send nothing and accept no connections; they are cold afterwards. */
             SILENCE,
             /** Engines accept requests and complete none. */
             HANG,
-            /** Engines drain for {@code length}, die and come back cold. */
+            /** Engines drain for {@code length}, die and restart cold. */
             DRAIN,
-            /** Links carry nothing; data that was written arrives when the cut ends. */
+            /** Links deliver nothing; data that was written arrives when the cut ends. */
             CUT,
             /**
              * Datagrams are lost with probability {@code size}; connections stall for 200 ms with a
@@ -303,15 +303,15 @@
             int trafficClass) {
         /** The kind of a disturbance. */
         public enum Kind {
-            /** Engines die and come back cold. */
+            /** Engines die and restart cold. */
             CRASH,
-            /** Engines stop responding and come back cold. */
+            /** Engines stop responding and are cold afterwards. */
             SILENCE,
             /** Engines accept requests and complete none. */
             HANG,
             /** Engines drain and are replaced by cold ones, some at a time. */
             RELEASE,
-            /** Managers are killed and come back without their state. */
+            /** Managers are killed and restart without their state. */
             RESTART,
             /** Traffic is multiplied by {@code size}. */
             BURST,
--- a/src/main/java/firstage/simulation/RuleChecker.java
+++ b/src/main/java/firstage/simulation/RuleChecker.java
@@ -121,12 +121,12 @@
     private final List<Map<Integer, KeyState>> keysByManager = new ArrayList<>();
 
     /**
-     * For each manager and engine, the time at which the endpoint list reported to the manager that
-     * the engine drains or is gone; absent while the engine is active.
+     * Times at which the endpoint list reported to a manager that an engine drains or is gone, by
+     * manager and engine; absent while the engine is active.
      */
     private final List<Map<Integer, Long>> drainsByManager = new ArrayList<>();
 
-    /** For each manager and engine, the latest start of the engine that the manager knows of. */
+    /** Latest start of an engine that was reported to a manager, by manager and engine. */
     private final List<Map<Integer, Long>> engineStartsByManager = new ArrayList<>();
 
     RuleChecker(FleetPlan plan) {
@@ -260,7 +260,7 @@
                     && (keyState.openTries.isEmpty() || keyState.openTries.get(0) != clientTry)) {
                 recordViolation(now, 5, clientTry, "was sent out of the order of its key");
             }
-            // Where answers are observed later than statements, the answer to an earlier try may
+            // If answers are observed later than statements, the answer to an earlier try may
             // still be under way: onAnswered reports the overtaking if that answer comes too late.
             keyState.openTries.stream()
                     .takeWhile(a -> a != clientTry)
--- a/src/main/java/firstage/simulation/Scoreboard.java
+++ b/src/main/java/firstage/simulation/Scoreboard.java
@@ -30,10 +30,10 @@
     /** Priority weight earned by the requests of each interval. */
     private final double[] earnedByInterval;
 
-    /** For each traffic class, its requested and its earned weight. */
+    /** Requested and earned priority weight, by traffic class. */
     private final double[][] weightsByTrafficClass;
 
-    /** For each tenant, its requested and its earned weight. */
+    /** Requested and earned priority weight, by tenant. */
     private final double[][] weightsByTenant;
 
     private final List<Histogram> latencies = new ArrayList<>();
--- a/src/test/java/firstage/ArchitectureTest.java
+++ b/src/test/java/firstage/ArchitectureTest.java
@@ -54,7 +54,7 @@
                     .orShould()
                     .dependOnClassesThat(
                             resideInAPackage("java.io..")
-                                    // A codec's bytes in memory are no file.
+                                    // Codecs use these to write to memory, not to files.
                                     .and(not(type(IOException.class)))
                                     .and(not(type(ByteArrayOutputStream.class)))
                                     .and(not(type(OutputStream.class)))
--- a/src/test/java/firstage/cells/CellDirectoryTest.java
+++ b/src/test/java/firstage/cells/CellDirectoryTest.java
@@ -83,7 +83,7 @@
 
         @Override
         public void logCellEvent(long now, String event, String cellName, String reason) {
-            // Not checked by these tests.
+            // These tests do not check the log.
         }
 
         @Override
