--- a/src/main/java/firstage/failover/ZoneFailover.java
+++ b/src/main/java/firstage/failover/ZoneFailover.java
@@ -87,7 +87,7 @@
      */
     private static final long FIRST_HOLD_TIME = Ticks.ofSeconds(10);
 
-    /** Maximum hold time. */
+    /** Maximum time that a zone stays evacuated after repeated failures. */
     private static final long MAX_HOLD_TIME = Ticks.ofSeconds(60);
 
     /** Time in use after which the next failure counts as the first. */
--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -33,7 +33,7 @@
 
         static Report read(String text) throws IOException {
             Map<String, Double> figures = new TreeMap<>();
-            Map<String, List<Double>> reached = new TreeMap<>();
+            Map<String, List<Double>> delaysByLabel = new TreeMap<>();
             try (JsonParser in = new JsonFactory().createParser(text)) {
                 in.nextToken();
                 while (in.nextToken() == JsonToken.FIELD_NAME) {
@@ -44,7 +44,7 @@
                     }
                     while (in.nextToken() == JsonToken.FIELD_NAME) {
                         List<Double> delays =
-                                reached.computeIfAbsent(in.currentName(), l -> new ArrayList<>());
+                                delaysByLabel.computeIfAbsent(in.currentName(), l -> new ArrayList<>());
                         in.nextToken();
                         while (in.nextToken() != JsonToken.END_ARRAY) {
                             delays.add(in.getDoubleValue());
@@ -52,7 +52,7 @@
                     }
                 }
             }
-            return new Report(figures, reached);
+            return new Report(figures, delaysByLabel);
         }
     }
 
--- a/src/test/java/firstage/policy/EngineSelectorTest.java
+++ b/src/test/java/firstage/policy/EngineSelectorTest.java
@@ -94,9 +94,8 @@
         for (int engine = 0; engine < 4; engine++) {
             scenario.probeResult(engine, new LoadReport(0, 5, 0, 0, 0));
         }
-        // The limit is one thread at each of the four engines. Two reports of two threads may
-        // start,
-        // not one on every engine.
+        // The limit is one thread at each of the four engines, so that two reports of two threads
+        // each may start, rather than one on every engine.
         for (int id = 10; id < 14; id++) {
             scenario.request(id, REPORT, -1, 100, -1);
         }
