--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -44,7 +44,8 @@
                     }
                     while (in.nextToken() == JsonToken.FIELD_NAME) {
                         List<Double> delays =
-                                delaysByLabel.computeIfAbsent(in.currentName(), l -> new ArrayList<>());
+                                delaysByLabel.computeIfAbsent(
+                                        in.currentName(), l -> new ArrayList<>());
                         in.nextToken();
                         while (in.nextToken() != JsonToken.END_ARRAY) {
                             delays.add(in.getDoubleValue());
