--- a/src/main/java/firstage/cells/CellDirectory.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -64,8 +64,8 @@
     private static final int SENDS_PER_NEW_ROW = 2;
 
     /**
-     * Number of rows on a message that are taken in turn, new or not, so that every manager
-     * receives every row even if random losses affect the new ones.
+     * Number of rows on a message that are taken in turn, new or not, so that a manager also
+     * receives a row if the messages that carried it as new went to other managers or were lost.
      */
     private static final int ROWS_IN_TURN = 2;
 
