--- a/src/main/java/firstage/membership/MessageSender.java
+++ b/src/main/java/firstage/membership/MessageSender.java
@@ -36,7 +36,7 @@
         gossip.add(name);
     }
 
-    /** Sends a message to a peer, at the address where it was last heard. */
+    /** Sends a message to a peer, at the address that its last message came from. */
     void send(long now, Peer to, MembershipMessage.Kind kind, long sequence, String target) {
         send(to.address(), newMessage(now, to, kind, sequence, target));
     }
@@ -108,7 +108,7 @@
         return records;
     }
 
-    /** Returns alive members that this manager does not hear although others do. */
+    /** Returns alive members from which other managers receive messages but this one does not. */
     private List<String> unheardMembers(long now) {
         List<String> names = new ArrayList<>();
         for (Peer peer : table.peers()) {
--- a/src/main/java/firstage/scale/HollowWorkerProcess.java
+++ b/src/main/java/firstage/scale/HollowWorkerProcess.java
@@ -24,7 +24,7 @@
      * A line that the process reported.
      *
      * @param figures figures by name
-     * @param reached delays in ms of the managers that met a condition, by the condition's label
+     * @param delaysByLabel delays in ms of the managers that met a condition, by its label
      */
     record Report(Map<String, Double> figures, Map<String, List<Double>> delaysByLabel) {
         double figure(String name) {
@@ -33,7 +33,7 @@
 
         static Report read(String text) throws IOException {
             Map<String, Double> figures = new TreeMap<>();
-            Map<String, List<Double>> reached = new TreeMap<>();
+            Map<String, List<Double>> delaysByLabel = new TreeMap<>();
             try (JsonParser in = new JsonFactory().createParser(text)) {
                 in.nextToken();
                 while (in.nextToken() == JsonToken.FIELD_NAME) {
@@ -44,7 +44,8 @@
                     }
                     while (in.nextToken() == JsonToken.FIELD_NAME) {
                         List<Double> delays =
-                                reached.computeIfAbsent(in.currentName(), l -> new ArrayList<>());
+                                delaysByLabel.computeIfAbsent(
+                                        in.currentName(), l -> new ArrayList<>());
                         in.nextToken();
                         while (in.nextToken() != JsonToken.END_ARRAY) {
                             delays.add(in.getDoubleValue());
@@ -52,7 +53,7 @@
                     }
                 }
             }
-            return new Report(figures, reached);
+            return new Report(figures, delaysByLabel);
         }
     }
 
