--- a/src/test/c/syscall_faults.c
+++ b/src/test/c/syscall_faults.c
@@ -1,6 +1,6 @@
 /*
  * Makes system calls of the process that it is loaded into fail, in the ways that Linux documents.
- * Loaded by LD_PRELOAD into managers under test only; built by firstage.soak.SystemCallFaults.
+ * Loaded by LD_PRELOAD into managers under test only; built by firstage.fixtures.SystemCallFaults.
  *
  * The environment variable SYSCALL_FAULTS names a file of WORDS 32-bit words, mapped shared:
  * words 0 to 8 are settings, written by the test while the process runs; from word 16 on this
