--- a/src/main/java/firstage/membership/MembershipMessage.java
+++ b/src/main/java/firstage/membership/MembershipMessage.java
@@ -7,8 +7,8 @@
  *
  * @param target in a PING_REQUEST the member to ping, in an INDIRECT_ACK the member that answered;
  *     not used in other kinds
- * @param lastHeardAgo ticks since the sender last received a message from the receiver of this
- *     one, -1 for never; reveals a link that is broken in one direction
+ * @param lastHeardAgo ticks since the sender last received a message from the receiver of this one,
+ *     -1 for never; reveals a link that is broken in one direction
  * @param grantsQuota whether this ack grants the receiver its full share
  * @param withdrawnGrants members from which the sender has withdrawn its grant
  * @param unheardMembers alive members from which others receive messages but the sender does not
--- a/src/main/java/firstage/policy/RetryPolicy.java
+++ b/src/main/java/firstage/policy/RetryPolicy.java
@@ -17,9 +17,7 @@
     /** Number of engines at which a request may fail; a third one would give the same result. */
     private static final int MAX_FAILED_ENGINES = 2;
 
-    /**
-     * Time after which rejected clients should retry; a full queue shrinks to about half in it.
-     */
+    /** Time after which rejected clients should retry; a full queue shrinks to about half in it. */
     private static final long RETRY_AFTER = Ticks.ofMillis(500);
 
     /**
