--- a/src/test/java/firstage/ArchitectureTest.java
+++ b/src/test/java/firstage/ArchitectureTest.java
@@ -15,7 +15,10 @@
 import java.io.OutputStream;
 import java.io.Serializable;
 
-/** What decides knows no socket, file, thread or clock; what serves loads no tool. */
+/**
+ * Checks the dependencies between packages: decision logic uses no sockets, files, threads or
+ * clocks, and the classes that serve requests do not depend on tools.
+ */
 @AnalyzeClasses(packages = "firstage", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
     private static final String[] FREE = {
@@ -51,7 +54,7 @@
                     .orShould()
                     .dependOnClassesThat(
                             resideInAPackage("java.io..")
-                                    // A codec's bytes in memory are no file.
+                                    // Codecs use these to write to memory, not to files.
                                     .and(not(type(IOException.class)))
                                     .and(not(type(ByteArrayOutputStream.class)))
                                     .and(not(type(OutputStream.class)))
