--- a/src/main/java/firstage/emulator/EmulatedEngine.java
+++ b/src/main/java/firstage/emulator/EmulatedEngine.java
@@ -34,8 +34,12 @@
  * anything to report is answered after 250 ms. Calls are served on the loop's thread.
  */
 public final class EmulatedEngine implements AutoCloseable {
+    /** Longest time for which a poll is held, in ticks: 250 ms. */
     private static final long LONG_POLL_TIMEOUT = 2_500;
+
+    /** Time after the last poll at which a statement is dropped, in ticks: 2 s. */
     private static final long STATEMENT_EXPIRY = 20_000;
+
     private static final HttpString TICKET = new HttpString("X-Ticket");
     private static final HttpString GRANT = new HttpString("Grant-Mb");
     private static final HttpString MAX_MS = new HttpString("X-Max-Ms");
@@ -231,8 +235,11 @@
     private final Map<String, Statement> statements = new HashMap<>();
 
     /**
-     * Creates an engine that listens at {@code address}; {@code triesById} returns the client try
-     * with an id, or null if no client sent one.
+     * Creates an engine that listens on its own address.
+     *
+     * @param number index of the engine in the plan
+     * @param address address at which the engine listens
+     * @param triesById returns the client try with an id; null if no client sent that id
      */
     public EmulatedEngine(
             RealTimeLoop loop,
--- a/src/main/java/firstage/lifecycle/AttemptStateMachine.java
+++ b/src/main/java/firstage/lifecycle/AttemptStateMachine.java
@@ -10,8 +10,8 @@
 
 /**
  * State machine of one attempt at an engine. It sends the statement, polls without pause (an engine
- * drops a statement that nobody polls for), fetches the pages of the result, and ends once. An
- * attempt is not bound to a connection: when one fails, another is used.
+ * drops a statement that is not polled), fetches the pages of the result, and ends once. An attempt
+ * is not bound to a connection: when one fails, another is used.
  *
  * <table>
  * <caption>States</caption>
@@ -36,10 +36,10 @@
  * <p>Invariants: {@link AttemptActions#reportEnd} and {@link AttemptActions#release} are called
  * once each, in this order. The end of an attempt is proven by the engine's own final reply, or by
  * its answer to a DELETE that arrived after the statement. An attempt whose end is not proven is
- * reported with the time for which the engine may still hold the statement: until {@link
- * #UNPOLLED_EXPIRY} after the last call and, for an abandoned request with an ordering key whose
- * engine neither answered a DELETE nor reported a failure, also until the client's deadline, which
- * the engine knows. For a request with an ordering key, the DELETE is repeated, and the next
+ * reported with the time for which the engine may still hold the statement. That time lasts until
+ * {@link #UNPOLLED_EXPIRY} after the last call and, for an abandoned request with an ordering key
+ * whose engine neither answered a DELETE nor reported a failure, also until the client's deadline,
+ * which the engine knows. For a request with an ordering key, the DELETE is repeated, and the next
  * request of the key waits until the end is proven or that time is over, while the request's own
  * client is answered at once.
  *
@@ -49,10 +49,10 @@
 public final class AttemptStateMachine {
     /**
      * Time from the last call to an engine until the engine no longer holds the statement. An
-     * engine ends a statement that nobody polled for in 2 s. The last call may have been held there
-     * for 250 ms first. A statement that completes in the meantime leaves a result, which the
-     * engine keeps for another 2 s because nobody polls for it. The rest allows for calls that are
-     * delayed on the network (docs/incidents/the-last-connection.md).
+     * engine ends a statement 2 s after the end of the last poll, which the engine may have held
+     * for 250 ms. A statement that completes in these 2 s leaves a result, which the engine keeps
+     * unread for another 2 s. The remaining 250 ms allow for calls that are delayed on the network
+     * (docs/incidents/the-last-connection.md).
      */
     public static final long UNPOLLED_EXPIRY = Ticks.ofMillis(4_500);
 
@@ -115,10 +115,10 @@
         /** Fetches a page of the result, counted from 0; page 0 comes with the reply to a poll. */
         void fetchPage(int page, boolean onNewConnection);
 
-        /** Sends a DELETE, which tells the engine to end the statement. */
+        /** Sends a DELETE, which makes the engine end the statement. */
         void sendDelete(boolean onNewConnection);
 
-        /** Starts a timer that calls {@link #onTimeout} after {@code delay}. */
+        /** Starts a timer that calls {@link #onTimeout} after {@code delay} ticks. */
         void startTimer(long delay, Timeout timeout);
 
         /**
@@ -139,7 +139,7 @@
         /**
          * Reports the end of the attempt. Called once.
          *
-         * @param heldFor how much longer the engine may hold the statement
+         * @param heldFor how much longer the engine may hold the statement, in ticks
          */
         void reportEnd(AttemptOutcome outcome, long heldFor);
 
--- a/src/main/java/firstage/lifecycle/SendGuard.java
+++ b/src/main/java/firstage/lifecycle/SendGuard.java
@@ -19,7 +19,7 @@
     public enum Verdict {
         /** The statement may be written now. */
         SEND,
-        /** The knowledge is too old: read all pending input, then ask for a new decision. */
+        /** The knowledge is too old: all pending input must be read before the next decision. */
         RENEW,
         /** The attempt was abandoned or has ended. */
         ATTEMPT_OVER,
--- a/src/main/java/firstage/scale/HollowManager.java
+++ b/src/main/java/firstage/scale/HollowManager.java
@@ -39,7 +39,11 @@
  */
 final class HollowManager implements MembershipActions, CellActions {
     private static final int MAX_DATAGRAM_BYTES = 1_200;
+
+    /** Shortest latency objective of the simulated traffic classes: 1 s. */
     private static final long LATENCY_OBJECTIVE = 10_000;
+
+    /** Time that engines take to warm up: 13 s. */
     private static final long WARM_UP = 130_000;
 
     /** Number of priority bands over which the simulated demand is spread. */
@@ -48,9 +52,10 @@
     /** Simulated work that arrives and starts in each tick, in ticks on one thread. */
     private static final double WORK_PER_TICK = 460;
 
+    /** Time between two evaluations by the fleet coordinator: 100 ms. */
     private static final int EVALUATION_INTERVAL = 1_000;
 
-    /** Size of an engine's record in an event of the endpoint list. */
+    /** Size of an engine's record in an event of the endpoint list, in bytes. */
     private static final int RECORD_BYTES = 27;
 
     /** Offset of the zone in a record, in bytes. */
--- a/src/main/java/firstage/server/DecisionExecutor.java
+++ b/src/main/java/firstage/server/DecisionExecutor.java
@@ -20,6 +20,8 @@
     private final IntConsumer onEngineReleased;
 
     /**
+     * Creates an executor that acts on these components.
+     *
      * @param onEngineReleased called with the index of each engine that the scheduler has released
      */
     DecisionExecutor(
--- a/src/main/java/firstage/server/RequestExchange.java
+++ b/src/main/java/firstage/server/RequestExchange.java
@@ -41,8 +41,8 @@
         void updatePriority(int priority);
 
         /**
-         * Abandons the attempt, which ends with this outcome once the engine has been informed or
-         * can't be reached.
+         * Abandons the attempt, which ends with this outcome once the engine has answered the
+         * DELETE or has failed to do so in time.
          */
         void abandon(AttemptOutcome outcome);
     }
--- a/src/main/java/firstage/server/SchedulerLoop.java
+++ b/src/main/java/firstage/server/SchedulerLoop.java
@@ -39,6 +39,8 @@
     private boolean stalled;
 
     /**
+     * Creates the loop; {@link #attach} must be called before the first event.
+     *
      * @param endpointsConfirmed returns whether the endpoint list may be acted on yet
      */
     SchedulerLoop(
--- a/src/main/java/firstage/server/ShutdownSequence.java
+++ b/src/main/java/firstage/server/ShutdownSequence.java
@@ -51,6 +51,8 @@
     private Phase phase = Phase.SERVING;
 
     /**
+     * Creates the sequence in its first phase.
+     *
      * @param closeAll closes all resources of the manager and checks their invariants
      */
     ShutdownSequence(
--- a/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
+++ b/src/main/java/firstage/simulation/schedule/SimulatedEngine.java
@@ -12,9 +12,10 @@
  * fails and restarts. Times are ticks.
  */
 final class SimulatedEngine {
+    /** Longest time for which the engine holds a poll: 250 ms. */
     private static final long MAX_POLL_HOLD = 2_500;
 
-    /** Time for which the engine keeps a run that is not polled, and an unread result. */
+    /** Time for which the engine keeps a run that is not polled, and an unread result: 2 s. */
     private static final long RETENTION = 20_000;
 
     private static final double FAILURE_PROBABILITY = 0.02;
@@ -99,8 +100,14 @@
     }
 
     /**
-     * Receives a whole statement and starts to run it, unless the engine refuses it; {@code reply}
-     * gets the refusal, or what a poll of the run would get.
+     * Receives a whole statement and starts to run it, unless the engine refuses it.
+     *
+     * @param sentSinceDrain time from the notice that this engine drains to the send; negative if
+     *     the manager was not notified before
+     * @param drainGrace time after the notice within which statements may still be sent
+     * @param runTime time that the run takes
+     * @param deadline the client's deadline
+     * @param reply receives the refusal, or the reply that a poll of the run would get
      */
     void receiveStatement(
             int requestId,
@@ -140,9 +147,9 @@
     }
 
     /**
-     * Returns the time at which the engine drops a run that nobody polls from now on: the retention
-     * time after the last poll. If the run ends before that, its unread result is kept for the
-     * retention time after its end, and at least until the client's deadline.
+     * Returns the time at which the engine drops a run that is not polled from now on: the
+     * retention time after the last poll. If the run ends before that, its unread result is kept
+     * for the retention time after its end, and at least until the client's deadline.
      */
     private long expiresAt(StatementRun run) {
         boolean endedBeforeExpiry =
