--- a/src/main/java/firstage/cells/CellDirectory.java
+++ b/src/main/java/firstage/cells/CellDirectory.java
@@ -21,14 +21,14 @@
  * on each: new rows first, the others in turn. The data that a manager sends and holds therefore
  * grows by only 12 bytes for each cell of the fleet.
  *
- * <p><b>Engines.</b> A manager holds one plan during its whole life, and the previous plan while
- * that one is being replaced. It uses its share of an engine that both plans assign to its cell,
- * and nothing of an engine that only the previous plan assigns to its cell. It uses an engine that
+ * <p><b>Engines.</b> A manager holds one plan during its whole life and, during a change of plans,
+ * also the previous plan. It uses its share of an engine that both plans assign to its cell, and
+ * does not use an engine that only the previous plan assigns to its cell. It uses an engine that
  * only the new plan assigns to its cell once the rows show that all managers of all cells that lose
  * the engine hold the new plan. Invariant: the shares of an engine never add up to more than the
  * whole, in whatever order managers restart, and whichever messages are lost, delayed or
  * duplicated, since each manager releases an engine before it reports the new plan, and never goes
- * back to the old one. A cell that sends no rows keeps its engines.
+ * back to the previous plan. A cell that sends no rows keeps its engines.
  *
  * <p>States of another cell: UNKNOWN (no row yet), ACTIVE, SILENT (its row was not renewed for a
  * long time). Times are in ticks of a monotonic clock.
@@ -588,8 +588,8 @@
     }
 
     /**
-     * Reads the header and returns the number of the sender's plan; -1 if the sender has another
-     * fleet, another version, or another plan of the same number.
+     * Reads the header and returns the number of the sender's plan; -1 if the sender belongs to
+     * another fleet, uses another version, or holds another plan of the same number.
      */
     private int readHeader(long now, BigEndianBytes reader) {
         if (reader.remaining() < HEADER_BYTES || reader.read(1) != VERSION) {
@@ -621,7 +621,7 @@
 
     /**
      * Reads a row and applies it. Cells keep their index from one plan to the next, and new cells
-     * are added at the end, so that a row of an unknown cell is of a later plan.
+     * are added at the end, so a row of an unknown cell belongs to a later plan and is skipped.
      */
     private void readRow(long now, BigEndianBytes reader) {
         int cell = reader.read(2);
--- a/src/main/java/firstage/emulator/FaultInjectingProxy.java
+++ b/src/main/java/firstage/emulator/FaultInjectingProxy.java
@@ -136,15 +136,18 @@
     }
 
     /**
-     * Returns the longest round of at least the last quarter of a second, in ticks; from any
-     * thread.
+     * Returns the longest round of at least the last quarter of a second, in ticks. May be called
+     * from any thread.
      */
     public long recentLateness() {
         long since = busySince;
         return Math.max(since == 0 ? 0 : now() - since, longestRound.value());
     }
 
-    /** Returns the exception that ended the proxy prematurely, or null; from any thread. */
+    /**
+     * Returns the exception that ended the proxy prematurely, or null. May be called from any
+     * thread.
+     */
     public Exception failure() {
         return failure;
     }
--- a/src/main/java/firstage/failover/ZoneFailover.java
+++ b/src/main/java/firstage/failover/ZoneFailover.java
@@ -13,9 +13,9 @@
 import java.util.stream.IntStream;
 
 /**
- * Decides which zones the fleet uses. Each manager reports, by zone, the percentage of the engines
- * it has observed lately that it has ejected. A zone that most observers of most other zones report
- * as failed is evacuated by all managers, including the engines that they have not probed
+ * Decides which zones the fleet uses. Each manager reports for each zone which percentage of the
+ * engines that it has observed lately is ejected. A zone that most observers of most other zones
+ * report as failed is evacuated by all managers, including those that have not probed its engines
  * themselves. While a zone is evacuated, one probe owner for each of its engines keeps probing that
  * engine. When most of the engines have responded for a while, managers return one after another
  * over the time that engines take to warm up. A zone that fails again stays evacuated for twice as
--- a/src/main/java/firstage/faulttest/ManagerController.java
+++ b/src/main/java/firstage/faulttest/ManagerController.java
@@ -68,17 +68,17 @@
 
     /** Records processes that ended unexpectedly. */
     void checkProcesses() {
-        for (int m = 0; m < endExpected.length; m++) {
-            if (!processes.isAlive(m) && !endExpected[m]) {
-                endExpected[m] = true;
+        for (int number = 0; number < endExpected.length; number++) {
+            if (!processes.isAlive(number) && !endExpected[number]) {
+                endExpected[number] = true;
                 unexpectedEnds.add(
                         "manager "
-                                + m
+                                + number
                                 + " ended unexpectedly at "
                                 + clock.elapsed() / 10
                                 + " ms with status "
-                                + processes.exitStatus(m));
-                int manager = m;
+                                + processes.exitStatus(number));
+                int manager = number;
                 loop.execute(
                         () -> {
                             generator.onManagerKilled(manager);
@@ -191,28 +191,28 @@
     double shutDownAll() throws IOException {
         awaitRestarts();
         double processorSeconds = 0;
-        for (int m = 0; m < endExpected.length; m++) {
-            processorSeconds += processes.processorSeconds(m);
-            endExpected[m] = true;
-            processes.signal(m, "CONT");
-            processes.signal(m, "TERM");
+        for (int manager = 0; manager < endExpected.length; manager++) {
+            processorSeconds += processes.processorSeconds(manager);
+            endExpected[manager] = true;
+            processes.signal(manager, "CONT");
+            processes.signal(manager, "TERM");
         }
         long deadlineNs = System.nanoTime() + SHUTDOWN_TIMEOUT_MS * 1_000_000;
-        for (int m = 0; m < endExpected.length; m++) {
+        for (int manager = 0; manager < endExpected.length; manager++) {
             long remainingMs = (deadlineNs - System.nanoTime()) / 1_000_000;
-            if (!processes.awaitExit(m, Math.max(1, remainingMs))) {
+            if (!processes.awaitExit(manager, Math.max(1, remainingMs))) {
                 unexpectedEnds.add(
                         "manager "
-                                + m
+                                + manager
                                 + " had not ended "
                                 + SHUTDOWN_TIMEOUT_MS
                                 + " ms after SIGTERM");
-            } else if (processes.exitStatus(m) != 0) {
+            } else if (processes.exitStatus(manager) != 0) {
                 unexpectedEnds.add(
                         "manager "
-                                + m
+                                + manager
                                 + " ended with status "
-                                + processes.exitStatus(m)
+                                + processes.exitStatus(manager)
                                 + " after SIGTERM");
             }
         }
--- a/src/main/java/firstage/overload/ProbeCoordinator.java
+++ b/src/main/java/firstage/overload/ProbeCoordinator.java
@@ -16,9 +16,9 @@
  * the managers that ejected the engine, one keeps probing it: the probe owner by rendezvous hashing
  * (Thaler and Ravishankar 1998). After a successful probe the other managers return in steps, each
  * step with twice as many managers as the one before, so that only few are affected if the engine
- * is overloaded again. An engine that only one manager has ejected concerns that manager alone: its
- * link is broken, not the engine. If reports of others would make this manager avoid too many
- * engines, the reports are ignored.
+ * is overloaded again. An engine that only one manager has ejected concerns that manager alone: the
+ * link between the two is broken, not the engine. If reports of others would make this manager
+ * avoid too many engines, the reports are ignored.
  *
  * <p>States of this manager's right to send to an engine: OWN (decided by its own outlier
  * detection), WITHHELD (probing is left to the probe owner), RETURNING (another manager readmitted
@@ -70,6 +70,7 @@
     }
 
     private enum Event {
+        /** Enough managers have ejected the engine, and another manager is the probe owner. */
         PROBED_BY_OTHER,
 
         /** This manager is the probe owner. */
--- a/src/main/java/firstage/policy/LoadProbing.java
+++ b/src/main/java/firstage/policy/LoadProbing.java
@@ -24,11 +24,13 @@
     /** Share of a request's priority weight that one probe may cost. */
     private static final double MAX_COST_SHARE = 0.01;
 
+    /** Longest time for which a request waits for the answers to its probes. */
     private static final long ANSWER_TIMEOUT = Ticks.ofMillis(20);
 
     /** Minimum time until engines are probed again for a request, if none had capacity. */
     private static final long PROBE_INTERVAL = Ticks.ofMillis(500);
 
+    /** Number of requests over which the mean priority weight is taken. */
     private static final int MEAN_SAMPLES = 64;
 
     /** Price of a probe if engines may not be probed. */
--- a/src/main/java/firstage/policy/api/DemandHistogram.java
+++ b/src/main/java/firstage/policy/api/DemandHistogram.java
@@ -66,8 +66,8 @@
     /**
      * Sets the threads in use and the capacity of the usable engines.
      *
-     * @param threads threads that this manager uses on them
-     * @param capacity threads of all managers together that they can run
+     * @param threads number of threads that this manager uses on these engines
+     * @param capacity number of threads of all managers together that these engines can run
      */
     public void runningThreads(double threads, double capacity) {
         this.runningThreads = threads;
--- a/src/main/java/firstage/policy/state/RequestState.java
+++ b/src/main/java/firstage/policy/state/RequestState.java
@@ -37,7 +37,7 @@
     /** Time at which the earliest attempt that ended and may have run was sent, in ticks. */
     public long firstExecutionAt;
 
-    /** Engine of that attempt; null if there is none. */
+    /** Engine of the attempt that was sent at {@link #firstExecutionAt}; null if there is none. */
     public EngineState firstExecutionEngine;
 
     /** Engine of the latest attempt; null before the first attempt. */
--- a/src/main/java/firstage/scale/HollowWorker.java
+++ b/src/main/java/firstage/scale/HollowWorker.java
@@ -32,14 +32,15 @@
  * ms.
  */
 public final class HollowWorker implements HollowManager.Observer {
+    /** Time between two ticks of a manager: 20 ms. */
     private static final long TICK_INTERVAL = 200;
 
-    /** Time within which all managers start. */
+    /** Time within which all managers start: 1 s. */
     private static final long START_WINDOW = 10_000;
 
     private static final long REPORT_INTERVAL_MS = 1_000;
 
-    /** Largest tick delay that is recorded. */
+    /** Largest tick delay that is recorded: 60 s; a longer delay counts as this one. */
     private static final long MAX_TICK_DELAY = 600_000;
 
     /**
@@ -190,16 +191,31 @@
         }
     }
 
-    /** Executes an order of the scale run; an unknown order stops the process. */
+    /**
+     * Executes an order of the scale run; an unknown order stops the process. {@code managers} are
+     * numbers separated by commas; {@code since} is the Unix time in ms from which delays count.
+     *
+     * <pre>
+     * go since                    starts all managers within a second
+     * kill managers               kills managers
+     * leave managers              lets managers leave
+     * start managers delay        starts managers after a delay in ms
+     * gone label cell name since  measures when the views of the cell lose the manager
+     * back label cell name since  measures when they contain it again
+     * whole label since           measures when all views are complete
+     * silent since                measures when cells become silent or return
+     * heap                        collects garbage and reports at once
+     * </pre>
+     */
     private void execute(String[] order) throws IOException {
         switch (order[0]) {
             case "go" -> {
                 Random random = new Random(managers.keySet().iterator().next());
                 managers.values()
                         .forEach(
-                                m ->
+                                manager ->
                                         startTimes.put(
-                                                m,
+                                                manager,
                                                 now()
                                                         + (long)
                                                                 (random.nextDouble()
--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -462,7 +462,7 @@
     private static void pause() {
         try {
             Thread.sleep(100);
-        } catch (InterruptedException fault) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
@@ -578,13 +578,13 @@
         double elapsedS = (System.nanoTime() - startNs) / 1e9;
         cpu = (cpuMs(0) - cpu) / elapsedS;
         double returned = (clients.returned() - before[0]) / elapsedS;
-        double pushedBack = (clients.rejected() - before[1]) / elapsedS;
+        double rejected = (clients.rejected() - before[1]) / elapsedS;
         double failed = (clients.failed() - before[2]) / elapsedS;
         putFigure(prefix + "connections", load.connections());
-        putFigure(prefix + "statements a s", returned + pushedBack + failed);
+        putFigure(prefix + "statements a s", returned + rejected + failed);
         putFigure(
                 prefix + "returned, part",
-                returned / Math.max(1e-9, returned + pushedBack + failed));
+                returned / Math.max(1e-9, returned + rejected + failed));
         putFigure(prefix + "failed a s", failed);
         putFigure(prefix + "connections opened a s", (clients.opened() - before[3]) / elapsedS);
         putFigure(prefix + "dispatches a s", (engines.statementsReceived() - before[4]) / elapsedS);
@@ -599,7 +599,7 @@
         putFigure(prefix + "processor, ms a s", cpu);
         putFigure(prefix + "resident MB", residentMb(0));
         return new double[] {
-            returned + pushedBack + failed, load.connections(), cpu, residentMb(0)
+            returned + rejected + failed, load.connections(), cpu, residentMb(0)
         };
     }
 
@@ -743,7 +743,10 @@
         return hollowProcesses.stream().mapToDouble(h -> h.lastReport().figure(name)).sum();
     }
 
-    /** Returns the number of reports, one a second, that every hollow process has written. */
+    /**
+     * Returns the number of reports that every hollow process has written: one a second, and one
+     * more for the heap at the end.
+     */
     private int completeSeconds() {
         return hollowProcesses.stream().mapToInt(HollowWorkerProcess::reportCount).min().orElse(0);
     }
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -259,7 +259,7 @@
         runningAttempts++;
     }
 
-    /** Records that such an attempt makes no more calls. */
+    /** Records that an attempt whose statement was written makes no more calls. */
     void onAttemptReleased() {
         runningAttempts--;
     }
--- a/src/main/java/firstage/server/membership/MembershipTransport.java
+++ b/src/main/java/firstage/server/membership/MembershipTransport.java
@@ -54,9 +54,9 @@
 import org.xnio.channels.SocketAddressBuffer;
 
 /**
- * Transport of membership, cells and fleet coordination over UDP on the one I/O thread: datagrams,
- * ticks and log lines. Answers status requests and zone orders from this machine. Makes no
- * decisions of its own.
+ * Runs membership, cells and fleet coordination on the one I/O thread: exchanges their datagrams
+ * over UDP, calls their periodic ticks and writes their log lines. Answers status requests and zone
+ * orders that come from this machine. Makes no decisions of its own.
  */
 public final class MembershipTransport implements MembershipActions, CellActions {
     /** Text of a request for this manager's status; answered only if it comes from this machine. */
--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -40,7 +40,8 @@
 
     /**
      * Minimum share of the work sent to an overloaded cold engine that has to come from managers
-     * that knew of the engine's start: with less, the overload does not break rule 4.
+     * that knew of the engine's start: with less, the overload is no violation of rule 4, which
+     * protects cold engines from overload.
      */
     private static final double MIN_SHARE_OF_INFORMED_MANAGERS = 2.0 / 3;
 
@@ -177,9 +178,9 @@
     }
 
     /**
-     * Changes the state. An engine that goes down or silent loses all its attempts; only in the
-     * first case do their senders learn of it, by a lost connection. An engine that comes up again
-     * is cold, unless it only hung.
+     * Changes the state. An engine that goes down or silent loses all its attempts. Their senders
+     * learn of the loss, by a broken connection, only if the engine goes down. An engine that comes
+     * up again is cold, unless it only hung.
      */
     public void setState(State newState) {
         advance();
--- a/src/main/java/firstage/simulation/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -65,7 +65,9 @@
             PAUSE,
             /** Managers reload their configuration (SIGHUP). */
             RELOAD,
-            /** Engines die, which resets connections; they are back, cold, after {@code length}. */
+            /**
+             * Engines die, which resets their connections, and restart cold after {@code length}.
+             */
             DIE,
             /** Engines send nothing and accept no connections; they are cold afterwards. */
             SILENCE,
@@ -137,10 +139,10 @@
                         managers.spread,
                         IntStream.range(0, cells)
                                 .mapToObj(
-                                        c ->
+                                        cell ->
                                                 new CellPlan.Cell(
-                                                        "c" + c,
-                                                        zones.get(zoneOf(c)),
+                                                        "c" + cell,
+                                                        zones.get(zoneOf(cell)),
                                                         managers.cellSize,
                                                         true))
                                 .toList());
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -355,7 +355,7 @@
         rules.onAccepted(openRequest.clientTry);
         int ownIncarnation = incarnation;
         events.schedule(deadline - events.now(), () -> onDeadline(openRequest, ownIncarnation));
-        // The checker's tolerance for late answers is over by then.
+        // 25 ms after the deadline, the checker's tolerance for late answers is over.
         events.schedule(
                 deadline - events.now() + 250,
                 () -> rules.onDeadlinePassed(events.now(), openRequest.clientTry));
