--- a/src/test/java/firstage/failover/ZoneFailoverTest.java
+++ b/src/test/java/firstage/failover/ZoneFailoverTest.java
@@ -22,7 +22,10 @@
  */
 class ZoneFailoverTest {
     private static final long SECOND = 10_000;
+
+    /** Interval at which the simulation evaluates all managers: 0.1 s. */
     private static final long STEP = 1_000;
+
     private static final int ZONES = 3;
     private static final int ENGINES = 12;
     private static final long WARM_UP = 5 * SECOND;
@@ -199,8 +202,8 @@
     }
 
     /**
-     * All managers evacuate the zone soon and at nearly the same time, and one manager keeps
-     * probing each engine.
+     * All managers evacuate the zone within 2.5 s of its failure and within 0.7 s of each other,
+     * and one manager keeps probing each engine.
      */
     @Test
     void evaluate_zoneDies_evacuatedThenReturnInSteps() {
@@ -239,7 +242,7 @@
         // The number of managers that use the whole zone, taken once a second, grows over the time
         // that engines take to warm up.
         Set<Integer> counts = new HashSet<>();
-        for (int s = 0; s < 15; s++) {
+        for (int second = 0; second < 15; second++) {
             advance(1);
             counts.add(
                     (int)
@@ -276,11 +279,11 @@
     void evaluate_zoneCutOff_servesItself() {
         startFleet(12, ZoneFailover.InjectedDefect.NONE);
         advance(5);
-        for (int z = 0; z < 2; z++) {
-            reachesEngines[z][2] = false;
-            reachesEngines[2][z] = false;
-            reachesManagers[z][2] = false;
-            reachesManagers[2][z] = false;
+        for (int otherZone = 0; otherZone < 2; otherZone++) {
+            reachesEngines[otherZone][2] = false;
+            reachesEngines[2][otherZone] = false;
+            reachesManagers[otherZone][2] = false;
+            reachesManagers[2][otherZone] = false;
         }
         advance(10);
         assertThat(managers)
@@ -473,7 +476,7 @@
                 advance(10);
                 setEnginesHealthy(1, true);
                 Set<Integer> counts = new HashSet<>();
-                for (int s = 0; s < 20; s++) {
+                for (int second = 0; second < 20; second++) {
                     advance(1);
                     counts.add(
                             (int)
--- a/src/test/java/firstage/overload/LoadSheddingLevelTest.java
+++ b/src/test/java/firstage/overload/LoadSheddingLevelTest.java
@@ -16,10 +16,13 @@
 
 /**
  * Tests the load shedding of a fleet that receives more work than its engines can run: which
- * requests are refused, and how the threshold returns to 0. Work is simulated as a flow.
+ * requests are refused, and how the threshold returns to 0. Work is simulated as a flow. Times are
+ * in ticks.
  */
 class LoadSheddingLevelTest {
     private static final long SECOND = 10_000;
+
+    /** Interval at which the simulation evaluates all managers: 0.1 s. */
     private static final long STEP = 1_000;
 
     /** Capacity of the engines in seconds of work a second. */
@@ -211,8 +214,8 @@
     }
 
     /**
-     * During the overload all managers serve the work of high priority; soon after it nothing is
-     * refused.
+     * During the overload all managers serve the work of high priority; soon after the overload
+     * nothing is refused.
      */
     @Test
     void evaluate_overload_sameThresholdThenOpen() {
@@ -284,7 +287,7 @@
      * a large fleet stay incomplete.
      */
     @Test
-    void rowsToSend_largeFleet_allByTurns() {
+    void rowsToSend_largeFleet_sendsAllInTurn() {
         createFleet(97, LoadSheddingLevel.InjectedDefect.NONE);
         LoadSheddingLevel level = managers.get(0).level;
         managers.forEach(manager -> level.onRows(now, manager.level.rowsToSend(now, 1)));
@@ -331,7 +334,7 @@
 
     /** One manager falsely reports a huge load of the highest priority, all of it queued. */
     @Test
-    void evaluate_oneFalseRow_costsLittle() {
+    void evaluate_oneFalseRow_hasLittleEffect() {
         createFleet(12, LoadSheddingLevel.InjectedDefect.NONE);
         managers.get(0).sendsFalseRows = true;
         startLowLoad();
--- a/src/test/java/firstage/server/ConnectionsIT.java
+++ b/src/test/java/firstage/server/ConnectionsIT.java
@@ -26,7 +26,7 @@
 /** Tests the limits on connections and file descriptors. */
 class ConnectionsIT extends ManagerFixture {
     @Test
-    void silentClients_overTheLimit_keepNobodyOut() throws Exception {
+    void silentClients_overTheLimit_doNotBlockOthers() throws Exception {
         manager.restart(withSockets(config(), 140));
         List<QueryClient> silentClients = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
@@ -63,7 +63,7 @@
      * coordinator nor an engine could be reached again.
      */
     @Test
-    void idleClients_fillDescriptors_keepNeitherWatchNorEnginesOut() throws Exception {
+    void idleClients_fillDescriptors_watchAndEnginesStillConnect() throws Exception {
         manager.kill();
         manager.startWith(
                 manager.newConfigFile(withSockets(config(), 120)),
--- a/src/test/java/firstage/server/ProcessPauseIT.java
+++ b/src/test/java/firstage/server/ProcessPauseIT.java
@@ -116,7 +116,10 @@
         assertNotSent(leftIds);
     }
 
-    /** A DELETE on a new connection is not read yet; the client's held poll stays open. */
+    /**
+     * A DELETE arrives on a new connection during the pause; the client's own connection stays
+     * open.
+     */
     @ParameterizedTest
     @CsvSource({"true, -1", "true, 0", "true, 10", "false, -1", "false, 0", "false, 10"})
     void request_cancelledDuringPause_isNotSent(boolean polls, int engineReadyAfterMs)
--- a/src/test/java/firstage/server/ReloadIT.java
+++ b/src/test/java/firstage/server/ReloadIT.java
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void reload_sighupIgnoredAtStart_isFollowedStill() throws Exception {
+    void reload_sighupIgnoredAtStart_isStillApplied() throws Exception {
         coordinator.watchStarts().take();
         manager.kill();
         manager.startWith(manager.configFile(), "sh", "-c", "trap '' HUP; exec \"$0\" \"$@\"");
--- a/src/test/java/firstage/server/ShutdownIT.java
+++ b/src/test/java/firstage/server/ShutdownIT.java
@@ -150,7 +150,7 @@
 
     /** The program waits for a client that reads late, but not for one that never reads. */
     @Test
-    void sigterm_clientNeverReads_delaysNobody() throws Exception {
+    void sigterm_clientNeverReads_doesNotDelayShutdown() throws Exception {
         String rows = "\u0001".repeat(5_990) + "\t\t\n";
         engine.respondWith(
                 call ->
--- a/src/test/java/firstage/soak/FaultSoak.java
+++ b/src/test/java/firstage/soak/FaultSoak.java
@@ -78,10 +78,19 @@
     private final List<Process> busyProcesses = new ArrayList<>();
     private final AtomicInteger requests = new AtomicInteger();
     private final AtomicInteger departures = new AtomicInteger();
+
+    /** End of the latest pause, in ticks, by manager. */
     private final Map<Integer, Long> pausedUntil = new ConcurrentHashMap<>();
+
+    /** Time of the latest kill or unexpected end, in ticks, by manager. */
     private final Map<Integer, Long> killedAt = new ConcurrentHashMap<>();
+
+    /** Managers that were killed or ended unexpectedly and are not restarted yet. */
     private final Set<Integer> killedManagers = ConcurrentHashMap.newKeySet();
+
+    /** Time at which the manager's shutdown or kill began, in ticks, until it is restarted. */
     private final Map<Integer, Long> endingSince = new ConcurrentHashMap<>();
+
     private final List<ClientTry> openTries = new ArrayList<>();
     private RunningTest test;
 
@@ -140,11 +149,14 @@
 
     private void createSystemCallFaults() throws IOException {
         if (SystemCallFaults.available()) {
-            for (int m = 0; m < plan.plan().managers().count(); m++) {
+            for (int manager = 0; manager < plan.plan().managers().count(); manager++) {
                 systemCallFaults.put(
-                        m,
+                        manager,
                         SystemCallFaults.create(
-                                folder, "m" + m, folder.resolve("lasting"), seed * 1_000 + m));
+                                folder,
+                                "m" + manager,
+                                folder.resolve("lasting"),
+                                seed * 1_000 + manager));
             }
         }
     }
--- a/src/test/java/firstage/soak/SoakClient.java
+++ b/src/test/java/firstage/soak/SoakClient.java
@@ -12,8 +12,8 @@
 import java.util.Locale;
 
 /**
- * Runs one client script on sockets of its own. The times that the client reports are measured by
- * itself: when the last byte of its request was written, and a time by which it had left.
+ * Runs one client script on sockets of its own. The client itself measures the times that it
+ * reports: when the last byte of its request was written, and a time by which it had left.
  */
 final class SoakClient implements Runnable {
     private static final int CONNECT_TIMEOUT_MS = 2_000;
@@ -22,8 +22,8 @@
     private static final long LOST_AFTER_MS = 500;
 
     /**
-     * Time after the sending of a request on an idle connection within which the manager may close
-     * the connection because it has not seen the request yet, which is no violation.
+     * Time after a request is sent on an idle connection within which the manager may close the
+     * connection without having seen the request; this is no violation.
      */
     private static final long CROSSING_MS = 50;
 
