--- a/src/main/java/firstage/emulator/LoadGenerator.java
+++ b/src/main/java/firstage/emulator/LoadGenerator.java
@@ -44,20 +44,20 @@
     private static final Pattern POLL_PATH = Pattern.compile("\"poll\":\"([^\"]+)\"");
 
     /**
-     * Minimum time between requests of one ordering key. Each request may open a new connection,
-     * after which the protocol requires a longer distance than on an open one.
+     * Minimum time between requests of one ordering key: 300 ms. Each request may open a new
+     * connection, after which the protocol requires a longer distance than on an open one.
      */
     private static final long KEY_GAP = 3_000;
 
     /**
-     * Time for which a client waits beyond the deadline. A response within this time is late; a try
-     * without any response is lost.
+     * Time for which a client waits beyond the deadline: 0.5 s. A response within this time is
+     * late; a try without any response is lost.
      */
     private static final long RESPONSE_GRACE = 5_000;
 
     /**
-     * Mean time after which the load balancer detects a failed manager; the actual time is 0.5 to
-     * 1.5 times this value.
+     * Mean time after which the load balancer detects a failed manager: 1.5 s. The actual time is
+     * 0.5 to 1.5 times this value.
      */
     private static final long DETECTION_DELAY = 15_000;
 
--- a/src/main/java/firstage/lifecycle/AttemptStateMachine.java
+++ b/src/main/java/firstage/lifecycle/AttemptStateMachine.java
@@ -158,7 +158,7 @@
         ABANDON,
         /** Sends the DELETE again. */
         RETRY_DELETE,
-        /** Ends an attempt whose statement the engine no longer holds, as nobody polled for it. */
+        /** Ends an attempt whose statement the engine has dropped because it was not polled. */
         EXPIRY
     }
 
--- a/src/main/java/firstage/scale/ScalePlan.java
+++ b/src/main/java/firstage/scale/ScalePlan.java
@@ -76,8 +76,13 @@
     private static final int MAX_ENGINES = 10_000;
     private static final int MAX_MANAGERS_PER_PROCESS = 400;
     private static final int MAX_CELL_SIZE = 200;
+
+    /** Longest length of a plan or a load, in ticks: 10 minutes. */
     private static final long MAX_LENGTH = 6_000_000;
+
+    /** Shortest length of a load, in ticks: 2 s. */
     private static final long MIN_LOAD_LENGTH = 20_000;
+
     private static final int MAX_CONNECTIONS = 10_000;
     private static final double MAX_RATE = 10_000;
 
--- a/src/main/java/firstage/server/ShutdownSequence.java
+++ b/src/main/java/firstage/server/ShutdownSequence.java
@@ -26,7 +26,7 @@
      */
     private static final long ACCEPT_AFTER_SIGTERM_MS = 700;
 
-    /** Time, in ticks, that the last answers may take to reach their clients. */
+    /** Time, in ticks, that the last answers may take to reach their clients: 0.5 s. */
     private static final long LAST_RESPONSES_ALLOWANCE = 5_000;
 
     /** Time within which abandoned attempts end. */
--- a/src/main/java/firstage/server/engine/EngineConnectionPool.java
+++ b/src/main/java/firstage/server/engine/EngineConnectionPool.java
@@ -21,21 +21,22 @@
  */
 final class EngineConnectionPool {
     /**
-     * Time for which the open connections are assumed to work after the engine last sent bytes.
-     * Engines answer a poll after 250 ms at the latest; the rest is for the round trip.
+     * Time for which the open connections are assumed to work after the engine last sent bytes: 400
+     * ms. Engines answer a poll after 250 ms at the latest; the other 150 ms are for the round
+     * trip.
      */
     private static final long LIVENESS_PERIOD = 4_000;
 
     /**
-     * Minimum time between a page and the next call on its connection. A duplicate of the page
-     * arrives within this time, and would be taken for rows of another result. A call whose
+     * Minimum time between a page and the next call on its connection: 10 ms. A duplicate of the
+     * page arrives within this time, and would be taken for rows of another result. A call whose
      * response must not be mistaken (a statement, a DELETE) waits this long after any response.
      */
     private static final long QUIET_PERIOD = 100;
 
     /**
-     * Time for which a connection is not used after a suspected duplicate. Engines hold a poll for
-     * 250 ms, so the genuine response arrives within this time.
+     * Time for which a connection is not used after a suspected duplicate: 300 ms. Engines hold a
+     * poll for 250 ms, so the genuine response arrives within this time.
      */
     private static final long QUARANTINE_PERIOD = 3_000;
 
--- a/src/main/java/firstage/simulation/EngineModel.java
+++ b/src/main/java/firstage/simulation/EngineModel.java
@@ -210,7 +210,7 @@
         reschedule();
     }
 
-    /** Makes the engine cold as of now; its attempts go on. */
+    /** Makes the engine cold as of now; its attempts continue. */
     void makeCold() {
         advance();
         startedAt = events.now();
--- a/src/main/java/firstage/simulation/FleetPlan.java
+++ b/src/main/java/firstage/simulation/FleetPlan.java
@@ -328,7 +328,7 @@
             SLOW,
             /** Load reports arrive {@code size} seconds later. */
             LATE_REPORTS,
-            /** Engines become cold at once, and go on running. */
+            /** Engines become cold at once, and continue to run. */
             COLD
         }
     }
--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -304,7 +304,7 @@
         }
     }
 
-    /** Kills the manager: its open requests fail, and its attempts go on at the engines. */
+    /** Kills the manager: its open requests fail, and its attempts continue at the engines. */
     void kill() {
         List<RuleChecker.ClientTry> unansweredTries = new ArrayList<>();
         for (OpenRequest openRequest : openRequests) {
