--- a/src/main/java/firstage/simulation/ManagerModel.java
+++ b/src/main/java/firstage/simulation/ManagerModel.java
@@ -304,7 +304,7 @@
         }
     }
 
-    /** Kills the manager: its open requests fail, and its attempts go on at the engines. */
+    /** Kills the manager: its open requests fail, and its attempts continue at the engines. */
     void kill() {
         List<RuleChecker.ClientTry> unansweredTries = new ArrayList<>();
         for (OpenRequest openRequest : openRequests) {
@@ -355,7 +355,7 @@
         rules.onAccepted(openRequest.clientTry);
         int ownIncarnation = incarnation;
         events.schedule(deadline - events.now(), () -> onDeadline(openRequest, ownIncarnation));
-        // The checker's tolerance for late answers is over by then.
+        // 25 ms after the deadline, the checker's tolerance for late answers is over.
         events.schedule(
                 deadline - events.now() + 250,
                 () -> rules.onDeadlinePassed(events.now(), openRequest.clientTry));
