--- a/src/main/java/firstage/scale/ScaleRun.java
+++ b/src/main/java/firstage/scale/ScaleRun.java
@@ -583,8 +583,7 @@
         putFigure(prefix + "connections", load.connections());
         putFigure(prefix + "statements a s", returned + rejected + failed);
         putFigure(
-                prefix + "returned, part",
-                returned / Math.max(1e-9, returned + rejected + failed));
+                prefix + "returned, part", returned / Math.max(1e-9, returned + rejected + failed));
         putFigure(prefix + "failed a s", failed);
         putFigure(prefix + "connections opened a s", (clients.opened() - before[3]) / elapsedS);
         putFigure(prefix + "dispatches a s", (engines.statementsReceived() - before[4]) / elapsedS);
@@ -598,9 +597,7 @@
                 clients.threadDelays().getValueAtPercentile(HIGH_PERCENTILE) / 1e3);
         putFigure(prefix + "processor, ms a s", cpu);
         putFigure(prefix + "resident MB", residentMb(0));
-        return new double[] {
-            returned + rejected + failed, load.connections(), cpu, residentMb(0)
-        };
+        return new double[] {returned + rejected + failed, load.connections(), cpu, residentMb(0)};
     }
 
     /**
